--- a/permit/acknowledge.go
+++ b/permit/acknowledge.go
@@ -16,13 +16,13 @@
 // where it knows nothing of that. It needs no round: what an office has was decided, and that
 // a document was taken stays true. A change would take two, and outvote the very daemons that
 // write what it waits for.
-func (office *Office) Again(mark Mark) (applied Applied, isTaken bool, err error) {
-	serial, config, tree := office.Current()
-	since, lapse, isKnown := office.since(serial)
+func (issuer *Office) Again(mark Mark) (applied Applied, isTaken bool, err error) {
+	serial, config, tree := issuer.Current()
+	seenAt, olderLeaseSpan, isKnown := issuer.firstSeen(serial)
 	if mark == "" || !isKnown || !slices.Contains(config.Taken, mark) {
 		return Applied{}, false, nil
 	}
-	applied, err = office.acknowledge(serial, since, max(tree.Span("permit_ms", ""), lapse))
+	applied, err = issuer.acknowledge(serial, seenAt, max(tree.Span("permit_ms", ""), olderLeaseSpan))
 	return applied, true, err
 }
 
@@ -31,22 +31,22 @@
 // way. isSo false tells nothing but that a change is needed; the error is that of the read.
 //
 // Invariant: what it acknowledges was in force after it was called.
-func (issuer *Office) Stands(says func(*settings.Tree, Config) bool) (applied Applied, isSo bool, err error) {
-	if _, config, tree := issuer.Current(); tree == nil || !says(tree, config) {
+func (issuer *Office) Stands(holds func(*settings.Tree, Config) bool) (applied Applied, isInForce bool, err error) {
+	if _, config, tree := issuer.Current(); tree == nil || !holds(tree, config) {
 		return Applied{}, false, nil // the order is new, as far as is known here
 	}
 	if err := issuer.Refresh(); err != nil {
 		return Applied{}, false, err
 	}
 	serial, config, tree := issuer.Current()
-	if !says(tree, config) {
+	if !holds(tree, config) {
 		return Applied{}, false, nil
 	}
-	since, lapse, isKnown := issuer.since(serial)
+	seenAt, olderLeaseSpan, isKnown := issuer.firstSeen(serial)
 	if !isKnown {
 		return Applied{}, false, nil // it changes just now
 	}
-	applied, err = issuer.acknowledge(serial, since, max(tree.Span("permit_ms", ""), lapse))
+	applied, err = issuer.acknowledge(serial, seenAt, max(tree.Span("permit_ms", ""), olderLeaseSpan))
 	return applied, true, err
 }
 
@@ -69,18 +69,18 @@
 
 // Change revises the configuration and returns once it is acknowledged: every
 // recorded holder applies it, or its permit has expired.
-func (office *Office) Change(expect *uint64, revise func(Config) (Config, error)) (Applied, error) {
-	var under register.Value // what was revised last
-	value, err := office.Keeper.ChangeWithin(ConfigKey, office.silence(), func(value register.Value) ([]byte, error) {
-		under = value
+func (issuer *Office) Change(expect *uint64, revise func(Config) (Config, error)) (Applied, error) {
+	var base register.Value // what was revised last
+	value, err := issuer.Keeper.ChangeWithin(ConfigKey, issuer.orderTimeout(), func(value register.Value) ([]byte, error) {
+		base = value
 		if expect != nil && *expect != value.Serial {
 			return nil, &register.Stale{Key: ConfigKey, Have: value.Serial, Want: *expect}
 		}
-		have, err := opened(value)
+		current, err := openConfig(value)
 		if err != nil {
 			return nil, err
 		}
-		next, err := revise(have)
+		next, err := revise(current)
 		if err != nil {
 			return nil, err
 		}
@@ -89,139 +89,139 @@
 	if err != nil && !errors.Is(err, ErrSame) {
 		return Applied{Serial: value.Serial}, err
 	}
-	decided := office.World.Now()
+	decidedAt := issuer.World.Now()
 	// The value may be a later change's that has this one beneath it, so what is
 	// offered under its serial is read from it.
-	next, err := opened(value)
+	next, err := openConfig(value)
 	if err != nil {
 		return Applied{Serial: value.Serial}, err
 	}
-	serial, _, before := office.Current()
-	taken, lapse, isKnown := office.since(value.Serial)
-	if err := office.take(value.Serial, next); err != nil {
+	serial, _, before := issuer.Current()
+	seenAt, olderLeaseSpan, isKnown := issuer.firstSeen(value.Serial)
+	if err := issuer.applyConfig(value.Serial, next); err != nil {
 		return Applied{Serial: value.Serial}, err
 	}
-	_, _, tree := office.Current()
-	length := tree.Span("permit_ms", "")
+	_, _, tree := issuer.Current()
+	leaseSpan := tree.Span("permit_ms", "")
 	if before != nil {
-		length = max(length, before.Span("permit_ms", ""))
+		leaseSpan = max(leaseSpan, before.Span("permit_ms", ""))
 	}
-	if under.Serial > serial && under.Serial < value.Serial {
+	if base.Serial > serial && base.Serial < value.Serial {
 		// Permits were granted under it that this office has not seen.
-		if have, err := opened(under); err == nil {
-			if tree, problems := before.Revise(have.Document); len(problems) == 0 {
-				length = max(length, tree.Span("permit_ms", ""))
+		if current, err := openConfig(base); err == nil {
+			if tree, problems := before.Revise(current.Document); len(problems) == 0 {
+				leaseSpan = max(leaseSpan, tree.Span("permit_ms", ""))
 			}
 		}
 	}
 	if isKnown {
 		// It was decided before this order came, by the same order at another daemon:
 		// permits under those before it run out from then on, not from now.
-		decided, length = taken, max(length, lapse)
+		decidedAt, leaseSpan = seenAt, max(leaseSpan, olderLeaseSpan)
 	}
-	return office.acknowledge(value.Serial, decided, length)
+	return issuer.acknowledge(value.Serial, decidedAt, leaseSpan)
 }
 
 // acknowledge tells the holders and waits for them, until the expiry of permits under
 // older configurations at the latest, whatever else does not answer: the longest of those
 // has the length, by the clock of its holder. An offer tells the serial alone, and may be
 // made again and again: the holder fetches what it lacks. The error is ErrUnconfirmed.
-func (office *Office) acknowledge(serial uint64, decided, length time.Duration) (Applied, error) {
+func (issuer *Office) acknowledge(serial uint64, decidedAt, leaseSpan time.Duration) (Applied, error) {
 	applied := Applied{Serial: serial}
-	length += time.Duration(Drift * float64(length))
-	expiry := decided + length
-	edition := office.carried(serial)
+	leaseSpan += time.Duration(Drift * float64(leaseSpan))
+	deadline := decidedAt + leaseSpan
+	edition := issuer.offerEdition(serial)
 	// took has, by name, the incarnations that apply it, or a later one.
-	took := map[string]string{}
-	call := func(address string, patience time.Duration) string {
-		var taken Taken
-		offer := Offer{Serial: serial, Edition: edition, Patience: patience * 4 / 5} // the answer needs its time, too
-		if office.Net.Call(address, "Permit.Take", offer, &taken, patience) != nil || taken.Serial < serial {
+	confirmed := map[string]string{}
+	sendOffer := func(address string, timeout time.Duration) string {
+		var reply Taken
+		offer := Offer{Serial: serial, Edition: edition, Patience: timeout * 4 / 5} // the answer needs its time, too
+		if issuer.Net.Call(address, "Permit.Take", offer, &reply, timeout) != nil || reply.Serial < serial {
 			return ""
 		}
-		return taken.Incarnation
+		return reply.Incarnation
 	}
 	var holders map[string]Record
-	for round := 0; !office.isAcknowledged(serial) && (round > 0 || office.World.Now() < expiry); round++ {
+	for round := 0; !issuer.isAcknowledged(serial) && (round > 0 || issuer.World.Now() < deadline); round++ {
 		// Those that are members are told while the records are read, which say who else
 		// there is.
-		var live []session.Session
+		var sessions []session.Session
 		if round == 0 {
-			live = office.Table.Live(session.Data)
+			sessions = issuer.Table.Live(session.Data)
 		}
-		patience := expiry - office.World.Now()
+		timeout := deadline - issuer.World.Now()
 		if round == 0 {
-			patience = min(length/4, patience)
+			timeout = min(leaseSpan/4, timeout)
 		}
 		var found map[string]Record
 		err := register.ErrNoMajority
-		left := 1 + len(live)
-		loop.Gather(office.World, 1+len(live), patience, func(index int) (out read) {
+		pending := 1 + len(sessions)
+		loop.Gather(issuer.World, 1+len(sessions), timeout, func(index int) (out ackResult) {
 			if index == 0 {
-				out.holders, out.err = office.Holders()
+				out.holders, out.err = issuer.Holders()
 			} else {
-				out.incarnation = call(live[index-1].Member.Wire, patience)
+				out.incarnation = sendOffer(sessions[index-1].Member.Wire, timeout)
 			}
 			return out
-		}, func(index int, out read) bool {
+		}, func(index int, out ackResult) bool {
 			if index == 0 {
 				found, err = out.holders, out.err
 			} else if out.incarnation != "" {
-				took[live[index-1].Member.Name] = out.incarnation
+				confirmed[sessions[index-1].Member.Name] = out.incarnation
 			}
-			left--
-			return left == 0
+			pending--
+			return pending == 0
 		})
 		if err == nil {
 			holders = found
-			names := applied.waiting(holders, took)
+			names := applied.unconfirmed(holders, confirmed)
 			// A silent holder is waited for until its permit is over, no longer.
-			patience := max(length/100, min(length/4, expiry-office.World.Now()))
-			loop.Gather(office.World, len(names), patience, func(index int) string {
-				return call(holders[names[index]].Wire, patience)
+			timeout := max(leaseSpan/100, min(leaseSpan/4, deadline-issuer.World.Now()))
+			loop.Gather(issuer.World, len(names), timeout, func(index int) string {
+				return sendOffer(holders[names[index]].Wire, timeout)
 			}, func(index int, incarnation string) bool {
 				if incarnation != "" {
-					took[names[index]] = incarnation
+					confirmed[names[index]] = incarnation
 				}
 				return false
 			})
 			applied.Holders = len(holders)
-			if len(applied.waiting(holders, took)) == 0 {
+			if len(applied.unconfirmed(holders, confirmed)) == 0 {
 				break
 			}
 		}
-		if office.World.Now() >= expiry {
-			applied.Expired = applied.waiting(holders, took)
+		if issuer.World.Now() >= deadline {
+			applied.Expired = applied.unconfirmed(holders, confirmed)
 			break
 		}
-		if !loop.Sleep(office.World, min(length/20, expiry-office.World.Now())) {
+		if !loop.Sleep(issuer.World, min(leaseSpan/20, deadline-issuer.World.Now())) {
 			return applied, ErrUnconfirmed
 		}
 	}
-	office.guard.Lock()
-	office.acknowledged = max(office.acknowledged, serial)
-	office.guard.Unlock()
-	applied.Took = office.World.Now() - decided
+	issuer.mutex.Lock()
+	issuer.acknowledged = max(issuer.acknowledged, serial)
+	issuer.mutex.Unlock()
+	applied.Took = issuer.World.Now() - decidedAt
 	return applied, nil
 }
 
-// read is what a reading of the holders' records gave, or an offer meanwhile.
-type read struct {
+// ackResult is what a reading of the holders' records gave, or an offer meanwhile.
+type ackResult struct {
 	holders     map[string]Record
 	err         error
 	incarnation string // of an offer's taker
 }
 
-func (office *Office) isAcknowledged(serial uint64) bool {
-	office.guard.Lock()
-	defer office.guard.Unlock()
-	return office.acknowledged >= serial
+func (issuer *Office) isAcknowledged(serial uint64) bool {
+	issuer.mutex.Lock()
+	defer issuer.mutex.Unlock()
+	return issuer.acknowledged >= serial
 }
 
-// waiting lists the holders of which no recorded incarnation applies it.
-func (Applied) waiting(holders map[string]Record, took map[string]string) (names []string) {
+// unconfirmed lists the holders of which no recorded incarnation applies it.
+func (Applied) unconfirmed(holders map[string]Record, confirmed map[string]string) (names []string) {
 	for name, record := range holders {
-		if took[name] != record.Incarnation {
+		if confirmed[name] != record.Incarnation {
 			names = append(names, name)
 		}
 	}
--- a/permit/edition.go
+++ b/permit/edition.go
@@ -27,8 +27,8 @@
 	Evacuated    []string
 }
 
-// sumOf is the digest of a whole configuration as data daemons go by it.
-func sumOf(chunks []*settings.Chunk, evacuated []string) (out [sha256.Size]byte) {
+// configDigest is the digest of a whole configuration as data daemons go by it.
+func configDigest(chunks []*settings.Chunk, evacuated []string) (out [sha256.Size]byte) {
 	sum := sha256.New()
 	buffer := bufio.NewWriter(sum) // strings get into it without a copy of their own
 	write := func(text string) {
@@ -46,13 +46,13 @@
 	return out
 }
 
-// entry is one chunk's in an index.
-type entry struct {
+// indexEntry is one chunk's in an index.
+type indexEntry struct {
 	Digest settings.Digest
 	Length uint32
 }
 
-func indexOf(chunks []*settings.Chunk) []byte {
+func encodeIndex(chunks []*settings.Chunk) []byte {
 	var out []byte
 	for _, chunk := range chunks {
 		out = append(out, chunk.Digest[:]...)
@@ -61,7 +61,7 @@
 	return out
 }
 
-func digestsOf(chunks []*settings.Chunk) map[settings.Digest]*settings.Chunk {
+func chunksByDigest(chunks []*settings.Chunk) map[settings.Digest]*settings.Chunk {
 	out := make(map[settings.Digest]*settings.Chunk, len(chunks))
 	for _, chunk := range chunks {
 		out[chunk.Digest] = chunk
@@ -69,37 +69,37 @@
 	return out
 }
 
-// gone are the texts of the base's chunks that the index has no more: what new chunks are
+// removedTexts are the texts of the base's chunks that the index has no more: what new chunks are
 // likely to be made from. They are not nil where there is a base.
-func gone(base []*settings.Chunk, isIn func(settings.Digest) bool) []byte {
+func removedTexts(base []*settings.Chunk, isKept func(settings.Digest) bool) []byte {
 	if base == nil {
 		return nil
 	}
 	out := []byte{}
 	for _, chunk := range base {
-		if !isIn(chunk.Digest) {
+		if !isKept(chunk.Digest) {
 			out = append(out, chunk.Text...)
 		}
 	}
 	return out
 }
 
-// edit makes an edition of chunks for one who has those of the base, or none.
-func edit(chunks, base []*settings.Chunk) *Edition {
-	have, next := digestsOf(base), digestsOf(chunks)
+// newEdition makes an edition of chunks for one who has those of the base, or none.
+func newEdition(chunks, base []*settings.Chunk) *Edition {
+	baseChunks, newChunks := chunksByDigest(base), chunksByDigest(chunks)
 	var texts strings.Builder
 	for _, chunk := range chunks {
-		if have[chunk.Digest] == nil {
+		if baseChunks[chunk.Digest] == nil {
 			texts.WriteString(chunk.Text)
 		}
 	}
 	var index []byte
 	if base != nil {
-		index = indexOf(base)
+		index = encodeIndex(base)
 	}
 	return &Edition{
-		Index: wire.Pack(indexOf(chunks), index),
-		Texts: wire.Pack([]byte(texts.String()), gone(base, func(digest settings.Digest) bool { return next[digest] != nil })),
+		Index: wire.Pack(encodeIndex(chunks), index),
+		Texts: wire.Pack([]byte(texts.String()), removedTexts(base, func(digest settings.Digest) bool { return newChunks[digest] != nil })),
 	}
 }
 
@@ -108,38 +108,38 @@
 func (edition *Edition) assemble(base []*settings.Chunk) (*settings.Tree, error) {
 	var index []byte
 	if base != nil {
-		index = indexOf(base)
+		index = encodeIndex(base)
 	}
-	text, err := wire.Unpack(edition.Index, index)
+	indexData, err := wire.Unpack(edition.Index, index)
 	if err != nil {
 		return nil, err
 	}
-	entries := make([]entry, len(text)/binary.Size(entry{}))
-	if _, err := binary.Decode(text, binary.BigEndian, entries); err != nil {
+	entries := make([]indexEntry, len(indexData)/binary.Size(indexEntry{}))
+	if _, err := binary.Decode(indexData, binary.BigEndian, entries); err != nil {
 		return nil, fmt.Errorf("the index of chunks can't be read: %w", err)
 	}
-	isIn := make(map[settings.Digest]bool, len(entries))
-	for _, one := range entries {
-		isIn[one.Digest] = true
+	isInIndex := make(map[settings.Digest]bool, len(entries))
+	for _, item := range entries {
+		isInIndex[item.Digest] = true
 	}
-	texts, err := wire.Unpack(edition.Texts, gone(base, func(digest settings.Digest) bool { return isIn[digest] }))
+	texts, err := wire.Unpack(edition.Texts, removedTexts(base, func(digest settings.Digest) bool { return isInIndex[digest] }))
 	if err != nil {
 		return nil, err
 	}
-	have := digestsOf(base)
+	baseChunks := chunksByDigest(base)
 	chunks := make([]*settings.Chunk, 0, len(entries))
-	for _, one := range entries {
-		chunk := have[one.Digest]
+	for _, item := range entries {
+		chunk := baseChunks[item.Digest]
 		if chunk == nil {
-			if int(one.Length) > len(texts) {
-				return nil, fmt.Errorf("chunk %x did not come", one.Digest)
+			if int(item.Length) > len(texts) {
+				return nil, fmt.Errorf("chunk %x did not come", item.Digest)
 			}
-			chunk = settings.NewChunk(string(texts[:one.Length]))
-			texts = texts[one.Length:]
+			chunk = settings.NewChunk(string(texts[:item.Length]))
+			texts = texts[item.Length:]
 		}
 		chunks = append(chunks, chunk)
 	}
-	if sumOf(chunks, edition.Evacuated) != edition.Sum {
+	if configDigest(chunks, edition.Evacuated) != edition.Sum {
 		return nil, fmt.Errorf("the chunks put together are not what was decided")
 	}
 	tree, problems := settings.Assemble(chunks)
@@ -149,48 +149,48 @@
 	return tree, nil
 }
 
-// edited is how many configurations an office keeps the chunks of, to tell later ones
+// maxVersions is how many configurations an office keeps the chunks of, to tell later ones
 // against. As chunks are shared, one costs what its successor has otherwise; together
 // they are no more than another newest, or editedBytes.
 const (
-	edited      = 64
-	editedBytes = 1 << 20
+	maxVersions     = 64
+	maxVersionBytes = 1 << 20
 )
 
-// issue is a configuration that an office has seen.
-type issue struct {
-	serial    uint64
-	chunks    []*settings.Chunk
-	evacuated []string
-	dropped   int // bytes of its chunks that its successor has not
+// configVersion is a configuration that an office has seen.
+type configVersion struct {
+	serial       uint64
+	chunks       []*settings.Chunk
+	evacuated    []string
+	droppedBytes int // bytes of its chunks that its successor has not
 }
 
-// issue keeps the chunks of the configuration that was just taken, and forgets the oldest
+// keepVersion keeps the chunks of the configuration that was just taken, and forgets the oldest
 // beyond what edited and editedBytes say. Who holds the guard calls it.
-func (office *Office) issue() {
-	fresh := issue{serial: office.serial, chunks: office.tree.Chunks(), evacuated: office.config.Evacuated}
+func (issuer *Office) keepVersion() {
+	newest := configVersion{serial: issuer.serial, chunks: issuer.tree.Chunks(), evacuated: issuer.config.Evacuated}
 	whole := 0
-	for _, chunk := range fresh.chunks {
+	for _, chunk := range newest.chunks {
 		whole += len(chunk.Text)
 	}
-	if count := len(office.issues); count > 0 {
-		last, isIn := &office.issues[count-1], digestsOf(fresh.chunks)
+	if count := len(issuer.versions); count > 0 {
+		last, newChunks := &issuer.versions[count-1], chunksByDigest(newest.chunks)
 		for _, chunk := range last.chunks {
-			if isIn[chunk.Digest] == nil {
-				last.dropped += len(chunk.Text)
+			if newChunks[chunk.Digest] == nil {
+				last.droppedBytes += len(chunk.Text)
 			}
 		}
 	}
-	office.issues = append(office.issues, fresh)
-	first, kept := len(office.issues)-1, 0
-	for first > 0 && len(office.issues)-first < edited {
-		if kept += office.issues[first-1].dropped; kept > max(whole, editedBytes) {
+	issuer.versions = append(issuer.versions, newest)
+	first, kept := len(issuer.versions)-1, 0
+	for first > 0 && len(issuer.versions)-first < maxVersions {
+		if kept += issuer.versions[first-1].droppedBytes; kept > max(whole, maxVersionBytes) {
 			break
 		}
 		first--
 	}
-	office.issues = append([]issue{}, office.issues[first:]...)
-	office.editions = map[uint64]*Edition{}
+	issuer.versions = append([]configVersion{}, issuer.versions[first:]...)
+	issuer.editions = map[uint64]*Edition{}
 }
 
 // Want is a data daemon's wish for a configuration, of the serial or a later one.
@@ -199,22 +199,22 @@
 	Base   uint64 // what it has and wants it told against; zero for none
 }
 
-// carriedBytes is the most that an edition may have to ride on offers.
-const carriedBytes = 2048
+// maxOfferBytes is the most that an edition may have to ride on offers.
+const maxOfferBytes = 2048
 
-// carried is the edition of the serial for offers, against the configuration before it: an
+// offerEdition is the edition of the serial for offers, against the configuration before it: an
 // evacuation, which changes no chunk. Nil for all others, each of which every holder fetches
 // once, near it, and where the newest one here is another.
-func (issuer *Office) carried(serial uint64) *Edition {
-	issuer.guard.Lock()
-	count := len(issuer.issues)
+func (issuer *Office) offerEdition(serial uint64) *Edition {
+	issuer.mutex.Lock()
+	count := len(issuer.versions)
 	if count < 2 || issuer.serial != serial {
-		issuer.guard.Unlock()
+		issuer.mutex.Unlock()
 		return nil
 	}
-	base := issuer.issues[count-2].serial
-	isSame := areSame(issuer.issues[count-2].chunks, issuer.issues[count-1].chunks)
-	issuer.guard.Unlock()
+	base := issuer.versions[count-2].serial
+	isSame := sameChunks(issuer.versions[count-2].chunks, issuer.versions[count-1].chunks)
+	issuer.mutex.Unlock()
 	if !isSame {
 		return nil
 	}
@@ -222,46 +222,46 @@
 	if issuer.Fetch(Want{Serial: serial, Base: base}, edition) != nil || edition.Serial != serial || edition.Base != base {
 		return nil
 	}
-	if len(edition.Index)+len(edition.Texts) > carriedBytes {
+	if len(edition.Index)+len(edition.Texts) > maxOfferBytes {
 		return nil
 	}
 	return edition
 }
 
-// areSame tells whether two configurations have the same chunks in the same order.
-func areSame(a, b []*settings.Chunk) bool {
-	return slices.EqualFunc(a, b, func(one, other *settings.Chunk) bool { return one.Digest == other.Digest })
+// sameChunks tells whether two configurations have the same chunks in the same order.
+func sameChunks(a, b []*settings.Chunk) bool {
+	return slices.EqualFunc(a, b, func(x, y *settings.Chunk) bool { return x.Digest == y.Digest })
 }
 
 // Fetch gives the newest configuration, packed once for all who have the same base, and
 // whole if that one is not kept. Serial is zero if there is none as new as is wanted.
-func (office *Office) Fetch(want Want, edition *Edition) error {
-	if serial, _, _ := office.Current(); serial < want.Serial {
-		if err := office.Refresh(); err != nil {
+func (issuer *Office) Fetch(request Want, edition *Edition) error {
+	if serial, _, _ := issuer.Current(); serial < request.Serial {
+		if err := issuer.Refresh(); err != nil {
 			return err
 		}
 	}
-	office.guard.Lock()
-	defer office.guard.Unlock()
-	if office.serial < want.Serial || office.serial == 0 {
+	issuer.mutex.Lock()
+	defer issuer.mutex.Unlock()
+	if issuer.serial < request.Serial || issuer.serial == 0 {
 		return nil
 	}
-	var has []*settings.Chunk
-	for index := range office.issues {
-		if one := &office.issues[index]; one.serial == want.Base {
-			has = one.chunks
+	var baseChunks []*settings.Chunk
+	for index := range issuer.versions {
+		if version := &issuer.versions[index]; version.serial == request.Base {
+			baseChunks = version.chunks
 		}
 	}
-	if has == nil {
-		want.Base = 0
+	if baseChunks == nil {
+		request.Base = 0
 	}
-	one := office.editions[want.Base]
-	if one == nil {
-		last := &office.issues[len(office.issues)-1]
-		one = edit(last.chunks, has)
-		one.Serial, one.Base, one.Evacuated, one.Sum = last.serial, want.Base, last.evacuated, sumOf(last.chunks, last.evacuated)
-		office.editions[want.Base] = one
+	packed := issuer.editions[request.Base]
+	if packed == nil {
+		last := &issuer.versions[len(issuer.versions)-1]
+		packed = newEdition(last.chunks, baseChunks)
+		packed.Serial, packed.Base, packed.Evacuated, packed.Sum = last.serial, request.Base, last.evacuated, configDigest(last.chunks, last.evacuated)
+		issuer.editions[request.Base] = packed
 	}
-	*edition = *one
+	*edition = *packed
 	return nil
 }
--- a/permit/ending_test.go
+++ b/permit/ending_test.go
@@ -38,8 +38,8 @@
 	return net.client.Call(method, args, reply)
 }
 
-// issuer is a control daemon in the world of a real process, alone in its core.
-type issuer struct {
+// testIssuer is a control daemon in the world of a real process, alone in its core.
+type testIssuer struct {
 	*permit.Office
 	machine *loop.Machine
 	net     *localNet
@@ -52,7 +52,7 @@
 	return fmt.Appendf(nil, `{"label":%d,"whole":{"limits":{"permit_ms":%d}},"regions":{"a":{"zones":{"a-1":{}}}}}`, label, leaseSpan.Milliseconds())
 }
 
-func newIssuer(t *testing.T) *issuer {
+func newIssuer(t *testing.T) *testIssuer {
 	t.Helper()
 	machine := loop.NewMachine()
 	acceptor, err := register.OpenAcceptor(disk.Options{World: machine, Folder: disk.Real(t.TempDir()), LogBytes: 1 << 20}, "control-1")
@@ -72,17 +72,17 @@
 	}
 	span := func() time.Duration { return time.Second }
 	table := session.NewTable(session.Options{World: machine, Net: wires, Self: session.Member{Name: "control", Role: session.Control, Wire: "control"}, Seeds: func() []string { return nil }, Span: span, Keeper: proposer})
-	return &issuer{machine: machine, net: wires, Office: &permit.Office{Options: permit.Options{World: machine, Net: wires, Keeper: proposer, Table: table}}}
+	return &testIssuer{machine: machine, net: wires, Office: &permit.Office{Options: permit.Options{World: machine, Net: wires, Keeper: proposer, Table: table}}}
 }
 
-func (issuer *issuer) change(label int) (permit.Applied, error) {
+func (issuer *testIssuer) change(label int) (permit.Applied, error) {
 	return issuer.Change(nil, func(config permit.Config) (permit.Config, error) {
 		return config.Take(document(label), permit.Mark(fmt.Sprintf("%d/x", label)), 0)
 	})
 }
 
 // first makes the first configuration, and tries again where a busy machine took too long.
-func (issuer *issuer) first(t *testing.T) {
+func (issuer *testIssuer) first(t *testing.T) {
 	began := issuer.machine.Now()
 	for {
 		_, err := issuer.change(1)
@@ -98,7 +98,7 @@
 
 // lease grants the data daemon a lease, and gives the time from which it counts. On a busy machine a grant
 // may take longer than is allowed, and is asked for again, as data daemons do.
-func (issuer *issuer) lease(t *testing.T) (granted time.Duration) {
+func (issuer *testIssuer) lease(t *testing.T) (granted time.Duration) {
 	ask := permit.Ask{Holder: session.Member{Name: "data", Incarnation: "1", Role: session.Data, Wire: "data"}}
 	began := issuer.machine.Now()
 	for {
@@ -114,7 +114,7 @@
 }
 
 // repeat sends the second change once more, as an operator does whose first call got no answer.
-func (issuer *issuer) repeat() (permit.Applied, error) {
+func (issuer *testIssuer) repeat() (permit.Applied, error) {
 	applied, isTaken, err := issuer.Again("2/x")
 	if !isTaken {
 		return applied, errors.New("the change is not known")
@@ -123,7 +123,7 @@
 }
 
 // stands asks for what the second change brought about already.
-func (issuer *issuer) stands() (permit.Applied, error) {
+func (issuer *testIssuer) stands() (permit.Applied, error) {
 	applied, isSo, err := issuer.Stands(func(tree *settings.Tree, _ permit.Config) bool { return tree.Label() == 2 })
 	if !isSo {
 		return applied, errors.New("it does not stand")
--- a/permit/history.go
+++ b/permit/history.go
@@ -16,8 +16,8 @@
 	// Remembered is how many marks a configuration keeps, at most twice as many where no
 	// page could be written meanwhile.
 	Remembered = 64
-	// pageMarks is how many marks a page of the history has.
-	pageMarks = Remembered / 2
+	// marksPerPage is how many marks a page of the history has.
+	marksPerPage = Remembered / 2
 	// HistoryPages is how many pages are kept: a newer one takes the register of the one
 	// that lies so many before it.
 	HistoryPages = 128
@@ -56,7 +56,7 @@
 		return config, nil
 	}
 	if len(config.Taken) >= Remembered && config.Archived < archived {
-		config.Taken = config.Taken[pageMarks:]
+		config.Taken = config.Taken[marksPerPage:]
 		config.Archived++
 	}
 	if len(config.Taken) >= 2*Remembered {
@@ -68,13 +68,13 @@
 
 // Archive writes the next page of the history where the configuration that this office
 // knows has marks enough for one, and gives how many pages are known to be written.
-func (office *Office) Archive() uint64 {
-	_, config, _ := office.Current()
+func (issuer *Office) Archive() uint64 {
+	_, config, _ := issuer.Current()
 	if len(config.Taken) < Remembered {
 		return config.Archived
 	}
-	page := HistoryPage{Number: config.Archived, Marks: config.Taken[:pageMarks]}
-	err := WritePage(office.Keeper, office.silence(), page)
+	page := HistoryPage{Number: config.Archived, Marks: config.Taken[:marksPerPage]}
+	err := WritePage(issuer.Keeper, issuer.orderTimeout(), page)
 	if err != nil {
 		return config.Archived // the configuration bears more of them for a while
 	}
@@ -82,14 +82,14 @@
 }
 
 // WritePage writes a page of the history, unless it or a newer one stands there.
-func WritePage(keeper *register.Keeper, silence time.Duration, page HistoryPage) error {
-	_, err := keeper.ChangeWithin(historyKey(page.Number), silence, func(value register.Value) ([]byte, error) {
-		var have HistoryPage
+func WritePage(keeper *register.Keeper, timeout time.Duration, page HistoryPage) error {
+	_, err := keeper.ChangeWithin(historyKey(page.Number), timeout, func(value register.Value) ([]byte, error) {
+		var stored HistoryPage
 		if value.Serial > 0 {
-			if err := json.Unmarshal(value.Data, &have); err != nil {
+			if err := json.Unmarshal(value.Data, &stored); err != nil {
 				return nil, err
 			}
-			if have.Number >= page.Number {
+			if stored.Number >= page.Number {
 				return nil, ErrSame
 			}
 		}
@@ -103,25 +103,25 @@
 
 // Recall tells whether an order is in the history before the configuration, which is one
 // that was decided. Errors: ErrForgotten, those of the registers.
-func (office *Office) Recall(config Config, mark Mark, patience time.Duration) (bool, error) {
+func (issuer *Office) Recall(config Config, mark Mark, timeout time.Duration) (bool, error) {
 	first := uint64(0)
 	if config.Archived > HistoryPages {
 		first = config.Archived - HistoryPages
 	}
-	missing := office.missingPages(first, config.Archived)
+	missing := issuer.missingPages(first, config.Archived)
 	if len(missing) > 0 {
-		if err := office.readPages(missing, patience); err != nil {
+		if err := issuer.readPages(missing, timeout); err != nil {
 			return false, err
 		}
 	}
-	office.guard.Lock()
-	defer office.guard.Unlock()
+	issuer.mutex.Lock()
+	defer issuer.mutex.Unlock()
 	for number := first; number < config.Archived; number++ {
-		if slices.Contains(office.pages[number], mark) {
+		if slices.Contains(issuer.pages[number], mark) {
 			return true, nil
 		}
 	}
-	oldest := office.pages[first]
+	oldest := issuer.pages[first]
 	if first > 0 && (len(oldest) == 0 || mark.Label() < oldest[0].Label()) {
 		return false, ErrForgotten
 	}
@@ -129,16 +129,16 @@
 }
 
 // missingPages lists the pages that were not read yet, and forgets those before the first.
-func (office *Office) missingPages(first, end uint64) (missing []uint64) {
-	office.guard.Lock()
-	defer office.guard.Unlock()
-	for number := range office.pages {
+func (issuer *Office) missingPages(first, end uint64) (missing []uint64) {
+	issuer.mutex.Lock()
+	defer issuer.mutex.Unlock()
+	for number := range issuer.pages {
 		if number < first {
-			delete(office.pages, number)
+			delete(issuer.pages, number)
 		}
 	}
 	for number := first; number < end; number++ {
-		if office.pages[number] == nil {
+		if issuer.pages[number] == nil {
 			missing = append(missing, number)
 		}
 	}
@@ -147,27 +147,27 @@
 
 // readPages reads pages that a decided configuration names. A page that a newer one
 // replaced is left empty.
-func (office *Office) readPages(numbers []uint64, patience time.Duration) error {
+func (issuer *Office) readPages(numbers []uint64, timeout time.Duration) error {
 	keys := make([]string, len(numbers))
-	for at, number := range numbers {
-		keys[at] = historyKey(number)
+	for index, number := range numbers {
+		keys[index] = historyKey(number)
 	}
-	values, err := office.Keeper.ReadManyWithin(patience, keys...)
+	values, err := issuer.Keeper.ReadManyWithin(timeout, keys...)
 	if err != nil {
 		return err
 	}
-	office.guard.Lock()
-	defer office.guard.Unlock()
-	if office.pages == nil {
-		office.pages = map[uint64][]Mark{}
+	issuer.mutex.Lock()
+	defer issuer.mutex.Unlock()
+	if issuer.pages == nil {
+		issuer.pages = map[uint64][]Mark{}
 	}
-	for at, number := range numbers {
+	for index, number := range numbers {
 		var page HistoryPage
-		if err := json.Unmarshal(values[keys[at]].Data, &page); err != nil {
+		if err := json.Unmarshal(values[keys[index]].Data, &page); err != nil {
 			return fmt.Errorf("page %d of the history of accepted orders can't be read: %w", number, err)
 		}
 		if page.Number == number {
-			office.pages[number] = page.Marks
+			issuer.pages[number] = page.Marks
 		}
 	}
 	return nil
--- a/permit/holder.go
+++ b/permit/holder.go
@@ -56,12 +56,12 @@
 	Expiry  time.Duration
 	// IsMoving tells that some standing has a version on trial, or one that was left and
 	// stands by.
-	IsMoving bool
-	sum      uint64
-	out      []string // the evacuated zones, as they were told
-	told     time.Duration
-	timed    time.Duration
-	texts    map[string]text // of the standings that came last, by region
+	IsMoving       bool
+	membersSum     uint64
+	evacuatedZones []string // the evacuated zones, as they were told
+	membersAt      time.Duration
+	uptimesAt      time.Duration
+	standingTexts  map[string]standingText // of the standings that came last, by region
 	// Placed are the tenants' placements as of their serial; nil before any came.
 	Placed       *tenant.Book
 	PlacedSerial uint64
@@ -80,7 +80,7 @@
 // Config is the configuration as data daemons are told it, put together.
 func (view *View) Config() (out Config) {
 	if view.Tree != nil {
-		out = Config{Document: view.Tree.Document(), Evacuated: view.out}
+		out = Config{Document: view.Tree.Document(), Evacuated: view.evacuatedZones}
 	}
 	return out
 }
@@ -114,19 +114,19 @@
 // with an offer: so no two copies of a document are on their way to a holder. No view shows a life that leavers has, below its serial.
 type Holder struct {
 	HolderOptions
-	guard sync.Mutex // over replacing the view
-	floor uint64
-	// leavers are lives that get nothing any more, as notices told.
-	leavers map[Leaver]left
-	view    atomic.Pointer[View]
-	waker   *loop.Waker
-	// fruitless counts the last asks in a row that brought no grant.
-	fruitless atomic.Int64
+	mutex     sync.Mutex // over replacing the view
+	minSerial uint64
+	// departed are lives that get nothing any more, as notices told.
+	departed map[Leaver]departure
+	view     atomic.Pointer[View]
+	waker    *loop.Waker
+	// failedRenewals counts the last asks in a row that brought no grant.
+	failedRenewals atomic.Int64
 	// isFetching tells that a fetch is under way, and fetchers who waits for what it
 	// brings; both under guard.
-	isFetching bool
-	fetchers   []loop.Mailbox
-	Declined   atomic.Pointer[string]
+	isFetching   bool
+	fetchWaiters []loop.Mailbox
+	Declined     atomic.Pointer[string]
 }
 
 // NewHolder makes a holder without a permit: a restarted daemon has none.
@@ -149,25 +149,25 @@
 		case holder.View().Tree == nil:
 			// Nothing is served until the first one; but where all begin at once, and
 			// there is none yet, they would only be in each other's way.
-			return min(holder.span()/18<<min(holder.fruitless.Load(), 8)/2, holder.span()/Renewals)
-		case holder.fruitless.Load() > 0 || len(holder.View().Unkept) > 0, holder.View().IsMoving:
-			return holder.span() / 6
+			return min(holder.leaseLength()/18<<min(holder.failedRenewals.Load(), 8)/2, holder.leaseLength()/Renewals)
+		case holder.failedRenewals.Load() > 0 || len(holder.View().Unkept) > 0, holder.View().IsMoving:
+			return holder.leaseLength() / 6
 		}
-		return holder.span() / Renewals
+		return holder.leaseLength() / Renewals
 	}, func() bool {
 		if holder.Renew() {
-			holder.fruitless.Store(0)
+			holder.failedRenewals.Store(0)
 		} else {
-			holder.fruitless.Add(1)
+			holder.failedRenewals.Add(1)
 		}
 		return true
 	})
 }
 
-// moving tells whether versions move in any of the standings.
-func moving(standings map[string]standing.Standing) bool {
-	for _, one := range standings {
-		for _, row := range one.Rows {
+// hasMovingVersions tells whether versions move in any of the standings.
+func hasMovingVersions(standings map[string]standing.Standing) bool {
+	for _, table := range standings {
+		for _, row := range table.Rows {
 			if row.Trial || row.Back {
 				return true
 			}
@@ -176,28 +176,28 @@
 	return false
 }
 
-// stale is after which time the members' uptimes are asked for anew, as clocks part that
+// uptimesMaxAge is after which time the members' uptimes are asked for anew, as clocks part that
 // they are reckoned on by.
-const stale = 30 * time.Second
+const uptimesMaxAge = 30 * time.Second
 
 // Renewals is how often a permit is renewed in its length.
 const Renewals = 3
 
-func (holder *Holder) span() time.Duration {
+func (holder *Holder) leaseLength() time.Duration {
 	return holder.View().Tree.Span("permit_ms", "")
 }
 
 // Renew asks once. The time counts from before the ask.
 func (holder *Holder) Renew() bool {
-	asked := holder.World.Now()
-	have := holder.View()
-	ask := Ask{Holder: holder.Self(), Config: have.Serial, Standings: map[string]uint64{}, Placed: have.PlacedSerial, Members: have.sum, IsStale: asked-have.timed >= stale}
-	for region, one := range have.Standings {
-		if have.texts[region].serial == one.Serial {
-			ask.Standings[region] = one.Serial
+	sentAt := holder.World.Now()
+	current := holder.View()
+	request := Ask{Holder: holder.Self(), Config: current.Serial, Standings: map[string]uint64{}, Placed: current.PlacedSerial, Members: current.membersSum, IsStale: sentAt-current.uptimesAt >= uptimesMaxAge}
+	for region, table := range current.Standings {
+		if current.standingTexts[region].serial == table.Serial {
+			request.Standings[region] = table.Serial
 		}
 	}
-	reply, err := holder.Client.Ask("Permit.Renew", ask, func() any { return new(Grant) }, func(reply any) bool { return reply.(*Grant).Declined == "" || reply.(*Grant).IsQueued }, holder.span()/2)
+	reply, err := holder.Client.Ask("Permit.Renew", request, func() any { return new(Grant) }, func(reply any) bool { return reply.(*Grant).Declined == "" || reply.(*Grant).IsQueued }, holder.leaseLength()/2)
 	if err != nil {
 		reason := err.Error()
 		holder.Declined.Store(&reason)
@@ -208,211 +208,211 @@
 		holder.Declined.Store(&grant.Declined)
 		return false
 	}
-	if err := grant.unroll(); err != nil {
+	if err := grant.unpackMembers(); err != nil {
 		reason := err.Error()
 		holder.Declined.Store(&reason)
 		return false
 	}
 	holder.Declined.Store(nil)
-	return holder.take(grant, asked)
+	return holder.applyGrant(grant, sentAt)
 }
 
-func (holder *Holder) take(grant *Grant, asked time.Duration) bool {
-	var got *fetched
+func (holder *Holder) applyGrant(grant *Grant, sentAt time.Duration) bool {
+	var config *fetchedConfig
 	// A fetch that was under way already may bring an older one.
-	for grant.Serial > holder.View().Serial && (got == nil || got.serial < grant.Serial) {
+	for grant.Serial > holder.View().Serial && (config == nil || config.serial < grant.Serial) {
 		var err error
-		if got, err = holder.fetch(grant.Serial, loop.Forever); err != nil {
+		if config, err = holder.awaitFetch(grant.Serial, loop.Forever); err != nil {
 			reason := err.Error()
 			holder.Declined.Store(&reason)
 			return false
 		}
 	}
-	holder.guard.Lock()
-	have := holder.View()
-	next := *have
-	if got != nil && got.serial > have.Serial {
-		next.adopt(got)
+	holder.mutex.Lock()
+	current := holder.View()
+	next := *current
+	if config != nil && config.serial > current.Serial {
+		next.applyConfig(config)
 	}
-	if grant.Serial < max(next.Serial, holder.floor) || grant.Serial > next.Serial {
+	if grant.Serial < max(next.Serial, holder.minSerial) || grant.Serial > next.Serial {
 		// Granted under an older configuration than this daemon has seen, or under
 		// one that it has not: it must not lengthen anything.
-		holder.guard.Unlock()
+		holder.mutex.Unlock()
 		return false
 	}
 	next.Standings = map[string]standing.Standing{}
-	for region, one := range have.Standings {
-		if _, isKept := grant.Kept[region]; isKept || have.Serves(asked) {
-			next.Standings[region] = one
+	for region, table := range current.Standings {
+		if _, isKept := grant.Kept[region]; isKept || current.Serves(sentAt) {
+			next.Standings[region] = table
 		}
 	}
-	next.texts = maps.Clone(have.texts)
-	if next.texts == nil {
-		next.texts = map[string]text{}
+	next.standingTexts = maps.Clone(current.standingTexts)
+	if next.standingTexts == nil {
+		next.standingTexts = map[string]standingText{}
 	}
-	for _, told := range grant.Standings {
-		if told.Serial > next.Standings[told.Region].Serial {
-			if one, isRead := next.open(told); isRead {
-				next.Standings[one.Region] = one
+	for _, update := range grant.Standings {
+		if update.Serial > next.Standings[update.Region].Serial {
+			if table, isRead := next.unpackStanding(update); isRead {
+				next.Standings[table.Region] = table
 			} else {
-				delete(grant.Kept, told.Region) // what it has is not what was found to be kept
+				delete(grant.Kept, update.Region) // what it has is not what was found to be kept
 			}
 		}
 	}
 	next.Unkept = map[string]bool{}
-	for _, told := range grant.Unkept {
-		if have, known := next.Standings[told.Region]; !known || told.Serial > have.Serial {
-			if one, isRead := next.open(told); isRead {
-				next.Standings[one.Region] = one
+	for _, update := range grant.Unkept {
+		if held, known := next.Standings[update.Region]; !known || update.Serial > held.Serial {
+			if table, isRead := next.unpackStanding(update); isRead {
+				next.Standings[table.Region] = table
 			}
 		}
 	}
 	for region := range next.Standings {
-		if _, isKept := grant.Kept[region]; !isKept && (have.Unkept[region] || have.Standings[region].Serial == 0) {
+		if _, isKept := grant.Kept[region]; !isKept && (current.Unkept[region] || current.Standings[region].Serial == 0) {
 			next.Unkept[region] = true
 		}
 	}
 	next.Kept = map[string]time.Duration{}
-	for region, at := range have.Kept {
-		next.Kept[region] = at
+	for region, keptAt := range current.Kept {
+		next.Kept[region] = keptAt
 	}
 	for region, age := range grant.Kept {
-		next.Kept[region] = max(next.Kept[region], asked-age)
+		next.Kept[region] = max(next.Kept[region], sentAt-age)
 	}
-	for region, one := range next.Standings {
-		next.Standings[region] = holder.without(one)
+	for region, table := range next.Standings {
+		next.Standings[region] = holder.withoutDeparted(table)
 	}
-	if book, isRead := OpenPlaced(grant.Placed); isRead && grant.PlacedSerial > have.PlacedSerial {
-		next.Placed, next.PlacedSerial = &book, grant.PlacedSerial
+	if placements, isRead := OpenPlaced(grant.Placed); isRead && grant.PlacedSerial > current.PlacedSerial {
+		next.Placed, next.PlacedSerial = &placements, grant.PlacedSerial
 	}
-	next.told, next.IsMoving = holder.World.Now(), moving(next.Standings)
-	next.enlist(have, grant)
-	next.Expiry = max(have.Expiry, asked+grant.Length)
+	next.membersAt, next.IsMoving = holder.World.Now(), hasMovingVersions(next.Standings)
+	next.updateMembers(current, grant)
+	next.Expiry = max(current.Expiry, sentAt+grant.Length)
 	holder.view.Store(&next)
-	holder.guard.Unlock()
+	holder.mutex.Unlock()
 	if holder.Changed != nil {
 		holder.Changed(&next)
 	}
 	return true
 }
 
-// enlist sets the members of a view that is not shown yet.
-func (view *View) enlist(have *View, grant *Grant) {
-	isWhole := grant.Base == 0 && (grant.Members != nil || grant.Sum != have.sum)
-	if isWhole {
-		view.Members, view.sum, view.timed = grant.Members, grant.Sum, view.told
+// updateMembers sets the members of a view that is not shown yet.
+func (view *View) updateMembers(previous *View, grant *Grant) {
+	isComplete := grant.Base == 0 && (grant.Members != nil || grant.Sum != previous.membersSum)
+	if isComplete {
+		view.Members, view.membersSum, view.uptimesAt = grant.Members, grant.Sum, view.membersAt
 		return
 	}
-	isOut := map[string]bool{}
+	isReplaced := map[string]bool{}
 	for _, name := range grant.Gone {
-		isOut[name] = true
+		isReplaced[name] = true
 	}
-	for _, one := range grant.Members {
-		isOut[one.Name] = true
+	for _, member := range grant.Members {
+		isReplaced[member.Name] = true
 	}
-	view.Members = append(make([]session.Member, 0, len(have.Members)+len(grant.Members)), grant.Members...)
-	for _, one := range have.Members {
-		if !isOut[one.Name] {
+	view.Members = append(make([]session.Member, 0, len(previous.Members)+len(grant.Members)), grant.Members...)
+	for _, member := range previous.Members {
+		if !isReplaced[member.Name] {
 			// The same incarnation: it has been up for as much longer.
-			one.Uptime += view.told - have.told
-			view.Members = append(view.Members, one)
+			member.Uptime += view.membersAt - previous.membersAt
+			view.Members = append(view.Members, member)
 		}
 	}
 	slices.SortFunc(view.Members, func(a, b session.Member) int { return strings.Compare(a.Name, b.Name) })
-	view.sum = grant.Sum
-	if grant.Base != 0 && (grant.Base != have.sum || session.Sum(view.Members) != grant.Sum) {
-		view.sum = 0 // another list came meanwhile: the next ask brings the whole one
+	view.membersSum = grant.Sum
+	if grant.Base != 0 && (grant.Base != previous.membersSum || session.Sum(view.Members) != grant.Sum) {
+		view.membersSum = 0 // another list came meanwhile: the next ask brings the whole one
 	}
-	if view.sum == grant.Sum && len(grant.Uptimes) == len(view.Members) {
-		for at, uptime := range grant.Uptimes {
-			view.Members[at].Uptime = time.Duration(uptime) * time.Millisecond
+	if view.membersSum == grant.Sum && len(grant.Uptimes) == len(view.Members) {
+		for index, uptime := range grant.Uptimes {
+			view.Members[index].Uptime = time.Duration(uptime) * time.Millisecond
 		}
-		view.timed = view.told
+		view.uptimesAt = view.membersAt
 	}
 }
 
-// fetched is a configuration that was put together, and checked.
-type fetched struct {
+// fetchedConfig is a configuration that was put together, and checked.
+type fetchedConfig struct {
 	serial    uint64
 	tree      *settings.Tree
 	evacuated []string
 }
 
-// adopt sets the configuration of a view that is not shown yet.
-func (view *View) adopt(fetched *fetched) {
-	view.Serial, view.Tree, view.out = fetched.serial, fetched.tree, fetched.evacuated
+// applyConfig sets the configuration of a view that is not shown yet.
+func (view *View) applyConfig(config *fetchedConfig) {
+	view.Serial, view.Tree, view.evacuatedZones = config.serial, config.tree, config.evacuated
 	view.Evacuated = map[string]bool{}
-	for _, zone := range fetched.evacuated {
+	for _, zone := range config.evacuated {
 		view.Evacuated[zone] = true
 	}
 }
 
 var errNotFetched = errors.New("the configuration could not be fetched")
 
-// fetch brings a configuration of the serial or a later one; whoever comes while a fetch
+// awaitFetch brings a configuration of the serial or a later one; whoever comes while a fetch
 // is under way waits for that one, as long as its patience lasts. What comes is not gone
 // by yet.
-func (holder *Holder) fetch(serial uint64, patience time.Duration) (*fetched, error) {
-	box := holder.World.Mailbox()
-	holder.guard.Lock()
-	holder.fetchers = append(holder.fetchers, box)
+func (holder *Holder) awaitFetch(serial uint64, timeout time.Duration) (*fetchedConfig, error) {
+	mailbox := holder.World.Mailbox()
+	holder.mutex.Lock()
+	holder.fetchWaiters = append(holder.fetchWaiters, mailbox)
 	if !holder.isFetching {
 		holder.isFetching = true
 		holder.World.Go(func() {
-			got, err := holder.bring(serial)
-			holder.guard.Lock()
-			waiting := holder.fetchers
-			holder.isFetching, holder.fetchers = false, nil
-			holder.guard.Unlock()
-			for _, box := range waiting {
-				box.Put(brought{got, err})
+			result, err := holder.fetchConfig(serial)
+			holder.mutex.Lock()
+			waiters := holder.fetchWaiters
+			holder.isFetching, holder.fetchWaiters = false, nil
+			holder.mutex.Unlock()
+			for _, mailbox := range waiters {
+				mailbox.Put(fetchResult{result, err})
 			}
 		})
 	}
-	holder.guard.Unlock()
-	got, isIn := box.Take(patience)
-	if !isIn {
+	holder.mutex.Unlock()
+	result, isReceived := mailbox.Take(timeout)
+	if !isReceived {
 		return nil, errNotFetched
 	}
-	one := got.(brought)
-	return one.fetched, one.err
+	fetched := result.(fetchResult)
+	return fetched.config, fetched.err
 }
 
-// brings is the configuration that the offer holds, put together by the view; nil where it
+// assemble is the configuration that the offer holds, put together by the view; nil where it
 // holds none, or that is told against another than the view's.
-func (offer Offer) brings(have *View) *fetched {
+func (offer Offer) assemble(current *View) *fetchedConfig {
 	edition := offer.Edition
-	if edition == nil || edition.Serial < offer.Serial || edition.Base != have.Serial || have.Tree == nil {
+	if edition == nil || edition.Serial < offer.Serial || edition.Base != current.Serial || current.Tree == nil {
 		return nil
 	}
-	tree, err := edition.assemble(have.Tree.Chunks())
+	tree, err := edition.assemble(current.Tree.Chunks())
 	if err != nil {
 		return nil
 	}
-	return &fetched{edition.Serial, tree, edition.Evacuated}
+	return &fetchedConfig{edition.Serial, tree, edition.Evacuated}
 }
 
-type brought struct {
-	fetched *fetched
-	err     error
+type fetchResult struct {
+	config *fetchedConfig
+	err    error
 }
 
-// bring fetches a configuration against the one that this daemon goes by, and whole if it
+// fetchConfig fetches a configuration against the one that this daemon goes by, and whole if it
 // can't be put together from that.
-func (holder *Holder) bring(serial uint64) (*fetched, error) {
-	have := holder.View()
-	bases := []uint64{have.Serial, 0}
-	if have.Serial == 0 {
+func (holder *Holder) fetchConfig(serial uint64) (*fetchedConfig, error) {
+	current := holder.View()
+	bases := []uint64{current.Serial, 0}
+	if current.Serial == 0 {
 		bases = bases[1:]
 	}
-	trouble := errNotFetched
+	failure := errNotFetched
 	for _, base := range bases {
-		patience := holder.span() / 2
+		timeout := holder.leaseLength() / 2
 		if base == 0 {
 			// It may be long, and is not to be sent twice; if that is not enough, longer.
-			patience = holder.span() << min(holder.fruitless.Load(), 2)
+			timeout = holder.leaseLength() << min(holder.failedRenewals.Load(), 2)
 		}
-		reply, err := holder.Client.Ask("Permit.Fetch", Want{Serial: serial, Base: base}, func() any { return new(Edition) }, func(reply any) bool { return reply.(*Edition).Serial >= serial }, patience)
+		reply, err := holder.Client.Ask("Permit.Fetch", Want{Serial: serial, Base: base}, func() any { return new(Edition) }, func(reply any) bool { return reply.(*Edition).Serial >= serial }, timeout)
 		if err != nil {
 			return nil, err
 		}
@@ -422,59 +422,59 @@
 		}
 		var chunks []*settings.Chunk
 		if edition.Base > 0 {
-			chunks = have.Tree.Chunks() // of the base that was named
+			chunks = current.Tree.Chunks() // of the base that was named
 		}
 		tree, err := edition.assemble(chunks)
 		if err == nil {
-			return &fetched{edition.Serial, tree, edition.Evacuated}, nil
+			return &fetchedConfig{edition.Serial, tree, edition.Evacuated}, nil
 		}
-		trouble = fmt.Errorf("the configuration that came can't be gone by: %w", err)
+		failure = fmt.Errorf("the configuration that came can't be gone by: %w", err)
 		if edition.Base == 0 {
 			break // it was whole already
 		}
 	}
-	return nil, trouble
+	return nil, failure
 }
 
 // Take answers an offer by the serial that this daemon goes by, which it fetches and
 // applies first, at once, if it lacks it and its permit stands. That lengthens no permit.
 // A holder without one serves nothing, and goes by nothing until a grant brings the
 // newest: that it will take no grant below the offer is all that the offerer has to know.
-func (holder *Holder) Take(offer Offer, taken *Taken) error {
-	expiry := holder.World.Now() + offer.Patience
-	holder.guard.Lock()
-	holder.floor = max(holder.floor, offer.Serial)
-	holder.guard.Unlock()
+func (holder *Holder) Take(offer Offer, reply *Taken) error {
+	deadline := holder.World.Now() + offer.Patience
+	holder.mutex.Lock()
+	holder.minSerial = max(holder.minSerial, offer.Serial)
+	holder.mutex.Unlock()
 	before := holder.View()
 	for {
-		have := holder.View()
+		current := holder.View()
 		now := holder.World.Now()
-		if have.Serial >= offer.Serial || !have.Serves(now) || now >= expiry {
+		if current.Serial >= offer.Serial || !current.Serves(now) || now >= deadline {
 			break
 		}
-		got := offer.brings(have)
-		if got == nil {
+		config := offer.assemble(current)
+		if config == nil {
 			// One that was under way already may have brought an older one.
 			var err error
-			if got, err = holder.fetch(offer.Serial, expiry-now); err != nil {
+			if config, err = holder.awaitFetch(offer.Serial, deadline-now); err != nil {
 				break
 			}
 		}
-		holder.guard.Lock()
-		if have = holder.View(); got.serial > have.Serial && have.Serves(holder.World.Now()) {
-			next := *have
-			next.adopt(got)
+		holder.mutex.Lock()
+		if current = holder.View(); config.serial > current.Serial && current.Serves(holder.World.Now()) {
+			next := *current
+			next.applyConfig(config)
 			holder.view.Store(&next)
 		}
-		holder.guard.Unlock()
+		holder.mutex.Unlock()
 	}
-	holder.guard.Lock()
+	holder.mutex.Lock()
 	view := holder.View()
-	*taken = Taken{Incarnation: holder.Self().Incarnation, Serial: view.Serial}
+	*reply = Taken{Incarnation: holder.Self().Incarnation, Serial: view.Serial}
 	if !view.Serves(holder.World.Now()) {
-		taken.Serial = max(view.Serial, holder.floor)
+		reply.Serial = max(view.Serial, holder.minSerial)
 	}
-	holder.guard.Unlock()
+	holder.mutex.Unlock()
 	if view != before && holder.Changed != nil {
 		holder.Changed(view)
 	}
--- a/permit/notice.go
+++ b/permit/notice.go
@@ -19,78 +19,78 @@
 	Serial uint64
 }
 
-// left says how long a life is out: in standings below a serial, all if that is zero.
-type left struct {
-	below uint64
-	until time.Duration // when it is forgotten
+// departure says how long a life is out: in standings below a serial, all if that is zero.
+type departure struct {
+	belowSerial uint64
+	forgetAt    time.Duration // when it is forgotten
 }
 
-// noticedSpan is how long a life that was said to leave is left out of older standings:
+// departureRetention is how long a life that was said to leave is left out of older standings:
 // far longer than one that shows it can still come.
-const noticedSpan = time.Minute
+const departureRetention = time.Minute
 
 // Heed takes a notice: what it names is in no view from now on, below its serial. It is
 // true however late it comes, as a life that leaves never comes back, and it lengthens
 // nothing.
-func (holder *Holder) Heed(notice Notice, heeded *bool) error {
+func (holder *Holder) Heed(notice Notice, acknowledged *bool) error {
 	now := holder.World.Now()
-	holder.guard.Lock()
-	if holder.leavers == nil {
-		holder.leavers = map[Leaver]left{}
+	holder.mutex.Lock()
+	if holder.departed == nil {
+		holder.departed = map[Leaver]departure{}
 	}
-	for one, has := range holder.leavers {
-		if now >= has.until {
-			delete(holder.leavers, one)
+	for leaver, known := range holder.departed {
+		if now >= known.forgetAt {
+			delete(holder.departed, leaver)
 		}
 	}
-	for _, one := range notice.Leavers {
-		if has, known := holder.leavers[one]; known && (has.below == 0 || notice.Serial != 0 && notice.Serial < has.below) {
+	for _, leaver := range notice.Leavers {
+		if known, isKnown := holder.departed[leaver]; isKnown && (known.belowSerial == 0 || notice.Serial != 0 && notice.Serial < known.belowSerial) {
 			continue // it says less than is known
 		}
-		holder.leavers[one] = left{notice.Serial, now + noticedSpan}
+		holder.departed[leaver] = departure{notice.Serial, now + departureRetention}
 	}
-	have := holder.View()
-	next := *have
-	next.Standings = make(map[string]standing.Standing, len(have.Standings))
-	for region, one := range have.Standings {
+	current := holder.View()
+	next := *current
+	next.Standings = make(map[string]standing.Standing, len(current.Standings))
+	for region, table := range current.Standings {
 		if region == notice.Region {
-			one = holder.without(one)
+			table = holder.withoutDeparted(table)
 		}
-		next.Standings[region] = one
+		next.Standings[region] = table
 	}
 	holder.view.Store(&next)
-	holder.guard.Unlock()
-	*heeded = true
+	holder.mutex.Unlock()
+	*acknowledged = true
 	if holder.Changed != nil {
 		holder.Changed(&next)
 	}
 	return nil
 }
 
-// without is the standing without the lives that were said to leave; who holds the guard
+// withoutDeparted is the standing without the lives that were said to leave; who holds the guard
 // calls it. What it is given is not changed, as others may be reading it.
-func (holder *Holder) without(one standing.Standing) standing.Standing {
-	isOut := map[string]bool{}
-	for _, place := range one.Places {
-		if has, known := holder.leavers[Leaver{place.ID, place.Boot}]; known && (has.below == 0 || one.Serial < has.below) {
-			isOut[place.ID] = true
+func (holder *Holder) withoutDeparted(table standing.Standing) standing.Standing {
+	isRemoved := map[string]bool{}
+	for _, endpoint := range table.Places {
+		if known, isKnown := holder.departed[Leaver{endpoint.ID, endpoint.Boot}]; isKnown && (known.belowSerial == 0 || table.Serial < known.belowSerial) {
+			isRemoved[endpoint.ID] = true
 		}
 	}
-	if len(isOut) == 0 {
-		return one
+	if len(isRemoved) == 0 {
+		return table
 	}
-	places := make([]standing.Place, 0, len(one.Places))
-	for _, place := range one.Places {
-		if !isOut[place.ID] {
-			places = append(places, place)
+	endpoints := make([]standing.Place, 0, len(table.Places))
+	for _, endpoint := range table.Places {
+		if !isRemoved[endpoint.ID] {
+			endpoints = append(endpoints, endpoint)
 		}
 	}
-	rows := make([]standing.Row, 0, len(one.Rows))
-	for _, row := range one.Rows {
-		if !isOut[row.Replica] {
+	rows := make([]standing.Row, 0, len(table.Rows))
+	for _, row := range table.Rows {
+		if !isRemoved[row.Replica] {
 			rows = append(rows, row)
 		}
 	}
-	one.Places, one.Rows = places, rows
-	return one
+	table.Places, table.Rows = endpoints, rows
+	return table
 }
--- a/permit/office.go
+++ b/permit/office.go
@@ -92,151 +92,151 @@
 	Silence time.Duration
 }
 
-// silence is Silence, or what stands for it.
-func (office *Office) silence() time.Duration {
-	if office.Silence > 0 {
-		return office.Silence
+// orderTimeout is Silence, or what stands for it.
+func (issuer *Office) orderTimeout() time.Duration {
+	if issuer.Silence > 0 {
+		return issuer.Silence
 	}
-	return office.Keeper.Patience
+	return issuer.Keeper.Patience
 }
 
 // Office grants permits and acknowledges configurations, at any control daemon.
 type Office struct {
 	Options
-	// reading is over the reading of a configuration that is not known yet: the many who
+	// learnMutex is over the reading of a configuration that is not known yet: the many who
 	// ask for it at once have it read once. Nothing is waited for under it.
-	reading sync.Mutex
-	guard   sync.Mutex
-	serial  uint64
-	config  Config
-	tree    *settings.Tree
-	// taken is when serial was first seen here, by when it was decided; lapse is how long
+	learnMutex sync.Mutex
+	mutex      sync.Mutex
+	serial     uint64
+	config     Config
+	tree       *settings.Tree
+	// seenAt is when serial was first seen here, by when it was decided; lapse is how long
 	// permits under those before it, as far as they were seen, may stand from then on.
-	taken, lapse time.Duration
-	// issues are the configurations last seen, the newest last, which is config; editions
+	seenAt, olderLeaseSpan time.Duration
+	// versions are the configurations last seen, the newest last, which is config; editions
 	// what was told of it, by base.
-	issues   []issue
+	versions []configVersion
 	editions map[uint64]*Edition
-	// parsed is the last that Parse made, of the document.
-	parsed   *settings.Tree
-	document []byte
-	// enrolled are the holders' records that were written here last, by key.
-	enrolled   map[string]Record
-	enrolments enrolments
-	// retiring is since when a holder has been without a session.
-	retiring map[string]time.Duration
-	granted  uint64
+	// parsedTree is the last that Parse made, of the document.
+	parsedTree     *settings.Tree
+	parsedDocument []byte
+	// writtenRecords are the holders' records that were written here last, by key.
+	writtenRecords map[string]Record
+	recordQueue    recordQueue
+	// absentSince is since when a holder has been without a session.
+	absentSince map[string]time.Duration
+	granted     uint64
 	// holderKeys are the keys of the holders that were there the last time.
 	holderKeys []string
 	// acknowledged is the highest serial that was acknowledged here, which acknowledges
 	// all before it.
 	acknowledged uint64
 	// standings are those last read, by region; they are never changed.
-	standings map[string]standing.Standing
-	stacks    map[string]*stack // their texts, by region
-	rolls     rolls             // members that were told last
+	standings     map[string]standing.Standing
+	standingTexts map[string]*textHistory // their texts, by region
+	memberHistory memberHistory           // members that were told last
 	// pages are those of the history that were read, by number; they are never changed.
 	pages map[uint64][]Mark
 }
 
 // Current is the newest configuration that this daemon has read.
-func (office *Office) Current() (uint64, Config, *settings.Tree) {
-	office.guard.Lock()
-	defer office.guard.Unlock()
-	return office.serial, office.config, office.tree
+func (issuer *Office) Current() (uint64, Config, *settings.Tree) {
+	issuer.mutex.Lock()
+	defer issuer.mutex.Unlock()
+	return issuer.serial, issuer.config, issuer.tree
 }
 
 // Grants counts the permits granted here.
-func (office *Office) Grants() uint64 {
-	office.guard.Lock()
-	defer office.guard.Unlock()
-	return office.granted
+func (issuer *Office) Grants() uint64 {
+	issuer.mutex.Lock()
+	defer issuer.mutex.Unlock()
+	return issuer.granted
 }
 
 // Learn takes a configuration that a register was seen to hold.
-func (office *Office) Learn(value register.Value) error {
+func (issuer *Office) Learn(value register.Value) error {
 	if value.Serial == 0 {
 		return nil
 	}
-	office.reading.Lock()
-	defer office.reading.Unlock()
-	if serial, _, _ := office.Current(); serial >= value.Serial {
+	issuer.learnMutex.Lock()
+	defer issuer.learnMutex.Unlock()
+	if serial, _, _ := issuer.Current(); serial >= value.Serial {
 		return nil
 	}
-	config, err := opened(value)
+	config, err := openConfig(value)
 	if err != nil {
 		return fmt.Errorf("the configuration's register can't be read: %w", err)
 	}
-	return office.take(value.Serial, config)
+	return issuer.applyConfig(value.Serial, config)
 }
 
-// take takes a configuration that a register was seen to hold under the serial.
-func (office *Office) take(serial uint64, config Config) error {
-	tree, problems := office.Parse(config.Document)
+// applyConfig takes a configuration that a register was seen to hold under the serial.
+func (issuer *Office) applyConfig(serial uint64, config Config) error {
+	tree, problems := issuer.Parse(config.Document)
 	if len(problems) > 0 {
 		return problems
 	}
-	office.guard.Lock()
-	defer office.guard.Unlock()
-	if serial > office.serial {
-		now, lapse := office.World.Now(), tree.Span("permit_ms", "")
-		if office.tree != nil {
-			lapse = max(lapse, office.tree.Span("permit_ms", ""), office.taken+office.lapse-now)
+	issuer.mutex.Lock()
+	defer issuer.mutex.Unlock()
+	if serial > issuer.serial {
+		now, olderLeaseSpan := issuer.World.Now(), tree.Span("permit_ms", "")
+		if issuer.tree != nil {
+			olderLeaseSpan = max(olderLeaseSpan, issuer.tree.Span("permit_ms", ""), issuer.seenAt+issuer.olderLeaseSpan-now)
 		}
-		office.taken, office.lapse = now, lapse
-		office.serial, office.config, office.tree = serial, config, tree
-		office.issue()
+		issuer.seenAt, issuer.olderLeaseSpan = now, olderLeaseSpan
+		issuer.serial, issuer.config, issuer.tree = serial, config, tree
+		issuer.keepVersion()
 	}
 	return nil
 }
 
-// since gives when the configuration under the serial was first seen here, and the lapse;
+// firstSeen gives when the configuration under the serial was first seen here, and the lapse;
 // false when this office knows another one.
-func (office *Office) since(serial uint64) (taken, lapse time.Duration, isKnown bool) {
-	office.guard.Lock()
-	defer office.guard.Unlock()
-	return office.taken, office.lapse, office.serial == serial
+func (issuer *Office) firstSeen(serial uint64) (seenAt, olderLeaseSpan time.Duration, isKnown bool) {
+	issuer.mutex.Lock()
+	defer issuer.mutex.Unlock()
+	return issuer.seenAt, issuer.olderLeaseSpan, issuer.serial == serial
 }
 
 // Parse is settings.Parse, which remembers the last document that had no problems, and
 // shares with its tree what is the same.
-func (office *Office) Parse(document []byte) (*settings.Tree, settings.Problems) {
-	office.guard.Lock()
-	last, text := office.parsed, office.document
-	office.guard.Unlock()
-	if last != nil && bytes.Equal(text, document) {
-		return last, nil
+func (issuer *Office) Parse(document []byte) (*settings.Tree, settings.Problems) {
+	issuer.mutex.Lock()
+	lastTree, lastDocument := issuer.parsedTree, issuer.parsedDocument
+	issuer.mutex.Unlock()
+	if lastTree != nil && bytes.Equal(lastDocument, document) {
+		return lastTree, nil
 	}
-	tree, problems := last.Revise(document)
+	tree, problems := lastTree.Revise(document)
 	if len(problems) == 0 {
-		office.guard.Lock()
-		office.parsed, office.document = tree, document
-		office.guard.Unlock()
+		issuer.mutex.Lock()
+		issuer.parsedTree, issuer.parsedDocument = tree, document
+		issuer.mutex.Unlock()
 	}
 	return tree, problems
 }
 
 // Refresh reads the configuration at a majority; without one it gives up after the silence
 // that orders bear.
-func (office *Office) Refresh() error {
-	value, err := office.Keeper.ReadWithin(ConfigKey, office.silence())
+func (issuer *Office) Refresh() error {
+	value, err := issuer.Keeper.ReadWithin(ConfigKey, issuer.orderTimeout())
 	if err != nil {
 		return err
 	}
-	return office.Learn(value)
+	return issuer.Learn(value)
 }
 
 // Renew grants a permit, or says why not.
-func (office *Office) Renew(ask Ask, grant *Grant) error {
-	began := office.World.Now()
-	record := Record{Incarnation: ask.Holder.Incarnation, Wire: ask.Holder.Wire}
-	holderKey := HolderPrefix + ask.Holder.Name
+func (issuer *Office) Renew(request Ask, grant *Grant) error {
+	startedAt := issuer.World.Now()
+	record := Record{Incarnation: request.Holder.Incarnation, Wire: request.Holder.Wire}
+	holderKey := HolderPrefix + request.Holder.Name
 	// The records first, the configuration after: see Record.
-	if err := office.recorded(holderKey, record, ask.Config == 0); err != nil {
+	if err := issuer.ensureRecord(holderKey, record, request.Config == 0); err != nil {
 		grant.Declined, grant.IsQueued = err.Error(), errors.Is(err, errQueued)
 		return nil
 	}
-	_, _, tree := office.Current()
+	_, _, tree := issuer.Current()
 	for round := 0; round < 3; round++ {
 		keys := []string{ConfigKey}
 		if tree != nil {
@@ -247,10 +247,10 @@
 				keys = append(keys, PlacedKey)
 			}
 		}
-		values, open, err := office.Keeper.ReadSettled(keys...)
+		values, unsettled, err := issuer.Keeper.ReadSettled(keys...)
 		value := values[ConfigKey]
-		if err == nil && slices.Contains(open, ConfigKey) {
-			value, err = office.Keeper.Read(ConfigKey)
+		if err == nil && slices.Contains(unsettled, ConfigKey) {
+			value, err = issuer.Keeper.Read(ConfigKey)
 		}
 		if err != nil {
 			grant.Declined = err.Error()
@@ -260,114 +260,114 @@
 			grant.Declined = "there is no configuration yet"
 			return nil
 		}
-		if err := office.Learn(value); err != nil {
+		if err := issuer.Learn(value); err != nil {
 			grant.Declined = err.Error()
 			return nil
 		}
-		serial, _, fresh := office.Current()
-		if tree == nil || strings.Join(fresh.Regions(), " ") != strings.Join(tree.Regions(), " ") {
-			tree = fresh
+		serial, _, newest := issuer.Current()
+		if tree == nil || strings.Join(newest.Regions(), " ") != strings.Join(tree.Regions(), " ") {
+			tree = newest
 			continue // other regions: read their standings too
 		}
 		// The newest that this office knows of: it was decided before now, and
 		// a later grant can't be older than an earlier one.
 		grant.Serial, grant.Kept = serial, map[string]time.Duration{}
-		for _, region := range fresh.Regions() {
+		for _, region := range newest.Regions() {
 			value := values[StandingPrefix+region]
-			one, isRead := office.standing(region, value)
-			if slices.Contains(open, StandingPrefix+region) {
+			table, isRead := issuer.readStanding(region, value)
+			if slices.Contains(unsettled, StandingPrefix+region) {
 				// It is being written: the one before stands until that is done.
-				one, isRead = office.settled(region)
+				table, isRead = issuer.lastStanding(region)
 			}
 			// A standing that nobody keeps may be from before everything went
 			// down; its replicas may be cold by now.
 			if !isRead {
 				continue
 			}
-			age, isKept := office.Kept(region, one)
-			if one.Serial <= ask.Standings[region] {
+			age, isKept := issuer.Kept(region, table)
+			if table.Serial <= request.Standings[region] {
 				if isKept {
 					grant.Kept[region] = age
 				}
 				continue
 			}
-			told, isTold := office.tell(one, ask.Standings[region])
+			update, isPacked := issuer.packStanding(table, request.Standings[region])
 			switch {
-			case isKept && isTold:
+			case isKept && isPacked:
 				grant.Kept[region] = age
-				grant.Standings = append(grant.Standings, told)
-			case isTold && fresh.Limit("alone_ms", "") > 0:
+				grant.Standings = append(grant.Standings, update)
+			case isPacked && newest.Limit("alone_ms", "") > 0:
 				// Daemons that may serve alone would rather go by this than by none.
-				grant.Unkept = append(grant.Unkept, told)
+				grant.Unkept = append(grant.Unkept, update)
 			}
 		}
-		if placed := values[PlacedKey]; placed.Serial > ask.Placed {
-			grant.Placed, grant.PlacedSerial = placed.Data, placed.Serial
+		if placements := values[PlacedKey]; placements.Serial > request.Placed {
+			grant.Placed, grant.PlacedSerial = placements.Data, placements.Serial
 		}
-		if grant.Sum = office.Table.Sum(""); grant.Sum != ask.Members || ask.IsStale {
-			members := office.Table.Members("")
-			office.list(members, ask.Members, grant)
-			if ask.IsStale && (grant.Base != 0 || grant.Sum == ask.Members) {
-				for _, one := range members {
-					grant.Uptimes = append(grant.Uptimes, one.Uptime.Milliseconds())
+		if grant.Sum = issuer.Table.Sum(""); grant.Sum != request.Members || request.IsStale {
+			members := issuer.Table.Members("")
+			issuer.fillMembers(members, request.Members, grant)
+			if request.IsStale && (grant.Base != 0 || grant.Sum == request.Members) {
+				for _, member := range members {
+					grant.Uptimes = append(grant.Uptimes, member.Uptime.Milliseconds())
 				}
 			}
 		}
-		grant.Length = fresh.Span("permit_ms", "")
+		grant.Length = newest.Span("permit_ms", "")
 		// A daemon that slept between its readings may hold a configuration that
 		// was replaced long ago; the holder counts from before it asked, so such
 		// a grant is dead already, but there is no need to hand it out.
-		if office.World.Now()-began > grant.Length/2 {
+		if issuer.World.Now()-startedAt > grant.Length/2 {
 			*grant = Grant{Declined: "the reading took too long"}
 			return nil
 		}
-		office.guard.Lock()
-		office.granted++
-		office.guard.Unlock()
+		issuer.mutex.Lock()
+		issuer.granted++
+		issuer.mutex.Unlock()
 		return nil
 	}
 	grant.Declined = "the configuration changes too fast"
 	return nil
 }
 
-// standing gives what the register of a region's standing holds, which it reads once.
-func (office *Office) standing(region string, value register.Value) (standing.Standing, bool) {
-	office.guard.Lock()
-	have, known := office.standings[region]
-	office.guard.Unlock()
-	if known && value.Serial > 0 && have.Serial >= value.Serial {
-		return have, true // a newer one was decided before now, too
+// readStanding gives what the register of a region's standing holds, which it reads once.
+func (issuer *Office) readStanding(region string, value register.Value) (standing.Standing, bool) {
+	issuer.mutex.Lock()
+	cached, known := issuer.standings[region]
+	issuer.mutex.Unlock()
+	if known && value.Serial > 0 && cached.Serial >= value.Serial {
+		return cached, true // a newer one was decided before now, too
 	}
-	var one standing.Standing
+	var table standing.Standing
 	if value.Serial == 0 {
-		return one, false
+		return table, false
 	}
-	one, text, err := OpenStanding(value)
+	table, text, err := OpenStanding(value)
 	if err != nil {
-		return one, false
+		return table, false
 	}
-	office.guard.Lock()
-	defer office.guard.Unlock()
-	office.stack(region, value.Serial, text)
-	if office.standings == nil {
-		office.standings = map[string]standing.Standing{}
+	issuer.mutex.Lock()
+	defer issuer.mutex.Unlock()
+	issuer.keepText(region, value.Serial, text)
+	if issuer.standings == nil {
+		issuer.standings = map[string]standing.Standing{}
 	}
-	if office.standings[region].Serial < one.Serial {
-		office.standings[region] = one
+	if issuer.standings[region].Serial < table.Serial {
+		issuer.standings[region] = table
 	}
-	return one, true
+	return table, true
 }
 
-// settled gives the standing of the region that was read last.
-func (office *Office) settled(region string) (standing.Standing, bool) {
-	office.guard.Lock()
-	defer office.guard.Unlock()
-	one, isRead := office.standings[region]
-	return one, isRead
+// lastStanding gives the standing of the region that was read last.
+func (issuer *Office) lastStanding(region string) (standing.Standing, bool) {
+	issuer.mutex.Lock()
+	defer issuer.mutex.Unlock()
+	table, isRead := issuer.standings[region]
+	return table, isRead
 }
 
-// span is a permit's length.
-func (office *Office) span() time.Duration {
-	_, _, tree := office.Current()
+// leaseLength is a permit's length.
+func (issuer *Office) leaseLength() time.Duration {
+	_, _, tree := issuer.Current()
 	return tree.Span("permit_ms", "")
 }
--- a/permit/pack.go
+++ b/permit/pack.go
@@ -86,8 +86,8 @@
 	return out.Bytes()
 }
 
-// opened reads the configuration that a register holds; none where nothing was written.
-func opened(value register.Value) (config Config, err error) {
+// openConfig reads the configuration that a register holds; none where nothing was written.
+func openConfig(value register.Value) (config Config, err error) {
 	if value.Serial == 0 {
 		return config, nil
 	}
--- a/permit/records.go
+++ b/permit/records.go
@@ -25,51 +25,51 @@
 	Retired     bool   `json:"retired,omitempty"`
 }
 
-// recorded sees to it that the holder's record stands. That of one which begins anew is
+// ensureRecord sees to it that the holder's record stands. That of one which begins anew is
 // written unread, as it can't stand, but once: such a daemon may ask many times before its
 // first permit, and all at once. From then on it is written only where a read shows another.
-func (office *Office) recorded(key string, record Record, isNew bool) error {
-	office.guard.Lock()
-	isNew = isNew && office.enrolled[key] != record
-	office.guard.Unlock()
+func (issuer *Office) ensureRecord(key string, record Record, isNew bool) error {
+	issuer.mutex.Lock()
+	isNew = isNew && issuer.writtenRecords[key] != record
+	issuer.mutex.Unlock()
 	if !isNew {
-		value, err := office.Keeper.Read(key)
+		value, err := issuer.Keeper.Read(key)
 		if err != nil {
 			return err
 		}
-		var have Record
+		var stored Record
 		if value.Serial > 0 {
-			_ = json.Unmarshal(value.Data, &have)
+			_ = json.Unmarshal(value.Data, &stored)
 		}
-		if have == record {
+		if stored == record {
 			return nil
 		}
 	}
-	return office.enrol(enrolment{key, record}, office.span()/4)
+	return issuer.writeRecord(recordWrite{key, record}, issuer.leaseLength()/4)
 }
 
-// errUnread: this process ended before the records of holders were read.
-var errUnread = errors.New("permit: the records of holders were not read")
+// errRecordsNotRead: this process ended before the records of holders were read.
+var errRecordsNotRead = errors.New("permit: the records of holders were not read")
 
 // Holders reads the records of all holders, retired ones too. Those that were there the last
 // time are read while it is asked which there are: an order's acknowledgement waits for it.
 //
 // Invariant: whatever it gives was listed, and read, after it was called.
-func (office *Office) Holders() (map[string]Record, error) {
+func (issuer *Office) Holders() (map[string]Record, error) {
 	type part struct {
 		keys   []string
 		values map[string]register.Value
 		err    error
 	}
-	office.guard.Lock()
-	known := office.holderKeys
-	office.guard.Unlock()
+	issuer.mutex.Lock()
+	knownKeys := issuer.holderKeys
+	issuer.mutex.Unlock()
 	var listed, early part
-	isComplete := loop.Gather(office.World, 2, loop.Forever, func(index int) (out part) {
+	isComplete := loop.Gather(issuer.World, 2, loop.Forever, func(index int) (out part) {
 		if index == 0 {
-			out.keys, out.err = office.Keeper.List(HolderPrefix)
-		} else if len(known) > 0 {
-			out.values, out.err = office.Keeper.ReadMany(known...)
+			out.keys, out.err = issuer.Keeper.List(HolderPrefix)
+		} else if len(knownKeys) > 0 {
+			out.values, out.err = issuer.Keeper.ReadMany(knownKeys...)
 		}
 		return out
 	}, func(index int, out part) bool {
@@ -81,7 +81,7 @@
 		return false
 	})
 	if !isComplete {
-		return nil, errUnread
+		return nil, errRecordsNotRead
 	}
 	if listed.err != nil || len(listed.keys) == 0 {
 		return nil, listed.err
@@ -96,15 +96,15 @@
 		}
 	}
 	if len(missing) > 0 {
-		more, err := office.Keeper.ReadMany(missing...)
+		more, err := issuer.Keeper.ReadMany(missing...)
 		if err != nil {
 			return nil, err
 		}
 		maps.Copy(values, more)
 	}
-	office.guard.Lock()
-	office.holderKeys = listed.keys
-	office.guard.Unlock()
+	issuer.mutex.Lock()
+	issuer.holderKeys = listed.keys
+	issuer.mutex.Unlock()
 	holders := map[string]Record{}
 	for key, value := range values {
 		var record Record
@@ -115,47 +115,47 @@
 	return holders, nil
 }
 
-var errOther = errors.New("the record has changed")
+var errRecordChanged = errors.New("the record has changed")
 
 // Sweep retires the records of holders long gone, and forgets them once no
 // permit of theirs can stand. One daemon's duty calls it.
-func (office *Office) Sweep() {
-	_, _, tree := office.Current()
+func (issuer *Office) Sweep() {
+	_, _, tree := issuer.Current()
 	if tree == nil {
 		return
 	}
-	length := 2 * tree.Span("permit_ms", "")
-	holders, err := office.Holders()
-	if err != nil || office.Table.Watched() < 10*length {
+	grace := 2 * tree.Span("permit_ms", "")
+	holders, err := issuer.Holders()
+	if err != nil || issuer.Table.Watched() < 10*grace {
 		return
 	}
 	alive := map[string]bool{}
-	for _, one := range office.Table.Live(session.Data) {
-		alive[one.Member.Name+one.Member.Incarnation] = true
+	for _, live := range issuer.Table.Live(session.Data) {
+		alive[live.Member.Name+live.Member.Incarnation] = true
 	}
-	office.guard.Lock()
-	if office.retiring == nil {
-		office.retiring = map[string]time.Duration{}
+	issuer.mutex.Lock()
+	if issuer.absentSince == nil {
+		issuer.absentSince = map[string]time.Duration{}
 	}
-	office.guard.Unlock()
+	issuer.mutex.Unlock()
 	names := make([]string, 0, len(holders))
 	for name := range holders {
 		names = append(names, name)
 	}
 	sort.Strings(names)
-	now := office.World.Now()
+	now := issuer.World.Now()
 	for _, name := range names {
 		record := holders[name]
 		key := name + record.Incarnation
-		office.guard.Lock()
-		since, waiting := office.retiring[key]
+		issuer.mutex.Lock()
+		absentSince, isTracked := issuer.absentSince[key]
 		if alive[key] {
-			delete(office.retiring, key)
-		} else if !waiting {
-			office.retiring[key] = now
+			delete(issuer.absentSince, key)
+		} else if !isTracked {
+			issuer.absentSince[key] = now
 		}
-		office.guard.Unlock()
-		if alive[key] || !waiting || now-since < 5*length {
+		issuer.mutex.Unlock()
+		if alive[key] || !isTracked || now-absentSince < 5*grace {
 			continue
 		}
 		next := Record{} // forgotten
@@ -163,21 +163,21 @@
 			next = record
 			next.Retired = true
 		}
-		_, err := office.Keeper.Change(HolderPrefix+name, func(value register.Value) ([]byte, error) {
-			var have Record
-			_ = json.Unmarshal(value.Data, &have)
-			if have != record {
-				return nil, errOther
+		_, err := issuer.Keeper.Change(HolderPrefix+name, func(value register.Value) ([]byte, error) {
+			var stored Record
+			_ = json.Unmarshal(value.Data, &stored)
+			if stored != record {
+				return nil, errRecordChanged
 			}
 			return json.Marshal(next)
 		})
 		if err == nil {
-			office.guard.Lock()
-			office.retiring[key] = now
+			issuer.mutex.Lock()
+			issuer.absentSince[key] = now
 			if next.Wire == "" {
-				delete(office.retiring, key)
+				delete(issuer.absentSince, key)
 			}
-			office.guard.Unlock()
+			issuer.mutex.Unlock()
 		}
 	}
 }
--- a/permit/renew_bench_test.go
+++ b/permit/renew_bench_test.go
@@ -11,17 +11,17 @@
 	"swifttiller/standing"
 )
 
-// granting answers each ask with the same grant.
-type granting struct{ grant permit.Grant }
+// fixedGrantNet answers each ask with the same grant.
+type fixedGrantNet struct{ grant permit.Grant }
 
 // Call answers an ask for a permit.
-func (net *granting) Call(_, _ string, _, reply any, _ time.Duration) error {
+func (net *fixedGrantNet) Call(_, _ string, _, reply any, _ time.Duration) error {
 	*reply.(*permit.Grant) = net.grant
 	return nil
 }
 
-// large is the standing of a region with so many replicas.
-func large(region string, serial uint64, replicas int) standing.Standing {
+// largeStanding is the standing of a region with so many replicas.
+func largeStanding(region string, serial uint64, replicas int) standing.Standing {
 	out := standing.Standing{Region: region, Serial: serial, Duty: 1, Daemons: 420}
 	for index := range replicas {
 		id := fmt.Sprintf("%s-r%d", region, index+1)
@@ -34,18 +34,18 @@
 // BenchmarkRenew is a renewal at 16 regions, 3,500 replicas and 420 other daemons, of which
 // the one brings nothing new and the other the standing of one region.
 func BenchmarkRenew(b *testing.B) {
-	for _, told := range []int{0, 1} {
-		b.Run(fmt.Sprint(told, " told"), func(b *testing.B) {
+	for _, updates := range []int{0, 1} {
+		b.Run(fmt.Sprint(updates, " told"), func(b *testing.B) {
 			world := loop.NewMachine()
 			defer world.End()
-			net := &granting{permit.Grant{Kept: map[string]time.Duration{}, Length: time.Minute, Sum: 1}}
+			net := &fixedGrantNet{permit.Grant{Kept: map[string]time.Duration{}, Length: time.Minute, Sum: 1}}
 			for index := range 420 {
 				net.grant.Members = append(net.grant.Members, session.Member{Name: fmt.Sprintf("d%d", index), Role: session.Data})
 			}
 			client := &session.Client{World: world, Net: net, Seeds: func() []string { return []string{"c"} }, Span: func() time.Duration { return time.Second }}
 			holder := permit.NewHolder(permit.HolderOptions{World: world, Client: client, Self: func() session.Member { return session.Member{Name: "d"} }})
-			tell := func(region string, serial uint64) {
-				packed, err := permit.PackStanding(large(region, serial, 219))
+			addStanding := func(region string, serial uint64) {
+				packed, err := permit.PackStanding(largeStanding(region, serial, 219))
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -54,14 +54,14 @@
 			for index := range 16 {
 				region := fmt.Sprintf("g%d", index+1)
 				net.grant.Kept[region] = 0
-				tell(region, 1)
+				addStanding(region, 1)
 			}
 			if !holder.Renew() {
 				b.Fatal("no permit")
 			}
 			net.grant.Standings, net.grant.Members = nil, nil
-			if told > 0 {
-				tell("g1", 2)
+			if updates > 0 {
+				addStanding("g1", 2)
 			}
 			serial := uint64(2)
 			for b.Loop() {
--- a/permit/storm_test.go
+++ b/permit/storm_test.go
@@ -34,12 +34,12 @@
 	return nil
 }
 
-// offered is the service of a data daemon that takes offers.
-type offered struct{ holder *Holder }
+// holderService is the service of a data daemon that takes offers.
+type holderService struct{ holder *Holder }
 
 // Take takes an offer.
-func (offered offered) Take(offer Offer, taken *Taken) error {
-	return offered.holder.Take(offer, taken)
+func (service holderService) Take(offer Offer, reply *Taken) error {
+	return service.holder.Take(offer, reply)
 }
 
 // TestChangesInQuickSuccessionReachSlowFetches guards against a data daemon that serves on under an old
@@ -61,7 +61,7 @@
 	}
 	decided := map[uint64]time.Duration{}
 	change := func(serial uint64) {
-		if err := control.issuer.take(serial, Config{Document: document(int(serial))}); err != nil {
+		if err := control.issuer.applyConfig(serial, Config{Document: document(int(serial))}); err != nil {
 			t.Fatal(err)
 		}
 		decided[serial] = world.Now()
@@ -81,7 +81,7 @@
 		client := &session.Client{World: node, Net: sim.Net{Node: node}, Seeds: func() []string { return []string{"control"} }, Span: func() time.Duration { return time.Second }}
 		holder = NewHolder(HolderOptions{World: node, Client: client, Self: func() session.Member { return session.Member{Name: "data"} }})
 		server := rpc.NewServer()
-		if err := server.RegisterName("Permit", offered{holder}); err != nil {
+		if err := server.RegisterName("Permit", holderService{holder}); err != nil {
 			panic(err)
 		}
 		node.Serve(server)
@@ -97,9 +97,9 @@
 		control.node.Go(func() {
 			// As an acknowledgement does: again and again, until leases are over.
 			for deadline := control.node.Now() + lease + lease/20; control.node.Now() < deadline; {
-				taken := new(Taken)
+				reply := new(Taken)
 				timeout := lease / 4
-				if (sim.Net{Node: control.node}).Call("data", "Permit.Take", Offer{Serial: serial, Patience: timeout * 4 / 5}, taken, timeout) == nil && taken.Serial >= serial {
+				if (sim.Net{Node: control.node}).Call("data", "Permit.Take", Offer{Serial: serial, Patience: timeout * 4 / 5}, reply, timeout) == nil && reply.Serial >= serial {
 					return
 				}
 				loop.Sleep(control.node, lease/20)
--- a/permit/told.go
+++ b/permit/told.go
@@ -21,8 +21,8 @@
 }
 
 // PackStanding gives a standing as its register holds it.
-func PackStanding(one standing.Standing) ([]byte, error) {
-	text, err := json.Marshal(one)
+func PackStanding(table standing.Standing) ([]byte, error) {
+	text, err := json.Marshal(table)
 	if err != nil {
 		return nil, err
 	}
@@ -31,20 +31,20 @@
 
 // OpenStanding reads a standing from its register, which must have been written, and
 // gives its text, too.
-func OpenStanding(value register.Value) (one standing.Standing, text []byte, err error) {
+func OpenStanding(value register.Value) (table standing.Standing, text []byte, err error) {
 	if text, err = wire.Unpack(value.Data, nil); err != nil {
-		return one, nil, err
+		return table, nil, err
 	}
-	if err = json.Unmarshal(text, &one); err != nil {
-		return one, nil, err
+	if err = json.Unmarshal(text, &table); err != nil {
+		return table, nil, err
 	}
-	one.Serial = value.Serial
-	return one, text, nil
+	table.Serial = value.Serial
+	return table, text, nil
 }
 
 // PackPlaced gives tenants' placements as their register holds them, and as they travel.
-func PackPlaced(book tenant.Book) ([]byte, error) {
-	text, err := json.Marshal(book)
+func PackPlaced(placements tenant.Book) ([]byte, error) {
+	text, err := json.Marshal(placements)
 	if err != nil {
 		return nil, err
 	}
@@ -52,204 +52,204 @@
 }
 
 // OpenPlaced reads tenants' placements; false where there are none.
-func OpenPlaced(data []byte) (book tenant.Book, isRead bool) {
+func OpenPlaced(data []byte) (placements tenant.Book, isRead bool) {
 	text, err := wire.Unpack(data, nil)
-	return book, len(data) > 0 && err == nil && json.Unmarshal(text, &book) == nil
+	return placements, len(data) > 0 && err == nil && json.Unmarshal(text, &placements) == nil
 }
 
-// stacked is how many texts of a region's standings an office keeps.
-const stacked = 8
+// maxStandingTexts is how many texts of a region's standings an office keeps.
+const maxStandingTexts = 8
 
-// stack keeps the texts of a region's last standings.
+// textHistory keeps the texts of a region's last standings.
 //
 // Invariant: serials rise; packed has what was told of the last one, by base.
-type stack struct {
+type textHistory struct {
 	serials []uint64
 	texts   [][]byte
 	packed  map[uint64][]byte
 }
 
-// stack keeps a text; who holds the guard calls it.
-func (office *Office) stack(region string, serial uint64, text []byte) {
-	if office.stacks == nil {
-		office.stacks = map[string]*stack{}
+// keepText keeps a text; who holds the guard calls it.
+func (issuer *Office) keepText(region string, serial uint64, text []byte) {
+	if issuer.standingTexts == nil {
+		issuer.standingTexts = map[string]*textHistory{}
 	}
-	one := office.stacks[region]
-	if one == nil {
-		one = &stack{}
-		office.stacks[region] = one
+	history := issuer.standingTexts[region]
+	if history == nil {
+		history = &textHistory{}
+		issuer.standingTexts[region] = history
 	}
-	if len(one.serials) > 0 && one.serials[len(one.serials)-1] >= serial {
+	if len(history.serials) > 0 && history.serials[len(history.serials)-1] >= serial {
 		return
 	}
-	one.serials, one.texts, one.packed = append(one.serials, serial), append(one.texts, text), map[uint64][]byte{}
-	if over := len(one.serials) - stacked; over > 0 {
-		one.serials, one.texts = append([]uint64{}, one.serials[over:]...), append([][]byte{}, one.texts[over:]...)
+	history.serials, history.texts, history.packed = append(history.serials, serial), append(history.texts, text), map[uint64][]byte{}
+	if excess := len(history.serials) - maxStandingTexts; excess > 0 {
+		history.serials, history.texts = append([]uint64{}, history.serials[excess:]...), append([][]byte{}, history.texts[excess:]...)
 	}
 }
 
-// tell packs a standing for one who has an older one; false if its text is not kept.
-func (office *Office) tell(one standing.Standing, has uint64) (Told, bool) {
-	office.guard.Lock()
-	defer office.guard.Unlock()
-	have := office.stacks[one.Region]
-	if have == nil || have.serials[len(have.serials)-1] != one.Serial {
+// packStanding packs a standing for one who has an older one; false if its text is not kept.
+func (issuer *Office) packStanding(table standing.Standing, baseSerial uint64) (Told, bool) {
+	issuer.mutex.Lock()
+	defer issuer.mutex.Unlock()
+	history := issuer.standingTexts[table.Region]
+	if history == nil || history.serials[len(history.serials)-1] != table.Serial {
 		return Told{}, false
 	}
 	var base []byte
-	out := Told{Region: one.Region, Serial: one.Serial}
-	for at, serial := range have.serials {
-		if serial == has && has < one.Serial {
-			base, out.Base = have.texts[at], has
+	update := Told{Region: table.Region, Serial: table.Serial}
+	for index, serial := range history.serials {
+		if serial == baseSerial && baseSerial < table.Serial {
+			base, update.Base = history.texts[index], baseSerial
 		}
 	}
-	if have.packed[out.Base] == nil {
-		have.packed[out.Base] = wire.Pack(have.texts[len(have.texts)-1], base)
+	if history.packed[update.Base] == nil {
+		history.packed[update.Base] = wire.Pack(history.texts[len(history.texts)-1], base)
 	}
-	out.Packed = have.packed[out.Base]
-	return out, true
+	update.Packed = history.packed[update.Base]
+	return update, true
 }
 
-// open reads what was told, by the texts that the view has, and keeps the new text.
-func (view *View) open(told Told) (one standing.Standing, isRead bool) {
-	var base text
-	if told.Base > 0 {
-		if base = view.texts[told.Region]; base.serial != told.Base {
-			return one, false
+// unpackStanding reads what was told, by the texts that the view has, and keeps the new text.
+func (view *View) unpackStanding(update Told) (table standing.Standing, isRead bool) {
+	var base standingText
+	if update.Base > 0 {
+		if base = view.standingTexts[update.Region]; base.serial != update.Base {
+			return table, false
 		}
 	}
-	fresh, err := wire.Unpack(told.Packed, base.text)
-	if err != nil || json.Unmarshal(fresh, &one) != nil || one.Region != told.Region {
-		return one, false
+	data, err := wire.Unpack(update.Packed, base.data)
+	if err != nil || json.Unmarshal(data, &table) != nil || table.Region != update.Region {
+		return table, false
 	}
-	one.Serial = told.Serial
-	view.texts[told.Region] = text{told.Serial, fresh}
-	return one, true
+	table.Serial = update.Serial
+	view.standingTexts[update.Region] = standingText{update.Serial, data}
+	return table, true
 }
 
-// text is a standing as its register held it under the serial.
-type text struct {
+// standingText is a standing as its register held it under the serial.
+type standingText struct {
 	serial uint64
-	text   []byte
+	data   []byte
 }
 
 // Of how many lists of members an office knows when each was told, and from how many members
 // on a difference is packed.
 const (
-	rolled     = 1024
-	packedFrom = 8
+	maxMemberLists   = 1024
+	minPackedMembers = 8
 )
 
-// rolls are the lists of members that were told, as a history of their changes: where all
+// memberHistory are the lists of members that were told, as a history of their changes: where all
 // daemons begin at once each ask finds another list, and who has an older one is told what
 // has changed since.
 //
 // Invariants: turn rises with each other list; names are those of the last list, with the sum
 // of each and the turn at which it came to be so; gone are those that were in a list before,
 // and when they left. A sum names one list, and turns has when that was told last.
-type rolls struct {
-	turn  uint64
-	last  uint64 // the sum of the last list
-	names map[string]enlisted
-	gone  map[string]uint64
-	turns map[uint64]uint64
-	order []uint64 // of turns' sums
+type memberHistory struct {
+	revision  uint64
+	lastSum   uint64 // the sum of the last list
+	present   map[string]memberRevision
+	removed   map[string]uint64
+	revisions map[uint64]uint64
+	sums      []uint64 // of turns' sums
 	// packed is the last list that was told whole, with the uptimes as of at.
-	packed []byte
-	of     uint64
-	at     time.Duration
+	packed    []byte
+	packedSum uint64
+	packedAt  time.Duration
 }
 
-// enlisted is a member in the history: the sum of it, and the turn at which that came to be.
-type enlisted struct{ sum, turn uint64 }
+// memberRevision is a member in the history: the sum of it, and the turn at which that came to be.
+type memberRevision struct{ sum, revision uint64 }
 
-// learn takes a list into the history.
-func (rolls *rolls) learn(sum uint64, members []session.Member) {
-	if sum == rolls.last {
+// record takes a list into the history.
+func (history *memberHistory) record(sum uint64, members []session.Member) {
+	if sum == history.lastSum {
 		return
 	}
-	if rolls.names == nil {
-		rolls.names, rolls.gone, rolls.turns = map[string]enlisted{}, map[string]uint64{}, map[uint64]uint64{}
+	if history.present == nil {
+		history.present, history.removed, history.revisions = map[string]memberRevision{}, map[string]uint64{}, map[uint64]uint64{}
 	}
-	rolls.turn++
-	now := make(map[string]bool, len(members))
-	for at := range members {
-		one := session.Sum(members[at : at+1])
-		now[members[at].Name] = true
-		if rolls.names[members[at].Name].sum != one {
-			rolls.names[members[at].Name] = enlisted{one, rolls.turn}
+	history.revision++
+	isPresent := make(map[string]bool, len(members))
+	for index := range members {
+		memberSum := session.Sum(members[index : index+1])
+		isPresent[members[index].Name] = true
+		if history.present[members[index].Name].sum != memberSum {
+			history.present[members[index].Name] = memberRevision{memberSum, history.revision}
 		}
-		delete(rolls.gone, members[at].Name)
+		delete(history.removed, members[index].Name)
 	}
-	for name := range rolls.names {
-		if !now[name] {
-			delete(rolls.names, name)
-			rolls.gone[name] = rolls.turn
+	for name := range history.present {
+		if !isPresent[name] {
+			delete(history.present, name)
+			history.removed[name] = history.revision
 		}
 	}
-	if _, known := rolls.turns[sum]; !known {
-		rolls.order = append(rolls.order, sum)
+	if _, known := history.revisions[sum]; !known {
+		history.sums = append(history.sums, sum)
 	}
-	rolls.last, rolls.turns[sum] = sum, rolls.turn
-	if len(rolls.order) > rolled {
-		delete(rolls.turns, rolls.order[0])
-		rolls.order = rolls.order[1:]
-		oldest := rolls.turn
-		for _, turn := range rolls.turns {
-			oldest = min(oldest, turn)
+	history.lastSum, history.revisions[sum] = sum, history.revision
+	if len(history.sums) > maxMemberLists {
+		delete(history.revisions, history.sums[0])
+		history.sums = history.sums[1:]
+		oldest := history.revision
+		for _, revision := range history.revisions {
+			oldest = min(oldest, revision)
 		}
-		maps.DeleteFunc(rolls.gone, func(_ string, turn uint64) bool { return turn <= oldest })
+		maps.DeleteFunc(history.removed, func(_ string, revision uint64) bool { return revision <= oldest })
 	}
 }
 
-// whole gives all members of the last list, packed once for many who ask, and how long ago
+// packAll gives all members of the last list, packed once for many who ask, and how long ago
 // that was. A daemon that begins anew gets them.
-func (rolls *rolls) whole(members []session.Member, now time.Duration) ([]byte, time.Duration) {
-	if rolls.of != rolls.last || now-rolls.at > stale {
-		rolls.packed, rolls.of, rolls.at = wire.PackValue(members), rolls.last, now
+func (history *memberHistory) packAll(members []session.Member, now time.Duration) ([]byte, time.Duration) {
+	if history.packedSum != history.lastSum || now-history.packedAt > uptimesMaxAge {
+		history.packed, history.packedSum, history.packedAt = wire.PackValue(members), history.lastSum, now
 	}
-	return rolls.packed, now - rolls.at
+	return history.packed, now - history.packedAt
 }
 
-// unroll reads members that came packed, and lets them be up for as long as they were kept so.
-func (grant *Grant) unroll() error {
+// unpackMembers reads members that came packed, and lets them be up for as long as they were kept so.
+func (grant *Grant) unpackMembers() error {
 	if len(grant.Rolled) == 0 {
 		return nil
 	}
 	if err := wire.UnpackValue(grant.Rolled, &grant.Members); err != nil {
 		return err
 	}
-	for at := range grant.Members {
-		grant.Members[at].Uptime += grant.Age
+	for index := range grant.Members {
+		grant.Members[index].Uptime += grant.Age
 	}
 	return nil
 }
 
-// list puts into a grant what the asker lacks of the members.
-func (office *Office) list(members []session.Member, has uint64, grant *Grant) {
+// fillMembers puts into a grant what the asker lacks of the members.
+func (issuer *Office) fillMembers(members []session.Member, baseSum uint64, grant *Grant) {
 	grant.Sum = session.Sum(members)
-	office.guard.Lock()
-	defer office.guard.Unlock()
-	rolls := &office.rolls
-	rolls.learn(grant.Sum, members)
-	since, isKnown := rolls.turns[has]
+	issuer.mutex.Lock()
+	defer issuer.mutex.Unlock()
+	history := &issuer.memberHistory
+	history.record(grant.Sum, members)
+	baseRevision, isKnown := history.revisions[baseSum]
 	switch {
-	case has == grant.Sum:
+	case baseSum == grant.Sum:
 	case !isKnown:
-		grant.Rolled, grant.Age = rolls.whole(members, office.World.Now())
+		grant.Rolled, grant.Age = history.packAll(members, issuer.World.Now())
 	default:
-		grant.Base = has
-		for _, one := range members {
-			if rolls.names[one.Name].turn > since {
-				grant.Members = append(grant.Members, one)
+		grant.Base = baseSum
+		for _, member := range members {
+			if history.present[member.Name].revision > baseRevision {
+				grant.Members = append(grant.Members, member)
 			}
 		}
-		for name, turn := range rolls.gone {
-			if turn > since {
+		for name, revision := range history.removed {
+			if revision > baseRevision {
 				grant.Gone = append(grant.Gone, name)
 			}
 		}
-		if len(grant.Members) >= packedFrom {
+		if len(grant.Members) >= minPackedMembers {
 			grant.Rolled, grant.Members = wire.PackValue(grant.Members), nil
 		}
 	}
