--- a/permit/acknowledge.go
+++ b/permit/acknowledge.go
@@ -12,10 +12,10 @@
 	"swifttiller/settings"
 )
 
-// Again acknowledges a document that was taken already, as far as this office knows; false
-// where it knows nothing of that. It needs no round: what an office has was decided, and that
-// a document was taken stays true. A change would take two, and outvote the very daemons that
-// write what it waits for.
+// Again acknowledges a document once more if this issuer knows that it was accepted before;
+// otherwise it returns false. It needs no quorum round for that: what an issuer knows was
+// decided, and a document remains accepted. A change would take two rounds, with ballots
+// that preempt those of the very daemons whose writes it waits for.
 func (issuer *Office) Again(mark Mark) (applied Applied, isTaken bool, err error) {
 	serial, config, tree := issuer.Current()
 	seenAt, olderLeaseSpan, isKnown := issuer.firstSeen(serial)
@@ -26,14 +26,15 @@
 	return applied, true, err
 }
 
-// Stands acknowledges what a configuration says already, if the one that a majority has does.
-// It reads and writes nothing: an order that comes again does not outvote those that are under
-// way. isSo false tells nothing but that a change is needed; the error is that of the read.
+// Stands acknowledges the effect of an order that is already in force, if that holds for
+// the configuration that a majority has. It only reads: a repeated order doesn't preempt
+// the ballots of changes in progress. If isInForce is false, a change is needed. The error
+// is that of the read.
 //
-// Invariant: what it acknowledges was in force after it was called.
+// Invariant: what it acknowledges was in force at some time after the call.
 func (issuer *Office) Stands(holds func(*settings.Tree, Config) bool) (applied Applied, isInForce bool, err error) {
 	if _, config, tree := issuer.Current(); tree == nil || !holds(tree, config) {
-		return Applied{}, false, nil // the order is new, as far as is known here
+		return Applied{}, false, nil // the order is new, as far as this issuer knows
 	}
 	if err := issuer.Refresh(); err != nil {
 		return Applied{}, false, err
@@ -44,33 +45,33 @@
 	}
 	seenAt, olderLeaseSpan, isKnown := issuer.firstSeen(serial)
 	if !isKnown {
-		return Applied{}, false, nil // it changes just now
+		return Applied{}, false, nil // the configuration is changing right now
 	}
 	applied, err = issuer.acknowledge(serial, seenAt, max(tree.Span("permit_ms", ""), olderLeaseSpan))
 	return applied, true, err
 }
 
-// Applied is how a configuration came to be acknowledged.
+// Applied tells how a configuration came to be acknowledged.
 type Applied struct {
 	Serial  uint64        `json:"serial"`
 	Took    time.Duration `json:"took"`
 	Holders int           `json:"holders"`
-	// Expired are holders that never answered and whose permits ran out.
+	// Expired are the holders that never answered and whose leases ran out.
 	Expired []string `json:"expired,omitempty"`
 }
 
-// ErrSame is how a revision says that what it is to bring about stands already: nothing
-// is written, and what stands is acknowledged again.
-var ErrSame = errors.New("permit: it stands already")
+// ErrSame is returned by a revise function if its effect is already in force. Nothing is
+// written then, and the present configuration is acknowledged again.
+var ErrSame = errors.New("permit: the change is already in force")
 
-// ErrUnconfirmed: the change is decided, but this process ends before every holder applies it
-// or has no lease any more.
-var ErrUnconfirmed = errors.New("permit: the change was decided, but not confirmed by all data daemons")
+// ErrUnconfirmed tells that the change is decided, but that this process ends before every
+// holder has applied it or lost its lease.
+var ErrUnconfirmed = errors.New("permit: the change was decided, but not confirmed by all data daemons before the process ended")
 
-// Change revises the configuration and returns once it is acknowledged: every
-// recorded holder applies it, or its permit has expired.
+// Change revises the configuration and returns once it is acknowledged: every recorded
+// holder has applied it, or its lease has expired.
 func (issuer *Office) Change(expect *uint64, revise func(Config) (Config, error)) (Applied, error) {
-	var base register.Value // what was revised last
+	var base register.Value // the value that the last revision was based on
 	value, err := issuer.Keeper.ChangeWithin(ConfigKey, issuer.orderTimeout(), func(value register.Value) ([]byte, error) {
 		base = value
 		if expect != nil && *expect != value.Serial {
@@ -90,8 +91,8 @@
 		return Applied{Serial: value.Serial}, err
 	}
 	decidedAt := issuer.World.Now()
-	// The value may be a later change's that has this one beneath it, so what is
-	// offered under its serial is read from it.
+	// The value may be that of a later change which was based on this one, so the
+	// configuration that is offered under its version is decoded from it.
 	next, err := openConfig(value)
 	if err != nil {
 		return Applied{Serial: value.Serial}, err
@@ -107,7 +108,7 @@
 		leaseSpan = max(leaseSpan, before.Span("permit_ms", ""))
 	}
 	if base.Serial > serial && base.Serial < value.Serial {
-		// Permits were granted under it that this office has not seen.
+		// Leases were granted under this configuration, which this issuer has not seen.
 		if current, err := openConfig(base); err == nil {
 			if tree, problems := before.Revise(current.Document); len(problems) == 0 {
 				leaseSpan = max(leaseSpan, tree.Span("permit_ms", ""))
@@ -115,27 +116,28 @@
 		}
 	}
 	if isKnown {
-		// It was decided before this order came, by the same order at another daemon:
-		// permits under those before it run out from then on, not from now.
+		// The same order was already decided through another daemon. Leases under older
+		// configurations run out counted from then, not from now.
 		decidedAt, leaseSpan = seenAt, max(leaseSpan, olderLeaseSpan)
 	}
 	return issuer.acknowledge(value.Serial, decidedAt, leaseSpan)
 }
 
-// acknowledge tells the holders and waits for them, until the expiry of permits under
-// older configurations at the latest, whatever else does not answer: the longest of those
-// has the length, by the clock of its holder. An offer tells the serial alone, and may be
-// made again and again: the holder fetches what it lacks. The error is ErrUnconfirmed.
+// acknowledge offers the configuration to the holders and waits for their replies, at the
+// latest until leases under older configurations have expired, whatever else doesn't
+// answer: the longest of these lasts for leaseSpan by its holder's clock. An offer names
+// the version and can be repeated freely: the holder fetches what it lacks. The only error
+// is ErrUnconfirmed.
 func (issuer *Office) acknowledge(serial uint64, decidedAt, leaseSpan time.Duration) (Applied, error) {
 	applied := Applied{Serial: serial}
 	leaseSpan += time.Duration(Drift * float64(leaseSpan))
 	deadline := decidedAt + leaseSpan
 	edition := issuer.offerEdition(serial)
-	// took has, by name, the incarnations that apply it, or a later one.
+	// confirmed has, by name, the incarnations that apply this version or a later one.
 	confirmed := map[string]string{}
 	sendOffer := func(address string, timeout time.Duration) string {
 		var reply Taken
-		offer := Offer{Serial: serial, Edition: edition, Patience: timeout * 4 / 5} // the answer needs its time, too
+		offer := Offer{Serial: serial, Edition: edition, Patience: timeout * 4 / 5} // leaves time for the reply to arrive
 		if issuer.Net.Call(address, "Permit.Take", offer, &reply, timeout) != nil || reply.Serial < serial {
 			return ""
 		}
@@ -143,8 +145,8 @@
 	}
 	var holders map[string]Record
 	for round := 0; !issuer.isAcknowledged(serial) && (round > 0 || issuer.World.Now() < deadline); round++ {
-		// Those that are members are told while the records are read, which say who else
-		// there is.
+		// The members with a session get their offers while the records are read, which
+		// tell about further holders.
 		var sessions []session.Session
 		if round == 0 {
 			sessions = issuer.Table.Live(session.Data)
@@ -175,7 +177,8 @@
 		if err == nil {
 			holders = found
 			names := applied.unconfirmed(holders, confirmed)
-			// A silent holder is waited for until its permit is over, no longer.
+			// A holder that does not answer is waited for until its lease has expired, but
+			// no longer.
 			timeout := max(leaseSpan/100, min(leaseSpan/4, deadline-issuer.World.Now()))
 			loop.Gather(issuer.World, len(names), timeout, func(index int) string {
 				return sendOffer(holders[names[index]].Wire, timeout)
@@ -205,11 +208,11 @@
 	return applied, nil
 }
 
-// ackResult is what a reading of the holders' records gave, or an offer meanwhile.
+// ackResult is the result of reading the holders' records, or of an offer sent meanwhile.
 type ackResult struct {
 	holders     map[string]Record
 	err         error
-	incarnation string // of an offer's taker
+	incarnation string // of the holder that took the offer
 }
 
 func (issuer *Office) isAcknowledged(serial uint64) bool {
@@ -218,7 +221,8 @@
 	return issuer.acknowledged >= serial
 }
 
-// unconfirmed lists the holders of which no recorded incarnation applies it.
+// unconfirmed lists the holders whose recorded incarnation hasn't confirmed, sorted by
+// name.
 func (Applied) unconfirmed(holders map[string]Record, confirmed map[string]string) (names []string) {
 	for name, record := range holders {
 		if confirmed[name] != record.Incarnation {
--- a/permit/edition.go
+++ b/permit/edition.go
@@ -12,25 +12,25 @@
 	"swifttiller/wire"
 )
 
-// Edition is a configuration on its way to a data daemon: a delta against the one that
-// the daemon has under the serial Base; zero for none.
+// Edition is the transferred form of a configuration: a delta against the configuration of
+// version Base, which the data daemon has, or all of it if Base is zero.
 //
-// Invariant: nobody goes by an edition whose chunks, put together, don't have the digest
-// Sum. So no daemon goes by a mix of two serials, whatever it held before.
+// Invariant: an edition whose assembled chunks don't have the digest Sum is rejected. So no
+// daemon applies a mix of two versions, whatever it had before.
 type Edition struct {
 	Serial, Base uint64
-	Sum          [sha256.Size]byte // of the whole
-	// Index has the digest and length of each chunk, packed against the base's index;
-	// Texts the chunks that are not in the base, packed against those of the base that
-	// are no more.
+	Sum          [sha256.Size]byte // of the whole configuration
+	// Index has the digest and length of each chunk, packed against the index of the base.
+	// Texts has the chunks that are not in the base, packed against the chunks that only
+	// the base has.
 	Index, Texts []byte
 	Evacuated    []string
 }
 
-// configDigest is the digest of a whole configuration as data daemons go by it.
+// configDigest returns the digest of a whole configuration as data daemons apply it.
 func configDigest(chunks []*settings.Chunk, evacuated []string) (out [sha256.Size]byte) {
 	sum := sha256.New()
-	buffer := bufio.NewWriter(sum) // strings get into it without a copy of their own
+	buffer := bufio.NewWriter(sum) // avoids copying each string
 	write := func(text string) {
 		_ = binary.Write(buffer, binary.BigEndian, uint64(len(text)))
 		_, _ = buffer.WriteString(text)
@@ -46,7 +46,7 @@
 	return out
 }
 
-// indexEntry is one chunk's in an index.
+// indexEntry is the entry of one chunk in an index.
 type indexEntry struct {
 	Digest settings.Digest
 	Length uint32
@@ -69,8 +69,8 @@
 	return out
 }
 
-// removedTexts are the texts of the base's chunks that the index has no more: what new chunks are
-// likely to be made from. They are not nil where there is a base.
+// removedTexts returns the texts of those chunks of the base that are not kept, as new
+// chunks are likely to resemble them. The result is nil only without a base.
 func removedTexts(base []*settings.Chunk, isKept func(settings.Digest) bool) []byte {
 	if base == nil {
 		return nil
@@ -84,7 +84,8 @@
 	return out
 }
 
-// newEdition makes an edition of chunks for one who has those of the base, or none.
+// newEdition returns an edition of the chunks for a receiver that has the chunks of the
+// base; base is nil if it has none. The caller sets the versions, the zones and the digest.
 func newEdition(chunks, base []*settings.Chunk) *Edition {
 	baseChunks, newChunks := chunksByDigest(base), chunksByDigest(chunks)
 	var texts strings.Builder
@@ -103,8 +104,8 @@
 	}
 }
 
-// assemble gives the tree of an edition, by the chunks of the base that it names. The
-// error tells why it can't be.
+// assemble returns the configuration's tree, given the chunks of the base that the edition
+// names. It returns an error if the edition doesn't match the base or the digest.
 func (edition *Edition) assemble(base []*settings.Chunk) (*settings.Tree, error) {
 	var index []byte
 	if base != nil {
@@ -116,7 +117,7 @@
 	}
 	entries := make([]indexEntry, len(indexData)/binary.Size(indexEntry{}))
 	if _, err := binary.Decode(indexData, binary.BigEndian, entries); err != nil {
-		return nil, fmt.Errorf("the index of chunks can't be read: %w", err)
+		return nil, fmt.Errorf("cannot decode the chunk index: %w", err)
 	}
 	isInIndex := make(map[settings.Digest]bool, len(entries))
 	for _, item := range entries {
@@ -132,7 +133,7 @@
 		chunk := baseChunks[item.Digest]
 		if chunk == nil {
 			if int(item.Length) > len(texts) {
-				return nil, fmt.Errorf("chunk %x did not come", item.Digest)
+				return nil, fmt.Errorf("chunk %x is missing", item.Digest)
 			}
 			chunk = settings.NewChunk(string(texts[:item.Length]))
 			texts = texts[item.Length:]
@@ -140,7 +141,7 @@
 		chunks = append(chunks, chunk)
 	}
 	if configDigest(chunks, edition.Evacuated) != edition.Sum {
-		return nil, fmt.Errorf("the chunks put together are not what was decided")
+		return nil, fmt.Errorf("digest of the assembled chunks does not match the decided configuration")
 	}
 	tree, problems := settings.Assemble(chunks)
 	if len(problems) > 0 {
@@ -149,24 +150,25 @@
 	return tree, nil
 }
 
-// maxVersions is how many configurations an office keeps the chunks of, to tell later ones
-// against. As chunks are shared, one costs what its successor has otherwise; together
-// they are no more than another newest, or editedBytes.
+// maxVersions is how many configurations an issuer keeps the chunks of, as bases for deltas
+// to later ones. As chunks are shared between versions, an old version only costs the
+// chunks that its successor doesn't have. All old versions together may cost as much as the
+// newest one, or maxVersionBytes if that is more.
 const (
 	maxVersions     = 64
 	maxVersionBytes = 1 << 20
 )
 
-// configVersion is a configuration that an office has seen.
+// configVersion is a configuration that an issuer has seen.
 type configVersion struct {
 	serial       uint64
 	chunks       []*settings.Chunk
 	evacuated    []string
-	droppedBytes int // bytes of its chunks that its successor has not
+	droppedBytes int // size of the chunks that its successor doesn't have
 }
 
-// keepVersion keeps the chunks of the configuration that was just taken, and forgets the oldest
-// beyond what edited and editedBytes say. Who holds the guard calls it.
+// keepVersion keeps the chunks of the current configuration, and drops the oldest versions
+// beyond the limits of maxVersions and maxVersionBytes. The caller holds the mutex.
 func (issuer *Office) keepVersion() {
 	newest := configVersion{serial: issuer.serial, chunks: issuer.tree.Chunks(), evacuated: issuer.config.Evacuated}
 	whole := 0
@@ -193,18 +195,19 @@
 	issuer.editions = map[uint64]*Edition{}
 }
 
-// Want is a data daemon's wish for a configuration, of the serial or a later one.
+// Want is a data daemon's request for a configuration, of version Serial or later.
 type Want struct {
 	Serial uint64
-	Base   uint64 // what it has and wants it told against; zero for none
+	Base   uint64 // version that it has and wants a delta against; zero for none
 }
 
-// maxOfferBytes is the most that an edition may have to ride on offers.
+// maxOfferBytes is the largest size of an edition that offers may carry.
 const maxOfferBytes = 2048
 
-// offerEdition is the edition of the serial for offers, against the configuration before it: an
-// evacuation, which changes no chunk. Nil for all others, each of which every holder fetches
-// once, near it, and where the newest one here is another.
+// offerEdition returns the edition that offers of this version carry, against the version
+// before it. Only an evacuation, which changes no chunk, is carried. For all other changes
+// it returns nil, and every holder fetches them once, from an issuer near it. It also
+// returns nil if this issuer's newest configuration is another one.
 func (issuer *Office) offerEdition(serial uint64) *Edition {
 	issuer.mutex.Lock()
 	count := len(issuer.versions)
@@ -233,8 +236,9 @@
 	return slices.EqualFunc(a, b, func(x, y *settings.Chunk) bool { return x.Digest == y.Digest })
 }
 
-// Fetch gives the newest configuration, packed once for all who have the same base, and
-// whole if that one is not kept. Serial is zero if there is none as new as is wanted.
+// Fetch returns the newest configuration as a delta against the requested base, or in full
+// if that base is not kept. It is packed once for all holders with the same base. The
+// version of the edition is zero if there is none as new as requested.
 func (issuer *Office) Fetch(request Want, edition *Edition) error {
 	if serial, _, _ := issuer.Current(); serial < request.Serial {
 		if err := issuer.Refresh(); err != nil {
--- a/permit/edition_test.go
+++ b/permit/edition_test.go
@@ -14,7 +14,8 @@
 	"swifttiller/settings"
 )
 
-// routesDocument is a document with the routes of so many tenants, of which one may have moved.
+// routesDocument returns a document with the routes of count tenants, of which the one with
+// the index moved has another host.
 func routesDocument(label, count, moved int) []byte {
 	var list []string
 	for index := range count {
@@ -27,7 +28,8 @@
 	return []byte(fmt.Sprintf(`{"label":%d,"whole":{"placements":{"m":{"version":"any"}}},"engines":{"m":{"probe_path":"/"}},"routes":[%s],"regions":{"a":{"zones":{"a-1":{}}}}}`, label, strings.Join(list, ",")))
 }
 
-// newTestIssuer is an office that has seen the documents, under serials from 1 on.
+// newTestIssuer returns a lease issuer that has seen the documents, with versions from 1
+// on.
 func newTestIssuer(t *testing.T, documents ...[]byte) *Office {
 	t.Helper()
 	issuer := &Office{Options: Options{World: loop.NewMachine()}}
@@ -48,8 +50,9 @@
 	return edition
 }
 
-// TestEditions: an edition against any configuration that is held gives the one that was
-// decided, and is as small as what differs; whoever has none gets it whole.
+// TestEditions guards against deltas that don't reproduce the decided configuration, from
+// whatever base that the issuer keeps, or that are larger than the difference. Holders
+// without a base get the configuration in full.
 func TestEditions(t *testing.T) {
 	var documents [][]byte
 	for label := range 6 {
@@ -68,28 +71,28 @@
 		}
 		tree, err := edition.assemble(chunks)
 		if err != nil || !bytes.Equal(tree.Document(), documents[5]) {
-			t.Fatalf("against %d: %v", base, err)
+			t.Fatalf("delta against version %d: wrong configuration or error: %v", base, err)
 		}
 		size := len(edition.Index) + len(edition.Texts)
-		t.Logf("against %d: %d bytes for a document of %d in %d chunks", base, size, len(documents[5]), len(tree.Chunks()))
+		t.Logf("against version %d: edition of %d bytes for a document of %d bytes in %d chunks", base, size, len(documents[5]), len(tree.Chunks()))
 		if base > 0 && size > 1000 || base == 0 && size < 10000 {
-			t.Errorf("against %d: %d bytes", base, size)
+			t.Errorf("against version %d: unexpected edition size of %d bytes", base, size)
 		}
 		if again := issuer.mustFetch(t, 0, base); &again.Index[0] != &edition.Index[0] {
-			t.Error("it is packed anew for each who asks")
+			t.Error("the edition is packed again for each request")
 		}
 	}
 	none := &Edition{}
 	if err := (&Office{}).Fetch(Want{}, none); err != nil || none.Serial != 0 {
-		t.Error("an office that knows none gives one", err)
+		t.Error("an issuer without a configuration returned one:", err)
 	}
 	if odd := issuer.mustFetch(t, 6, 77); odd.Base != 0 {
-		t.Error("an edition against what is not kept")
+		t.Error("got a delta against a base that is not kept")
 	}
 }
 
-// TestNoMix: nothing is put together that is not what was decided, whatever was spoiled:
-// an edition, or what is held; and nothing of it makes a daemon fall over.
+// TestNoMix guards against a daemon that applies a configuration that was never decided,
+// because the edition or its own chunks were corrupted, and against panics on such input.
 func TestNoMix(t *testing.T) {
 	documents := [][]byte{routesDocument(1, 400, 7), routesDocument(2, 400, 300), routesDocument(3, 380, 20)}
 	issuer := newTestIssuer(t, documents...)
@@ -116,7 +119,7 @@
 	count := 0
 	check := func(damage string, edition Edition, base []*settings.Chunk) {
 		if tree, err := edition.assemble(base); err == nil && !bytes.Equal(tree.Document(), documents[2]) {
-			t.Errorf("mix: %s: another configuration than was decided", damage)
+			t.Errorf("mix: %s: assembled a configuration that was not decided", damage)
 		} else if err != nil {
 			count++
 		}
@@ -131,33 +134,33 @@
 		switch round / 3 % 4 {
 		case 0:
 			edition.Index = corrupt(edition.Index)
-			check("spoiled index", edition, chunks)
+			check("corrupted index", edition, chunks)
 		case 1:
 			edition.Texts = corrupt(edition.Texts)
-			check("spoiled texts", edition, chunks)
+			check("corrupted texts", edition, chunks)
 		case 2:
 			edition.Evacuated = []string{"b-1"}
-			check("other zones", edition, chunks)
+			check("other evacuated zones", edition, chunks)
 			if _, err := edition.assemble(chunks); err == nil {
-				t.Error("mix: other evacuated zones than were decided")
+				t.Error("mix: accepted evacuated zones that were not decided")
 			}
 		case 3:
 			if base == 0 {
 				continue
 			}
 			chunk := chunks[random.IntN(len(chunks))]
-			chunk.Text = strings.Replace(chunk.Text, "1000", "1001", 1) // of the same length
-			check("what is held is spoiled", edition, chunks)
-			check("another base is held", edition, chunksOf(2-int(base)))
+			chunk.Text = strings.Replace(chunk.Text, "1000", "1001", 1) // keeps the length
+			check("corrupted chunks of the holder", edition, chunks)
+			check("wrong base", edition, chunksOf(2-int(base)))
 		}
 	}
 	if count < 300 {
-		t.Errorf("vacuous: only %d were spoiled", count)
+		t.Errorf("vacuous: only %d corrupted editions were rejected", count)
 	}
 }
 
-// TestKeptEditions: an office keeps the last configurations to tell later ones against, no
-// more of them than edited, and not more bytes than another newest has.
+// TestKeptEditions guards against an issuer that keeps too many old configurations as bases
+// for deltas: more than maxVersions, or more bytes than the newest one has.
 func TestKeptEditions(t *testing.T) {
 	var small, large [][]byte
 	for label := range maxVersions + 9 {
@@ -165,30 +168,31 @@
 	}
 	issuer := newTestIssuer(t, small...)
 	if len(issuer.versions) != maxVersions || len(issuer.editions) > 1 {
-		t.Errorf("%d configurations are kept", len(issuer.versions))
+		t.Errorf("%d configurations are kept as bases", len(issuer.versions))
 	}
 	if edition := issuer.mustFetch(t, maxVersions+9, 10); edition.Base != 10 {
-		t.Error("one that is kept is told whole")
+		t.Error("a configuration whose base is kept was sent in full")
 	}
 	for label := range 9 {
 		large = append(large, []byte(strings.ReplaceAll(string(routesDocument(label, 8000, label)), "tenant", fmt.Sprint("t", label))))
 	}
 	issuer = newTestIssuer(t, large...)
 	if len(issuer.versions) > 2 {
-		t.Errorf("%d configurations are kept that have nothing in common", len(issuer.versions))
+		t.Errorf("%d configurations are kept as bases although they share no chunks", len(issuer.versions))
 	}
 	if edition := issuer.mustFetch(t, 9, 1); edition.Base != 0 {
-		t.Error("an edition against what is not kept")
+		t.Error("got a delta against a base that is not kept")
 	}
 }
 
-// TestOffersBringEvacuations: what an evacuation offers is gone by at once, with nothing
-// fetched; a changed route is not brought, nor what is told against another configuration.
+// TestOffersBringEvacuations guards against evacuations that need a fetch: the offer
+// carries them and they apply at once. Changed routes are not carried, and a delta against
+// another base is rejected.
 func TestOffersBringEvacuations(t *testing.T) {
 	issuer := newTestIssuer(t, routesDocument(0, 300, 1), routesDocument(0, 300, 1))
 	edition := issuer.offerEdition(2)
 	if edition == nil || edition.Base != 1 {
-		t.Fatalf("an evacuation is not brought: %+v", edition)
+		t.Fatalf("the offer does not carry the evacuation: %+v", edition)
 	}
 	tree, problems := settings.Parse(routesDocument(0, 300, 1))
 	if len(problems) > 0 {
@@ -199,21 +203,21 @@
 	holder.view.Store(&View{Serial: 1, Tree: tree, Expiry: loop.Forever})
 	reply := &Taken{}
 	if err := holder.Take(Offer{Serial: 2, Edition: edition, Patience: time.Second}, reply); err != nil || reply.Serial != 2 {
-		t.Fatalf("taken %+v: %v", reply, err)
+		t.Fatalf("reply to the offer: %+v, error: %v", reply, err)
 	}
 	if view := holder.View(); view.Serial != 2 || !view.Evacuated["a-1"] {
-		t.Errorf("goes by %d, %v evacuated", view.Serial, view.Evacuated)
+		t.Errorf("the holder applies version %d with evacuated zones %v", view.Serial, view.Evacuated)
 	}
 	if offer := (Offer{Serial: 3, Edition: edition}); offer.assemble(holder.View()) != nil {
-		t.Error("an older configuration than was offered is gone by")
+		t.Error("accepted an edition older than the offered version")
 	}
 	if offer := (Offer{Serial: 2, Edition: edition}); offer.assemble(&View{Serial: 7, Tree: tree}) != nil {
-		t.Error("an edition is put together with another configuration than it was told against")
+		t.Error("assembled an edition with another base than its own")
 	}
 	if issuer.offerEdition(1) != nil {
-		t.Error("a configuration that is not the newest is brought")
+		t.Error("an offer carries a configuration that is not the newest")
 	}
 	if changed := newTestIssuer(t, routesDocument(0, 300, 1), routesDocument(1, 300, 1)); changed.offerEdition(2) != nil {
-		t.Error("a changed route is brought, which each holder fetches once")
+		t.Error("an offer carries a changed route, which each holder should fetch once")
 	}
 }
--- a/permit/ending_test.go
+++ b/permit/ending_test.go
@@ -18,14 +18,15 @@
 	"swifttiller/wire"
 )
 
-// localNet carries calls to one control daemon's services within the process. Data daemons are silent.
+// localNet delivers calls to the services of one control daemon within the process. Data
+// daemons never answer.
 type localNet struct {
 	client *rpc.Client
-	// offered gets a letter with each offer to a data daemon.
+	// offered is signalled at each offer to a data daemon.
 	offered chan struct{}
 }
 
-// Call calls the control daemon, or waits in vain for a data daemon.
+// Call calls the control daemon, or times out for a data daemon.
 func (net *localNet) Call(address, method string, args, reply any, timeout time.Duration) error {
 	if address != "control" {
 		select {
@@ -38,14 +39,15 @@
 	return net.client.Call(method, args, reply)
 }
 
-// testIssuer is a control daemon in the world of a real process, alone in its core.
+// testIssuer is a control daemon that runs on the real clock and is the only member of its
+// core.
 type testIssuer struct {
 	*permit.Office
 	machine *loop.Machine
 	net     *localNet
 }
 
-// leaseSpan is how long the leases of these tests stand.
+// leaseSpan is the length of the leases in these tests.
 const leaseSpan = 600 * time.Millisecond
 
 func document(label int) []byte {
@@ -81,7 +83,7 @@
 	})
 }
 
-// first makes the first configuration, and tries again where a busy machine took too long.
+// first writes the first configuration. It retries if that took too long on a busy machine.
 func (issuer *testIssuer) first(t *testing.T) {
 	began := issuer.machine.Now()
 	for {
@@ -90,14 +92,15 @@
 			return
 		}
 		if issuer.machine.Now()-began > time.Minute {
-			t.Error("no configuration: ", err)
+			t.Error("could not write the first configuration: ", err)
 			return
 		}
 	}
 }
 
-// lease grants the data daemon a lease, and gives the time from which it counts. On a busy machine a grant
-// may take longer than is allowed, and is asked for again, as data daemons do.
+// lease grants the data daemon a lease and returns the time from which it counts. On a busy
+// machine a grant may exceed its time limit and is then requested again, as data daemons
+// do.
 func (issuer *testIssuer) lease(t *testing.T) (granted time.Duration) {
 	ask := permit.Ask{Holder: session.Member{Name: "data", Incarnation: "1", Role: session.Data, Wire: "data"}}
 	began := issuer.machine.Now()
@@ -107,36 +110,37 @@
 		if err := issuer.Renew(ask, grant); err == nil && grant.Declined == "" {
 			return granted
 		} else if granted-began > time.Minute {
-			t.Error("no lease is granted: ", err, grant.Declined)
+			t.Error("could not get a lease: ", err, grant.Declined)
 			return granted
 		}
 	}
 }
 
-// repeat sends the second change once more, as an operator does whose first call got no answer.
+// repeat sends the second change again, like an operator whose first call got no answer.
 func (issuer *testIssuer) repeat() (permit.Applied, error) {
 	applied, isTaken, err := issuer.Again("2/x")
 	if !isTaken {
-		return applied, errors.New("the change is not known")
+		return applied, errors.New("the issuer does not know the change")
 	}
 	return applied, err
 }
 
-// stands asks for what the second change brought about already.
+// stands acknowledges the second change if it is already in force.
 func (issuer *testIssuer) stands() (permit.Applied, error) {
 	applied, isSo, err := issuer.Stands(func(tree *settings.Tree, _ permit.Config) bool { return tree.Label() == 2 })
 	if !isSo {
-		return applied, errors.New("it does not stand")
+		return applied, errors.New("the change is not in force")
 	}
 	return applied, err
 }
 
-// TestNoChangeIsConfirmedByAProcessThatEnds guards against a change that a control daemon confirmed as
-// its own end cut its waits short, while a data daemon that had not heard of it still held a lease.
+// TestNoChangeIsConfirmedByAProcessThatEnds guards against a control daemon that confirms a
+// change because its own shutdown cut its waits short, while a data daemon that has not
+// received the change still holds a lease.
 func TestNoChangeIsConfirmedByAProcessThatEnds(t *testing.T) {
 	const runs = 20
 	var group sync.WaitGroup
-	turns := make(chan struct{}, runs) // so many at a time
+	turns := make(chan struct{}, runs) // limits concurrency
 	for run := range 3 * runs {
 		turns <- struct{}{}
 		group.Go(func() {
@@ -162,21 +166,21 @@
 			}
 			applied, err := orders[run%3]()
 			if after := issuer.machine.Now() - granted; err == nil && after < leaseSpan {
-				t.Errorf("old config: confirmed %v after a lease of %v was granted to a data daemon that does not know it: %+v", after, leaseSpan, applied)
+				t.Errorf("old config: change confirmed %v after a lease of %v was granted to a data daemon that has not received the change: %+v", after, leaseSpan, applied)
 			}
 		})
 	}
 	group.Wait()
 }
 
-// TestHoldersOfAProcessThatEnds guards against "there are no data daemons" as the answer to a reading of
-// their records that the end of the process cut short.
+// TestHoldersOfAProcessThatEnds guards against an empty result without an error when the
+// end of the process interrupts the reading of the data daemons' records.
 func TestHoldersOfAProcessThatEnds(t *testing.T) {
 	issuer := newIssuer(t)
 	issuer.first(t)
 	issuer.lease(t)
 	issuer.machine.End()
 	if holders, err := issuer.Holders(); err == nil && len(holders) == 0 {
-		t.Error("old config: a reading that was cut short tells of no data daemons, without an error")
+		t.Error("old config: an interrupted read returned no data daemons and no error")
 	}
 }
--- a/permit/enrol.go
+++ b/permit/enrol.go
@@ -9,51 +9,53 @@
 	"swifttiller/loop"
 )
 
-// When all daemons of a large fleet begin at once, their records are written many at a time:
-// one by one, each would cost every acceptor two calls, and acceptors that can't serve all
-// those in time would have no round done.
+// When all daemons of a large fleet start at once, their records are written in batches.
+// Written one by one, each record would cost every acceptor two calls, and acceptors that
+// can't serve all of those in time would complete no round at all.
 const (
-	// batchDelay is how long records are gathered while others are being written: short
-	// beside the two rounds that this takes.
+	// batchDelay is how long records are collected for the next batch while others are
+	// being written. It is short compared to the two rounds that a write takes.
 	batchDelay = 20 * time.Millisecond
-	// maxBatches are how many batches an office writes at a time, mostEnrolling how many
-	// records there are in one. Where rounds take long, more come together meanwhile.
+	// maxBatches is how many batches an issuer writes at the same time, and maxBatchRecords
+	// how many records a batch has. The slower the rounds, the more records are collected
+	// meanwhile.
 	maxBatches      = 8
 	maxBatchRecords = 64
 )
 
-// recordWrite is a record that is to be written, or was.
+// recordWrite is a record to be written, or one that was written.
 type recordWrite struct {
 	key    string
 	record Record
 }
 
-// recordQueue are the records that wait to be written, in the order of their coming, and
-// those that are being written.
+// recordQueue has the records that wait to be written, in order of arrival, and those that
+// are being written.
 //
-// Invariants: a record is among them once, however often its holder asks. No two batches
-// have the same key. While any waits that is in none, isGathering is true or mostBatches are
-// being written.
+// Invariants: a record is in it only once, however often its holder sends requests. No two
+// batches have the same key. While any record waits that could be started, isBatchScheduled
+// is true or maxBatches batches are being written.
 type recordQueue struct {
 	pending []recordWrite
-	// waiters are who waits for each of them; a record is in it exactly while it waits or
-	// is being written.
+	// waiters has the mailboxes of the requests that wait for each record. A record is a
+	// key exactly while it waits or is being written.
 	waiters       map[recordWrite][]loop.Mailbox
-	writingKeys   map[string]bool // the keys that are being written
+	writingKeys   map[string]bool // keys of the records that are being written
 	activeBatches int
-	writtenCount  uint64 // counts those that were
-	// isBatchScheduled is true exactly while a task waits to begin the next batch.
+	writtenCount  uint64 // number of records written so far
+	// isBatchScheduled is true exactly while a task waits to start the next batch.
 	isBatchScheduled bool
 }
 
 var (
-	errQueued       = errors.New("other holders' records are being written first; ask here again")
-	errWriteTimeout = errors.New("the holder's record could not be written in time")
+	errQueued       = errors.New("the holder's record is queued behind those of other holders; retry with this control daemon")
+	errWriteTimeout = errors.New("timed out writing the holder's record")
 )
 
-// writeRecord records a holder. An older incarnation of the name is thereby gone. Who asks is
-// told after the patience that others come first, if any was written meanwhile; else it
-// waits four times as long at the most. The record may yet be written, in its turn.
+// writeRecord records a holder, which replaces an older incarnation of the same name. If
+// the record isn't written within the timeout, but others were meanwhile, it returns
+// errQueued; otherwise it waits up to four times the timeout in all. In either case the
+// record may still be written later.
 func (issuer *Office) writeRecord(write recordWrite, timeout time.Duration) error {
 	mailbox := issuer.World.Mailbox()
 	issuer.mutex.Lock()
@@ -83,7 +85,7 @@
 	return errWriteTimeout
 }
 
-// startBatch sees to it that the next batch begins; who holds the guard calls it.
+// startBatch schedules the next batch if there is one to write. The caller holds the mutex.
 func (issuer *Office) startBatch() {
 	queue := &issuer.recordQueue
 	if queue.isBatchScheduled || queue.activeBatches == maxBatches || !slices.ContainsFunc(queue.pending, queue.canStart) {
@@ -112,16 +114,16 @@
 	})
 }
 
-// canStart tells whether no other record of the holder is being written.
+// canStart tells whether no other record of the same holder is being written.
 func (queue *recordQueue) canStart(write recordWrite) bool { return !queue.writingKeys[write.key] }
 
-// writeBatch writes a batch of records.
+// writeBatch writes a batch of records and notifies the requests that wait for them.
 func (issuer *Office) writeBatch(batch []recordWrite) {
 	data, writes := map[string][]byte{}, map[string]recordWrite{}
 	for _, write := range batch {
 		encoded, err := json.Marshal(write.record)
 		if err != nil {
-			panic(err) // only our own type comes here
+			panic(err) // can't fail for this type
 		}
 		data[write.key], writes[write.key] = encoded, write
 	}
--- a/permit/fuzz_test.go
+++ b/permit/fuzz_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// FuzzUnpack: a configuration of a register is read as it was packed, or an error says what
-// is wrong; nothing panics.
+// FuzzUnpack checks that arbitrary bytes either decode to a configuration that survives
+// another round trip, or give an error, without a panic.
 func FuzzUnpack(f *testing.F) {
 	for _, config := range []Config{{}, {Document: []byte(`{"label":3}`), Origin: []byte(`{}`), Evacuated: []string{"east-1"}, Taken: []Mark{"3/x"}, Archived: 7}} {
 		packed, err := config.Pack()
@@ -30,7 +30,7 @@
 			t.Fatal(err)
 		}
 		if again, err := Unpack(packed); err != nil || !bytes.Equal(again.Document, config.Document) || len(again.Taken) != len(config.Taken) {
-			t.Errorf("%+v became %+v: %v", config, again, err)
+			t.Errorf("round trip of %+v returned %+v, error: %v", config, again, err)
 		}
 	})
 }
--- a/permit/history.go
+++ b/permit/history.go
@@ -10,46 +10,48 @@
 	"swifttiller/register"
 )
 
-// The history of accepted orders. A configuration names the last of them itself, as every
-// lease reads it; the older ones are moved to registers of their own, a page at a time.
+// The history of accepted orders. A configuration itself contains the latest ones. As every
+// lease grant reads the configuration, older ones are moved to separate registers, a page
+// at a time.
 const (
-	// Remembered is how many marks a configuration keeps, at most twice as many where no
-	// page could be written meanwhile.
+	// Remembered is how many marks a configuration keeps. It keeps up to twice as many
+	// while no page can be written.
 	Remembered = 64
-	// marksPerPage is how many marks a page of the history has.
+	// marksPerPage is how many marks a history page has.
 	marksPerPage = Remembered / 2
-	// HistoryPages is how many pages are kept: a newer one takes the register of the one
-	// that lies so many before it.
+	// HistoryPages is how many pages are kept. Page registers are reused in turn: a page
+	// overwrites the one that is HistoryPages older.
 	HistoryPages = 128
-	// HistoryPrefix begins the keys of the pages.
+	// HistoryPrefix is the key prefix of the pages' registers.
 	HistoryPrefix = "orders/"
 )
 
-// HistoryPage is a page of the history of accepted orders.
+// HistoryPage is one page of the history of accepted orders.
 //
-// Invariant: the marks of a page follow from its number alone, as marks leave a
-// configuration only in the order of their coming, a page at a time. So it is written
-// before the configuration lets go of them, by whoever likes and as often as it likes.
+// Invariant: the marks of a page are determined by its number, as marks leave a
+// configuration only in the order in which they were added, a page at a time. So any daemon
+// may write a page, any number of times, before the configuration drops its marks.
 type HistoryPage struct {
-	Number uint64 `json:"number"` // pages count from zero
+	Number uint64 `json:"number"` // counted from zero
 	Marks  []Mark `json:"marks"`
 }
 
-// The ways in which the history gives no answer.
+// Errors of lookups in the history and of additions to it.
 var (
-	// ErrForgotten: the order is older than all that is remembered.
-	ErrForgotten = errors.New("permit: the order is older than the history of accepted ones")
-	// ErrHistoryFull: the last orders could not be moved to the history yet.
-	ErrHistoryFull = errors.New("permit: the history of accepted orders can't be written now")
+	// ErrForgotten tells that the order is older than the whole history.
+	ErrForgotten = errors.New("permit: the order is older than the recorded history of accepted orders")
+	// ErrHistoryFull tells that the configuration has no room for another mark, because
+	// older ones could not be moved to the history yet.
+	ErrHistoryFull = errors.New("permit: cannot write the history of accepted orders at present")
 )
 
 func historyKey(number uint64) string {
 	return fmt.Sprintf("%s%03d", HistoryPrefix, number%HistoryPages)
 }
 
-// Take gives the configuration with another document, which is remembered by its mark if
-// it has one. Evacuations stay. Archived is how many pages of the history are known to be
-// written.
+// Take returns the configuration with another document, and remembers the document's mark
+// if it has one. Evacuations are kept. The parameter archived is how many pages of the
+// history are known to be written.
 func (config Config) Take(document []byte, mark Mark, archived uint64) (Config, error) {
 	config.Document, config.Origin = Apart(document)
 	if mark == "" {
@@ -66,8 +68,8 @@
 	return config, nil
 }
 
-// Archive writes the next page of the history where the configuration that this office
-// knows has marks enough for one, and gives how many pages are known to be written.
+// Archive writes the next history page if the configuration that this issuer knows has
+// enough marks for one. It returns how many pages are known to be written.
 func (issuer *Office) Archive() uint64 {
 	_, config, _ := issuer.Current()
 	if len(config.Taken) < Remembered {
@@ -76,12 +78,12 @@
 	page := HistoryPage{Number: config.Archived, Marks: config.Taken[:marksPerPage]}
 	err := WritePage(issuer.Keeper, issuer.orderTimeout(), page)
 	if err != nil {
-		return config.Archived // the configuration bears more of them for a while
+		return config.Archived // the configuration can keep more marks for a while
 	}
 	return config.Archived + 1
 }
 
-// WritePage writes a page of the history, unless it or a newer one stands there.
+// WritePage writes a history page, unless its register holds that page or a newer one.
 func WritePage(keeper *register.Keeper, timeout time.Duration, page HistoryPage) error {
 	_, err := keeper.ChangeWithin(historyKey(page.Number), timeout, func(value register.Value) ([]byte, error) {
 		var stored HistoryPage
@@ -101,8 +103,9 @@
 	return err
 }
 
-// Recall tells whether an order is in the history before the configuration, which is one
-// that was decided. Errors: ErrForgotten, those of the registers.
+// Recall tells whether an order is in the part of the history that was moved out of the
+// given configuration, which must be a decided one. It returns ErrForgotten or an error of
+// the registers.
 func (issuer *Office) Recall(config Config, mark Mark, timeout time.Duration) (bool, error) {
 	first := uint64(0)
 	if config.Archived > HistoryPages {
@@ -128,7 +131,8 @@
 	return false, nil
 }
 
-// missingPages lists the pages that were not read yet, and forgets those before the first.
+// missingPages lists the pages that were not read yet, and drops cached pages before the
+// first.
 func (issuer *Office) missingPages(first, end uint64) (missing []uint64) {
 	issuer.mutex.Lock()
 	defer issuer.mutex.Unlock()
@@ -145,8 +149,8 @@
 	return missing
 }
 
-// readPages reads pages that a decided configuration names. A page that a newer one
-// replaced is left empty.
+// readPages reads pages that a decided configuration refers to. Pages that newer ones have
+// overwritten are left empty.
 func (issuer *Office) readPages(numbers []uint64, timeout time.Duration) error {
 	keys := make([]string, len(numbers))
 	for index, number := range numbers {
@@ -164,7 +168,7 @@
 	for index, number := range numbers {
 		var page HistoryPage
 		if err := json.Unmarshal(values[keys[index]].Data, &page); err != nil {
-			return fmt.Errorf("page %d of the history of accepted orders can't be read: %w", number, err)
+			return fmt.Errorf("cannot decode page %d of the history of accepted orders: %w", number, err)
 		}
 		if page.Number == number {
 			issuer.pages[number] = page.Marks
--- a/permit/holder.go
+++ b/permit/holder.go
@@ -17,59 +17,62 @@
 	"swifttiller/tenant"
 )
 
-// Offer tells a holder that a configuration was decided, which it then fetches, unless the
-// offer brings it.
+// Offer announces a newly decided configuration to a lease holder. The holder fetches the
+// configuration unless the offer carries it.
 type Offer struct {
 	Serial uint64
-	// Edition, if set, is the configuration against the one before it. It is small: an offer
-	// is made again to whoever does not answer.
+	// Edition, if set, is the configuration as a delta against the previous one. It must
+	// stay small, as an offer is repeated to every holder that does not answer.
 	Edition *Edition
-	// Patience is how long the holder may take until it answers.
+	// Patience is how long the holder may take to answer.
 	Patience time.Duration
 }
 
-// Taken is the holder's answer: what it applies from now on.
+// Taken is the holder's reply to an offer: the configuration that it applies from now on.
 type Taken struct {
 	Incarnation string
 	Serial      uint64
 }
 
-// View is what a data daemon goes by. It is never changed once shown.
+// View is an immutable snapshot of everything that a data daemon serves by: its
+// configuration, routing tables, members and lease deadline.
 //
-// Invariant: of two views shown one after the other, the later has no lower
-// Serial, no lower standing serial of any region that it has, and no earlier
-// Expiry. A view that follows a lapse has only standings that were found to be up
-// to date since: what replicas have become meanwhile nobody told this daemon.
+// Invariant: of two successive views, the later one has no lower Serial, no lower routing
+// table version of any region that it has, and no earlier Expiry. A view that follows a
+// lapse of the lease has only routing tables that were confirmed to be up to date since
+// then: during the lapse, this daemon was not informed of what became of the replicas.
 type View struct {
 	Serial    uint64
 	Tree      *settings.Tree
 	Evacuated map[string]bool
 	Standings map[string]standing.Standing
-	// Kept is, by region, the latest time at which the standing is known to have
-	// been up to date.
+	// Kept has, by region, the latest time at which the routing table is known to have been
+	// up to date.
 	Kept map[string]time.Duration
-	// Unkept are regions whose standing nobody has kept up to date since this daemon has
-	// it: its replicas may have begun anew, and count as cold.
+	// Unkept has the regions whose routing table was not confirmed to be up to date since
+	// this daemon received it. Their replicas may have restarted, so they count as cold.
 	Unkept map[string]bool
-	// Members have their uptimes as of told; those of all came last at timed.
+	// Members have their uptimes as of membersAt. The uptimes of all members were last
+	// received at uptimesAt.
 	Members []session.Member
 	Expiry  time.Duration
-	// IsMoving tells that some standing has a version on trial, or one that was left and
-	// stands by.
+	// IsMoving tells whether some routing table has a version on trial, or a former version
+	// that is kept on standby.
 	IsMoving       bool
 	membersSum     uint64
-	evacuatedZones []string // the evacuated zones, as they were told
+	evacuatedZones []string // as received
 	membersAt      time.Duration
 	uptimesAt      time.Duration
-	standingTexts  map[string]standingText // of the standings that came last, by region
-	// Placed are the tenants' placements as of their serial; nil before any came.
+	standingTexts  map[string]standingText // the last ones received, by region
+	// Placed has the tenants' placements with the version PlacedSerial; nil until the first
+	// ones arrive.
 	Placed       *tenant.Book
 	PlacedSerial uint64
 }
 
-// Placement is a tenant's; nil where there is none, and once the permit has ended: what
-// then may hold nobody knows, so two placements are in force for a permit's length at the
-// longest.
+// Placement returns the tenant's placement, or nil if there is none or the lease has
+// expired. After that the placement in force is unknown. So an old and a new placement are
+// in force together for one lease length at most.
 func (view *View) Placement(name string, now time.Duration) *tenant.Placement {
 	if view.Placed == nil || !view.Stands(now) {
 		return nil
@@ -77,7 +80,7 @@
 	return view.Placed.Find(name)
 }
 
-// Config is the configuration as data daemons are told it, put together.
+// Config returns the configuration as it was distributed to data daemons.
 func (view *View) Config() (out Config) {
 	if view.Tree != nil {
 		out = Config{Document: view.Tree.Document(), Evacuated: view.evacuatedZones}
@@ -85,70 +88,74 @@
 	return out
 }
 
-// Stands tells whether the permit lets the daemon serve at the time.
+// Stands tells whether the lease is valid at the time.
 func (view *View) Stands(now time.Duration) bool {
 	return view != nil && view.Tree != nil && now < view.Expiry
 }
 
-// Serves tells whether routed requests may be served at the time: while the permit
-// stands, and for alone_ms after it, where the settings allow that. What such a daemon
-// goes by may be old; it never goes back.
+// Serves tells whether routed requests may be served at the time: while the lease is valid,
+// and for alone_ms after it expired where the settings allow that. Such a daemon may serve
+// by outdated state, but never returns to an older one.
 func (view *View) Serves(now time.Duration) bool {
 	return view != nil && view.Tree != nil && now < view.Expiry+view.Tree.Span("alone_ms", "")
 }
 
-// HolderOptions of a holder.
+// HolderOptions are the options of a Holder.
 type HolderOptions struct {
 	World  loop.World
 	Client *session.Client
-	// Self describes the daemon at the moment of asking.
+	// Self describes the daemon at the time of the call.
 	Self func() session.Member
-	// Changed is woken after every new view.
+	// Changed is called after each new view.
 	Changed func(view *View)
 }
 
-// Holder keeps a data daemon's permit.
+// Holder maintains a data daemon's lease.
 //
-// Invariants: floor is the highest serial that was offered; no grant below it is taken.
-// Configurations come by fetches, one under way at a time, but for evacuations, which come
-// with an offer: so no two copies of a document are on their way to a holder. No view shows a life that leavers has, below its serial.
+// Invariants: minSerial is the highest version that was offered, and grants below it are
+// rejected. Configurations are fetched, one fetch at a time, except for evacuations, which
+// are carried by an offer; so no two copies of a document are in transit to the same
+// holder. No view contains a replica incarnation of departed in a routing table below the
+// version noted there.
 type Holder struct {
 	HolderOptions
-	mutex     sync.Mutex // over replacing the view
+	mutex     sync.Mutex // serializes replacements of the view
 	minSerial uint64
-	// departed are lives that get nothing any more, as notices told.
+	// departed has the replica incarnations that get no more requests, as notices
+	// announced.
 	departed map[Leaver]departure
 	view     atomic.Pointer[View]
 	waker    *loop.Waker
-	// failedRenewals counts the last asks in a row that brought no grant.
+	// failedRenewals counts the consecutive renewals that failed.
 	failedRenewals atomic.Int64
-	// isFetching tells that a fetch is under way, and fetchers who waits for what it
-	// brings; both under guard.
+	// isFetching tells whether a fetch is in progress, and fetchWaiters who waits for its
+	// result. The mutex guards both.
 	isFetching   bool
 	fetchWaiters []loop.Mailbox
 	Declined     atomic.Pointer[string]
 }
 
-// NewHolder makes a holder without a permit: a restarted daemon has none.
+// NewHolder returns a holder without a lease, as after a restart of the daemon.
 func NewHolder(options HolderOptions) *Holder {
 	holder := &Holder{HolderOptions: options, waker: loop.NewWaker(options.World)}
 	holder.view.Store(&View{Standings: map[string]standing.Standing{}})
 	return holder
 }
 
-// View is what to go by now; ask its Stands at the last moment.
+// View returns the current view. Callers check Stands right before they act on it.
 func (holder *Holder) View() *View { return holder.view.Load() }
 
-// Run renews the permit until the world ends: each third of its length, and each
-// sixth while asks bring none, so that two in a row may go unheard, or standings that
-// nobody keeps up to date, by which replicas count as cold; and while versions move, as a
-// run waits for every daemon to have seen that.
+// Run renews the lease until the process ends. It renews three times per lease length, so
+// that two consecutive renewals may fail, and six times after a failure, while some routing
+// table is not confirmed (its replicas count as cold), and while versions change, since a
+// rollout waits until every daemon has seen the change.
 func (holder *Holder) Run() {
 	holder.waker.Run(holder.World, func() time.Duration {
 		switch {
 		case holder.View().Tree == nil:
-			// Nothing is served until the first one; but where all begin at once, and
-			// there is none yet, they would only be in each other's way.
+			// Without a first lease nothing is served, so the retries are frequent. They
+			// back off exponentially: when all daemons start at once and there is no
+			// configuration yet, frequent retries would only slow each other down.
 			return min(holder.leaseLength()/18<<min(holder.failedRenewals.Load(), 8)/2, holder.leaseLength()/Renewals)
 		case holder.failedRenewals.Load() > 0 || len(holder.View().Unkept) > 0, holder.View().IsMoving:
 			return holder.leaseLength() / 6
@@ -164,7 +171,8 @@
 	})
 }
 
-// hasMovingVersions tells whether versions move in any of the standings.
+// hasMovingVersions tells whether a version is on trial or on standby in any of the routing
+// tables.
 func hasMovingVersions(standings map[string]standing.Standing) bool {
 	for _, table := range standings {
 		for _, row := range table.Rows {
@@ -176,18 +184,19 @@
 	return false
 }
 
-// uptimesMaxAge is after which time the members' uptimes are asked for anew, as clocks part that
-// they are reckoned on by.
+// uptimesMaxAge is the age from which on the members' uptimes are requested again. In
+// between they are extrapolated with the local clock, and clocks drift apart.
 const uptimesMaxAge = 30 * time.Second
 
-// Renewals is how often a permit is renewed in its length.
+// Renewals is how often a lease is renewed within its length.
 const Renewals = 3
 
 func (holder *Holder) leaseLength() time.Duration {
 	return holder.View().Tree.Span("permit_ms", "")
 }
 
-// Renew asks once. The time counts from before the ask.
+// Renew makes one attempt to renew the lease. The new lease counts from before the request
+// was sent.
 func (holder *Holder) Renew() bool {
 	sentAt := holder.World.Now()
 	current := holder.View()
@@ -219,7 +228,8 @@
 
 func (holder *Holder) applyGrant(grant *Grant, sentAt time.Duration) bool {
 	var config *fetchedConfig
-	// A fetch that was under way already may bring an older one.
+	// The result may be older than the grant if it is that of a fetch that was already in
+	// progress.
 	for grant.Serial > holder.View().Serial && (config == nil || config.serial < grant.Serial) {
 		var err error
 		if config, err = holder.awaitFetch(grant.Serial, loop.Forever); err != nil {
@@ -235,8 +245,8 @@
 		next.applyConfig(config)
 	}
 	if grant.Serial < max(next.Serial, holder.minSerial) || grant.Serial > next.Serial {
-		// Granted under an older configuration than this daemon has seen, or under
-		// one that it has not: it must not lengthen anything.
+		// The lease was granted under an older configuration than this daemon has seen, or
+		// under one that it doesn't have: it must not extend the current lease.
 		holder.mutex.Unlock()
 		return false
 	}
@@ -255,7 +265,7 @@
 			if table, isRead := next.unpackStanding(update); isRead {
 				next.Standings[table.Region] = table
 			} else {
-				delete(grant.Kept, update.Region) // what it has is not what was found to be kept
+				delete(grant.Kept, update.Region) // the grant confirms a version that could not be read
 			}
 		}
 	}
@@ -296,7 +306,7 @@
 	return true
 }
 
-// updateMembers sets the members of a view that is not shown yet.
+// updateMembers sets the members of a view that is not published yet.
 func (view *View) updateMembers(previous *View, grant *Grant) {
 	isComplete := grant.Base == 0 && (grant.Members != nil || grant.Sum != previous.membersSum)
 	if isComplete {
@@ -313,7 +323,7 @@
 	view.Members = append(make([]session.Member, 0, len(previous.Members)+len(grant.Members)), grant.Members...)
 	for _, member := range previous.Members {
 		if !isReplaced[member.Name] {
-			// The same incarnation: it has been up for as much longer.
+			// The incarnation is unchanged, so the member has been up for that much longer.
 			member.Uptime += view.membersAt - previous.membersAt
 			view.Members = append(view.Members, member)
 		}
@@ -321,7 +331,7 @@
 	slices.SortFunc(view.Members, func(a, b session.Member) int { return strings.Compare(a.Name, b.Name) })
 	view.membersSum = grant.Sum
 	if grant.Base != 0 && (grant.Base != previous.membersSum || session.Sum(view.Members) != grant.Sum) {
-		view.membersSum = 0 // another list came meanwhile: the next ask brings the whole one
+		view.membersSum = 0 // the list was replaced meanwhile; the next renewal requests it in full
 	}
 	if view.membersSum == grant.Sum && len(grant.Uptimes) == len(view.Members) {
 		for index, uptime := range grant.Uptimes {
@@ -331,14 +341,14 @@
 	}
 }
 
-// fetchedConfig is a configuration that was put together, and checked.
+// fetchedConfig is a configuration that was assembled from an edition and verified.
 type fetchedConfig struct {
 	serial    uint64
 	tree      *settings.Tree
 	evacuated []string
 }
 
-// applyConfig sets the configuration of a view that is not shown yet.
+// applyConfig sets the configuration of a view that is not published yet.
 func (view *View) applyConfig(config *fetchedConfig) {
 	view.Serial, view.Tree, view.evacuatedZones = config.serial, config.tree, config.evacuated
 	view.Evacuated = map[string]bool{}
@@ -347,11 +357,11 @@
 	}
 }
 
-var errNotFetched = errors.New("the configuration could not be fetched")
+var errNotFetched = errors.New("could not fetch the configuration")
 
-// awaitFetch brings a configuration of the serial or a later one; whoever comes while a fetch
-// is under way waits for that one, as long as its patience lasts. What comes is not gone
-// by yet.
+// awaitFetch fetches a configuration of the given version or a later one, without applying
+// it. Callers that arrive while a fetch is in progress wait for the result of that one,
+// until their timeout.
 func (holder *Holder) awaitFetch(serial uint64, timeout time.Duration) (*fetchedConfig, error) {
 	mailbox := holder.World.Mailbox()
 	holder.mutex.Lock()
@@ -378,8 +388,9 @@
 	return fetched.config, fetched.err
 }
 
-// assemble is the configuration that the offer holds, put together by the view; nil where it
-// holds none, or that is told against another than the view's.
+// assemble returns the configuration that the offer carries, assembled with the chunks of
+// the current view. It returns nil if the offer carries none, or one against another base
+// than the view's configuration.
 func (offer Offer) assemble(current *View) *fetchedConfig {
 	edition := offer.Edition
 	if edition == nil || edition.Serial < offer.Serial || edition.Base != current.Serial || current.Tree == nil {
@@ -397,8 +408,8 @@
 	err    error
 }
 
-// fetchConfig fetches a configuration against the one that this daemon goes by, and whole if it
-// can't be put together from that.
+// fetchConfig fetches a configuration as a delta against the current one, and in full if it
+// can't be assembled from the delta.
 func (holder *Holder) fetchConfig(serial uint64) (*fetchedConfig, error) {
 	current := holder.View()
 	bases := []uint64{current.Serial, 0}
@@ -409,7 +420,8 @@
 	for _, base := range bases {
 		timeout := holder.leaseLength() / 2
 		if base == 0 {
-			// It may be long, and is not to be sent twice; if that is not enough, longer.
+			// A full configuration may take long and should not be transferred twice. If
+			// the timeout was too short, the next one is longer.
 			timeout = holder.leaseLength() << min(holder.failedRenewals.Load(), 2)
 		}
 		reply, err := holder.Client.Ask("Permit.Fetch", Want{Serial: serial, Base: base}, func() any { return new(Edition) }, func(reply any) bool { return reply.(*Edition).Serial >= serial }, timeout)
@@ -422,24 +434,25 @@
 		}
 		var chunks []*settings.Chunk
 		if edition.Base > 0 {
-			chunks = current.Tree.Chunks() // of the base that was named
+			chunks = current.Tree.Chunks() // the chunks of the requested base
 		}
 		tree, err := edition.assemble(chunks)
 		if err == nil {
 			return &fetchedConfig{edition.Serial, tree, edition.Evacuated}, nil
 		}
-		failure = fmt.Errorf("the configuration that came can't be gone by: %w", err)
+		failure = fmt.Errorf("fetched configuration is invalid: %w", err)
 		if edition.Base == 0 {
-			break // it was whole already
+			break // it was already the full configuration
 		}
 	}
 	return nil, failure
 }
 
-// Take answers an offer by the serial that this daemon goes by, which it fetches and
-// applies first, at once, if it lacks it and its permit stands. That lengthens no permit.
-// A holder without one serves nothing, and goes by nothing until a grant brings the
-// newest: that it will take no grant below the offer is all that the offerer has to know.
+// Take handles an offer and replies with the configuration version that this daemon
+// applies. If the daemon has an older one and may serve, it first fetches and applies the
+// new one. That does not extend the lease. A holder without a lease serves nothing and
+// applies nothing until a grant brings the newest configuration; it is enough for the
+// sender of the offer to know that the holder rejects all grants below the offered version.
 func (holder *Holder) Take(offer Offer, reply *Taken) error {
 	deadline := holder.World.Now() + offer.Patience
 	holder.mutex.Lock()
@@ -454,7 +467,7 @@
 		}
 		config := offer.assemble(current)
 		if config == nil {
-			// One that was under way already may have brought an older one.
+			// A fetch that was already in progress may have returned an older one.
 			var err error
 			if config, err = holder.awaitFetch(offer.Serial, deadline-now); err != nil {
 				break
--- a/permit/holder_test.go
+++ b/permit/holder_test.go
@@ -21,22 +21,22 @@
 	node *sim.Node
 }
 
-// Renew grants nothing.
+// Renew rejects every request.
 func (service unconfiguredService) Renew(_ permit.Ask, grant *permit.Grant) error {
 	service.renewTimes = append(service.renewTimes, service.node.Now())
 	grant.Declined = "there is no configuration yet"
 	return nil
 }
 
-// Fetch brings nothing.
+// Fetch returns no configuration.
 func (service unconfiguredService) Fetch(permit.Want, *permit.Edition) error {
 	service.fetchCount++
 	return nil
 }
 
-// TestAsksThatBringNothing: a daemon that has no configuration asks soon, then less and
-// less often, but as often as others renew; an offer brings the next
-// ask at once, and nothing else.
+// TestAsksThatBringNothing guards against wrong retry intervals of a daemon without a
+// configuration: it must retry soon at first and then back off, but not beyond the usual
+// renewal interval. An offer triggers an immediate renewal, but no fetch.
 func TestAsksThatBringNothing(t *testing.T) {
 	cluster := sim.New(1)
 	control := &unconfiguredControl{}
@@ -56,15 +56,15 @@
 	cluster.Run(20 * time.Second)
 	renewTimes := control.renewTimes
 	if len(renewTimes) < 20 || len(renewTimes) > 40 {
-		t.Fatalf("%d asks in 20 s", len(renewTimes))
+		t.Fatalf("%d renewals in 20 s, want 20 to 40", len(renewTimes))
 	}
 	gap := func(index int) time.Duration { return renewTimes[index+1] - renewTimes[index] }
 	if gap(0) > 200*time.Millisecond || gap(3) < 500*time.Millisecond {
-		t.Errorf("asked at %v", renewTimes[:5])
+		t.Errorf("wrong backoff, renewals at %v", renewTimes[:5])
 	}
 	for index := range len(renewTimes) - 1 {
 		if gap(index) > 900*time.Millisecond {
-			t.Errorf("no ask for %v", gap(index))
+			t.Errorf("no renewal for %v", gap(index))
 		}
 	}
 	cluster.Run(100 * time.Millisecond)
@@ -76,10 +76,10 @@
 	})
 	cluster.Run(50 * time.Millisecond)
 	if len(control.renewTimes) != before+1 {
-		t.Error("an offer brings no ask")
+		t.Error("the offer did not trigger a renewal")
 	}
 	cluster.Run(time.Second)
 	if control.fetchCount > 0 {
-		t.Error("fallback: a daemon without a permit goes by an offer")
+		t.Error("fallback: a daemon without a lease fetched the offered configuration")
 	}
 }
--- a/permit/notice.go
+++ b/permit/notice.go
@@ -6,32 +6,34 @@
 	"swifttiller/standing"
 )
 
-// Leaver is one life of a replica that is about to end.
+// Leaver is one incarnation of a replica that is about to end.
 type Leaver struct{ Replica, Boot string }
 
-// Notice tells a data daemon which lives get nothing any more, before a permit brings a
-// standing that says so.
+// Notice tells a data daemon which replica incarnations get no more requests, before a
+// lease renewal brings a routing table without them.
 type Notice struct {
 	Region  string
 	Leavers []Leaver
-	// Serial is that of the first standing without them, if it is written: they may be in
-	// later ones again. Zero means that they leave, and are in none.
+	// Serial is the version of the first routing table without them, if that is already
+	// written; later versions may include them again. Zero means that they are shutting
+	// down and are in no later version.
 	Serial uint64
 }
 
-// departure says how long a life is out: in standings below a serial, all if that is zero.
+// departure tells which routing tables a departed incarnation is removed from: those with a
+// version below belowSerial, or all if that is zero.
 type departure struct {
 	belowSerial uint64
-	forgetAt    time.Duration // when it is forgotten
+	forgetAt    time.Duration // when the departure is dropped
 }
 
-// departureRetention is how long a life that was said to leave is left out of older standings:
-// far longer than one that shows it can still come.
+// departureRetention is how long a departed incarnation is removed from older routing
+// tables. It is far longer than a table that still contains it may take to arrive.
 const departureRetention = time.Minute
 
-// Heed takes a notice: what it names is in no view from now on, below its serial. It is
-// true however late it comes, as a life that leaves never comes back, and it lengthens
-// nothing.
+// Heed handles a notice: from now on no view contains the incarnations that it names, in
+// routing tables below its version. A late notice is still correct, as an incarnation that
+// shuts down never returns. It does not extend the lease.
 func (holder *Holder) Heed(notice Notice, acknowledged *bool) error {
 	now := holder.World.Now()
 	holder.mutex.Lock()
@@ -45,7 +47,7 @@
 	}
 	for _, leaver := range notice.Leavers {
 		if known, isKnown := holder.departed[leaver]; isKnown && (known.belowSerial == 0 || notice.Serial != 0 && notice.Serial < known.belowSerial) {
-			continue // it says less than is known
+			continue // a weaker notice than the one that is known
 		}
 		holder.departed[leaver] = departure{notice.Serial, now + departureRetention}
 	}
@@ -67,8 +69,8 @@
 	return nil
 }
 
-// withoutDeparted is the standing without the lives that were said to leave; who holds the guard
-// calls it. What it is given is not changed, as others may be reading it.
+// withoutDeparted returns the routing table without the departed incarnations. It doesn't
+// modify its argument, which others may be reading. The caller holds the mutex.
 func (holder *Holder) withoutDeparted(table standing.Standing) standing.Standing {
 	isRemoved := map[string]bool{}
 	for _, endpoint := range table.Places {
--- a/permit/notice_test.go
+++ b/permit/notice_test.go
@@ -11,9 +11,10 @@
 	"swifttiller/wire"
 )
 
-// TestNoticesLeaveOut: a life that leaves is in no view from the notice on, one that a
-// written standing has no more in none that is older; other lives of the same replica stay,
-// and what is known is not forgotten for a notice that says less.
+// TestNoticesLeaveOut guards against replica incarnations that reappear in a view after a
+// notice removed them. One that shuts down must be in no later view; one that a written
+// routing table no longer has must be in no older table. Other incarnations of the same
+// replica stay, and a weaker notice must not replace a stronger one.
 func TestNoticesLeaveOut(t *testing.T) {
 	cluster := sim.New(1)
 	cluster.Start("d", func(*sim.Node) {})
@@ -30,7 +31,7 @@
 		}
 		grant := &Grant{Length: time.Second, Kept: map[string]time.Duration{"r": 0}, Standings: []Told{{Region: "r", Serial: serial, Packed: wire.Pack(text, nil)}}}
 		if !holder.applyGrant(grant, cluster.Now()) {
-			t.Fatal("the grant is not taken")
+			t.Fatal("the grant was rejected")
 		}
 	}
 	notify := func(serial uint64, incarnation Leaver) {
@@ -46,38 +47,38 @@
 		for at, endpoint := range table.Places {
 			got = append(got, endpoint.ID)
 			if table.Rows[at].Replica != endpoint.ID {
-				t.Errorf("%s: rows and places differ", when)
+				t.Errorf("%s: rows and places name different replicas", when)
 			}
 		}
 		if len(got) != len(want) {
-			t.Fatalf("%s: %v, not %v", when, got, want)
+			t.Fatalf("%s: got replicas %v, want %v", when, got, want)
 		}
 		for at := range want {
 			if got[at] != want[at] {
-				t.Errorf("%s: %v, not %v", when, got, want)
+				t.Errorf("%s: got replicas %v, want %v", when, got, want)
 			}
 		}
 	}
 	a, b, c := Leaver{"a", "1"}, Leaver{"b", "1"}, Leaver{"c", "1"}
 	applyStanding(1, a, b, c)
-	expectReplicas("at first", "a", "b", "c")
+	expectReplicas("before any notice", "a", "b", "c")
 	notify(0, a)
-	expectReplicas("a leaves", "b", "c")
+	expectReplicas("a shuts down", "b", "c")
 	notify(3, b)
-	expectReplicas("b is in none below the third", "c")
+	expectReplicas("b is in no version below 3", "c")
 	notify(9, a)
 	applyStanding(2, a, b, c)
-	expectReplicas("an older standing comes late", "c")
+	expectReplicas("an older routing table arrives late", "c")
 	applyStanding(3, b, c)
-	expectReplicas("b is back", "b", "c")
+	expectReplicas("b is in version 3 again", "b", "c")
 	notify(2, b)
-	expectReplicas("a notice comes late", "b", "c")
+	expectReplicas("an outdated notice arrives late", "b", "c")
 	applyStanding(10, Leaver{"a", "2"}, b, c)
-	expectReplicas("another life of a", "a", "b", "c")
+	expectReplicas("another incarnation of a", "a", "b", "c")
 	applyStanding(11, a, b, c)
-	expectReplicas("a that leaves is in no later one", "b", "c")
+	expectReplicas("a that shuts down is in no later version", "b", "c")
 	cluster.Run(departureRetention + time.Second)
 	notify(0, c)
 	applyStanding(12, a, b, c)
-	expectReplicas("long after, a is forgotten", "a", "b")
+	expectReplicas("after the retention, the departure of a is dropped", "a", "b")
 }
--- a/permit/office.go
+++ b/permit/office.go
@@ -1,5 +1,6 @@
-// Package permit owns what lets a data daemon serve: a configuration's serial,
-// the standings with their credits, and an expiry.
+// Package permit implements the leases that allow data daemons to serve. A lease consists
+// of a configuration version, the regions' routing tables with their capacity allocations,
+// and a deadline.
 package permit
 
 import (
@@ -19,7 +20,7 @@
 	"swifttiller/wire"
 )
 
-// Keys of the registers that a permit is made of.
+// Keys of the registers that a lease is made of.
 const (
 	ConfigKey      = "config"
 	HolderPrefix   = "holder/"
@@ -28,71 +29,74 @@
 	PlacedKey = "tenants/placed"
 )
 
-// Drift is how far two clocks may part within a permit, as a ratio.
+// Drift is the largest drift between two clocks within a lease, as a ratio.
 const Drift = 0.05
 
-// Ask is a data daemon's wish for a permit.
+// Ask is a data daemon's request for a lease.
 type Ask struct {
 	Holder session.Member
-	// Config and Standings are what it has already.
+	// Config and Standings are the versions that it already has.
 	Config    uint64
 	Standings map[string]uint64
-	// Members is the sum of the members that it has. IsStale tells that their uptimes,
-	// which it reckons on by its own clock, are to be told anew.
+	// Members is the checksum of its member list. IsStale requests the uptimes of all
+	// members anew, which it extrapolates with its own clock.
 	Members uint64
 	IsStale bool
-	// Placed is the serial of the tenants' placements that it has.
+	// Placed is the version of the tenants' placements that it has.
 	Placed uint64
 }
 
-// Grant is the permit. Its length counts from before the ask was sent.
+// Grant is a lease. Its length counts from before the request was sent.
 type Grant struct {
-	Serial    uint64 // of the configuration that it is granted under, to be fetched
+	Serial    uint64 // version of the configuration that it is granted under, which the holder fetches
 	Standings []Told
-	// Kept are the regions whose standing, as the asker has it now, is kept up to
-	// date, and how long ago that was found: only these are handed out.
+	// Kept has the regions whose routing table, in the version that the holder has after
+	// this grant, is kept up to date, and how long ago that was confirmed. Only these
+	// tables are handed out in Standings.
 	Kept map[string]time.Duration
-	// Unkept are the last standings of regions where nobody keeps them up to date now.
+	// Unkept has the last routing tables of regions whose tables are not kept up to date
+	// now.
 	Unkept []Told
-	// Members are left out if the asker has them already, as their sum tells. What
-	// control daemons tell only each other is not in them. If Base is not zero, they
-	// are those that are not in the members of that sum, which the asker has, and Gone
-	// the names of those that no longer are.
+	// Members are omitted if the holder has the same list, which the checksum tells. They
+	// don't include what only control daemons exchange among themselves. If Base is not
+	// zero, Members has only those that are not in the list with the checksum Base, which
+	// the holder has, and Gone the names of those that left it.
 	Members   []session.Member
 	Gone      []string
 	Base, Sum uint64
-	// Rolled has what Members would, packed, where that is long; the uptimes are as of Age
-	// ago. If Base is zero it has all.
+	// Rolled is the packed form of Members, used for long lists, with uptimes that are as
+	// old as Age. If Base is zero, it has all members.
 	Rolled []byte
 	Age    time.Duration
-	// Uptimes are of all members, in the order of their names and in milliseconds, if they
-	// were asked for and Members has not all.
+	// Uptimes are those of all members, in milliseconds and ordered by member name. They
+	// are set if they were requested and Members is not the complete list.
 	Uptimes []int64
 	Length  time.Duration
-	// Placed are the tenants' placements, packed, when newer than the asker's.
+	// Placed are the packed placements of tenants, if newer than the holder's.
 	Placed       []byte
 	PlacedSerial uint64
-	// Declined says why there is none. IsQueued tells that the holder's record waits its
-	// turn to be written where it asked, which is the place to ask again.
+	// Declined is the reason why no lease was granted. IsQueued tells that the holder's
+	// record waits in the queue of the issuer that was asked, so that the holder should
+	// retry there.
 	Declined string
 	IsQueued bool
 }
 
-// Options of an office.
+// Options of a lease issuer.
 type Options struct {
 	World  loop.World
 	Net    wire.Net
 	Keeper *register.Keeper
 	Table  *session.Table
-	// Kept tells whether the region's standing is kept up to date, and how long ago
-	// that was found.
+	// Kept tells whether the region's routing table is kept up to date, and how long ago
+	// that was confirmed.
 	Kept func(region string, read standing.Standing) (time.Duration, bool)
-	// Silence is for how long an operator's order goes on while no majority of the core
-	// answers; zero is the keeper's patience.
+	// Silence is how long an operator's order is retried while no majority of the core
+	// answers. Zero stands for the timeout of the register client.
 	Silence time.Duration
 }
 
-// orderTimeout is Silence, or what stands for it.
+// orderTimeout returns Silence or its default.
 func (issuer *Office) orderTimeout() time.Duration {
 	if issuer.Silence > 0 {
 		return issuer.Silence
@@ -100,60 +104,62 @@
 	return issuer.Keeper.Patience
 }
 
-// Office grants permits and acknowledges configurations, at any control daemon.
+// Office is a lease issuer: it grants leases and has data daemons acknowledge
+// configurations. Every control daemon has one.
 type Office struct {
 	Options
-	// learnMutex is over the reading of a configuration that is not known yet: the many who
-	// ask for it at once have it read once. Nothing is waited for under it.
+	// learnMutex serializes the parsing of a new configuration, so that many concurrent
+	// requests have it parsed once. No I/O or waiting happens while it is locked.
 	learnMutex sync.Mutex
 	mutex      sync.Mutex
 	serial     uint64
 	config     Config
 	tree       *settings.Tree
-	// seenAt is when serial was first seen here, by when it was decided; lapse is how long
-	// permits under those before it, as far as they were seen, may stand from then on.
+	// seenAt is when serial was first seen here; it was decided by then. olderLeaseSpan is
+	// for how long after seenAt leases under older configurations may still be valid, as
+	// far as this issuer saw those.
 	seenAt, olderLeaseSpan time.Duration
-	// versions are the configurations last seen, the newest last, which is config; editions
-	// what was told of it, by base.
+	// versions are the last configurations seen, in ascending order, so that the last one
+	// is config. editions are the packed forms of config, by base version.
 	versions []configVersion
 	editions map[uint64]*Edition
-	// parsedTree is the last that Parse made, of the document.
+	// parsedTree is the last result of Parse without problems, of parsedDocument.
 	parsedTree     *settings.Tree
 	parsedDocument []byte
-	// writtenRecords are the holders' records that were written here last, by key.
+	// writtenRecords are the holder records that this issuer wrote last, by key.
 	writtenRecords map[string]Record
 	recordQueue    recordQueue
-	// absentSince is since when a holder has been without a session.
+	// absentSince has the time since when a holder has had no session.
 	absentSince map[string]time.Duration
 	granted     uint64
-	// holderKeys are the keys of the holders that were there the last time.
+	// holderKeys are the keys of the holders as last listed.
 	holderKeys []string
-	// acknowledged is the highest serial that was acknowledged here, which acknowledges
-	// all before it.
+	// acknowledged is the highest version that was acknowledged here. That implies the
+	// acknowledgement of all versions before it.
 	acknowledged uint64
-	// standings are those last read, by region; they are never changed.
+	// standings are the routing tables last read, by region. They are immutable.
 	standings     map[string]standing.Standing
-	standingTexts map[string]*textHistory // their texts, by region
-	memberHistory memberHistory           // members that were told last
-	// pages are those of the history that were read, by number; they are never changed.
+	standingTexts map[string]*textHistory // their encoded forms, by region
+	memberHistory memberHistory           // the member lists last sent
+	// pages are the history pages that were read, by number. They are immutable.
 	pages map[uint64][]Mark
 }
 
-// Current is the newest configuration that this daemon has read.
+// Current returns the newest configuration that this daemon has read.
 func (issuer *Office) Current() (uint64, Config, *settings.Tree) {
 	issuer.mutex.Lock()
 	defer issuer.mutex.Unlock()
 	return issuer.serial, issuer.config, issuer.tree
 }
 
-// Grants counts the permits granted here.
+// Grants returns the number of leases granted here.
 func (issuer *Office) Grants() uint64 {
 	issuer.mutex.Lock()
 	defer issuer.mutex.Unlock()
 	return issuer.granted
 }
 
-// Learn takes a configuration that a register was seen to hold.
+// Learn adopts a configuration that was read from its register.
 func (issuer *Office) Learn(value register.Value) error {
 	if value.Serial == 0 {
 		return nil
@@ -165,12 +171,12 @@
 	}
 	config, err := openConfig(value)
 	if err != nil {
-		return fmt.Errorf("the configuration's register can't be read: %w", err)
+		return fmt.Errorf("cannot decode the configuration's register: %w", err)
 	}
 	return issuer.applyConfig(value.Serial, config)
 }
 
-// applyConfig takes a configuration that a register was seen to hold under the serial.
+// applyConfig adopts a configuration that its register held as the given version.
 func (issuer *Office) applyConfig(serial uint64, config Config) error {
 	tree, problems := issuer.Parse(config.Document)
 	if len(problems) > 0 {
@@ -190,16 +196,17 @@
 	return nil
 }
 
-// firstSeen gives when the configuration under the serial was first seen here, and the lapse;
-// false when this office knows another one.
+// firstSeen returns when the configuration of the given version was first seen here, and
+// for how long after that leases under older ones may still be valid. It returns false if
+// that version is not the issuer's current one.
 func (issuer *Office) firstSeen(serial uint64) (seenAt, olderLeaseSpan time.Duration, isKnown bool) {
 	issuer.mutex.Lock()
 	defer issuer.mutex.Unlock()
 	return issuer.seenAt, issuer.olderLeaseSpan, issuer.serial == serial
 }
 
-// Parse is settings.Parse, which remembers the last document that had no problems, and
-// shares with its tree what is the same.
+// Parse is settings.Parse with a cache of the last document without problems. The new tree
+// shares the unchanged parts with the previous one.
 func (issuer *Office) Parse(document []byte) (*settings.Tree, settings.Problems) {
 	issuer.mutex.Lock()
 	lastTree, lastDocument := issuer.parsedTree, issuer.parsedDocument
@@ -216,8 +223,8 @@
 	return tree, problems
 }
 
-// Refresh reads the configuration at a majority; without one it gives up after the silence
-// that orders bear.
+// Refresh reads the configuration from a majority of acceptors. Without a majority it gives
+// up after the timeout for orders.
 func (issuer *Office) Refresh() error {
 	value, err := issuer.Keeper.ReadWithin(ConfigKey, issuer.orderTimeout())
 	if err != nil {
@@ -226,12 +233,12 @@
 	return issuer.Learn(value)
 }
 
-// Renew grants a permit, or says why not.
+// Renew grants a lease, or returns the reason for the rejection.
 func (issuer *Office) Renew(request Ask, grant *Grant) error {
 	startedAt := issuer.World.Now()
 	record := Record{Incarnation: request.Holder.Incarnation, Wire: request.Holder.Wire}
 	holderKey := HolderPrefix + request.Holder.Name
-	// The records first, the configuration after: see Record.
+	// The record must be stored before the configuration is read; see Record for the reason.
 	if err := issuer.ensureRecord(holderKey, record, request.Config == 0); err != nil {
 		grant.Declined, grant.IsQueued = err.Error(), errors.Is(err, errQueued)
 		return nil
@@ -267,20 +274,21 @@
 		serial, _, newest := issuer.Current()
 		if tree == nil || strings.Join(newest.Regions(), " ") != strings.Join(tree.Regions(), " ") {
 			tree = newest
-			continue // other regions: read their standings too
+			continue // the regions have changed: read their routing tables, too
 		}
-		// The newest that this office knows of: it was decided before now, and
-		// a later grant can't be older than an earlier one.
+		// This is the newest version that this issuer knows, which was decided before now.
+		// So a later grant is never under an older configuration than an earlier one.
 		grant.Serial, grant.Kept = serial, map[string]time.Duration{}
 		for _, region := range newest.Regions() {
 			value := values[StandingPrefix+region]
 			table, isRead := issuer.readStanding(region, value)
 			if slices.Contains(unsettled, StandingPrefix+region) {
-				// It is being written: the one before stands until that is done.
+				// It is being written. The previous table applies until the write
+				// completes.
 				table, isRead = issuer.lastStanding(region)
 			}
-			// A standing that nobody keeps may be from before everything went
-			// down; its replicas may be cold by now.
+			// A routing table that is not kept up to date may be from before a complete
+			// outage, and its replicas may be cold by now.
 			if !isRead {
 				continue
 			}
@@ -297,7 +305,7 @@
 				grant.Kept[region] = age
 				grant.Standings = append(grant.Standings, update)
 			case isPacked && newest.Limit("alone_ms", "") > 0:
-				// Daemons that may serve alone would rather go by this than by none.
+				// Daemons that may serve without a lease prefer this table to none.
 				grant.Unkept = append(grant.Unkept, update)
 			}
 		}
@@ -314,11 +322,11 @@
 			}
 		}
 		grant.Length = newest.Span("permit_ms", "")
-		// A daemon that slept between its readings may hold a configuration that
-		// was replaced long ago; the holder counts from before it asked, so such
-		// a grant is dead already, but there is no need to hand it out.
+		// If this process was suspended between its reads, the configuration may have been
+		// replaced long ago. The holder counts the lease from before its request, so such a
+		// lease has already expired and need not be granted.
 		if issuer.World.Now()-startedAt > grant.Length/2 {
-			*grant = Grant{Declined: "the reading took too long"}
+			*grant = Grant{Declined: "reading the registers took too long"}
 			return nil
 		}
 		issuer.mutex.Lock()
@@ -326,17 +334,18 @@
 		issuer.mutex.Unlock()
 		return nil
 	}
-	grant.Declined = "the configuration changes too fast"
+	grant.Declined = "the configuration changed too often during the request"
 	return nil
 }
 
-// readStanding gives what the register of a region's standing holds, which it reads once.
+// readStanding returns the routing table that a region's register holds. Each version is
+// decoded once.
 func (issuer *Office) readStanding(region string, value register.Value) (standing.Standing, bool) {
 	issuer.mutex.Lock()
 	cached, known := issuer.standings[region]
 	issuer.mutex.Unlock()
 	if known && value.Serial > 0 && cached.Serial >= value.Serial {
-		return cached, true // a newer one was decided before now, too
+		return cached, true // a newer version was also decided before now
 	}
 	var table standing.Standing
 	if value.Serial == 0 {
@@ -358,7 +367,7 @@
 	return table, true
 }
 
-// lastStanding gives the standing of the region that was read last.
+// lastStanding returns the region's routing table that was read last.
 func (issuer *Office) lastStanding(region string) (standing.Standing, bool) {
 	issuer.mutex.Lock()
 	defer issuer.mutex.Unlock()
@@ -366,7 +375,7 @@
 	return table, isRead
 }
 
-// leaseLength is a permit's length.
+// leaseLength returns the configured length of a lease.
 func (issuer *Office) leaseLength() time.Duration {
 	_, _, tree := issuer.Current()
 	return tree.Span("permit_ms", "")
--- a/permit/pack.go
+++ b/permit/pack.go
@@ -11,9 +11,9 @@
 	"swifttiller/wire"
 )
 
-// Pack gives the configuration as the register holds it.
+// Pack encodes the configuration for its register.
 func (config Config) Pack() ([]byte, error) {
-	// JSON would be read through several times only to find its end.
+	// Gob, as decoding JSON would scan the document several times only to find its end.
 	var text bytes.Buffer
 	if err := gob.NewEncoder(&text).Encode(config); err != nil {
 		return nil, err
@@ -21,7 +21,7 @@
 	return wire.Pack(text.Bytes(), nil), nil
 }
 
-// Unpack reads a packed configuration. The error tells what is wrong with it.
+// Unpack decodes a packed configuration.
 func Unpack(packed []byte) (config Config, err error) {
 	text, err := wire.Unpack(packed, nil)
 	if err != nil {
@@ -30,7 +30,7 @@
 	return config, gob.NewDecoder(bytes.NewReader(text)).Decode(&config)
 }
 
-// Whole is the document with what it was made from, as it was taken.
+// Whole returns the document with its origin inserted again, as it was submitted.
 func (config Config) Whole() json.RawMessage {
 	if len(config.Origin) == 0 || len(config.Document) == 0 {
 		return config.Document
@@ -38,7 +38,7 @@
 	var out bytes.Buffer
 	out.Grow(len(config.Document) + len(config.Origin) + 16)
 	out.Write(bytes.TrimRight(config.Document, " \t\r\n"))
-	out.Truncate(out.Len() - 1) // the closing brace
+	out.Truncate(out.Len() - 1) // drops the closing brace
 	if bytes.ContainsRune(config.Document, ':') {
 		out.WriteByte(',')
 	}
@@ -48,8 +48,8 @@
 	return out.Bytes()
 }
 
-// Apart takes what a document was made from out of it, and white space. What is no JSON
-// stays as it is, for the parser to say so.
+// Apart splits the origin, from which a document was generated, off the document, and
+// removes white space from both. Invalid JSON is returned unchanged; the parser reports it.
 func Apart(document []byte) (rest, origin json.RawMessage) {
 	var out bytes.Buffer
 	found := gjson.GetBytes(document, "origin")
@@ -77,7 +77,7 @@
 	return compact(out.Bytes()), compact([]byte(found.Raw))
 }
 
-// compact is JSON without white space; what is none stays as it is.
+// compact removes white space from JSON. Invalid JSON is returned unchanged.
 func compact(text []byte) json.RawMessage {
 	var out bytes.Buffer
 	if json.Compact(&out, text) != nil {
@@ -86,7 +86,8 @@
 	return out.Bytes()
 }
 
-// openConfig reads the configuration that a register holds; none where nothing was written.
+// openConfig decodes the configuration that a register holds. It returns an empty one if
+// the register was never written.
 func openConfig(value register.Value) (config Config, err error) {
 	if value.Serial == 0 {
 		return config, nil
--- a/permit/records.go
+++ b/permit/records.go
@@ -13,21 +13,21 @@
 	"swifttiller/session"
 )
 
-// Record is what a holder's register holds.
+// Record is the content of a lease holder's register.
 //
-// Invariant: a permit is granted only to a recorded, not retired incarnation,
-// and the record is read before the configuration is. So whoever decides a
-// configuration and then reads the records sees every holder that may still act
-// on an older one.
+// Invariant: a lease is granted only to an incarnation that is recorded and not retired,
+// and its record is read before the configuration is. So whoever decides a configuration
+// and reads the records afterwards sees every holder that may still serve by an older one.
 type Record struct {
 	Incarnation string `json:"incarnation"`
 	Wire        string `json:"wire"`
 	Retired     bool   `json:"retired,omitempty"`
 }
 
-// ensureRecord sees to it that the holder's record stands. That of one which begins anew is
-// written unread, as it can't stand, but once: such a daemon may ask many times before its
-// first permit, and all at once. From then on it is written only where a read shows another.
+// ensureRecord ensures that the holder's record is stored. A holder that has just started
+// can't have a matching record, so its record is written without reading it first, but only
+// once: such daemons may send many requests before their first lease, and all at the same
+// time. From then on the record is written only if a read shows a different one.
 func (issuer *Office) ensureRecord(key string, record Record, isNew bool) error {
 	issuer.mutex.Lock()
 	isNew = isNew && issuer.writtenRecords[key] != record
@@ -48,13 +48,14 @@
 	return issuer.writeRecord(recordWrite{key, record}, issuer.leaseLength()/4)
 }
 
-// errRecordsNotRead: this process ended before the records of holders were read.
-var errRecordsNotRead = errors.New("permit: the records of holders were not read")
+// errRecordsNotRead tells that this process ended before the holders' records were read.
+var errRecordsNotRead = errors.New("permit: the process ended before the lease holders' records were read")
 
-// Holders reads the records of all holders, retired ones too. Those that were there the last
-// time are read while it is asked which there are: an order's acknowledgement waits for it.
+// Holders reads the records of all holders, including retired ones. The records of the
+// holders known from the last call are read while the keys are listed, to save time: the
+// acknowledgement of an order waits for the result.
 //
-// Invariant: whatever it gives was listed, and read, after it was called.
+// Invariant: the result was listed and read after the call began.
 func (issuer *Office) Holders() (map[string]Record, error) {
 	type part struct {
 		keys   []string
@@ -115,10 +116,11 @@
 	return holders, nil
 }
 
-var errRecordChanged = errors.New("the record has changed")
+var errRecordChanged = errors.New("the holder's record has changed")
 
-// Sweep retires the records of holders long gone, and forgets them once no
-// permit of theirs can stand. One daemon's duty calls it.
+// Sweep retires the records of holders that have been gone for long, and clears them once
+// no lease of theirs can be valid any more. It is called by the leader elected for this
+// task.
 func (issuer *Office) Sweep() {
 	_, _, tree := issuer.Current()
 	if tree == nil {
@@ -158,7 +160,7 @@
 		if alive[key] || !isTracked || now-absentSince < 5*grace {
 			continue
 		}
-		next := Record{} // forgotten
+		next := Record{} // clears the record
 		if !record.Retired {
 			next = record
 			next.Retired = true
--- a/permit/renew_bench_test.go
+++ b/permit/renew_bench_test.go
@@ -11,16 +11,16 @@
 	"swifttiller/standing"
 )
 
-// fixedGrantNet answers each ask with the same grant.
+// fixedGrantNet answers every request with the same grant.
 type fixedGrantNet struct{ grant permit.Grant }
 
-// Call answers an ask for a permit.
+// Call answers a lease request.
 func (net *fixedGrantNet) Call(_, _ string, _, reply any, _ time.Duration) error {
 	*reply.(*permit.Grant) = net.grant
 	return nil
 }
 
-// largeStanding is the standing of a region with so many replicas.
+// largeStanding returns the routing table of a region with the given number of replicas.
 func largeStanding(region string, serial uint64, replicas int) standing.Standing {
 	out := standing.Standing{Region: region, Serial: serial, Duty: 1, Daemons: 420}
 	for index := range replicas {
@@ -31,8 +31,8 @@
 	return out
 }
 
-// BenchmarkRenew is a renewal at 16 regions, 3,500 replicas and 420 other daemons, of which
-// the one brings nothing new and the other the standing of one region.
+// BenchmarkRenew measures a renewal with 16 regions, 3,500 replicas and 420 other daemons:
+// once with no changes, and once with a new routing table of one region.
 func BenchmarkRenew(b *testing.B) {
 	for _, updates := range []int{0, 1} {
 		b.Run(fmt.Sprint(updates, " told"), func(b *testing.B) {
@@ -57,7 +57,7 @@
 				addStanding(region, 1)
 			}
 			if !holder.Renew() {
-				b.Fatal("no permit")
+				b.Fatal("renewal failed")
 			}
 			net.grant.Standings, net.grant.Members = nil, nil
 			if updates > 0 {
@@ -70,7 +70,7 @@
 					net.grant.Standings[index].Serial = serial
 				}
 				if !holder.Renew() {
-					b.Fatal("no permit")
+					b.Fatal("renewal failed")
 				}
 			}
 		})
--- a/permit/storm_test.go
+++ b/permit/storm_test.go
@@ -11,7 +11,7 @@
 	"swifttiller/sim"
 )
 
-// slowControl is a control daemon that takes its time for each fetch.
+// slowControl is a control daemon that answers each fetch with a delay.
 type slowControl struct {
 	issuer *Office
 	node   *sim.Node
@@ -25,7 +25,8 @@
 	return nil
 }
 
-// Fetch brings the configuration that is the newest when it is asked for, late.
+// Fetch returns the configuration that was the newest at the time of the request, after the
+// delay.
 func (control *slowControl) Fetch(want Want, edition *Edition) error {
 	if err := control.issuer.Fetch(want, edition); err != nil {
 		return err
@@ -34,23 +35,23 @@
 	return nil
 }
 
-// holderService is the service of a data daemon that takes offers.
+// holderService is the RPC service of a data daemon that takes offers.
 type holderService struct{ holder *Holder }
 
-// Take takes an offer.
+// Take handles an offer.
 func (service holderService) Take(offer Offer, reply *Taken) error {
 	return service.holder.Take(offer, reply)
 }
 
-// TestChangesInQuickSuccessionReachSlowFetches guards against a data daemon that serves on under an old
-// configuration while changes follow one another, as each fetch takes longer than an offer waits and
-// brings a newer configuration than the lease names.
+// TestChangesInQuickSuccessionReachSlowFetches guards against a data daemon that keeps
+// serving under an old configuration during a series of changes, because each fetch takes
+// longer than an offer waits and returns a newer configuration than the lease names.
 func TestChangesInQuickSuccessionReachSlowFetches(t *testing.T) {
 	const (
 		lease   = 1800 * time.Millisecond
 		delay   = 700 * time.Millisecond // longer than an offer waits, shorter than a fetch may take
 		gap     = 330 * time.Millisecond
-		bound   = 3 * time.Second // from a change's acknowledgement on
+		bound   = 3 * time.Second // counted from the acknowledgement of a change
 		changes = 40
 	)
 	world := sim.New(1)
@@ -95,7 +96,7 @@
 	for serial := uint64(2); serial < 2+changes; serial++ {
 		change(serial)
 		control.node.Go(func() {
-			// As an acknowledgement does: again and again, until leases are over.
+			// Like acknowledge: repeats the offer until older leases have expired.
 			for deadline := control.node.Now() + lease + lease/20; control.node.Now() < deadline; {
 				reply := new(Taken)
 				timeout := lease / 4
@@ -112,8 +113,8 @@
 		}
 		worst = max(worst, world.Now()-oldest)
 	}
-	t.Logf("at the most %v behind", worst)
+	t.Logf("the data daemon was at most %v behind", worst)
 	if most := lease + lease/20 + bound; worst > most {
-		t.Errorf("the data daemon was %v behind, more than %v", worst, most)
+		t.Errorf("the data daemon was %v behind, limit %v", worst, most)
 	}
 }
--- a/permit/told.go
+++ b/permit/told.go
@@ -12,15 +12,16 @@
 	"swifttiller/wire"
 )
 
-// Told is a region's standing on its way to a data daemon: its text packed against the
-// text of an older one, which the asker has under the serial Base; zero for none.
+// Told is the transferred form of a region's routing table: its encoded form, packed
+// against that of an older table, which the holder has with the version Base. Base is zero
+// for none.
 type Told struct {
 	Region       string
 	Serial, Base uint64
 	Packed       []byte
 }
 
-// PackStanding gives a standing as its register holds it.
+// PackStanding encodes a routing table for its register.
 func PackStanding(table standing.Standing) ([]byte, error) {
 	text, err := json.Marshal(table)
 	if err != nil {
@@ -29,8 +30,8 @@
 	return wire.Pack(text, nil), nil
 }
 
-// OpenStanding reads a standing from its register, which must have been written, and
-// gives its text, too.
+// OpenStanding decodes a routing table from its register, which must have been written. It
+// also returns the unpacked JSON text.
 func OpenStanding(value register.Value) (table standing.Standing, text []byte, err error) {
 	if text, err = wire.Unpack(value.Data, nil); err != nil {
 		return table, nil, err
@@ -42,7 +43,7 @@
 	return table, text, nil
 }
 
-// PackPlaced gives tenants' placements as their register holds them, and as they travel.
+// PackPlaced encodes the tenants' placements for their register and for transfer.
 func PackPlaced(placements tenant.Book) ([]byte, error) {
 	text, err := json.Marshal(placements)
 	if err != nil {
@@ -51,25 +52,27 @@
 	return wire.Pack(text, nil), nil
 }
 
-// OpenPlaced reads tenants' placements; false where there are none.
+// OpenPlaced decodes the tenants' placements. It returns false if there are none.
 func OpenPlaced(data []byte) (placements tenant.Book, isRead bool) {
 	text, err := wire.Unpack(data, nil)
 	return placements, len(data) > 0 && err == nil && json.Unmarshal(text, &placements) == nil
 }
 
-// maxStandingTexts is how many texts of a region's standings an office keeps.
+// maxStandingTexts is how many versions of a region's encoded routing table an issuer keeps
+// as bases for deltas.
 const maxStandingTexts = 8
 
-// textHistory keeps the texts of a region's last standings.
+// textHistory keeps the last encoded routing tables of a region.
 //
-// Invariant: serials rise; packed has what was told of the last one, by base.
+// Invariant: serials are ascending. packed has the deltas to the last version, by base
+// version.
 type textHistory struct {
 	serials []uint64
 	texts   [][]byte
 	packed  map[uint64][]byte
 }
 
-// keepText keeps a text; who holds the guard calls it.
+// keepText adds a version to the region's history. The caller holds the mutex.
 func (issuer *Office) keepText(region string, serial uint64, text []byte) {
 	if issuer.standingTexts == nil {
 		issuer.standingTexts = map[string]*textHistory{}
@@ -88,7 +91,8 @@
 	}
 }
 
-// packStanding packs a standing for one who has an older one; false if its text is not kept.
+// packStanding packs a routing table for a holder that has the version baseSerial. It
+// returns false if the table's encoded form is not kept.
 func (issuer *Office) packStanding(table standing.Standing, baseSerial uint64) (Told, bool) {
 	issuer.mutex.Lock()
 	defer issuer.mutex.Unlock()
@@ -110,7 +114,8 @@
 	return update, true
 }
 
-// unpackStanding reads what was told, by the texts that the view has, and keeps the new text.
+// unpackStanding decodes a received routing table, given the ones that the view has, and
+// keeps its encoded form.
 func (view *View) unpackStanding(update Told) (table standing.Standing, isRead bool) {
 	var base standingText
 	if update.Base > 0 {
@@ -127,43 +132,45 @@
 	return table, true
 }
 
-// standingText is a standing as its register held it under the serial.
+// standingText is the encoded routing table of one version.
 type standingText struct {
 	serial uint64
 	data   []byte
 }
 
-// Of how many lists of members an office knows when each was told, and from how many members
-// on a difference is packed.
+// maxMemberLists is of how many sent member lists an issuer remembers the revision.
+// minPackedMembers is the number of changed members from which on a delta is packed.
 const (
 	maxMemberLists   = 1024
 	minPackedMembers = 8
 )
 
-// memberHistory are the lists of members that were told, as a history of their changes: where all
-// daemons begin at once each ask finds another list, and who has an older one is told what
-// has changed since.
+// memberHistory is the history of changes of the member lists that were sent. When all
+// daemons start at once, every request finds another list; a holder that has an older one
+// gets only the changes since.
 //
-// Invariants: turn rises with each other list; names are those of the last list, with the sum
-// of each and the turn at which it came to be so; gone are those that were in a list before,
-// and when they left. A sum names one list, and turns has when that was told last.
+// Invariants: revision rises with each different list. present has the members of the last
+// list, each with its checksum and the revision of its last change. removed has former
+// members with the revision at which they were removed. A checksum identifies one list;
+// revisions has, by checksum, the revision at which the list was last sent.
 type memberHistory struct {
 	revision  uint64
-	lastSum   uint64 // the sum of the last list
+	lastSum   uint64 // checksum of the last list
 	present   map[string]memberRevision
 	removed   map[string]uint64
 	revisions map[uint64]uint64
-	sums      []uint64 // of turns' sums
-	// packed is the last list that was told whole, with the uptimes as of at.
+	sums      []uint64 // keys of revisions, the oldest first
+	// packed is the last list that was packed in full, with the uptimes as of packedAt.
 	packed    []byte
 	packedSum uint64
 	packedAt  time.Duration
 }
 
-// memberRevision is a member in the history: the sum of it, and the turn at which that came to be.
+// memberRevision is a present member: its checksum, and the revision since which it has
+// that.
 type memberRevision struct{ sum, revision uint64 }
 
-// record takes a list into the history.
+// record adds a list to the history.
 func (history *memberHistory) record(sum uint64, members []session.Member) {
 	if sum == history.lastSum {
 		return
@@ -202,8 +209,8 @@
 	}
 }
 
-// packAll gives all members of the last list, packed once for many who ask, and how long ago
-// that was. A daemon that begins anew gets them.
+// packAll returns all members of the last list and how old their uptimes are. Daemons that
+// have just started need them; the list is packed once for many requests.
 func (history *memberHistory) packAll(members []session.Member, now time.Duration) ([]byte, time.Duration) {
 	if history.packedSum != history.lastSum || now-history.packedAt > uptimesMaxAge {
 		history.packed, history.packedSum, history.packedAt = wire.PackValue(members), history.lastSum, now
@@ -211,7 +218,8 @@
 	return history.packed, now - history.packedAt
 }
 
-// unpackMembers reads members that came packed, and lets them be up for as long as they were kept so.
+// unpackMembers decodes packed members, and adds the time since they were packed to their
+// uptimes.
 func (grant *Grant) unpackMembers() error {
 	if len(grant.Rolled) == 0 {
 		return nil
@@ -225,7 +233,8 @@
 	return nil
 }
 
-// fillMembers puts into a grant what the asker lacks of the members.
+// fillMembers adds the changes to the grant that lead from the holder's list of members,
+// identified by its checksum, to the present one. Unknown lists are replaced in full.
 func (issuer *Office) fillMembers(members []session.Member, baseSum uint64, grant *Grant) {
 	grant.Sum = session.Sum(members)
 	issuer.mutex.Lock()
--- a/permit/told_test.go
+++ b/permit/told_test.go
@@ -11,8 +11,9 @@
 	"swifttiller/sim"
 )
 
-// TestListsFollow: whatever list of members a daemon had last, of some hundred that were told
-// since, what it is told makes the present one of it, and what has changed alone is told.
+// TestListsFollow guards against deltas of the member list that don't lead to the present
+// list, whichever of some hundred earlier lists a daemon has, and against sending unchanged
+// members again.
 func TestListsFollow(t *testing.T) {
 	cluster := sim.New(1)
 	defer cluster.Close()
@@ -58,12 +59,12 @@
 		next := *previous
 		next.updateMembers(previous, grant)
 		if next.membersSum != session.Sum(members) || session.Sum(next.Members) != next.membersSum || len(next.Members) != len(members) {
-			t.Fatalf("%d members of %d", len(next.Members), len(members))
+			t.Fatalf("assembled list has %d members or a wrong checksum, want %d members", len(next.Members), len(members))
 		}
 		views = append(views, &next)
 	}
-	t.Logf("%d lists were told whole, of %d others the longest had %d bytes", whole, deltas, largest)
+	t.Logf("%d lists were sent in full; the largest of %d deltas had %d bytes", whole, deltas, largest)
 	if whole > 40 || deltas < 300 || largest > 8e3 {
-		t.Errorf("control traffic: %d lists were told whole, of %d others the longest had %d bytes", whole, deltas, largest)
+		t.Errorf("control traffic: %d lists were sent in full; the largest of %d deltas had %d bytes", whole, deltas, largest)
 	}
 }
