--- a/permit/holder.go
+++ b/permit/holder.go
@@ -145,10 +145,10 @@
 // View returns the current view. Callers check Stands right before they act on it.
 func (holder *Holder) View() *View { return holder.view.Load() }
 
-// Run renews the lease until the process ends. It renews three times per lease length, so
-// that two consecutive renewals may fail, and six times after a failure, while some routing
-// table is not confirmed (its replicas count as cold), and while versions change, since a
-// rollout waits until every daemon has seen the change.
+// Run renews the lease until the process ends: every third of the lease length, so that two
+// consecutive renewals may fail. It renews every sixth of the length after a failure, while
+// some routing table is not confirmed, as its replicas count as cold, and while versions
+// change, as a rollout waits until every daemon has seen the change.
 func (holder *Holder) Run() {
 	holder.waker.Run(holder.World, func() time.Duration {
 		switch {
@@ -226,6 +226,8 @@
 	return holder.applyGrant(grant, sentAt)
 }
 
+// applyGrant publishes a view with the contents of the grant, after fetching the
+// configuration if it is newer. It returns false if the lease is not extended.
 func (holder *Holder) applyGrant(grant *Grant, sentAt time.Duration) bool {
 	var config *fetchedConfig
 	// The result may be older than the grant if it is that of a fetch that was already in
