--- a/docs/words_test.go
+++ b/docs/words_test.go
@@ -37,7 +37,7 @@
 	"fleet":            501,
 	"listing":          2,
 	"loop":             6,
-	"permit":           68,
+	"permit":           26,
 	"platform":         22,
 	"quota":            67,
 	"register":         98,
