--- a/quota/core_test.go
+++ b/quota/core_test.go
@@ -12,284 +12,285 @@
 
 var terms = Terms{Window: 5 * time.Second, Excess: 0.1, Slack: 20, Reserve: time.Minute}
 
-const at = 10 * time.Second
+const startTime = 10 * time.Second
 
-// opened is a hub of as many daemons, which have told it that they are there.
-func opened(name string, count, all int, limits *Limits) *hub {
-	hub := newHub(name, limits)
-	hub.look(at, limits, all, false, false)
+// startedAggregator returns an aggregator to which count daemons have reported once.
+func startedAggregator(incarnation string, count, allDaemons int, limits *Limits) *aggregator {
+	agg := newAggregator(incarnation, limits)
+	agg.update(startTime, limits, allDaemons, false, false)
 	for index := range count {
-		hub.report(at, Report{From: fmt.Sprint(name, index), Seq: 1})
+		agg.report(startTime, Report{From: fmt.Sprint(incarnation, index), Seq: 1})
 	}
-	hub.look(at, limits, all, false, false)
-	return hub
+	agg.update(startTime, limits, allDaemons, false, false)
+	return agg
 }
 
-// filled is one whose buckets have had the time to fill.
-func filled(name string, count, all int, limits *Limits) (*hub, time.Duration) {
-	hub := opened(name, count, all, limits)
-	now := at
+// filledAggregator returns an aggregator that has run for long enough to fill its buckets.
+func filledAggregator(incarnation string, count, allDaemons int, limits *Limits) (*aggregator, time.Duration) {
+	agg := startedAggregator(incarnation, count, allDaemons, limits)
+	now := startTime
 	for range 400 {
 		now += 250 * time.Millisecond
 		for index := range count {
-			hub.report(now, Report{From: fmt.Sprint(name, index), Seq: hub.reporters[fmt.Sprint(name, index)].seq + 1})
+			agg.report(now, Report{From: fmt.Sprint(incarnation, index), Seq: agg.reporters[fmt.Sprint(incarnation, index)].seq + 1})
 		}
-		hub.look(now, limits, all, false, false)
+		agg.update(now, limits, allDaemons, false, false)
 	}
-	return hub, now
+	return agg, now
 }
 
 func TestLetters(t *testing.T) {
-	sum := func(counts map[uint64]count) (used int64, asked uint64) {
-		for _, one := range counts {
-			used, asked = used+one.used, asked+one.asked
+	sum := func(counts map[uint64]usage) (used int64, requested uint64) {
+		for _, entry := range counts {
+			used, requested = used+entry.used, requested+entry.requested
 		}
-		return used, asked
+		return used, requested
 	}
-	Convey("each request counts once, though answers are lost and letters come late, twice or not at all", t, func() {
+	Convey("each request counts once even if replies are lost and messages arrive late, twice or not at all", t, func() {
 		for seed := range uint64(200) {
 			var out outbox
 			var in inbox
-			var letters []func()
-			used, asked, taken, takenAsked := int64(0), uint64(0), int64(0), uint64(0)
+			var messages []func()
+			used, requested, applied, appliedRequested := int64(0), uint64(0), int64(0), uint64(0)
 			draw := seed
 			next := func(below uint64) uint64 {
 				draw = draw*6364136223846793005 + 1442695040888963407
 				return draw >> 33 % below
 			}
 			for range 60 {
-				key, back := next(3), int64(next(4)) == 0
-				if back {
+				key, isReturn := next(3), int64(next(4)) == 0
+				if isReturn {
 					out.add(key, -1, 0)
 					used--
 				} else {
 					out.add(key, 1, 1)
-					used, asked = used+1, asked+1
+					used, requested = used+1, requested+1
 				}
 				if next(3) > 0 {
 					continue
 				}
-				seq, since, sums := out.write()
-				arrive := func() {
-					moreUsed, moreAsked := sum(in.take(seq, since, sums))
-					taken, takenAsked = taken+moreUsed, takenAsked+moreAsked
+				seq, since, sums := out.compose()
+				deliver := func() {
+					newUsed, newRequested := sum(in.accept(seq, since, sums))
+					applied, appliedRequested = applied+newUsed, appliedRequested+newRequested
 				}
-				letters = append(letters, arrive)
+				messages = append(messages, deliver)
 				switch next(4) {
-				case 0: // lost
-				case 1: // its answer is lost
-					arrive()
+				case 0: // the message is lost
+				case 1: // the reply is lost
+					deliver()
 				default:
-					arrive()
-					out.confirmed()
+					deliver()
+					out.confirm()
 				}
 				if next(3) == 0 {
-					letters[next(uint64(len(letters)))]() // an old one once more
+					messages[next(uint64(len(messages)))]() // an old message arrives once more
 				}
 			}
-			seq, since, sums := out.write()
-			moreUsed, moreAsked := sum(in.take(seq, since, sums))
-			So(taken+moreUsed, ShouldEqual, used)
-			So(takenAsked+moreAsked, ShouldEqual, asked)
+			seq, since, sums := out.compose()
+			newUsed, newRequested := sum(in.accept(seq, since, sums))
+			So(applied+newUsed, ShouldEqual, used)
+			So(appliedRequested+newRequested, ShouldEqual, requested)
 		}
 	})
 }
 
 func TestHub(t *testing.T) {
 	limits := Index(terms, []Limit{{"one", 100, 100}, {"two", 1, 1}, {"free", 0, 5}})
-	one := limits.named["one"]
-	wants := func(hub *hub, now time.Duration, from string, count uint64) Word {
-		hub.guard.Lock()
+	limit := limits.byName["one"]
+	request := func(agg *aggregator, now time.Duration, from string, count uint64) Word {
+		agg.mutex.Lock()
 		seq := uint64(1)
-		if in := hub.reporters[from]; in != nil {
+		if in := agg.reporters[from]; in != nil {
 			seq = in.seq + 1
 		}
-		hub.guard.Unlock()
-		word, _ := hub.report(now, Report{From: from, Seq: seq, Keys: []uint64{one.key}, Wants: []uint64{count}})
-		return word
+		agg.mutex.Unlock()
+		reply, _ := agg.report(now, Report{From: from, Seq: seq, Keys: []uint64{limit.key}, Wants: []uint64{count}})
+		return reply
 	}
 	Convey("a tenant without a rate has no limit", t, func() {
-		So(limits.named["free"], ShouldBeNil)
+		So(limits.byName["free"], ShouldBeNil)
 	})
-	Convey("the parts of the error sum up to it", t, func() {
-		So(one.part*errorParts, ShouldAlmostEqual, 0.1*600+20)
-		So(one.most, ShouldAlmostEqual, 100+one.part)
+	Convey("the parts of the error add up to the whole error", t, func() {
+		So(limit.errorPart*errorParts, ShouldAlmostEqual, 0.1*600+20)
+		So(limit.capacity, ShouldAlmostEqual, 100+limit.errorPart)
 	})
-	Convey("a full bucket gives what it holds, and then as it fills", t, func() {
-		hub, now := filled("a", 4, 4, limits)
-		So(hub.share, ShouldEqual, 1)
-		So(wants(hub, now, "a0", 1000).Granted[0], ShouldEqual, uint64(one.most))
-		word := wants(hub, now, "a1", 10)
-		So(word.Granted[0], ShouldEqual, 0)
-		So(word.Waits[0], ShouldBeGreaterThanOrEqualTo, 100)
-		So(word.Pressure.Keys, ShouldContain, one.key)
-		So(wants(hub, now+200*time.Millisecond, "a1", 1000).Granted[0], ShouldBeBetweenOrEqual, 20, 21)
+	Convey("a full bucket grants its capacity at once, then requests at its refill rate", t, func() {
+		agg, now := filledAggregator("a", 4, 4, limits)
+		So(agg.share, ShouldEqual, 1)
+		So(request(agg, now, "a0", 1000).Granted[0], ShouldEqual, uint64(limit.capacity))
+		reply := request(agg, now, "a1", 10)
+		So(reply.Granted[0], ShouldEqual, 0)
+		So(reply.Waits[0], ShouldBeGreaterThanOrEqualTo, 100)
+		So(reply.Pressure.Keys, ShouldContain, limit.key)
+		So(request(agg, now+200*time.Millisecond, "a1", 1000).Granted[0], ShouldBeBetweenOrEqual, 20, 21)
 	})
-	Convey("a hub begins with a part of the error at the most, by the daemons that it hears", t, func() {
-		hub := opened("a", 2, 4, limits)
-		So(wants(hub, at, "a0", 1000).Granted[0], ShouldBeBetweenOrEqual, 1, uint64(one.part/2)+2)
+	Convey("a new aggregator starts with at most one part of the error, in proportion to its daemons", t, func() {
+		agg := startedAggregator("a", 2, 4, limits)
+		So(request(agg, startTime, "a0", 1000).Granted[0], ShouldBeBetweenOrEqual, 1, uint64(limit.errorPart/2)+2)
 	})
-	Convey("a daemon that has moved brings no more than its hub before had", t, func() {
-		hub := newHub("a", limits)
-		hub.look(at, limits, 2, false, false)
-		hub.report(at, Report{From: "a0", Seq: 1, Former: &Pressure{Keys: []uint64{one.key}, Levels: []float64{-8}, Share: 1}})
-		So(hub.buckets[one.key].level, ShouldAlmostEqual, -4)
-		bare := newHub("b", limits)
-		bare.look(at, limits, 2, false, false)
-		bare.report(at, Report{From: "b0", Seq: 1, IsBare: true})
-		So(bare.buckets[one.key].level, ShouldEqual, 0)
+	Convey("a daemon that changes its aggregator contributes no more than the former one had", t, func() {
+		agg := newAggregator("a", limits)
+		agg.update(startTime, limits, 2, false, false)
+		agg.report(startTime, Report{From: "a0", Seq: 1, Former: &Pressure{Keys: []uint64{limit.key}, Levels: []float64{-8}, Share: 1}})
+		So(agg.buckets[limit.key].level, ShouldAlmostEqual, -4)
+		bare := newAggregator("b", limits)
+		bare.update(startTime, limits, 2, false, false)
+		bare.report(startTime, Report{From: "b0", Seq: 1, IsBare: true})
+		So(bare.buckets[limit.key].level, ShouldEqual, 0)
 	})
-	Convey("one that stood still knows nothing any more", t, func() {
-		hub, now := filled("a", 4, 4, limits)
-		So(wants(hub, now+time.Second, "a0", 1000).Granted[0], ShouldBeLessThanOrEqualTo, uint64(one.part/4)+1)
+	Convey("an aggregator that was stalled starts with empty buckets", t, func() {
+		agg, now := filledAggregator("a", 4, 4, limits)
+		So(request(agg, now+time.Second, "a0", 1000).Granted[0], ShouldBeLessThanOrEqualTo, uint64(limit.errorPart/4)+1)
 	})
-	Convey("who is not heard takes its share along", t, func() {
-		hub, now := filled("a", 2, 4, limits)
-		So(hub.share, ShouldEqual, 0.5)
+	Convey("the share shrinks by the share of an unreachable daemon", t, func() {
+		agg, now := filledAggregator("a", 2, 4, limits)
+		So(agg.share, ShouldEqual, 0.5)
 		now += 250 * time.Millisecond
-		hub.report(now, Report{From: "a0", Seq: hub.reporters["a0"].seq + 1})
-		hub.look(now, limits, 4, false, false)
-		So(hub.share, ShouldEqual, 0.5)
+		agg.report(now, Report{From: "a0", Seq: agg.reporters["a0"].seq + 1})
+		agg.update(now, limits, 4, false, false)
+		So(agg.share, ShouldEqual, 0.5)
 		now += 500 * time.Millisecond
-		hub.report(now, Report{From: "a0", Seq: hub.reporters["a0"].seq + 1})
-		hub.look(now, limits, 4, false, false)
-		So(hub.share, ShouldEqual, 0.25)
-		So(hub.buckets[one.key] == nil || hub.buckets[one.key].level <= one.most/4, ShouldBeTrue)
+		agg.report(now, Report{From: "a0", Seq: agg.reporters["a0"].seq + 1})
+		agg.update(now, limits, 4, false, false)
+		So(agg.share, ShouldEqual, 0.25)
+		So(agg.buckets[limit.key] == nil || agg.buckets[limit.key].level <= limit.capacity/4, ShouldBeTrue)
 	})
-	Convey("a daemon whose share is over grants nothing", t, func() {
-		hub, now := filled("b", 1, 4, limits)
-		hub.look(now, limits, 4, false, true)
-		So(wants(hub, now, "b0", 1).Granted[0], ShouldEqual, 0)
+	Convey("a daemon whose share has expired grants nothing", t, func() {
+		agg, now := filledAggregator("b", 1, 4, limits)
+		agg.update(now, limits, 4, false, true)
+		So(request(agg, now, "b0", 1).Granted[0], ShouldEqual, 0)
 	})
-	Convey("two hubs that are in touch let through together what one bucket holds, and a part of the error", t, func() {
-		a, now := filled("a", 2, 4, limits)
-		b, _ := filled("b", 2, 4, limits)
-		share := func() {
-			for _, way := range [][2]*hub{{a, b}, {b, a}} {
-				letter, _ := way[0].write(now, way[1].name, way[0].name)
-				way[0].answered(now, way[1].name, letter, way[1].hear(now, letter))
+	Convey("two aggregators that reach each other grant together no more than one bucket and a part of the error", t, func() {
+		a, now := filledAggregator("a", 2, 4, limits)
+		b, _ := filledAggregator("b", 2, 4, limits)
+		exchange := func() {
+			for _, pair := range [][2]*aggregator{{a, b}, {b, a}} {
+				message, _ := pair[0].composeGossip(now, pair[1].incarnation, pair[0].incarnation)
+				pair[0].confirmGossip(now, pair[1].incarnation, message, pair[1].receiveGossip(now, message))
 			}
 		}
-		turn := func() {
+		step := func() {
 			now += 250 * time.Millisecond
-			for _, hub := range []*hub{a, b} {
-				for _, from := range []string{hub.name + "0", hub.name + "1"} {
-					hub.report(now, Report{From: from, Seq: hub.reporters[from].seq + 1})
+			for _, agg := range []*aggregator{a, b} {
+				for _, from := range []string{agg.incarnation + "0", agg.incarnation + "1"} {
+					agg.report(now, Report{From: from, Seq: agg.reporters[from].seq + 1})
 				}
-				hub.look(now, limits, 4, false, false)
+				agg.update(now, limits, 4, false, false)
 			}
-			share()
+			exchange()
 		}
 		for range 40 {
-			turn()
+			step()
 		}
 		So(a.share, ShouldEqual, 1)
 		So(b.share, ShouldEqual, 1)
-		granted := wants(a, now, "a0", 1000).Granted[0]
-		So(granted, ShouldBeLessThanOrEqualTo, uint64(one.most))
-		granted += wants(b, now, "b0", 1000).Granted[0]
-		share()
+		granted := request(a, now, "a0", 1000).Granted[0]
+		So(granted, ShouldBeLessThanOrEqualTo, uint64(limit.capacity))
+		granted += request(b, now, "b0", 1000).Granted[0]
+		exchange()
 		for range 4 {
-			granted += wants(a, now, "a1", 1000).Granted[0] + wants(b, now, "b1", 1000).Granted[0]
-			share()
+			granted += request(a, now, "a1", 1000).Granted[0] + request(b, now, "b1", 1000).Granted[0]
+			exchange()
 		}
-		// Neither knew that the other is asked as well: each let through its whole part.
-		So(float64(granted), ShouldBeLessThanOrEqualTo, 2*one.most)
+		// Neither knew of the other's demand, so each granted its whole portion.
+		So(float64(granted), ShouldBeLessThanOrEqualTo, 2*limit.capacity)
 		before := now
 		granted = 0
 		for range 40 {
-			granted += wants(a, now, "a0", 1000).Granted[0] + wants(b, now, "b0", 1000).Granted[0]
-			turn()
+			granted += request(a, now, "a0", 1000).Granted[0] + request(b, now, "b0", 1000).Granted[0]
+			step()
 		}
-		So(float64(granted), ShouldBeLessThanOrEqualTo, (now-before).Seconds()*100+one.part)
-		So(float64(granted), ShouldBeGreaterThan, 0.85*((now-before).Seconds()*100-2*one.most))
+		So(float64(granted), ShouldBeLessThanOrEqualTo, (now-before).Seconds()*100+limit.errorPart)
+		So(float64(granted), ShouldBeGreaterThan, 0.85*((now-before).Seconds()*100-2*limit.capacity))
 	})
-	Convey("a lower limit holds at the next look", t, func() {
-		hub, now := filled("a", 4, 4, limits)
-		wants(hub, now, "a0", 10)
-		hub.look(now, Index(terms, []Limit{{"one", 10, 10}}), 4, false, false)
-		So(wants(hub, now, "a0", 1000).Granted[0], ShouldBeLessThanOrEqualTo, 10+uint64(one.part))
+	Convey("a lower limit takes effect at the next update", t, func() {
+		agg, now := filledAggregator("a", 4, 4, limits)
+		request(agg, now, "a0", 10)
+		agg.update(now, Index(terms, []Limit{{"one", 10, 10}}), 4, false, false)
+		So(request(agg, now, "a0", 1000).Granted[0], ShouldBeLessThanOrEqualTo, 10+uint64(limit.errorPart))
 	})
-	Convey("hubs take calls from many tasks at once", t, func() {
-		a, now := filled("a", 2, 4, limits)
+	Convey("aggregators accept concurrent calls", t, func() {
+		a, now := filledAggregator("a", 2, 4, limits)
 		var group sync.WaitGroup
 		for index := range 8 {
 			group.Add(1)
 			go func() {
 				defer group.Done()
 				for range 200 {
-					a.report(now, Report{From: fmt.Sprint("a", index%2), Keys: []uint64{one.key}, Wants: []uint64{1}})
-					letter, _ := a.write(now, "b", "a")
-					a.answered(now, "b", letter, Heard{})
-					a.hear(now, Letter{From: fmt.Sprint("c", index), Address: "c"})
-					a.look(now, limits, 4, false, false)
+					a.report(now, Report{From: fmt.Sprint("a", index%2), Keys: []uint64{limit.key}, Wants: []uint64{1}})
+					message, _ := a.composeGossip(now, "b", "a")
+					a.confirmGossip(now, "b", message, Heard{})
+					a.receiveGossip(now, Letter{From: fmt.Sprint("c", index), Address: "c"})
+					a.update(now, limits, 4, false, false)
 				}
 			}()
 		}
 		group.Wait()
-		So(a.buckets[one.key].level, ShouldBeLessThan, 1)
+		So(a.buckets[limit.key].level, ShouldBeLessThan, 1)
 		So(math.IsNaN(a.share), ShouldBeFalse)
 	})
 }
 
-// TestAhead: hubs that know what the others are asked for let through together, while they do
-// not hear of one another, no more than one bucket holds and a part of the error.
+// TestAhead guards against an overshoot when several aggregators grant at the same time: they know of
+// one another's demand, but not yet of the grants. Together they may grant no more than one bucket
+// holds plus a part of the error.
 func TestAhead(t *testing.T) {
 	limits := Index(terms, []Limit{{"one", 100, 100}})
-	one := limits.named["one"]
-	var hubs []*hub
-	now := at
+	limit := limits.byName["one"]
+	var aggregators []*aggregator
+	now := startTime
 	for _, name := range []string{"a", "b", "c", "d", "e", "f"} {
-		hub, last := filled(name, 1, 6, limits)
-		hubs, now = append(hubs, hub), last
+		agg, last := filledAggregator(name, 1, 6, limits)
+		aggregators, now = append(aggregators, agg), last
 	}
-	ask := func(hub *hub, count uint64) uint64 {
-		from := hub.name + "0"
-		word, _ := hub.report(now, Report{From: from, Seq: hub.reporters[from].seq + 1, Keys: []uint64{one.key}, Wants: []uint64{count}})
-		return word.Granted[0]
+	request := func(agg *aggregator, count uint64) uint64 {
+		from := agg.incarnation + "0"
+		reply, _ := agg.report(now, Report{From: from, Seq: agg.reporters[from].seq + 1, Keys: []uint64{limit.key}, Wants: []uint64{count}})
+		return reply.Granted[0]
 	}
-	for turn := range 40 {
+	for step := range 40 {
 		now += 250 * time.Millisecond
-		for _, hub := range hubs {
-			ask(hub, uint64(min(1, turn%3)))
-			hub.look(now, limits, 6, false, false)
+		for _, agg := range aggregators {
+			request(agg, uint64(min(1, step%3)))
+			agg.update(now, limits, 6, false, false)
 		}
-		for _, from := range hubs {
-			for _, to := range hubs {
+		for _, from := range aggregators {
+			for _, to := range aggregators {
 				if from != to {
-					letter, _ := from.write(now, to.name, from.name)
-					from.answered(now, to.name, letter, to.hear(now, letter))
+					message, _ := from.composeGossip(now, to.incarnation, from.incarnation)
+					from.confirmGossip(now, to.incarnation, message, to.receiveGossip(now, message))
 				}
 			}
 		}
 	}
 	granted := uint64(0)
-	for _, hub := range hubs {
-		if hub.share != 1 {
-			t.Fatalf("vacuous: %s goes by %v of the limits", hub.name, hub.share)
+	for _, agg := range aggregators {
+		if agg.share != 1 {
+			t.Fatalf("vacuous: aggregator %s has a share of %v of the limits, want 1", agg.incarnation, agg.share)
 		}
 		for range 400 {
-			granted += ask(hub, 1)
+			granted += request(agg, 1)
 		}
 	}
-	if float64(granted) > one.most+one.part || float64(granted) < one.most/2 {
-		t.Errorf("quota: %d at once, of %.0f in a bucket and %.0f of the error", granted, one.most, one.part)
+	if float64(granted) > limit.capacity+limit.errorPart || float64(granted) < limit.capacity/2 {
+		t.Errorf("quota: the aggregators granted %d at once; a bucket holds %.0f and a part of the error is %.0f", granted, limit.capacity, limit.errorPart)
 	}
 }
 
-// TestYoung: a daemon that has only just had a list of the others grants nothing, however few
-// are on it.
+// TestYoung guards against grants by a daemon that has only just received its first member list. The
+// list may be short because it is incomplete, and the daemon would take too large a share.
 func TestYoung(t *testing.T) {
 	limits := Index(terms, []Limit{{"one", 100, 100}})
-	hub, now, granted := newHub("a", limits), at, uint64(0)
-	hub.look(now, limits, 1, true, false)
+	agg, now, granted := newAggregator("a", limits), startTime, uint64(0)
+	agg.update(now, limits, 1, true, false)
 	for seq := range uint64(5) {
-		word, _ := hub.report(now, Report{From: "a", Seq: seq + 1, Keys: []uint64{limits.named["one"].key}, Wants: []uint64{1}})
-		granted += word.Granted[0]
+		reply, _ := agg.report(now, Report{From: "a", Seq: seq + 1, Keys: []uint64{limits.byName["one"].key}, Wants: []uint64{1}})
+		granted += reply.Granted[0]
 		now += 100 * time.Millisecond
-		hub.look(now, limits, 1, true, false)
+		agg.update(now, limits, 1, true, false)
 	}
 	if granted > 0 {
-		t.Errorf("quota: %d granted", granted)
+		t.Errorf("quota: %d requests granted by an aggregator that has just started", granted)
 	}
 }
--- a/quota/hub.go
+++ b/quota/hub.go
@@ -9,194 +9,200 @@
 	"time"
 )
 
-// Report is what a daemon tells its hub, and what it asks for.
+// Report is a daemon's message to its aggregator. It reports counts and requests grants.
 type Report struct {
-	// From is the daemon's incarnation.
+	// From is the incarnation of the daemon.
 	From       string
 	Seq, Since uint64
 	Sums       Sums
-	// Keys are tenants that requests wait for, Wants how many.
+	// Keys are the tenants with requests waiting for a grant, Wants the number of these requests.
 	Keys, Wants []uint64
-	// Former, if set, is what the hub before told it, Age ago: to a hub that is not that one.
-	// IsBare tells that it has taken its share of the buckets to another hub in this window:
-	// it brings none.
+	// Former is set if this aggregator is not the one that answered last: it is the pressure that
+	// the last one reported, Age ago. IsBare is set if the daemon has already moved its share of
+	// the buckets to another aggregator within this window, so that it contributes none.
 	Former *Pressure
 	Age    time.Duration
 	IsBare bool
 }
 
-// Word is a hub's answer.
+// Word is an aggregator's reply to a report.
 type Word struct {
 	Hub string
-	// Granted are how many of what was wanted may go on, in the order of the wants; Waits
-	// are for those that may not after how many ms the next one may.
+	// Granted is the number of requests granted for each entry of Report.Wants, in the same order.
+	// Waits is the time in ms after which the next request may be granted, where some were rejected.
 	Granted, Waits []uint64
 	Pressure       Pressure
 }
 
-// Pressure are the tenants near their limit, with what their buckets hold, and the share of
-// the limits that is known to be in touch with who tells. Of others the buckets are at least
-// half full.
+// Pressure lists the tenants near their limit with the levels of their buckets, and the share of
+// the limits by which the sender's buckets fill. The buckets of all other tenants are at least half
+// full.
 type Pressure struct {
 	Keys   []uint64
 	Levels []float64
 	Share  float64
 }
 
-// Letter is what a hub tells another.
+// Letter is a gossip message from one aggregator to another.
 type Letter struct {
 	From, Address string
 	Seq, Since    uint64
 	Sums          Sums
-	// Count is how many daemons tell this hub, InTouch how many tell the hubs that it hears
-	// and that hear it, itself among them.
+	// Count is the number of daemons that report to the sender. InTouch is the number of daemons
+	// that report to the sender or to an aggregator that it can reach in both directions.
 	Count, InTouch int
-	// IsTouched tells that the receiver hears the sender and is heard, as the sender sees it;
-	// IsParted that the sender goes by the share of its own daemons.
+	// IsTouched is set if, in the sender's view, sender and receiver reach each other.
+	// IsParted is set if the sender fills its buckets by the share of its own daemons only.
 	IsTouched, IsParted bool
-	// IsNew asks for the table of the buckets.
+	// IsNew requests the receiver's table of buckets.
 	IsNew bool
-	// Age is for how long the sender has been a hub, in ms.
+	// Age is for how long the sender has been an aggregator, in ms.
 	Age      uint64
 	Pressure Pressure
 }
 
-// Heard is the answer. Table, for a hub that is new, are all buckets that are not full.
+// Heard is the reply to a gossip message. Table, sent only to a new aggregator, holds all buckets
+// that are not full.
 type Heard struct {
 	From  string
 	Table *Pressure
 }
 
-// bucket is a tenant's, as far as this hub knows: it fills by PerSecond in a second, and falls
-// by each request let through anywhere. Below zero it is in debt.
+// bucket is the local replica of a tenant's token bucket. It gains PerSecond tokens a second times
+// the aggregator's share and loses one token for each request let through anywhere. A negative
+// level is debt.
 type bucket struct {
-	level float64
-	at    time.Duration
-	// brought is what daemons brought to a hub that began with nothing.
-	brought float64
-	// own and all are what was asked for of late, here and by all hubs, fading.
-	own, all float64
+	level   float64
+	updated time.Duration
+	// contributed is the sum of the tokens that daemons brought along to a newly started aggregator.
+	contributed float64
+	// ownDemand and totalDemand are exponentially decaying counts of the requests made recently,
+	// by this aggregator's daemons and by those of all aggregators.
+	ownDemand, totalDemand float64
 }
 
-// colleague is another hub, or a daemon that may be one.
-type colleague struct {
+// peer is another aggregator, or a daemon that may be one.
+type peer struct {
 	address, incarnation string
 	out                  outbox
 	in                   inbox
-	count                int
-	// since is when it was first told or heard; answered when it last answered.
-	since, answered time.Duration
-	// isSilent tells that it was out of touch at the last look: neither is told what the
-	// other lets through, as each goes by its share.
-	isSilent bool
-	// inTouch is how many daemons it takes to be in touch with one another, itself and those
-	// that tell it among them.
-	inTouch int
-	// isAgreed tells that the colleague sees it in the same way that it is in touch, isParted
-	// that it goes by the share of its own daemons all the same.
-	isAgreed, isParted bool
-}
-
-// isHeeded tells whether what it has not heard of matters here.
-func (colleague *colleague) isHeeded() bool { return colleague.answered > 0 && !colleague.isSilent }
-
-// hub is the part of a daemon that counts for those that tell it.
+	daemons              int
+	// discovered is when the first message was sent to it or received from it; lastReply is when
+	// it last answered.
+	discovered, lastReply time.Duration
+	// isExcluded is set if the peer was unreachable or isolated, or this aggregator isolated, at
+	// the last update. Then neither is sent the other's counts, as each uses its own share only.
+	isExcluded bool
+	// reachable is the number of daemons that the peer reaches, by its last message: those that
+	// report to it or to an aggregator that it reaches in both directions.
+	reachable int
+	// isMutual is set if the peer, too, considers the two reachable in both directions;
+	// isIsolated if it uses the share of its own daemons only nevertheless.
+	isMutual, isIsolated bool
+}
+
+// isIncluded reports whether the counts that the peer has not confirmed limit what may be granted.
+func (peer *peer) isIncluded() bool { return peer.lastReply > 0 && !peer.isExcluded }
+
+// aggregator is the part of a daemon that counts requests for the daemons that report to it.
 //
-// Invariants, on which the bound of the error rests (docs/notes/quota.md):
-// a bucket that is not kept is full; a bucket is never raised but by time, and by what a hub
-// before it is known to have had;
-// all hubs that are in touch with one another fill their buckets by no more than their share,
-// and the shares of hubs that are not add up to one at the most;
-// a request is granted only while the bucket holds one, and while what others have not
-// heard of stays within this hub's part of what the bucket holds, or of the error.
-type hub struct {
-	guard      sync.Mutex
-	name       string // the daemon's incarnation
-	lives      int
-	isOpen     bool // daemons tell it
-	isTaught   bool // another hub has given it its table
-	isYoung    bool // its daemon has only just got a list of all
-	hailed     time.Duration
-	born       time.Duration
-	looked     time.Duration
-	limits     *Limits
-	buckets    map[uint64]*bucket
-	pressed    map[uint64]bool
-	reporters  map[string]*inbox
-	colleagues map[string]*colleague
-	isHurried  bool // colleagues should be told soon
-	// share is that of the limits by which the buckets fill.
+// The bound of the error rests on these invariants (docs/notes/quota.md):
+// A bucket that is not in the table is full. The level of a bucket rises only with time, and by
+// what an earlier aggregator is known to have had in it.
+// Aggregators that can reach one another fill their buckets by no more than their common share, and
+// the shares of groups that cannot reach one another add up to at most one.
+// A request is granted only if the bucket holds a token for it, and if the requests that peers have not
+// confirmed stay within this aggregator's portion of the bucket, or of the error.
+type aggregator struct {
+	mutex       sync.Mutex
+	incarnation string // incarnation of the daemon
+	activations int
+	isActive    bool // daemons report to it
+	hasTable    bool // another aggregator has sent its table
+	isStarting  bool // the daemon has only just received its first member list
+	lastProbed  time.Duration
+	activated   time.Duration
+	lastUpdate  time.Duration
+	limits      *Limits
+	buckets     map[uint64]*bucket
+	nearLimit   map[uint64]bool
+	reporters   map[string]*inbox
+	peers       map[string]*peer
+	isUrgent    bool // peers should get a message before the next interval
+	// share is the fraction of the limits by which the buckets fill.
 	share float64
-	// inTouch is as a letter tells it; agreed is when colleagues last told the same.
-	inTouch int
-	agreed  time.Duration
-	all     int // how many daemons there are
+	// reachable is the value of Letter.InTouch in messages; lastAgreed is when the reachable peers
+	// last reported the same value.
+	reachable  int
+	lastAgreed time.Duration
+	allDaemons int // number of all data daemons
 }
 
-func newHub(name string, limits *Limits) *hub {
-	return &hub{name: name, limits: limits, buckets: map[uint64]*bucket{}, pressed: map[uint64]bool{}, reporters: map[string]*inbox{}, colleagues: map[string]*colleague{}}
+func newAggregator(incarnation string, limits *Limits) *aggregator {
+	return &aggregator{incarnation: incarnation, limits: limits, buckets: map[uint64]*bucket{}, nearLimit: map[uint64]bool{}, reporters: map[string]*inbox{}, peers: map[string]*peer{}}
 }
 
-func (hub *hub) id() string { return fmt.Sprint(hub.name, "/", hub.lives) }
+func (agg *aggregator) id() string { return fmt.Sprint(agg.incarnation, "/", agg.activations) }
 
-// attend begins a hub's life with its first report, and anew if it stood still: what became
-// of the tenants meanwhile it doesn't know.
-func (hub *hub) attend(now time.Duration) {
-	if hub.isOpen && now-hub.looked > hub.limits.quiet() {
-		hub.isOpen = false
+// activate starts the aggregator on its first report. It starts it anew, with empty buckets, if it
+// was stalled, since it missed what tenants used in the meantime.
+func (agg *aggregator) activate(now time.Duration) {
+	if agg.isActive && now-agg.lastUpdate > agg.limits.unreachableAfter() {
+		agg.isActive = false
 	}
-	if hub.isOpen {
+	if agg.isActive {
 		return
 	}
-	hub.lives++
-	hub.isOpen, hub.isTaught, hub.born, hub.looked, hub.agreed = true, false, now, now, now
-	hub.reporters, hub.colleagues = map[string]*inbox{}, map[string]*colleague{}
-	hub.buckets, hub.pressed = map[uint64]*bucket{}, map[uint64]bool{}
-	hub.share = 0
-	for _, limit := range hub.limits.named {
-		hub.buckets[limit.key] = &bucket{at: now}
+	agg.activations++
+	agg.isActive, agg.hasTable, agg.activated, agg.lastUpdate, agg.lastAgreed = true, false, now, now, now
+	agg.reporters, agg.peers = map[string]*inbox{}, map[string]*peer{}
+	agg.buckets, agg.nearLimit = map[uint64]*bucket{}, map[uint64]bool{}
+	agg.share = 0
+	for _, limit := range agg.limits.byName {
+		agg.buckets[limit.key] = &bucket{updated: now}
 	}
 }
 
-// receive takes in a daemon that did not tell this hub of late. It brings its share of the
-// limits, and of one part of the error, or of what its hub before told that a bucket held where
-// that is less.
-func (hub *hub) receive(now time.Duration, report Report) {
-	one := 1 / float64(max(1, hub.all))
-	hub.share = min(1, hub.share+one)
+// admit takes in a daemon that has not reported recently. The daemon contributes its fraction of the
+// limits, and its fraction of one part of the error or of the bucket level that its former
+// aggregator reported, whichever is less.
+func (agg *aggregator) admit(now time.Duration, report Report) {
+	fraction := 1 / float64(max(1, agg.allDaemons))
+	agg.share = min(1, agg.share+fraction)
 	levels := map[uint64]float64{}
-	told := report.Former
-	isTold := told != nil && told.Share > 0 && report.Age <= hub.limits.quiet()
-	if isTold {
-		for at, key := range told.Keys {
-			levels[key] = told.Levels[at]
+	former := report.Former
+	hasFormer := former != nil && former.Share > 0 && report.Age <= agg.limits.unreachableAfter()
+	if hasFormer {
+		for i, key := range former.Keys {
+			levels[key] = former.Levels[i]
 		}
 	}
-	for key, bucket := range hub.buckets {
-		limit := hub.limits.keyed[key]
+	for key, bucket := range agg.buckets {
+		limit := agg.limits.byKey[key]
 		if limit == nil {
 			continue
 		}
-		level := limit.part
-		if isTold {
-			if held, isPressed := levels[key]; isPressed {
-				level = min(max(held/told.Share, -limit.part), limit.part)
+		level := limit.errorPart
+		if hasFormer {
+			if formerLevel, isNearLimit := levels[key]; isNearLimit {
+				level = min(max(formerLevel/former.Share, -limit.errorPart), limit.errorPart)
 			}
 		}
-		hub.bucket(now, limit)
-		if report.IsBare || hub.isYoung {
+		agg.currentBucket(now, limit)
+		if report.IsBare || agg.isStarting {
 			level = min(0, level)
 		}
-		brought := hub.lot(limit, report.From, level*one)
-		bucket.level = min(bucket.level+brought, hub.room(limit))
-		bucket.brought += brought
-		hub.press(limit, bucket)
+		contributed := agg.roundToWhole(limit, report.From, level*fraction)
+		bucket.level = min(bucket.level+contributed, agg.capacity(limit))
+		bucket.contributed += contributed
+		agg.updateNearLimit(limit, bucket)
 	}
 }
 
-// lot makes whole requests of what a daemon brings, so that one alone may serve some tenants
-// rather than none: over all daemons it comes to the same.
-func (hub *hub) lot(limit *known, from string, level float64) float64 {
+// roundToWhole rounds a daemon's contribution to whole requests. It rounds up or down by a hash of
+// tenant and daemon, so that a single daemon can serve some tenants instead of none; over all
+// daemons the sum stays the same on average.
+func (agg *aggregator) roundToWhole(limit *tenantLimit, from string, level float64) float64 {
 	if level <= 0 {
 		return level
 	}
@@ -207,471 +213,480 @@
 	return whole
 }
 
-// room is what a bucket holds here.
-func (hub *hub) room(limit *known) float64 {
-	if hub.share <= 0 {
+// capacity returns the most tokens that a tenant's bucket holds at the current share.
+func (agg *aggregator) capacity(limit *tenantLimit) float64 {
+	if agg.share <= 0 {
 		return 0
 	}
-	return max(1, limit.most*hub.share)
+	return max(1, limit.capacity*agg.share)
 }
 
-// teach has the buckets begin with another hub's table, which goes before what daemons know,
-// less what was let through since.
-func (hub *hub) teach(now time.Duration, table *Pressure) {
-	if table == nil || hub.isTaught || now-hub.born > hub.limits.quiet() {
+// loadTable initializes the buckets from another aggregator's table, which takes precedence over
+// the daemons' contributions, less what was granted since.
+func (agg *aggregator) loadTable(now time.Duration, table *Pressure) {
+	if table == nil || agg.hasTable || now-agg.activated > agg.limits.unreachableAfter() {
 		return
 	}
-	hub.isTaught = true
-	hub.share = max(hub.share, table.Share)
+	agg.hasTable = true
+	agg.share = max(agg.share, table.Share)
 	levels := make(map[uint64]float64, len(table.Keys))
-	for at, key := range table.Keys {
-		levels[key] = table.Levels[at]
+	for i, key := range table.Keys {
+		levels[key] = table.Levels[i]
 	}
-	for key, limit := range hub.limits.keyed {
-		level, isTold := levels[key]
-		if !isTold {
-			level = limit.most * table.Share
+	for key, limit := range agg.limits.byKey {
+		level, isListed := levels[key]
+		if !isListed {
+			level = limit.capacity * table.Share
 		}
-		one := hub.bucket(now, limit)
-		one.level = min(level-max(0, one.brought-one.level), hub.room(limit))
-		hub.press(limit, one)
+		bucket := agg.currentBucket(now, limit)
+		bucket.level = min(level-max(0, bucket.contributed-bucket.level), agg.capacity(limit))
+		agg.updateNearLimit(limit, bucket)
 	}
 }
 
-// bucket gives a tenant's bucket as it is now.
-func (hub *hub) bucket(now time.Duration, limit *known) *bucket {
-	one := hub.buckets[limit.key]
-	if one == nil {
-		one = &bucket{level: hub.room(limit), at: now}
-		hub.buckets[limit.key] = one
-		return one
+// currentBucket returns a tenant's bucket, refilled up to now.
+func (agg *aggregator) currentBucket(now time.Duration, limit *tenantLimit) *bucket {
+	current := agg.buckets[limit.key]
+	if current == nil {
+		current = &bucket{level: agg.capacity(limit), updated: now}
+		agg.buckets[limit.key] = current
+		return current
 	}
-	if span := now - one.at; span > 0 {
-		one.level += limit.PerSecond * hub.share * span.Seconds()
-		fade := math.Exp(-float64(span) / float64(hub.limits.Window/errorParts))
-		one.own, one.all, one.at = one.own*fade, one.all*fade, now
+	if elapsed := now - current.updated; elapsed > 0 {
+		current.level += limit.PerSecond * agg.share * elapsed.Seconds()
+		decay := math.Exp(-float64(elapsed) / float64(agg.limits.Window/errorParts))
+		current.ownDemand, current.totalDemand, current.updated = current.ownDemand*decay, current.totalDemand*decay, now
 	}
-	one.level = min(one.level, hub.room(limit))
-	return one
+	current.level = min(current.level, agg.capacity(limit))
+	return current
 }
 
-// press notes whether a tenant is near its limit.
-func (hub *hub) press(limit *known, one *bucket) {
-	if hub.share <= 0 || one.level < hub.room(limit)/2 {
-		hub.pressed[limit.key] = true
+// updateNearLimit records whether a tenant is near its limit, i.e. its bucket less than half full.
+func (agg *aggregator) updateNearLimit(limit *tenantLimit, bucket *bucket) {
+	if agg.share <= 0 || bucket.level < agg.capacity(limit)/2 {
+		agg.nearLimit[limit.key] = true
 	} else {
-		delete(hub.pressed, limit.key)
+		delete(agg.nearLimit, limit.key)
 	}
 }
 
-// isTouched tells whether a colleague hears this hub and is heard, and sees it in the same way.
-func (hub *hub) isTouched(now time.Duration, one *colleague) bool {
-	return one.isAgreed && hub.isLive(now, one)
+// isMutuallyReachable reports whether this aggregator and a peer reach each other, in the view of both.
+func (agg *aggregator) isMutuallyReachable(now time.Duration, peer *peer) bool {
+	return peer.isMutual && agg.isReachable(now, peer)
 }
 
-// isLive is what this hub can tell of that by itself.
-func (hub *hub) isLive(now time.Duration, one *colleague) bool {
-	return one.in.heard > 0 && one.answered > 0 && now-one.in.heard < hub.limits.quiet() && now-one.answered < hub.limits.quiet()
+// isReachable reports whether the two reach each other in this aggregator's own view: the peer's last
+// message and its last reply are both recent.
+func (agg *aggregator) isReachable(now time.Duration, peer *peer) bool {
+	return peer.in.lastHeard > 0 && peer.lastReply > 0 && now-peer.in.lastHeard < agg.limits.unreachableAfter() && now-peer.lastReply < agg.limits.unreachableAfter()
 }
 
-// unheard is the most that some colleague who may be in touch has not heard of a tenant: what
-// was let through, and what was asked for; hubs is how many such colleagues there are.
-func (hub *hub) unheard(key uint64) (most int64, asked float64, hubs int) {
-	for _, one := range hub.colleagues {
-		if one.isHeeded() {
-			gathered := one.out.gathered[key]
-			most, asked, hubs = max(most, gathered.used), max(asked, float64(gathered.asked)), hubs+1
+// unconfirmed returns the highest unconfirmed counts of a tenant over all included peers: of used
+// requests and of all requests; peerCount is the number of these peers.
+func (agg *aggregator) unconfirmed(key uint64) (maxUsed int64, maxRequested float64, peerCount int) {
+	for _, peer := range agg.peers {
+		if peer.isIncluded() {
+			pending := peer.out.pending[key]
+			maxUsed, maxRequested, peerCount = max(maxUsed, pending.used), max(maxRequested, float64(pending.requested)), peerCount+1
 		}
 	}
-	return most, asked, hubs
+	return maxUsed, maxRequested, peerCount
 }
 
-// ahead is how many a hub may let through whatever others know.
-func (hub *hub) ahead(limit *known) float64 {
-	rank, own, hubs := 0, weight(limit.key, hub.id()), 1
-	for _, one := range hub.colleagues {
-		if one.isHeeded() && one.count > 0 {
-			if hubs++; weight(limit.key, one.incarnation) > own {
+// unconfirmedLimit returns how many requests of a tenant this aggregator may always grant before
+// peers confirm them. One part of the error is divided evenly over the aggregators in whole requests; the
+// remainder goes to those with the highest rendezvous hashing weight for the tenant.
+func (agg *aggregator) unconfirmedLimit(limit *tenantLimit) float64 {
+	rank, own, aggregators := 0, weight(limit.key, agg.id()), 1
+	for _, peer := range agg.peers {
+		if peer.isIncluded() && peer.daemons > 0 {
+			if aggregators++; weight(limit.key, peer.incarnation) > own {
 				rank++
 			}
 		}
 	}
-	whole := int(limit.part)
-	out := whole / hubs
-	if rank < whole%hubs {
-		out++
+	whole := int(limit.errorPart)
+	allowance := whole / aggregators
+	if rank < whole%aggregators {
+		allowance++
 	}
-	return float64(out)
+	return float64(allowance)
 }
 
-// tell gathers for all colleagues what happened here.
-func (hub *hub) tell(limit *known, used int64, asked uint64) {
-	most := int64(0)
-	for _, one := range hub.colleagues {
-		if one.isSilent {
+// recordForPeers adds this aggregator's counts to the outbox of each peer.
+func (agg *aggregator) recordForPeers(limit *tenantLimit, used int64, requested uint64) {
+	maxUnconfirmed := int64(0)
+	for _, peer := range agg.peers {
+		if peer.isExcluded {
 			continue
 		}
-		one.out.add(limit.key, used, asked)
-		if one.isHeeded() {
-			most = max(most, one.out.used(limit.key))
+		peer.out.add(limit.key, used, requested)
+		if peer.isIncluded() {
+			maxUnconfirmed = max(maxUnconfirmed, peer.out.unconfirmed(limit.key))
 		}
 	}
-	if used > 0 && most > 0 && (hub.pressed[limit.key] || float64(most) >= max(1, hub.ahead(limit))) {
-		hub.isHurried = true
+	if used > 0 && maxUnconfirmed > 0 && (agg.nearLimit[limit.key] || float64(maxUnconfirmed) >= max(1, agg.unconfirmedLimit(limit))) {
+		agg.isUrgent = true
 	}
 }
 
-// charge takes from a bucket what was let through.
-func (hub *hub) charge(now time.Duration, limit *known, one count, isOwn bool) {
-	bucket := hub.bucket(now, limit)
-	// More debt than the whole error there can't be: it was charged twice.
-	bucket.level = max(min(bucket.level-float64(one.used), hub.room(limit)), -errorParts*limit.part)
-	bucket.all += float64(one.asked)
+// charge deducts requests that were let through from a tenant's bucket.
+func (agg *aggregator) charge(now time.Duration, limit *tenantLimit, counts usage, isOwn bool) {
+	bucket := agg.currentBucket(now, limit)
+	// Debt beyond the whole error is impossible, so it would mean that requests were charged twice.
+	bucket.level = max(min(bucket.level-float64(counts.used), agg.capacity(limit)), -errorParts*limit.errorPart)
+	bucket.totalDemand += float64(counts.requested)
 	if isOwn {
-		bucket.own += float64(one.asked)
+		bucket.ownDemand += float64(counts.requested)
 	}
-	hub.press(limit, bucket)
+	agg.updateNearLimit(limit, bucket)
 	if isOwn {
-		hub.tell(limit, one.used, one.asked)
+		agg.recordForPeers(limit, counts.used, counts.requested)
 	}
 }
 
-// grant lets through what it may of the wanted, and tells when the next one may be.
-func (hub *hub) grant(now time.Duration, limit *known, wanted uint64) (granted uint64, wait time.Duration) {
-	one := hub.bucket(now, limit)
-	unheard, asked, hubs := hub.unheard(limit.key)
-	// What others may do with the bucket meanwhile is in the measure of what is asked for
-	// there, and what is asked for here in that of what they know of.
-	part, ahead := 1.0, math.Inf(1)
-	if hubs > 0 {
-		own, all := max(0, one.own-asked), max(0, one.all-asked)
-		part, ahead = (own+1)/(max(own, all)+1+float64(hubs)), hub.ahead(limit)
+// grant grants as many of the wanted requests as the limit allows. If it rejects some, it also returns
+// how long to wait for the next one.
+func (agg *aggregator) grant(now time.Duration, limit *tenantLimit, wanted uint64) (granted uint64, wait time.Duration) {
+	bucket := agg.currentBucket(now, limit)
+	unconfirmed, pendingDemand, peerCount := agg.unconfirmed(limit.key)
+	// Until they are informed, peers may draw on the same bucket, in proportion to their demand.
+	// This aggregator's demand counts only as far as the peers know of it.
+	fraction, maxUnconfirmed := 1.0, math.Inf(1)
+	if peerCount > 0 {
+		ownDemand, totalDemand := max(0, bucket.ownDemand-pendingDemand), max(0, bucket.totalDemand-pendingDemand)
+		fraction, maxUnconfirmed = (ownDemand+1)/(max(ownDemand, totalDemand)+1+float64(peerCount)), agg.unconfirmedLimit(limit)
 	}
-	one.own, one.all = one.own+float64(wanted), one.all+float64(wanted)
-	for granted < wanted && one.level >= 1 && float64(unheard+1) <= max(part*(one.level+float64(max(0, unheard))), ahead) {
-		one.level--
-		granted, unheard = granted+1, unheard+1
+	bucket.ownDemand, bucket.totalDemand = bucket.ownDemand+float64(wanted), bucket.totalDemand+float64(wanted)
+	for granted < wanted && bucket.level >= 1 && float64(unconfirmed+1) <= max(fraction*(bucket.level+float64(max(0, unconfirmed))), maxUnconfirmed) {
+		bucket.level--
+		granted, unconfirmed = granted+1, unconfirmed+1
 	}
-	hub.press(limit, one)
-	hub.tell(limit, int64(granted), wanted)
+	agg.updateNearLimit(limit, bucket)
+	agg.recordForPeers(limit, int64(granted), wanted)
 	if granted < wanted {
-		rate := limit.PerSecond * hub.share
+		rate := limit.PerSecond * agg.share
 		if rate <= 0 {
-			return granted, hub.limits.Window
+			return granted, agg.limits.Window
 		}
-		// As long as others ask for more than there is, who comes back soon is declined again:
-		// the further above the limit, the more of the window it is worth to wait.
-		asked := one.all / (hub.limits.Window / errorParts).Seconds()
-		wait = time.Duration(max(0, 1-one.level) / rate * float64(time.Second))
-		wait = max(wait, hub.limits.Window/waitParts, time.Duration((1-rate/max(asked, rate))*float64(hub.limits.Window)))
-		wait = min(wait, hub.limits.Window)
+		// While demand exceeds the limit, a request that retries soon is rejected again. So the
+		// higher the excess, the larger the part of the window that it should wait.
+		demandRate := bucket.totalDemand / (agg.limits.Window / errorParts).Seconds()
+		wait = time.Duration(max(0, 1-bucket.level) / rate * float64(time.Second))
+		wait = max(wait, agg.limits.Window/replyTimeoutParts, time.Duration((1-rate/max(demandRate, rate))*float64(agg.limits.Window)))
+		wait = min(wait, agg.limits.Window)
 	}
 	return granted, wait
 }
 
-// report takes a daemon's report and answers it.
-func (hub *hub) report(now time.Duration, report Report) (word Word, isHurried bool) {
-	hub.guard.Lock()
-	defer hub.guard.Unlock()
-	hub.attend(now)
-	in := hub.reporters[report.From]
+// report processes a daemon's report and returns the reply. isUrgent means that peers should be
+// informed before the next interval.
+func (agg *aggregator) report(now time.Duration, report Report) (reply Word, isUrgent bool) {
+	agg.mutex.Lock()
+	defer agg.mutex.Unlock()
+	agg.activate(now)
+	in := agg.reporters[report.From]
 	if in == nil {
 		in = &inbox{}
-		hub.reporters[report.From] = in
+		agg.reporters[report.From] = in
 	}
-	if in.heard == 0 || in.isGone {
-		hub.receive(now, report)
+	if in.lastHeard == 0 || in.isUnreachable {
+		agg.admit(now, report)
 	}
-	in.heard, in.isGone = now, false
-	for key, one := range in.take(report.Seq, report.Since, report.Sums) {
-		if limit := hub.limits.keyed[key]; limit != nil {
-			hub.charge(now, limit, one, true)
+	in.lastHeard, in.isUnreachable = now, false
+	for key, counts := range in.accept(report.Seq, report.Since, report.Sums) {
+		if limit := agg.limits.byKey[key]; limit != nil {
+			agg.charge(now, limit, counts, true)
 		}
 	}
-	for at, key := range report.Keys[:min(len(report.Keys), len(report.Wants))] {
-		granted, wait := report.Wants[at], time.Duration(0)
-		if limit := hub.limits.keyed[key]; limit != nil {
-			granted, wait = hub.grant(now, limit, granted)
+	for i, key := range report.Keys[:min(len(report.Keys), len(report.Wants))] {
+		granted, wait := report.Wants[i], time.Duration(0)
+		if limit := agg.limits.byKey[key]; limit != nil {
+			granted, wait = agg.grant(now, limit, granted)
 		}
-		word.Granted = append(word.Granted, granted)
-		word.Waits = append(word.Waits, uint64((wait+time.Millisecond-1)/time.Millisecond))
+		reply.Granted = append(reply.Granted, granted)
+		reply.Waits = append(reply.Waits, uint64((wait+time.Millisecond-1)/time.Millisecond))
 	}
-	word.Hub, word.Pressure = hub.id(), hub.pressure(now)
-	return word, hub.isHurried
+	reply.Hub, reply.Pressure = agg.id(), agg.pressure(now)
+	return reply, agg.isUrgent
 }
 
-// pressure is what to tell of tenants near their limit.
-func (hub *hub) pressure(now time.Duration) (out Pressure) {
-	out.Share = hub.share
-	for key := range hub.pressed {
+// pressure returns the tenants near their limit and the levels of their buckets.
+func (agg *aggregator) pressure(now time.Duration) (out Pressure) {
+	out.Share = agg.share
+	for key := range agg.nearLimit {
 		out.Keys = append(out.Keys, key)
 	}
 	slices.Sort(out.Keys)
 	for _, key := range out.Keys {
 		level := 0.0
-		if limit := hub.limits.keyed[key]; limit != nil {
-			level = math.Floor(hub.bucket(now, limit).level)
+		if limit := agg.limits.byKey[key]; limit != nil {
+			level = math.Floor(agg.currentBucket(now, limit).level)
 		}
 		out.Levels = append(out.Levels, level)
 	}
 	return out
 }
 
-// hear takes another hub's letter.
-func (hub *hub) hear(now time.Duration, letter Letter) (out Heard) {
-	hub.guard.Lock()
-	defer hub.guard.Unlock()
-	if hub.isOpen && now-hub.looked > hub.limits.quiet() {
-		hub.isOpen = false // it stood still, or nobody tells it any more
+// receiveGossip processes a gossip message from another aggregator.
+func (agg *aggregator) receiveGossip(now time.Duration, message Letter) (reply Heard) {
+	agg.mutex.Lock()
+	defer agg.mutex.Unlock()
+	if agg.isActive && now-agg.lastUpdate > agg.limits.unreachableAfter() {
+		agg.isActive = false // stalled, or no daemon reports to it any more
 	}
-	out.From = hub.id()
-	if !hub.isOpen {
-		return out
+	reply.From = agg.id()
+	if !agg.isActive {
+		return reply
 	}
-	one := hub.colleague(now, letter.Address)
-	if one.incarnation != letter.From {
-		// It is new, and is told all from now on, what is in its table left out.
-		*one = colleague{address: letter.Address, incarnation: letter.From, since: now, out: outbox{seq: one.out.seq, since: one.out.seq}}
+	sender := agg.peer(now, message.Address)
+	if sender.incarnation != message.From {
+		// A new incarnation gets all counts from now on, but not those already in its table.
+		*sender = peer{address: message.Address, incarnation: message.From, discovered: now, out: outbox{seq: sender.out.seq, since: sender.out.seq}}
 	}
-	one.in.heard, one.count, one.inTouch, one.isAgreed, one.isParted = now, letter.Count, letter.InTouch, letter.IsTouched, letter.IsParted
-	if now-hub.born >= hub.limits.quiet() && letter.IsNew {
-		// What happens from now on it is told, as it is a colleague now.
-		out.Table = hub.table(now)
+	sender.in.lastHeard, sender.daemons, sender.reachable, sender.isMutual, sender.isIsolated = now, message.Count, message.InTouch, message.IsTouched, message.IsParted
+	if now-agg.activated >= agg.limits.unreachableAfter() && message.IsNew {
+		// The sender is already a peer, so later counts reach it by gossip.
+		reply.Table = agg.table(now)
 	}
-	for key, count := range one.in.take(letter.Seq, letter.Since, letter.Sums) {
-		if limit := hub.limits.keyed[key]; limit != nil && !one.isSilent {
-			hub.charge(now, limit, count, false)
+	for key, counts := range sender.in.accept(message.Seq, message.Since, message.Sums) {
+		if limit := agg.limits.byKey[key]; limit != nil && !sender.isExcluded {
+			agg.charge(now, limit, counts, false)
 		}
 	}
-	if hub.isTouched(now, one) && !one.isSilent {
-		age := time.Duration(letter.Age) * time.Millisecond
-		if age >= min(now-hub.born, agedTimes*hub.limits.Window) && math.Abs(letter.Pressure.Share-hub.share) < noticed {
-			hub.agree(now, letter.Pressure)
+	if agg.isMutuallyReachable(now, sender) && !sender.isExcluded {
+		age := time.Duration(message.Age) * time.Millisecond
+		if age >= min(now-agg.activated, matureWindows*agg.limits.Window) && math.Abs(message.Pressure.Share-agg.share) < shareTolerance {
+			agg.lowerToPeer(now, message.Pressure)
 		}
 	}
-	return out
+	return reply
 }
 
-// agedTimes is after how many windows a hub knows as much as one that is older.
-const agedTimes = 2
+// matureWindows is the number of windows after which an aggregator knows as much as any older one.
+const matureWindows = 2
 
-// agree brings buckets down to what a colleague has in them, but for a part of the error: what
-// was lost on the way to one hub and not to another would keep them apart else.
-func (hub *hub) agree(now time.Duration, told Pressure) {
-	for at, key := range told.Keys[:min(len(told.Keys), len(told.Levels))] {
-		if limit := hub.limits.keyed[key]; limit != nil {
-			one := hub.bucket(now, limit)
-			one.level = min(one.level, told.Levels[at]+limit.part/2)
-			hub.press(limit, one)
+// lowerToPeer lowers buckets to a peer's levels plus half a part of the error. Otherwise counts that
+// were lost on the way to one aggregator but not to another would leave the two apart for good.
+func (agg *aggregator) lowerToPeer(now time.Duration, pressure Pressure) {
+	for i, key := range pressure.Keys[:min(len(pressure.Keys), len(pressure.Levels))] {
+		if limit := agg.limits.byKey[key]; limit != nil {
+			bucket := agg.currentBucket(now, limit)
+			bucket.level = min(bucket.level, pressure.Levels[i]+limit.errorPart/2)
+			agg.updateNearLimit(limit, bucket)
 		}
 	}
 }
 
-// table is what this hub knows of buckets that are not full.
-func (hub *hub) table(now time.Duration) *Pressure {
-	out := &Pressure{Share: hub.share}
-	for _, key := range slices.Sorted(maps.Keys(hub.buckets)) {
-		if limit := hub.limits.keyed[key]; limit != nil {
-			if one := hub.bucket(now, limit); one.level < hub.room(limit) {
-				out.Keys, out.Levels = append(out.Keys, key), append(out.Levels, math.Floor(one.level))
+// table returns all buckets that are not full.
+func (agg *aggregator) table(now time.Duration) *Pressure {
+	out := &Pressure{Share: agg.share}
+	for _, key := range slices.Sorted(maps.Keys(agg.buckets)) {
+		if limit := agg.limits.byKey[key]; limit != nil {
+			if bucket := agg.currentBucket(now, limit); bucket.level < agg.capacity(limit) {
+				out.Keys, out.Levels = append(out.Keys, key), append(out.Levels, math.Floor(bucket.level))
 			}
 		}
 	}
 	return out
 }
 
-// prepare has a daemon that others hail become a hub: it learns from other hubs what the
-// buckets hold before it is told anything. It tells whether that is done, or can't be.
-func (hub *hub) prepare(now time.Duration) (isReady bool) {
-	hub.guard.Lock()
-	defer hub.guard.Unlock()
-	if hub.isYoung {
+// prepare gets this daemon ready to become an aggregator, after another daemon has probed it:
+// it obtains the bucket levels from other aggregators before it accepts any report. isReady is set
+// once it has them, or once it has waited for unreachableAfter without getting any.
+func (agg *aggregator) prepare(now time.Duration) (isReady bool) {
+	agg.mutex.Lock()
+	defer agg.mutex.Unlock()
+	if agg.isStarting {
 		return false
 	}
-	hub.attend(now)
-	hub.hailed = now
-	return hub.isTaught || now-hub.born >= hub.limits.quiet()
+	agg.activate(now)
+	agg.lastProbed = now
+	return agg.hasTable || now-agg.activated >= agg.limits.unreachableAfter()
 }
 
-// write gives what to tell a colleague; not open means that nobody tells this hub.
-func (hub *hub) write(now time.Duration, address, own string) (letter Letter, isOpen bool) {
-	hub.guard.Lock()
-	defer hub.guard.Unlock()
-	if !hub.isOpen {
+// composeGossip returns the next message to a peer. isActive is false if no daemon reports to this
+// aggregator, in which case there is nothing to send.
+func (agg *aggregator) composeGossip(now time.Duration, address, ownAddress string) (message Letter, isActive bool) {
+	agg.mutex.Lock()
+	defer agg.mutex.Unlock()
+	if !agg.isActive {
 		return Letter{}, false
 	}
-	one := hub.colleague(now, address)
-	letter = Letter{From: hub.id(), Address: own, Count: hub.count(now), InTouch: hub.inTouch, IsTouched: hub.isLive(now, one), IsParted: hub.isParted(now), Pressure: hub.pressure(now), Age: uint64((now - hub.born) / time.Millisecond)}
-	letter.IsNew = !hub.isTaught && now-hub.born < hub.limits.quiet()
-	letter.Seq, letter.Since, letter.Sums = one.out.write()
-	return letter, true
+	peer := agg.peer(now, address)
+	message = Letter{From: agg.id(), Address: ownAddress, Count: agg.countReporters(now), InTouch: agg.reachable, IsTouched: agg.isReachable(now, peer), IsParted: agg.isIsolated(now), Pressure: agg.pressure(now), Age: uint64((now - agg.activated) / time.Millisecond)}
+	message.IsNew = !agg.hasTable && now-agg.activated < agg.limits.unreachableAfter()
+	message.Seq, message.Since, message.Sums = peer.out.compose()
+	return message, true
 }
 
-// answered notes that a colleague has a letter.
-func (hub *hub) answered(now time.Duration, address string, letter Letter, heard Heard) {
-	hub.guard.Lock()
-	defer hub.guard.Unlock()
-	one := hub.colleagues[address]
-	if one == nil || letter.From != hub.id() || one.out.seq != letter.Seq {
+// confirmGossip processes a peer's reply, which confirms the message.
+func (agg *aggregator) confirmGossip(now time.Duration, address string, message Letter, reply Heard) {
+	agg.mutex.Lock()
+	defer agg.mutex.Unlock()
+	peer := agg.peers[address]
+	if peer == nil || message.From != agg.id() || peer.out.seq != message.Seq {
 		return
 	}
-	one.out.confirmed()
-	one.answered = now
-	hub.teach(now, heard.Table)
+	peer.out.confirm()
+	peer.lastReply = now
+	agg.loadTable(now, reply.Table)
 }
 
-func (hub *hub) colleague(now time.Duration, address string) *colleague {
-	one := hub.colleagues[address]
-	if one == nil {
-		one = &colleague{address: address, since: now}
-		hub.colleagues[address] = one
+func (agg *aggregator) peer(now time.Duration, address string) *peer {
+	found := agg.peers[address]
+	if found == nil {
+		found = &peer{address: address, discovered: now}
+		agg.peers[address] = found
 	}
-	return one
+	return found
 }
 
-// count is how many daemons tell this hub.
-func (hub *hub) count(now time.Duration) (count int) {
-	for _, one := range hub.reporters {
-		if one.isGone = one.isGone || now-one.heard >= hub.limits.quiet(); !one.isGone {
+// countReporters returns how many reachable daemons report to this aggregator, and marks the others
+// as unreachable.
+func (agg *aggregator) countReporters(now time.Duration) (count int) {
+	for _, reporter := range agg.reporters {
+		if reporter.isUnreachable = reporter.isUnreachable || now-reporter.lastHeard >= agg.limits.unreachableAfter(); !reporter.isUnreachable {
 			count++
 		}
 	}
 	return count
 }
 
-// look brings the hub's share up to date, and what follows from it.
+// update determines which peers are reachable, recalculates the share of the limits, and refills the
+// buckets.
 //
-// A daemon that is young knows too few of the others, and that has no share to give.
-func (hub *hub) look(now time.Duration, limits *Limits, all int, isYoung, isOver bool) {
-	hub.guard.Lock()
-	defer hub.guard.Unlock()
-	hub.all, hub.isYoung = all, isYoung
-	hub.limits = limits
-	if !hub.isOpen {
+// A daemon that has just started knows too few of the others to count, so its share is 0.
+func (agg *aggregator) update(now time.Duration, limits *Limits, allDaemons int, isStarting, isExpired bool) {
+	agg.mutex.Lock()
+	defer agg.mutex.Unlock()
+	agg.allDaemons, agg.isStarting = allDaemons, isStarting
+	agg.limits = limits
+	if !agg.isActive {
 		return
 	}
-	if now-hub.looked > limits.quiet() {
-		hub.isOpen = false
+	if now-agg.lastUpdate > limits.unreachableAfter() {
+		agg.isActive = false
 		return
 	}
-	hub.looked = now
-	count := hub.count(now)
-	if count == 0 && now-hub.hailed >= limits.quiet() {
-		hub.isOpen = false
+	agg.lastUpdate = now
+	count := agg.countReporters(now)
+	if count == 0 && now-agg.lastProbed >= limits.unreachableAfter() {
+		agg.isActive = false
 		return
 	}
-	for from, one := range hub.reporters {
-		if now-one.heard > forgetTimes*limits.quiet() {
-			delete(hub.reporters, from)
+	for incarnation, reporter := range agg.reporters {
+		if now-reporter.lastHeard > forgetFactor*limits.unreachableAfter() {
+			delete(agg.reporters, incarnation)
 		}
 	}
-	hub.inTouch = count
-	for _, one := range hub.colleagues {
-		if hub.isTouched(now, one) {
-			hub.inTouch += one.count
+	agg.reachable = count
+	for _, peer := range agg.peers {
+		if agg.isMutuallyReachable(now, peer) {
+			agg.reachable += peer.daemons
 		}
 	}
-	hub.inTouch = min(hub.inTouch, max(1, all))
-	isApart := hub.isApart(now, all)
-	gone := map[*colleague]bool{}
-	for address, one := range hub.colleagues {
-		isTouched := hub.isTouched(now, one)
-		// One that has only just become known is told all from then on.
-		isSilent := isApart || one.isParted || !isTouched && now-one.since >= limits.quiet()
-		if isSilent && !one.isSilent {
-			gone[one] = true
+	agg.reachable = min(agg.reachable, max(1, allDaemons))
+	isDivided := agg.checkAgreement(now, allDaemons)
+	excluded := map[*peer]bool{}
+	for address, peer := range agg.peers {
+		isReachable := agg.isMutuallyReachable(now, peer)
+		// A peer that was discovered only just now gets all counts from the start.
+		isExcluded := isDivided || peer.isIsolated || !isReachable && now-peer.discovered >= limits.unreachableAfter()
+		if isExcluded && !peer.isExcluded {
+			excluded[peer] = true
 		}
-		one.isSilent = isSilent
-		if !isTouched && now-max(one.since, one.in.heard, one.answered) > forgetTimes*limits.quiet() {
-			delete(hub.colleagues, address)
+		peer.isExcluded = isExcluded
+		if !isReachable && now-max(peer.discovered, peer.in.lastHeard, peer.lastReply) > forgetFactor*limits.unreachableAfter() {
+			delete(agg.peers, address)
 		}
-		if isTouched && !isSilent {
-			count += one.count
+		if isReachable && !isExcluded {
+			count += peer.daemons
 		}
 	}
-	share := min(1, float64(count)/float64(max(1, all)))
-	if hub.isTaught && now-hub.born < limits.quiet() {
-		share = max(share, hub.share) // others are yet to come
+	share := min(1, float64(count)/float64(max(1, allDaemons)))
+	if agg.hasTable && now-agg.activated < limits.unreachableAfter() {
+		share = max(share, agg.share) // the other daemons have yet to report here
 	}
-	if isYoung || isOver {
+	if isStarting || isExpired {
 		share = 0
 	}
-	hub.rescale(now, share, gone)
-	for one := range gone {
-		// While it is out of touch each side goes by its share alone.
-		one.out.drop()
+	agg.rescale(now, share, excluded)
+	for peer := range excluded {
+		// While a peer is excluded, each side uses its own share only.
+		peer.out.discard()
 	}
-	for key, one := range hub.buckets {
-		limit := limits.keyed[key]
+	for key, bucket := range agg.buckets {
+		limit := limits.byKey[key]
 		if limit == nil {
-			delete(hub.buckets, key)
-			delete(hub.pressed, key)
+			delete(agg.buckets, key)
+			delete(agg.nearLimit, key)
 			continue
 		}
-		hub.bucket(now, limit)
-		hub.press(limit, one)
-		if one.level >= hub.room(limit) && one.all < forgotten {
-			delete(hub.buckets, key)
+		agg.currentBucket(now, limit)
+		agg.updateNearLimit(limit, bucket)
+		if bucket.level >= agg.capacity(limit) && bucket.totalDemand < idleDemand {
+			delete(agg.buckets, key)
 		}
 	}
 }
 
-// isApart tells whether hubs that are in touch with this one have for some time not been in
-// touch with the same others: two that do not hear one another would both reckon with the
-// share of a third that hears both. Then each goes by the share of its own daemons.
-func (hub *hub) isApart(now time.Duration, all int) bool {
+// checkAgreement reports whether the reachable peers have for some time disagreed with this aggregator
+// on how many daemons are reachable. Two aggregators that cannot reach each other would both count the
+// share of a third one that reaches both, so in that case each one uses the share of its own daemons only.
+func (agg *aggregator) checkAgreement(now time.Duration, allDaemons int) bool {
 	isAgreed := true
-	for _, one := range hub.colleagues {
-		if hub.isTouched(now, one) && one.count > 0 && math.Abs(float64(one.inTouch-hub.inTouch)) > 1+noticed*float64(all) {
+	for _, peer := range agg.peers {
+		if agg.isMutuallyReachable(now, peer) && peer.daemons > 0 && math.Abs(float64(peer.reachable-agg.reachable)) > 1+shareTolerance*float64(allDaemons) {
 			isAgreed = false
 		}
 	}
 	if isAgreed {
-		hub.agreed = now
+		agg.lastAgreed = now
 	}
-	return hub.isParted(now)
+	return agg.isIsolated(now)
 }
 
-func (hub *hub) isParted(now time.Duration) bool { return now-hub.agreed >= hub.limits.quiet() }
+func (agg *aggregator) isIsolated(now time.Duration) bool {
+	return now-agg.lastAgreed >= agg.limits.unreachableAfter()
+}
 
-// forgetTimes is after how many times the span of being out of touch who is not heard is
-// forgotten.
-const forgetTimes = 4
+// forgetFactor times unreachableAfter is the time after which a silent daemon or peer is forgotten.
+const forgetFactor = 4
 
-// forgotten is what a tenant of a full bucket may have asked for of late to be let out of
-// the table.
-const forgotten = 0.1
+// idleDemand is the recent demand below which a tenant with a full bucket is dropped from the table.
+const idleDemand = 0.1
 
-// noticed is by how much a share must have grown for buckets that were full to be looked at
-// again: they were full in the share before.
-const noticed = 1.0 / 16
+// shareTolerance is the change of share up to which two shares count as equal. When the share grows by
+// more, full buckets are first put into the table at their old capacity, since that is
+// all they hold.
+const shareTolerance = 1.0 / 16
 
-// rescale takes up another share of the limits. With a smaller one a bucket falls in its
-// measure, less what who is out of touch now has not heard of; with a larger one it only
-// fills faster.
-func (hub *hub) rescale(now time.Duration, share float64, gone map[*colleague]bool) {
-	if share == hub.share {
+// rescale changes the share of the limits. If the share shrinks, bucket levels shrink in proportion,
+// less what the newly excluded peers have not confirmed; if it grows, buckets only fill faster.
+func (agg *aggregator) rescale(now time.Duration, share float64, excluded map[*peer]bool) {
+	if share == agg.share {
 		return
 	}
-	before := hub.share
-	if share > before+noticed {
-		for _, limit := range hub.limits.named {
-			hub.bucket(now, limit)
+	before := agg.share
+	if share > before+shareTolerance {
+		for _, limit := range agg.limits.byName {
+			agg.currentBucket(now, limit)
 		}
 	}
-	for key, one := range hub.buckets {
-		limit := hub.limits.keyed[key]
+	for key, bucket := range agg.buckets {
+		limit := agg.limits.byKey[key]
 		if limit == nil {
 			continue
 		}
-		hub.bucket(now, limit)
-		if share < before && one.level > 0 {
-			unheard := 0.0
-			for colleague := range gone {
-				unheard = max(unheard, float64(colleague.out.used(key)))
+		agg.currentBucket(now, limit)
+		if share < before && bucket.level > 0 {
+			unconfirmed := 0.0
+			for peer := range excluded {
+				unconfirmed = max(unconfirmed, float64(peer.out.unconfirmed(key)))
 			}
-			one.level = (one.level+unheard)*share/before - unheard
+			bucket.level = (bucket.level+unconfirmed)*share/before - unconfirmed
 		}
 	}
-	hub.share = share
+	agg.share = share
 }
--- a/quota/meter.go
+++ b/quota/meter.go
@@ -12,401 +12,407 @@
 	"swifttiller/wire"
 )
 
-// Options of a meter.
+// Options configure a Meter.
 type Options struct {
 	World loop.World
 	Net   wire.Net
 	Self  session.Member
-	// Limits are those in force; never nil.
+	// Limits returns the limits in force; never nil.
 	Limits func() *Limits
-	// Members are the daemons as they were last listed, this one among them, and Listed is
-	// until when that list holds: who is not on it had no session then.
+	// Members returns the latest member list, which includes this daemon, and until when the list
+	// is valid: a daemon that is not on it had no session at that time.
 	Members func() (members []session.Member, listed time.Duration)
 }
 
-// Meter says whether a tenant's request is within its limit.
+// Meter is the rate limiter of a daemon: it decides whether a tenant's request is within its limit.
 //
-// Invariants: of a tenant that is not known to be near its limit this daemon lets through
-// without asking no more than its hub has not heard of and ahead allows; of one that is, it
-// lets through what the hub granted. What was let through and did not run is given back once.
+// Invariants: for a tenant not known to be near its limit, the daemon lets requests through without
+// asking only while at most unreportedLimit of them are unconfirmed by its aggregator; for a tenant
+// near its limit, it lets through what the aggregator granted. A request that was let through but did
+// not run is returned once.
 type Meter struct {
 	Options
-	hub *hub
+	aggregator *aggregator
 
-	guard sync.Mutex
+	mutex sync.Mutex
 	out   outbox
-	// at is the address of the hub that answered last, heard when, told what it said.
-	at    string
-	heard time.Duration
-	// moved is when it last took its share to another hub.
-	moved   time.Duration
-	told    Pressure
-	pressed map[uint64]bool
-	// began is when it first had a list; isReady tells that it may be its own hub though
-	// others are there.
-	began    time.Duration
-	isReady  bool
-	isFlying bool
-	isDue    bool
-	waiters  []*waiter
-	// shunned are hubs of the region that gave no answer since they were last hailed,
-	// avoided other colleagues that gave none, until when.
-	shunned map[string]bool
-	avoided map[string]time.Duration
-	flights map[string]*flight
-	crew
+	// aggregatorAddress is the aggregator that answered last, lastReply when it did, and
+	// lastPressure the pressure in that reply.
+	aggregatorAddress string
+	lastReply         time.Duration
+	// lastMove is when the daemon last moved its share to another aggregator.
+	lastMove     time.Duration
+	lastPressure Pressure
+	nearLimit    map[uint64]bool
+	// firstListed is when the first member list arrived. isSelfReady is set once the daemon may
+	// be its own aggregator even if others are reachable.
+	firstListed time.Duration
+	isSelfReady bool
+	isReporting bool
+	isReportDue bool
+	waiters     []*waiter
+	// unresponsive holds the region's aggregators that failed to answer and have not answered a
+	// probe since. avoidUntil is until when a peer that failed to answer is not contacted.
+	unresponsive map[string]bool
+	avoidUntil   map[string]time.Duration
+	exchanges    map[string]*peerExchange
+	directory
 }
 
-// waiter is a request that waits for its hub's word.
+// waiter is a request that waits for its aggregator's reply.
 type waiter struct {
-	limit *known
-	box   loop.Mailbox
+	limit   *tenantLimit
+	mailbox loop.Mailbox
 }
 
-// answer is a waiter's.
-type answer struct {
-	isAllowed bool
-	comeBack  time.Duration
+// decision is the result that a waiter receives.
+type decision struct {
+	isAllowed  bool
+	retryAfter time.Duration
 }
 
-// flight is the exchange with another hub: one is under way, or begins again at once.
-type flight struct{ isUnderWay, isDue bool }
+// peerExchange is the gossip with one peer: at most one call at a time, repeated at once if isDue.
+type peerExchange struct{ isRunning, isDue bool }
 
-// crew are the data daemons as this one knows them.
-type crew struct {
-	list    []session.Member // as listed last
-	members map[string]*mate
-	// regions are the wire addresses of those listed that do not leave, in the order in
-	// which they are hubs.
+// directory holds the data daemons known to this one.
+type directory struct {
+	list    []session.Member // the latest member list
+	members map[string]*daemon
+	// regions holds, by region, the wire addresses of the listed daemons that are not leaving, in the
+	// order in which they are chosen as aggregator.
 	regions map[string][]string
 }
 
-// mate is a data daemon.
-type mate struct {
+// daemon is a known data daemon.
+type daemon struct {
 	session.Member
-	// missed is since when it is not listed any more.
-	missed time.Duration
-	isHere bool
+	// unlistedSince is when the daemon dropped off the member list; 0 if it is listed.
+	unlistedSince time.Duration
+	isListed      bool
 }
 
-// NewMeter makes a meter.
+// NewMeter returns a rate limiter; Run starts its reports.
 func NewMeter(options Options) *Meter {
-	meter := &Meter{Options: options, hub: newHub(options.Self.Incarnation, options.Limits()), shunned: map[string]bool{}, avoided: map[string]time.Duration{}, flights: map[string]*flight{}}
-	meter.members = map[string]*mate{}
+	meter := &Meter{Options: options, aggregator: newAggregator(options.Self.Incarnation, options.Limits()), unresponsive: map[string]bool{}, avoidUntil: map[string]time.Duration{}, exchanges: map[string]*peerExchange{}}
+	meter.members = map[string]*daemon{}
 	return meter
 }
 
-// Ask tells whether a request of the tenant may go on, and if not when it may come back. It
-// may wait for the hub.
-func (meter *Meter) Ask(tenant string) (comeBack time.Duration, isAllowed bool) {
+// Ask reports whether a request of the tenant may proceed and, if not, after what time it may be
+// retried. It may wait for the aggregator's reply.
+func (meter *Meter) Ask(tenant string) (retryAfter time.Duration, isAllowed bool) {
 	limits := meter.Limits()
-	limit := limits.named[tenant]
+	limit := limits.byName[tenant]
 	if limit == nil {
 		return 0, true
 	}
 	now := meter.World.Now()
-	meter.guard.Lock()
-	isFresh := meter.heard > 0 && now-meter.heard < limits.quiet()
-	if isFresh && !meter.pressed[limit.key] && meter.out.used(limit.key) < meter.ahead(limit) {
+	meter.mutex.Lock()
+	isFresh := meter.lastReply > 0 && now-meter.lastReply < limits.unreachableAfter()
+	if isFresh && !meter.nearLimit[limit.key] && meter.out.unconfirmed(limit.key) < meter.unreportedLimit(limit) {
 		meter.out.add(limit.key, 1, 1)
-		meter.guard.Unlock()
+		meter.mutex.Unlock()
 		return 0, true
 	}
-	mine := &waiter{limit, meter.World.Mailbox()}
-	meter.waiters = append(meter.waiters, mine)
-	meter.fly()
-	meter.guard.Unlock()
-	got, has := mine.box.Take(mostWaits * limits.wait())
-	if !has {
-		return limits.wait(), false
+	waiting := &waiter{limit, meter.World.Mailbox()}
+	meter.waiters = append(meter.waiters, waiting)
+	meter.startReport()
+	meter.mutex.Unlock()
+	value, isAnswered := waiting.mailbox.Take(maxReplyWaits * limits.replyTimeout())
+	if !isAnswered {
+		return limits.replyTimeout(), false
 	}
-	word := got.(answer)
-	if !word.isAllowed {
-		word.comeBack += time.Duration(meter.World.Draw(int64(word.comeBack) + 1))
+	result := value.(decision)
+	if !result.isAllowed {
+		result.retryAfter += time.Duration(meter.World.Draw(int64(result.retryAfter) + 1))
 	}
-	return word.comeBack, word.isAllowed
+	return result.retryAfter, result.isAllowed
 }
 
-// mostWaits is for how many answers of hubs a request waits at the most.
-const mostWaits = 4
+// maxReplyWaits is the number of reply timeouts for which a request waits at most.
+const maxReplyWaits = 4
 
-// ahead is how many of a tenant that is not near its limit may be unknown to the hub.
-func (meter *Meter) ahead(limit *known) int64 {
-	return max(1, int64(limit.part/float64(max(1, len(meter.members)))))
+// unreportedLimit returns how many requests of a tenant that is not near its limit may be unconfirmed
+// by the aggregator.
+func (meter *Meter) unreportedLimit(limit *tenantLimit) int64 {
+	return max(1, int64(limit.errorPart/float64(max(1, len(meter.members)))))
 }
 
-// Return gives back a request that was allowed and has not run.
+// Return gives back a request that was allowed but did not run.
 func (meter *Meter) Return(tenant string) {
-	if limit := meter.Limits().named[tenant]; limit != nil {
-		meter.guard.Lock()
+	if limit := meter.Limits().byName[tenant]; limit != nil {
+		meter.mutex.Lock()
 		meter.out.add(limit.key, -1, 0)
-		meter.guard.Unlock()
+		meter.mutex.Unlock()
 	}
 }
 
-// fly begins an exchange with the hub unless one is under way; who holds the guard calls it.
-func (meter *Meter) fly() {
-	if meter.isFlying {
-		meter.isDue = true
+// startReport starts a report to the aggregator, or has the one in progress followed by another. The
+// caller holds the mutex.
+func (meter *Meter) startReport() {
+	if meter.isReporting {
+		meter.isReportDue = true
 		return
 	}
-	meter.isFlying = true
+	meter.isReporting = true
 	meter.World.Go(func() {
-		for meter.exchange() {
+		for meter.reportOnce() {
 		}
 	})
 }
 
-// exchange tells the hub what was let through, and gives those that wait its word. It tells
-// whether there is more to do.
-func (meter *Meter) exchange() bool {
+// reportOnce sends one report to the aggregator and gives the waiters their decisions. It returns
+// whether another report is due.
+func (meter *Meter) reportOnce() bool {
 	limits := meter.Limits()
-	meter.guard.Lock()
+	meter.mutex.Lock()
 	waiters := meter.waiters
-	meter.waiters, meter.isDue = nil, false
-	meter.guard.Unlock()
-	var word *Word
+	meter.waiters, meter.isReportDue = nil, false
+	meter.mutex.Unlock()
+	var reply *Word
 	report := Report{From: meter.Self.Incarnation}
-	wants := map[*known]uint64{}
-	var order []*known
-	for _, one := range waiters {
-		if wants[one.limit]++; wants[one.limit] == 1 {
-			order = append(order, one.limit)
+	wants := map[*tenantLimit]uint64{}
+	var order []*tenantLimit
+	for _, waiter := range waiters {
+		if wants[waiter.limit]++; wants[waiter.limit] == 1 {
+			order = append(order, waiter.limit)
 		}
 	}
 	for _, limit := range order {
 		report.Keys, report.Wants = append(report.Keys, limit.key), append(report.Wants, wants[limit])
 	}
-	// Where two hubs in turn gave no answer, this daemon is its own hub until one is found.
-	missed := ""
-	for try := 0; word == nil; try++ {
-		meter.guard.Lock()
+	// If two aggregators in turn do not answer, this daemon is its own aggregator until one does.
+	lastFailed := ""
+	for attempt := 0; reply == nil; attempt++ {
+		meter.mutex.Lock()
 		now := meter.World.Now()
-		if try == mostTries {
+		if attempt == maxAttempts {
 			for _, address := range meter.regions[meter.Self.Region] {
-				meter.shunned[address] = true
+				meter.unresponsive[address] = true
 			}
 		}
-		address := meter.best()
+		address := meter.bestAggregator()
 		report.Former, report.Age = nil, 0
-		if address != meter.at && meter.heard > 0 {
-			told := meter.told
-			report.Former, report.Age = &told, now-meter.heard
-			report.IsBare = meter.moved > 0 && now-meter.moved < limits.Window
+		if address != meter.aggregatorAddress && meter.lastReply > 0 {
+			former := meter.lastPressure
+			report.Former, report.Age = &former, now-meter.lastReply
+			report.IsBare = meter.lastMove > 0 && now-meter.lastMove < limits.Window
 		}
-		report.Seq, report.Since, report.Sums = meter.out.write()
-		meter.guard.Unlock()
-		word = meter.send(address, report, limits)
-		meter.guard.Lock()
+		report.Seq, report.Since, report.Sums = meter.out.compose()
+		meter.mutex.Unlock()
+		reply = meter.send(address, report, limits)
+		meter.mutex.Lock()
 		now = meter.World.Now()
-		if word == nil {
-			// A call may be lost, or late, where nothing is wrong with the hub.
-			if missed == address || try > 0 {
-				meter.shunned[address] = true
+		if reply == nil {
+			// A single call may be lost or late even if the aggregator is healthy.
+			if lastFailed == address || attempt > 0 {
+				meter.unresponsive[address] = true
 			}
-			missed = address
+			lastFailed = address
 		} else {
-			meter.out.confirmed()
-			if address != meter.at && meter.heard > 0 && !report.IsBare {
-				meter.moved = now
+			meter.out.confirm()
+			if address != meter.aggregatorAddress && meter.lastReply > 0 && !report.IsBare {
+				meter.lastMove = now
 			}
-			meter.at, meter.heard, meter.told = address, now, word.Pressure
-			// Those that come behind it are as good as any once it is gone.
+			meter.aggregatorAddress, meter.lastReply, meter.lastPressure = address, now, reply.Pressure
+			// If this aggregator fails, the ones after it are worth another attempt.
 			addresses := meter.regions[meter.Self.Region]
 			for _, other := range addresses[slices.Index(addresses, address)+1:] {
-				delete(meter.shunned, other)
+				delete(meter.unresponsive, other)
 			}
-			meter.pressed = make(map[uint64]bool, len(word.Pressure.Keys))
-			for _, key := range word.Pressure.Keys {
-				meter.pressed[key] = true
+			meter.nearLimit = make(map[uint64]bool, len(reply.Pressure.Keys))
+			for _, key := range reply.Pressure.Keys {
+				meter.nearLimit[key] = true
 			}
 		}
-		meter.guard.Unlock()
+		meter.mutex.Unlock()
 	}
-	for at, limit := range order {
-		left, wait := uint64(0), time.Duration(0)
-		if at < len(word.Granted) && at < len(word.Waits) {
-			left, wait = word.Granted[at], time.Duration(word.Waits[at])*time.Millisecond
+	for i, limit := range order {
+		remaining, wait := uint64(0), time.Duration(0)
+		if i < len(reply.Granted) && i < len(reply.Waits) {
+			remaining, wait = reply.Granted[i], time.Duration(reply.Waits[i])*time.Millisecond
 		}
-		for _, one := range waiters {
-			if one.limit != limit {
+		for _, waiter := range waiters {
+			if waiter.limit != limit {
 				continue
 			}
-			if left > 0 {
-				left--
-				one.box.Put(answer{isAllowed: true})
+			if remaining > 0 {
+				remaining--
+				waiter.mailbox.Put(decision{isAllowed: true})
 			} else {
-				one.box.Put(answer{comeBack: wait})
+				waiter.mailbox.Put(decision{retryAfter: wait})
 			}
 		}
 	}
-	meter.guard.Lock()
-	defer meter.guard.Unlock()
-	meter.isFlying = meter.isDue
-	return meter.isFlying
+	meter.mutex.Lock()
+	defer meter.mutex.Unlock()
+	meter.isReporting = meter.isReportDue
+	return meter.isReporting
 }
 
-// send gives a report to a hub; nil if it did not answer.
+// send sends a report to an aggregator and returns its reply, or nil if there was none.
 func (meter *Meter) send(address string, report Report, limits *Limits) *Word {
 	if address == meter.Self.Wire {
-		word := meter.report(report)
-		return &word
+		reply := meter.report(report)
+		return &reply
 	}
-	word := new(Word)
-	if meter.Net.Call(address, "Quota.Report", report, word, limits.wait()) != nil {
+	reply := new(Word)
+	if meter.Net.Call(address, "Quota.Report", report, reply, limits.replyTimeout()) != nil {
 		return nil
 	}
-	return word
+	return reply
 }
 
-// mostTries is how many calls are made until a daemon goes by its own share: two to one hub
-// and one to the next.
-const mostTries = 3
+// maxAttempts is the number of calls before a daemon falls back to its own share: two to one
+// aggregator and one to the next.
+const maxAttempts = 3
 
-// best is the hub to tell: the first of the region's daemons that answers.
-func (meter *Meter) best() string {
+// bestAggregator returns the address to report to: the first of the region's daemons that is not
+// unresponsive, or this daemon itself.
+func (meter *Meter) bestAggregator() string {
 	for _, address := range meter.regions[meter.Self.Region] {
-		if address == meter.Self.Wire && meter.isReady || address != meter.Self.Wire && !meter.shunned[address] {
+		if address == meter.Self.Wire && meter.isSelfReady || address != meter.Self.Wire && !meter.unresponsive[address] {
 			return address
 		}
 	}
 	return meter.Self.Wire
 }
 
-// enlist takes up the list of daemons. One that has left in order is gone at once. One that
-// is not listed any more may be alive, and alone: it keeps its share for the reserve, and
-// longer where those that hear one another are not the most of all.
-func (meter *Meter) enlist(now time.Duration, list []session.Member, reserve time.Duration, isMost bool) {
+// updateMembers takes over a new member list. A daemon that left gracefully is removed at once. A daemon
+// that is no longer listed may still run in isolation, so it keeps its share for the reserve, and for
+// longer while the mutually reachable daemons are not a majority.
+func (meter *Meter) updateMembers(now time.Duration, list []session.Member, reserve time.Duration, hasMajority bool) {
 	if len(list) != len(meter.list) || len(list) > 0 && &list[0] != &meter.list[0] {
 		meter.list, meter.regions = list, map[string][]string{}
-		for _, one := range meter.members {
-			one.isHere = false
+		for _, member := range meter.members {
+			member.isListed = false
 		}
-		for _, one := range list {
-			if one.Role != session.Data {
+		for _, listed := range list {
+			if listed.Role != session.Data {
 				continue
 			}
-			have := meter.members[one.Name]
-			if have == nil {
-				have = &mate{}
-				meter.members[one.Name] = have
+			known := meter.members[listed.Name]
+			if known == nil {
+				known = &daemon{}
+				meter.members[listed.Name] = known
 			}
-			have.Member, have.isHere = one, true
-			if !one.Leaving || one.Name == meter.Self.Name {
-				meter.regions[one.Region] = append(meter.regions[one.Region], one.Wire)
+			known.Member, known.isListed = listed, true
+			if !listed.Leaving || listed.Name == meter.Self.Name {
+				meter.regions[listed.Region] = append(meter.regions[listed.Region], listed.Wire)
 			}
 		}
 		for region, addresses := range meter.regions {
-			slices.SortFunc(addresses, func(a, b string) int { return cmp.Or(cmp.Compare(rank(b), rank(a)), cmp.Compare(a, b)) })
+			slices.SortFunc(addresses, func(a, b string) int { return cmp.Or(cmp.Compare(priority(b), priority(a)), cmp.Compare(a, b)) })
 			meter.regions[region] = slices.Compact(addresses)
 		}
-		for _, one := range meter.members {
-			if !one.isHere && one.missed == 0 {
-				one.missed = now
-			} else if one.isHere {
-				one.missed = 0
+		for _, member := range meter.members {
+			if !member.isListed && member.unlistedSince == 0 {
+				member.unlistedSince = now
+			} else if member.isListed {
+				member.unlistedSince = 0
 			}
 		}
 	}
-	for name, one := range meter.members {
-		if !one.isHere && name != meter.Self.Name && (one.Leaving || isMost && now-one.missed > reserve) {
+	for name, member := range meter.members {
+		if !member.isListed && name != meter.Self.Name && (member.Leaving || hasMajority && now-member.unlistedSince > reserve) {
 			delete(meter.members, name)
 		}
 	}
 }
 
-// rank is by how much an address comes before others as a hub.
-func rank(address string) uint64 { return weight(0, address) }
+// priority is the rank of an address as aggregator: the highest comes first.
+func priority(address string) uint64 { return weight(0, address) }
 
-// Run tells the hub, and as a hub the others, until the world ends.
+// Run sends reports to the aggregator and, as an aggregator, gossip to the peers. It returns only
+// when its World ends.
 func (meter *Meter) Run() {
-	loop.Every(meter.World, func() time.Duration { return meter.Limits().tell() }, func() bool {
-		meter.turn()
+	loop.Every(meter.World, func() time.Duration { return meter.Limits().reportInterval() }, func() bool {
+		meter.tick()
 		return true
 	})
 }
 
-// turn is one step of Run.
-func (meter *Meter) turn() {
+// tick performs one round of Run.
+func (meter *Meter) tick() {
 	limits := meter.Limits()
 	now := meter.World.Now()
-	list, listed := meter.Members()
+	list, validUntil := meter.Members()
 	if len(list) == 0 {
-		return // it serves nobody yet, and can't count for others
-	}
-	meter.hub.guard.Lock()
-	inTouch := meter.hub.inTouch
-	meter.hub.guard.Unlock()
-	meter.guard.Lock()
-	if meter.began == 0 {
-		meter.began = max(1, now)
-	}
-	isYoung := now-meter.began < limits.quiet()
-	meter.enlist(now, list, limits.Reserve+limits.Window, 2*inTouch > len(meter.members))
-	all := len(meter.members)
-	// A daemon without a list for so long may have lost its share to the others.
-	isOver := now > listed+limits.Reserve && 2*inTouch <= all
-	if len(limits.named) == 0 {
-		meter.guard.Unlock()
-		return // nothing is to be counted
-	}
-	lost := meter.lost()
-	isBetter := !meter.isReady && meter.at != meter.Self.Wire && rank(meter.Self.Wire) > rank(meter.at)
-	meter.fly()
-	meter.guard.Unlock()
-	meter.hub.look(now, limits, all, isYoung, isOver)
-	if isReady := !isBetter || meter.hub.prepare(now); isReady && !isYoung {
-		meter.guard.Lock()
-		meter.isReady = true
-		meter.guard.Unlock()
-	}
-	for _, address := range lost {
-		meter.World.Go(func() { meter.hail(address, limits.wait()) })
-	}
-	meter.share()
+		return // the daemon serves no requests yet and cannot count for others
+	}
+	meter.aggregator.mutex.Lock()
+	reachable := meter.aggregator.reachable
+	meter.aggregator.mutex.Unlock()
+	meter.mutex.Lock()
+	if meter.firstListed == 0 {
+		meter.firstListed = max(1, now)
+	}
+	isStarting := now-meter.firstListed < limits.unreachableAfter()
+	meter.updateMembers(now, list, limits.Reserve+limits.Window, 2*reachable > len(meter.members))
+	allDaemons := len(meter.members)
+	// After so long without a valid member list, the others may have taken over this daemon's share.
+	isExpired := now > validUntil+limits.Reserve && 2*reachable <= allDaemons
+	if len(limits.byName) == 0 {
+		meter.mutex.Unlock()
+		return // there is nothing to count
+	}
+	toProbe := meter.unresponsiveAggregators()
+	outranksCurrent := !meter.isSelfReady && meter.aggregatorAddress != meter.Self.Wire && priority(meter.Self.Wire) > priority(meter.aggregatorAddress)
+	meter.startReport()
+	meter.mutex.Unlock()
+	meter.aggregator.update(now, limits, allDaemons, isStarting, isExpired)
+	if isReady := !outranksCurrent || meter.aggregator.prepare(now); isReady && !isStarting {
+		meter.mutex.Lock()
+		meter.isSelfReady = true
+		meter.mutex.Unlock()
+	}
+	for _, address := range toProbe {
+		meter.World.Go(func() { meter.probe(address, limits.replyTimeout()) })
+	}
+	meter.gossip()
 }
 
-// lost are hubs that come before the one at hand and gave no answer, to be hailed: the first
-// one, and some of the others by lot.
-func (meter *Meter) lost() (out []string) {
+// unresponsiveAggregators returns the aggregators to probe: of those that precede the current one and
+// did not answer, the first and a random selection of the others.
+func (meter *Meter) unresponsiveAggregators() (out []string) {
 	for _, address := range meter.regions[meter.Self.Region] {
-		if address == meter.Self.Wire && !meter.isReady {
+		if address == meter.Self.Wire && !meter.isSelfReady {
 			continue
 		}
-		if !meter.shunned[address] || address == meter.Self.Wire {
+		if !meter.unresponsive[address] || address == meter.Self.Wire {
 			break
 		}
 		out = append(out, address)
 	}
-	for at := 1; at < len(out); at++ {
-		other := at + int(meter.World.Draw(int64(len(out)-at)))
-		out[at], out[other] = out[other], out[at]
+	for i := 1; i < len(out); i++ {
+		other := i + int(meter.World.Draw(int64(len(out)-i)))
+		out[i], out[other] = out[other], out[i]
 	}
-	return out[:min(len(out), mostHails)]
+	return out[:min(len(out), maxProbes)]
 }
 
-// mostHails is how many hubs that gave no answer are hailed at a time.
-const mostHails = 4
+// maxProbes is the number of unresponsive aggregators to probe per round.
+const maxProbes = 4
 
-// hail has a hub tried again if it answers.
-func (meter *Meter) hail(address string, patience time.Duration) {
+// probe checks an unresponsive aggregator and makes it eligible again if it answers.
+func (meter *Meter) probe(address string, timeout time.Duration) {
 	answered := ""
-	if meter.Net.Call(address, "Quota.Hail", meter.Self.Incarnation, &answered, patience) == nil {
-		meter.guard.Lock()
-		delete(meter.shunned, address)
-		meter.guard.Unlock()
+	if meter.Net.Call(address, "Quota.Hail", meter.Self.Incarnation, &answered, timeout) == nil {
+		meter.mutex.Lock()
+		delete(meter.unresponsive, address)
+		meter.mutex.Unlock()
 	}
 }
 
-// colleagues are the hubs to exchange with: of each other region the first that answers,
-// those of this region that come before this one, and whoever told this hub of late.
-func (meter *Meter) colleagues(now time.Duration) (out []string) {
+// peerAddresses returns the peers to send gossip to: the first responsive daemon of each region that
+// precedes this one in its order. gossip adds those that this aggregator heard from recently.
+func (meter *Meter) peerAddresses(now time.Duration) (out []string) {
 	for _, addresses := range meter.regions {
 		for _, address := range addresses {
 			if address == meter.Self.Wire {
 				break
 			}
-			if now >= meter.avoided[address] {
+			if now >= meter.avoidUntil[address] {
 				out = append(out, address)
 				break
 			}
@@ -415,148 +421,149 @@
 	return out
 }
 
-// share has each colleague told, but for those that are being told.
-func (meter *Meter) share() {
+// gossip sends a message to each peer. If one is already in progress, the next follows it.
+func (meter *Meter) gossip() {
 	now := meter.World.Now()
-	meter.hub.guard.Lock()
-	isOpen := meter.hub.isOpen
-	meter.hub.isHurried = false
+	meter.aggregator.mutex.Lock()
+	isActive := meter.aggregator.isActive
+	meter.aggregator.isUrgent = false
 	var addresses []string
-	for address, one := range meter.hub.colleagues {
-		if now-one.in.heard < 2*meter.hub.limits.quiet() && one.in.heard > 0 {
+	for address, peer := range meter.aggregator.peers {
+		if now-peer.in.lastHeard < 2*meter.aggregator.limits.unreachableAfter() && peer.in.lastHeard > 0 {
 			addresses = append(addresses, address)
 		}
 	}
-	meter.hub.guard.Unlock()
-	if !isOpen {
+	meter.aggregator.mutex.Unlock()
+	if !isActive {
 		return
 	}
-	meter.guard.Lock()
-	addresses = append(addresses, meter.colleagues(now)...)
+	meter.mutex.Lock()
+	addresses = append(addresses, meter.peerAddresses(now)...)
 	slices.Sort(addresses)
 	for _, address := range slices.Compact(addresses) {
-		one := meter.flights[address]
-		if one == nil {
-			one = &flight{}
-			meter.flights[address] = one
+		exchange := meter.exchanges[address]
+		if exchange == nil {
+			exchange = &peerExchange{}
+			meter.exchanges[address] = exchange
 		}
-		one.isDue = true
-		if one.isUnderWay {
+		exchange.isDue = true
+		if exchange.isRunning {
 			continue
 		}
-		one.isUnderWay = true
+		exchange.isRunning = true
 		meter.World.Go(func() {
-			for meter.post(address, one) {
+			for meter.gossipOnce(address, exchange) {
 			}
 		})
 	}
-	meter.guard.Unlock()
+	meter.mutex.Unlock()
 }
 
-// post tells another hub once, and whether to tell it again.
-func (meter *Meter) post(address string, flight *flight) bool {
+// gossipOnce sends one message to a peer and returns whether another one is due.
+func (meter *Meter) gossipOnce(address string, exchange *peerExchange) bool {
 	limits := meter.Limits()
-	meter.guard.Lock()
-	flight.isDue = false
-	meter.guard.Unlock()
-	letter, isOpen := meter.hub.write(meter.World.Now(), address, meter.Self.Wire)
-	var heard Heard
-	if isOpen {
-		err := meter.Net.Call(address, "Quota.Share", letter, &heard, limits.quiet()/2)
+	meter.mutex.Lock()
+	exchange.isDue = false
+	meter.mutex.Unlock()
+	message, isActive := meter.aggregator.composeGossip(meter.World.Now(), address, meter.Self.Wire)
+	var reply Heard
+	if isActive {
+		err := meter.Net.Call(address, "Quota.Share", message, &reply, limits.unreachableAfter()/2)
 		now := meter.World.Now()
 		if err == nil {
-			meter.hub.answered(now, address, letter, heard)
+			meter.aggregator.confirmGossip(now, address, message, reply)
 		} else {
-			meter.guard.Lock()
-			meter.avoided[address] = now + limits.Window/shunParts
-			meter.guard.Unlock()
+			meter.mutex.Lock()
+			meter.avoidUntil[address] = now + limits.Window/avoidParts
+			meter.mutex.Unlock()
 		}
-		loop.Sleep(meter.World, limits.Window/hurryParts)
+		loop.Sleep(meter.World, limits.Window/urgentGapParts)
 	}
-	meter.guard.Lock()
-	defer meter.guard.Unlock()
-	flight.isUnderWay = flight.isDue && isOpen
-	return flight.isUnderWay
+	meter.mutex.Lock()
+	defer meter.mutex.Unlock()
+	exchange.isRunning = exchange.isDue && isActive
+	return exchange.isRunning
 }
 
-// report takes a report as a hub, and tells others soon if that is due.
+// report processes a report as the aggregator and, if it is urgent, sends gossip at once.
 func (meter *Meter) report(report Report) Word {
-	word, isHurried := meter.hub.report(meter.World.Now(), report)
-	if isHurried {
-		meter.share()
+	reply, isUrgent := meter.aggregator.report(meter.World.Now(), report)
+	if isUrgent {
+		meter.gossip()
 	}
-	return word
+	return reply
 }
 
-// errNew is what a daemon answers that does not know the limits yet.
-var errNew = errors.New("this daemon has no list of daemons yet")
+// errNotReady is the error of a daemon that has not had a member list for long enough, or that has
+// not yet obtained the bucket levels from other aggregators.
+var errNotReady = errors.New("this daemon is not ready to aggregate quota reports yet")
 
-// isNew tells whether it has none, or has had one for too short a time for it to be whole.
-func (meter *Meter) isNew() bool {
-	meter.guard.Lock()
-	defer meter.guard.Unlock()
-	return meter.began == 0 || meter.World.Now()-meter.began < meter.Limits().quiet()
+// isStarting reports whether the daemon has no member list yet, or has had one for too short a time
+// for the list to be complete.
+func (meter *Meter) isStarting() bool {
+	meter.mutex.Lock()
+	defer meter.mutex.Unlock()
+	return meter.firstListed == 0 || meter.World.Now()-meter.firstListed < meter.Limits().unreachableAfter()
 }
 
-// Service is what daemons call of one another.
+// Service holds the methods that daemons call on one another.
 type Service struct{ Meter *Meter }
 
-// Report takes a daemon's report.
-func (service Service) Report(report Report, word *Word) error {
-	if service.Meter.isNew() {
-		return errNew
+// Report processes a daemon's report.
+func (service Service) Report(report Report, reply *Word) error {
+	if service.Meter.isStarting() {
+		return errNotReady
 	}
-	*word = service.Meter.report(report)
+	*reply = service.Meter.report(report)
 	return nil
 }
 
-// Share takes another hub's letter.
-func (service Service) Share(letter Letter, heard *Heard) error {
-	*heard = service.Meter.hub.hear(service.Meter.World.Now(), letter)
+// Share processes another aggregator's gossip message.
+func (service Service) Share(message Letter, reply *Heard) error {
+	*reply = service.Meter.aggregator.receiveGossip(service.Meter.World.Now(), message)
 	return nil
 }
 
-// Hail answers that this daemon is there.
+// Hail answers a probe. It fails until this daemon is ready to be an aggregator.
 func (service Service) Hail(_ string, incarnation *string) error {
 	meter := service.Meter
-	if meter.isNew() || !meter.hub.prepare(meter.World.Now()) {
-		meter.share()
-		return errNew
+	if meter.isStarting() || !meter.aggregator.prepare(meter.World.Now()) {
+		meter.gossip()
+		return errNotReady
 	}
 	*incarnation = service.Meter.Self.Incarnation
 	return nil
 }
 
-// Tenant is a tenant under pressure, as a daemon was told.
+// Tenant is a tenant near its limit, as last reported by the aggregator.
 type Tenant struct {
 	Name  string  `json:"tenant"`
 	Level float64 `json:"level"`
-	// PerSecond and Burst are its limit.
+	// PerSecond and Burst are the tenant's limit.
 	PerSecond float64 `json:"per_s"`
 	Burst     float64 `json:"burst"`
 }
 
-// Status is what a daemon knows of limits.
+// Status is a daemon's view of the limits.
 type Status struct {
-	// Hub is the wire address of the daemon that this one tells, Age how long ago it
-	// answered.
+	// Hub is the wire address of the daemon's aggregator, Age the time since its last reply.
 	Hub string `json:"hub"`
 	Age int64  `json:"age_ms"`
-	// Share is the part of the limits that daemons in touch with one another go by.
+	// Share is the fraction of the limits that this group of mutually reachable daemons uses.
 	Share float64  `json:"share"`
 	Near  []Tenant `json:"near_limit"`
 }
 
-// Status tells it.
+// Status returns the daemon's current view of the limits.
 func (meter *Meter) Status() Status {
 	limits := meter.Limits()
-	meter.guard.Lock()
-	defer meter.guard.Unlock()
-	out := Status{Hub: meter.at, Age: (meter.World.Now() - meter.heard).Milliseconds(), Share: meter.told.Share, Near: []Tenant{}}
-	for at, key := range meter.told.Keys {
-		if limit := limits.keyed[key]; limit != nil {
-			out.Near = append(out.Near, Tenant{limit.Tenant, meter.told.Levels[at], limit.PerSecond, limit.Burst})
+	meter.mutex.Lock()
+	defer meter.mutex.Unlock()
+	status := Status{Hub: meter.aggregatorAddress, Age: (meter.World.Now() - meter.lastReply).Milliseconds(), Share: meter.lastPressure.Share, Near: []Tenant{}}
+	for i, key := range meter.lastPressure.Keys {
+		if limit := limits.byKey[key]; limit != nil {
+			status.Near = append(status.Near, Tenant{limit.Tenant, meter.lastPressure.Levels[i], limit.PerSecond, limit.Burst})
 		}
 	}
-	return out
+	return status
 }
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -1,7 +1,8 @@
-// Package quota counts tenants' requests over all data daemons as one whole. The daemons of a
-// region tell one of them, the hub, what they let through; hubs tell one another. Each hub
-// keeps the same bucket of every tenant, and how far a daemon or a hub may run ahead of what
-// the others know bounds the error. Control daemons have no part in it.
+// Package quota enforces per-tenant rate limits across all data daemons. The daemons of a region
+// report the requests they let through to one of them, the region's aggregator; the aggregators
+// exchange these counts by gossip. Each aggregator keeps a replica of every tenant's token bucket.
+// The error is bounded by how many requests a daemon or an aggregator may let through before the
+// others have confirmed that they know of them. Control daemons take no part in it.
 package quota
 
 import (
@@ -11,58 +12,59 @@
 	"swifttiller/session"
 )
 
-// Limit is what a tenant may make over all data daemons together: PerSecond requests a second,
-// and Burst on top.
+// Limit is a tenant's rate limit over all data daemons together: PerSecond requests a second
+// with bursts of up to Burst requests.
 type Limit struct {
 	Tenant           string
 	PerSecond, Burst float64
 }
 
-// Terms say how exactly limits are kept: in no span of Window does a tenant make more than
-// (PerSecond x Window + Burst) x (1 + Excess) + Slack.
+// Terms set the accuracy with which limits are enforced: within any span of Window, a tenant makes
+// at most (PerSecond x Window + Burst) x (1 + Excess) + Slack requests.
 type Terms struct {
 	Window        time.Duration
 	Excess, Slack float64
-	// Reserve is for how long a daemon that is not heard any more keeps its share.
+	// Reserve is for how long a daemon that is no longer heard from keeps its share of the limits.
 	Reserve time.Duration
 }
 
-// Ratios of the window.
+// Intervals and timeouts, as fractions of the window.
 const (
-	tellParts  = 20  // of a window: how often a daemon tells its hub, and hubs one another
-	waitParts  = 50  // how long an answer of a hub in the region is waited for
-	quietParts = 8   // after how long who was not heard is taken to be out of touch
-	hurryParts = 125 // how long a hub that hurries leaves a colleague alone
-	shunParts  = 5   // for how long a hub that gave no answer is left alone
+	reportParts       = 20  // interval of a daemon's reports to its aggregator, and of the gossip between aggregators
+	replyTimeoutParts = 50  // timeout of a call to an aggregator in the region
+	unreachableParts  = 8   // a daemon not heard from for this long counts as unreachable
+	urgentGapParts    = 125 // shortest interval between urgent gossip messages to the same peer
+	avoidParts        = 5   // for how long an aggregator that did not answer is not contacted
 )
 
-// errorParts are the four parts of the error that the terms allow, each of which has a use of
-// its own: what a bucket holds above the burst; what daemons let through that their hub has
-// not heard of; what a region lets through that other hubs have not heard of; and what a hub
-// that begins without knowledge starts with.
+// errorParts is the number of equal parts into which the permitted error is divided. They cover:
+// the capacity of a bucket above the burst; requests that daemons let through and that their
+// aggregator does not know of yet; requests that a region lets through and that other aggregators
+// do not know of yet; and the tokens with which an aggregator without prior state starts.
 const errorParts = 4
 
-func (terms Terms) tell() time.Duration  { return terms.Window / tellParts }
-func (terms Terms) wait() time.Duration  { return terms.Window / waitParts }
-func (terms Terms) quiet() time.Duration { return terms.Window / quietParts }
+func (terms Terms) reportInterval() time.Duration   { return terms.Window / reportParts }
+func (terms Terms) replyTimeout() time.Duration     { return terms.Window / replyTimeoutParts }
+func (terms Terms) unreachableAfter() time.Duration { return terms.Window / unreachableParts }
 
-// Limits are those that a daemon goes by. They are never changed once made.
+// Limits are the limits that a daemon enforces. They are immutable.
 type Limits struct {
 	Terms
-	named map[string]*known
-	keyed map[uint64]*known
+	byName map[string]*tenantLimit
+	byKey  map[uint64]*tenantLimit
 }
 
-// known is a limit with what follows from it.
-type known struct {
+// tenantLimit is a limit together with values derived from it.
+type tenantLimit struct {
 	Limit
 	key uint64
-	// part is one of the parts of the error, in requests; most is what a bucket holds.
-	part, most float64
+	// errorPart is the size of one part of the error, in requests; capacity is the most tokens
+	// that the bucket holds.
+	errorPart, capacity float64
 }
 
-// keyBits are those of a tenant's key, by which it goes over the wire: of 21,000 tenants two
-// share one in 5,000 fleets.
+// keyBits is the length of the hash that stands for a tenant in messages. With 21,000 tenants,
+// two of them share a key in one of 5,000 fleets.
 const keyBits = 40
 
 func keyOf(name string) uint64 {
@@ -71,24 +73,25 @@
 	return session.Spread(sum.Sum64()) & (1<<keyBits - 1)
 }
 
-// weight is by how much a name comes before others for a key.
+// weight is the rendezvous hashing weight of a name for a key: names with a higher weight come first.
 func weight(key uint64, name string) uint64 {
 	sum := fnv.New64a()
 	_, _ = sum.Write([]byte(name))
 	return session.Spread(sum.Sum64() ^ session.Spread(key))
 }
 
-// Index makes limits be found. Tenants without PerSecond have none.
+// Index builds the lookup tables for a list of limits. A tenant whose PerSecond is not positive
+// has no limit.
 func Index(terms Terms, list []Limit) *Limits {
-	out := &Limits{Terms: terms, named: map[string]*known{}, keyed: map[uint64]*known{}}
-	for _, one := range list {
-		if one.PerSecond <= 0 {
+	index := &Limits{Terms: terms, byName: map[string]*tenantLimit{}, byKey: map[uint64]*tenantLimit{}}
+	for _, entry := range list {
+		if entry.PerSecond <= 0 {
 			continue
 		}
-		limit := &known{Limit: one, key: keyOf(one.Tenant)}
-		limit.part = (terms.Excess*(one.PerSecond*terms.Window.Seconds()+one.Burst) + terms.Slack) / errorParts
-		limit.most = one.Burst + limit.part
-		out.named[one.Tenant], out.keyed[limit.key] = limit, limit
+		limit := &tenantLimit{Limit: entry, key: keyOf(entry.Tenant)}
+		limit.errorPart = (terms.Excess*(entry.PerSecond*terms.Window.Seconds()+entry.Burst) + terms.Slack) / errorParts
+		limit.capacity = entry.Burst + limit.errorPart
+		index.byName[entry.Tenant], index.byKey[limit.key] = limit, limit
 	}
-	return out
+	return index
 }
--- a/quota/tally.go
+++ b/quota/tally.go
@@ -5,108 +5,110 @@
 	"time"
 )
 
-// Sums are counts of requests by tenants' keys: Used are those that were let through, less
-// those that did not run after all; Asked are all.
+// Sums are request counts by tenant key. Used counts the requests that were let through, less those
+// that were returned because they did not run; Asked counts all requests.
 type Sums struct {
 	Keys  []uint64
 	Used  []int64
 	Asked []uint64
 }
 
-type count struct {
-	used  int64
-	asked uint64
+type usage struct {
+	used      int64
+	requested uint64
 }
 
-// outbox has what one other daemon has not confirmed to have been told.
+// outbox holds the counts that one receiver has not confirmed yet.
+// Message seq is the latest one written, message since the latest one confirmed.
 //
-// Invariant: what a letter says, and what the outbox has gathered since it was written, is
-// the whole that its receiver lacks as of the letter numbered since.
+// Invariant: the counts in a message, plus those added to the outbox after it was written, are
+// exactly what the receiver lacks after having applied message since.
 type outbox struct {
-	gathered   map[uint64]count
+	pending    map[uint64]usage
 	seq, since uint64
-	sent       map[uint64]count // by the letter under way
+	sent       map[uint64]usage // counts in the message in flight
 }
 
-func (outbox *outbox) add(key uint64, used int64, asked uint64) {
-	if outbox.gathered == nil {
-		outbox.gathered = map[uint64]count{}
+func (outbox *outbox) add(key uint64, used int64, requested uint64) {
+	if outbox.pending == nil {
+		outbox.pending = map[uint64]usage{}
 	}
-	one := outbox.gathered[key]
-	one.used, one.asked = one.used+used, one.asked+asked
-	if one == (count{}) {
-		delete(outbox.gathered, key)
+	total := outbox.pending[key]
+	total.used, total.requested = total.used+used, total.requested+requested
+	if total == (usage{}) {
+		delete(outbox.pending, key)
 		return
 	}
-	outbox.gathered[key] = one
+	outbox.pending[key] = total
 }
 
-// used is how many the receiver is not known to know of.
-func (outbox *outbox) used(key uint64) int64 { return outbox.gathered[key].used }
+// unconfirmed returns how many used requests of a tenant the receiver has not confirmed.
+func (outbox *outbox) unconfirmed(key uint64) int64 { return outbox.pending[key].used }
 
-// write begins a letter.
-func (outbox *outbox) write() (seq, since uint64, sums Sums) {
+// compose returns the contents of the next message.
+func (outbox *outbox) compose() (seq, since uint64, sums Sums) {
 	outbox.seq++
-	outbox.sent = make(map[uint64]count, len(outbox.gathered))
-	keys := make([]uint64, 0, len(outbox.gathered))
-	for key := range outbox.gathered {
+	outbox.sent = make(map[uint64]usage, len(outbox.pending))
+	keys := make([]uint64, 0, len(outbox.pending))
+	for key := range outbox.pending {
 		keys = append(keys, key)
 	}
 	slices.Sort(keys)
 	for _, key := range keys {
-		one := outbox.gathered[key]
-		outbox.sent[key] = one
-		sums.Keys, sums.Used, sums.Asked = append(sums.Keys, key), append(sums.Used, one.used), append(sums.Asked, one.asked)
+		counts := outbox.pending[key]
+		outbox.sent[key] = counts
+		sums.Keys, sums.Used, sums.Asked = append(sums.Keys, key), append(sums.Used, counts.used), append(sums.Asked, counts.requested)
 	}
 	return outbox.seq, outbox.since, sums
 }
 
-// confirmed takes out what the letter under way told.
-func (outbox *outbox) confirmed() {
-	for key, one := range outbox.sent {
-		outbox.add(key, -one.used, -one.asked)
+// confirm removes the counts of the message in flight, which the receiver has confirmed.
+func (outbox *outbox) confirm() {
+	for key, counts := range outbox.sent {
+		outbox.add(key, -counts.used, -counts.requested)
 	}
 	outbox.sent, outbox.since = nil, outbox.seq
 }
 
-// drop forgets what is not confirmed: it is not to be charged any more.
-func (outbox *outbox) drop() {
-	outbox.gathered, outbox.sent = nil, nil
+// discard drops all unconfirmed counts, so that the receiver is never charged for them.
+func (outbox *outbox) discard() {
+	outbox.pending, outbox.sent = nil, nil
 	outbox.since = outbox.seq
 }
 
-// inbox has what was taken from one sender.
+// inbox holds what was received from one sender.
 //
-// Invariant: of letters that come twice, late or out of turn each request counts once.
+// Invariant: each request counts once, even if messages arrive twice, late or out of order.
 type inbox struct {
 	seq, since uint64
-	taken      map[uint64]count // by letters behind since
-	heard      time.Duration
-	// isGone tells that its sender was out of touch since.
-	isGone bool
+	applied    map[uint64]usage // counts applied from messages after since
+	lastHeard  time.Duration
+	// isUnreachable is set once the sender has timed out, until its next message.
+	isUnreachable bool
 }
 
-// take gives what a letter says that was not taken yet.
-func (inbox *inbox) take(seq, since uint64, sums Sums) map[uint64]count {
+// accept returns the counts in a message that were not applied before. A message with the same
+// since as the one before repeats that one's counts, which are subtracted.
+func (inbox *inbox) accept(seq, since uint64, sums Sums) map[uint64]usage {
 	if seq <= inbox.seq || len(sums.Used) != len(sums.Keys) || len(sums.Asked) != len(sums.Keys) {
 		return nil
 	}
-	fresh := make(map[uint64]count, len(sums.Keys))
-	for at, key := range sums.Keys {
-		fresh[key] = count{sums.Used[at], sums.Asked[at]}
+	reported := make(map[uint64]usage, len(sums.Keys))
+	for i, key := range sums.Keys {
+		reported[key] = usage{sums.Used[i], sums.Asked[i]}
 	}
-	out := fresh
-	if since == inbox.since && len(inbox.taken) > 0 {
-		out = make(map[uint64]count, len(fresh))
-		for key, one := range fresh {
-			out[key] = one
+	out := reported
+	if since == inbox.since && len(inbox.applied) > 0 {
+		out = make(map[uint64]usage, len(reported))
+		for key, counts := range reported {
+			out[key] = counts
 		}
-		for key, one := range inbox.taken {
-			rest := out[key]
-			rest.used, rest.asked = rest.used-one.used, rest.asked-one.asked
-			out[key] = rest
+		for key, counts := range inbox.applied {
+			remaining := out[key]
+			remaining.used, remaining.requested = remaining.used-counts.used, remaining.requested-counts.requested
+			out[key] = remaining
 		}
 	}
-	inbox.seq, inbox.since, inbox.taken = seq, since, fresh
+	inbox.seq, inbox.since, inbox.applied = seq, since, reported
 	return out
 }
