--- a/quota/meter.go
+++ b/quota/meter.go
@@ -550,8 +550,8 @@
 	Hub string `json:"hub"`
 	Age int64  `json:"age_ms"`
 	// Share is the fraction of the limits that this group of mutually reachable daemons uses.
-	Share float64  `json:"share"`
-	Near  []Tenant `json:"near_limit"`
+	Share     float64  `json:"share"`
+	NearLimit []Tenant `json:"near_limit"`
 }
 
 // Status returns the daemon's current view of the limits.
@@ -559,10 +559,10 @@
 	limits := meter.Limits()
 	meter.mutex.Lock()
 	defer meter.mutex.Unlock()
-	status := Status{Hub: meter.aggregatorAddress, Age: (meter.World.Now() - meter.lastReply).Milliseconds(), Share: meter.lastPressure.Share, Near: []Tenant{}}
+	status := Status{Hub: meter.aggregatorAddress, Age: (meter.World.Now() - meter.lastReply).Milliseconds(), Share: meter.lastPressure.Share, NearLimit: []Tenant{}}
 	for i, key := range meter.lastPressure.Keys {
 		if limit := limits.byKey[key]; limit != nil {
-			status.Near = append(status.Near, Tenant{limit.Tenant, meter.lastPressure.Levels[i], limit.PerSecond, limit.Burst})
+			status.NearLimit = append(status.NearLimit, Tenant{limit.Tenant, meter.lastPressure.Levels[i], limit.PerSecond, limit.Burst})
 		}
 	}
 	return status
