--- a/docs/words_test.go
+++ b/docs/words_test.go
@@ -39,7 +39,7 @@
 	"loop":             6,
 	"permit":           26,
 	"platform":         22,
-	"quota":            67,
+	"quota":            3,
 	"register":         98,
 	"replica":          31,
 	"rollout":          7,
