--- a/session/fuzz_test.go
+++ b/session/fuzz_test.go
@@ -12,13 +12,13 @@
 		if marks.GobDecode(data) != nil {
 			return
 		}
-		packed, err := marks.GobEncode()
+		encoded, err := marks.GobEncode()
 		if err != nil {
 			t.Fatal(err)
 		}
-		var again Marks
-		if err := again.GobDecode(packed); err != nil || len(again) != len(marks) {
-			t.Fatal(len(again), len(marks), err)
+		var decoded Marks
+		if err := decoded.GobDecode(encoded); err != nil || len(decoded) != len(marks) {
+			t.Fatal(len(decoded), len(marks), err)
 		}
 	})
 }
--- a/session/session.go
+++ b/session/session.go
@@ -86,13 +86,13 @@
 
 type row struct {
 	Session
-	heard time.Duration
+	lastHeard time.Duration
 	// slot and told are for the colleagues, of a row that was ever heard first hand,
 	// last at firstHand; they are told of it for one span after.
-	slot      uint64
-	told      told
-	firstHand time.Duration
-	sum       uint64 // the member's part of a sum
+	slot       uint64
+	announced  announcement
+	lastDirect time.Duration
+	checksum   uint64 // the member's part of a sum
 }
 
 // Options of a table.
@@ -119,54 +119,54 @@
 // member back.
 type Table struct {
 	Options
-	guard sync.Mutex
-	rows  map[string]*row
-	names []string
-	over  map[string]time.Duration // incarnations that have said goodbye
-	began time.Duration
-	// slots counts the slots given, and serials the contents; neither ever falls.
-	slots, serials uint64
-	own            told                  // this daemon's own word
-	tales          map[string]*tale      // by colleague's incarnation: what it tells
-	colleaguesHave map[string]*colleague // by address: what it is known to have
+	mu        sync.Mutex
+	rows      map[string]*row
+	names     []string
+	ended     map[string]time.Duration // incarnations that have said goodbye
+	startedAt time.Duration
+	// lastSlot counts the slots given, and serials the contents; neither ever falls.
+	lastSlot, lastSerial uint64
+	ownAnnounced         announcement             // this daemon's own word
+	received             map[string]*peerSessions // by colleague's incarnation: what it tells
+	peers                map[string]*peerState    // by address: what it is known to have
 }
 
 // NewTable makes an empty table.
 func NewTable(options Options) *Table {
-	return &Table{Options: options, rows: map[string]*row{}, over: map[string]time.Duration{}, tales: map[string]*tale{}, colleaguesHave: map[string]*colleague{}, began: options.World.Now()}
+	return &Table{Options: options, rows: map[string]*row{}, ended: map[string]time.Duration{}, received: map[string]*peerSessions{}, peers: map[string]*peerState{}, startedAt: options.World.Now()}
 }
 
 // Beat takes a daemon's word.
-func (table *Table) Beat(beat Beat, answer *Answer) error {
+func (table *Table) Beat(beat Beat, reply *Answer) error {
 	now := table.World.Now()
-	table.guard.Lock()
+	table.mu.Lock()
 	if beat.Over {
-		table.over[beat.Member.Incarnation] = now
-		if have := table.rows[beat.Member.Name]; have != nil && have.Member.Incarnation == beat.Member.Incarnation {
-			table.forget(beat.Member.Name)
+		table.ended[beat.Member.Incarnation] = now
+		if current := table.rows[beat.Member.Name]; current != nil && current.Member.Incarnation == beat.Member.Incarnation {
+			table.remove(beat.Member.Name)
 		}
-	} else if _, gone := table.over[beat.Member.Incarnation]; !gone {
-		table.hear(row{Session: Session{Member: beat.Member, Report: beat.Report}, heard: now}, true)
+	} else if _, hasEnded := table.ended[beat.Member.Incarnation]; !hasEnded {
+		table.record(row{Session: Session{Member: beat.Member, Report: beat.Report}, lastHeard: now}, true)
 	}
-	table.guard.Unlock()
-	if answer.Sum = table.Sum(Control); answer.Sum != beat.Known {
-		answer.Controls = table.Members(Control)
-		answer.Sum = Sum(answer.Controls)
+	table.mu.Unlock()
+	if reply.Sum = table.Sum(Control); reply.Sum != beat.Known {
+		reply.Controls = table.Members(Control)
+		reply.Sum = Sum(reply.Controls)
 	}
 	return nil
 }
 
 func (table *Table) self() Member {
 	self := table.Self
-	self.Uptime = table.World.Now() - table.began
+	self.Uptime = table.World.Now() - table.startedAt
 	if table.Tell != nil {
 		table.Tell(&self)
 	}
 	return self
 }
 
-// word is this daemon's own session.
-func (table *Table) word() Session {
+// ownSession is this daemon's own session.
+func (table *Table) ownSession() Session {
 	out := Session{Member: table.self()}
 	if table.Tenants != nil {
 		out.Report.Tenants = table.Tenants()
@@ -178,11 +178,11 @@
 // late: each of them has one control daemon that lists it, but for moments.
 func (table *Table) FirstHand() (out []Session) {
 	now := table.World.Now()
-	table.guard.Lock()
-	defer table.guard.Unlock()
-	for _, one := range table.rows {
-		if one.Member.Role == Data && one.slot > 0 && now-one.firstHand < table.Span() && now-one.heard < table.Span() {
-			out = append(out, one.Session)
+	table.mu.Lock()
+	defer table.mu.Unlock()
+	for _, row := range table.rows {
+		if row.Member.Role == Data && row.slot > 0 && now-row.lastDirect < table.Span() && now-row.lastHeard < table.Span() {
+			out = append(out, row.Session)
 		}
 	}
 	sort.Slice(out, func(a, b int) bool { return out[a].Member.Name < out[b].Member.Name })
@@ -192,30 +192,30 @@
 // Live lists the sessions that stand, by name, this daemon's own included; an empty role
 // means all.
 func (table *Table) Live(role string) []Session {
-	table.guard.Lock()
-	defer table.guard.Unlock()
-	rows := table.live(role, table.word)
+	table.mu.Lock()
+	defer table.mu.Unlock()
+	rows := table.live(role, table.ownSession)
 	now := table.World.Now()
 	out := make([]Session, len(rows))
-	for index, one := range rows {
-		out[index] = one.Session
-		out[index].Age = now - one.heard
+	for index, row := range rows {
+		out[index] = row.Session
+		out[index].Age = now - row.lastHeard
 	}
 	return out
 }
 
 // Members are those of Live, with nothing that control daemons tell only each other.
 func (table *Table) Members(role string) []Member {
-	table.guard.Lock()
-	defer table.guard.Unlock()
+	table.mu.Lock()
+	defer table.mu.Unlock()
 	rows := table.live(role, func() Session {
 		self := table.Self
-		self.Uptime = table.World.Now() - table.began
+		self.Uptime = table.World.Now() - table.startedAt
 		return Session{Member: self}
 	})
 	out := make([]Member, len(rows))
-	for index, one := range rows {
-		out[index] = one.Member
+	for index, row := range rows {
+		out[index] = row.Member
 		out[index].Duties, out[index].Keeps = nil, nil
 	}
 	return out
@@ -223,10 +223,10 @@
 
 // Sum is the sum of Members, without listing them.
 func (table *Table) Sum(role string) (sum uint64) {
-	table.guard.Lock()
-	defer table.guard.Unlock()
-	for _, one := range table.live(role, func() Session { return Session{Member: table.Self} }) {
-		sum = joined(sum, one.sum)
+	table.mu.Lock()
+	defer table.mu.Unlock()
+	for _, row := range table.live(role, func() Session { return Session{Member: table.Self} }) {
+		sum = combine(sum, row.checksum)
 	}
 	return max(1, sum)
 }
@@ -236,53 +236,53 @@
 func (table *Table) live(role string, own func() Session) (out []*row) {
 	now, span := table.World.Now(), table.Span()
 	for _, name := range table.names {
-		if one := table.rows[name]; (role == "" || one.Member.Role == role) && now-one.heard < span {
+		if one := table.rows[name]; (role == "" || one.Member.Role == role) && now-one.lastHeard < span {
 			out = append(out, one)
 		}
 	}
 	if role == "" || role == table.Self.Role {
-		at, _ := slices.BinarySearchFunc(out, table.Self.Name, func(one *row, name string) int { return strings.Compare(one.Member.Name, name) })
-		self := row{Session: own(), heard: now}
-		self.sum = self.Member.sum()
-		out = slices.Insert(out, at, &self)
+		index, _ := slices.BinarySearchFunc(out, table.Self.Name, func(one *row, name string) int { return strings.Compare(one.Member.Name, name) })
+		self := row{Session: own(), lastHeard: now}
+		self.checksum = self.Member.checksum()
+		out = slices.Insert(out, index, &self)
 	}
 	return out
 }
 
-// forget takes a name out of the table; who holds the guard calls it.
-func (table *Table) forget(name string) {
+// remove takes a name out of the table; who holds the guard calls it.
+func (table *Table) remove(name string) {
 	delete(table.rows, name)
-	if at, known := slices.BinarySearch(table.names, name); known {
-		table.names = slices.Delete(table.names, at, at+1)
+	if index, known := slices.BinarySearch(table.names, name); known {
+		table.names = slices.Delete(table.names, index, index+1)
 	}
 }
 
 // Find gives the session that stands under the name, this daemon's own included.
 func (table *Table) Find(name string) (Session, bool) {
 	now := table.World.Now()
-	table.guard.Lock()
-	defer table.guard.Unlock()
+	table.mu.Lock()
+	defer table.mu.Unlock()
 	if name == table.Self.Name {
-		return table.word(), true
+		return table.ownSession(), true
 	}
-	one := table.rows[name]
-	if one == nil {
+	row := table.rows[name]
+	if row == nil {
 		return Session{}, false
 	}
-	session := one.Session
-	session.Age = now - one.heard
+	session := row.Session
+	session.Age = now - row.lastHeard
 	return session, session.Age < table.Span()
 }
 
 // Gone tells for how long each known member has been without a session.
 func (table *Table) Gone() map[string]time.Duration {
 	now := table.World.Now()
-	table.guard.Lock()
-	defer table.guard.Unlock()
+	table.mu.Lock()
+	defer table.mu.Unlock()
 	out := map[string]time.Duration{}
-	for name, one := range table.rows {
-		if unheard := now - one.heard; unheard >= table.Span() {
-			out[name] = unheard - table.Span()
+	for name, row := range table.rows {
+		if silence := now - row.lastHeard; silence >= table.Span() {
+			out[name] = silence - table.Span()
 		}
 	}
 	return out
@@ -290,18 +290,18 @@
 
 // Watched tells for how long this table has been kept. Nobody may be called
 // gone on the word of a table that is younger than a session.
-func (table *Table) Watched() time.Duration { return table.World.Now() - table.began }
+func (table *Table) Watched() time.Duration { return table.World.Now() - table.startedAt }
 
 // Locate gives the present address of an acceptor, if its daemon is a member.
 func (table *Table) Locate(acceptor string) string {
 	if table.Self.Acceptor == acceptor {
 		return table.Self.Wire
 	}
-	table.guard.Lock()
-	defer table.guard.Unlock()
-	for _, one := range table.rows {
-		if one.Member.Acceptor == acceptor && table.World.Now()-one.heard < 4*table.Span() {
-			return one.Member.Wire
+	table.mu.Lock()
+	defer table.mu.Unlock()
+	for _, row := range table.rows {
+		if row.Member.Acceptor == acceptor && table.World.Now()-row.lastHeard < 4*table.Span() {
+			return row.Member.Wire
 		}
 	}
 	return ""
@@ -310,14 +310,14 @@
 // Colleagues are addresses at which control daemons may be: members, seeds, and
 // wherever an acceptor of the core was last known.
 func (table *Table) Colleagues() []string {
-	addresses, _ := table.colleagues()
+	addresses, _ := table.peerAddresses()
 	return addresses
 }
 
-// colleagues are the control daemons to tell: the live ones, of which it gives the
+// peerAddresses are the control daemons to tell: the live ones, of which it gives the
 // count, and then the seeds and wherever an acceptor of the core may be. The core is
 // read off the disk, so daemons that all start at once find each other by it.
-func (table *Table) colleagues() (addresses []string, members int) {
+func (table *Table) peerAddresses() (addresses []string, members int) {
 	seen := map[string]bool{table.Self.Wire: true}
 	add := func(address string) {
 		if !seen[address] {
@@ -325,8 +325,8 @@
 			addresses = append(addresses, address)
 		}
 	}
-	for _, one := range table.Live(Control) {
-		add(one.Member.Wire)
+	for _, session := range table.Live(Control) {
+		add(session.Member.Wire)
 	}
 	members = len(addresses)
 	for _, seed := range table.Seeds() {
@@ -344,26 +344,26 @@
 
 func (table *Table) sweep() {
 	now := table.World.Now()
-	table.guard.Lock()
-	defer table.guard.Unlock()
+	table.mu.Lock()
+	defer table.mu.Unlock()
 	for name, one := range table.rows {
-		if now-one.heard > 100*table.Span() {
-			table.forget(name)
+		if now-one.lastHeard > 100*table.Span() {
+			table.remove(name)
 		}
 	}
-	for incarnation, one := range table.tales {
-		if now-one.heard > 4*table.Span() {
-			delete(table.tales, incarnation)
+	for incarnation, one := range table.received {
+		if now-one.lastHeard > 4*table.Span() {
+			delete(table.received, incarnation)
 		}
 	}
-	for address, one := range table.colleaguesHave {
-		if now-one.answered > 100*table.Span() {
-			delete(table.colleaguesHave, address)
+	for address, one := range table.peers {
+		if now-one.lastReply > 100*table.Span() {
+			delete(table.peers, address)
 		}
 	}
-	for incarnation, when := range table.over {
-		if now-when > 4*table.Span() {
-			delete(table.over, incarnation)
+	for incarnation, endedAt := range table.ended {
+		if now-endedAt > 4*table.Span() {
+			delete(table.ended, incarnation)
 		}
 	}
 }
@@ -380,24 +380,24 @@
 	// order of the seeds.
 	Region, Zone, Name string
 
-	guard    sync.Mutex
-	controls []Member
-	known    uint64 // the sum of controls
-	at       string
-	waker    *loop.Waker
-	listed   uint64 // how often the addresses were listed
-	// shunned is until when a control daemon that gave no good answer comes last.
-	shunned map[string]time.Duration
+	mu          sync.Mutex
+	controls    []Member
+	controlsSum uint64 // the sum of controls
+	current     string
+	waker       *loop.Waker
+	listings    uint64 // how often the addresses were listed
+	// deprioritizedUntil is until when a control daemon that gave no good answer comes last.
+	deprioritizedUntil map[string]time.Duration
 }
 
-// homeward is every how many asks a daemon turns to its own zone's control daemons.
-const homeward = 32
+// ownZoneEvery is every how many asks a daemon turns to its own zone's control daemons.
+const ownZoneEvery = 32
 
 // Controls are addresses of control daemons, the best first.
 func (client *Client) Controls() []string {
-	client.guard.Lock()
-	defer client.guard.Unlock()
-	client.listed++
+	client.mu.Lock()
+	defer client.mu.Unlock()
+	client.listings++
 	var addresses []string
 	seen := map[string]bool{}
 	add := func(address string) {
@@ -406,42 +406,44 @@
 			addresses = append(addresses, address)
 		}
 	}
-	near := func(wanted bool) {
+	addRegion := func(isOwn bool) {
 		// The one that answered last comes first among the near, but now and then those in
 		// the zone, as all daemons of a region would otherwise stay with its seed.
-		isLast := func(member Member) bool { return member.Wire == client.at }
+		isLast := func(member Member) bool { return member.Wire == client.current }
 		isHere := func(member Member) bool { return member.Zone == client.Zone }
 		order := []func(member Member) bool{isLast, isHere, func(Member) bool { return true }}
-		if client.listed%homeward == 0 {
+		if client.listings%ownZoneEvery == 0 {
 			order[0], order[1] = isHere, isLast
 		}
-		for _, isSo := range order {
+		for _, matches := range order {
 			for _, member := range client.controls {
-				if (member.Region == client.Region) == wanted && isSo(member) && !member.Leaving {
+				if (member.Region == client.Region) == isOwn && matches(member) && !member.Leaving {
 					add(member.Wire)
 				}
 			}
 		}
 	}
-	near(true)
-	add(client.at)
-	near(false)
+	addRegion(true)
+	add(client.current)
+	addRegion(false)
 	// Of the seeds nothing else is known. Daemons that all begin at once would be too many
 	// for the one that comes first, so each has an order of its own.
 	seeds := slices.Clone(client.Seeds())
-	slices.SortStableFunc(seeds, func(a, b string) int { return cmp.Compare(drawn(client.Name, a), drawn(client.Name, b)) })
+	slices.SortStableFunc(seeds, func(a, b string) int {
+		return cmp.Compare(rendezvousWeight(client.Name, a), rendezvousWeight(client.Name, b))
+	})
 	for _, seed := range seeds {
 		add(seed)
 	}
 	now := client.World.Now()
 	sort.SliceStable(addresses, func(a, b int) bool {
-		return now >= client.shunned[addresses[a]] && now < client.shunned[addresses[b]]
+		return now >= client.deprioritizedUntil[addresses[a]] && now < client.deprioritizedUntil[addresses[b]]
 	})
 	return addresses
 }
 
-// drawn is the rendezvous weight of a control daemon's address for the named daemon.
-func drawn(name, address string) uint64 {
+// rendezvousWeight is the rendezvous weight of a control daemon's address for the named daemon.
+func rendezvousWeight(name, address string) uint64 {
 	sum := fnv.New64a()
 	_, _ = sum.Write([]byte(name + "/" + address))
 	return Spread(sum.Sum64())
@@ -455,82 +457,82 @@
 	return sum ^ sum>>32
 }
 
-// shunnedSpans is for how many sessions a control daemon that gave no good answer
+// deprioritizedSpans is for how many sessions a control daemon that gave no good answer
 // comes last.
-const shunnedSpans = 4
+const deprioritizedSpans = 4
 
 // A daemon that begins anew and can't reach the control daemon that it drew tries that one
 // again, startPause apart, for a part of a session's span: after a power cut all begin at
 // once, and all daemons would else go on to the control daemon that is there first.
 const (
-	startShare = 4
-	startPause = 30 * time.Millisecond
+	startRetryShare = 4
+	startRetryPause = 30 * time.Millisecond
 )
 
 // isNew tells whether no control daemon has told this daemon of others yet.
 func (client *Client) isNew() bool {
-	client.guard.Lock()
-	defer client.guard.Unlock()
-	return client.known == 0 && client.at == ""
+	client.mu.Lock()
+	defer client.mu.Unlock()
+	return client.controlsSum == 0 && client.current == ""
 }
 
 // Ask calls the control daemons in turn until one gives an answer that will do,
 // and stays with that one. If none does, the last that answered is heard.
-func (client *Client) Ask(method string, args any, fresh func() any, willDo func(reply any) bool, patience time.Duration) (any, error) {
-	var last error
-	var poor any
-	expiry := client.World.Now()
+func (client *Client) Ask(method string, args any, newReply func() any, isAcceptable func(reply any) bool, timeout time.Duration) (any, error) {
+	var lastErr error
+	var rejected any
+	retryUntil := client.World.Now()
 	if client.isNew() {
-		expiry += client.Span() / startShare
+		retryUntil += client.Span() / startRetryShare
 	}
 	for _, address := range client.Controls() {
-		reply := fresh()
-		err := client.Net.Call(address, method, args, reply, patience)
-		for wire.Unsent(err) && client.World.Now() < expiry && !client.World.Ended() {
-			loop.Sleep(client.World, startPause)
-			err = client.Net.Call(address, method, args, reply, patience)
+		reply := newReply()
+		err := client.Net.Call(address, method, args, reply, timeout)
+		for wire.Unsent(err) && client.World.Now() < retryUntil && !client.World.Ended() {
+			loop.Sleep(client.World, startRetryPause)
+			err = client.Net.Call(address, method, args, reply, timeout)
 		}
-		if err == nil && willDo(reply) {
-			client.guard.Lock()
-			client.at = address
-			delete(client.shunned, address)
-			client.guard.Unlock()
+		if err == nil && isAcceptable(reply) {
+			client.mu.Lock()
+			client.current = address
+			delete(client.deprioritizedUntil, address)
+			client.mu.Unlock()
 			return reply, nil
 		}
 		if err == nil {
-			poor = reply
+			rejected = reply
 		}
-		last = err
-		client.guard.Lock()
-		if client.at == address {
-			client.at = ""
+		lastErr = err
+		client.mu.Lock()
+		if client.current == address {
+			client.current = ""
 		}
-		if client.shunned == nil {
-			client.shunned = map[string]time.Duration{}
+		if client.deprioritizedUntil == nil {
+			client.deprioritizedUntil = map[string]time.Duration{}
 		}
-		client.shunned[address] = client.World.Now() + shunnedSpans*client.Span()
-		client.guard.Unlock()
+		client.deprioritizedUntil[address] = client.World.Now() + deprioritizedSpans*client.Span()
+		client.mu.Unlock()
 	}
-	if poor != nil {
-		return poor, nil
+	if rejected != nil {
+		return rejected, nil
 	}
-	return nil, last
+	return nil, lastErr
 }
 
 // Run beats until the world ends.
 func (client *Client) Run() {
-	client.beater().Run(client.World, func() time.Duration { return client.Span() / 6 }, func() bool {
+	client.heartbeatWaker().Run(client.World, func() time.Duration { return client.Span() / 6 }, func() bool {
 		client.Say(client.Describe())
 		return true
 	})
 }
 
 // Hurry beats soon.
-func (client *Client) Hurry() { client.beater().Wake() }
+func (client *Client) Hurry() { client.heartbeatWaker().Wake() }
 
-func (client *Client) beater() *loop.Waker {
-	client.guard.Lock()
-	defer client.guard.Unlock()
+func (client *Client) heartbeatWaker() *loop.Waker {
+	client.mu.Lock()
+	defer client.mu.Unlock()
 	if client.waker == nil {
 		client.waker = loop.NewWaker(client.World)
 	}
@@ -539,17 +541,17 @@
 
 // Say gives one beat and learns from the answer.
 func (client *Client) Say(beat Beat) bool {
-	client.guard.Lock()
-	beat.Known = client.known
-	client.guard.Unlock()
+	client.mu.Lock()
+	beat.Known = client.controlsSum
+	client.mu.Unlock()
 	reply, err := client.Ask("Session.Beat", beat, func() any { return new(Answer) }, func(any) bool { return true }, client.Span()/4)
 	if err != nil {
 		return false
 	}
-	client.guard.Lock()
-	defer client.guard.Unlock()
-	if answer := reply.(*Answer); answer.Sum != client.known {
-		client.controls, client.known = answer.Controls, answer.Sum
+	client.mu.Lock()
+	defer client.mu.Unlock()
+	if answer := reply.(*Answer); answer.Sum != client.controlsSum {
+		client.controls, client.controlsSum = answer.Controls, answer.Sum
 	}
 	return true
 }
--- a/session/session_test.go
+++ b/session/session_test.go
@@ -14,78 +14,78 @@
 	"swifttiller/standing"
 )
 
-type service struct{ *session.Table }
+type shareService struct{ *session.Table }
 
-func (service service) Share(shared session.Shared, back *session.Shared) error {
+func (service shareService) Share(shared session.Shared, back *session.Shared) error {
 	return service.Table.Share(shared, back)
 }
 
 func TestControlDaemonsBesideTheSeedsKnowEachOther(t *testing.T) {
 	Convey("two control daemons that are nobody's seed learn of each other through one that is", t, func() {
-		park := sim.New(1)
+		cluster := sim.New(1)
 		tables := map[string]*session.Table{}
 		for _, name := range []string{"seed", "x", "y"} {
-			park.Start(name, func(node *sim.Node) {
+			cluster.Start(name, func(node *sim.Node) {
 				table := session.NewTable(session.Options{
 					World: node, Net: sim.Net{Node: node}, Seeds: func() []string { return []string{"seed"} }, Keeper: &register.Keeper{}, Span: func() time.Duration { return time.Second },
 					Self: session.Member{Name: name, Incarnation: name, Role: session.Control, Wire: name},
 				})
 				tables[name] = table
 				server := rpc.NewServer()
-				if err := server.RegisterName("Session", service{table}); err != nil {
+				if err := server.RegisterName("Session", shareService{table}); err != nil {
 					panic(err)
 				}
 				node.Serve(server)
 				table.Run()
 			})
 		}
-		names := func(of string) (names []string) {
-			for _, one := range tables[of].Live(session.Control) {
-				names = append(names, one.Member.Name)
+		names := func(name string) (names []string) {
+			for _, control := range tables[name].Live(session.Control) {
+				names = append(names, control.Member.Name)
 			}
 			return names
 		}
-		park.Run(2 * time.Second)
+		cluster.Run(2 * time.Second)
 		So(names("x"), ShouldResemble, []string{"seed", "x", "y"})
 		So(names("y"), ShouldResemble, []string{"seed", "x", "y"})
-		park.Kill("y")
-		park.Run(1500 * time.Millisecond)
+		cluster.Kill("y")
+		cluster.Run(1500 * time.Millisecond)
 		So(names("x"), ShouldResemble, []string{"seed", "x"})
 	})
 }
 
 func TestSumsOfTables(t *testing.T) {
 	Convey("a table's sum is that of its members, whatever has changed", t, func() {
-		circle := newCircle(3)
-		defer circle.Close()
+		cluster := newTestCluster(3)
+		defer cluster.Close()
 		check := func() {
 			for _, name := range []string{"x", "y", "z"} {
-				table := circle.tables[name]
+				table := cluster.tables[name]
 				for _, role := range []string{"", session.Data, session.Control} {
 					So(table.Sum(role), ShouldEqual, session.Sum(table.Members(role)))
 				}
 			}
 		}
-		circle.Run(time.Second)
+		cluster.Run(time.Second)
 		check()
-		before := circle.tables["x"].Sum("")
+		before := cluster.tables["x"].Sum("")
 		for index := 0; index < 20; index++ {
-			circle.beats(fmt.Sprint("d", index), "x", func() standing.Report { return standing.Report{} })
-			circle.Run(50 * time.Millisecond)
+			cluster.startData(fmt.Sprint("d", index), "x", func() standing.Report { return standing.Report{} })
+			cluster.Run(50 * time.Millisecond)
 			check()
 		}
-		So(circle.tables["x"].Sum(""), ShouldNotEqual, before)
-		all := circle.tables["x"].Sum("")
-		circle.Kill("d3")
-		circle.Kill("y")
+		So(cluster.tables["x"].Sum(""), ShouldNotEqual, before)
+		all := cluster.tables["x"].Sum("")
+		cluster.Kill("d3")
+		cluster.Kill("y")
 		for range 30 {
-			circle.Run(100 * time.Millisecond)
+			cluster.Run(100 * time.Millisecond)
 			for _, name := range []string{"x", "z"} {
-				table := circle.tables[name]
+				table := cluster.tables[name]
 				So(table.Sum(""), ShouldEqual, session.Sum(table.Members("")))
 			}
 		}
-		So(circle.tables["x"].Sum(""), ShouldNotEqual, all)
+		So(cluster.tables["x"].Sum(""), ShouldNotEqual, all)
 		So(session.Sum([]session.Member{{Name: "a"}, {Name: "b"}}), ShouldNotEqual, session.Sum([]session.Member{{Name: "b"}, {Name: "a"}}))
 	})
 }
--- a/session/share.go
+++ b/session/share.go
@@ -37,12 +37,12 @@
 	Lacks []uint64
 }
 
-// packedFrom is from how many contents on they are packed: fewer are short.
-const packedFrom = 4
+// minPacked is from how many contents on they are packed: fewer are short.
+const minPacked = 4
 
 // pack packs the contents, if they are many.
 func (shared *Shared) pack() {
-	if len(shared.Sessions) >= packedFrom {
+	if len(shared.Sessions) >= minPacked {
 		shared.Packed, shared.Sessions = wire.PackValue(shared.Sessions), nil
 	}
 }
@@ -92,26 +92,26 @@
 			out = binary.AppendUvarint(out, number)
 		}
 	}
-	var before Mark
-	for _, one := range marks {
+	var previous Mark
+	for _, mark := range marks {
 		flags := uint64(0)
-		if len(one.Kept) > 0 {
+		if len(mark.Kept) > 0 {
 			flags |= hasKept
 		}
-		if len(one.Applied) > 0 {
+		if len(mark.Applied) > 0 {
 			flags |= hasApplied
 		}
-		out = binary.AppendUvarint(out, (one.Slot-before.Slot)<<flagBits|flags)
-		out = binary.AppendVarint(out, int64(one.Serial-before.Serial))
-		out = binary.AppendUvarint(out, one.Age)
-		out = binary.AppendUvarint(out, one.Permit)
+		out = binary.AppendUvarint(out, (mark.Slot-previous.Slot)<<flagBits|flags)
+		out = binary.AppendVarint(out, int64(mark.Serial-previous.Serial))
+		out = binary.AppendUvarint(out, mark.Age)
+		out = binary.AppendUvarint(out, mark.Permit)
 		if flags&hasKept > 0 {
-			list(one.Kept)
+			list(mark.Kept)
 		}
 		if flags&hasApplied > 0 {
-			list(one.Applied)
+			list(mark.Applied)
 		}
-		before = one
+		previous = mark
 	}
 	return out, nil
 }
@@ -121,36 +121,36 @@
 // GobDecode reads them.
 func (marks *Marks) GobDecode(data []byte) error {
 	*marks = nil
-	isWhole := true
+	isValid := true
 	number := func() uint64 {
 		out, read := binary.Uvarint(data)
-		isWhole = isWhole && read > 0
+		isValid = isValid && read > 0
 		data = data[max(0, read):]
 		return out
 	}
 	list := func() (out []uint64) {
-		for count := number(); isWhole && count > 0; count-- {
+		for count := number(); isValid && count > 0; count-- {
 			out = append(out, number())
 		}
 		return out
 	}
-	var before Mark
+	var previous Mark
 	for len(data) > 0 {
 		head := number()
 		delta, read := binary.Varint(data)
-		isWhole = isWhole && read > 0
+		isValid = isValid && read > 0
 		data = data[max(0, read):]
-		one := Mark{Slot: before.Slot + head>>flagBits, Serial: before.Serial + uint64(delta), Age: number(), Permit: number()}
+		mark := Mark{Slot: previous.Slot + head>>flagBits, Serial: previous.Serial + uint64(delta), Age: number(), Permit: number()}
 		if head&hasKept > 0 {
-			one.Kept = list()
+			mark.Kept = list()
 		}
 		if head&hasApplied > 0 {
-			one.Applied = list()
+			mark.Applied = list()
 		}
-		if !isWhole {
+		if !isValid {
 			return errMarks
 		}
-		*marks, before = append(*marks, one), one
+		*marks, previous = append(*marks, mark), mark
 	}
 	return nil
 }
@@ -161,68 +161,68 @@
 	Session      Session
 }
 
-// told is what is told of a row: its content with what marks tell left out, and the
+// announcement is what is told of a row: its content with what marks tell left out, and the
 // serials that it has for colleagues in the same region and elsewhere.
 //
 // Invariant: isOwed exactly while colleagues elsewhere have not been told of mishaps that
 // the content has.
-type told struct {
-	content    Session
-	near, far  uint64
-	at         time.Duration // when the far serial was given
-	hasContent bool
-	isOwed     bool
+type announcement struct {
+	content                   Session
+	localSerial, remoteSerial uint64
+	remoteAt                  time.Duration // when the far serial was given
+	hasContent                bool
+	hasUnsentFailures         bool
 }
 
-// tale is what a colleague tells.
-type tale struct {
-	heard time.Duration
-	slots map[uint64]heard
+// peerSessions is what a colleague tells.
+type peerSessions struct {
+	lastHeard time.Duration
+	slots     map[uint64]receivedContent
 }
 
-type heard struct {
+type receivedContent struct {
 	serial uint64
 	// session is as it was when it was heard, at.
 	session Session
 	at      time.Duration
 }
 
-// colleague is what another control daemon is known to have of this one's sessions:
+// peerState is what another control daemon is known to have of this one's sessions:
 // serials by slot, and the standings applied.
-type colleague struct {
-	serials  map[uint64]uint64
-	applied  map[uint64][]uint64
-	epoch    uint64
-	answered time.Duration
+type peerState struct {
+	serials   map[uint64]uint64
+	applied   map[uint64][]uint64
+	epoch     uint64
+	lastReply time.Duration
 }
 
-// slowly is how many sessions apart counts alone are told again.
-const slowly = 20
+// counterSpans is how many sessions apart counts alone are told again.
+const counterSpans = 20
 
 // Sum is a sum over who the members are, in their order, and not over how long they have been
 // up, what they hold and what they keep.
 func Sum(members []Member) (sum uint64) {
 	for at := range members {
-		sum = joined(sum, members[at].sum())
+		sum = combine(sum, members[at].checksum())
 	}
 	return max(1, sum)
 }
 
-// joined is the sum of some members and one more.
-func joined(sum, one uint64) uint64 { return sum*1099511628211 + one }
+// combine is the sum of some members and one more.
+func combine(sum, member uint64) uint64 { return sum*1099511628211 + member }
 
-// sum is a member's part of a sum.
-func (member *Member) sum() uint64 {
+// checksum is a member's part of a sum.
+func (member *Member) checksum() uint64 {
 	sum := fnv.New64a()
-	for _, word := range []string{member.Name, member.Incarnation, member.Role, member.Region, member.Zone, member.Wire, member.HTTP, member.Door, member.Acceptor, strconv.FormatBool(member.Leaving)} {
-		_, _ = sum.Write([]byte(word))
+	for _, field := range []string{member.Name, member.Incarnation, member.Role, member.Region, member.Zone, member.Wire, member.HTTP, member.Door, member.Acceptor, strconv.FormatBool(member.Leaving)} {
+		_, _ = sum.Write([]byte(field))
 		_, _ = sum.Write([]byte{0})
 	}
 	return Spread(sum.Sum64())
 }
 
-// content is the session without what marks tell.
-func content(session Session) Session {
+// contentOf is the session without what marks tell.
+func contentOf(session Session) Session {
 	session.Age, session.Member.Uptime, session.Report.Permit = 0, 0, 0
 	keeps := session.Member.Keeps
 	session.Member.Keeps = nil
@@ -231,9 +231,9 @@
 	}
 	if len(keeps) > 0 {
 		session.Member.Keeps = map[string]Keeping{}
-		for region, one := range keeps {
-			one.Age = 0
-			session.Member.Keeps[region] = one
+		for region, status := range keeps {
+			status.Age = 0
+			session.Member.Keeps[region] = status
 		}
 	}
 	applied := session.Report.Standing
@@ -247,113 +247,113 @@
 	return session
 }
 
-// next gives what is told of a session from now on. Of the near outcomes colleagues
+// nextAnnouncement gives what is told of a session from now on. Of the near outcomes colleagues
 // elsewhere are told the mishaps alone, once a session at the most; counts alone make
 // nobody listen again soon.
-func (table *Table) next(before told, session Session, now time.Duration) told {
-	next := before
-	next.content = content(session)
-	isSame := before.hasContent && reflect.DeepEqual(before.content, next.content)
-	if isSame && !before.isOwed {
-		return before
-	}
-	if table.serials++; !isSame {
-		next.near, next.hasContent = table.serials, true
-	}
-	older, newer := before.content, next.content
-	next.isOwed = before.isOwed || !slices.Equal(standing.Wrong(older.Report.Near), standing.Wrong(newer.Report.Near))
-	for _, one := range []*Session{&older, &newer} {
-		one.Report.Near, one.Report.Declined = nil, nil
-		one.Report.Demanded, one.Report.Retries, one.Report.Allowed, one.Report.Queue = 0, 0, 0, 0
-	}
-	age := now - before.at
-	if !before.hasContent || age > slowly*table.Span() || next.isOwed && age >= table.Span() || !reflect.DeepEqual(older, newer) {
-		next.far, next.at, next.isOwed = table.serials, now, false
+func (table *Table) nextAnnouncement(previous announcement, session Session, now time.Duration) announcement {
+	next := previous
+	next.content = contentOf(session)
+	isSame := previous.hasContent && reflect.DeepEqual(previous.content, next.content)
+	if isSame && !previous.hasUnsentFailures {
+		return previous
+	}
+	if table.lastSerial++; !isSame {
+		next.localSerial, next.hasContent = table.lastSerial, true
+	}
+	oldContent, newContent := previous.content, next.content
+	next.hasUnsentFailures = previous.hasUnsentFailures || !slices.Equal(standing.Wrong(oldContent.Report.Near), standing.Wrong(newContent.Report.Near))
+	for _, session := range []*Session{&oldContent, &newContent} {
+		session.Report.Near, session.Report.Declined = nil, nil
+		session.Report.Demanded, session.Report.Retries, session.Report.Allowed, session.Report.Queue = 0, 0, 0, 0
+	}
+	age := now - previous.remoteAt
+	if !previous.hasContent || age > counterSpans*table.Span() || next.hasUnsentFailures && age >= table.Span() || !reflect.DeepEqual(oldContent, newContent) {
+		next.remoteSerial, next.remoteAt, next.hasUnsentFailures = table.lastSerial, now, false
 	}
 	return next
 }
 
-// hear takes a row into the table; who holds the guard calls it. A member that is heard
+// record takes a row into the table; who holds the guard calls it. A member that is heard
 // first hand and through others by turns keeps its slot.
-func (table *Table) hear(one row, isFirstHand bool) {
-	have := table.rows[one.Member.Name]
-	if have == nil {
-		at, _ := slices.BinarySearch(table.names, one.Member.Name)
-		table.names = slices.Insert(table.names, at, one.Member.Name)
-	} else if have.Member.Incarnation == one.Member.Incarnation {
-		one.slot, one.told, one.firstHand = have.slot, have.told, have.firstHand
-		if one.Report.Tenants == nil {
-			one.Report.Tenants = have.Report.Tenants // told once a window
+func (table *Table) record(added row, isDirect bool) {
+	current := table.rows[added.Member.Name]
+	if current == nil {
+		index, _ := slices.BinarySearch(table.names, added.Member.Name)
+		table.names = slices.Insert(table.names, index, added.Member.Name)
+	} else if current.Member.Incarnation == added.Member.Incarnation {
+		added.slot, added.announced, added.lastDirect = current.slot, current.announced, current.lastDirect
+		if added.Report.Tenants == nil {
+			added.Report.Tenants = current.Report.Tenants // told once a window
 		}
 	}
-	if isFirstHand {
-		one.firstHand = max(one.firstHand, one.heard)
-		if one.slot == 0 {
-			table.slots++
-			one.slot = table.slots
+	if isDirect {
+		added.lastDirect = max(added.lastDirect, added.lastHeard)
+		if added.slot == 0 {
+			table.lastSlot++
+			added.slot = table.lastSlot
 		}
 	}
-	if one.slot > 0 {
-		one.told = table.next(one.told, one.Session, table.World.Now())
+	if added.slot > 0 {
+		added.announced = table.nextAnnouncement(added.announced, added.Session, table.World.Now())
 	}
-	one.sum = one.Member.sum()
-	table.rows[one.Member.Name] = &one
+	added.checksum = added.Member.checksum()
+	table.rows[added.Member.Name] = &added
 }
 
 // Share takes a colleague's sessions, and says what it did not understand.
-func (table *Table) Share(shared Shared, back *Shared) error {
+func (table *Table) Share(shared Shared, reply *Shared) error {
 	if err := shared.unpack(); err != nil {
 		return err
 	}
 	table.Keeper.Learn(shared.Core)
-	lacks, sessions := table.understand(shared)
-	table.take(shared.From, sessions)
+	lacks, sessions := table.resolve(shared)
+	table.merge(shared.From, sessions)
 	core := table.Keeper.Core()
-	*back = Shared{From: table.Self.Incarnation, Epoch: core.Epoch, Lacks: lacks}
+	*reply = Shared{From: table.Self.Incarnation, Epoch: core.Epoch, Lacks: lacks}
 	if shared.Epoch < core.Epoch {
-		back.Core = core
+		reply.Core = core
 	}
 	return nil
 }
 
-// understand fills marks with the contents that they name.
-func (table *Table) understand(shared Shared) (lacks []uint64, sessions []Session) {
+// resolve fills marks with the contents that they name.
+func (table *Table) resolve(shared Shared) (lacks []uint64, sessions []Session) {
 	now := table.World.Now()
-	table.guard.Lock()
-	defer table.guard.Unlock()
-	tells := table.tales[shared.From]
-	if tells == nil {
-		tells = &tale{}
-		table.tales[shared.From] = tells
-	}
-	tells.heard = now
-	before := tells.slots
-	tells.slots = map[uint64]heard{}
-	fresh := map[uint64]Content{}
+	table.mu.Lock()
+	defer table.mu.Unlock()
+	peer := table.received[shared.From]
+	if peer == nil {
+		peer = &peerSessions{}
+		table.received[shared.From] = peer
+	}
+	peer.lastHeard = now
+	previous := peer.slots
+	peer.slots = map[uint64]receivedContent{}
+	sent := map[uint64]Content{}
 	for _, one := range shared.Sessions {
-		fresh[one.Slot] = one
+		sent[one.Slot] = one
 	}
 	for _, mark := range shared.Marks {
-		at := now - time.Duration(mark.Age)*time.Millisecond
-		have, known := before[mark.Slot]
-		if one, isSent := fresh[mark.Slot]; isSent && (!known || have.serial < one.Serial) {
-			have, known = heard{one.Serial, one.Session, at}, true
+		heardAt := now - time.Duration(mark.Age)*time.Millisecond
+		held, known := previous[mark.Slot]
+		if one, isSent := sent[mark.Slot]; isSent && (!known || held.serial < one.Serial) {
+			held, known = receivedContent{one.Serial, one.Session, heardAt}, true
 		}
 		if known {
-			have.session.Report.Standing = applied(have.session.Report.Standing, mark.Applied)
-			tells.slots[mark.Slot] = have
+			held.session.Report.Standing = mergeApplied(held.session.Report.Standing, mark.Applied)
+			peer.slots[mark.Slot] = held
 		}
-		if !known || have.serial < mark.Serial {
+		if !known || held.serial < mark.Serial {
 			lacks = append(lacks, mark.Slot)
 		}
 		// A content that is newer than its mark belongs to a call that has overtaken
 		// this one; nothing is to be learned.
-		if !known || have.serial != mark.Serial {
+		if !known || held.serial != mark.Serial {
 			continue
 		}
-		session := have.session
+		session := held.session
 		session.Age = time.Duration(mark.Age) * time.Millisecond
-		session.Member.Uptime += max(0, at-have.at)
+		session.Member.Uptime += max(0, heardAt-held.at)
 		session.Report.Permit = time.Duration(mark.Permit) * time.Millisecond
 		if len(mark.Kept) == len(session.Member.Keeps) && len(mark.Kept) > 0 {
 			keeps := map[string]Keeping{}
@@ -369,60 +369,60 @@
 	return lacks, sessions
 }
 
-// applied gives the standings that a data daemon applies, of which a mark told some anew.
+// mergeApplied gives the standings that a data daemon applies, of which a mark told some anew.
 // They rise, so what comes late changes nothing.
-func applied(have map[string]uint64, told []uint64) map[string]uint64 {
-	if len(told) == 0 || len(told) != len(have) {
-		return have
+func mergeApplied(current map[string]uint64, announced []uint64) map[string]uint64 {
+	if len(announced) == 0 || len(announced) != len(current) {
+		return current
 	}
-	out := make(map[string]uint64, len(have))
-	for index, region := range slices.Sorted(maps.Keys(have)) {
-		out[region] = max(have[region], told[index])
+	out := make(map[string]uint64, len(current))
+	for index, region := range slices.Sorted(maps.Keys(current)) {
+		out[region] = max(current[region], announced[index])
 	}
 	return out
 }
 
-// take takes sessions that the incarnation of a colleague tells, its own among them.
-func (table *Table) take(from string, sessions []Session) {
+// merge takes sessions that the incarnation of a colleague tells, its own among them.
+func (table *Table) merge(from string, sessions []Session) {
 	now := table.World.Now()
-	table.guard.Lock()
-	defer table.guard.Unlock()
-	for _, one := range sessions {
-		heard := now - one.Age
-		have := table.rows[one.Member.Name]
-		_, gone := table.over[one.Member.Incarnation]
-		if gone || one.Member.Name == table.Self.Name || have != nil && have.heard >= heard {
+	table.mu.Lock()
+	defer table.mu.Unlock()
+	for _, received := range sessions {
+		lastHeard := now - received.Age
+		current := table.rows[received.Member.Name]
+		_, hasEnded := table.ended[received.Member.Incarnation]
+		if hasEnded || received.Member.Name == table.Self.Name || current != nil && current.lastHeard >= lastHeard {
 			continue
 		}
 		// A colleague's own word is heard first hand and passed on like a beat:
 		// control daemons that are nobody's seed learn of each other by it.
-		table.hear(row{Session: one, heard: heard}, one.Member.Incarnation == from)
+		table.record(row{Session: received, lastHeard: lastHeard}, received.Member.Incarnation == from)
 	}
 }
 
-// give is what to tell a colleague that has what is given.
-func (table *Table) give(address string) (Shared, *colleague) {
+// buildShare is what to tell a colleague that has what is given.
+func (table *Table) buildShare(address string) (Shared, *peerState) {
 	now := table.World.Now()
-	table.guard.Lock()
-	defer table.guard.Unlock()
-	have := table.colleaguesHave[address]
-	if have == nil {
-		have = &colleague{}
+	table.mu.Lock()
+	defer table.mu.Unlock()
+	peer := table.peers[address]
+	if peer == nil {
+		peer = &peerState{}
 	}
-	isNear := false
-	for _, one := range table.rows {
-		isNear = isNear || one.Member.Wire == address && one.Member.Region == table.Self.Region
+	isLocal := false
+	for _, row := range table.rows {
+		isLocal = isLocal || row.Member.Wire == address && row.Member.Region == table.Self.Region
 	}
 	core := table.Keeper.Core()
 	out := Shared{From: table.Self.Incarnation, Epoch: core.Epoch}
-	if core.Epoch > have.epoch {
+	if core.Epoch > peer.epoch {
 		out.Core = core
 	}
-	next := &colleague{serials: map[uint64]uint64{}, applied: map[uint64][]uint64{}}
-	tell := func(slot uint64, told told, session Session, age time.Duration) {
-		mark := Mark{Slot: slot, Serial: told.far, Age: uint64((age + time.Millisecond - 1) / time.Millisecond), Permit: uint64(max(0, session.Report.Permit) / time.Millisecond)}
-		if isNear {
-			mark.Serial = told.near
+	next := &peerState{serials: map[uint64]uint64{}, applied: map[uint64][]uint64{}}
+	announce := func(slot uint64, announced announcement, session Session, age time.Duration) {
+		mark := Mark{Slot: slot, Serial: announced.remoteSerial, Age: uint64((age + time.Millisecond - 1) / time.Millisecond), Permit: uint64(max(0, session.Report.Permit) / time.Millisecond)}
+		if isLocal {
+			mark.Serial = announced.localSerial
 		}
 		for _, region := range slices.Sorted(maps.Keys(session.Member.Keeps)) {
 			mark.Kept = append(mark.Kept, uint64((session.Member.Keeps[region].Age+time.Millisecond-1)/time.Millisecond))
@@ -432,15 +432,15 @@
 			standings = append(standings, session.Report.Standing[region])
 		}
 		next.serials[slot], next.applied[slot] = mark.Serial, standings
-		isTold := have.serials[slot] == mark.Serial
-		if isTold && !slices.Equal(have.applied[slot], standings) {
+		isKnown := peer.serials[slot] == mark.Serial
+		if isKnown && !slices.Equal(peer.applied[slot], standings) {
 			mark.Applied = standings
 		}
 		out.Marks = append(out.Marks, mark)
-		if isTold {
+		if isKnown {
 			return
 		}
-		if !isNear {
+		if !isLocal {
 			session.Report.Near = standing.Wrong(session.Report.Near)
 		}
 		if session.Member.Role == Data {
@@ -448,57 +448,57 @@
 		}
 		out.Sessions = append(out.Sessions, Content{slot, mark.Serial, session})
 	}
-	for _, one := range table.rows {
-		if one.slot > 0 && now-one.firstHand < table.Span() && now-one.heard < table.Span() {
-			tell(one.slot, one.told, one.Session, now-one.heard)
+	for _, row := range table.rows {
+		if row.slot > 0 && now-row.lastDirect < table.Span() && now-row.lastHeard < table.Span() {
+			announce(row.slot, row.announced, row.Session, now-row.lastHeard)
 		}
 	}
-	self := table.word()
-	table.own = table.next(table.own, self, now)
-	tell(0, table.own, self, 0)
+	self := table.ownSession()
+	table.ownAnnounced = table.nextAnnouncement(table.ownAnnounced, self, now)
+	announce(0, table.ownAnnounced, self, 0)
 	sort.Slice(out.Marks, func(a, b int) bool { return out.Marks[a].Slot < out.Marks[b].Slot })
 	sort.Slice(out.Sessions, func(a, b int) bool { return out.Sessions[a].Slot < out.Sessions[b].Slot })
 	return out, next
 }
 
-// answered notes what a colleague has now.
-func (table *Table) answered(address string, now *colleague, back *Shared) {
-	table.Keeper.Learn(back.Core)
-	table.guard.Lock()
-	defer table.guard.Unlock()
-	for _, slot := range back.Lacks {
-		delete(now.serials, slot)
-	}
-	now.epoch, now.answered = back.Epoch, table.World.Now()
-	table.colleaguesHave[address] = now
+// recordReply notes what a colleague has now.
+func (table *Table) recordReply(address string, state *peerState, reply *Shared) {
+	table.Keeper.Learn(reply.Core)
+	table.mu.Lock()
+	defer table.mu.Unlock()
+	for _, slot := range reply.Lacks {
+		delete(state.serials, slot)
+	}
+	state.epoch, state.lastReply = reply.Epoch, table.World.Now()
+	table.peers[address] = state
 }
 
 // Run shares the sessions with the colleagues until the world ends.
 func (table *Table) Run() {
 	loop.Every(table.World, func() time.Duration { return table.Span() / 6 }, func() bool {
 		// Nobody waits for addresses that lead to no member while the members answer.
-		addresses, members := table.colleagues()
-		left := members
+		addresses, members := table.peerAddresses()
+		pending := members
 		loop.Gather(table.World, len(addresses), table.Span()/4, func(index int) bool {
 			// One that lacks something, as it began anew, is told at once.
-			for try := 0; try < 2; try++ {
-				shared, next := table.give(addresses[index])
+			for attempt := 0; attempt < 2; attempt++ {
+				shared, next := table.buildShare(addresses[index])
 				shared.pack()
-				back := new(Shared)
-				if table.Net.Call(addresses[index], "Session.Share", shared, back, table.Span()/4) != nil {
+				reply := new(Shared)
+				if table.Net.Call(addresses[index], "Session.Share", shared, reply, table.Span()/4) != nil {
 					break
 				}
-				table.answered(addresses[index], next, back)
-				if len(back.Lacks) == 0 {
+				table.recordReply(addresses[index], next, reply)
+				if len(reply.Lacks) == 0 {
 					break
 				}
 			}
 			return index < members
 		}, func(_ int, isMember bool) bool {
 			if isMember {
-				left--
+				pending--
 			}
-			return members > 0 && left == 0
+			return members > 0 && pending == 0
 		})
 		table.sweep()
 		return true
--- a/session/table_bench_test.go
+++ b/session/table_bench_test.go
@@ -25,10 +25,10 @@
 		}
 	}
 	b.Run("beat", func(b *testing.B) {
-		turn := 0
+		round := 0
 		for b.Loop() {
-			turn++
-			_ = table.Beat(beats[turn%len(beats)], new(session.Answer))
+			round++
+			_ = table.Beat(beats[round%len(beats)], new(session.Answer))
 		}
 	})
 	b.Run("live", func(b *testing.B) {
--- a/standing/deal.go
+++ b/standing/deal.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// deal splits each place's capacity among the data daemons.
+// allocateCredits splits each place's capacity among the data daemons.
 //
 // Local demand comes first; what a region can spare beyond a fifth more than
 // its own demand it lends, up to spill_share, to daemons elsewhere that tell of
 // overflow. A credit grows only by what nobody else may still have in force.
-func deal(input Input, out *Standing) {
+func allocateCredits(input Input, out *Standing) {
 	models := map[string][]string{} // by replica
 	for _, row := range out.Rows {
 		if !slices.Contains(models[row.Replica], row.Model) {
 			models[row.Replica] = append(models[row.Replica], row.Model)
 		}
 	}
-	supply, local, foreign := map[string]float64{}, map[string]float64{}, map[string]float64{}
-	for _, place := range out.Places {
-		for _, model := range models[place.ID] {
-			supply[model] += float64(place.Capacity)
+	supply, localDemand, remoteDemand := map[string]float64{}, map[string]float64{}, map[string]float64{}
+	for _, endpoint := range out.Places {
+		for _, model := range models[endpoint.ID] {
+			supply[model] += float64(endpoint.Capacity)
 		}
 	}
 	daemons := append([]Daemon{}, input.Daemons...)
@@ -30,60 +30,60 @@
 	for _, daemon := range daemons {
 		for model := range supply {
 			if daemon.Region == input.Region {
-				local[model] += daemon.Report.Demand[model]
+				localDemand[model] += daemon.Report.Demand[model]
 			} else {
-				foreign[model] += daemon.Report.Overflow[model]
+				remoteDemand[model] += daemon.Report.Overflow[model]
 			}
 		}
 	}
-	lent := map[string]float64{} // share of each model's supply that is lent
-	for model, whole := range supply {
-		spare := max(0, whole-1.2*local[model]) * input.Tree.Limit("spill_share", input.Region)
-		if whole > 0 {
-			lent[model] = min(spare, foreign[model]*1.2) / whole
+	lentShares := map[string]float64{} // share of each model's supply that is lent
+	for model, total := range supply {
+		spare := max(0, total-1.2*localDemand[model]) * input.Tree.Limit("spill_share", input.Region)
+		if total > 0 {
+			lentShares[model] = min(spare, remoteDemand[model]*1.2) / total
 		}
 	}
 	for index := range out.Places {
-		place := &out.Places[index]
-		if len(models[place.ID]) > 0 && input.Tree.Engine(models[place.ID][0]) != nil {
+		endpoint := &out.Places[index]
+		if len(models[endpoint.ID]) > 0 && input.Tree.Engine(models[endpoint.ID][0]) != nil {
 			continue
 		}
 		weights := map[string]float64{}
-		var near []string
-		var lend float64
-		for _, model := range models[place.ID] {
-			lend = max(lend, lent[model])
+		var localDaemons []string
+		var lendShare float64
+		for _, model := range models[endpoint.ID] {
+			lendShare = max(lendShare, lentShares[model])
 		}
 		for _, daemon := range daemons {
 			if input.Evacuated[daemon.Zone] {
 				continue
 			}
-			for _, model := range models[place.ID] {
+			for _, model := range models[endpoint.ID] {
 				if daemon.Region == input.Region {
-					weights[daemon.Name] += (1 - lend) * (daemon.Report.Demand[model] + 1) / (local[model] + float64(len(daemons)))
-				} else if overflow := daemon.Report.Overflow[model]; overflow > 0 && lend > 0 {
-					weights[daemon.Name] += lend * overflow / foreign[model]
+					weights[daemon.Name] += (1 - lendShare) * (daemon.Report.Demand[model] + 1) / (localDemand[model] + float64(len(daemons)))
+				} else if overflow := daemon.Report.Overflow[model]; overflow > 0 && lendShare > 0 {
+					weights[daemon.Name] += lendShare * overflow / remoteDemand[model]
 				}
 			}
 			if daemon.Region == input.Region {
-				near = append(near, daemon.Name)
+				localDaemons = append(localDaemons, daemon.Name)
 			}
 		}
-		want := split(place, near, weights)
-		force(input, place, want)
+		wanted := splitCapacity(endpoint, localDaemons, weights)
+		grantCredits(input, endpoint, wanted)
 	}
 }
 
-// split shares the capacity by weight, whole units only. Each near daemon gets
+// splitCapacity shares the capacity by weight, whole units only. Each near daemon gets
 // one unit first where there are enough; the odd units go by a hash, so that
 // over many replicas everyone gets some.
-func split(place *Place, near []string, weights map[string]float64) map[string]int {
-	want := map[string]int{}
-	left := place.Capacity
-	if len(near)*2 <= place.Capacity {
-		for _, name := range near {
-			want[name]++
-			left--
+func splitCapacity(endpoint *Place, localDaemons []string, weights map[string]float64) map[string]int {
+	shares := map[string]int{}
+	remaining := endpoint.Capacity
+	if len(localDaemons)*2 <= endpoint.Capacity {
+		for _, name := range localDaemons {
+			shares[name]++
+			remaining--
 		}
 	}
 	var total float64
@@ -96,31 +96,31 @@
 		total += weights[name]
 	}
 	if total <= 0 {
-		return want
+		return shares
 	}
 	type part struct {
 		name string
 		rest float64
 	}
 	var parts []part
-	given := 0
+	assigned := 0
 	for _, name := range names {
-		exact := float64(left) * weights[name] / total
-		whole := int(exact)
-		want[name] += whole
-		given += whole
-		parts = append(parts, part{name, exact - float64(whole) + 0.3*float64(mix(place.ID, name)%1000)/1000})
+		exact := float64(remaining) * weights[name] / total
+		floor := int(exact)
+		shares[name] += floor
+		assigned += floor
+		parts = append(parts, part{name, exact - float64(floor) + 0.3*float64(hashPair(endpoint.ID, name)%1000)/1000})
 	}
 	sort.SliceStable(parts, func(a, b int) bool { return parts[a].rest > parts[b].rest })
-	for index := 0; given < left && len(parts) > 0; index++ {
-		want[parts[index%len(parts)].name]++
-		given++
+	for index := 0; assigned < remaining && len(parts) > 0; index++ {
+		shares[parts[index%len(parts)].name]++
+		assigned++
 	}
-	return want
+	return shares
 }
 
-// mix is a hash of two names.
-func mix(a, b string) uint64 {
+// hashPair is a hash of two names.
+func hashPair(a, b string) uint64 {
 	sum := fnv.New64a()
 	_, _ = sum.Write([]byte(a))
 	_, _ = sum.Write([]byte{0})
@@ -137,24 +137,24 @@
 // Alone tells whether nobody but the daemon may have anything running at a cold
 // replica. Then it may give it one request of any weight, as one alone any replica
 // bears.
-func (place Place) Alone(name string) bool {
-	for other, units := range place.InForce {
-		if other != name && units > 0 {
+func (endpoint Place) Alone(daemon string) bool {
+	for other, units := range endpoint.InForce {
+		if other != daemon && units > 0 {
 			return false
 		}
 	}
-	return place.Warm < 1 && place.Credits[name] > 0 && place.Credits[name] >= place.Capacity
+	return endpoint.Warm < 1 && endpoint.Credits[daemon] > 0 && endpoint.Credits[daemon] >= endpoint.Capacity
 }
 
-// force turns wanted credits into granted ones.
-func force(input Input, place *Place, want map[string]int) {
-	var before Place
+// grantCredits turns wanted credits into granted ones.
+func grantCredits(input Input, endpoint *Place, wanted map[string]int) {
+	var previous Place
 	var serial uint64
 	if input.Before != nil {
 		serial = input.Before.Serial
-		for _, one := range input.Before.Places {
-			if one.ID == place.ID {
-				before = one
+		for _, candidate := range input.Before.Places {
+			if candidate.ID == endpoint.ID {
+				previous = candidate
 			}
 		}
 	}
@@ -163,33 +163,33 @@
 		reports[daemon.Name] = daemon.Report
 	}
 	// A permit outlives its daemon's last word by at most its length.
-	expiry := input.Tree.Span("permit_ms", "")
-	expiry += expiry / 10
-	if place.Warm < 1 {
+	expireAfter := input.Tree.Span("permit_ms", "")
+	expireAfter += expireAfter / 10
+	if endpoint.Warm < 1 {
 		// What a frozen or cut-off daemon has running goes on at the replica, where a
 		// killed one's ends; from here the two look alike.
-		expiry = max(expiry, input.Tree.Span("stall_ms", place.Zone))
+		expireAfter = max(expireAfter, input.Tree.Span("stall_ms", endpoint.Zone))
 	}
 	inForce := map[string]int{}
-	for name := range merge(before.Credits, before.InForce) {
-		report, here := reports[name]
+	for name := range unionKeys(previous.Credits, previous.InForce) {
+		report, isMember := reports[name]
 		// Others get a part only once that daemon has seen that it is not alone any
 		// more.
-		alone := 0
-		if before.Alone(name) {
-			alone = Heaviest
+		soloUnits := 0
+		if previous.Alone(name) {
+			soloUnits = Heaviest
 		}
 		switch {
-		case here && report.Standing[input.Region] >= serial && serial > 0:
-			inForce[name] = max(alone, before.Credits[name])
-		case !here && input.Gone[name] > expiry:
+		case isMember && report.Standing[input.Region] >= serial && serial > 0:
+			inForce[name] = max(soloUnits, previous.Credits[name])
+		case !isMember && input.Gone[name] > expireAfter:
 			continue
 		default:
-			inForce[name] = max(alone, before.Credits[name], before.InForce[name])
+			inForce[name] = max(soloUnits, previous.Credits[name], previous.InForce[name])
 		}
 	}
 	for name, report := range reports {
-		if running := report.InFlight[place.ID]; running > inForce[name] {
+		if running := report.InFlight[endpoint.ID]; running > inForce[name] {
 			inForce[name] = running
 		}
 	}
@@ -198,58 +198,58 @@
 			delete(inForce, name)
 		}
 	}
-	place.InForce = inForce
-	names := make([]string, 0, len(want))
-	for name := range want {
+	endpoint.InForce = inForce
+	names := make([]string, 0, len(wanted))
+	for name := range wanted {
 		names = append(names, name)
 	}
 	// Who lacks most is served first; ties by hash.
 	sort.Slice(names, func(a, b int) bool {
-		lackA, lackB := want[names[a]]-inForce[names[a]], want[names[b]]-inForce[names[b]]
-		if lackA != lackB {
-			return lackA > lackB
+		shortfallA, shortfallB := wanted[names[a]]-inForce[names[a]], wanted[names[b]]-inForce[names[b]]
+		if shortfallA != shortfallB {
+			return shortfallA > shortfallB
 		}
-		return mix(place.ID, names[a]) < mix(place.ID, names[b])
+		return hashPair(endpoint.ID, names[a]) < hashPair(endpoint.ID, names[b])
 	})
 	for _, name := range names {
 		// What was granted last may be granted again. More than that, even if
 		// this daemon may still act on more, only into room that nobody else
 		// can be using.
-		room := place.Capacity
-		for other := range merge(inForce, place.Credits) {
+		room := endpoint.Capacity
+		for other := range unionKeys(inForce, endpoint.Credits) {
 			if other != name {
-				room -= max(inForce[other], place.Credits[other])
+				room -= max(inForce[other], endpoint.Credits[other])
 			}
 		}
-		if grant := min(want[name], max(before.Credits[name], room)); grant > 0 {
-			place.Credits[name] = grant
+		if granted := min(wanted[name], max(previous.Credits[name], room)); granted > 0 {
+			endpoint.Credits[name] = granted
 		}
 	}
-	trim(place)
+	trimCredits(endpoint)
 }
 
-// trim keeps the sum of credits within the capacity when it has shrunk.
-func trim(place *Place) {
+// trimCredits keeps the sum of credits within the capacity when it has shrunk.
+func trimCredits(endpoint *Place) {
 	sum := 0
-	names := make([]string, 0, len(place.Credits))
-	for name, credit := range place.Credits {
+	names := make([]string, 0, len(endpoint.Credits))
+	for name, credit := range endpoint.Credits {
 		sum += credit
 		names = append(names, name)
 	}
-	sort.Slice(names, func(a, b int) bool { return mix(place.ID, names[a]) < mix(place.ID, names[b]) })
-	for sum > place.Capacity {
-		greatest := names[0]
+	sort.Slice(names, func(a, b int) bool { return hashPair(endpoint.ID, names[a]) < hashPair(endpoint.ID, names[b]) })
+	for sum > endpoint.Capacity {
+		largest := names[0]
 		for _, name := range names {
-			if place.Credits[name] > place.Credits[greatest] {
-				greatest = name
+			if endpoint.Credits[name] > endpoint.Credits[largest] {
+				largest = name
 			}
 		}
-		place.Credits[greatest]--
+		endpoint.Credits[largest]--
 		sum--
 	}
 }
 
-func merge(tables ...map[string]int) map[string]bool {
+func unionKeys(tables ...map[string]int) map[string]bool {
 	out := map[string]bool{}
 	for _, table := range tables {
 		for name := range table {
@@ -292,7 +292,7 @@
 			return "replicas"
 		case x.Capacity != y.Capacity, x.Slot != y.Slot, x.Slow != y.Slow:
 			return "capacity"
-		case !equal(x.Credits, y.Credits):
+		case !equalCounts(x.Credits, y.Credits):
 			return "credits"
 		case (x.Warm == 1) != (y.Warm == 1):
 			return "warmth"
@@ -301,7 +301,7 @@
 	return ""
 }
 
-func equal(a, b map[string]int) bool {
+func equalCounts(a, b map[string]int) bool {
 	if len(a) != len(b) {
 		return false
 	}
@@ -315,4 +315,4 @@
 
 // Tick is how often a standing is computed, as a ratio of the permit: often
 // enough that a leaving replica is out well within a second of its notice.
-func Tick(permit time.Duration) time.Duration { return permit / 8 }
+func Tick(lease time.Duration) time.Duration { return lease / 8 }
--- a/standing/open_test.go
+++ b/standing/open_test.go
@@ -11,8 +11,8 @@
 	"swifttiller/standing"
 )
 
-// openInput is a region of three replicas at v1, two at v2 and one at v3.
-func openInput(route standing.Route) standing.Input {
+// anyVersionInput is a region of three replicas at v1, two at v2 and one at v3.
+func anyVersionInput(route standing.Route) standing.Input {
 	tree, problems := settings.Parse([]byte(`{"whole":{"placements":{"m":{"version":"any","capacity":8}}},"regions":{"a":{"zones":{"a-1":{},"a-2":{}}},"b":{"zones":{"b-1":{}}}}}`))
 	if len(problems) > 0 {
 		panic(problems)
@@ -28,8 +28,8 @@
 	return input
 }
 
-// given writes the rows of a standing: ! is on trial, < stands by.
-func given(input standing.Input) string {
+// formatRows writes the rows of a standing: ! is on trial, < stands by.
+func formatRows(input standing.Input) string {
 	var rows []string
 	for _, row := range standing.Compute(input).Rows {
 		mark := ""
@@ -56,12 +56,12 @@
 	}
 	without := func(versions ...string) func(*standing.Input) {
 		return func(input *standing.Input) {
-			input.Replicas = slices.DeleteFunc(input.Replicas, func(one standing.Replica) bool {
-				return slices.Contains(versions, one.Versions("m")[0])
+			input.Replicas = slices.DeleteFunc(input.Replicas, func(test standing.Replica) bool {
+				return slices.Contains(versions, test.Versions("m")[0])
 			})
 		}
 	}
-	for _, one := range []struct {
+	for _, test := range []struct {
 		name   string
 		route  standing.Route
 		revise func(*standing.Input)
@@ -87,19 +87,19 @@
 			input.Replicas[0].Held["m/v1"], input.Replicas[1].Zone = standing.Loading, "b-1"
 		}, "r2v1 r3v2 r4v2 r5v3"},
 	} {
-		input := openInput(one.route)
-		if one.revise != nil {
-			one.revise(&input)
+		input := anyVersionInput(test.route)
+		if test.revise != nil {
+			test.revise(&input)
 		}
-		if got := given(input); got != one.want {
-			t.Errorf("%s: %s, not %s", one.name, got, one.want)
+		if rows := formatRows(input); rows != test.want {
+			t.Errorf("%s: %s, not %s", test.name, rows, test.want)
 		}
 	}
 }
 
 // TestWorse: what few mishaps say against a version before all traffic goes to it.
 func TestWorse(t *testing.T) {
-	for _, one := range []struct {
+	for _, test := range []struct {
 		ok, mishaps     int
 		others, failing int
 		want            bool
@@ -107,8 +107,8 @@
 		{20, 0, 1000, 0, false}, {98, 2, 1000, 0, false}, {95, 5, 1000, 0, true}, {17, 3, 1000, 0, true},
 		{95, 5, 950, 50, false}, {80, 20, 950, 50, true}, {992, 8, 1000, 0, false}, {960, 40, 1000, 0, true},
 	} {
-		if got := standing.Worse(standing.Outcome{OK: one.ok, Mishaps: one.mishaps}, standing.Outcome{OK: one.others, Mishaps: one.failing}); got != one.want {
-			t.Errorf("%+v: %v", one, got)
+		if isWorse := standing.Worse(standing.Outcome{OK: test.ok, Mishaps: test.mishaps}, standing.Outcome{OK: test.others, Mishaps: test.failing}); isWorse != test.want {
+			t.Errorf("%+v: %v", test, isWorse)
 		}
 	}
 }
--- a/standing/tables.go
+++ b/standing/tables.go
@@ -39,13 +39,13 @@
 }
 
 // Wrong are the outcomes of a list that have mishaps or late ones.
-func Wrong(list []Outcome) (out []Outcome) {
-	for _, one := range list {
-		if one.Mishaps+one.Unreached+one.Late > 0 {
-			out = append(out, one)
+func Wrong(outcomes []Outcome) (failed []Outcome) {
+	for _, outcome := range outcomes {
+		if outcome.Mishaps+outcome.Unreached+outcome.Late > 0 {
+			failed = append(failed, outcome)
 		}
 	}
-	return out
+	return failed
 }
 
 // Window is how far back the recent outcomes of a report reach.
@@ -121,7 +121,7 @@
 const (
 	Loading = "loading"
 	Ready   = "ready"
-	Resting = "standby"
+	Standby = "standby"
 )
 
 // Replica is a row of the table of replicas: what the platform lists and what
@@ -230,10 +230,10 @@
 }
 
 // Shown lists the replicas in the standing, for logs; cold ones are marked.
-func (standing Standing) Shown() (names []string) {
-	for _, place := range standing.Places {
-		name := place.ID
-		if place.Warm < 1 {
+func (table Standing) Shown() (names []string) {
+	for _, endpoint := range table.Places {
+		name := endpoint.ID
+		if endpoint.Warm < 1 {
 			name += " (cold)"
 		}
 		names = append(names, name)
@@ -260,44 +260,44 @@
 // Compute makes the region's next standing.
 func Compute(input Input) Standing {
 	out := Standing{Region: input.Region, Duty: input.Duty, Daemons: len(input.Daemons)}
-	if input.Before != nil && input.Since < missed {
+	if input.Before != nil && input.Since < daemonGrace {
 		out.Daemons = max(out.Daemons, input.Before.Daemons)
 	}
 	replicas := append([]Replica{}, input.Replicas...)
 	sort.Slice(replicas, func(a, b int) bool { return replicas[a].ID < replicas[b].ID })
 	recent := Gather(input.Daemons)
-	slow := slowOnes(replicas, recent)
-	out.Rows = rows(input, replicas, recent)
-	used := map[string]bool{}
+	slow := slowReplicas(replicas, recent)
+	out.Rows = buildRows(input, replicas, recent)
+	routed := map[string]bool{}
 	for _, row := range out.Rows {
-		used[row.Replica] = true
+		routed[row.Replica] = true
 	}
-	warmth, paces := remembered(input.Before)
+	warmth, paces := previousWarmth(input.Before)
 	for _, replica := range replicas {
-		mark := replica.ID + "/" + replica.Boot
-		if used[replica.ID] {
-			out.Places = append(out.Places, place(input, replica, recent, slow[replica.ID], warmth[mark], paces[mark]))
-		} else if warm := warmth[mark]; warm > 0 {
+		key := replica.ID + "/" + replica.Boot
+		if routed[replica.ID] {
+			out.Places = append(out.Places, newEndpoint(input, replica, recent, slow[replica.ID], warmth[key], paces[key]))
+		} else if warm := warmth[key]; warm > 0 {
 			if out.Warmth == nil {
 				out.Warmth = map[string]float64{}
 			}
-			out.Warmth[mark] = warm
+			out.Warmth[key] = warm
 		}
 	}
-	out.Failed = failed(input)
-	number(input, replicas, &out)
-	deal(input, &out)
+	out.Failed = failedVersions(input)
+	assignSlots(input, replicas, &out)
+	allocateCredits(input, &out)
 	return out
 }
 
-// failed lists what data daemons found of the versions that are on trial or watched.
-func failed(input Input) (out []Held) {
+// failedVersions lists what data daemons found of the versions that are on trial or watched.
+func failedVersions(input Input) (out []Held) {
 	for _, daemon := range input.Daemons {
-		for _, one := range daemon.Report.Failed {
-			route := input.Routes[one.Model]
-			isAbout := route.Trial == one.Version || route.Watched && route.Version == one.Version
-			if isAbout && !slices.Contains(out, one) {
-				out = append(out, one)
+		for _, held := range daemon.Report.Failed {
+			route := input.Routes[held.Model]
+			isCurrent := route.Trial == held.Version || route.Watched && route.Version == held.Version
+			if isCurrent && !slices.Contains(out, held) {
+				out = append(out, held)
 			}
 		}
 	}
@@ -305,33 +305,33 @@
 	return out
 }
 
-// number gives every place its slot: the one it had, or the lowest that is free.
+// assignSlots gives every place its slot: the one it had, or the lowest that is free.
 //
 // Invariant: no two places have the same slot, and none has one that is reserved.
-func number(input Input, replicas []Replica, out *Standing) {
-	had := map[string]int{}
+func assignSlots(input Input, replicas []Replica, out *Standing) {
+	previous := map[string]int{}
 	if input.Before != nil {
 		for id, slot := range input.Before.Reserved {
-			had[id] = slot
+			previous[id] = slot
 		}
-		for _, place := range input.Before.Places {
-			had[place.ID] = place.Slot
+		for _, endpoint := range input.Before.Places {
+			previous[endpoint.ID] = endpoint.Slot
 		}
 	}
 	isTaken := map[int]bool{}
-	isPlaced := map[string]bool{}
-	var fresh []int
+	isRouted := map[string]bool{}
+	var newcomers []int
 	for index := range out.Places {
-		place := &out.Places[index]
-		isPlaced[place.ID] = true
-		if slot, known := had[place.ID]; known && !isTaken[slot] {
-			place.Slot, isTaken[slot] = slot, true
+		endpoint := &out.Places[index]
+		isRouted[endpoint.ID] = true
+		if slot, known := previous[endpoint.ID]; known && !isTaken[slot] {
+			endpoint.Slot, isTaken[slot] = slot, true
 		} else {
-			fresh = append(fresh, index)
+			newcomers = append(newcomers, index)
 		}
 	}
 	for _, replica := range replicas {
-		if slot, known := had[replica.ID]; known && !isPlaced[replica.ID] && !replica.Leaving && !isTaken[slot] {
+		if slot, known := previous[replica.ID]; known && !isRouted[replica.ID] && !replica.Leaving && !isTaken[slot] {
 			if out.Reserved == nil {
 				out.Reserved = map[string]int{}
 			}
@@ -339,7 +339,7 @@
 		}
 	}
 	slot := 0
-	for _, index := range fresh {
+	for _, index := range newcomers {
 		for isTaken[slot] {
 			slot++
 		}
@@ -347,18 +347,18 @@
 	}
 }
 
-// missed is for how long data daemons count that are not heard of any more.
-const missed = 15 * time.Second
+// daemonGrace is for how long data daemons count that are not heard of any more.
+const daemonGrace = 15 * time.Second
 
 // Gather sums the daemons' recent outcomes.
 func Gather(daemons []Daemon) map[Outcome]Outcome {
 	sums := map[Outcome]Outcome{}
 	for _, daemon := range daemons {
-		for _, list := range [][]Outcome{daemon.Report.Recent, daemon.Report.Near} {
-			for _, one := range list {
-				key := one.Key()
+		for _, outcomes := range [][]Outcome{daemon.Report.Recent, daemon.Report.Near} {
+			for _, outcome := range outcomes {
+				key := outcome.Key()
 				sum := sums[key]
-				sum.Add(one)
+				sum.Add(outcome)
 				sums[key] = sum
 			}
 		}
@@ -366,70 +366,72 @@
 	return sums
 }
 
-// Plain tells whether a version's mishaps are plain against another's: a few
+// FailsClearly tells whether a version's mishaps are plain against another's: a few
 // of them, a fair share, and well above what the other shows.
-func Plain(mine, other Outcome) bool {
-	return mine.Mishaps >= PlainMishaps && tells(mine, other)
+func FailsClearly(judged, baseline Outcome) bool {
+	return judged.Mishaps >= PlainMishaps && exceedsFailureShare(judged, baseline)
 }
 
 // Doubtful tells whether a version's few outcomes look like plain mishaps.
-func Doubtful(mine, other Outcome) bool {
-	return mine.strictly().Mishaps > 0 && tells(mine.strictly(), other.strictly())
+func Doubtful(judged, baseline Outcome) bool {
+	return judged.lateAsFailed().Mishaps > 0 && exceedsFailureShare(judged.lateAsFailed(), baseline.lateAsFailed())
 }
 
-func tells(mine, other Outcome) bool {
-	share := float64(mine.Mishaps) / float64(mine.Mishaps+mine.OK)
-	base := 0.0
-	if total := other.Mishaps + other.OK; total >= PlainMishaps {
-		base = float64(other.Mishaps) / float64(total)
+func exceedsFailureShare(judged, baseline Outcome) bool {
+	share := float64(judged.Mishaps) / float64(judged.Mishaps+judged.OK)
+	baselineShare := 0.0
+	if total := baseline.Mishaps + baseline.OK; total >= PlainMishaps {
+		baselineShare = float64(baseline.Mishaps) / float64(total)
 	}
-	return share > max(PlainShare, 2*base)
+	return share > max(MinFailureShare, 2*baselineShare)
 }
 
 // PlainVersion is Plain for a version's outcomes, where one that keeps its users
 // waiting fails them. A replica that does is slow, and bears less.
-func PlainVersion(mine, other Outcome) bool { return Plain(mine.strictly(), other.strictly()) }
+func PlainVersion(judged, baseline Outcome) bool {
+	return FailsClearly(judged.lateAsFailed(), baseline.lateAsFailed())
+}
 
-// strictly counts the late ones as mishaps.
-func (outcome Outcome) strictly() Outcome {
-	all := outcome.OK + outcome.Mishaps
+// lateAsFailed counts the late ones as mishaps.
+func (outcome Outcome) lateAsFailed() Outcome {
+	total := outcome.OK + outcome.Mishaps
 	outcome.Mishaps += outcome.Late
-	outcome.OK = max(0, all-outcome.Mishaps)
+	outcome.OK = max(0, total-outcome.Mishaps)
 	return outcome
 }
 
 // PlainMishaps and PlainShare: a failure is plain from so many mishaps on, at
 // such a share.
 const (
-	PlainMishaps = 3
-	PlainShare   = 0.15
+	PlainMishaps    = 3
+	MinFailureShare = 0.15
 )
 
-// rows lists what each replica may get.
-func rows(input Input, replicas []Replica, recent map[Outcome]Outcome) (rows []Row) {
+// buildRows lists what each replica may get.
+func buildRows(input Input, replicas []Replica, recent map[Outcome]Outcome) (rows []Row) {
 	models := input.Tree.Models(input.Region)
 	for _, model := range models {
 		route := input.Routes[model]
 		if placement, _ := input.Tree.Placement(model, input.Region); placement.Any() {
-			rows = append(rows, openRows(input, model, route, replicas, recent)...)
+			rows = append(rows, buildAnyVersionRows(input, model, route, replicas, recent)...)
 			continue
 		}
-		trialStands := route.Trial != "" && !TrialFails(model, route, recent)
+		isTrialActive := route.Trial != "" && !TrialFails(model, route, recent)
 		for _, replica := range replicas {
-			if !replica.Alive || replica.Leaving || input.Evacuated[replica.Zone] || !input.holds(model, replica) {
+			if !replica.Alive || replica.Leaving || input.Evacuated[replica.Zone] || !input.isEligible(model, replica) {
 				continue
 			}
-			add := func(version string, trial, back bool) {
+			add := func(version string, isTrial, isFallback bool) {
 				if version == "" || replica.Held[model+"/"+version] != Ready {
 					return
 				}
-				rows = append(rows, Row{Replica: replica.ID, Model: model, Version: version, Trial: trial, Back: back, Deny: denied(replica.ID, model, version, recent)})
+				rows = append(rows, Row{Replica: replica.ID, Model: model, Version: version, Trial: isTrial, Back: isFallback, Deny: deniedKinds(replica.ID, model, version, recent)})
 			}
 			add(route.Version, false, false)
 			if route.Watched && !route.Bears(route.Previous) {
 				add(route.Previous, false, true)
 			}
-			if trialStands && slices.Contains(route.TrialReplicas, replica.ID) {
+			if isTrialActive && slices.Contains(route.TrialReplicas, replica.ID) {
 				add(route.Trial, true, false)
 			}
 		}
@@ -437,18 +439,18 @@
 	return rows
 }
 
-// empties tells whether a replica has no rows as its zone is evacuated. Data daemons know that
+// isDrained tells whether a replica has no rows as its zone is evacuated. Data daemons know that
 // by the configuration itself; where they pace cold ones by themselves, and no roll-out
 // is under way, a replica stays as a cold one, so that the zone that is handed back serves
 // at once, whether or not a new standing can be written just then.
-func (input Input) empties(model string, route Route, replica Replica) bool {
+func (input Input) isDrained(model string, route Route, replica Replica) bool {
 	isCalm := route.Trial == "" && !route.Watched && len(route.Left) == 0
 	return input.Evacuated[replica.Zone] && (!isCalm || input.Tree.Engine(model) == nil)
 }
 
-// holds tells whether the replica stands in a zone of the region that the model is
+// isEligible tells whether the replica stands in a zone of the region that the model is
 // placed in; the group that holds it may be one zone of several.
-func (input Input) holds(model string, replica Replica) bool {
+func (input Input) isEligible(model string, replica Replica) bool {
 	if region, known := input.Tree.RegionOf(replica.Zone); !known || region != input.Region {
 		return false
 	}
@@ -459,7 +461,7 @@
 // Versions are those of the model that the replica has ready, in order.
 func (replica Replica) Versions(model string) (versions []string) {
 	for name, state := range replica.Held {
-		if version, isOf := strings.CutPrefix(name, model+"/"); isOf && state == Ready {
+		if version, isModel := strings.CutPrefix(name, model+"/"); isModel && state == Ready {
 			versions = append(versions, version)
 		}
 	}
@@ -467,39 +469,39 @@
 	return versions
 }
 
-// openRows lists what each replica may get of a model whose placement holds any
+// buildAnyVersionRows lists what each replica may get of a model whose placement holds any
 // version: all versions as equals, but for what a roll-out says of them. The one on
 // trial has trial rows; while the move is watched, those that were left stand by; one
 // that failed, or was left for good, has none.
 //
 // A version on trial is served as any other where no replica of another is listed in
 // the region: there is nothing to shift traffic from.
-func openRows(input Input, model string, route Route, replicas []Replica, recent map[Outcome]Outcome) (rows []Row) {
-	others := false // whether there are versions beside the one on trial
+func buildAnyVersionRows(input Input, model string, route Route, replicas []Replica, recent map[Outcome]Outcome) (rows []Row) {
+	hasOthers := false // whether there are versions beside the one on trial
 	for _, replica := range replicas {
-		if replica.Leaving || !input.holds(model, replica) {
+		if replica.Leaving || !input.isEligible(model, replica) {
 			continue
 		}
 		for _, version := range replica.Versions(model) {
-			others = others || version != route.Trial && !route.Bears(version) && !slices.Contains(route.Left, version)
+			hasOthers = hasOthers || version != route.Trial && !route.Bears(version) && !slices.Contains(route.Left, version)
 		}
 	}
-	trialStands := !TrialFails(model, Route{Version: settings.AnyVersion, Trial: route.Trial}, recent)
+	isTrialActive := !TrialFails(model, Route{Version: settings.AnyVersion, Trial: route.Trial}, recent)
 	for _, replica := range replicas {
-		if !replica.Alive || replica.Leaving || input.empties(model, route, replica) || !input.holds(model, replica) {
+		if !replica.Alive || replica.Leaving || input.isDrained(model, route, replica) || !input.isEligible(model, replica) {
 			continue
 		}
 		for _, version := range replica.Versions(model) {
 			row := Row{Replica: replica.ID, Model: model, Version: version}
 			switch isLeft := slices.Contains(route.Left, version) || route.Watched && version != route.Version; {
-			case route.Bears(version), isLeft && !route.Watched, version == route.Trial && !trialStands:
+			case route.Bears(version), isLeft && !route.Watched, version == route.Trial && !isTrialActive:
 				continue
 			case isLeft:
 				row.Back = true
 			case version == route.Trial:
-				row.Trial = others
+				row.Trial = hasOthers
 			}
-			row.Deny = denied(replica.ID, model, version, recent)
+			row.Deny = deniedKinds(replica.ID, model, version, recent)
 			rows = append(rows, row)
 		}
 	}
@@ -510,106 +512,106 @@
 // counts as slow; SlowAnswers and SlowShare say from how many of them on, and at which
 // share, a version is slower than the others.
 const (
-	SlowUsual   = 2.5
-	SlowAnswers = 5
-	SlowShare   = 0.2
+	SlowUsual      = 2.5
+	MinSlowAnswers = 5
+	MinSlowShare   = 0.2
 )
 
 // Slower tells whether a version's answers come plainly slower than the others',
 // though each may come in time.
-func Slower(mine, other Outcome) bool {
-	if mine.Slow < SlowAnswers || mine.OK == 0 || other.OK < 4*SlowAnswers {
+func Slower(judged, baseline Outcome) bool {
+	if judged.Slow < MinSlowAnswers || judged.OK == 0 || baseline.OK < 4*MinSlowAnswers {
 		return false
 	}
-	base := float64(other.Slow) / float64(other.OK)
-	return float64(mine.Slow)/float64(mine.OK) > max(SlowShare, 3*base)
+	baselineShare := float64(baseline.Slow) / float64(baseline.OK)
+	return float64(judged.Slow)/float64(judged.OK) > max(MinSlowShare, 3*baselineShare)
 }
 
 // Worse tells whether a version's mishaps are more than chance and the others' share
 // of them explain, however small their own share: what a version is judged by before
 // all traffic goes to it. One in a hundred is held against nobody.
-func Worse(mine, other Outcome) bool { return worse(mine, other, PlainMishaps) }
+func Worse(judged, baseline Outcome) bool { return failsMore(judged, baseline, PlainMishaps) }
 
 // Suspect is Worse for what was tried so seldom that it could not show more.
-func Suspect(mine, other Outcome) bool { return worse(mine, other, PlainMishaps-1) }
+func Suspect(judged, baseline Outcome) bool { return failsMore(judged, baseline, PlainMishaps-1) }
 
-func worse(mine, other Outcome, least int) bool {
-	mine, other = mine.strictly(), other.strictly()
-	mean := expected(mine, other)
-	return mine.Mishaps >= least && float64(mine.Mishaps) > mean+3*math.Sqrt(mean)
+func failsMore(judged, baseline Outcome, minFailures int) bool {
+	judged, baseline = judged.lateAsFailed(), baseline.lateAsFailed()
+	mean := expectedFailures(judged, baseline)
+	return judged.Mishaps >= minFailures && float64(judged.Mishaps) > mean+3*math.Sqrt(mean)
 }
 
 // Unclear tells whether a version had mishaps, which the others' share of them does not
 // explain, though they are too few to be held against it.
-func Unclear(mine, other Outcome) bool {
-	mine, other = mine.strictly(), other.strictly()
-	return float64(mine.Mishaps) > expected(mine, other)
+func Unclear(judged, baseline Outcome) bool {
+	judged, baseline = judged.lateAsFailed(), baseline.lateAsFailed()
+	return float64(judged.Mishaps) > expectedFailures(judged, baseline)
 }
 
-// expected is how many mishaps a version would have by the others' share of them.
-func expected(mine, other Outcome) float64 {
+// expectedFailures is how many mishaps a version would have by the others' share of them.
+func expectedFailures(judged, baseline Outcome) float64 {
 	share := 0.01
-	if total := other.OK + other.Mishaps; total >= 4*SlowAnswers {
-		share = max(share, 1.5*float64(other.Mishaps)/float64(total))
+	if total := baseline.OK + baseline.Mishaps; total >= 4*MinSlowAnswers {
+		share = max(share, 1.5*float64(baseline.Mishaps)/float64(total))
 	}
-	return share * float64(mine.OK+mine.Mishaps)
+	return share * float64(judged.OK+judged.Mishaps)
 }
 
 // TrialFails tells whether a trial version's failures are plain on any kind, against
 // those of the route's version; against all other versions where that is AnyVersion.
 func TrialFails(model string, route Route, recent map[Outcome]Outcome) bool {
 	sums := map[[2]string]Outcome{}
-	for key, one := range recent {
+	for key, outcome := range recent {
 		if key.Model == model {
-			at := [2]string{key.Version, key.Kind}
-			sum := sums[at]
-			sum.Add(one)
-			sums[at] = sum
+			versionKind := [2]string{key.Version, key.Kind}
+			sum := sums[versionKind]
+			sum.Add(outcome)
+			sums[versionKind] = sum
 		}
 	}
 	if route.Version == settings.AnyVersion {
 		others := map[string]Outcome{}
-		for at, one := range sums {
-			if at[0] != route.Trial {
-				sum := others[at[1]]
-				sum.Add(one)
-				others[at[1]] = sum
+		for versionKind, outcome := range sums {
+			if versionKind[0] != route.Trial {
+				sum := others[versionKind[1]]
+				sum.Add(outcome)
+				others[versionKind[1]] = sum
 			}
 		}
-		for at, mine := range sums {
-			if at[0] == route.Trial && (PlainVersion(mine, others[at[1]]) || Slower(mine, others[at[1]])) {
+		for versionKind, judged := range sums {
+			if versionKind[0] == route.Trial && (PlainVersion(judged, others[versionKind[1]]) || Slower(judged, others[versionKind[1]])) {
 				return true
 			}
 		}
 		return false
 	}
-	for at, mine := range sums {
-		if at[0] == route.Trial && PlainVersion(mine, sums[[2]string{route.Version, at[1]}]) {
+	for versionKind, judged := range sums {
+		if versionKind[0] == route.Trial && PlainVersion(judged, sums[[2]string{route.Version, versionKind[1]}]) {
 			return true
 		}
 	}
 	return false
 }
 
-// denied lists the kinds that this replica alone fails at.
-func denied(replica, model, version string, recent map[Outcome]Outcome) (kinds []string) {
-	mine, others := map[string]Outcome{}, map[string]Outcome{}
-	for key, one := range recent {
+// deniedKinds lists the kinds that this replica alone fails at.
+func deniedKinds(replica, model, version string, recent map[Outcome]Outcome) (kinds []string) {
+	own, others := map[string]Outcome{}, map[string]Outcome{}
+	for key, outcome := range recent {
 		if key.Model != model || key.Version != version {
 			continue
 		}
 		table := others
 		if key.Replica == replica {
-			table = mine
+			table = own
 		}
 		sum := table[key.Kind]
-		sum.Add(one)
+		sum.Add(outcome)
 		table[key.Kind] = sum
 	}
-	for kind, one := range mine {
+	for kind, outcome := range own {
 		// Alone: the others answer this kind. Where all fail it is the version's
 		// fault, or the kind's, and denying replicas would only make it dark.
-		if Plain(one, others[kind]) && others[kind].OK > 0 {
+		if FailsClearly(outcome, others[kind]) && others[kind].OK > 0 {
 			kinds = append(kinds, kind)
 		}
 	}
@@ -617,35 +619,35 @@
 	return kinds
 }
 
-// fullStep is by which part of its warmth a replica that turned a request away is
+// fullBackoff is by which part of its warmth a replica that turned a request away is
 // taken back, spread over the window that counts it.
 const (
-	fullStep  = 0.3
-	leastPace = 0.02
+	fullBackoff = 0.3
+	minPace     = 0.02
 )
 
-// slowAnswers is how many answers of a kind it takes to judge a replica's pace.
-const slowAnswers = 5
+// minLatencySamples is how many answers of a kind it takes to judge a replica's pace.
+const minLatencySamples = 5
 
-// slowOnes finds replicas whose quickest first pieces come far later than their
+// slowReplicas finds replicas whose quickest first pieces come far later than their
 // neighbours' of the same model and kind. The quickest, as a mean tells more of
 // how many prompts were new to a replica than of how fast it is. When a whole
 // region slows, the median moves along and nobody is blamed.
-func slowOnes(replicas []Replica, recent map[Outcome]Outcome) map[string]bool {
+func slowReplicas(replicas []Replica, recent map[Outcome]Outcome) map[string]bool {
 	type group struct{ model, kind string }
-	quickest := map[group]map[string]float64{}
-	for key, one := range recent {
-		if one.OK < slowAnswers {
+	fastest := map[group]map[string]float64{}
+	for key, outcome := range recent {
+		if outcome.OK < minLatencySamples {
 			continue
 		}
-		at := group{key.Model, key.Kind}
-		if quickest[at] == nil {
-			quickest[at] = map[string]float64{}
+		groupKey := group{key.Model, key.Kind}
+		if fastest[groupKey] == nil {
+			fastest[groupKey] = map[string]float64{}
 		}
-		quickest[at][key.Replica] = max(quickest[at][key.Replica], float64(one.Least))
+		fastest[groupKey][key.Replica] = max(fastest[groupKey][key.Replica], float64(outcome.Least))
 	}
 	slow := map[string]bool{}
-	for _, table := range quickest {
+	for _, table := range fastest {
 		if len(table) < 3 {
 			continue
 		}
@@ -654,9 +656,9 @@
 			sorted = append(sorted, least)
 		}
 		sort.Float64s(sorted)
-		middle := sorted[(len(sorted)-1)/2]
+		median := sorted[(len(sorted)-1)/2]
 		for _, replica := range replicas {
-			if least, seen := table[replica.ID]; seen && least > 4*middle && least > float64(200*time.Millisecond) {
+			if least, isMeasured := table[replica.ID]; isMeasured && least > 4*median && least > float64(200*time.Millisecond) {
 				slow[replica.ID] = true
 			}
 		}
@@ -664,25 +666,25 @@
 	return slow
 }
 
-// remembered is how warm each replica was, and at which pace it warms, by id and
+// previousWarmth is how warm each replica was, and at which pace it warms, by id and
 // boot.
-func remembered(before *Standing) (out, paces map[string]float64) {
-	out, paces = map[string]float64{}, map[string]float64{}
-	if before != nil {
-		for mark, warm := range before.Warmth {
-			out[mark] = warm
+func previousWarmth(previous *Standing) (warmth, paces map[string]float64) {
+	warmth, paces = map[string]float64{}, map[string]float64{}
+	if previous != nil {
+		for key, warm := range previous.Warmth {
+			warmth[key] = warm
 		}
-		for _, place := range before.Places {
-			out[place.ID+"/"+place.Boot] = place.Warm
-			paces[place.ID+"/"+place.Boot] = place.Pace
+		for _, endpoint := range previous.Places {
+			warmth[endpoint.ID+"/"+endpoint.Boot] = endpoint.Warm
+			paces[endpoint.ID+"/"+endpoint.Boot] = endpoint.Pace
 		}
 	}
-	return out, paces
+	return warmth, paces
 }
 
-// engined tells whether the replica holds a model with an engine. Data daemons pace
+// hasEngine tells whether the replica holds a model with an engine. Data daemons pace
 // what they send to such a one by themselves: there are no credits for it.
-func engined(input Input, replica Replica) bool {
+func hasEngine(input Input, replica Replica) bool {
 	for held := range replica.Held {
 		model, _, _ := strings.Cut(held, "/")
 		if input.Tree.Engine(model) != nil {
@@ -692,24 +694,24 @@
 	return false
 }
 
-// place says what a replica may bear now; before is how warm it was, and pace at
+// newEndpoint says what a replica may bear now; before is how warm it was, and pace at
 // which pace it warms.
-func place(input Input, replica Replica, recent map[Outcome]Outcome, slow bool, before, pace float64) Place {
-	whole := 0
+func newEndpoint(input Input, replica Replica, recent map[Outcome]Outcome, slow bool, warmth, pace float64) Place {
+	fullCapacity := 0
 	for _, model := range input.Tree.Models(replica.Zone) {
 		if placement, placed := input.Tree.Placement(model, replica.Zone); placed {
-			whole = max(whole, placement.Capacity)
+			fullCapacity = max(fullCapacity, placement.Capacity)
 		}
 	}
 	coldShare := input.Tree.Limit("cold_share", replica.Zone)
-	out := Place{ID: replica.ID, Address: replica.Address, Zone: replica.Zone, Region: replica.Region, Boot: replica.Boot, Whole: whole, Warm: coldShare, Credits: map[string]int{}, InForce: map[string]int{}, Slow: slow}
-	if before > 0 {
-		out.Warm = max(before, coldShare)
+	out := Place{ID: replica.ID, Address: replica.Address, Zone: replica.Zone, Region: replica.Region, Boot: replica.Boot, Whole: fullCapacity, Warm: coldShare, Credits: map[string]int{}, InForce: map[string]int{}, Slow: slow}
+	if warmth > 0 {
+		out.Warm = max(warmth, coldShare)
 		answers, full := 0, 0
-		for key, one := range recent {
+		for key, outcome := range recent {
 			if key.Replica == replica.ID && key.Boot == replica.Boot {
-				answers += one.OK
-				full += one.Full
+				answers += outcome.OK
+				full += outcome.Full
 			}
 		}
 		// Only a replica that answers gets warmer: by its answers, as their rate
@@ -723,18 +725,18 @@
 			out.Pace = pace
 		}
 		step *= out.Pace
-		if full > 0 && before < 1 {
+		if full > 0 && warmth < 1 {
 			// It says that it has enough: the settings take it for warmer than it
 			// is. Back by a part for each time, no further until it is quiet, and
 			// more slowly from then on.
-			part := min(0.5, fullStep*float64(full)*float64(input.Since)/float64(Window))
+			part := min(0.5, fullBackoff*float64(full)*float64(input.Since)/float64(Window))
 			step = -out.Warm * part
-			out.Pace = max(leastPace, (1-part)*out.Pace)
+			out.Pace = max(minPace, (1-part)*out.Pace)
 		}
 		out.Warm = max(coldShare, min(1, out.Warm+(1-coldShare)*step))
 	}
-	if engined(input, replica) {
-		out.Warm, out.Pace, out.Capacity, out.Slow = 1, 0, whole, false // data daemons see for themselves
+	if hasEngine(input, replica) {
+		out.Warm, out.Pace, out.Capacity, out.Slow = 1, 0, fullCapacity, false // data daemons see for themselves
 		if replica.Cold || input.Evacuated[replica.Zone] {
 			out.Warm = coldShare
 		}
@@ -744,6 +746,6 @@
 	if slow {
 		share /= 2
 	}
-	out.Capacity = max(1, int(float64(whole)*share))
+	out.Capacity = max(1, int(float64(fullCapacity)*share))
 	return out
 }
