--- a/standing/deal.go
+++ b/standing/deal.go
@@ -7,11 +7,12 @@
 	"time"
 )
 
-// allocateCredits splits each place's capacity among the data daemons.
+// allocateCredits splits each endpoint's capacity among the data daemons.
 //
-// Local demand comes first; what a region can spare beyond a fifth more than
-// its own demand it lends, up to spill_share, to daemons elsewhere that tell of
-// overflow. A credit grows only by what nobody else may still have in force.
+// Local demand comes first. The region lends part of its supply to daemons of other regions
+// that report overflow: what exceeds 1.2 times its own demand, times spill_share. A
+// daemon's credits grow only into capacity that no other daemon may still be using.
+// Endpoints of models with an engine get no credits.
 func allocateCredits(input Input, out *Standing) {
 	models := map[string][]string{} // by replica
 	for _, row := range out.Rows {
@@ -36,7 +37,7 @@
 			}
 		}
 	}
-	lentShares := map[string]float64{} // share of each model's supply that is lent
+	lentShares := map[string]float64{} // by model: the share of its supply lent to other regions
 	for model, total := range supply {
 		spare := max(0, total-1.2*localDemand[model]) * input.Tree.Limit("spill_share", input.Region)
 		if total > 0 {
@@ -74,9 +75,10 @@
 	}
 }
 
-// splitCapacity shares the capacity by weight, whole units only. Each near daemon gets
-// one unit first where there are enough; the odd units go by a hash, so that
-// over many replicas everyone gets some.
+// splitCapacity splits the endpoint's capacity by weight into whole units. If the capacity
+// is at least twice the number of local daemons, each of them gets one unit first. A hash
+// of endpoint and daemon influences who gets the units left over by rounding, so that they
+// spread over the daemons across many replicas.
 func splitCapacity(endpoint *Place, localDaemons []string, weights map[string]float64) map[string]int {
 	shares := map[string]int{}
 	remaining := endpoint.Capacity
@@ -99,8 +101,8 @@
 		return shares
 	}
 	type part struct {
-		name string
-		rest float64
+		name      string
+		remainder float64
 	}
 	var parts []part
 	assigned := 0
@@ -111,7 +113,7 @@
 		assigned += floor
 		parts = append(parts, part{name, exact - float64(floor) + 0.3*float64(hashPair(endpoint.ID, name)%1000)/1000})
 	}
-	sort.SliceStable(parts, func(a, b int) bool { return parts[a].rest > parts[b].rest })
+	sort.SliceStable(parts, func(a, b int) bool { return parts[a].remainder > parts[b].remainder })
 	for index := 0; assigned < remaining && len(parts) > 0; index++ {
 		shares[parts[index%len(parts)].name]++
 		assigned++
@@ -119,7 +121,7 @@
 	return shares
 }
 
-// hashPair is a hash of two names.
+// hashPair hashes a pair of names.
 func hashPair(a, b string) uint64 {
 	sum := fnv.New64a()
 	_, _ = sum.Write([]byte(a))
@@ -131,12 +133,12 @@
 	return value ^ value>>33
 }
 
-// Heaviest is what a request weighs at the most.
+// Heaviest is the maximum cost of a request, in units.
 const Heaviest = 8
 
-// Alone tells whether nobody but the daemon may have anything running at a cold
-// replica. Then it may give it one request of any weight, as one alone any replica
-// bears.
+// Alone reports whether the replica is cold and no other daemon may have anything running
+// on it. The daemon may then send it one request of any cost, since every replica can take
+// a single request.
 func (endpoint Place) Alone(daemon string) bool {
 	for other, units := range endpoint.InForce {
 		if other != daemon && units > 0 {
@@ -146,7 +148,8 @@
 	return endpoint.Warm < 1 && endpoint.Credits[daemon] > 0 && endpoint.Credits[daemon] >= endpoint.Capacity
 }
 
-// grantCredits turns wanted credits into granted ones.
+// grantCredits decides how many of the wanted credits to grant at an endpoint, and records
+// in InForce which earlier credits daemons may still act on.
 func grantCredits(input Input, endpoint *Place, wanted map[string]int) {
 	var previous Place
 	var serial uint64
@@ -162,19 +165,20 @@
 	for _, daemon := range input.Daemons {
 		reports[daemon.Name] = daemon.Report
 	}
-	// A permit outlives its daemon's last word by at most its length.
+	// A lease ends at most one lease duration after its daemon was last heard from; 10% is
+	// added as a margin.
 	expireAfter := input.Tree.Span("permit_ms", "")
 	expireAfter += expireAfter / 10
 	if endpoint.Warm < 1 {
-		// What a frozen or cut-off daemon has running goes on at the replica, where a
-		// killed one's ends; from here the two look alike.
+		// Requests of a frozen or partitioned daemon continue on the replica, while those
+		// of a killed daemon end. From here the two cases look the same.
 		expireAfter = max(expireAfter, input.Tree.Span("stall_ms", endpoint.Zone))
 	}
 	inForce := map[string]int{}
 	for name := range unionKeys(previous.Credits, previous.InForce) {
 		report, isMember := reports[name]
-		// Others get a part only once that daemon has seen that it is not alone any
-		// more.
+		// Until the daemon has applied a routing table in which it is no longer alone, it
+		// may still send one request of any cost.
 		soloUnits := 0
 		if previous.Alone(name) {
 			soloUnits = Heaviest
@@ -203,7 +207,7 @@
 	for name := range wanted {
 		names = append(names, name)
 	}
-	// Who lacks most is served first; ties by hash.
+	// The daemon with the largest shortfall comes first; ties are broken by hash.
 	sort.Slice(names, func(a, b int) bool {
 		shortfallA, shortfallB := wanted[names[a]]-inForce[names[a]], wanted[names[b]]-inForce[names[b]]
 		if shortfallA != shortfallB {
@@ -212,9 +216,9 @@
 		return hashPair(endpoint.ID, names[a]) < hashPair(endpoint.ID, names[b])
 	})
 	for _, name := range names {
-		// What was granted last may be granted again. More than that, even if
-		// this daemon may still act on more, only into room that nobody else
-		// can be using.
+		// Credits of the previous table may be granted again. More than that is granted
+		// only from capacity that no other daemon can be using, even if this daemon may
+		// still act on more.
 		room := endpoint.Capacity
 		for other := range unionKeys(inForce, endpoint.Credits) {
 			if other != name {
@@ -228,7 +232,8 @@
 	trimCredits(endpoint)
 }
 
-// trimCredits keeps the sum of credits within the capacity when it has shrunk.
+// trimCredits reduces the largest credits one by one until their sum fits the capacity,
+// which may have shrunk.
 func trimCredits(endpoint *Place) {
 	sum := 0
 	names := make([]string, 0, len(endpoint.Credits))
@@ -249,6 +254,7 @@
 	}
 }
 
+// unionKeys returns the set of all keys of the tables.
 func unionKeys(tables ...map[string]int) map[string]bool {
 	out := map[string]bool{}
 	for _, table := range tables {
@@ -259,12 +265,12 @@
 	return out
 }
 
-// Same tells whether two standings say the same to data daemons and to the next
-// computation, small steps of warmth aside.
+// Same reports whether two routing tables mean the same to data daemons and to the next
+// computation. Small changes of warmth don't count.
 func Same(a, b Standing) bool { return Changed(a, b) == "" }
 
-// Changed names the first thing in which two standings differ for data daemons or for
-// the next computation; nothing if they say the same.
+// Changed names the first difference between two routing tables that matters to data
+// daemons or to the next computation. It returns "" if there is none.
 func Changed(a, b Standing) string {
 	switch {
 	case a.Duty != b.Duty:
@@ -313,6 +319,7 @@
 	return true
 }
 
-// Tick is how often a standing is computed, as a ratio of the permit: often
-// enough that a leaving replica is out well within a second of its notice.
+// Tick returns the interval at which a region's routing table is recomputed, an eighth of
+// the lease duration. This is often enough to drop a leaving replica from the table well
+// within a second of its notice.
 func Tick(lease time.Duration) time.Duration { return lease / 8 }
--- a/standing/open_test.go
+++ b/standing/open_test.go
@@ -11,7 +11,8 @@
 	"swifttiller/standing"
 )
 
-// anyVersionInput is a region of three replicas at v1, two at v2 and one at v3.
+// anyVersionInput returns a region with three replicas at v1, two at v2 and one at v3, whose
+// placement accepts any version.
 func anyVersionInput(route standing.Route) standing.Input {
 	tree, problems := settings.Parse([]byte(`{"whole":{"placements":{"m":{"version":"any","capacity":8}}},"regions":{"a":{"zones":{"a-1":{},"a-2":{}}},"b":{"zones":{"b-1":{}}}}}`))
 	if len(problems) > 0 {
@@ -28,7 +29,7 @@
 	return input
 }
 
-// formatRows writes the rows of a standing: ! is on trial, < stands by.
+// formatRows formats the rows of a routing table: ! marks a trial row, < a fallback row.
 func formatRows(input standing.Input) string {
 	var rows []string
 	for _, row := range standing.Compute(input).Rows {
@@ -45,7 +46,8 @@
 	return strings.Join(rows, " ")
 }
 
-// TestRowsOfAnyVersion: what each replica may get where the placement holds any version.
+// TestRowsOfAnyVersion checks which rows each replica gets, before, during and after a rollout,
+// when the placement accepts any version.
 func TestRowsOfAnyVersion(t *testing.T) {
 	fail := func(mishaps, slow int) func(*standing.Input) {
 		return func(input *standing.Input) {
@@ -56,8 +58,8 @@
 	}
 	without := func(versions ...string) func(*standing.Input) {
 		return func(input *standing.Input) {
-			input.Replicas = slices.DeleteFunc(input.Replicas, func(test standing.Replica) bool {
-				return slices.Contains(versions, test.Versions("m")[0])
+			input.Replicas = slices.DeleteFunc(input.Replicas, func(replica standing.Replica) bool {
+				return slices.Contains(versions, replica.Versions("m")[0])
 			})
 		}
 	}
@@ -67,23 +69,23 @@
 		revise func(*standing.Input)
 		want   string
 	}{
-		{"no roll-out: equals", standing.Route{}, nil, "r0v1 r1v1 r2v1 r3v2 r4v2 r5v3"},
-		{"after an older one: equals", standing.Route{Version: "v1"}, nil, "r0v1 r1v1 r2v1 r3v2 r4v2 r5v3"},
-		{"a trial", standing.Route{Version: "v1", Trial: "v2"}, nil, "r0v1 r1v1 r2v1 r3!v2 r4!v2 r5v3"},
+		{"no rollout: all versions are equal", standing.Route{}, nil, "r0v1 r1v1 r2v1 r3v2 r4v2 r5v3"},
+		{"after an earlier rollout: all versions are equal", standing.Route{Version: "v1"}, nil, "r0v1 r1v1 r2v1 r3v2 r4v2 r5v3"},
+		{"a trial is active", standing.Route{Version: "v1", Trial: "v2"}, nil, "r0v1 r1v1 r2v1 r3!v2 r4!v2 r5v3"},
 		{"a trial that fails", standing.Route{Trial: "v2"}, fail(4, 0), "r0v1 r1v1 r2v1 r5v3"},
 		{"a trial that is slower", standing.Route{Trial: "v2"}, fail(0, 6), "r0v1 r1v1 r2v1 r5v3"},
 		{"a trial that does well", standing.Route{Trial: "v2"}, fail(1, 1), "r0v1 r1v1 r2v1 r3!v2 r4!v2 r5v3"},
-		{"a trial with nothing beside it", standing.Route{Trial: "v2"}, without("v1", "v3"), "r3v2 r4v2"},
-		{"moved and watched", standing.Route{Version: "v2", Watched: true, Left: []string{"v1", "v3"}}, nil, "r0<v1 r1<v1 r2<v1 r3v2 r4v2 r5<v3"},
+		{"a trial without other versions", standing.Route{Trial: "v2"}, without("v1", "v3"), "r3v2 r4v2"},
+		{"moved, under watch", standing.Route{Version: "v2", Watched: true, Left: []string{"v1", "v3"}}, nil, "r0<v1 r1<v1 r2<v1 r3v2 r4v2 r5<v3"},
 		{"done", standing.Route{Version: "v2", Left: []string{"v1", "v3"}}, nil, "r3v2 r4v2"},
-		{"done, and another version comes", standing.Route{Version: "v2", Left: []string{"v1"}}, nil, "r3v2 r4v2 r5v3"},
-		{"back", standing.Route{Banned: []string{"v2"}}, nil, "r0v1 r1v1 r2v1 r5v3"},
-		{"back, and nothing else is there", standing.Route{Banned: []string{"v2"}}, without("v1", "v3"), ""},
-		{"one leaves and one is dark", standing.Route{Trial: "v2"}, func(input *standing.Input) {
+		{"done, and another version appears", standing.Route{Version: "v2", Left: []string{"v1"}}, nil, "r3v2 r4v2 r5v3"},
+		{"rolled back", standing.Route{Banned: []string{"v2"}}, nil, "r0v1 r1v1 r2v1 r5v3"},
+		{"rolled back, without other versions", standing.Route{Banned: []string{"v2"}}, without("v1", "v3"), ""},
+		{"one replica leaves and one is unresponsive", standing.Route{Trial: "v2"}, func(input *standing.Input) {
 			input.Replicas[0].Leaving, input.Replicas[3].Alive = true, false
 		}, "r1v1 r2v1 r4!v2 r5v3"},
 		{"a zone is evacuated", standing.Route{Trial: "v2"}, func(input *standing.Input) { input.Evacuated["a-2"] = true }, "r0v1 r1v1 r3!v2 r5v3"},
-		{"one is loading, and one stands in no zone of it", standing.Route{}, func(input *standing.Input) {
+		{"one replica is loading and one is in a zone of another region", standing.Route{}, func(input *standing.Input) {
 			input.Replicas[0].Held["m/v1"], input.Replicas[1].Zone = standing.Loading, "b-1"
 		}, "r2v1 r3v2 r4v2 r5v3"},
 	} {
@@ -92,12 +94,13 @@
 			test.revise(&input)
 		}
 		if rows := formatRows(input); rows != test.want {
-			t.Errorf("%s: %s, not %s", test.name, rows, test.want)
+			t.Errorf("%s: rows are %s, want %s", test.name, rows, test.want)
 		}
 	}
 }
 
-// TestWorse: what few mishaps say against a version before all traffic goes to it.
+// TestWorse checks from which number of failures on a version is rejected before all traffic
+// moves to it, given the failures of the other versions.
 func TestWorse(t *testing.T) {
 	for _, test := range []struct {
 		ok, mishaps     int
@@ -108,7 +111,7 @@
 		{95, 5, 950, 50, false}, {80, 20, 950, 50, true}, {992, 8, 1000, 0, false}, {960, 40, 1000, 0, true},
 	} {
 		if isWorse := standing.Worse(standing.Outcome{OK: test.ok, Mishaps: test.mishaps}, standing.Outcome{OK: test.others, Mishaps: test.failing}); isWorse != test.want {
-			t.Errorf("%+v: %v", test, isWorse)
+			t.Errorf("%+v: Worse returned %v", test, isWorse)
 		}
 	}
 }
--- a/standing/standing_test.go
+++ b/standing/standing_test.go
@@ -27,13 +27,13 @@
 	return list
 }
 
-// simDaemon is a data daemon as the credits bind it.
+// simDaemon is a simulated data daemon that respects its credits.
 type simDaemon struct {
 	credits     map[string]int
 	serial      uint64
 	running     map[string]int
-	mayRunHeavy map[string]bool // where it may run one request of any weight
-	runsHeavy   map[string]bool // where it does
+	mayRunHeavy map[string]bool // replicas at which it may run one request of any cost
+	runsHeavy   map[string]bool // replicas at which it runs one
 }
 
 func newSimDaemon() *simDaemon {
@@ -41,7 +41,7 @@
 }
 
 func TestCreditsNeverSumAboveWhatAReplicaBears(t *testing.T) {
-	Convey("whatever order standings are applied in, and whoever starts anew", t, func() {
+	Convey("in whatever order daemons apply the routing tables, and whichever of them restart", t, func() {
 		heavyRuns := 0
 		defer func() { So(heavyRuns, ShouldBeGreaterThan, 50) }()
 		for seed := uint64(1); seed <= 60; seed++ {
@@ -73,7 +73,7 @@
 					if random.IntN(10) > 0 {
 						input.Daemons = append(input.Daemons, standing.Daemon{Name: name, Zone: zone, Region: region, Report: report})
 					} else {
-						input.Gone[name] = time.Second // out of sight, not out of its permit
+						input.Gone[name] = time.Second // without a session, but its lease may still be valid
 					}
 				}
 				next := standing.Compute(input)
@@ -82,7 +82,7 @@
 				history = append(history, next)
 				for _, name := range names {
 					daemon := daemons[name]
-					// Some apply the newest, some an older one, some nothing.
+					// Some daemons apply the newest table, some an older one, some none.
 					if random.IntN(2) == 0 {
 						applied := history[max(0, len(history)-1-random.IntN(3))]
 						if applied.Serial > daemon.serial {
@@ -106,7 +106,7 @@
 							daemon.running[replica.ID] -= random.IntN(running + 1)
 						}
 					}
-					if random.IntN(60) == 0 { // killed and started anew
+					if random.IntN(60) == 0 { // killed and restarted
 						daemons[name] = newSimDaemon()
 					}
 				}
@@ -114,7 +114,7 @@
 					inForce, credits, allowed, active := 0, 0, 0, 0
 					busyDaemons, hasHeavy := 0, false
 					for _, name := range names {
-						if previousMax := max(endpoint.Credits[name], endpoint.InForce[name]); previousMax > 0 {
+						if units := max(endpoint.Credits[name], endpoint.InForce[name]); units > 0 {
 							active++
 						}
 						if running := daemons[name].running[endpoint.ID]; running > 0 {
@@ -129,13 +129,14 @@
 						allowed += max(endpoint.Credits[name], endpoint.InForce[name])
 					}
 					if hasHeavy && busyDaemons > 1 {
-						t.Fatalf("seed %d turn %d: flooded: %s has one heavy request and others beside it (credits %v, older %v)", seed, round, endpoint.ID, endpoint.Credits, endpoint.InForce)
+						t.Fatalf("seed %d turn %d: flooded: %s runs a heavy request together with others (credits %v, older credits in force %v)", seed, round, endpoint.ID, endpoint.Credits, endpoint.InForce)
 					}
 					if credits > endpoint.Capacity {
-						t.Fatalf("seed %d turn %d: %s gives %d of %d", seed, round, endpoint.ID, credits, endpoint.Capacity)
+						t.Fatalf("seed %d turn %d: the credits of %s add up to %d, capacity %d", seed, round, endpoint.ID, credits, endpoint.Capacity)
 					}
-					// Who acts on this standing and who on the one before must fit
-					// together, whatever is left over from earlier ones.
+					// Daemons that apply this table and daemons that apply the previous
+					// one must fit the capacity together, apart from credits left over
+					// from older tables.
 					if len(history) > 1 {
 						both := 0
 						for _, earlier := range history[len(history)-2].Places {
@@ -146,20 +147,20 @@
 							}
 						}
 						if both > endpoint.Capacity {
-							t.Fatalf("seed %d turn %d: %s gives %d of %d over two standings", seed, round, endpoint.ID, both, endpoint.Capacity)
+							t.Fatalf("seed %d turn %d: the credits of %s in the last two tables add up to %d, capacity %d", seed, round, endpoint.ID, both, endpoint.Capacity)
 						}
 					}
 					if inForce > allowed {
-						t.Fatalf("seed %d turn %d: %s has %d in force where %d may be (credits %v, older %v)", seed, round, endpoint.ID, inForce, allowed, endpoint.Credits, endpoint.InForce)
+						t.Fatalf("seed %d turn %d: %s has %d units in force, at most %d are allowed (credits %v, older credits in force %v)", seed, round, endpoint.ID, inForce, allowed, endpoint.Credits, endpoint.InForce)
 					}
-					// Above what it bears only by what an earlier, greater capacity
-					// left, and that only melts.
+					// The total exceeds the capacity only by what a larger earlier
+					// capacity left over, and that part may only shrink.
 					if active > 1 && allowed > endpoint.Capacity && allowed > previousMax[endpoint.ID] {
-						t.Fatalf("seed %d turn %d: %s may have %d in force of %d, before it %d (credits %v, older %v)", seed, round, endpoint.ID, allowed, endpoint.Capacity, previousMax[endpoint.ID], endpoint.Credits, endpoint.InForce)
+						t.Fatalf("seed %d turn %d: %s may have %d units in force, capacity %d, in the previous table %d (credits %v, older credits in force %v)", seed, round, endpoint.ID, allowed, endpoint.Capacity, previousMax[endpoint.ID], endpoint.Credits, endpoint.InForce)
 					}
 					previousMax[endpoint.ID] = allowed
 				}
-				if random.IntN(40) == 0 { // a replica comes back cold
+				if random.IntN(40) == 0 { // a replica restarts cold
 					list[0].Boot += "x"
 					for _, name := range names {
 						daemons[name].running[list[0].ID], daemons[name].runsHeavy[list[0].ID] = 0, false
@@ -190,7 +191,7 @@
 		}
 		return list
 	}
-	Convey("leaving, dark, evacuated and unloaded replicas get nothing", t, func() {
+	Convey("leaving, unresponsive, evacuated and unloaded replicas get no rows", t, func() {
 		So(ids(compute(func(input *standing.Input) {
 			input.Replicas[0].Leaving = true
 			input.Replicas[1].Alive = false
@@ -198,7 +199,7 @@
 		})), ShouldResemble, []string{"r3"})
 		So(ids(compute(func(input *standing.Input) { input.Evacuated = map[string]bool{"a-1": true} })), ShouldBeEmpty)
 	})
-	Convey("one that fails one kind alone loses that kind; when all fail nobody does", t, func() {
+	Convey("a replica that alone fails at a kind is denied that kind; when all fail, none is denied", t, func() {
 		alone := compute(func(input *standing.Input) {
 			input.Daemons = daemonReporting(outcome("r0", "v1", "k", 1, 5, 0), outcome("r1", "v1", "k", 20, 0, 0), outcome("r0", "v1", "j", 9, 0, 0))
 		})
@@ -209,7 +210,7 @@
 		})
 		So(all.Rows[0].Deny, ShouldBeEmpty)
 	})
-	Convey("a slow one bears half; when the whole region slows nobody is blamed", t, func() {
+	Convey("a slow replica is marked; when the whole region slows down, none is", t, func() {
 		withLatencies := func(latencies ...time.Duration) standing.Standing {
 			return compute(func(input *standing.Input) {
 				var list []standing.Outcome
@@ -226,7 +227,7 @@
 			So(endpoint.Slow, ShouldBeFalse)
 		}
 	})
-	Convey("one whose prompts were all but one new to it is not slow", t, func() {
+	Convey("a replica with only one prefix cache hit is not slow", t, func() {
 		out := compute(func(input *standing.Input) {
 			mostlyNew := outcome("r0", "v1", "k", 9, 0, 900*time.Millisecond)
 			mostlyNew.Least = 40 * time.Millisecond
@@ -234,7 +235,7 @@
 		})
 		So(out.Places[0].Slow, ShouldBeFalse)
 	})
-	Convey("a trial has its own rows on its replicas, until its failures are plain", t, func() {
+	Convey("a trial has rows on its replicas until it clearly fails", t, func() {
 		trialRows := func(recent ...standing.Outcome) (rows int) {
 			out := compute(func(input *standing.Input) {
 				input.Routes = map[string]standing.Route{"m": {Version: "v1", Trial: "v2", TrialReplicas: []string{"r1"}}}
@@ -251,7 +252,7 @@
 		So(trialRows(outcome("r1", "v2", "k", 30, 1, 0)), ShouldEqual, 1)
 		So(trialRows(outcome("r1", "v2", "k", 30, 0, 0), outcome("r1", "v2", "j", 0, 3, 0)), ShouldEqual, 0)
 	})
-	Convey("a region lends what it can spare to daemons elsewhere, its own demand first", t, func() {
+	Convey("a region lends spare capacity to daemons of other regions, after its own demand", t, func() {
 		lentUnits := func(localDemand float64) (units int) {
 			warmth := map[string]float64{}
 			for index := 0; index < 4; index++ {
@@ -275,10 +276,10 @@
 	})
 }
 
-// TestWhatAFrozenDaemonRunsGoesOn: from outside a frozen daemon looks like a killed
-// one, but what it has running at a cold replica goes on there.
+// TestWhatAFrozenDaemonRunsGoesOn guards against overloading a cold replica: a frozen daemon
+// looks like a killed one from outside, but its requests continue on the replica.
 func TestWhatAFrozenDaemonRunsGoesOn(t *testing.T) {
-	Convey("nobody else gets a part of a cold replica until its streams must be over", t, func() {
+	Convey("no other daemon gets credits at a cold replica until the streams there must have ended", t, func() {
 		input := standing.Input{Region: "a", Tree: tree(), Replicas: replicas(1), Routes: map[string]standing.Route{"m": {Version: "v1"}}, Since: 300 * time.Millisecond, Gone: map[string]time.Duration{}}
 		reporting := func(name string, serial uint64, running int) standing.Daemon {
 			return standing.Daemon{Name: name, Zone: "a-1", Region: "a", Report: standing.Report{Standing: map[string]uint64{"a": serial}, Demand: map[string]float64{"m": 4}, InFlight: map[string]int{"r0": running}}}
--- a/standing/tables.go
+++ b/standing/tables.go
@@ -1,6 +1,6 @@
-// Package standing decides, as a pure function over tables, which replica may
-// get which request, how many credits each data daemon may spend there, and
-// what one region lends to another.
+// Package standing computes a region's routing table as a pure function of its inputs:
+// which replica may receive which requests, how many credits each data daemon may spend
+// there, and how much capacity the region lends to other regions.
 package standing
 
 import (
@@ -15,30 +15,31 @@
 	"swifttiller/tenant"
 )
 
-// Outcome counts what became of requests of one kind at one replica and version.
+// Outcome counts the results of requests of one kind at one replica and version.
 type Outcome struct {
 	Replica, Model, Version, Kind string
-	// Boot is the replica's life that it happened in.
+	// Boot identifies the replica's process, which changes when the replica restarts.
 	Boot string
-	// OK ended whole; Mishaps ran and failed; Unreached never got an answer to
-	// the dispatch at all. Late are those whose first piece came, or is still to
-	// come, far later than a user waits; the whole ones of them are OK too.
+	// OK counts requests that completed. Mishaps counts those that were dispatched and
+	// failed. Unreached counts attempts that got no response at all. Late counts requests
+	// whose first token arrived, or is still due, far later than users wait; those of them
+	// that completed are in OK too.
 	OK, Mishaps, Unreached, Late int
-	// Slow are those OK ones whose first piece took SlowUsual times what is usual for
-	// the kind or more, whether or not a user minds.
+	// Slow counts the requests in OK whose time to first token was at least SlowUsual times
+	// what is usual for the kind, whether or not a user would notice.
 	Slow int
-	// Full are those that the replica turned away, as it had enough to do.
+	// Full counts requests that the replica rejected because it was at capacity.
 	Full int
-	// Least is the shortest time to the first piece of the OK ones.
+	// Least is the shortest time to first token among the requests in OK.
 	Least time.Duration
 }
 
-// Key is the outcome without its counts.
+// Key returns the outcome without its counts, for use as a map key.
 func (outcome Outcome) Key() Outcome {
 	return Outcome{Replica: outcome.Replica, Model: outcome.Model, Version: outcome.Version, Kind: outcome.Kind, Boot: outcome.Boot}
 }
 
-// Wrong are the outcomes of a list that have mishaps or late ones.
+// Wrong returns the outcomes that have failed, unreached or late requests.
 func Wrong(outcomes []Outcome) (failed []Outcome) {
 	for _, outcome := range outcomes {
 		if outcome.Mishaps+outcome.Unreached+outcome.Late > 0 {
@@ -48,10 +49,10 @@
 	return failed
 }
 
-// Window is how far back the recent outcomes of a report reach.
+// Window is the age up to which outcomes are part of a report's Recent.
 const Window = 6 * time.Second
 
-// Add sums two counts of the same thing.
+// Add adds the counts of another outcome that has the same key.
 func (outcome *Outcome) Add(other Outcome) {
 	outcome.OK += other.OK
 	outcome.Mishaps += other.Mishaps
@@ -64,108 +65,113 @@
 	}
 }
 
-// Report is what a data daemon tells with each beat of its session.
+// Report is what a data daemon sends with each heartbeat of its session.
 type Report struct {
-	Config   uint64            // the configuration that it applies
-	Standing map[string]uint64 // by region: the standing that it applies
-	Permit   time.Duration     // how long its permit still stands
-	// Demand and Overflow are in cost units, by model: what it holds and what
-	// it could not place in its own region.
+	Config   uint64            // version of the applied configuration
+	Standing map[string]uint64 // by region: version of the applied routing table
+	Permit   time.Duration     // time left of its lease
+	// Demand is the cost of the requests that the daemon has, by model, and Overflow the
+	// part that it could not place in its own region. Both are in cost units.
 	Demand, Overflow map[string]float64
-	// InFlight is what it has running, in cost units, by replica.
+	// InFlight is the cost of its running requests, in cost units, by replica.
 	InFlight map[string]int
-	// Streams are those running by replica, model and version.
+	// Streams counts the running streams by replica, model and version.
 	Streams map[Held]int
-	// Recent covers the last few seconds; Total everything since its start, with
-	// the region in the replica's place.
+	// Recent covers the last few seconds (see Window). Total covers the time since the
+	// daemon started, with the region in place of the replica.
 	Recent, Total []Outcome
-	// Near are recent outcomes that its own region needs to hear of most, of models that
-	// no run is about and whose credits nobody deals. Elsewhere the wrong ones are heard of.
+	// Near lists recent outcomes of models that have no rollout in progress and no credits.
+	// The daemon's own region needs all of them; other regions receive only those with
+	// failures.
 	Near []Outcome
-	// Failed are the versions on trial or watched that plainly fail by its own counts.
+	// Failed lists versions on trial or under watch that clearly fail by the daemon's own
+	// counts.
 	Failed []Held
-	// Retries and Allowed count what the retry budget saw and let pass.
+	// Demanded, Retries and Allowed count the demanded requests, the retries, and the
+	// retries that the retry budget let through.
 	Demanded, Retries, Allowed uint64
 	Declined                   map[string]uint64
 	Queue                      int
-	// Tenants are the heavy tenants of the last window, in the first report after it; of
-	// a control daemon, those of all data daemons that it hears first hand.
+	// Tenants holds the heaviest tenants of the last window, in the first report after that
+	// window. In a control daemon's report they are those of all data daemons that send it
+	// heartbeats directly.
 	Tenants *tenant.Told
 }
 
-// Held names a version on a replica.
+// Held identifies a version of a model on a replica.
 type Held struct{ Replica, Model, Version string }
 
-// MarshalText makes it a key in JSON.
+// MarshalText encodes Held as "replica|model|version", so that it can be a key in JSON.
 func (held Held) MarshalText() ([]byte, error) {
 	return []byte(held.Replica + "|" + held.Model + "|" + held.Version), nil
 }
 
-// UnmarshalText reads such a key.
+// UnmarshalText decodes the text made by MarshalText.
 func (held *Held) UnmarshalText(text []byte) error {
 	parts := strings.SplitN(string(text), "|", 3)
 	if len(parts) != 3 {
-		return fmt.Errorf("%q is no replica|model|version", text)
+		return fmt.Errorf("%q does not have the form replica|model|version", text)
 	}
 	held.Replica, held.Model, held.Version = parts[0], parts[1], parts[2]
 	return nil
 }
 
-// Daemon is a data daemon as the standing sees it.
+// Daemon is a data daemon and its last report, as input to the computation.
 type Daemon struct {
 	Name, Zone, Region string
 	Report             Report
 }
 
-// States of a version on a replica, as its probes tell.
+// States of a version on a replica, as reported by health probes.
 const (
 	Loading = "loading"
 	Ready   = "ready"
 	Standby = "standby"
 )
 
-// Replica is a row of the table of replicas: what the platform lists and what
-// probes have shown.
+// Replica is what the platform's listing and the health probes say about a replica.
 type Replica struct {
 	ID, Address, Zone, Region string
-	// Leaving is true from the first word of it and stays so.
+	// Leaving is set by the first notice that the replica will shut down, and is never
+	// reset.
 	Leaving bool
 	// Alive is false once probes have gone unanswered for dark_ms.
 	Alive bool
-	// Boot changes when the replica starts anew, and makes it cold.
+	// Boot changes when the replica restarts. A restarted replica counts as cold.
 	Boot string
-	// Held is the state of each model/version.
+	// Held is the state of each version, by "model/version".
 	Held map[string]string
-	// Load is what the replica says of itself, in shares; below zero when it
-	// says nothing.
+	// Load is the utilization that the replica reports, as a share. It is negative if the
+	// replica reports none.
 	Load float64
-	// Cold is what list and probes tell of a replica whose model has an engine.
+	// Cold reports whether listing or probes show a replica as cold. It is used only for
+	// replicas whose model has an engine.
 	Cold bool
 }
 
-// Route is where a model's traffic goes in a region.
+// Route says which version of a model gets the traffic in a region.
 //
-// Invariant: only the model's serializer writes it; Serial is the region's
-// serial of the write.
+// Invariant: only the rollout of the model writes it. Serial is the revision of the
+// region's register at that write.
 type Route struct {
 	Version, Previous string
 	Trial             string
 	TrialReplicas     []string
 	Serial            uint64
-	Run               string // the run that may write it next
-	// Banned versions failed a trial or a watch here; automatic roll-outs pass
-	// them over until a promote.
+	Run               string // the rollout run that may write it next
+	// Banned versions failed a trial or a watch in this region. Automatic rollouts skip
+	// them until an operator promotes them.
 	Banned []string
 	Moved  time.Time
-	// Watched since the move until the run's watch is over: the version that was
-	// left stands by.
+	// Watched is set from the switch to Version until the run has finished watching it.
+	// During that time the previous version is kept as a fallback.
 	Watched bool
-	// Left are, where a placement holds any version, those that a roll-out has moved
-	// away from. They get nothing until no replica of theirs is listed any more.
+	// Left lists versions that a rollout has moved away from, for placements that accept
+	// any version. They get no requests until no replica of theirs is listed any more.
 	Left []string
 }
 
-// Bears tells whether the version is banned here.
+// Bears reports whether the version is banned in this region.
 func (route Route) Bears(version string) bool {
 	for _, banned := range route.Banned {
 		if banned == version {
@@ -175,61 +181,63 @@
 	return false
 }
 
-// Row says that a replica may get requests of a model at a version.
+// Row allows a replica to receive requests of one model at one version.
 type Row struct {
 	Replica, Model, Version string
 	Trial                   bool
-	// Back rows are of the version that was left, to go back to at once should the
-	// one that is watched plainly fail.
+	// Back marks rows of the previous version, which takes over at once if the version
+	// under watch clearly fails.
 	Back bool
-	// Deny are kinds that this row must not get.
+	// Deny lists the kinds of requests that must not use this row.
 	Deny []string
 }
 
-// Place is a replica of the standing, with its credits.
+// Place is an endpoint of the routing table: a replica with its capacity and its credits.
 //
-// Invariants: the sum of Credits is never above Capacity; the sum over all
-// daemons of what may be in force (the greater of Credits and InForce) grows
-// above Capacity only when Capacity itself shrank, and then gets no greater.
+// Invariants: the sum of Credits never exceeds Capacity. The sum over all daemons of the
+// greater of Credits and InForce exceeds Capacity only after Capacity itself has shrunk,
+// and then it doesn't grow.
 type Place struct {
 	ID, Address, Zone, Region, Boot string
 	Capacity                        int
-	Whole                           int // what it bears when warm
+	Whole                           int // its capacity when warm
 	Warm                            float64
-	// Pace is how fast it warms against what the settings say, as it has shown by
-	// turning requests away; 0 is as they say.
+	// Pace is the speed at which the replica warms up, relative to the settings. It falls
+	// when the replica rejects requests as full. 0 means the speed of the settings.
 	Pace    float64
 	Credits map[string]int
-	// Slot is the number that the replica has among its region's: its own as long as it
-	// is listed, then the next newcomer's. What goes by it moves no more than it must.
+	// Slot is the replica's number within its region. The replica keeps it as long as it is
+	// listed; then the next new replica gets it. Choices that depend on slots thus change
+	// as little as possible when replicas come and go.
 	Slot int
-	// InForce are older credits that their holders may still act on.
+	// InForce holds, by daemon, earlier credits that the daemon may still act on.
 	InForce map[string]int
 	Slow    bool
 }
 
-// Standing is a region's rows and credits.
+// Standing is a region's routing table.
 type Standing struct {
 	Region string
-	Serial uint64 // of the register that holds it
-	Duty   uint64 // serial of the duty that wrote it
-	// Daemons is how many data daemons there are that may send here. One that is not
-	// heard of counts for a while, as what it may send can't be known.
+	Serial uint64 // revision of the register that stores the table
+	Duty   uint64 // term of the leader that wrote the table
+	// Daemons is the number of data daemons that may send requests to the region. A daemon
+	// without a session is counted for some time longer, because it may still be sending.
 	Daemons int
-	// Failed are the versions on trial or watched that some data daemon found to fail
-	// plainly: the others need not find out for themselves, least of all anew, after a
-	// time without permits in which their own counts have faded.
+	// Failed lists the versions on trial or under watch that some data daemon found to
+	// clearly fail. The other daemons then need not gather failures of their own, in
+	// particular not after a time without a lease, in which their own counts have expired.
 	Failed []Held
 	Rows   []Row
 	Places []Place
-	// Warmth remembers replicas that get nothing now, by id and boot, so that
-	// one that was only out of sight does not count as cold.
+	// Warmth keeps the warmth of replicas that have no rows at present, by ID and boot, so
+	// that a replica that was only unreachable for a while does not count as cold.
 	Warmth map[string]float64
-	// Reserved are the slots of listed replicas that get nothing now, by id.
+	// Reserved holds the slots of listed replicas that have no rows at present, by ID.
 	Reserved map[string]int
 }
 
-// Shown lists the replicas in the standing, for logs; cold ones are marked.
+// Shown returns the names of the replicas in the table for log messages, with cold ones
+// marked.
 func (table Standing) Shown() (names []string) {
 	for _, endpoint := range table.Places {
 		name := endpoint.ID
@@ -241,7 +249,7 @@
 	return names
 }
 
-// Input is everything that a standing is made of.
+// Input is everything that a routing table is computed from.
 type Input struct {
 	Region    string
 	Tree      *settings.Tree
@@ -249,15 +257,15 @@
 	Evacuated map[string]bool
 	Replicas  []Replica
 	Daemons   []Daemon
-	// Gone tells for how long a daemon has had no session.
+	// Gone is the time for which a daemon has had no session.
 	Gone   map[string]time.Duration
-	Routes map[string]Route // by model, this region's
+	Routes map[string]Route // of this region, by model
 	Before *Standing
 	// Since is the time since Before was computed.
 	Since time.Duration
 }
 
-// Compute makes the region's next standing.
+// Compute returns the region's next routing table.
 func Compute(input Input) Standing {
 	out := Standing{Region: input.Region, Duty: input.Duty, Daemons: len(input.Daemons)}
 	if input.Before != nil && input.Since < daemonGrace {
@@ -290,7 +298,8 @@
 	return out
 }
 
-// failedVersions lists what data daemons found of the versions that are on trial or watched.
+// failedVersions returns the versions on trial or under watch that any data daemon reports
+// as failing, without duplicates.
 func failedVersions(input Input) (out []Held) {
 	for _, daemon := range input.Daemons {
 		for _, held := range daemon.Report.Failed {
@@ -305,9 +314,9 @@
 	return out
 }
 
-// assignSlots gives every place its slot: the one it had, or the lowest that is free.
+// assignSlots gives every endpoint a slot: its previous one, or the lowest that is free.
 //
-// Invariant: no two places have the same slot, and none has one that is reserved.
+// Invariant: no two endpoints have the same slot, and no endpoint has a reserved one.
 func assignSlots(input Input, replicas []Replica, out *Standing) {
 	previous := map[string]int{}
 	if input.Before != nil {
@@ -347,10 +356,10 @@
 	}
 }
 
-// daemonGrace is for how long data daemons count that are not heard of any more.
+// daemonGrace is the time for which data daemons without a session still count.
 const daemonGrace = 15 * time.Second
 
-// Gather sums the daemons' recent outcomes.
+// Gather adds up the recent outcomes of all daemons, by Outcome.Key.
 func Gather(daemons []Daemon) map[Outcome]Outcome {
 	sums := map[Outcome]Outcome{}
 	for _, daemon := range daemons {
@@ -366,17 +375,22 @@
 	return sums
 }
 
-// FailsClearly tells whether a version's mishaps are plain against another's: a few
-// of them, a fair share, and well above what the other shows.
+// FailsClearly reports whether the failures of the judged version clearly exceed the
+// baseline: at least PlainMishaps of them, and a share above both MinFailureShare and twice
+// the baseline's.
 func FailsClearly(judged, baseline Outcome) bool {
 	return judged.Mishaps >= PlainMishaps && exceedsFailureShare(judged, baseline)
 }
 
-// Doubtful tells whether a version's few outcomes look like plain mishaps.
+// Doubtful is PlainVersion without a minimum number of failures, for versions with few
+// outcomes.
 func Doubtful(judged, baseline Outcome) bool {
 	return judged.lateAsFailed().Mishaps > 0 && exceedsFailureShare(judged.lateAsFailed(), baseline.lateAsFailed())
 }
 
+// exceedsFailureShare reports whether the judged share of failures is above both
+// MinFailureShare and twice the baseline's. A baseline with fewer than PlainMishaps
+// outcomes is ignored.
 func exceedsFailureShare(judged, baseline Outcome) bool {
 	share := float64(judged.Mishaps) / float64(judged.Mishaps+judged.OK)
 	baselineShare := 0.0
@@ -386,13 +400,14 @@
 	return share > max(MinFailureShare, 2*baselineShare)
 }
 
-// PlainVersion is Plain for a version's outcomes, where one that keeps its users
-// waiting fails them. A replica that does is slow, and bears less.
+// PlainVersion is FailsClearly for judging a version. Late responses count as failures
+// here, since a version that keeps its users waiting fails them. A late replica is just
+// slow, and only gets less capacity.
 func PlainVersion(judged, baseline Outcome) bool {
 	return FailsClearly(judged.lateAsFailed(), baseline.lateAsFailed())
 }
 
-// lateAsFailed counts the late ones as mishaps.
+// lateAsFailed returns the outcome with late requests counted as failures.
 func (outcome Outcome) lateAsFailed() Outcome {
 	total := outcome.OK + outcome.Mishaps
 	outcome.Mishaps += outcome.Late
@@ -400,14 +415,15 @@
 	return outcome
 }
 
-// PlainMishaps and PlainShare: a failure is plain from so many mishaps on, at
-// such a share.
+// PlainMishaps and MinFailureShare are the number of failures and the share of all outcomes
+// from which on failures are clear.
 const (
 	PlainMishaps    = 3
 	MinFailureShare = 0.15
 )
 
-// buildRows lists what each replica may get.
+// buildRows returns the table's rows: the model versions that each replica may get requests
+// for.
 func buildRows(input Input, replicas []Replica, recent map[Outcome]Outcome) (rows []Row) {
 	models := input.Tree.Models(input.Region)
 	for _, model := range models {
@@ -439,17 +455,19 @@
 	return rows
 }
 
-// isDrained tells whether a replica has no rows as its zone is evacuated. Data daemons know that
-// by the configuration itself; where they pace cold ones by themselves, and no roll-out
-// is under way, a replica stays as a cold one, so that the zone that is handed back serves
-// at once, whether or not a new standing can be written just then.
+// isDrained reports whether a replica gets no rows because its zone is evacuated.
+//
+// Data daemons know the evacuation from the configuration itself. If the model has an
+// engine, so that they ramp up cold replicas by themselves, and no rollout is in progress,
+// the replica stays in the table as a cold one. The zone can then serve at once when it is
+// released, even if no new table can be written at that moment.
 func (input Input) isDrained(model string, route Route, replica Replica) bool {
 	isCalm := route.Trial == "" && !route.Watched && len(route.Left) == 0
 	return input.Evacuated[replica.Zone] && (!isCalm || input.Tree.Engine(model) == nil)
 }
 
-// isEligible tells whether the replica stands in a zone of the region that the model is
-// placed in; the group that holds it may be one zone of several.
+// isEligible reports whether the replica is in a zone of the region in which the model is
+// placed. A placement may cover only one of several zones.
 func (input Input) isEligible(model string, replica Replica) bool {
 	if region, known := input.Tree.RegionOf(replica.Zone); !known || region != input.Region {
 		return false
@@ -458,7 +476,7 @@
 	return placed
 }
 
-// Versions are those of the model that the replica has ready, in order.
+// Versions returns the sorted versions of the model that are ready on the replica.
 func (replica Replica) Versions(model string) (versions []string) {
 	for name, state := range replica.Held {
 		if version, isModel := strings.CutPrefix(name, model+"/"); isModel && state == Ready {
@@ -469,15 +487,15 @@
 	return versions
 }
 
-// buildAnyVersionRows lists what each replica may get of a model whose placement holds any
-// version: all versions as equals, but for what a roll-out says of them. The one on
-// trial has trial rows; while the move is watched, those that were left stand by; one
-// that failed, or was left for good, has none.
+// buildAnyVersionRows returns the rows of a model whose placement accepts any version. All
+// versions are equal, except during and after a rollout: the version on trial gets trial
+// rows; while the new version is watched, the previous ones are fallbacks; versions that
+// failed or were replaced for good get no rows.
 //
-// A version on trial is served as any other where no replica of another is listed in
-// the region: there is nothing to shift traffic from.
+// A version on trial is served like any other if no replica of another version is listed in
+// the region, because there is no traffic to shift.
 func buildAnyVersionRows(input Input, model string, route Route, replicas []Replica, recent map[Outcome]Outcome) (rows []Row) {
-	hasOthers := false // whether there are versions beside the one on trial
+	hasOthers := false // whether versions other than the one on trial are listed
 	for _, replica := range replicas {
 		if replica.Leaving || !input.isEligible(model, replica) {
 			continue
@@ -508,17 +526,17 @@
 	return rows
 }
 
-// SlowUsual is from how many times the usual time to the first piece on an answer
-// counts as slow; SlowAnswers and SlowShare say from how many of them on, and at which
-// share, a version is slower than the others.
+// SlowUsual is the multiple of the usual time to first token from which on a response
+// counts as slow. MinSlowAnswers and MinSlowShare are the number of slow responses and
+// their share from which on a version counts as slower than the others.
 const (
 	SlowUsual      = 2.5
 	MinSlowAnswers = 5
 	MinSlowShare   = 0.2
 )
 
-// Slower tells whether a version's answers come plainly slower than the others',
-// though each may come in time.
+// Slower reports whether the judged version's responses are clearly slower than the
+// baseline's, even if each of them is in time.
 func Slower(judged, baseline Outcome) bool {
 	if judged.Slow < MinSlowAnswers || judged.OK == 0 || baseline.OK < 4*MinSlowAnswers {
 		return false
@@ -527,28 +545,32 @@
 	return float64(judged.Slow)/float64(judged.OK) > max(MinSlowShare, 3*baselineShare)
 }
 
-// Worse tells whether a version's mishaps are more than chance and the others' share
-// of them explain, however small their own share: what a version is judged by before
-// all traffic goes to it. One in a hundred is held against nobody.
+// Worse reports whether the judged version has significantly more failures than the
+// baseline's share explains, however small its own share is. It is the test before all
+// traffic moves to the version. A failure share of one percent is always tolerated.
 func Worse(judged, baseline Outcome) bool { return failsMore(judged, baseline, PlainMishaps) }
 
-// Suspect is Worse for what was tried so seldom that it could not show more.
+// Suspect is Worse with one failure less, for versions with so few requests that they could
+// not show more.
 func Suspect(judged, baseline Outcome) bool { return failsMore(judged, baseline, PlainMishaps-1) }
 
+// failsMore reports whether there are at least minFailures failures and more than three
+// standard deviations above the expected number.
 func failsMore(judged, baseline Outcome, minFailures int) bool {
 	judged, baseline = judged.lateAsFailed(), baseline.lateAsFailed()
 	mean := expectedFailures(judged, baseline)
 	return judged.Mishaps >= minFailures && float64(judged.Mishaps) > mean+3*math.Sqrt(mean)
 }
 
-// Unclear tells whether a version had mishaps, which the others' share of them does not
-// explain, though they are too few to be held against it.
+// Unclear reports whether the judged version has more failures than the baseline's share
+// explains, though they may be too few to reject it.
 func Unclear(judged, baseline Outcome) bool {
 	judged, baseline = judged.lateAsFailed(), baseline.lateAsFailed()
 	return float64(judged.Mishaps) > expectedFailures(judged, baseline)
 }
 
-// expectedFailures is how many mishaps a version would have by the others' share of them.
+// expectedFailures returns the number of failures that the judged version would have at the
+// baseline's share, and at least one percent.
 func expectedFailures(judged, baseline Outcome) float64 {
 	share := 0.01
 	if total := baseline.OK + baseline.Mishaps; total >= 4*MinSlowAnswers {
@@ -557,8 +579,8 @@
 	return share * float64(judged.OK+judged.Mishaps)
 }
 
-// TrialFails tells whether a trial version's failures are plain on any kind, against
-// those of the route's version; against all other versions where that is AnyVersion.
+// TrialFails reports whether the version on trial clearly fails for any kind of request,
+// compared with the route's version, or with all other versions if that is AnyVersion.
 func TrialFails(model string, route Route, recent map[Outcome]Outcome) bool {
 	sums := map[[2]string]Outcome{}
 	for key, outcome := range recent {
@@ -593,7 +615,8 @@
 	return false
 }
 
-// deniedKinds lists the kinds that this replica alone fails at.
+// deniedKinds returns the kinds of requests that fail on this replica but not on the
+// others.
 func deniedKinds(replica, model, version string, recent map[Outcome]Outcome) (kinds []string) {
 	own, others := map[string]Outcome{}, map[string]Outcome{}
 	for key, outcome := range recent {
@@ -609,8 +632,9 @@
 		table[key.Kind] = sum
 	}
 	for kind, outcome := range own {
-		// Alone: the others answer this kind. Where all fail it is the version's
-		// fault, or the kind's, and denying replicas would only make it dark.
+		// Other replicas must answer this kind. If all of them fail, the version or the
+		// kind itself is at fault, and denying replicas would only make the kind
+		// unavailable.
 		if FailsClearly(outcome, others[kind]) && others[kind].OK > 0 {
 			kinds = append(kinds, kind)
 		}
@@ -619,20 +643,22 @@
 	return kinds
 }
 
-// fullBackoff is by which part of its warmth a replica that turned a request away is
-// taken back, spread over the window that counts it.
+// fullBackoff is the part of its warmth that a replica loses for each request that it
+// rejected as full, spread over the window in which the rejection is counted. minPace is
+// the lower bound of Place.Pace.
 const (
 	fullBackoff = 0.3
 	minPace     = 0.02
 )
 
-// minLatencySamples is how many answers of a kind it takes to judge a replica's pace.
+// minLatencySamples is the number of responses of a kind that are needed to judge a
+// replica's latency.
 const minLatencySamples = 5
 
-// slowReplicas finds replicas whose quickest first pieces come far later than their
-// neighbours' of the same model and kind. The quickest, as a mean tells more of
-// how many prompts were new to a replica than of how fast it is. When a whole
-// region slows, the median moves along and nobody is blamed.
+// slowReplicas returns the replicas whose shortest time to first token is far above that of
+// the other replicas with the same model and kind. The minimum is compared because the mean
+// depends more on how many prompts missed the prefix cache than on the replica's speed. If
+// a whole region slows down, the median rises with it and no replica is marked.
 func slowReplicas(replicas []Replica, recent map[Outcome]Outcome) map[string]bool {
 	type group struct{ model, kind string }
 	fastest := map[group]map[string]float64{}
@@ -666,8 +692,8 @@
 	return slow
 }
 
-// previousWarmth is how warm each replica was, and at which pace it warms, by id and
-// boot.
+// previousWarmth returns the warmth and the pace of each replica in the previous table, by
+// ID and boot.
 func previousWarmth(previous *Standing) (warmth, paces map[string]float64) {
 	warmth, paces = map[string]float64{}, map[string]float64{}
 	if previous != nil {
@@ -682,8 +708,8 @@
 	return warmth, paces
 }
 
-// hasEngine tells whether the replica holds a model with an engine. Data daemons pace
-// what they send to such a one by themselves: there are no credits for it.
+// hasEngine reports whether the replica holds a model with an engine. Data daemons limit
+// what they send to such a replica by themselves, so it has no credits.
 func hasEngine(input Input, replica Replica) bool {
 	for held := range replica.Held {
 		model, _, _ := strings.Cut(held, "/")
@@ -694,8 +720,8 @@
 	return false
 }
 
-// newEndpoint says what a replica may bear now; before is how warm it was, and pace at
-// which pace it warms.
+// newEndpoint computes a replica's present capacity. warmth and pace are its previous
+// values; a warmth of 0 means that the replica is new.
 func newEndpoint(input Input, replica Replica, recent map[Outcome]Outcome, slow bool, warmth, pace float64) Place {
 	fullCapacity := 0
 	for _, model := range input.Tree.Models(replica.Zone) {
@@ -714,8 +740,8 @@
 				full += outcome.Full
 			}
 		}
-		// Only a replica that answers gets warmer: by its answers, as their rate
-		// shows them, and no faster than warm_ms.
+		// Only responses warm a replica up: warm_answers of them at their present rate for
+		// full warmth, and no faster than within warm_ms.
 		step := float64(answers) * float64(input.Since) / float64(Window) / input.Tree.Limit("warm_answers", replica.Zone)
 		if warm := input.Tree.Span("warm_ms", replica.Zone); warm > 0 {
 			step = min(step, float64(input.Since)/float64(warm))
@@ -726,9 +752,9 @@
 		}
 		step *= out.Pace
 		if full > 0 && warmth < 1 {
-			// It says that it has enough: the settings take it for warmer than it
-			// is. Back by a part for each time, no further until it is quiet, and
-			// more slowly from then on.
+			// The replica is at capacity although the settings take it for warmer. Its
+			// warmth shrinks in proportion to the rejections, it doesn't grow until they
+			// stop, and from then on it grows more slowly.
 			part := min(0.5, fullBackoff*float64(full)*float64(input.Since)/float64(Window))
 			step = -out.Warm * part
 			out.Pace = max(minPace, (1-part)*out.Pace)
@@ -736,7 +762,7 @@
 		out.Warm = max(coldShare, min(1, out.Warm+(1-coldShare)*step))
 	}
 	if hasEngine(input, replica) {
-		out.Warm, out.Pace, out.Capacity, out.Slow = 1, 0, fullCapacity, false // data daemons see for themselves
+		out.Warm, out.Pace, out.Capacity, out.Slow = 1, 0, fullCapacity, false // data daemons measure these themselves
 		if replica.Cold || input.Evacuated[replica.Zone] {
 			out.Warm = coldShare
 		}
