--- a/session/session.go
+++ b/session/session.go
@@ -541,7 +541,7 @@
 	return nil, lastErr
 }
 
-// Run sends heartbeats until the world ends.
+// Run sends heartbeats at regular intervals until World ends.
 func (client *Client) Run() {
 	client.heartbeatWaker().Run(client.World, func() time.Duration { return client.Span() / 6 }, func() bool {
 		client.Say(client.Describe())
--- a/session/share.go
+++ b/session/share.go
@@ -486,7 +486,7 @@
 	table.peers[address] = state
 }
 
-// Run shares the sessions with all peers at regular intervals until the world ends.
+// Run shares the sessions with all peers at regular intervals until World ends.
 func (table *Table) Run() {
 	loop.Every(table.World, func() time.Duration { return table.Span() / 6 }, func() bool {
 		// The round ends when all members have replied; it doesn't wait for addresses of
