--- a/session/fuzz_test.go
+++ b/session/fuzz_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// FuzzMarks: marks of sessions as they travel are read, or an error says that they can't be.
+// FuzzMarks checks that decoding arbitrary bytes either fails with an error or gives marks that
+// can be encoded and decoded again.
 func FuzzMarks(f *testing.F) {
 	f.Add([]byte{})
 	f.Add([]byte{0, 1, 'a', 3})
@@ -12,13 +13,13 @@
 		if marks.GobDecode(data) != nil {
 			return
 		}
-		packed, err := marks.GobEncode()
+		encoded, err := marks.GobEncode()
 		if err != nil {
 			t.Fatal(err)
 		}
-		var again Marks
-		if err := again.GobDecode(packed); err != nil || len(again) != len(marks) {
-			t.Fatal(len(again), len(marks), err)
+		var decoded Marks
+		if err := decoded.GobDecode(encoded); err != nil || len(decoded) != len(marks) {
+			t.Fatal(len(decoded), len(marks), err)
 		}
 	})
 }
--- a/session/share.go
+++ b/session/share.go
@@ -17,37 +17,39 @@
 	"swifttiller/wire"
 )
 
-// Shared is what one control daemon tells another, and the other's answer.
+// Shared is the request in which one control daemon shares its sessions with a peer, and
+// also the reply.
 //
-// Invariant: a call's Marks name all sessions that the caller has heard first hand,
-// its own word (slot 0) included; Sessions are those of them whose contents the callee
+// Invariant: the Marks of a request name all sessions with heartbeats sent directly to the
+// sender, and its own session as slot 0. Sessions holds those whose contents the receiver
 // is not known to have.
 type Shared struct {
-	From     string // the incarnation of who tells
+	From     string // the sender's incarnation
 	Marks    Marks
 	Sessions []Content
-	// Packed are Sessions in their place, where they are many: most of what one daemon's
-	// has, such as names of replicas, others' have, too.
+	// Packed replaces Sessions if they are many. Packing saves much, since sessions have
+	// most of their contents in common, such as names of replicas.
 	Packed []byte
-	// Epoch is the teller's core's. Core is left out where the other knows it.
+	// Epoch is the epoch of the sender's core. Core is omitted if the receiver has it.
 	Epoch uint64
 	Core  register.Core
-	// Lacks are, in an answer, the slots whose contents the callee does not have, or
-	// has older.
+	// Lacks lists, in a reply, the slots whose contents the replying daemon lacks or has
+	// only in an older version.
 	Lacks []uint64
 }
 
-// packedFrom is from how many contents on they are packed: fewer are short.
-const packedFrom = 4
+// minPacked is the number of contents from which on they are packed. Fewer are short
+// anyway.
+const minPacked = 4
 
-// pack packs the contents, if they are many.
+// pack replaces Sessions by Packed if there are many of them.
 func (shared *Shared) pack() {
-	if len(shared.Sessions) >= packedFrom {
+	if len(shared.Sessions) >= minPacked {
 		shared.Packed, shared.Sessions = wire.PackValue(shared.Sessions), nil
 	}
 }
 
-// unpack gives contents that came packed back.
+// unpack restores Sessions from Packed.
 func (shared *Shared) unpack() error {
 	if len(shared.Packed) == 0 {
 		return nil
@@ -57,33 +59,35 @@
 	return wire.UnpackValue(packed, &shared.Sessions)
 }
 
-// Mark says that a session stands: its content under the serial is the teller's newest,
-// and it was heard Age ago. Times are in milliseconds, rounded to the careful side.
+// Mark says that a session is live: Serial is the latest version of its content at the
+// sender, and the last heartbeat was Age ago. Times are in milliseconds and rounded to the
+// safe side.
 type Mark struct {
 	Slot, Serial uint64
 	Age          uint64
-	// Permit is what a data daemon's permit had left when it was heard.
+	// Permit is the time left of a data daemon's lease at its last heartbeat.
 	Permit uint64
-	// Kept are, in the order of their regions, the ages of what a control daemon keeps.
+	// Kept holds the ages of the routing tables that a control daemon keeps up to date, in
+	// the order of their regions.
 	Kept []uint64
-	// Applied are, in the order of their regions, the standings that a data daemon
-	// applies; left out where the callee has been told them.
+	// Applied holds the versions of the routing tables that a data daemon applies, in the
+	// order of their regions. It is omitted if the receiver has them.
 	Applied []uint64
 }
 
-// Marks are those of a call, in the order of their slots. On the wire each is told by what
-// it differs in from the one before it: most of what control daemons tell each other in calm
-// is marks.
+// Marks are the marks of a request, in the order of their slots. They are encoded as
+// differences from the previous mark, because most of the traffic between control daemons
+// in steady state is marks.
 type Marks []Mark
 
-// What a mark's slot is told with: whether lists follow.
+// Flags in the lowest bits of an encoded slot, which say whether lists follow.
 const (
 	hasKept    = 1
 	hasApplied = 2
 	flagBits   = 2
 )
 
-// GobEncode gives them as they travel.
+// GobEncode implements gob.GobEncoder.
 func (marks Marks) GobEncode() ([]byte, error) {
 	out := make([]byte, 0, 10*len(marks))
 	list := func(numbers []uint64) {
@@ -92,148 +96,151 @@
 			out = binary.AppendUvarint(out, number)
 		}
 	}
-	var before Mark
-	for _, one := range marks {
+	var previous Mark
+	for _, mark := range marks {
 		flags := uint64(0)
-		if len(one.Kept) > 0 {
+		if len(mark.Kept) > 0 {
 			flags |= hasKept
 		}
-		if len(one.Applied) > 0 {
+		if len(mark.Applied) > 0 {
 			flags |= hasApplied
 		}
-		out = binary.AppendUvarint(out, (one.Slot-before.Slot)<<flagBits|flags)
-		out = binary.AppendVarint(out, int64(one.Serial-before.Serial))
-		out = binary.AppendUvarint(out, one.Age)
-		out = binary.AppendUvarint(out, one.Permit)
+		out = binary.AppendUvarint(out, (mark.Slot-previous.Slot)<<flagBits|flags)
+		out = binary.AppendVarint(out, int64(mark.Serial-previous.Serial))
+		out = binary.AppendUvarint(out, mark.Age)
+		out = binary.AppendUvarint(out, mark.Permit)
 		if flags&hasKept > 0 {
-			list(one.Kept)
+			list(mark.Kept)
 		}
 		if flags&hasApplied > 0 {
-			list(one.Applied)
+			list(mark.Applied)
 		}
-		before = one
+		previous = mark
 	}
 	return out, nil
 }
 
-var errMarks = errors.New("session: marks that came can't be read")
+var errMarks = errors.New("session: malformed marks in a peer's message")
 
-// GobDecode reads them.
+// GobDecode implements gob.GobDecoder.
 func (marks *Marks) GobDecode(data []byte) error {
 	*marks = nil
-	isWhole := true
+	isValid := true
 	number := func() uint64 {
 		out, read := binary.Uvarint(data)
-		isWhole = isWhole && read > 0
+		isValid = isValid && read > 0
 		data = data[max(0, read):]
 		return out
 	}
 	list := func() (out []uint64) {
-		for count := number(); isWhole && count > 0; count-- {
+		for count := number(); isValid && count > 0; count-- {
 			out = append(out, number())
 		}
 		return out
 	}
-	var before Mark
+	var previous Mark
 	for len(data) > 0 {
 		head := number()
 		delta, read := binary.Varint(data)
-		isWhole = isWhole && read > 0
+		isValid = isValid && read > 0
 		data = data[max(0, read):]
-		one := Mark{Slot: before.Slot + head>>flagBits, Serial: before.Serial + uint64(delta), Age: number(), Permit: number()}
+		mark := Mark{Slot: previous.Slot + head>>flagBits, Serial: previous.Serial + uint64(delta), Age: number(), Permit: number()}
 		if head&hasKept > 0 {
-			one.Kept = list()
+			mark.Kept = list()
 		}
 		if head&hasApplied > 0 {
-			one.Applied = list()
+			mark.Applied = list()
 		}
-		if !isWhole {
+		if !isValid {
 			return errMarks
 		}
-		*marks, before = append(*marks, one), one
+		*marks, previous = append(*marks, mark), mark
 	}
 	return nil
 }
 
-// Content is a session's content.
+// Content is the content of a session, at a version.
 type Content struct {
 	Slot, Serial uint64
 	Session      Session
 }
 
-// told is what is told of a row: its content with what marks tell left out, and the
-// serials that it has for colleagues in the same region and elsewhere.
+// announcement is what peers are told of a row: its content without the parts that marks
+// carry, and the versions of that content for peers in the same region and for those in
+// other regions.
 //
-// Invariant: isOwed exactly while colleagues elsewhere have not been told of mishaps that
-// the content has.
-type told struct {
-	content    Session
-	near, far  uint64
-	at         time.Duration // when the far serial was given
-	hasContent bool
-	isOwed     bool
+// Invariant: hasUnsentFailures is true exactly while the content has failures that peers in
+// other regions have not been sent.
+type announcement struct {
+	content                   Session
+	localSerial, remoteSerial uint64
+	remoteAt                  time.Duration // when remoteSerial was assigned
+	hasContent                bool
+	hasUnsentFailures         bool
 }
 
-// tale is what a colleague tells.
-type tale struct {
-	heard time.Duration
-	slots map[uint64]heard
+// peerSessions holds the sessions that a peer has announced.
+type peerSessions struct {
+	lastHeard time.Duration
+	slots     map[uint64]receivedContent
 }
 
-type heard struct {
+// receivedContent is the content of a session as received from a peer.
+type receivedContent struct {
 	serial uint64
-	// session is as it was when it was heard, at.
+	// session is the session as of at.
 	session Session
 	at      time.Duration
 }
 
-// colleague is what another control daemon is known to have of this one's sessions:
-// serials by slot, and the standings applied.
-type colleague struct {
-	serials  map[uint64]uint64
-	applied  map[uint64][]uint64
-	epoch    uint64
-	answered time.Duration
+// peerState is what a peer is known to have of this daemon's sessions: the version of the
+// content and the versions of the applied routing tables, by slot.
+type peerState struct {
+	serials   map[uint64]uint64
+	applied   map[uint64][]uint64
+	epoch     uint64
+	lastReply time.Duration
 }
 
-// slowly is how many sessions apart counts alone are told again.
-const slowly = 20
+// counterSpans is the time, in session timeouts, after which changes of counters alone are
+// sent to other regions again.
+const counterSpans = 20
 
-// Sum is a sum over who the members are, in their order, and not over how long they have been
-// up, what they hold and what they keep.
+// Sum returns a checksum of the members' identities, in the given order. It doesn't depend
+// on their uptimes, leaderships and routing tables.
 func Sum(members []Member) (sum uint64) {
 	for at := range members {
-		sum = joined(sum, members[at].sum())
+		sum = combine(sum, members[at].checksum())
 	}
 	return max(1, sum)
 }
 
-// joined is the sum of some members and one more.
-func joined(sum, one uint64) uint64 { return sum*1099511628211 + one }
+// combine adds a member's checksum to the checksum of the members before it.
+func combine(sum, member uint64) uint64 { return sum*1099511628211 + member }
 
-// sum is a member's part of a sum.
-func (member *Member) sum() uint64 {
+// checksum returns the member's own checksum, an input to Sum.
+func (member *Member) checksum() uint64 {
 	sum := fnv.New64a()
-	for _, word := range []string{member.Name, member.Incarnation, member.Role, member.Region, member.Zone, member.Wire, member.HTTP, member.Door, member.Acceptor, strconv.FormatBool(member.Leaving)} {
-		_, _ = sum.Write([]byte(word))
+	for _, field := range []string{member.Name, member.Incarnation, member.Role, member.Region, member.Zone, member.Wire, member.HTTP, member.Door, member.Acceptor, strconv.FormatBool(member.Leaving)} {
+		_, _ = sum.Write([]byte(field))
 		_, _ = sum.Write([]byte{0})
 	}
 	return Spread(sum.Sum64())
 }
 
-// content is the session without what marks tell.
-func content(session Session) Session {
+// contentOf returns the session without the parts that marks carry.
+func contentOf(session Session) Session {
 	session.Age, session.Member.Uptime, session.Report.Permit = 0, 0, 0
 	keeps := session.Member.Keeps
 	session.Member.Keeps = nil
 	if session.Member.Role == Data {
-		session.Report.Tenants = nil // its control daemon tells the sum
+		session.Report.Tenants = nil // the control daemon sends the total in its own session
 	}
 	if len(keeps) > 0 {
 		session.Member.Keeps = map[string]Keeping{}
-		for region, one := range keeps {
-			one.Age = 0
-			session.Member.Keeps[region] = one
+		for region, status := range keeps {
+			status.Age = 0
+			session.Member.Keeps[region] = status
 		}
 	}
 	applied := session.Report.Standing
@@ -247,182 +254,188 @@
 	return session
 }
 
-// next gives what is told of a session from now on. Of the near outcomes colleagues
-// elsewhere are told the mishaps alone, once a session at the most; counts alone make
-// nobody listen again soon.
-func (table *Table) next(before told, session Session, now time.Duration) told {
-	next := before
-	next.content = content(session)
-	isSame := before.hasContent && reflect.DeepEqual(before.content, next.content)
-	if isSame && !before.isOwed {
-		return before
-	}
-	if table.serials++; !isSame {
-		next.near, next.hasContent = table.serials, true
-	}
-	older, newer := before.content, next.content
-	next.isOwed = before.isOwed || !slices.Equal(standing.Wrong(older.Report.Near), standing.Wrong(newer.Report.Near))
-	for _, one := range []*Session{&older, &newer} {
-		one.Report.Near, one.Report.Declined = nil, nil
-		one.Report.Demanded, one.Report.Retries, one.Report.Allowed, one.Report.Queue = 0, 0, 0, 0
-	}
-	age := now - before.at
-	if !before.hasContent || age > slowly*table.Span() || next.isOwed && age >= table.Span() || !reflect.DeepEqual(older, newer) {
-		next.far, next.at, next.isOwed = table.serials, now, false
+// nextAnnouncement returns the announcement of a session after a heartbeat.
+//
+// Peers in the same region get every change. Of the Near outcomes, peers in other regions
+// only get those with failures, at most once per span. Changes of counters alone are sent
+// to them rarely (see counterSpans).
+func (table *Table) nextAnnouncement(previous announcement, session Session, now time.Duration) announcement {
+	next := previous
+	next.content = contentOf(session)
+	isSame := previous.hasContent && reflect.DeepEqual(previous.content, next.content)
+	if isSame && !previous.hasUnsentFailures {
+		return previous
+	}
+	if table.lastSerial++; !isSame {
+		next.localSerial, next.hasContent = table.lastSerial, true
+	}
+	oldContent, newContent := previous.content, next.content
+	next.hasUnsentFailures = previous.hasUnsentFailures || !slices.Equal(standing.Wrong(oldContent.Report.Near), standing.Wrong(newContent.Report.Near))
+	for _, session := range []*Session{&oldContent, &newContent} {
+		session.Report.Near, session.Report.Declined = nil, nil
+		session.Report.Demanded, session.Report.Retries, session.Report.Allowed, session.Report.Queue = 0, 0, 0, 0
+	}
+	age := now - previous.remoteAt
+	if !previous.hasContent || age > counterSpans*table.Span() || next.hasUnsentFailures && age >= table.Span() || !reflect.DeepEqual(oldContent, newContent) {
+		next.remoteSerial, next.remoteAt, next.hasUnsentFailures = table.lastSerial, now, false
 	}
 	return next
 }
 
-// hear takes a row into the table; who holds the guard calls it. A member that is heard
-// first hand and through others by turns keeps its slot.
-func (table *Table) hear(one row, isFirstHand bool) {
-	have := table.rows[one.Member.Name]
-	if have == nil {
-		at, _ := slices.BinarySearch(table.names, one.Member.Name)
-		table.names = slices.Insert(table.names, at, one.Member.Name)
-	} else if have.Member.Incarnation == one.Member.Incarnation {
-		one.slot, one.told, one.firstHand = have.slot, have.told, have.firstHand
-		if one.Report.Tenants == nil {
-			one.Report.Tenants = have.Report.Tenants // told once a window
+// record puts a row into the table. A member that is heard from directly and through peers
+// in turn keeps its slot. The caller holds mu.
+func (table *Table) record(added row, isDirect bool) {
+	current := table.rows[added.Member.Name]
+	if current == nil {
+		index, _ := slices.BinarySearch(table.names, added.Member.Name)
+		table.names = slices.Insert(table.names, index, added.Member.Name)
+	} else if current.Member.Incarnation == added.Member.Incarnation {
+		added.slot, added.announced, added.lastDirect = current.slot, current.announced, current.lastDirect
+		if added.Report.Tenants == nil {
+			added.Report.Tenants = current.Report.Tenants // reported only once per window
 		}
 	}
-	if isFirstHand {
-		one.firstHand = max(one.firstHand, one.heard)
-		if one.slot == 0 {
-			table.slots++
-			one.slot = table.slots
+	if isDirect {
+		added.lastDirect = max(added.lastDirect, added.lastHeard)
+		if added.slot == 0 {
+			table.lastSlot++
+			added.slot = table.lastSlot
 		}
 	}
-	if one.slot > 0 {
-		one.told = table.next(one.told, one.Session, table.World.Now())
+	if added.slot > 0 {
+		added.announced = table.nextAnnouncement(added.announced, added.Session, table.World.Now())
 	}
-	one.sum = one.Member.sum()
-	table.rows[one.Member.Name] = &one
+	added.checksum = added.Member.checksum()
+	table.rows[added.Member.Name] = &added
 }
 
-// Share takes a colleague's sessions, and says what it did not understand.
-func (table *Table) Share(shared Shared, back *Shared) error {
+// Share merges a peer's sessions into the table, and replies with the slots whose contents
+// are missing.
+func (table *Table) Share(shared Shared, reply *Shared) error {
 	if err := shared.unpack(); err != nil {
 		return err
 	}
 	table.Keeper.Learn(shared.Core)
-	lacks, sessions := table.understand(shared)
-	table.take(shared.From, sessions)
+	missing, sessions := table.resolve(shared)
+	table.merge(shared.From, sessions)
 	core := table.Keeper.Core()
-	*back = Shared{From: table.Self.Incarnation, Epoch: core.Epoch, Lacks: lacks}
+	*reply = Shared{From: table.Self.Incarnation, Epoch: core.Epoch, Lacks: missing}
 	if shared.Epoch < core.Epoch {
-		back.Core = core
+		reply.Core = core
 	}
 	return nil
 }
 
-// understand fills marks with the contents that they name.
-func (table *Table) understand(shared Shared) (lacks []uint64, sessions []Session) {
+// resolve returns the sessions that the marks name, with the contents received now or
+// earlier, and the slots for which the content is missing.
+func (table *Table) resolve(shared Shared) (missing []uint64, sessions []Session) {
 	now := table.World.Now()
-	table.guard.Lock()
-	defer table.guard.Unlock()
-	tells := table.tales[shared.From]
-	if tells == nil {
-		tells = &tale{}
-		table.tales[shared.From] = tells
-	}
-	tells.heard = now
-	before := tells.slots
-	tells.slots = map[uint64]heard{}
-	fresh := map[uint64]Content{}
-	for _, one := range shared.Sessions {
-		fresh[one.Slot] = one
+	table.mu.Lock()
+	defer table.mu.Unlock()
+	peer := table.received[shared.From]
+	if peer == nil {
+		peer = &peerSessions{}
+		table.received[shared.From] = peer
+	}
+	peer.lastHeard = now
+	previous := peer.slots
+	peer.slots = map[uint64]receivedContent{}
+	sent := map[uint64]Content{}
+	for _, content := range shared.Sessions {
+		sent[content.Slot] = content
 	}
 	for _, mark := range shared.Marks {
-		at := now - time.Duration(mark.Age)*time.Millisecond
-		have, known := before[mark.Slot]
-		if one, isSent := fresh[mark.Slot]; isSent && (!known || have.serial < one.Serial) {
-			have, known = heard{one.Serial, one.Session, at}, true
+		heardAt := now - time.Duration(mark.Age)*time.Millisecond
+		held, known := previous[mark.Slot]
+		if content, isSent := sent[mark.Slot]; isSent && (!known || held.serial < content.Serial) {
+			held, known = receivedContent{content.Serial, content.Session, heardAt}, true
 		}
 		if known {
-			have.session.Report.Standing = applied(have.session.Report.Standing, mark.Applied)
-			tells.slots[mark.Slot] = have
+			held.session.Report.Standing = mergeApplied(held.session.Report.Standing, mark.Applied)
+			peer.slots[mark.Slot] = held
 		}
-		if !known || have.serial < mark.Serial {
-			lacks = append(lacks, mark.Slot)
+		if !known || held.serial < mark.Serial {
+			missing = append(missing, mark.Slot)
 		}
-		// A content that is newer than its mark belongs to a call that has overtaken
-		// this one; nothing is to be learned.
-		if !known || have.serial != mark.Serial {
+		// If the content is newer than its mark, a later request has overtaken this one,
+		// and the mark says nothing new.
+		if !known || held.serial != mark.Serial {
 			continue
 		}
-		session := have.session
+		session := held.session
 		session.Age = time.Duration(mark.Age) * time.Millisecond
-		session.Member.Uptime += max(0, at-have.at)
+		session.Member.Uptime += max(0, heardAt-held.at)
 		session.Report.Permit = time.Duration(mark.Permit) * time.Millisecond
 		if len(mark.Kept) == len(session.Member.Keeps) && len(mark.Kept) > 0 {
 			keeps := map[string]Keeping{}
 			for index, region := range slices.Sorted(maps.Keys(session.Member.Keeps)) {
-				one := session.Member.Keeps[region]
-				one.Age = time.Duration(mark.Kept[index]) * time.Millisecond
-				keeps[region] = one
+				status := session.Member.Keeps[region]
+				status.Age = time.Duration(mark.Kept[index]) * time.Millisecond
+				keeps[region] = status
 			}
 			session.Member.Keeps = keeps
 		}
 		sessions = append(sessions, session)
 	}
-	return lacks, sessions
+	return missing, sessions
 }
 
-// applied gives the standings that a data daemon applies, of which a mark told some anew.
-// They rise, so what comes late changes nothing.
-func applied(have map[string]uint64, told []uint64) map[string]uint64 {
-	if len(told) == 0 || len(told) != len(have) {
-		return have
+// mergeApplied returns the versions of the routing tables that a data daemon applies,
+// updated from a mark. Versions only increase, so a late mark changes nothing.
+func mergeApplied(current map[string]uint64, announced []uint64) map[string]uint64 {
+	if len(announced) == 0 || len(announced) != len(current) {
+		return current
 	}
-	out := make(map[string]uint64, len(have))
-	for index, region := range slices.Sorted(maps.Keys(have)) {
-		out[region] = max(have[region], told[index])
+	out := make(map[string]uint64, len(current))
+	for index, region := range slices.Sorted(maps.Keys(current)) {
+		out[region] = max(current[region], announced[index])
 	}
 	return out
 }
 
-// take takes sessions that the incarnation of a colleague tells, its own among them.
-func (table *Table) take(from string, sessions []Session) {
+// merge records the sessions received from the peer with the incarnation from, including
+// the peer's own session.
+func (table *Table) merge(from string, sessions []Session) {
 	now := table.World.Now()
-	table.guard.Lock()
-	defer table.guard.Unlock()
-	for _, one := range sessions {
-		heard := now - one.Age
-		have := table.rows[one.Member.Name]
-		_, gone := table.over[one.Member.Incarnation]
-		if gone || one.Member.Name == table.Self.Name || have != nil && have.heard >= heard {
+	table.mu.Lock()
+	defer table.mu.Unlock()
+	for _, received := range sessions {
+		lastHeard := now - received.Age
+		current := table.rows[received.Member.Name]
+		_, hasEnded := table.ended[received.Member.Incarnation]
+		if hasEnded || received.Member.Name == table.Self.Name || current != nil && current.lastHeard >= lastHeard {
 			continue
 		}
-		// A colleague's own word is heard first hand and passed on like a beat:
-		// control daemons that are nobody's seed learn of each other by it.
-		table.hear(row{Session: one, heard: heard}, one.Member.Incarnation == from)
+		// The peer's own session counts as a direct heartbeat and is shared with other
+		// peers. Control daemons that are in nobody's seed list find each other this way.
+		table.record(row{Session: received, lastHeard: lastHeard}, received.Member.Incarnation == from)
 	}
 }
 
-// give is what to tell a colleague that has what is given.
-func (table *Table) give(address string) (Shared, *colleague) {
+// buildShare returns the request for a peer, without the contents that the peer is known to
+// have, and the state that the peer has after receiving it.
+func (table *Table) buildShare(address string) (Shared, *peerState) {
 	now := table.World.Now()
-	table.guard.Lock()
-	defer table.guard.Unlock()
-	have := table.colleaguesHave[address]
-	if have == nil {
-		have = &colleague{}
+	table.mu.Lock()
+	defer table.mu.Unlock()
+	peer := table.peers[address]
+	if peer == nil {
+		peer = &peerState{}
 	}
-	isNear := false
-	for _, one := range table.rows {
-		isNear = isNear || one.Member.Wire == address && one.Member.Region == table.Self.Region
+	isLocal := false
+	for _, row := range table.rows {
+		isLocal = isLocal || row.Member.Wire == address && row.Member.Region == table.Self.Region
 	}
 	core := table.Keeper.Core()
 	out := Shared{From: table.Self.Incarnation, Epoch: core.Epoch}
-	if core.Epoch > have.epoch {
+	if core.Epoch > peer.epoch {
 		out.Core = core
 	}
-	next := &colleague{serials: map[uint64]uint64{}, applied: map[uint64][]uint64{}}
-	tell := func(slot uint64, told told, session Session, age time.Duration) {
-		mark := Mark{Slot: slot, Serial: told.far, Age: uint64((age + time.Millisecond - 1) / time.Millisecond), Permit: uint64(max(0, session.Report.Permit) / time.Millisecond)}
-		if isNear {
-			mark.Serial = told.near
+	next := &peerState{serials: map[uint64]uint64{}, applied: map[uint64][]uint64{}}
+	announce := func(slot uint64, announced announcement, session Session, age time.Duration) {
+		mark := Mark{Slot: slot, Serial: announced.remoteSerial, Age: uint64((age + time.Millisecond - 1) / time.Millisecond), Permit: uint64(max(0, session.Report.Permit) / time.Millisecond)}
+		if isLocal {
+			mark.Serial = announced.localSerial
 		}
 		for _, region := range slices.Sorted(maps.Keys(session.Member.Keeps)) {
 			mark.Kept = append(mark.Kept, uint64((session.Member.Keeps[region].Age+time.Millisecond-1)/time.Millisecond))
@@ -432,15 +445,15 @@
 			standings = append(standings, session.Report.Standing[region])
 		}
 		next.serials[slot], next.applied[slot] = mark.Serial, standings
-		isTold := have.serials[slot] == mark.Serial
-		if isTold && !slices.Equal(have.applied[slot], standings) {
+		isKnown := peer.serials[slot] == mark.Serial
+		if isKnown && !slices.Equal(peer.applied[slot], standings) {
 			mark.Applied = standings
 		}
 		out.Marks = append(out.Marks, mark)
-		if isTold {
+		if isKnown {
 			return
 		}
-		if !isNear {
+		if !isLocal {
 			session.Report.Near = standing.Wrong(session.Report.Near)
 		}
 		if session.Member.Role == Data {
@@ -448,57 +461,58 @@
 		}
 		out.Sessions = append(out.Sessions, Content{slot, mark.Serial, session})
 	}
-	for _, one := range table.rows {
-		if one.slot > 0 && now-one.firstHand < table.Span() && now-one.heard < table.Span() {
-			tell(one.slot, one.told, one.Session, now-one.heard)
+	for _, row := range table.rows {
+		if row.slot > 0 && now-row.lastDirect < table.Span() && now-row.lastHeard < table.Span() {
+			announce(row.slot, row.announced, row.Session, now-row.lastHeard)
 		}
 	}
-	self := table.word()
-	table.own = table.next(table.own, self, now)
-	tell(0, table.own, self, 0)
+	self := table.ownSession()
+	table.ownAnnounced = table.nextAnnouncement(table.ownAnnounced, self, now)
+	announce(0, table.ownAnnounced, self, 0)
 	sort.Slice(out.Marks, func(a, b int) bool { return out.Marks[a].Slot < out.Marks[b].Slot })
 	sort.Slice(out.Sessions, func(a, b int) bool { return out.Sessions[a].Slot < out.Sessions[b].Slot })
 	return out, next
 }
 
-// answered notes what a colleague has now.
-func (table *Table) answered(address string, now *colleague, back *Shared) {
-	table.Keeper.Learn(back.Core)
-	table.guard.Lock()
-	defer table.guard.Unlock()
-	for _, slot := range back.Lacks {
-		delete(now.serials, slot)
-	}
-	now.epoch, now.answered = back.Epoch, table.World.Now()
-	table.colleaguesHave[address] = now
+// recordReply records a peer's state after its reply.
+func (table *Table) recordReply(address string, state *peerState, reply *Shared) {
+	table.Keeper.Learn(reply.Core)
+	table.mu.Lock()
+	defer table.mu.Unlock()
+	for _, slot := range reply.Lacks {
+		delete(state.serials, slot)
+	}
+	state.epoch, state.lastReply = reply.Epoch, table.World.Now()
+	table.peers[address] = state
 }
 
-// Run shares the sessions with the colleagues until the world ends.
+// Run shares the sessions with all peers at regular intervals until World ends.
 func (table *Table) Run() {
 	loop.Every(table.World, func() time.Duration { return table.Span() / 6 }, func() bool {
-		// Nobody waits for addresses that lead to no member while the members answer.
-		addresses, members := table.colleagues()
-		left := members
+		// The round ends when all members have replied; it doesn't wait for addresses of
+		// non-members.
+		addresses, members := table.peerAddresses()
+		pending := members
 		loop.Gather(table.World, len(addresses), table.Span()/4, func(index int) bool {
-			// One that lacks something, as it began anew, is told at once.
-			for try := 0; try < 2; try++ {
-				shared, next := table.give(addresses[index])
+			// A peer that lacks contents, for example after a restart, gets them at once.
+			for attempt := 0; attempt < 2; attempt++ {
+				shared, next := table.buildShare(addresses[index])
 				shared.pack()
-				back := new(Shared)
-				if table.Net.Call(addresses[index], "Session.Share", shared, back, table.Span()/4) != nil {
+				reply := new(Shared)
+				if table.Net.Call(addresses[index], "Session.Share", shared, reply, table.Span()/4) != nil {
 					break
 				}
-				table.answered(addresses[index], next, back)
-				if len(back.Lacks) == 0 {
+				table.recordReply(addresses[index], next, reply)
+				if len(reply.Lacks) == 0 {
 					break
 				}
 			}
 			return index < members
 		}, func(_ int, isMember bool) bool {
 			if isMember {
-				left--
+				pending--
 			}
-			return members > 0 && left == 0
+			return members > 0 && pending == 0
 		})
 		table.sweep()
 		return true
--- a/session/table_bench_test.go
+++ b/session/table_bench_test.go
@@ -10,8 +10,8 @@
 	"swifttiller/standing"
 )
 
-// BenchmarkTable is what a control daemon does with 420 data daemons' sessions: it takes
-// the word of one, and lists all.
+// BenchmarkTable measures a control daemon's table with the sessions of 420 data daemons:
+// processing one heartbeat, listing the sessions, and computing the checksum.
 func BenchmarkTable(b *testing.B) {
 	world := loop.NewMachine()
 	defer world.End()
@@ -25,16 +25,16 @@
 		}
 	}
 	b.Run("beat", func(b *testing.B) {
-		turn := 0
+		round := 0
 		for b.Loop() {
-			turn++
-			_ = table.Beat(beats[turn%len(beats)], new(session.Answer))
+			round++
+			_ = table.Beat(beats[round%len(beats)], new(session.Answer))
 		}
 	})
 	b.Run("live", func(b *testing.B) {
 		for b.Loop() {
 			if len(table.Live("")) != 421 {
-				b.Fatal("not all")
+				b.Fatal("some sessions are not listed")
 			}
 		}
 	})
--- a/standing/tables.go
+++ b/standing/tables.go
@@ -1,6 +1,6 @@
-// Package standing decides, as a pure function over tables, which replica may
-// get which request, how many credits each data daemon may spend there, and
-// what one region lends to another.
+// Package standing computes a region's routing table as a pure function of its inputs:
+// which replica may receive which requests, how many credits each data daemon may spend
+// there, and how much capacity the region lends to other regions.
 package standing
 
 import (
@@ -15,43 +15,44 @@
 	"swifttiller/tenant"
 )
 
-// Outcome counts what became of requests of one kind at one replica and version.
+// Outcome counts the results of requests of one kind at one replica and version.
 type Outcome struct {
 	Replica, Model, Version, Kind string
-	// Boot is the replica's life that it happened in.
+	// Boot identifies the replica's process, which changes when the replica restarts.
 	Boot string
-	// OK ended whole; Mishaps ran and failed; Unreached never got an answer to
-	// the dispatch at all. Late are those whose first piece came, or is still to
-	// come, far later than a user waits; the whole ones of them are OK too.
+	// OK counts requests that completed. Mishaps counts those that were dispatched and
+	// failed. Unreached counts attempts that got no response at all. Late counts requests
+	// whose first token arrived, or is still due, far later than users wait; those of them
+	// that completed are in OK too.
 	OK, Mishaps, Unreached, Late int
-	// Slow are those OK ones whose first piece took SlowUsual times what is usual for
-	// the kind or more, whether or not a user minds.
+	// Slow counts the requests in OK whose time to first token was at least SlowUsual times
+	// what is usual for the kind, whether or not a user would notice.
 	Slow int
-	// Full are those that the replica turned away, as it had enough to do.
+	// Full counts requests that the replica rejected because it was at capacity.
 	Full int
-	// Least is the shortest time to the first piece of the OK ones.
+	// Least is the shortest time to first token among the requests in OK.
 	Least time.Duration
 }
 
-// Key is the outcome without its counts.
+// Key returns the outcome without its counts, for use as a map key.
 func (outcome Outcome) Key() Outcome {
 	return Outcome{Replica: outcome.Replica, Model: outcome.Model, Version: outcome.Version, Kind: outcome.Kind, Boot: outcome.Boot}
 }
 
-// Wrong are the outcomes of a list that have mishaps or late ones.
-func Wrong(list []Outcome) (out []Outcome) {
-	for _, one := range list {
-		if one.Mishaps+one.Unreached+one.Late > 0 {
-			out = append(out, one)
+// Wrong returns the outcomes that have failed, unreached or late requests.
+func Wrong(outcomes []Outcome) (failed []Outcome) {
+	for _, outcome := range outcomes {
+		if outcome.Mishaps+outcome.Unreached+outcome.Late > 0 {
+			failed = append(failed, outcome)
 		}
 	}
-	return out
+	return failed
 }
 
-// Window is how far back the recent outcomes of a report reach.
+// Window is the age up to which outcomes are part of a report's Recent.
 const Window = 6 * time.Second
 
-// Add sums two counts of the same thing.
+// Add adds the counts of another outcome that has the same key.
 func (outcome *Outcome) Add(other Outcome) {
 	outcome.OK += other.OK
 	outcome.Mishaps += other.Mishaps
@@ -64,108 +65,113 @@
 	}
 }
 
-// Report is what a data daemon tells with each beat of its session.
+// Report is what a data daemon sends with each heartbeat of its session.
 type Report struct {
-	Config   uint64            // the configuration that it applies
-	Standing map[string]uint64 // by region: the standing that it applies
-	Permit   time.Duration     // how long its permit still stands
-	// Demand and Overflow are in cost units, by model: what it holds and what
-	// it could not place in its own region.
+	Config   uint64            // version of the applied configuration
+	Standing map[string]uint64 // by region: version of the applied routing table
+	Permit   time.Duration     // time left of its lease
+	// Demand is the cost of the requests that the daemon has, by model, and Overflow the
+	// part that it could not place in its own region. Both are in cost units.
 	Demand, Overflow map[string]float64
-	// InFlight is what it has running, in cost units, by replica.
+	// InFlight is the cost of its running requests, in cost units, by replica.
 	InFlight map[string]int
-	// Streams are those running by replica, model and version.
+	// Streams counts the running streams by replica, model and version.
 	Streams map[Held]int
-	// Recent covers the last few seconds; Total everything since its start, with
-	// the region in the replica's place.
+	// Recent covers the last few seconds (see Window). Total covers the time since the
+	// daemon started, with the region in place of the replica.
 	Recent, Total []Outcome
-	// Near are recent outcomes that its own region needs to hear of most, of models that
-	// no run is about and whose credits nobody deals. Elsewhere the wrong ones are heard of.
+	// Near lists recent outcomes of models that have no rollout in progress and no credits.
+	// The daemon's own region needs all of them; other regions receive only those with
+	// failures.
 	Near []Outcome
-	// Failed are the versions on trial or watched that plainly fail by its own counts.
+	// Failed lists versions on trial or under watch that clearly fail by the daemon's own
+	// counts.
 	Failed []Held
-	// Retries and Allowed count what the retry budget saw and let pass.
+	// Demanded, Retries and Allowed count the demanded requests, the retries, and the
+	// retries that the retry budget let through.
 	Demanded, Retries, Allowed uint64
 	Declined                   map[string]uint64
 	Queue                      int
-	// Tenants are the heavy tenants of the last window, in the first report after it; of
-	// a control daemon, those of all data daemons that it hears first hand.
+	// Tenants holds the heaviest tenants of the last window, in the first report after that
+	// window. In a control daemon's report they are those of all data daemons that send it
+	// heartbeats directly.
 	Tenants *tenant.Told
 }
 
-// Held names a version on a replica.
+// Held identifies a version of a model on a replica.
 type Held struct{ Replica, Model, Version string }
 
-// MarshalText makes it a key in JSON.
+// MarshalText encodes Held as "replica|model|version", so that it can be a key in JSON.
 func (held Held) MarshalText() ([]byte, error) {
 	return []byte(held.Replica + "|" + held.Model + "|" + held.Version), nil
 }
 
-// UnmarshalText reads such a key.
+// UnmarshalText decodes the text made by MarshalText.
 func (held *Held) UnmarshalText(text []byte) error {
 	parts := strings.SplitN(string(text), "|", 3)
 	if len(parts) != 3 {
-		return fmt.Errorf("%q is no replica|model|version", text)
+		return fmt.Errorf("%q does not have the form replica|model|version", text)
 	}
 	held.Replica, held.Model, held.Version = parts[0], parts[1], parts[2]
 	return nil
 }
 
-// Daemon is a data daemon as the standing sees it.
+// Daemon is a data daemon and its last report, as input to the computation.
 type Daemon struct {
 	Name, Zone, Region string
 	Report             Report
 }
 
-// States of a version on a replica, as its probes tell.
+// States of a version on a replica, as reported by health probes.
 const (
 	Loading = "loading"
 	Ready   = "ready"
-	Resting = "standby"
+	Standby = "standby"
 )
 
-// Replica is a row of the table of replicas: what the platform lists and what
-// probes have shown.
+// Replica is what the platform's listing and the health probes say about a replica.
 type Replica struct {
 	ID, Address, Zone, Region string
-	// Leaving is true from the first word of it and stays so.
+	// Leaving is set by the first notice that the replica will shut down, and is never
+	// reset.
 	Leaving bool
 	// Alive is false once probes have gone unanswered for dark_ms.
 	Alive bool
-	// Boot changes when the replica starts anew, and makes it cold.
+	// Boot changes when the replica restarts. A restarted replica counts as cold.
 	Boot string
-	// Held is the state of each model/version.
+	// Held is the state of each version, by "model/version".
 	Held map[string]string
-	// Load is what the replica says of itself, in shares; below zero when it
-	// says nothing.
+	// Load is the utilization that the replica reports, as a share. It is negative if the
+	// replica reports none.
 	Load float64
-	// Cold is what list and probes tell of a replica whose model has an engine.
+	// Cold reports whether listing or probes show a replica as cold. It is used only for
+	// replicas whose model has an engine.
 	Cold bool
 }
 
-// Route is where a model's traffic goes in a region.
+// Route says which version of a model gets the traffic in a region.
 //
-// Invariant: only the model's serializer writes it; Serial is the region's
-// serial of the write.
+// Invariant: only the rollout of the model writes it. Serial is the revision of the
+// region's register at that write.
 type Route struct {
 	Version, Previous string
 	Trial             string
 	TrialReplicas     []string
 	Serial            uint64
-	Run               string // the run that may write it next
-	// Banned versions failed a trial or a watch here; automatic roll-outs pass
-	// them over until a promote.
+	Run               string // the rollout run that may write it next
+	// Banned versions failed a trial or a watch in this region. Automatic rollouts skip
+	// them until an operator promotes them.
 	Banned []string
 	Moved  time.Time
-	// Watched since the move until the run's watch is over: the version that was
-	// left stands by.
+	// Watched is set from the switch to Version until the run has finished watching it.
+	// During that time the previous version is kept as a fallback.
 	Watched bool
-	// Left are, where a placement holds any version, those that a roll-out has moved
-	// away from. They get nothing until no replica of theirs is listed any more.
+	// Left lists versions that a rollout has moved away from, for placements that accept
+	// any version. They get no requests until no replica of theirs is listed any more.
 	Left []string
 }
 
-// Bears tells whether the version is banned here.
+// Bears reports whether the version is banned in this region.
 func (route Route) Bears(version string) bool {
 	for _, banned := range route.Banned {
 		if banned == version {
@@ -175,65 +181,67 @@
 	return false
 }
 
-// Row says that a replica may get requests of a model at a version.
+// Row allows a replica to receive requests of one model at one version.
 type Row struct {
 	Replica, Model, Version string
 	Trial                   bool
-	// Back rows are of the version that was left, to go back to at once should the
-	// one that is watched plainly fail.
+	// Back marks rows of the previous version, which takes over at once if the version
+	// under watch clearly fails.
 	Back bool
-	// Deny are kinds that this row must not get.
+	// Deny lists the kinds of requests that must not use this row.
 	Deny []string
 }
 
-// Place is a replica of the standing, with its credits.
+// Place is an endpoint of the routing table: a replica with its capacity and its credits.
 //
-// Invariants: the sum of Credits is never above Capacity; the sum over all
-// daemons of what may be in force (the greater of Credits and InForce) grows
-// above Capacity only when Capacity itself shrank, and then gets no greater.
+// Invariants: the sum of Credits never exceeds Capacity. The sum over all daemons of the
+// greater of Credits and InForce exceeds Capacity only after Capacity itself has shrunk,
+// and then it doesn't grow.
 type Place struct {
 	ID, Address, Zone, Region, Boot string
 	Capacity                        int
-	Whole                           int // what it bears when warm
+	Whole                           int // its capacity when warm
 	Warm                            float64
-	// Pace is how fast it warms against what the settings say, as it has shown by
-	// turning requests away; 0 is as they say.
+	// Pace is the speed at which the replica warms up, relative to the settings. It falls
+	// when the replica rejects requests as full. 0 means the speed of the settings.
 	Pace    float64
 	Credits map[string]int
-	// Slot is the number that the replica has among its region's: its own as long as it
-	// is listed, then the next newcomer's. What goes by it moves no more than it must.
+	// Slot is the replica's number within its region. The replica keeps it as long as it is
+	// listed; then the next new replica gets it. Choices that depend on slots thus change
+	// as little as possible when replicas come and go.
 	Slot int
-	// InForce are older credits that their holders may still act on.
+	// InForce holds, by daemon, earlier credits that the daemon may still act on.
 	InForce map[string]int
 	Slow    bool
 }
 
-// Standing is a region's rows and credits.
+// Standing is a region's routing table.
 type Standing struct {
 	Region string
-	Serial uint64 // of the register that holds it
-	Duty   uint64 // serial of the duty that wrote it
-	// Daemons is how many data daemons there are that may send here. One that is not
-	// heard of counts for a while, as what it may send can't be known.
+	Serial uint64 // revision of the register that stores the table
+	Duty   uint64 // term of the leader that wrote the table
+	// Daemons is the number of data daemons that may send requests to the region. A daemon
+	// without a session is counted for some time longer, because it may still be sending.
 	Daemons int
-	// Failed are the versions on trial or watched that some data daemon found to fail
-	// plainly: the others need not find out for themselves, least of all anew, after a
-	// time without permits in which their own counts have faded.
+	// Failed lists the versions on trial or under watch that some data daemon found to
+	// clearly fail. The other daemons then need not gather failures of their own, in
+	// particular not after a time without a lease, in which their own counts have expired.
 	Failed []Held
 	Rows   []Row
 	Places []Place
-	// Warmth remembers replicas that get nothing now, by id and boot, so that
-	// one that was only out of sight does not count as cold.
+	// Warmth keeps the warmth of replicas that have no rows at present, by ID and boot, so
+	// that a replica that was only unreachable for a while does not count as cold.
 	Warmth map[string]float64
-	// Reserved are the slots of listed replicas that get nothing now, by id.
+	// Reserved holds the slots of listed replicas that have no rows at present, by ID.
 	Reserved map[string]int
 }
 
-// Shown lists the replicas in the standing, for logs; cold ones are marked.
-func (standing Standing) Shown() (names []string) {
-	for _, place := range standing.Places {
-		name := place.ID
-		if place.Warm < 1 {
+// Shown returns the names of the replicas in the table for log messages, with cold ones
+// marked.
+func (table Standing) Shown() (names []string) {
+	for _, endpoint := range table.Places {
+		name := endpoint.ID
+		if endpoint.Warm < 1 {
 			name += " (cold)"
 		}
 		names = append(names, name)
@@ -241,7 +249,7 @@
 	return names
 }
 
-// Input is everything that a standing is made of.
+// Input is everything that a routing table is computed from.
 type Input struct {
 	Region    string
 	Tree      *settings.Tree
@@ -249,55 +257,56 @@
 	Evacuated map[string]bool
 	Replicas  []Replica
 	Daemons   []Daemon
-	// Gone tells for how long a daemon has had no session.
+	// Gone is the time for which a daemon has had no session.
 	Gone   map[string]time.Duration
-	Routes map[string]Route // by model, this region's
+	Routes map[string]Route // of this region, by model
 	Before *Standing
 	// Since is the time since Before was computed.
 	Since time.Duration
 }
 
-// Compute makes the region's next standing.
+// Compute returns the region's next routing table.
 func Compute(input Input) Standing {
 	out := Standing{Region: input.Region, Duty: input.Duty, Daemons: len(input.Daemons)}
-	if input.Before != nil && input.Since < missed {
+	if input.Before != nil && input.Since < daemonGrace {
 		out.Daemons = max(out.Daemons, input.Before.Daemons)
 	}
 	replicas := append([]Replica{}, input.Replicas...)
 	sort.Slice(replicas, func(a, b int) bool { return replicas[a].ID < replicas[b].ID })
 	recent := Gather(input.Daemons)
-	slow := slowOnes(replicas, recent)
-	out.Rows = rows(input, replicas, recent)
-	used := map[string]bool{}
+	slow := slowReplicas(replicas, recent)
+	out.Rows = buildRows(input, replicas, recent)
+	routed := map[string]bool{}
 	for _, row := range out.Rows {
-		used[row.Replica] = true
+		routed[row.Replica] = true
 	}
-	warmth, paces := remembered(input.Before)
+	warmth, paces := previousWarmth(input.Before)
 	for _, replica := range replicas {
-		mark := replica.ID + "/" + replica.Boot
-		if used[replica.ID] {
-			out.Places = append(out.Places, place(input, replica, recent, slow[replica.ID], warmth[mark], paces[mark]))
-		} else if warm := warmth[mark]; warm > 0 {
+		key := replica.ID + "/" + replica.Boot
+		if routed[replica.ID] {
+			out.Places = append(out.Places, newEndpoint(input, replica, recent, slow[replica.ID], warmth[key], paces[key]))
+		} else if warm := warmth[key]; warm > 0 {
 			if out.Warmth == nil {
 				out.Warmth = map[string]float64{}
 			}
-			out.Warmth[mark] = warm
+			out.Warmth[key] = warm
 		}
 	}
-	out.Failed = failed(input)
-	number(input, replicas, &out)
-	deal(input, &out)
+	out.Failed = failedVersions(input)
+	assignSlots(input, replicas, &out)
+	allocateCredits(input, &out)
 	return out
 }
 
-// failed lists what data daemons found of the versions that are on trial or watched.
-func failed(input Input) (out []Held) {
+// failedVersions returns the versions on trial or under watch that any data daemon reports
+// as failing, without duplicates.
+func failedVersions(input Input) (out []Held) {
 	for _, daemon := range input.Daemons {
-		for _, one := range daemon.Report.Failed {
-			route := input.Routes[one.Model]
-			isAbout := route.Trial == one.Version || route.Watched && route.Version == one.Version
-			if isAbout && !slices.Contains(out, one) {
-				out = append(out, one)
+		for _, held := range daemon.Report.Failed {
+			route := input.Routes[held.Model]
+			isCurrent := route.Trial == held.Version || route.Watched && route.Version == held.Version
+			if isCurrent && !slices.Contains(out, held) {
+				out = append(out, held)
 			}
 		}
 	}
@@ -305,33 +314,33 @@
 	return out
 }
 
-// number gives every place its slot: the one it had, or the lowest that is free.
+// assignSlots gives every endpoint a slot: its previous one, or the lowest that is free.
 //
-// Invariant: no two places have the same slot, and none has one that is reserved.
-func number(input Input, replicas []Replica, out *Standing) {
-	had := map[string]int{}
+// Invariant: no two endpoints have the same slot, and no endpoint has a reserved one.
+func assignSlots(input Input, replicas []Replica, out *Standing) {
+	previous := map[string]int{}
 	if input.Before != nil {
 		for id, slot := range input.Before.Reserved {
-			had[id] = slot
+			previous[id] = slot
 		}
-		for _, place := range input.Before.Places {
-			had[place.ID] = place.Slot
+		for _, endpoint := range input.Before.Places {
+			previous[endpoint.ID] = endpoint.Slot
 		}
 	}
 	isTaken := map[int]bool{}
-	isPlaced := map[string]bool{}
-	var fresh []int
+	isRouted := map[string]bool{}
+	var newcomers []int
 	for index := range out.Places {
-		place := &out.Places[index]
-		isPlaced[place.ID] = true
-		if slot, known := had[place.ID]; known && !isTaken[slot] {
-			place.Slot, isTaken[slot] = slot, true
+		endpoint := &out.Places[index]
+		isRouted[endpoint.ID] = true
+		if slot, known := previous[endpoint.ID]; known && !isTaken[slot] {
+			endpoint.Slot, isTaken[slot] = slot, true
 		} else {
-			fresh = append(fresh, index)
+			newcomers = append(newcomers, index)
 		}
 	}
 	for _, replica := range replicas {
-		if slot, known := had[replica.ID]; known && !isPlaced[replica.ID] && !replica.Leaving && !isTaken[slot] {
+		if slot, known := previous[replica.ID]; known && !isRouted[replica.ID] && !replica.Leaving && !isTaken[slot] {
 			if out.Reserved == nil {
 				out.Reserved = map[string]int{}
 			}
@@ -339,7 +348,7 @@
 		}
 	}
 	slot := 0
-	for _, index := range fresh {
+	for _, index := range newcomers {
 		for isTaken[slot] {
 			slot++
 		}
@@ -347,18 +356,18 @@
 	}
 }
 
-// missed is for how long data daemons count that are not heard of any more.
-const missed = 15 * time.Second
+// daemonGrace is the time for which data daemons without a session still count.
+const daemonGrace = 15 * time.Second
 
-// Gather sums the daemons' recent outcomes.
+// Gather adds up the recent outcomes of all daemons, by Outcome.Key.
 func Gather(daemons []Daemon) map[Outcome]Outcome {
 	sums := map[Outcome]Outcome{}
 	for _, daemon := range daemons {
-		for _, list := range [][]Outcome{daemon.Report.Recent, daemon.Report.Near} {
-			for _, one := range list {
-				key := one.Key()
+		for _, outcomes := range [][]Outcome{daemon.Report.Recent, daemon.Report.Near} {
+			for _, outcome := range outcomes {
+				key := outcome.Key()
 				sum := sums[key]
-				sum.Add(one)
+				sum.Add(outcome)
 				sums[key] = sum
 			}
 		}
@@ -366,70 +375,79 @@
 	return sums
 }
 
-// Plain tells whether a version's mishaps are plain against another's: a few
-// of them, a fair share, and well above what the other shows.
-func Plain(mine, other Outcome) bool {
-	return mine.Mishaps >= PlainMishaps && tells(mine, other)
+// FailsClearly reports whether the failures of the judged version clearly exceed the
+// baseline: at least PlainMishaps of them, and a share above both MinFailureShare and twice
+// the baseline's.
+func FailsClearly(judged, baseline Outcome) bool {
+	return judged.Mishaps >= PlainMishaps && exceedsFailureShare(judged, baseline)
 }
 
-// Doubtful tells whether a version's few outcomes look like plain mishaps.
-func Doubtful(mine, other Outcome) bool {
-	return mine.strictly().Mishaps > 0 && tells(mine.strictly(), other.strictly())
+// Doubtful is PlainVersion without a minimum number of failures, for versions with few
+// outcomes.
+func Doubtful(judged, baseline Outcome) bool {
+	return judged.lateAsFailed().Mishaps > 0 && exceedsFailureShare(judged.lateAsFailed(), baseline.lateAsFailed())
 }
 
-func tells(mine, other Outcome) bool {
-	share := float64(mine.Mishaps) / float64(mine.Mishaps+mine.OK)
-	base := 0.0
-	if total := other.Mishaps + other.OK; total >= PlainMishaps {
-		base = float64(other.Mishaps) / float64(total)
+// exceedsFailureShare reports whether the judged share of failures is above both
+// MinFailureShare and twice the baseline's. A baseline with fewer than PlainMishaps
+// outcomes is ignored.
+func exceedsFailureShare(judged, baseline Outcome) bool {
+	share := float64(judged.Mishaps) / float64(judged.Mishaps+judged.OK)
+	baselineShare := 0.0
+	if total := baseline.Mishaps + baseline.OK; total >= PlainMishaps {
+		baselineShare = float64(baseline.Mishaps) / float64(total)
 	}
-	return share > max(PlainShare, 2*base)
+	return share > max(MinFailureShare, 2*baselineShare)
 }
 
-// PlainVersion is Plain for a version's outcomes, where one that keeps its users
-// waiting fails them. A replica that does is slow, and bears less.
-func PlainVersion(mine, other Outcome) bool { return Plain(mine.strictly(), other.strictly()) }
+// PlainVersion is FailsClearly for judging a version. Late responses count as failures
+// here, since a version that keeps its users waiting fails them. A late replica is just
+// slow, and only gets less capacity.
+func PlainVersion(judged, baseline Outcome) bool {
+	return FailsClearly(judged.lateAsFailed(), baseline.lateAsFailed())
+}
 
-// strictly counts the late ones as mishaps.
-func (outcome Outcome) strictly() Outcome {
-	all := outcome.OK + outcome.Mishaps
+// lateAsFailed returns the outcome with late requests counted as failures.
+func (outcome Outcome) lateAsFailed() Outcome {
+	total := outcome.OK + outcome.Mishaps
 	outcome.Mishaps += outcome.Late
-	outcome.OK = max(0, all-outcome.Mishaps)
+	outcome.OK = max(0, total-outcome.Mishaps)
 	return outcome
 }
 
-// PlainMishaps and PlainShare: a failure is plain from so many mishaps on, at
-// such a share.
+// PlainMishaps and MinFailureShare are the number of failures and the share of all outcomes
+// from which on failures are clear.
 const (
-	PlainMishaps = 3
-	PlainShare   = 0.15
+	PlainMishaps    = 3
+	MinFailureShare = 0.15
 )
 
-// rows lists what each replica may get.
-func rows(input Input, replicas []Replica, recent map[Outcome]Outcome) (rows []Row) {
+// buildRows returns the table's rows: the model versions that each replica may get requests
+// for.
+func buildRows(input Input, replicas []Replica, recent map[Outcome]Outcome) (rows []Row) {
 	models := input.Tree.Models(input.Region)
 	for _, model := range models {
 		route := input.Routes[model]
 		if placement, _ := input.Tree.Placement(model, input.Region); placement.Any() {
-			rows = append(rows, openRows(input, model, route, replicas, recent)...)
+			rows = append(rows, buildAnyVersionRows(input, model, route, replicas, recent)...)
 			continue
 		}
-		trialStands := route.Trial != "" && !TrialFails(model, route, recent)
+		isTrialActive := route.Trial != "" && !TrialFails(model, route, recent)
 		for _, replica := range replicas {
-			if !replica.Alive || replica.Leaving || input.Evacuated[replica.Zone] || !input.holds(model, replica) {
+			if !replica.Alive || replica.Leaving || input.Evacuated[replica.Zone] || !input.isEligible(model, replica) {
 				continue
 			}
-			add := func(version string, trial, back bool) {
+			add := func(version string, isTrial, isFallback bool) {
 				if version == "" || replica.Held[model+"/"+version] != Ready {
 					return
 				}
-				rows = append(rows, Row{Replica: replica.ID, Model: model, Version: version, Trial: trial, Back: back, Deny: denied(replica.ID, model, version, recent)})
+				rows = append(rows, Row{Replica: replica.ID, Model: model, Version: version, Trial: isTrial, Back: isFallback, Deny: deniedKinds(replica.ID, model, version, recent)})
 			}
 			add(route.Version, false, false)
 			if route.Watched && !route.Bears(route.Previous) {
 				add(route.Previous, false, true)
 			}
-			if trialStands && slices.Contains(route.TrialReplicas, replica.ID) {
+			if isTrialActive && slices.Contains(route.TrialReplicas, replica.ID) {
 				add(route.Trial, true, false)
 			}
 		}
@@ -437,18 +455,20 @@
 	return rows
 }
 
-// empties tells whether a replica has no rows as its zone is evacuated. Data daemons know that
-// by the configuration itself; where they pace cold ones by themselves, and no roll-out
-// is under way, a replica stays as a cold one, so that the zone that is handed back serves
-// at once, whether or not a new standing can be written just then.
-func (input Input) empties(model string, route Route, replica Replica) bool {
+// isDrained reports whether a replica gets no rows because its zone is evacuated.
+//
+// Data daemons know the evacuation from the configuration itself. If the model has an
+// engine, so that they ramp up cold replicas by themselves, and no rollout is in progress,
+// the replica stays in the table as a cold one. The zone can then serve at once when it is
+// released, even if no new table can be written at that moment.
+func (input Input) isDrained(model string, route Route, replica Replica) bool {
 	isCalm := route.Trial == "" && !route.Watched && len(route.Left) == 0
 	return input.Evacuated[replica.Zone] && (!isCalm || input.Tree.Engine(model) == nil)
 }
 
-// holds tells whether the replica stands in a zone of the region that the model is
-// placed in; the group that holds it may be one zone of several.
-func (input Input) holds(model string, replica Replica) bool {
+// isEligible reports whether the replica is in a zone of the region in which the model is
+// placed. A placement may cover only one of several zones.
+func (input Input) isEligible(model string, replica Replica) bool {
 	if region, known := input.Tree.RegionOf(replica.Zone); !known || region != input.Region {
 		return false
 	}
@@ -456,10 +476,10 @@
 	return placed
 }
 
-// Versions are those of the model that the replica has ready, in order.
+// Versions returns the sorted versions of the model that are ready on the replica.
 func (replica Replica) Versions(model string) (versions []string) {
 	for name, state := range replica.Held {
-		if version, isOf := strings.CutPrefix(name, model+"/"); isOf && state == Ready {
+		if version, isModel := strings.CutPrefix(name, model+"/"); isModel && state == Ready {
 			versions = append(versions, version)
 		}
 	}
@@ -467,149 +487,155 @@
 	return versions
 }
 
-// openRows lists what each replica may get of a model whose placement holds any
-// version: all versions as equals, but for what a roll-out says of them. The one on
-// trial has trial rows; while the move is watched, those that were left stand by; one
-// that failed, or was left for good, has none.
+// buildAnyVersionRows returns the rows of a model whose placement accepts any version. All
+// versions are equal, except during and after a rollout: the version on trial gets trial
+// rows; while the new version is watched, the previous ones are fallbacks; versions that
+// failed or were replaced for good get no rows.
 //
-// A version on trial is served as any other where no replica of another is listed in
-// the region: there is nothing to shift traffic from.
-func openRows(input Input, model string, route Route, replicas []Replica, recent map[Outcome]Outcome) (rows []Row) {
-	others := false // whether there are versions beside the one on trial
+// A version on trial is served like any other if no replica of another version is listed in
+// the region, because there is no traffic to shift.
+func buildAnyVersionRows(input Input, model string, route Route, replicas []Replica, recent map[Outcome]Outcome) (rows []Row) {
+	hasOthers := false // whether versions other than the one on trial are listed
 	for _, replica := range replicas {
-		if replica.Leaving || !input.holds(model, replica) {
+		if replica.Leaving || !input.isEligible(model, replica) {
 			continue
 		}
 		for _, version := range replica.Versions(model) {
-			others = others || version != route.Trial && !route.Bears(version) && !slices.Contains(route.Left, version)
+			hasOthers = hasOthers || version != route.Trial && !route.Bears(version) && !slices.Contains(route.Left, version)
 		}
 	}
-	trialStands := !TrialFails(model, Route{Version: settings.AnyVersion, Trial: route.Trial}, recent)
+	isTrialActive := !TrialFails(model, Route{Version: settings.AnyVersion, Trial: route.Trial}, recent)
 	for _, replica := range replicas {
-		if !replica.Alive || replica.Leaving || input.empties(model, route, replica) || !input.holds(model, replica) {
+		if !replica.Alive || replica.Leaving || input.isDrained(model, route, replica) || !input.isEligible(model, replica) {
 			continue
 		}
 		for _, version := range replica.Versions(model) {
 			row := Row{Replica: replica.ID, Model: model, Version: version}
 			switch isLeft := slices.Contains(route.Left, version) || route.Watched && version != route.Version; {
-			case route.Bears(version), isLeft && !route.Watched, version == route.Trial && !trialStands:
+			case route.Bears(version), isLeft && !route.Watched, version == route.Trial && !isTrialActive:
 				continue
 			case isLeft:
 				row.Back = true
 			case version == route.Trial:
-				row.Trial = others
+				row.Trial = hasOthers
 			}
-			row.Deny = denied(replica.ID, model, version, recent)
+			row.Deny = deniedKinds(replica.ID, model, version, recent)
 			rows = append(rows, row)
 		}
 	}
 	return rows
 }
 
-// SlowUsual is from how many times the usual time to the first piece on an answer
-// counts as slow; SlowAnswers and SlowShare say from how many of them on, and at which
-// share, a version is slower than the others.
+// SlowUsual is the multiple of the usual time to first token from which on a response
+// counts as slow. MinSlowAnswers and MinSlowShare are the number of slow responses and
+// their share from which on a version counts as slower than the others.
 const (
-	SlowUsual   = 2.5
-	SlowAnswers = 5
-	SlowShare   = 0.2
+	SlowUsual      = 2.5
+	MinSlowAnswers = 5
+	MinSlowShare   = 0.2
 )
 
-// Slower tells whether a version's answers come plainly slower than the others',
-// though each may come in time.
-func Slower(mine, other Outcome) bool {
-	if mine.Slow < SlowAnswers || mine.OK == 0 || other.OK < 4*SlowAnswers {
+// Slower reports whether the judged version's responses are clearly slower than the
+// baseline's, even if each of them is in time.
+func Slower(judged, baseline Outcome) bool {
+	if judged.Slow < MinSlowAnswers || judged.OK == 0 || baseline.OK < 4*MinSlowAnswers {
 		return false
 	}
-	base := float64(other.Slow) / float64(other.OK)
-	return float64(mine.Slow)/float64(mine.OK) > max(SlowShare, 3*base)
+	baselineShare := float64(baseline.Slow) / float64(baseline.OK)
+	return float64(judged.Slow)/float64(judged.OK) > max(MinSlowShare, 3*baselineShare)
 }
 
-// Worse tells whether a version's mishaps are more than chance and the others' share
-// of them explain, however small their own share: what a version is judged by before
-// all traffic goes to it. One in a hundred is held against nobody.
-func Worse(mine, other Outcome) bool { return worse(mine, other, PlainMishaps) }
+// Worse reports whether the judged version has significantly more failures than the
+// baseline's share explains, however small its own share is. It is the test before all
+// traffic moves to the version. A failure share of one percent is always tolerated.
+func Worse(judged, baseline Outcome) bool { return failsMore(judged, baseline, PlainMishaps) }
 
-// Suspect is Worse for what was tried so seldom that it could not show more.
-func Suspect(mine, other Outcome) bool { return worse(mine, other, PlainMishaps-1) }
+// Suspect is Worse with one failure less, for versions with so few requests that they could
+// not show more.
+func Suspect(judged, baseline Outcome) bool { return failsMore(judged, baseline, PlainMishaps-1) }
 
-func worse(mine, other Outcome, least int) bool {
-	mine, other = mine.strictly(), other.strictly()
-	mean := expected(mine, other)
-	return mine.Mishaps >= least && float64(mine.Mishaps) > mean+3*math.Sqrt(mean)
+// failsMore reports whether there are at least minFailures failures and more than three
+// standard deviations above the expected number.
+func failsMore(judged, baseline Outcome, minFailures int) bool {
+	judged, baseline = judged.lateAsFailed(), baseline.lateAsFailed()
+	mean := expectedFailures(judged, baseline)
+	return judged.Mishaps >= minFailures && float64(judged.Mishaps) > mean+3*math.Sqrt(mean)
 }
 
-// Unclear tells whether a version had mishaps, which the others' share of them does not
-// explain, though they are too few to be held against it.
-func Unclear(mine, other Outcome) bool {
-	mine, other = mine.strictly(), other.strictly()
-	return float64(mine.Mishaps) > expected(mine, other)
+// Unclear reports whether the judged version has more failures than the baseline's share
+// explains, though they may be too few to reject it.
+func Unclear(judged, baseline Outcome) bool {
+	judged, baseline = judged.lateAsFailed(), baseline.lateAsFailed()
+	return float64(judged.Mishaps) > expectedFailures(judged, baseline)
 }
 
-// expected is how many mishaps a version would have by the others' share of them.
-func expected(mine, other Outcome) float64 {
+// expectedFailures returns the number of failures that the judged version would have at the
+// baseline's share, and at least one percent.
+func expectedFailures(judged, baseline Outcome) float64 {
 	share := 0.01
-	if total := other.OK + other.Mishaps; total >= 4*SlowAnswers {
-		share = max(share, 1.5*float64(other.Mishaps)/float64(total))
+	if total := baseline.OK + baseline.Mishaps; total >= 4*MinSlowAnswers {
+		share = max(share, 1.5*float64(baseline.Mishaps)/float64(total))
 	}
-	return share * float64(mine.OK+mine.Mishaps)
+	return share * float64(judged.OK+judged.Mishaps)
 }
 
-// TrialFails tells whether a trial version's failures are plain on any kind, against
-// those of the route's version; against all other versions where that is AnyVersion.
+// TrialFails reports whether the version on trial clearly fails for any kind of request,
+// compared with the route's version, or with all other versions if that is AnyVersion.
 func TrialFails(model string, route Route, recent map[Outcome]Outcome) bool {
 	sums := map[[2]string]Outcome{}
-	for key, one := range recent {
+	for key, outcome := range recent {
 		if key.Model == model {
-			at := [2]string{key.Version, key.Kind}
-			sum := sums[at]
-			sum.Add(one)
-			sums[at] = sum
+			versionKind := [2]string{key.Version, key.Kind}
+			sum := sums[versionKind]
+			sum.Add(outcome)
+			sums[versionKind] = sum
 		}
 	}
 	if route.Version == settings.AnyVersion {
 		others := map[string]Outcome{}
-		for at, one := range sums {
-			if at[0] != route.Trial {
-				sum := others[at[1]]
-				sum.Add(one)
-				others[at[1]] = sum
+		for versionKind, outcome := range sums {
+			if versionKind[0] != route.Trial {
+				sum := others[versionKind[1]]
+				sum.Add(outcome)
+				others[versionKind[1]] = sum
 			}
 		}
-		for at, mine := range sums {
-			if at[0] == route.Trial && (PlainVersion(mine, others[at[1]]) || Slower(mine, others[at[1]])) {
+		for versionKind, judged := range sums {
+			if versionKind[0] == route.Trial && (PlainVersion(judged, others[versionKind[1]]) || Slower(judged, others[versionKind[1]])) {
 				return true
 			}
 		}
 		return false
 	}
-	for at, mine := range sums {
-		if at[0] == route.Trial && PlainVersion(mine, sums[[2]string{route.Version, at[1]}]) {
+	for versionKind, judged := range sums {
+		if versionKind[0] == route.Trial && PlainVersion(judged, sums[[2]string{route.Version, versionKind[1]}]) {
 			return true
 		}
 	}
 	return false
 }
 
-// denied lists the kinds that this replica alone fails at.
-func denied(replica, model, version string, recent map[Outcome]Outcome) (kinds []string) {
-	mine, others := map[string]Outcome{}, map[string]Outcome{}
-	for key, one := range recent {
+// deniedKinds returns the kinds of requests that fail on this replica but not on the
+// others.
+func deniedKinds(replica, model, version string, recent map[Outcome]Outcome) (kinds []string) {
+	own, others := map[string]Outcome{}, map[string]Outcome{}
+	for key, outcome := range recent {
 		if key.Model != model || key.Version != version {
 			continue
 		}
 		table := others
 		if key.Replica == replica {
-			table = mine
+			table = own
 		}
 		sum := table[key.Kind]
-		sum.Add(one)
+		sum.Add(outcome)
 		table[key.Kind] = sum
 	}
-	for kind, one := range mine {
-		// Alone: the others answer this kind. Where all fail it is the version's
-		// fault, or the kind's, and denying replicas would only make it dark.
-		if Plain(one, others[kind]) && others[kind].OK > 0 {
+	for kind, outcome := range own {
+		// Other replicas must answer this kind. If all of them fail, the version or the
+		// kind itself is at fault, and denying replicas would only make the kind
+		// unavailable.
+		if FailsClearly(outcome, others[kind]) && others[kind].OK > 0 {
 			kinds = append(kinds, kind)
 		}
 	}
@@ -617,35 +643,37 @@
 	return kinds
 }
 
-// fullStep is by which part of its warmth a replica that turned a request away is
-// taken back, spread over the window that counts it.
+// fullBackoff is the part of its warmth that a replica loses for each request that it
+// rejected as full, spread over the window in which the rejection is counted. minPace is
+// the lower bound of Place.Pace.
 const (
-	fullStep  = 0.3
-	leastPace = 0.02
+	fullBackoff = 0.3
+	minPace     = 0.02
 )
 
-// slowAnswers is how many answers of a kind it takes to judge a replica's pace.
-const slowAnswers = 5
+// minLatencySamples is the number of responses of a kind that are needed to judge a
+// replica's latency.
+const minLatencySamples = 5
 
-// slowOnes finds replicas whose quickest first pieces come far later than their
-// neighbours' of the same model and kind. The quickest, as a mean tells more of
-// how many prompts were new to a replica than of how fast it is. When a whole
-// region slows, the median moves along and nobody is blamed.
-func slowOnes(replicas []Replica, recent map[Outcome]Outcome) map[string]bool {
+// slowReplicas returns the replicas whose shortest time to first token is far above that of
+// the other replicas with the same model and kind. The minimum is compared because the mean
+// depends more on how many prompts missed the prefix cache than on the replica's speed. If
+// a whole region slows down, the median rises with it and no replica is marked.
+func slowReplicas(replicas []Replica, recent map[Outcome]Outcome) map[string]bool {
 	type group struct{ model, kind string }
-	quickest := map[group]map[string]float64{}
-	for key, one := range recent {
-		if one.OK < slowAnswers {
+	fastest := map[group]map[string]float64{}
+	for key, outcome := range recent {
+		if outcome.OK < minLatencySamples {
 			continue
 		}
-		at := group{key.Model, key.Kind}
-		if quickest[at] == nil {
-			quickest[at] = map[string]float64{}
+		groupKey := group{key.Model, key.Kind}
+		if fastest[groupKey] == nil {
+			fastest[groupKey] = map[string]float64{}
 		}
-		quickest[at][key.Replica] = max(quickest[at][key.Replica], float64(one.Least))
+		fastest[groupKey][key.Replica] = max(fastest[groupKey][key.Replica], float64(outcome.Least))
 	}
 	slow := map[string]bool{}
-	for _, table := range quickest {
+	for _, table := range fastest {
 		if len(table) < 3 {
 			continue
 		}
@@ -654,9 +682,9 @@
 			sorted = append(sorted, least)
 		}
 		sort.Float64s(sorted)
-		middle := sorted[(len(sorted)-1)/2]
+		median := sorted[(len(sorted)-1)/2]
 		for _, replica := range replicas {
-			if least, seen := table[replica.ID]; seen && least > 4*middle && least > float64(200*time.Millisecond) {
+			if least, isMeasured := table[replica.ID]; isMeasured && least > 4*median && least > float64(200*time.Millisecond) {
 				slow[replica.ID] = true
 			}
 		}
@@ -664,25 +692,25 @@
 	return slow
 }
 
-// remembered is how warm each replica was, and at which pace it warms, by id and
-// boot.
-func remembered(before *Standing) (out, paces map[string]float64) {
-	out, paces = map[string]float64{}, map[string]float64{}
-	if before != nil {
-		for mark, warm := range before.Warmth {
-			out[mark] = warm
+// previousWarmth returns the warmth and the pace of each replica in the previous table, by
+// ID and boot.
+func previousWarmth(previous *Standing) (warmth, paces map[string]float64) {
+	warmth, paces = map[string]float64{}, map[string]float64{}
+	if previous != nil {
+		for key, warm := range previous.Warmth {
+			warmth[key] = warm
 		}
-		for _, place := range before.Places {
-			out[place.ID+"/"+place.Boot] = place.Warm
-			paces[place.ID+"/"+place.Boot] = place.Pace
+		for _, endpoint := range previous.Places {
+			warmth[endpoint.ID+"/"+endpoint.Boot] = endpoint.Warm
+			paces[endpoint.ID+"/"+endpoint.Boot] = endpoint.Pace
 		}
 	}
-	return out, paces
+	return warmth, paces
 }
 
-// engined tells whether the replica holds a model with an engine. Data daemons pace
-// what they send to such a one by themselves: there are no credits for it.
-func engined(input Input, replica Replica) bool {
+// hasEngine reports whether the replica holds a model with an engine. Data daemons limit
+// what they send to such a replica by themselves, so it has no credits.
+func hasEngine(input Input, replica Replica) bool {
 	for held := range replica.Held {
 		model, _, _ := strings.Cut(held, "/")
 		if input.Tree.Engine(model) != nil {
@@ -692,28 +720,28 @@
 	return false
 }
 
-// place says what a replica may bear now; before is how warm it was, and pace at
-// which pace it warms.
-func place(input Input, replica Replica, recent map[Outcome]Outcome, slow bool, before, pace float64) Place {
-	whole := 0
+// newEndpoint computes a replica's present capacity. warmth and pace are its previous
+// values; a warmth of 0 means that the replica is new.
+func newEndpoint(input Input, replica Replica, recent map[Outcome]Outcome, slow bool, warmth, pace float64) Place {
+	fullCapacity := 0
 	for _, model := range input.Tree.Models(replica.Zone) {
 		if placement, placed := input.Tree.Placement(model, replica.Zone); placed {
-			whole = max(whole, placement.Capacity)
+			fullCapacity = max(fullCapacity, placement.Capacity)
 		}
 	}
 	coldShare := input.Tree.Limit("cold_share", replica.Zone)
-	out := Place{ID: replica.ID, Address: replica.Address, Zone: replica.Zone, Region: replica.Region, Boot: replica.Boot, Whole: whole, Warm: coldShare, Credits: map[string]int{}, InForce: map[string]int{}, Slow: slow}
-	if before > 0 {
-		out.Warm = max(before, coldShare)
+	out := Place{ID: replica.ID, Address: replica.Address, Zone: replica.Zone, Region: replica.Region, Boot: replica.Boot, Whole: fullCapacity, Warm: coldShare, Credits: map[string]int{}, InForce: map[string]int{}, Slow: slow}
+	if warmth > 0 {
+		out.Warm = max(warmth, coldShare)
 		answers, full := 0, 0
-		for key, one := range recent {
+		for key, outcome := range recent {
 			if key.Replica == replica.ID && key.Boot == replica.Boot {
-				answers += one.OK
-				full += one.Full
+				answers += outcome.OK
+				full += outcome.Full
 			}
 		}
-		// Only a replica that answers gets warmer: by its answers, as their rate
-		// shows them, and no faster than warm_ms.
+		// Only responses warm a replica up: warm_answers of them at their present rate for
+		// full warmth, and no faster than within warm_ms.
 		step := float64(answers) * float64(input.Since) / float64(Window) / input.Tree.Limit("warm_answers", replica.Zone)
 		if warm := input.Tree.Span("warm_ms", replica.Zone); warm > 0 {
 			step = min(step, float64(input.Since)/float64(warm))
@@ -723,18 +751,18 @@
 			out.Pace = pace
 		}
 		step *= out.Pace
-		if full > 0 && before < 1 {
-			// It says that it has enough: the settings take it for warmer than it
-			// is. Back by a part for each time, no further until it is quiet, and
-			// more slowly from then on.
-			part := min(0.5, fullStep*float64(full)*float64(input.Since)/float64(Window))
+		if full > 0 && warmth < 1 {
+			// The replica is at capacity although the settings take it for warmer. Its
+			// warmth shrinks in proportion to the rejections, it doesn't grow until they
+			// stop, and from then on it grows more slowly.
+			part := min(0.5, fullBackoff*float64(full)*float64(input.Since)/float64(Window))
 			step = -out.Warm * part
-			out.Pace = max(leastPace, (1-part)*out.Pace)
+			out.Pace = max(minPace, (1-part)*out.Pace)
 		}
 		out.Warm = max(coldShare, min(1, out.Warm+(1-coldShare)*step))
 	}
-	if engined(input, replica) {
-		out.Warm, out.Pace, out.Capacity, out.Slow = 1, 0, whole, false // data daemons see for themselves
+	if hasEngine(input, replica) {
+		out.Warm, out.Pace, out.Capacity, out.Slow = 1, 0, fullCapacity, false // data daemons measure these themselves
 		if replica.Cold || input.Evacuated[replica.Zone] {
 			out.Warm = coldShare
 		}
@@ -744,6 +772,6 @@
 	if slow {
 		share /= 2
 	}
-	out.Capacity = max(1, int(float64(whole)*share))
+	out.Capacity = max(1, int(float64(fullCapacity)*share))
 	return out
 }
