--- a/decide/candidates.go
+++ b/decide/candidates.go
@@ -10,63 +10,63 @@
 
 // Candidates of a routed request: the replicas that may get it.
 
-// Avoid are replicas that a request shall not go to (again).
+// Avoid is the set of replicas that a request must not be sent to (again).
 type Avoid map[string]bool
 
-type prospect struct {
-	row   *standing.Row
-	place *standing.Place
-	seat  *engine
-	// foreseen is the time to the first piece, weight what the selection goes by: the
-	// same, and the price of the way and of reading what is kept elsewhere.
-	foreseen, weight     time.Duration
-	unread, unreadShared int
-	running, waiting     float64
-	// isOwner and isSuccessor tell whose the shared parts are, by claim.
+type routeCandidate struct {
+	row      *standing.Row
+	endpoint *standing.Place
+	state    *engine
+	// ttft is the predicted time to first token. cost is what candidates are compared by, the
+	// least first: ttft with the costs of another region, of duplicate prefill, and so on.
+	ttft, cost               time.Duration
+	uncached, uncachedShared int
+	running, waiting         float64
+	// isOwner and isSuccessor are set by assignOwners for the replicas that own the shared parts.
 	isOwner, isSuccessor bool
-	// isTry tells that it can't be reached, as far as is known.
-	isTry bool
+	// isProbe is set if the replica is unreachable as far as is known.
+	isProbe bool
 }
 
-// prospects looks at every replica that may get the request, and gives the best; if
-// there is none, when the first one may get it, zero for not in sight.
-func (decider *Decider) prospects(view *permit.View, routed *Routed, avoid Avoid, now time.Duration) (best *prospect, all []prospect, next time.Duration) {
+// routeCandidates evaluates all replicas that may get the request and returns the best one. If
+// there is none, next is the time until the first one may get it, zero if none is in sight.
+func (decider *Decider) routeCandidates(view *permit.View, routed *Routed, avoid Avoid, now time.Duration) (best *routeCandidate, candidates []routeCandidate, next time.Duration) {
 	rows := 0
-	for _, one := range view.Standings {
-		rows += len(one.Rows)
+	for _, table := range view.Standings {
+		rows += len(table.Rows)
 	}
-	all = make([]prospect, 0, rows)
-	soon := func(span time.Duration) {
+	candidates = make([]routeCandidate, 0, rows)
+	retryIn := func(span time.Duration) {
 		if span > 0 && (next == 0 || span < next) {
 			next = span
 		}
 	}
 	route := routed.Route
-	known := view.Tree.Engine(routed.Model)
-	routed.key = routed.owner
+	config := view.Tree.Engine(routed.Model)
+	routed.ownerKey = routed.owner
 	isLong := decider.isLong(routed)
-	othersAre := decider.hasRepeatable(routed.Model, now)
+	hasRepeatable := decider.hasRepeatable(routed.Model, now)
 	home := "" // of a tenant that has a placement
 	placement := decider.placement(view, routed, now)
 	if placement != nil {
-		routed.key = placement.Owner(routed.owner, routed.Parts[len(routed.Parts)-1].ID)
+		routed.ownerKey = placement.Owner(routed.owner, routed.Parts[len(routed.Parts)-1].ID)
 		home = placement.Home(routed.owner, decider.Self.Region, routed.within)
 	}
-	var shunned, unreached []prospect
+	var backedOff, unreachable []routeCandidate
 	for _, region := range view.Tree.Regions() {
-		one, has := view.Standings[region]
+		table, has := view.Standings[region]
 		if !has || !routed.within(region) {
 			continue
 		}
-		placed := places{list: one.Places}
+		endpoints := places{list: table.Places}
 		trial, isOpen := decider.opensTrial(view, &routed.call, region)
-		for at := range one.Rows {
-			row := &one.Rows[at]
+		for index := range table.Rows {
+			row := &table.Rows[index]
 			if row.Model != routed.Model {
 				continue
 			}
-			place := placed.of(row.Replica)
-			if place == nil || view.Evacuated[place.Zone] || avoid[row.Replica] || denies(*row, routed.call.Kind) {
+			endpoint := endpoints.of(row.Replica)
+			if endpoint == nil || view.Evacuated[endpoint.Zone] || avoid[row.Replica] || denies(*row, routed.call.Kind) {
 				continue
 			}
 			if _, isPast := decider.past[row.Replica]; isPast {
@@ -75,81 +75,82 @@
 			if isTrial := trial != "" && row.Version == trial; isTrial != isOpen || !isTrial && decider.barred(view, region, row.Model, row.Version) {
 				continue
 			}
-			seat := decider.engine(place.ID)
-			if wait := decider.paced(view, known, place, seat, now); wait > 0 {
-				if place.Warm >= 1 {
+			state := decider.engine(endpoint.ID)
+			if wait := decider.coldWait(view, config, endpoint, state, now); wait > 0 {
+				if endpoint.Warm >= 1 {
 					decider.wanted = now
 				}
-				soon(wait)
+				retryIn(wait)
 				continue
 			}
-			wait := max(seat.health.opens(now, route.Repeatable(), othersAre), decider.closed(region, now))
-			if wait > 0 || now < seat.shunned || !seat.opens(now, route.Repeatable()) {
-				one := prospect{row: row, place: place, seat: seat, isTry: seat.isUnreached}
-				if one.isTry {
-					unreached = append(unreached, one)
+			wait := max(state.health.opens(now, route.Repeatable(), hasRepeatable), decider.breakerWait(region, now))
+			if wait > 0 || now < state.shunned || !state.admits(now, route.Repeatable()) {
+				candidate := routeCandidate{row: row, endpoint: endpoint, state: state, isProbe: state.isUnreachable}
+				if candidate.isProbe {
+					unreachable = append(unreachable, candidate)
 					continue
 				}
-				soon(max(wait, seat.shunned-now, firstShun/2))
-				shunned = append(shunned, one)
+				retryIn(max(wait, state.shunned-now, firstShun/2))
+				backedOff = append(backedOff, candidate)
 				continue
 			}
-			all = append(all, prospect{row: row, place: place, seat: seat})
+			candidates = append(candidates, routeCandidate{row: row, endpoint: endpoint, state: state})
 		}
 	}
-	if len(all) == 0 && len(shunned) > 0 {
-		// Better one in doubt than none at all.
-		all = shunned
+	if len(candidates) == 0 && len(backedOff) > 0 {
+		// A replica in doubt is better than none.
+		candidates = backedOff
 	}
-	if len(all) == 0 {
-		all = decider.tries(unreached, now)
+	if len(candidates) == 0 {
+		candidates = decider.dueProbes(unreachable, now)
 	}
-	claim(routed, all, home, func(place *standing.Place) bool {
-		// A short prompt is not worth a far way: each region has an owner of its own.
-		return isLong || place.Region == decider.Self.Region || !routed.within(decider.Self.Region)
+	assignOwners(routed, candidates, home, func(endpoint *standing.Place) bool {
+		// A short prompt is not worth a request to another region, so each region has an owner of its own.
+		return isLong || endpoint.Region == decider.Self.Region || !routed.within(decider.Self.Region)
 	})
-	prices := decider.prices(view, routed.Model)
-	crowds := crowds{}
-	for at := range all {
-		one := &all[at]
-		crowds.of(one.place.Region).note(one.seat, now)
+	costs := decider.routingCosts(view, routed.Model)
+	loads := regionLoads{}
+	for index := range candidates {
+		candidate := &candidates[index]
+		loads.of(candidate.endpoint.Region).add(candidate.state, now)
 	}
-	for at := range all {
-		one := &all[at]
-		running, waiting := crowds.of(one.place.Region).expect(one.seat, now)
-		decider.foresee(prices, routed, one, running, waiting, now)
-		if one.row.Trial {
-			// All daemons load the same few replicas with what they may give a trial.
-			one.weight = time.Duration(math.MaxInt64 - int64(trialRank(one.row.Model, one.row.Version, one.place.ID)>>1))
+	for index := range candidates {
+		candidate := &candidates[index]
+		running, waiting := loads.of(candidate.endpoint.Region).estimate(candidate.state, now)
+		decider.predict(costs, routed, candidate, running, waiting, now)
+		if candidate.row.Trial {
+			// All daemons send their trial requests to the same few replicas, as trialRank explains.
+			candidate.cost = time.Duration(math.MaxInt64 - int64(trialRank(candidate.row.Model, candidate.row.Version, candidate.endpoint.ID)>>1))
 		}
-		if best == nil || one.weight < best.weight {
-			best = one
+		if best == nil || candidate.cost < best.cost {
+			best = candidate
 		}
 	}
-	return best, all, next
+	return best, candidates, next
 }
 
-// tries are those of the replicas out of reach that may be tried now, as there are no others:
-// one of each region a while. Whatever else comes meanwhile would only find out the same.
-func (decider *Decider) tries(unreached []prospect, now time.Duration) (due []prospect) {
-	for _, one := range unreached {
-		gap := nearTry
-		if one.place.Region != decider.Self.Region {
-			gap = wayTry
+// dueProbes returns the unreachable replicas that may be probed now, for use when there are no
+// other candidates. Each region is probed by one request per interval, since further requests
+// would only find out the same.
+func (decider *Decider) dueProbes(unreachable []routeCandidate, now time.Duration) (due []routeCandidate) {
+	for _, candidate := range unreachable {
+		interval := localProbeInterval
+		if candidate.endpoint.Region != decider.Self.Region {
+			interval = regionProbeInterval
 		}
-		if tried, has := decider.tried[one.place.Region]; !has || now-tried >= gap {
-			due = append(due, one)
+		if last, has := decider.lastProbes[candidate.endpoint.Region]; !has || now-last >= interval {
+			due = append(due, candidate)
 		}
 	}
 	return due
 }
 
-// nearTry is how long requests to replicas of this daemon's region are apart none of which
+// localProbeInterval is the interval between probes while no replica of this daemon's region
 // can be reached.
-const nearTry = 100 * time.Millisecond
+const localProbeInterval = 100 * time.Millisecond
 
-// places finds a region's places by their replicas. Rows come in the order of places,
-// nearly always, so that what is wanted mostly stands next.
+// places looks up a region's endpoints by replica id. Rows are nearly always in the order of
+// the endpoints, so it first looks at the endpoint after the last one found.
 type places struct {
 	list []standing.Place
 	next int
@@ -163,10 +164,10 @@
 		if places.next >= len(places.list) {
 			places.next = 0
 		}
-		one := &places.list[places.next]
+		endpoint := &places.list[places.next]
 		places.next++
-		if one.ID == id {
-			return one
+		if endpoint.ID == id {
+			return endpoint
 		}
 	}
 	return nil
--- a/decide/choice.go
+++ b/decide/choice.go
@@ -2,75 +2,75 @@
 
 import "time"
 
-// Choice records one dispatch of a routed request for analysis: what was known when its
-// replica was chosen, and what became of it. It is made only where somebody asks for it.
+// Choice records an attempt of a routed request for analysis: what was known when its replica
+// was chosen, and how the attempt ended. It is recorded only if Options.Traced is set.
 type Choice struct {
 	// Request is the caller's id of the try, Route the name of its route.
 	Request, Route, Model string
-	// From is the region of the data daemon that chose. Replica is the one that was chosen,
-	// Region and Zone where it is.
+	// From is the region of the data daemon that chose. Replica is the chosen replica, Region
+	// and Zone its location.
 	From                  string
 	Replica, Region, Zone string
-	// Owner is the replica that should keep the shared parts, empty where nothing is shared
-	// or the owner may not get the request now; Rank tells which claim the chosen one has.
+	// Owner is the replica that should have the shared parts in its cache; empty if nothing is
+	// shared or the owner may not get the request now. Rank is the rank of the chosen replica.
 	Owner string
 	Rank  Rank
-	// Key is what the owner is found by, zero where nothing is shared.
+	// Key is the key by which the owner is found, zero if nothing is shared.
 	Key uint64
-	// Tokens are those of the prompt, Unread those that the replica was taken to have to
-	// read, UnreadShared the part of these that others share.
+	// Tokens is the length of the prompt, Unread how many of its tokens were assumed not to be
+	// cached at the replica, and UnreadShared how many of these are in shared parts.
 	Tokens, Unread, UnreadShared int
-	// Candidates is how many replicas might have got it; Running and Waiting what was
-	// expected at the chosen one.
+	// Candidates is the number of replicas that could have got it. Running and Waiting are the
+	// requests that were expected to run and to wait at the chosen one.
 	Candidates       int
 	Running, Waiting float64
-	// Waited is the time from the request's arrival to the choice, Foreseen the time from
-	// then to the first piece as foreseen, First the same as it was; zero if none came.
+	// Waited is the time from the request's arrival to the choice. Foreseen is the predicted
+	// and First the actual time from the choice to the first token; First is zero if none came.
 	Waited, Foreseen, First time.Duration
-	// OwnerForeseen is what was foreseen at the owner.
+	// OwnerForeseen is the predicted time to first token at the owner.
 	OwnerForeseen time.Duration
-	// Target is the route's, from the request's arrival.
+	// Target is the route's target for the time to first token, from the request's arrival.
 	Target time.Duration
-	// Code is the mishap that ended it, empty for none.
+	// Code is the code of the failure that ended the attempt, empty for none.
 	Code string
 }
 
-// Rank is a replica's claim on the shared parts of a prompt.
+// Rank tells whether a replica owns the shared parts of a prompt.
 type Rank string
 
-// Ranks.
+// Ranks of a replica for the shared parts of a prompt.
 const (
 	RankOwner     Rank = "owner"
 	RankSuccessor Rank = "successor"
 	RankNone      Rank = "none"
 )
 
-// rank is the claim of a prospect.
-func (prospect *prospect) rank() Rank {
+// rank returns the rank of a candidate.
+func (candidate *routeCandidate) rank() Rank {
 	switch {
-	case prospect.isOwner:
+	case candidate.isOwner:
 		return RankOwner
-	case prospect.isSuccessor:
+	case candidate.isSuccessor:
 		return RankSuccessor
 	}
 	return RankNone
 }
 
-// chosen records the choice of best among all; nil where nobody asks.
-func (decider *Decider) chosen(routed *Routed, best *prospect, all []prospect, now time.Duration) *Choice {
+// recordChoice returns the record of the choice of best; nil unless Options.Traced is set.
+func (decider *Decider) recordChoice(routed *Routed, best *routeCandidate, candidates []routeCandidate, now time.Duration) *Choice {
 	if decider.Traced == nil {
 		return nil
 	}
 	choice := &Choice{
 		Request: routed.ID, Route: routed.Route.Name, Model: routed.Model,
-		From: decider.Self.Region, Replica: best.row.Replica, Region: best.place.Region, Zone: best.place.Zone, Rank: best.rank(), Key: routed.key,
-		Tokens: routed.Tokens, Unread: best.unread, UnreadShared: best.unreadShared, Candidates: len(all),
+		From: decider.Self.Region, Replica: best.row.Replica, Region: best.endpoint.Region, Zone: best.endpoint.Zone, Rank: best.rank(), Key: routed.ownerKey,
+		Tokens: routed.Tokens, Unread: best.uncached, UnreadShared: best.uncachedShared, Candidates: len(candidates),
 		Running: best.running, Waiting: best.waiting,
-		Waited: now - routed.Came, Foreseen: best.foreseen, Target: routed.Route.Target,
+		Waited: now - routed.Came, Foreseen: best.ttft, Target: routed.Route.Target,
 	}
-	for at := range all {
-		if one := &all[at]; one.isOwner {
-			choice.Owner, choice.OwnerForeseen = one.row.Replica, one.foreseen
+	for index := range candidates {
+		if candidate := &candidates[index]; candidate.isOwner {
+			choice.Owner, choice.OwnerForeseen = candidate.row.Replica, candidate.ttft
 		}
 	}
 	return choice
--- a/decide/cold_test.go
+++ b/decide/cold_test.go
@@ -28,7 +28,7 @@
 	for _, count := range []int{1, 6, 24, 25, 88} {
 		world := sim.New(uint64(count))
 		world.Start("w", func(*sim.Node) {})
-		place := &standing.Place{ID: "i-1", Boot: "i-1", Region: "b", Zone: "b-1", Warm: 0.1}
+		endpoint := &standing.Place{ID: "i-1", Boot: "i-1", Region: "b", Zone: "b-1", Warm: 0.1}
 		view := &permit.View{Tree: tree, Standings: map[string]standing.Standing{"b": {Daemons: count}}}
 		for index := range count {
 			region := []string{"a", "b", "c"}[index%3]
@@ -38,10 +38,10 @@
 		byRegion := map[string]int{}
 		for index, member := range view.Members {
 			decider := New(Options{World: world.Node("w"), Self: member, Holder: func() *permit.View { return view }})
-			seat := &engine{}
+			state := &engine{}
 			for now := time.Duration(index*137%1000) * time.Millisecond; now < 10*time.Second; now += 7 * time.Millisecond {
-				for decider.paced(view, tree.Engine("m"), place, seat, now) == 0 {
-					seat.sent = append(seat.sent, now)
+				for decider.coldWait(view, tree.Engine("m"), endpoint, state, now) == 0 {
+					state.sent = append(state.sent, now)
 					sent = append(sent, now)
 					byRegion[member.Region]++
 				}
@@ -74,7 +74,7 @@
 	sum := 0
 	for _, half := range halves {
 		for _, one := range half {
-			sum += coldPart(bound, half, one, &standing.Place{ID: "i-1", Region: "b"}, 88)
+			sum += coldLimit(bound, half, one, &standing.Place{ID: "i-1", Region: "b"}, 88)
 		}
 	}
 	if sum > bound || sum < bound/2 {
@@ -98,7 +98,7 @@
 		for region, count := range replicas {
 			for index := range count {
 				id := fmt.Sprint(region, index)
-				part := coldPart(bound, members, self, &standing.Place{ID: id, Region: region}, len(members))
+				part := coldLimit(bound, members, self, &standing.Place{ID: id, Region: region}, len(members))
 				parts[region] += part
 				sums[id] += part
 			}
@@ -132,8 +132,8 @@
 	world.Start("w", func(*sim.Node) {})
 	world.Run(time.Second)
 	decider := New(Options{World: world.Node("w"), Self: session.Member{Name: "d", Region: "a"}, Holder: func() *permit.View { return view }})
-	isCold := func(place standing.Place) bool {
-		return decider.isCold(view, &place, decider.engine(place.ID), world.Now())
+	isCold := func(endpoint standing.Place) bool {
+		return decider.isCold(view, &endpoint, decider.engine(endpoint.ID), world.Now())
 	}
 	if len(decider.Inquiries()) > 0 {
 		t.Error("asked though no request wants it")
--- a/decide/crowd.go
+++ b/decide/crowd.go
@@ -2,55 +2,56 @@
 
 import "time"
 
-// crowd is what is known to run at the replicas of a region that may get a request.
+// regionLoad is the reported load of the replicas of a region that may get a request.
 //
-// Invariant: running, waiting and weight are sums over replicas that told their load of
-// late, each by how fresh its word is.
-type crowd struct {
+// Invariant: running, waiting and weight are sums over replicas that reported their load
+// recently, each weighted by the freshness of its report.
+type regionLoad struct {
 	region                   string
 	running, waiting, weight float64
 }
 
-// crowds are those of one decision.
-type crowds []crowd
+// regionLoads are the loads of the regions as used in one decision.
+type regionLoads []regionLoad
 
-func (crowds *crowds) of(region string) *crowd {
-	for at := range *crowds {
-		if one := &(*crowds)[at]; one.region == region {
-			return one
+func (loads *regionLoads) of(region string) *regionLoad {
+	for index := range *loads {
+		if load := &(*loads)[index]; load.region == region {
+			return load
 		}
 	}
-	*crowds = append(*crowds, crowd{region: region})
-	return &(*crowds)[len(*crowds)-1]
+	*loads = append(*loads, regionLoad{region: region})
+	return &(*loads)[len(*loads)-1]
 }
 
-// toldSpan is for how long a load that was told says something.
-const toldSpan = 2 * time.Second
+// loadLifetime is for how long a load report is used.
+const loadLifetime = 2 * time.Second
 
-// freshness is how much the load that a replica told last is worth: one when it is new.
-func (engine *engine) freshness(now time.Duration) float64 {
-	if engine.loadAt == 0 {
+// freshness is the weight of the last load report: one if it is new, zero once it is too old.
+func (state *engine) freshness(now time.Duration) float64 {
+	if state.loadAt == 0 {
 		return 0
 	}
-	return max(0, 1-float64(now-engine.loadAt)/float64(toldSpan))
+	return max(0, 1-float64(now-state.loadAt)/float64(loadLifetime))
 }
 
-// note takes in what the replica told.
-func (crowd *crowd) note(engine *engine, now time.Duration) {
-	fresh := engine.freshness(now)
-	crowd.running += fresh * float64(engine.load.Running)
-	crowd.waiting += fresh * float64(engine.load.Waiting)
-	crowd.weight += fresh
+// add adds the load report of a replica.
+func (load *regionLoad) add(state *engine, now time.Duration) {
+	fresh := state.freshness(now)
+	load.running += fresh * float64(state.load.Running)
+	load.waiting += fresh * float64(state.load.Waiting)
+	load.weight += fresh
 }
 
-// expect is what is expected to run and to wait at the replica: what it told, and the less
-// that is worth the more what those like it told. One daemon of many hears little of each;
-// what it has heard nothing of is as busy as the others, not empty.
-func (crowd *crowd) expect(engine *engine, now time.Duration) (running, waiting float64) {
-	if crowd.weight > 0 {
-		fresh := engine.freshness(now)
-		running = fresh*float64(engine.load.Running) + (1-fresh)*crowd.running/crowd.weight
-		waiting = fresh*float64(engine.load.Waiting) + (1-fresh)*crowd.waiting/crowd.weight
+// estimate returns how many requests are expected to run and to wait at the replica: its own
+// report, mixed with the mean of its region the older the report is. A daemon among many
+// hears from each replica seldom, so a replica without a recent report is assumed to be as busy
+// as the others, not idle.
+func (load *regionLoad) estimate(state *engine, now time.Duration) (running, waiting float64) {
+	if load.weight > 0 {
+		fresh := state.freshness(now)
+		running = fresh*float64(state.load.Running) + (1-fresh)*load.running/load.weight
+		waiting = fresh*float64(state.load.Waiting) + (1-fresh)*load.waiting/load.weight
 	}
-	return max(running, float64(engine.running)), waiting
+	return max(running, float64(state.running)), waiting
 }
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -1,5 +1,5 @@
-// Package decide is asked what may become of a request: allowed or declined,
-// and which replica gets it. It decides; package execute obeys.
+// Package decide admits or rejects the requests that reach a data daemon and selects a
+// replica for each admitted one. Package execute carries the decisions out.
 package decide
 
 import (
@@ -15,28 +15,28 @@
 	"swifttiller/wire"
 )
 
-// Call is one request of a caller, as its headers tell; none of it points into
-// a handler's buffers.
+// Call is one ticketed request of a caller, as its headers describe it. Nothing in it
+// refers to a handler's buffers.
 type Call struct {
 	ID, Ticket        string
 	Model, Kind, Home string
 	Path              string
-	// Retried is the caller's own word that it asked before.
+	// Retried is set where the caller says that it sent this request before.
 	Retried bool
-	// Patience is how long the caller wants to wait for a replica; 0: as long
-	// as the settings allow.
+	// Patience is the caller's limit on the time in the queue; 0 means the limit of the
+	// settings.
 	Patience time.Duration
-	// Bytes and Answer are what the cost is reckoned from; Prefix is the hash of
-	// the prompt's beginning.
+	// Bytes and Answer determine the cost; Prefix is the hash of the beginning of the
+	// prompt.
 	Bytes, Answer int
 	Prefix        uint64
 
-	retry  bool // as recognised
+	retry  bool // the caller says that it is a retry, or its request id was seen recently
 	barred *ticketKey
-	bound  string // the placement's own home, which binds beside the caller's
+	bound  string // home of the placement, which restricts the regions besides Home
 }
 
-// Selection is where a dispatch goes.
+// Selection is the replica that an attempt of a request is sent to.
 type Selection struct {
 	Replica, Address, Version string
 	Boot                      string
@@ -44,50 +44,50 @@
 	Serial                    uint64
 	Cost                      int
 	Trial, Spill, Affine      bool
-	// Foreseen is the time to the first piece that a routed request was sent for.
+	// Foreseen is the predicted time to first token of a routed request.
 	Foreseen time.Duration
-	// Vouched is when the replica had last shown that it is alive.
+	// Vouched is when the replica last showed that it is alive, as of the selection.
 	Vouched time.Duration
-	// Doubted tells that the region seems to be out of reach, and this one tries it.
+	// Doubted is set if the circuit breaker of the region is open and this attempt probes it.
 	Doubted bool
 
 	routed   *Routed
-	choice   *Choice // nil where nobody asks
+	choice   *Choice // nil unless Options.Traced is set
 	seat     *engine
-	unread   int
+	uncached int
 	sent     time.Duration
 	hasBegun bool
-	// isFlowing is from the first piece on.
-	isFlowing bool
-	// isLate tells that it was counted as overdue, isCold that its replica was cold.
+	// isStreaming is set from the first chunk on.
+	isStreaming bool
+	// isLate is set once the attempt was counted as overdue, isCold if the replica was cold.
 	isLate, isCold bool
-	// Allowance is what is known beforehand to pass before the first piece on top of
-	// what is usual, such as the reading of what the replica does not keep; it is held
-	// against nobody.
+	// Allowance is the part of the time to first token that is expected in advance on top of
+	// the usual one, such as the prefill of uncached prompt tokens. It doesn't count against
+	// the replica or its version.
 	Allowance time.Duration
 	call      *Call
 }
 
-// Options of a decider.
+// Options configures a Decider.
 type Options struct {
 	World  loop.World
 	Net    wire.Net
 	Holder func() *permit.View
 	Self   session.Member
-	// Began is when this incarnation started, on the world's clock.
+	// Began is when this incarnation started, on the clock of World.
 	Began time.Duration
-	// Quota, if set, counts tenants' requests against their limits.
+	// Quota, if set, enforces the rate limits of tenants.
 	Quota Quota
-	// Traced, if set, gets the choice behind every dispatch of a routed request once that
-	// has ended.
+	// Traced, if set, receives the choice behind each attempt of a routed request once the
+	// attempt has ended.
 	Traced func(Choice)
 }
 
-// Quota is asked for each request of a tenant.
+// Quota limits the request rate of tenants.
 type Quota interface {
-	// Ask tells whether it is within the tenant's limit, and when the next one may be.
+	// Ask reports whether a request is within the tenant's limit, and if not, when to retry.
 	Ask(tenant string) (comeBack time.Duration, isAllowed bool)
-	// Return gives back one that was, and has not run.
+	// Return refunds a request that Ask allowed and that was not run.
 	Return(tenant string)
 }
 
@@ -107,65 +107,66 @@
 	cost  int
 }
 
-// Decider holds a data daemon's tables.
+// Decider holds the routing and admission state of a data daemon.
 //
-// Lock order: guard alone; nothing waits under it.
-// Invariants: uses[r].units is the summed cost of this daemon's running
-// dispatches at r, and a new one is let in only while that sum stays within the
-// credit of the view at hand.
+// Lock order: guard is a leaf lock, and nothing blocks while it is held.
+// Invariant: uses[r].units is the summed cost of this daemon's running attempts at
+// replica r; a new attempt is admitted only if the sum stays within this daemon's credit
+// in the current view.
 type Decider struct {
 	Options
 	guard   sync.Mutex
 	uses    map[string]*use
 	queue   []*waiter
 	stopped bool
-	came    time.Duration // when the last request was let in, in the world's uptime
+	came    time.Duration // when the last request was admitted, on the clock of World
 	budget  budget
-	// repeats are the budgets of routed requests, by model: each has only what its own
-	// demand allows.
-	repeats map[string]*budget
-	judging judging
-	window  window
-	demand  map[string]*flow
-	// released is the smoothed rate of freed cost units per second, by model.
+	// repeatBudgets are the retry budgets of routed requests by model, each earned by the
+	// demand for that model alone.
+	repeatBudgets map[string]*budget
+	judging       judging
+	window        window
+	demand        map[string]*flow
+	// released is the smoothed rate of cost units that end per second, by model.
 	released map[string]*flow
-	// suspects are replicas whose connections broke, and until when to leave
-	// them alone: by then a standing that is kept up to date shows whether they
-	// started anew, cold.
+	// suspects are the replicas whose connections broke, and until when they get nothing: by
+	// then a maintained routing table shows whether they restarted and are cold.
 	suspects map[string]suspect
-	// fullUntil are replicas that turned a request away, as they had enough.
+	// fullUntil is until when replicas that rejected a request for lack of capacity get nothing.
 	fullUntil map[string]time.Duration
-	// past are lives of replicas that are over, as a new connection has shown, which
-	// the standing may show yet.
+	// past is the ended boot of each replica whose new connection showed that it restarted;
+	// the routing table may still list that boot.
 	past map[string]string
-	// wary is until when replicas that showed no life of late are avoided.
+	// wary is until when replicas without a recent sign of life are avoided.
 	wary    time.Duration
 	counts  Counts
 	tickets tickets
-	// engines are this daemon's knowledge of replicas, by id, for routed requests;
-	// readRate is how fast they read prompts, zero until learned.
-	engines map[string]*engine
-	ways    map[string]*way // to other regions, by region
-	// tried is when a region's replicas were last tried that can't be reached.
-	tried map[string]time.Duration
-	// lacks is since when no replica is in sight for a route, by its name.
-	lacks map[string]time.Duration
-	// repeatable is when a model last got a request that may be repeated.
+	// engines is the state of each replica for routed requests, by replica id.
+	engines  map[string]*engine
+	breakers map[string]*regionBreaker // of other regions, by region
+	// lastProbes is when unreachable replicas of a region were last probed, by region.
+	lastProbes map[string]time.Duration
+	// noReplicaSince is since when no replica has been available for a route, by route name.
+	noReplicaSince map[string]time.Duration
+	// repeatable is when a model last received a request that may be repeated.
 	repeatable map[string]time.Duration
-	// outbound is what colleagues are to be told of replicas.
+	// outbound are the health reports that are to be sent to peers.
 	outbound outbound
-	// wanted is when a request last found a replica paced only as nobody keeps its standing.
-	wanted   time.Duration
-	readRate float64
-	// base is what the first piece takes whatever the prompt, as learned.
-	base time.Duration
-	// digests are of the standings that were reported on last, by region.
+	// wanted is when a request last found a replica rate limited as cold only because no leader
+	// maintains the routing table of its region.
+	wanted time.Duration
+	// learnedPrefillRate is the learned prefill rate of the replicas in tokens per
+	// millisecond, zero until learned.
+	learnedPrefillRate float64
+	// baseLatency is the learned part of the time to first token that doesn't depend on the prompt.
+	baseLatency time.Duration
+	// digests are the digests of the routing tables last reported on, by region.
 	digests map[string]*digest
-	// tenants counts what is to be told of heavy tenants.
+	// tenants counts requests for the reports on heavy tenants.
 	tenants tenant.Counter
 }
 
-// Counts are what operators watch.
+// Counts are the counters that operators monitor.
 type Counts struct {
 	Demanded, Retries, Allowed, Redispatches uint64
 	Dispatches, Trials, Spilled, Affine      uint64
@@ -173,9 +174,9 @@
 	located                                  uint64
 }
 
-// New makes a decider.
+// New returns a Decider without any requests.
 func New(options Options) *Decider {
-	decider := &Decider{Options: options, uses: map[string]*use{}, judging: newJudging(), demand: map[string]*flow{}, released: map[string]*flow{}, suspects: map[string]suspect{}, fullUntil: map[string]time.Duration{}, past: map[string]string{}, engines: map[string]*engine{}, ways: map[string]*way{}, tried: map[string]time.Duration{}, lacks: map[string]time.Duration{}, repeatable: map[string]time.Duration{}, repeats: map[string]*budget{}, digests: map[string]*digest{}}
+	decider := &Decider{Options: options, uses: map[string]*use{}, judging: newJudging(), demand: map[string]*flow{}, released: map[string]*flow{}, suspects: map[string]suspect{}, fullUntil: map[string]time.Duration{}, past: map[string]string{}, engines: map[string]*engine{}, breakers: map[string]*regionBreaker{}, lastProbes: map[string]time.Duration{}, noReplicaSince: map[string]time.Duration{}, repeatable: map[string]time.Duration{}, repeatBudgets: map[string]*budget{}, digests: map[string]*digest{}}
 	decider.counts.Declined = map[string]uint64{}
 	decider.window.totals = map[standing.Outcome]standing.Outcome{}
 	decider.tickets.init()
@@ -187,72 +188,72 @@
 	return verdict.Decline(status, code, message, comeBack)
 }
 
-// Gate is asked at the last moment before bytes go to a replica. It gives the
-// serial of the configuration that the dispatch is made under.
+// Gate is the last check before bytes are sent to a replica. It returns the version of the
+// configuration that the attempt is made under.
 func (decider *Decider) Gate(selection *Selection) (uint64, *verdict.Mishap) {
 	view := decider.Holder()
 	decider.guard.Lock()
 	defer decider.guard.Unlock()
-	// A stop lets in what was allowed before it; a lost permit does not.
-	stands := view.Stands(decider.World.Now()) || selection.routed != nil && view.Serves(decider.World.Now())
-	if !stands {
-		return 0, decider.decline(503, "no_permit", "the permit ran out before the dispatch", time.Second)
+	// A stop still admits what was allowed before it; a lost lease does not.
+	isServing := view.Stands(decider.World.Now()) || selection.routed != nil && view.Serves(decider.World.Now())
+	if !isServing {
+		return 0, decider.decline(503, "no_permit", "the lease expired before the attempt", time.Second)
 	}
-	if row, _ := find(view, selection); row == nil {
-		return 0, decider.decline(503, "moved_on", "the replica is no longer to be used", 0)
+	if row, _ := findRow(view, selection); row == nil {
+		return 0, decider.decline(503, "moved_on", "the replica is no longer in use for this model and version", 0)
 	}
 	selection.Serial = view.Serial
 	if selection.seat != nil {
-		selection.seat.isUnreached = false // its connection stands
+		selection.seat.isUnreachable = false // the connection is established
 	}
 	return view.Serial, nil
 }
 
-// find looks a selection up in a view: nil when it is no longer to be used.
-func find(view *permit.View, selection *Selection) (*standing.Row, *standing.Place) {
-	one, known := view.Standings[selection.Region]
+// findRow looks up the row and endpoint of a selection in a view; nil if it is no longer in use.
+func findRow(view *permit.View, selection *Selection) (*standing.Row, *standing.Place) {
+	table, known := view.Standings[selection.Region]
 	if !known {
 		return nil, nil
 	}
-	for at := range one.Places {
-		place := &one.Places[at]
-		if place.ID != selection.Replica || view.Evacuated[place.Zone] {
+	for at := range table.Places {
+		endpoint := &table.Places[at]
+		if endpoint.ID != selection.Replica || view.Evacuated[endpoint.Zone] {
 			continue
 		}
-		for index := range one.Rows {
-			row := &one.Rows[index]
+		for index := range table.Rows {
+			row := &table.Rows[index]
 			if row.Replica == selection.Replica && row.Model == selection.call.Model && row.Version == selection.Version {
-				return row, place
+				return row, endpoint
 			}
 		}
 	}
 	return nil, nil
 }
 
-// Wake lets all that wait look at a new view.
+// Wake makes all queued requests look at a new view.
 func (decider *Decider) Wake() {
 	decider.guard.Lock()
 	defer decider.guard.Unlock()
-	for _, one := range decider.queue {
-		one.box.Put(nil)
+	for _, waiting := range decider.queue {
+		waiting.box.Put(nil)
 	}
 }
 
-// Stop declines whatever comes from now on; what was allowed goes on.
+// Stop rejects all new requests; those already admitted go on.
 func (decider *Decider) Stop() {
 	decider.guard.Lock()
 	defer decider.guard.Unlock()
 	decider.stopped = true
 }
 
-// Quiet tells for how long no request was let in, in the world's uptime.
+// Quiet returns how long ago the last request was admitted.
 func (decider *Decider) Quiet() time.Duration {
 	decider.guard.Lock()
 	defer decider.guard.Unlock()
 	return decider.World.Now() - decider.came
 }
 
-// Running tells how many dispatches and waiters there are.
+// Running returns the number of running attempts and queued requests.
 func (decider *Decider) Running() int {
 	decider.guard.Lock()
 	defer decider.guard.Unlock()
@@ -265,7 +266,7 @@
 	return running
 }
 
-// Count gives the counters.
+// Count returns a copy of the counters.
 func (decider *Decider) Count() Counts {
 	decider.guard.Lock()
 	defer decider.guard.Unlock()
@@ -278,10 +279,10 @@
 }
 
 func (decider *Decider) flow(table map[string]*flow, model string) *flow {
-	one := table[model]
-	if one == nil {
-		one = &flow{}
-		table[model] = one
+	rate := table[model]
+	if rate == nil {
+		rate = &flow{}
+		table[model] = rate
 	}
-	return one
+	return rate
 }
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -30,19 +30,19 @@
 		panic(problems)
 	}
 	out := &permit.View{Serial: 3, Tree: tree, Expiry: loop.Forever, Evacuated: map[string]bool{}, Standings: map[string]standing.Standing{}}
-	for _, place := range []struct{ region, zone, id string }{{"a", "a-1", "r1"}, {"a", "a-1", "r2"}, {"a", "a-2", "r3"}, {"b", "b-1", "far"}} {
-		one := out.Standings[place.region]
-		one.Region = place.region
+	for _, endpoint := range []struct{ region, zone, id string }{{"a", "a-1", "r1"}, {"a", "a-1", "r2"}, {"a", "a-2", "r3"}, {"b", "b-1", "far"}} {
+		one := out.Standings[endpoint.region]
+		one.Region = endpoint.region
 		credits := map[string]int{}
 		for _, name := range daemons {
 			credits[name] = credit
 		}
-		one.Places = append(one.Places, standing.Place{ID: place.id, Address: place.id, Zone: place.zone, Region: place.region, Capacity: 8, Whole: 8, Warm: 1, Credits: credits})
-		one.Rows = append(one.Rows, standing.Row{Replica: place.id, Model: "m", Version: "v1"})
-		if trial && place.id == "r1" {
-			one.Rows = append(one.Rows, standing.Row{Replica: place.id, Model: "m", Version: "v2", Trial: true})
+		one.Places = append(one.Places, standing.Place{ID: endpoint.id, Address: endpoint.id, Zone: endpoint.zone, Region: endpoint.region, Capacity: 8, Whole: 8, Warm: 1, Credits: credits})
+		one.Rows = append(one.Rows, standing.Row{Replica: endpoint.id, Model: "m", Version: "v1"})
+		if trial && endpoint.id == "r1" {
+			one.Rows = append(one.Rows, standing.Row{Replica: endpoint.id, Model: "m", Version: "v2", Trial: true})
 		}
-		out.Standings[place.region] = one
+		out.Standings[endpoint.region] = one
 	}
 	return out
 }
@@ -103,11 +103,11 @@
 }
 
 // allow asks a daemon whether a call may go on.
-func (bench *bench) allow(name, ticket, id string) (got *decide.Call, mishap *verdict.Mishap) {
+func (bench *bench) allow(name, ticket, id string) (got *decide.Call, failure *verdict.Mishap) {
 	got = call(id)
 	got.Ticket = ticket
-	bench.do(name, func(decider *decide.Decider) { mishap = decider.Allow(got) })
-	return got, mishap
+	bench.do(name, func(decider *decide.Decider) { failure = decider.Allow(got) })
+	return got, failure
 }
 
 func TestTicketsRunOnceAnywhere(t *testing.T) {
@@ -131,51 +131,51 @@
 		defer bench.Close()
 		ticket, first := locate(bench)
 		rest := others(first)
-		at, mishap := bench.allow(rest[0], ticket, "q")
-		So(mishap, ShouldBeNil)
-		_, mishap = bench.allow(first, ticket, "q")
-		So(mishap.Code, ShouldEqual, "elsewhere")
-		_, mishap = bench.allow(rest[1], ticket, "q")
-		So(mishap.Verdict, ShouldEqual, verdict.MayHaveRun)
-		So(mishap.Code, ShouldEqual, "running")
+		at, failure := bench.allow(rest[0], ticket, "q")
+		So(failure, ShouldBeNil)
+		_, failure = bench.allow(first, ticket, "q")
+		So(failure.Code, ShouldEqual, "elsewhere")
+		_, failure = bench.allow(rest[1], ticket, "q")
+		So(failure.Verdict, ShouldEqual, verdict.MayHaveRun)
+		So(failure.Code, ShouldEqual, "running")
 		// It was declined as not run there, and that word stands.
 		bench.do(rest[0], func(decider *decide.Decider) {
 			decider.Settled(at, verdict.Decline(503, "queue_full", "", 0))
 		})
 		for _, name := range rest {
-			_, mishap = bench.allow(name, ticket, "q")
-			if mishap == nil || mishap.Code != "declined_before" || mishap.Verdict != verdict.NotRun {
-				t.Errorf("twice: told not_run, and then %v at %s", mishap, name)
+			_, failure = bench.allow(name, ticket, "q")
+			if failure == nil || failure.Code != "declined_before" || failure.Verdict != verdict.NotRun {
+				t.Errorf("twice: told not_run, and then %v at %s", failure, name)
 			}
 		}
-		at, mishap = bench.allow(rest[1], ticket, "r")
-		So(mishap, ShouldBeNil)
+		at, failure = bench.allow(rest[1], ticket, "r")
+		So(failure, ShouldBeNil)
 		bench.do(rest[1], func(decider *decide.Decider) { decider.Settled(at, nil) })
-		_, mishap = bench.allow(rest[1], ticket, "r")
-		So(mishap.Verdict, ShouldEqual, verdict.Ran)
-		_, mishap = bench.allow(rest[0], ticket, "r")
-		So(mishap.Code, ShouldEqual, "ran")
+		_, failure = bench.allow(rest[1], ticket, "r")
+		So(failure.Verdict, ShouldEqual, verdict.Ran)
+		_, failure = bench.allow(rest[0], ticket, "r")
+		So(failure.Code, ShouldEqual, "ran")
 	})
 	Convey("when the daemon of the ticket is gone, or another life of it answers, it is never run", t, func() {
 		bench := newBench("x", "y", "z")
 		defer bench.Close()
 		ticket, first := locate(bench)
 		bench.Kill(first)
-		_, mishap := bench.allow(others(first)[0], ticket, "q")
-		So(mishap.Code, ShouldEqual, "daemon_gone")
-		So(mishap.Verdict, ShouldEqual, verdict.MayHaveRun)
+		_, failure := bench.allow(others(first)[0], ticket, "q")
+		So(failure.Code, ShouldEqual, "daemon_gone")
+		So(failure.Verdict, ShouldEqual, verdict.MayHaveRun)
 		bench.start(first, 2)
-		_, mishap = bench.allow(first, ticket, "q")
-		So(mishap.Code, ShouldEqual, "daemon_gone")
-		_, mishap = bench.allow(others(first)[1], ticket, "q")
-		So(mishap.Code, ShouldEqual, "daemon_gone")
+		_, failure = bench.allow(first, ticket, "q")
+		So(failure.Code, ShouldEqual, "daemon_gone")
+		_, failure = bench.allow(others(first)[1], ticket, "q")
+		So(failure.Code, ShouldEqual, "daemon_gone")
 	})
 	Convey("a daemon that stops leaves what it knows to one heir, which alone decides about what was never seen", t, func() {
 		bench := newBench("x", "y", "z")
 		defer bench.Close()
 		ticket, first := locate(bench)
-		ran, mishap := bench.allow(first, ticket, "ran")
-		So(mishap, ShouldBeNil)
+		ran, failure := bench.allow(first, ticket, "ran")
+		So(failure, ShouldBeNil)
 		bench.do(first, func(decider *decide.Decider) { decider.Settled(ran, nil) })
 		unrun, _ := bench.allow(first, ticket, "unrun")
 		bench.do(first, func(decider *decide.Decider) { decider.Settled(unrun, verdict.Decline(503, "queue_full", "", 0)) })
@@ -186,14 +186,14 @@
 		})
 		So(isLeft, ShouldBeTrue)
 		// Still there, it promises nothing that its heir does not know of.
-		_, mishap = bench.allow(first, ticket, "late")
-		So(mishap.Code, ShouldEqual, "stopping")
+		_, failure = bench.allow(first, ticket, "late")
+		So(failure.Code, ShouldEqual, "stopping")
 		bench.Kill(first)
 		bench.start(first, 2)
 		bench.now.Members[map[string]int{"x": 0, "y": 1, "z": 2}[first]].Incarnation = first + "#2"
 		code := func(name, id string) string {
-			if _, mishap := bench.allow(name, ticket, id); mishap != nil {
-				return mishap.Code
+			if _, failure := bench.allow(name, ticket, id); failure != nil {
+				return failure.Code
 			}
 			return ""
 		}
@@ -216,9 +216,9 @@
 		ticket, first := locate(bench)
 		bench.Run(2 * time.Minute)
 		for _, name := range []string{first, others(first)[0]} {
-			_, mishap := bench.allow(name, ticket, "q")
-			So(mishap.Code, ShouldEqual, "ticket_expired")
-			So(mishap.Verdict, ShouldEqual, verdict.MayHaveRun)
+			_, failure := bench.allow(name, ticket, "q")
+			So(failure.Code, ShouldEqual, "ticket_expired")
+			So(failure.Verdict, ShouldEqual, verdict.MayHaveRun)
 		}
 	})
 }
@@ -235,13 +235,13 @@
 			count++
 			one := call(fmt.Sprint("q", count))
 			one.Home = home
-			var mishap *verdict.Mishap
-			bench.do("x", func(decider *decide.Decider) { mishap = decider.Allow(one) })
-			if mishap == nil {
+			var failure *verdict.Mishap
+			bench.do("x", func(decider *decide.Decider) { failure = decider.Allow(one) })
+			if failure == nil {
 				return ""
 			}
-			So(mishap.Verdict, ShouldEqual, verdict.NotRun)
-			return mishap.Code
+			So(failure.Verdict, ShouldEqual, verdict.NotRun)
+			return failure.Code
 		}
 		So(code(func(*permit.View) {}, "inland"), ShouldEqual, "")
 		So(code(func(view *permit.View) { view.Expiry = 0 }, ""), ShouldEqual, "no_permit")
@@ -260,10 +260,10 @@
 			bench.Node("x").Go(func() {
 				one := call(fmt.Sprint("h", index))
 				one.Home = "wide"
-				if mishap := bench.deciders["x"].Allow(one); mishap != nil {
-					panic(mishap)
+				if failure := bench.deciders["x"].Allow(one); failure != nil {
+					panic(failure)
 				}
-				if selection, mishap := bench.deciders["x"].Select(one, nil); mishap == nil {
+				if selection, failure := bench.deciders["x"].Select(one, nil); failure == nil {
 					used[selection.Replica]++
 				}
 			})
@@ -276,8 +276,8 @@
 		defer bench.Close()
 		bench.do("x", func(*decide.Decider) {})
 		asked := bench.Messages["Ticket.Settle"]
-		_, mishap := bench.allow("x", decide.Ticket{ID: "i", Daemon: "evil", Incarnation: "n", Wire: "elsewhere", Expiry: time.Hour}.Seal(), "q")
-		So(mishap.Code, ShouldEqual, "daemon_gone")
+		_, failure := bench.allow("x", decide.Ticket{ID: "i", Daemon: "evil", Incarnation: "n", Wire: "elsewhere", Expiry: time.Hour}.Seal(), "q")
+		So(failure.Code, ShouldEqual, "daemon_gone")
 		So(bench.Messages["Ticket.Settle"], ShouldEqual, asked)
 	})
 	Convey("a retry of what ran already costs no retry", t, func() {
@@ -296,8 +296,8 @@
 			for try := 0; try < 50; try++ {
 				again := call("done")
 				again.Ticket, again.Retried = ticket, true
-				if mishap := decider.Allow(again); mishap == nil || mishap.Code != "ran" {
-					panic(mishap)
+				if failure := decider.Allow(again); failure == nil || failure.Code != "ran" {
+					panic(failure)
 				}
 			}
 		})
@@ -307,17 +307,17 @@
 		defer bench.Close()
 		bench.do("x", func(decider *decide.Decider) {
 			selection, _ := decider.Select(call("q"), nil)
-			if _, mishap := decider.Gate(selection); mishap != nil {
-				panic(mishap)
+			if _, failure := decider.Gate(selection); failure != nil {
+				panic(failure)
 			}
 			bench.now = view([]string{"x"}, 4, false)
 			bench.now.Evacuated[map[string]string{"r1": "a-1", "r2": "a-1", "r3": "a-2", "far": "b-1"}[selection.Replica]] = true
-			if _, mishap := decider.Gate(selection); mishap == nil || mishap.Code != "moved_on" {
+			if _, failure := decider.Gate(selection); failure == nil || failure.Code != "moved_on" {
 				panic("let through")
 			}
 			bench.now = view([]string{"x"}, 4, false)
 			bench.now.Expiry = 0
-			if _, mishap := decider.Gate(selection); mishap == nil || mishap.Code != "no_permit" {
+			if _, failure := decider.Gate(selection); failure == nil || failure.Code != "no_permit" {
 				panic("let through")
 			}
 		})
@@ -333,9 +333,9 @@
 				one := call(fmt.Sprint("q", index))
 				one.Home = "inland"
 				began := bench.Now()
-				selection, mishap := bench.deciders["x"].Select(one, nil)
-				if mishap != nil {
-					codes[mishap.Code]++
+				selection, failure := bench.deciders["x"].Select(one, nil)
+				if failure != nil {
+					codes[failure.Code]++
 					waits = append(waits, bench.Now()-began)
 					return
 				}
@@ -367,8 +367,8 @@
 					if decider.Allow(one) != nil {
 						return
 					}
-					selection, mishap := decider.Select(one, nil)
-					if mishap != nil {
+					selection, failure := decider.Select(one, nil)
+					if failure != nil {
 						return
 					}
 					var end *verdict.Mishap
@@ -456,11 +456,11 @@
 				tell := func(id string) {
 					again := call(id)
 					again.Retried, again.Home = true, home
-					mishap := decider.Allow(again)
-					if mishap == nil {
+					failure := decider.Allow(again)
+					if failure == nil {
 						panic(name + ": let in")
 					}
-					codes, verdicts = append(codes, mishap.Code), append(verdicts, mishap.Verdict)
+					codes, verdicts = append(codes, failure.Code), append(verdicts, failure.Verdict)
 				}
 				runs, ran := call("runs"), call("ran")
 				runs.Home, ran.Home = home, home
@@ -481,9 +481,9 @@
 	Convey("a try without a ticket is not run, and nothing is said of others", t, func() {
 		bench := newBench("x")
 		defer bench.Close()
-		_, mishap := bench.allow("x", "", "q")
-		So(mishap.Code, ShouldEqual, "ticket_needed")
-		So(mishap.Verdict, ShouldEqual, verdict.MayHaveRun)
+		_, failure := bench.allow("x", "", "q")
+		So(failure.Code, ShouldEqual, "ticket_needed")
+		So(failure.Verdict, ShouldEqual, verdict.MayHaveRun)
 	})
 }
 
@@ -512,15 +512,15 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		one := &decide.Call{ID: "q", Model: "m", Kind: "k"}
-		if mishap := decider.Weigh(one, body); mishap != nil {
-			b.Fatal(mishap)
+		if failure := decider.Weigh(one, body); failure != nil {
+			b.Fatal(failure)
 		}
-		selection, mishap := decider.Select(one, nil)
-		if mishap != nil {
-			b.Fatal(mishap)
+		selection, failure := decider.Select(one, nil)
+		if failure != nil {
+			b.Fatal(failure)
 		}
-		if _, mishap := decider.Gate(selection); mishap != nil {
-			b.Fatal(mishap)
+		if _, failure := decider.Gate(selection); failure != nil {
+			b.Fatal(failure)
 		}
 		decider.Release(selection, nil, time.Millisecond)
 	}
--- a/decide/engine.go
+++ b/decide/engine.go
@@ -7,154 +7,154 @@
 	"swifttiller/settings"
 )
 
-// Part is one piece of a prompt, in order; equal ids are equal pieces.
+// Part is one piece of a prompt, in order; parts with equal ids are equal.
 type Part struct {
 	ID     uint64
 	Tokens int
 }
 
-// Load is what a replica says of itself with an answer.
+// Load is the load that a replica reports with a response.
 type Load struct {
 	Running, Waiting, Slots int
 }
 
-// keeping is what a replica is taken to have kept of the prompts that this daemon
-// sent it, the least lately used part first.
+// prefixCache is an LRU estimate of the prompt parts that a replica has cached, from the
+// prompts that this daemon sent it.
 //
-// Invariants: tokens is the sum over order; a part is in index exactly when it is in
-// order.
-type keeping struct {
+// Invariants: order is from the least to the most recently used part; tokens is the sum over
+// order; a part is in index exactly if it is in order.
+type prefixCache struct {
 	index  map[uint64]*list.Element
 	order  *list.List
 	tokens int
 }
 
-func (keeping *keeping) has(id uint64) bool { _, isKept := keeping.index[id]; return isKept }
+func (cache *prefixCache) contains(id uint64) bool { _, isCached := cache.index[id]; return isCached }
 
-// note takes the parts as used just now, and lets the oldest go beyond the bound.
-func (keeping *keeping) note(parts []Part, bound int) {
-	if keeping.index == nil {
-		keeping.index, keeping.order = map[uint64]*list.Element{}, list.New()
+// touch marks the parts as just used and evicts the least recently used ones beyond the bound.
+func (cache *prefixCache) touch(parts []Part, bound int) {
+	if cache.index == nil {
+		cache.index, cache.order = map[uint64]*list.Element{}, list.New()
 	}
 	for _, part := range parts {
-		if at, isKept := keeping.index[part.ID]; isKept {
-			keeping.order.MoveToBack(at)
+		if element, isCached := cache.index[part.ID]; isCached {
+			cache.order.MoveToBack(element)
 			continue
 		}
-		keeping.index[part.ID] = keeping.order.PushBack(part)
-		keeping.tokens += part.Tokens
+		cache.index[part.ID] = cache.order.PushBack(part)
+		cache.tokens += part.Tokens
 	}
-	for keeping.tokens > bound && keeping.order.Len() > 0 {
-		oldest := keeping.order.Remove(keeping.order.Front()).(Part)
-		delete(keeping.index, oldest.ID)
-		keeping.tokens -= oldest.Tokens
+	for cache.tokens > bound && cache.order.Len() > 0 {
+		oldest := cache.order.Remove(cache.order.Front()).(Part)
+		delete(cache.index, oldest.ID)
+		cache.tokens -= oldest.Tokens
 	}
 }
 
-// engine is what this daemon knows of one life of a replica: what it runs there, what
-// the replica said last, and how long it has kept requests waiting.
+// engine is the state that this daemon has about one boot of a replica: the attempts that
+// it runs there, the load last reported, and how long requests have waited for an answer.
 //
-// Invariants: running and reading count this daemon's own dispatches alone; silent is
-// zero exactly while no dispatch waits for its first piece, else since when nothing has
-// come from the replica.
+// Invariants: running and prefillTokens count this daemon's own attempts alone. While an
+// attempt waits for its first chunk, silent is since when nothing has come from the replica.
 type engine struct {
 	running int
-	// reading are the prompt tokens that were sent and whose answer has not begun.
-	reading int
-	kept    keeping
-	load    Load
-	loadAt  time.Duration
-	// lag is by how much first pieces came later than foreseen, smoothed, as of lagAt.
+	// prefillTokens is the number of prompt tokens sent whose answer has not begun.
+	prefillTokens int
+	cache         prefixCache
+	load          Load
+	loadAt        time.Duration
+	// lag is the smoothed delay of first chunks beyond the predicted time, as of lagAt.
 	lag   time.Duration
 	lagAt time.Duration
-	// sent are the times of the last dispatches, for the bound of a cold replica.
+	// sent are the times of recent attempts, for the rate limit of a cold replica.
 	sent []time.Duration
-	// part is this daemon's part of what the replica may be sent while it is cold; nil
-	// while it is warm.
-	part   *part
-	silent time.Duration
-	waits  int
-	// shunned is until when the replica gets nothing, for a mishap of its connections;
-	// strikes are such mishaps in a row.
+	// coldShare is this daemon's share of the rate limit while the replica is cold; nil while
+	// it is warm.
+	coldShare     *coldShare
+	silent        time.Duration
+	awaitingFirst int
+	// shunned is until when the replica gets nothing after a connection failure; strikes
+	// is the number of such failures in a row.
 	shunned time.Duration
 	strikes int
-	// isUnreached tells that a connection there could not be opened, and none could since.
-	isUnreached bool
+	// isUnreachable is set if a connection could not be opened and none has been since.
+	isUnreachable bool
 	// vouched is when the replica last showed that it is alive.
 	vouched time.Duration
-	// flowing are the streams that have begun and not ended.
+	// flowing is the number of streams that have begun and not ended.
 	flowing int
 	health  health
-	// reports are what colleagues hold against it, by their names.
+	// reports are the health reports of peers, by peer name.
 	reports map[string]healthReport
-	// word is what the replica told when it was asked, inquired when that was last tried.
+	// word is the replica's last reply to a probe of its warmth, inquired when it was last probed.
 	word     word
 	inquired time.Duration
-	// region and model are those that it was last seen with.
+	// region and model are those of the last attempt.
 	region, model string
 }
 
-// opens tells whether a replica that was shunned, and has not shown since that it is
-// alive, may get a request: one at a time, and after a second time only one that may
-// run again elsewhere, unless it was shunned so long ago that it would be forgotten.
-func (engine *engine) opens(now time.Duration, isRepeatable bool) bool {
+// admits reports whether a replica without a sign of life since its last connection failure
+// may get a request after the backoff: one at a time, and after a second failure in a row only
+// requests that may be repeated elsewhere, unless the backoff ended more than mostShun ago.
+func (engine *engine) admits(now time.Duration, isRepeatable bool) bool {
 	if engine.strikes == 0 {
 		return true
 	}
-	return engine.waits == 0 && (engine.strikes == 1 || isRepeatable || now-engine.shunned > mostShun)
+	return engine.awaitingFirst == 0 && (engine.strikes == 1 || isRepeatable || now-engine.shunned > mostShun)
 }
 
-// lagged is what is left of the lag; it halves each half second, as queues pass.
-func (engine *engine) lagged(now time.Duration) time.Duration {
+// decayedLag returns the lag, halved for each half second since it was measured, as queues drain.
+func (engine *engine) decayedLag(now time.Duration) time.Duration {
 	lag := engine.lag
-	for span := now - engine.lagAt; span > 0 && lag >= leastLag; span -= lagHalf {
+	for span := now - engine.lagAt; span > 0 && lag >= minLag; span -= lagHalfLife {
 		lag /= 2
 	}
-	if lag < leastLag {
+	if lag < minLag {
 		return 0
 	}
 	return lag
 }
 
-// Constants of the foresight. Rates are tokens in a millisecond.
+// Constants of the prediction of the time to first token. Rates are in tokens per millisecond.
 const (
-	lagHalf = 500 * time.Millisecond
-	// leastLag is the lag below which a replica is as good as one without any: else each
-	// daemon would stay with the few whose first answers happened to come soonest.
-	leastLag = time.Millisecond
-	// firstRate is what is taken for the rate at which prompts are read until answers
-	// have shown it; it is learned within the bounds.
-	firstRate = 50.0
-	leastRate = 2.0
-	mostRate  = 2000.0
-	// eachRunning is what another running request adds to a first piece, eachWaiting
-	// one that waits before the replica.
-	eachRunning = 300 * time.Microsecond
-	// fullCrowd is what a replica with all its berths taken adds besides.
-	fullCrowd = 64 * time.Millisecond
-	// eachPair is what a token costs for each that stands before it, in ms; firstBase
-	// what the shortest prompt takes until answers have shown it.
-	eachPair    = 0.25e-6
-	firstBase   = 60 * time.Millisecond
-	eachWaiting = 40 * time.Millisecond
-	// keptShare is which part of a replica's memory is taken to hold kept parts.
-	keptShare = 0.8
+	lagHalfLife = 500 * time.Millisecond
+	// minLag is the lag below which a replica counts as having none. Otherwise each daemon
+	// would stay with the few replicas whose first answers happened to be the fastest.
+	minLag = time.Millisecond
+	// initialPrefillRate is the assumed prefill rate until it is learned from responses,
+	// within minPrefillRate and maxPrefillRate.
+	initialPrefillRate = 50.0
+	minPrefillRate     = 2.0
+	maxPrefillRate     = 2000.0
+	// delayPerRunning is the delay of the first chunk per running request, and delayPerWaiting
+	// that per request in the replica's queue.
+	delayPerRunning = 300 * time.Microsecond
+	// fullReplicaDelay is the additional delay at a replica whose slots are all taken.
+	fullReplicaDelay = 64 * time.Millisecond
+	// msPerTokenPair is the prefill time of a token per token that precedes it, in ms.
+	// initialBaseLatency bounds the first samples of the base latency, which is the time to
+	// first token of the shortest prompts.
+	msPerTokenPair     = 0.25e-6
+	initialBaseLatency = 60 * time.Millisecond
+	delayPerWaiting    = 40 * time.Millisecond
+	// cacheFillShare is the share of a replica's cache that is assumed to hold prompt parts.
+	cacheFillShare = 0.8
 )
 
-// filled is how full the replica is with what runs there, as a share of the half of
-// its berths, and at most one: beyond that streams are slow.
-func (engine *engine) filled(known *settings.Engine, now time.Duration) float64 {
-	if known == nil || known.Berths <= 0 {
+// filled returns the number of running requests as a share of half of the replica's slots, at
+// most one: beyond half of the slots, streams are slow.
+func (engine *engine) filled(config *settings.Engine, now time.Duration) float64 {
+	if config == nil || config.Berths <= 0 {
 		return 0
 	}
 	running := engine.running
 	if now-engine.loadAt < time.Second {
 		running = max(running, engine.load.Running+engine.load.Waiting)
 	}
-	return min(1, 2*float64(running)/float64(known.Berths))
+	return min(1, 2*float64(running)/float64(config.Berths))
 }
 
-// sentWithin counts dispatches within the span before now, and forgets older ones.
+// sentWithin returns the number of attempts in the span before now and drops older ones.
 func (engine *engine) sentWithin(now, span time.Duration) int {
 	for len(engine.sent) > 0 && now-engine.sent[0] >= span {
 		engine.sent = engine.sent[1:]
@@ -162,17 +162,17 @@
 	return len(engine.sent)
 }
 
-// unread is how many tokens of the parts the replica would have to read: those from
-// the first one on that it is not taken to have kept. An owner that this daemon knows
-// nothing of is taken to keep the shared parts, as colleagues send them there too.
-func (engine *engine) unread(parts []Part, tokens int, isOwner bool) (own, shared int) {
-	sum, isGap := 0, false
-	for at, part := range parts {
+// uncachedTokens returns how many prompt tokens the replica would have to prefill: those from
+// the first part on that is not assumed to be cached. At the owner, only a quarter of a shared
+// part counts, since peers send requests with that part there too.
+func (engine *engine) uncachedTokens(parts []Part, tokens int, isOwner bool) (own, shared int) {
+	sum, isMiss := 0, false
+	for index, part := range parts {
 		sum += part.Tokens
-		isShared := at < len(parts)-1
-		isGap = isGap || !engine.kept.has(part.ID)
+		isShared := index < len(parts)-1
+		isMiss = isMiss || !engine.cache.contains(part.ID)
 		switch {
-		case !isGap:
+		case !isMiss:
 		case isShared && isOwner:
 			shared += part.Tokens / 4
 		case isShared:
--- a/decide/forecast.go
+++ b/decide/forecast.go
@@ -6,98 +6,100 @@
 	"swifttiller/permit"
 )
 
-// Forecast of the time to the first piece.
+// Prediction of the time to first token.
 
-// prices are what the settings say that ways and reading cost, read once a decision.
-type prices struct {
-	berths     int
-	far, again time.Duration
-	// farKB is in milliseconds a KiB.
-	farKB float64
+// routingCosts are the configured costs of other regions and of prefill, read once per decision.
+type routingCosts struct {
+	berths                        int
+	crossRegion, duplicatePrefill time.Duration
+	// crossRegionKiB is in milliseconds per KiB.
+	crossRegionKiB float64
 }
 
-func (decider *Decider) prices(view *permit.View, model string) prices {
+func (decider *Decider) routingCosts(view *permit.View, model string) routingCosts {
 	zone := decider.Self.Zone
 	berths := 0
-	if known := view.Tree.Engine(model); known != nil {
-		berths = known.Berths
+	if config := view.Tree.Engine(model); config != nil {
+		berths = config.Berths
 	}
-	return prices{berths: berths, far: view.Tree.Span("far_ms", zone), again: view.Tree.Span("again_ms", zone), farKB: view.Tree.Limit("far_kb_ms", zone)}
+	return routingCosts{berths: berths, crossRegion: view.Tree.Span("far_ms", zone), duplicatePrefill: view.Tree.Span("again_ms", zone), crossRegionKiB: view.Tree.Limit("far_kb_ms", zone)}
 }
 
-// crowd is what so many running requests add to a first piece: little each, and more
-// the fuller the replica is.
-func (prices prices) crowd(running float64) time.Duration {
+// contention returns the delay of the first chunk by running requests: a little for each, and
+// more the fuller the replica is.
+func (costs routingCosts) contention(running float64) time.Duration {
 	share := 0.0
-	if prices.berths > 0 {
-		share = running / float64(prices.berths)
+	if costs.berths > 0 {
+		share = running / float64(costs.berths)
 	}
-	return time.Duration(running*float64(eachRunning)) + time.Duration(share*share*float64(fullCrowd))
+	return time.Duration(running*float64(delayPerRunning)) + time.Duration(share*share*float64(fullReplicaDelay))
 }
 
-// foresee fills in how long the first piece would take at the replica, where so many are
-// expected to run and to wait.
-func (decider *Decider) foresee(prices prices, routed *Routed, one *prospect, running, waiting float64, now time.Duration) {
-	seat := one.seat
-	own, shared := seat.unread(routed.Parts, routed.Tokens, one.isOwner)
-	one.unread, one.unreadShared = own+shared, shared
-	one.running, one.waiting = running, waiting
-	one.foreseen = decider.base + decider.reading(seat.reading) + decider.reading(one.unread) + prices.crowd(running) + time.Duration(waiting*float64(eachWaiting)) + seat.lagged(now)
-	again := float64(shared) / 1000 * float64(prices.again)
-	if one.isSuccessor {
-		again *= successorShare
+// predict sets the predicted time to first token and the cost of a candidate, at which the given
+// numbers of requests are expected to run and to wait.
+func (decider *Decider) predict(costs routingCosts, routed *Routed, candidate *routeCandidate, running, waiting float64, now time.Duration) {
+	state := candidate.state
+	own, shared := state.uncachedTokens(routed.Parts, routed.Tokens, candidate.isOwner)
+	candidate.uncached, candidate.uncachedShared = own+shared, shared
+	candidate.running, candidate.waiting = running, waiting
+	candidate.ttft = decider.baseLatency + decider.reading(state.prefillTokens) + decider.reading(candidate.uncached) + costs.contention(running) + time.Duration(waiting*float64(delayPerWaiting)) + state.decayedLag(now)
+	again := float64(shared) / 1000 * float64(costs.duplicatePrefill)
+	if candidate.isSuccessor {
+		again *= successorCostShare
 	}
-	one.weight = one.foreseen + time.Duration(again)
-	if one.place.Region != decider.Self.Region {
-		one.foreseen += prices.far
-		one.weight += 2*prices.far + time.Duration(prices.farKB*float64(routed.Bytes)/1024*float64(time.Millisecond))
+	candidate.cost = candidate.ttft + time.Duration(again)
+	if candidate.endpoint.Region != decider.Self.Region {
+		candidate.ttft += costs.crossRegion
+		candidate.cost += 2*costs.crossRegion + time.Duration(costs.crossRegionKiB*float64(routed.Bytes)/1024*float64(time.Millisecond))
 	}
-	if over := one.foreseen - routed.Route.Target*4/5; over > 0 && routed.Route.Target > 0 {
-		one.weight += lateWeight + over
+	if over := candidate.ttft - routed.Route.Target*4/5; over > 0 && routed.Route.Target > 0 {
+		candidate.cost += latePenalty + over
 	}
-	if one.place.Slow {
-		one.weight += one.foreseen
+	if candidate.endpoint.Slow {
+		candidate.cost += candidate.ttft
 	}
-	if one.place.Warm < 1 {
-		one.weight += coldWeight
+	if candidate.endpoint.Warm < 1 {
+		candidate.cost += coldPenalty
 	}
-	one.weight += seat.health.penalty(now, routed.Route.Repeatable(), seat.reported(one.place.Boot, now))
-	if !routed.Route.Repeatable() && now < decider.wary && now-seat.vouched > vouchedLong && seat.health.bad < leastBad {
-		one.weight += unvouchedWeight
+	candidate.cost += state.health.penalty(now, routed.Route.Repeatable(), state.reported(candidate.endpoint.Boot, now))
+	if !routed.Route.Repeatable() && now < decider.wary && now-state.vouched > livenessLifetime && state.health.bad < leastBad {
+		candidate.cost += staleLivenessPenalty
 	}
-	// Equal ones take turns.
-	one.weight += time.Duration(decider.World.Draw(int64(time.Millisecond)))
+	// A random amount spreads requests over candidates of equal cost.
+	candidate.cost += time.Duration(decider.World.Draw(int64(time.Millisecond)))
 }
 
-// reading is how long a replica reads a prompt of so many tokens: each costs the same,
-// and a little for each that stands before it.
+// reading returns the prefill time of a prompt: a constant for each token, and a little for each
+// token that precedes it.
 func (decider *Decider) reading(tokens int) time.Duration {
 	pairs := float64(tokens) * float64(tokens) / 2
-	return time.Duration((float64(tokens)/decider.rate() + pairs*eachPair) * float64(time.Millisecond))
+	return time.Duration((float64(tokens)/decider.prefillRate() + pairs*msPerTokenPair) * float64(time.Millisecond))
 }
 
-// lateWeight is what an answer that is foreseen to be late is weighed as.
-const lateWeight = 300 * time.Millisecond
+// latePenalty is the cost of a predicted time to first token above four fifths of the target,
+// besides the excess itself.
+const latePenalty = 300 * time.Millisecond
 
-// coldWeight is what a cold replica has to be better by.
-const coldWeight = 30 * time.Millisecond
+// coldPenalty is the cost of a cold replica.
+const coldPenalty = 30 * time.Millisecond
 
-// unvouchedWeight is what a replica has to be better by that has not shown for vouchedLong
-// that it is alive, for a request that may be sent once only, within warySpan after a mishap
-// or a silence anywhere: those seldom come alone.
+// staleLivenessPenalty is the cost of a replica that has shown no sign of life for
+// livenessLifetime. It applies to requests that may be sent only once, within warySpan after a
+// failure or a silent replica anywhere, since failures seldom come alone.
 const (
-	unvouchedWeight = 10 * time.Millisecond
-	vouchedLong     = time.Second
-	warySpan        = 4 * time.Second
+	staleLivenessPenalty = 10 * time.Millisecond
+	livenessLifetime     = time.Second
+	warySpan             = 4 * time.Second
 )
 
-// rate is the tokens that a replica reads in a millisecond, as learned.
-func (decider *Decider) rate() float64 {
-	if decider.readRate == 0 {
-		return firstRate
+// prefillRate returns the learned prefill rate in tokens per millisecond.
+func (decider *Decider) prefillRate() float64 {
+	if decider.learnedPrefillRate == 0 {
+		return initialPrefillRate
 	}
-	return decider.readRate
+	return decider.learnedPrefillRate
 }
 
-// learnTokens is how long a prompt must be for its first piece to tell the rate.
-const learnTokens = 2000
+// minLearnTokens is the least number of uncached tokens for which the time to first token shows
+// the prefill rate.
+const minLearnTokens = 2000
--- a/decide/owner.go
+++ b/decide/owner.go
@@ -6,14 +6,14 @@
 	"swifttiller/standing"
 )
 
-// Owners of shared prompt parts: rendezvous by slots that all daemons rank alike.
+// Owners of shared prompt parts: rendezvous hashing by slots, which all daemons rank alike.
 
-// ownerKey is what requests with the same shared parts have in common; zero when there
-// is nothing shared.
-func ownerKey(routed *Routed) uint64 {
+// sharedPrefixKey returns a hash that is the same for requests with the same shared parts; zero
+// if nothing is shared.
+func sharedPrefixKey(routed *Routed) uint64 {
 	key := uint64(0)
-	for at, part := range routed.Parts {
-		if at == len(routed.Parts)-1 {
+	for index, part := range routed.Parts {
+		if index == len(routed.Parts)-1 {
 			break
 		}
 		key = key*0x9e3779b97f4a7c15 + part.ID + 1
@@ -21,37 +21,37 @@
 	return key
 }
 
-// successorShare is which part of the price of reading shared parts again their successor pays:
-// less than others, so that all go to the same one, and not so little that they leave an owner
-// that may get them.
-const successorShare = 0.9
+// successorCostShare is the share of the cost of duplicate prefill that the successor bears. It
+// is below one, so that all requests that can't go to the owner go to the same replica, and not
+// so low that they leave an owner that may get them.
+const successorCostShare = 0.9
 
-// claim marks whose the request's shared parts are among those that may get it now: the
-// first by rendezvous is their owner, the next one their successor. All daemons rank alike, so
-// what the owner can't get, as it is cold, held or has gone, they read again at one
-// replica and not each at another. Where the home of a tenant's placement has some that
-// may own, no others do.
-func claim(routed *Routed, all []prospect, home string, isNear func(*standing.Place) bool) {
+// assignOwners marks the owner and the successor of the request's shared parts among the
+// candidates: the first and the second by rendezvous hashing. All daemons rank alike, so shared
+// parts whose owner is cold, held or gone are prefilled again at one replica and not by each
+// daemon at another one. If the tenant's placement has a home with candidates, only those are
+// considered.
+func assignOwners(routed *Routed, candidates []routeCandidate, home string, isNear func(*standing.Place) bool) {
 	if routed.owner == 0 && home == "" {
 		return
 	}
-	var owner, successor *prospect
-	var most, next uint64
+	var owner, successor *routeCandidate
+	var ownerScore, successorScore uint64
 	isPlaced := false
-	for at := range all {
-		one := &all[at]
-		isHome := home != "" && one.place.Region == home
+	for index := range candidates {
+		candidate := &candidates[index]
+		isHome := home != "" && candidate.endpoint.Region == home
 		if isHome && !isPlaced {
 			isPlaced, owner, successor = true, nil, nil
 		}
-		if isPlaced && !isHome || !isPlaced && (!isNear(one.place) || routed.owner == 0) {
+		if isPlaced && !isHome || !isPlaced && (!isNear(candidate.endpoint) || routed.owner == 0) {
 			continue
 		}
-		switch score := slotScore(routed.key, one.place); {
-		case owner == nil || score > most:
-			owner, successor, most, next = one, owner, score, most
-		case successor == nil || score > next:
-			successor, next = one, score
+		switch score := slotScore(routed.ownerKey, candidate.endpoint); {
+		case owner == nil || score > ownerScore:
+			owner, successor, ownerScore, successorScore = candidate, owner, score, ownerScore
+		case successor == nil || score > successorScore:
+			successor, successorScore = candidate, score
 		}
 	}
 	if owner != nil {
@@ -62,7 +62,7 @@
 	}
 }
 
-// slotScore is the rendezvous weight of a key at a place's slot.
-func slotScore(key uint64, place *standing.Place) uint64 {
-	return score(key, place.Region+"/"+strconv.Itoa(place.Slot))
+// slotScore returns the rendezvous weight of a key at an endpoint's slot.
+func slotScore(key uint64, endpoint *standing.Place) uint64 {
+	return score(key, endpoint.Region+"/"+strconv.Itoa(endpoint.Slot))
 }
--- a/decide/owner_test.go
+++ b/decide/owner_test.go
@@ -37,24 +37,24 @@
 	world.Run(time.Millisecond)
 	asked := 0
 	// seats gives how many requests with the part went where, one of each daemon.
-	seats := func(part int, mishap func(replica string) *verdict.Mishap) map[string]int {
+	seats := func(part int, failure func(replica string) *verdict.Mishap) map[string]int {
 		where := map[string]int{}
 		for name, decider := range deciders {
 			world.Node(name).Go(func() {
 				asked++
 				routed := &decide.Routed{ID: "r", Host: "h.example", Path: resumedPath, Tokens: 17020, Most: 48, Bytes: 17000, Expiry: world.Now() + time.Minute,
 					Parts: []decide.Part{{ID: uint64(part), Tokens: 13300}, {ID: uint64(1000 + asked), Tokens: 3720}}}
-				if mishap := decider.Direct(routed); mishap != nil {
-					t.Error(mishap.Code)
+				if failure := decider.Direct(routed); failure != nil {
+					t.Error(failure.Code)
 					return
 				}
-				selection, mishapped := decider.Route(routed, nil)
-				if mishapped != nil {
-					t.Error(mishapped.Code)
+				selection, routeFailure := decider.Route(routed, nil)
+				if routeFailure != nil {
+					t.Error(routeFailure.Code)
 					return
 				}
 				where[selection.Replica]++
-				ended := mishap(selection.Replica)
+				ended := failure(selection.Replica)
 				if ended == nil {
 					loop.Sleep(world.Node(name), selection.Foreseen)
 					decider.Heard(selection, nil)
--- a/decide/pace.go
+++ b/decide/pace.go
@@ -9,68 +9,68 @@
 	"swifttiller/standing"
 )
 
-// Pacing of cold replicas.
+// Rate limiting of cold replicas.
 
-// paced gives how long a replica is to be left alone, as it is cold and this daemon's
-// part of what it bears then is used up; zero when it may get a request.
+// coldWait returns for how long a replica must get no request, because it is cold and this
+// daemon's share of its rate limit is used up; zero if it may get one.
 //
-// Invariant: over every second, all data daemons that know of each other send a cold
-// replica at most ColdRate times cold_excess together, and one where that is below one.
-func (decider *Decider) paced(view *permit.View, known *settings.Engine, place *standing.Place, seat *engine, now time.Duration) time.Duration {
-	if known == nil || known.ColdRate <= 0 || !decider.isCold(view, place, seat, now) {
-		seat.part = nil
+// Invariant: in every second, all data daemons that know of each other send a cold replica at
+// most ColdRate times cold_excess requests together, or one if that is below one.
+func (decider *Decider) coldWait(view *permit.View, config *settings.Engine, endpoint *standing.Place, state *engine, now time.Duration) time.Duration {
+	if config == nil || config.ColdRate <= 0 || !decider.isCold(view, endpoint, state, now) {
+		state.coldShare = nil
 		return 0
 	}
-	if seat.part == nil || seat.part.of != view {
+	if state.coldShare == nil || state.coldShare.view != view {
 		daemons := 0
-		for _, one := range view.Standings {
-			daemons = max(daemons, one.Daemons)
+		for _, table := range view.Standings {
+			daemons = max(daemons, table.Daemons)
 		}
-		whole := max(1, int(known.ColdRate*view.Tree.Limit("cold_excess", decider.Self.Zone)))
-		seat.part = &part{view, coldPart(whole, view.Members, decider.Self, place, daemons)}
+		total := max(1, int(config.ColdRate*view.Tree.Limit("cold_excess", decider.Self.Zone)))
+		state.coldShare = &coldShare{view, coldLimit(total, view.Members, decider.Self, endpoint, daemons)}
 	}
-	most := seat.part.most
+	limit := state.coldShare.limit
 	switch {
-	case most == 0:
-		return othersOnly
-	case seat.sentWithin(now, time.Second) < most:
+	case limit == 0:
+		return noShareWait
+	case state.sentWithin(now, time.Second) < limit:
 		return 0
 	}
-	return time.Second - (now - seat.sent[len(seat.sent)-most])
+	return time.Second - (now - state.sent[len(state.sent)-limit])
 }
 
-// othersOnly is for how long a daemon without a part of a cold replica leaves it alone,
-// unless it hears otherwise: longer than any request waits.
-const othersOnly = time.Hour
+// noShareWait is for how long a daemon without a share of a cold replica's rate limit leaves it
+// alone unless a new view gives it one: longer than any request waits.
+const noShareWait = time.Hour
 
-// part is what a daemon may send to a cold replica in a second, by a view.
-type part struct {
-	of   *permit.View
-	most int
+// coldShare is the number of requests per second that a daemon may send to a cold replica under a view.
+type coldShare struct {
+	view  *permit.View
+	limit int
 }
 
-// coldPart is this daemon's part of the whole that a cold replica may be sent in a
-// second: as even as can be, and the rest by the daemons' ranks. Those of the replica's
-// own region and the others take turns, as some of what comes elsewhere may run in this
-// region alone. Daemons counts also those that are not members but may still send: what
-// their ranks would bring is given to nobody.
+// coldLimit returns this daemon's share of the total requests per second that a cold replica
+// may be sent: an even share, with the remainder given out by rank. The ranks alternate between
+// daemons of the replica's region and the others, since some requests that arrive elsewhere may
+// run in this region alone. The count of daemons includes those that are not members
+// but may still send; the remainder that their ranks would get is left unused.
 //
-// Invariant: the parts of daemons that go by the same members sum up to no more than the
-// whole, however many they are.
-func coldPart(whole int, members []session.Member, self session.Member, place *standing.Place, daemons int) int {
-	key := nameKey(place.ID + "/" + place.Boot)
-	isNear, own := self.Region == place.Region, score(key, self.Name)
-	turn, unlike, count := 0, 0, 1 // the turn among those like this one, and how many are not
-	for _, one := range members {
-		if one.Role != session.Data || one.Name == self.Name {
+// Invariant: the shares of daemons that know the same members add up to at most the total,
+// however many daemons there are.
+func coldLimit(total int, members []session.Member, self session.Member, endpoint *standing.Place, daemons int) int {
+	key := nameKey(endpoint.ID + "/" + endpoint.Boot)
+	isNear, own := self.Region == endpoint.Region, score(key, self.Name)
+	turn, unlike, count := 0, 0, 1 // the rank among daemons on the same side of isNear, and how many are on the other
+	for _, member := range members {
+		if member.Role != session.Data || member.Name == self.Name {
 			continue
 		}
 		count++
-		other := score(key, one.Name)
+		other := score(key, member.Name)
 		switch {
-		case one.Region == place.Region != isNear:
+		case member.Region == endpoint.Region != isNear:
 			unlike++
-		case other > own || other == own && one.Name < self.Name:
+		case other > own || other == own && member.Name < self.Name:
 			turn++
 		}
 	}
@@ -78,13 +78,13 @@
 	if !isNear {
 		rank = turn + min(turn+1, unlike)
 	}
-	all := max(count, daemons)
-	out := whole / all
-	if rank < whole%all*count/all {
-		out++
+	divisor := max(count, daemons)
+	limit := total / divisor
+	if rank < total%divisor*count/divisor {
+		limit++
 	}
-	return out
+	return limit
 }
 
-// nameKey is a number for a name.
+// nameKey is the hash of a name.
 func nameKey(name string) uint64 { return score(0, name) }
--- a/decide/route_bench_test.go
+++ b/decide/route_bench_test.go
@@ -51,12 +51,12 @@
 		number++
 		routed := &decide.Routed{ID: "r", Host: "h.example", Path: "/x/y", Tokens: 17020, Most: 48, Bytes: 68000, Expiry: world.Now() + time.Minute,
 			Parts: []decide.Part{{ID: uint64(1 + number%12), Tokens: 13300}, {ID: uint64(1000 + number), Tokens: 3720}}}
-		if mishap := decider.Direct(routed); mishap != nil {
-			b.Fatal(mishap.Code)
+		if failure := decider.Direct(routed); failure != nil {
+			b.Fatal(failure.Code)
 		}
-		selection, mishap := decider.Route(routed, nil)
-		if mishap != nil {
-			b.Fatal(mishap.Code)
+		selection, failure := decider.Route(routed, nil)
+		if failure != nil {
+			b.Fatal(failure.Code)
 		}
 		decider.Heard(selection, &decide.Load{Running: 3, Slots: 64})
 		decider.Begun(selection, true)
--- a/decide/score_test.go
+++ b/decide/score_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestScore: all daemons of all releases agree on it.
+// TestScore guards against a change of the score, on which the daemons of all releases must agree.
 func TestScore(t *testing.T) {
 	for _, prefix := range []uint64{0, 1, 0xabcdef, 1<<64 - 1} {
 		for _, name := range []string{"", "i-7f3a91c2", "r/1", "é"} {
--- a/decide/seat.go
+++ b/decide/seat.go
@@ -9,150 +9,150 @@
 	"swifttiller/verdict"
 )
 
-// Bookkeeping of routed dispatches: from the booking to the end.
+// Bookkeeping of the attempts of routed requests, from the reservation to the end.
 
-// engine is this daemon's knowledge of a replica.
+// engine returns the state of a replica, which it creates if need be.
 func (decider *Decider) engine(id string) *engine {
-	one := decider.engines[id]
-	if one == nil {
-		one = &engine{}
-		decider.engines[id] = one
+	state := decider.engines[id]
+	if state == nil {
+		state = &engine{}
+		decider.engines[id] = state
 	}
-	return one
+	return state
 }
 
-// seat books the request at the replica.
-func (decider *Decider) seat(view *permit.View, routed *Routed, best *prospect, now time.Duration) *Selection {
-	seat := best.seat
+// reserve records a new attempt at the replica of the candidate.
+func (decider *Decider) reserve(view *permit.View, routed *Routed, best *routeCandidate, now time.Duration) *Selection {
+	state := best.state
 	selection := &Selection{
-		Replica: best.row.Replica, Address: best.place.Address, Version: best.row.Version, Boot: best.place.Boot, Region: best.place.Region,
-		Serial: view.Serial, Cost: 1, Trial: best.row.Trial, Spill: best.place.Region != decider.Self.Region, call: &routed.call,
-		Foreseen: best.foreseen, Allowance: decider.reading(best.unread), unread: best.unread, routed: routed, sent: now, seat: seat, isCold: best.place.Warm < 1,
-		Vouched: seat.vouched, Doubted: decider.isDoubted(best.place.Region),
+		Replica: best.row.Replica, Address: best.endpoint.Address, Version: best.row.Version, Boot: best.endpoint.Boot, Region: best.endpoint.Region,
+		Serial: view.Serial, Cost: 1, Trial: best.row.Trial, Spill: best.endpoint.Region != decider.Self.Region, call: &routed.call,
+		Foreseen: best.ttft, Allowance: decider.reading(best.uncached), uncached: best.uncached, routed: routed, sent: now, seat: state, isCold: best.endpoint.Warm < 1,
+		Vouched: state.vouched, Doubted: decider.isDoubted(best.endpoint.Region),
 	}
-	if best.isTry {
-		decider.tried[best.place.Region] = now
+	if best.isProbe {
+		decider.lastProbes[best.endpoint.Region] = now
 	}
 	if selection.Doubted {
-		decider.ways[best.place.Region].tried = now
+		decider.breakers[best.endpoint.Region].lastProbe = now
 	}
-	seat.running++
-	seat.region, seat.model, seat.health.asked = best.place.Region, best.row.Model, now
-	seat.reading += best.unread
-	if seat.waits == 0 {
-		seat.silent = now
+	state.running++
+	state.region, state.model, state.health.asked = best.endpoint.Region, best.row.Model, now
+	state.prefillTokens += best.uncached
+	if state.awaitingFirst == 0 {
+		state.silent = now
 	}
-	seat.waits++
-	seat.sent = append(seat.sent, now)
-	seat.sentWithin(now, 2*time.Second)
-	if known := view.Tree.Engine(routed.Model); known != nil && known.CacheTokens > 0 {
-		seat.kept.note(routed.Parts, int(keptShare*float64(known.CacheTokens)))
+	state.awaitingFirst++
+	state.sent = append(state.sent, now)
+	state.sentWithin(now, 2*time.Second)
+	if config := view.Tree.Engine(routed.Model); config != nil && config.CacheTokens > 0 {
+		state.cache.touch(routed.Parts, int(cacheFillShare*float64(config.CacheTokens)))
 	}
 	decider.dispatched(view, selection)
 	return selection
 }
 
-// Heard notes that something came from the replica of a selection, and what the
-// replica says of its load, if it does.
+// Heard records that something came from the replica of a selection, and the load that the
+// replica reports, if any.
 func (decider *Decider) Heard(selection *Selection, load *Load) {
 	now := decider.World.Now()
 	decider.guard.Lock()
 	defer decider.guard.Unlock()
-	seat := selection.seat
-	decider.lives(seat, now)
-	if seat.waits > 0 {
-		seat.silent = now
+	state := selection.seat
+	decider.noteAlive(state, now)
+	if state.awaitingFirst > 0 {
+		state.silent = now
 	}
 	if load != nil {
-		seat.load, seat.loadAt = *load, now
+		state.load, state.loadAt = *load, now
 	}
 }
 
-// Begun notes the first piece of an answer, or the end of a dispatch that had none.
+// Begun records the first chunk of an answer, or the end of an attempt that had none.
 func (decider *Decider) Begun(selection *Selection, isPiece bool) {
 	now := decider.World.Now()
 	decider.guard.Lock()
 	defer decider.guard.Unlock()
-	decider.begun(selection, isPiece, now)
+	decider.noteBegun(selection, isPiece, now)
 }
 
-func (decider *Decider) begun(selection *Selection, isPiece bool, now time.Duration) {
+func (decider *Decider) noteBegun(selection *Selection, isPiece bool, now time.Duration) {
 	if selection.hasBegun {
 		return
 	}
 	selection.hasBegun = true
-	seat := selection.seat
-	seat.reading -= selection.unread
-	seat.waits--
+	state := selection.seat
+	state.prefillTokens -= selection.uncached
+	state.awaitingFirst--
 	delete(decider.judging.waiting, selection)
 	if !isPiece {
 		return
 	}
-	seat.flowing++
-	selection.isFlowing = true
-	delete(decider.lacks, selection.call.Kind)
+	state.flowing++
+	selection.isStreaming = true
+	delete(decider.noReplicaSince, selection.call.Kind)
 	took := now - selection.sent
 	if selection.choice != nil {
 		selection.choice.First = took
 	}
-	if selection.unread < learnTokens && !selection.Spill {
-		decider.base = max(0, decider.base+(min(took, 2*decider.base+firstBase)-decider.base)/32)
+	if selection.uncached < minLearnTokens && !selection.Spill {
+		decider.baseLatency = max(0, decider.baseLatency+(min(took, 2*decider.baseLatency+initialBaseLatency)-decider.baseLatency)/32)
 	}
 	if took > slowTimes*selection.Foreseen+slowMore {
 		if !selection.isLate {
 			decider.judgeLate(selection, slowBad, now)
 		}
 	} else {
-		seat.health.well(now)
+		state.health.well(now)
 	}
 	over := took - selection.Foreseen
-	seat.lag = max(0, seat.lagged(now)*3/4+over/4)
-	seat.lagAt = now
-	if selection.unread > learnTokens && seat.reading == 0 && !selection.Spill {
-		// Alone at its replica, as far as this daemon knows: the prompt took the time.
-		pairs := float64(selection.unread) * float64(selection.unread) / 2 * eachPair
-		sample := float64(selection.unread) / max(1, float64(took-decider.base)/float64(time.Millisecond)-pairs)
-		decider.readRate = math.Min(mostRate, math.Max(leastRate, decider.rate()+(sample-decider.rate())/16))
+	state.lag = max(0, state.decayedLag(now)*3/4+over/4)
+	state.lagAt = now
+	if selection.uncached > minLearnTokens && state.prefillTokens == 0 && !selection.Spill {
+		// As far as this daemon knows, nothing else was in prefill there, so this prompt took the time.
+		pairs := float64(selection.uncached) * float64(selection.uncached) / 2 * msPerTokenPair
+		sample := float64(selection.uncached) / max(1, float64(took-decider.baseLatency)/float64(time.Millisecond)-pairs)
+		decider.learnedPrefillRate = math.Min(maxPrefillRate, math.Max(minPrefillRate, decider.prefillRate()+(sample-decider.prefillRate())/16))
 	}
 }
 
-// lives notes that a replica has just shown that it is alive; who holds the guard calls it.
-func (decider *Decider) lives(seat *engine, now time.Duration) {
-	seat.vouched, seat.strikes, seat.shunned, seat.isUnreached = now, 0, 0, false
-	decider.alive(seat)
+// noteAlive records that a replica has just shown that it is alive. The caller holds guard.
+func (decider *Decider) noteAlive(state *engine, now time.Duration) {
+	state.vouched, state.strikes, state.shunned, state.isUnreachable = now, 0, 0, false
+	decider.closeBreaker(state)
 }
 
-// Flowed notes that a piece of a stream came from the replica of a selection.
+// Flowed records that a chunk of a stream came from the replica of a selection.
 func (decider *Decider) Flowed(selection *Selection) {
 	now := decider.World.Now()
 	decider.guard.Lock()
 	defer decider.guard.Unlock()
-	decider.lives(selection.seat, now)
+	decider.noteAlive(selection.seat, now)
 }
 
-// Unseat ends a routed selection: what became of it, and the time to the first piece.
-func (decider *Decider) Unseat(selection *Selection, mishap *verdict.Mishap, first time.Duration) {
+// Unseat ends a routed selection with its failure, if any, and the time to first token.
+func (decider *Decider) Unseat(selection *Selection, failure *verdict.Mishap, first time.Duration) {
 	now := decider.World.Now()
 	decider.guard.Lock()
-	decider.begun(selection, false, now)
+	decider.noteBegun(selection, false, now)
 	isEmpty := false
 	if view := decider.Holder(); view.Tree != nil {
 		isEmpty = selection.seat.isEmpty(view.Tree.Engine(selection.call.Model), now)
 	}
 	selection.seat.running--
 	decider.noteEnd(selection, now)
-	if selection.isFlowing {
+	if selection.isStreaming {
 		selection.seat.flowing--
 	}
-	if bad := badness(mishap, isEmpty, decider.certainty(selection, now)); bad > 0 {
+	if bad := badness(failure, isEmpty, decider.certainty(selection, now)); bad > 0 {
 		decider.judgeHealth(selection, bad, now)
-		if isSure(mishap) {
+		if isSure(failure) {
 			decider.report(selection)
 		}
 	}
-	if mishap != nil {
-		selection.seat.isUnreached = selection.seat.isUnreached || mishap.Code == "replica_unreached"
-		switch mishap.Code {
+	if failure != nil {
+		selection.seat.isUnreachable = selection.seat.isUnreachable || failure.Code == "replica_unreached"
+		switch failure.Code {
 		case "replica_unreached", "replica_cut", "cut":
 			decider.wary = now + warySpan
 			decider.shun(selection.seat, now)
@@ -162,16 +162,17 @@
 		}
 	}
 	decider.guard.Unlock()
-	decider.Release(selection, mishap, first)
+	decider.Release(selection, failure, first)
 	if choice := selection.choice; choice != nil {
-		if mishap != nil {
-			choice.Code = mishap.Code
+		if failure != nil {
+			choice.Code = failure.Code
 		}
 		decider.Traced(*choice)
 	}
 }
 
-// Sweep forgets engines of replicas that no standing shows.
+// Sweep drops the state of replicas that no routing table lists. It does nothing while the
+// routing table of a region is missing.
 func (decider *Decider) Sweep() {
 	decider.guard.Lock()
 	defer decider.guard.Unlock()
@@ -179,20 +180,20 @@
 	if view.Tree == nil || len(view.Standings) < len(view.Tree.Regions()) {
 		return
 	}
-	shown := map[string]bool{}
-	for _, one := range view.Standings {
-		for _, place := range one.Places {
-			shown[place.ID] = true
+	listed := map[string]bool{}
+	for _, table := range view.Standings {
+		for _, endpoint := range table.Places {
+			listed[endpoint.ID] = true
 		}
 	}
-	for id, one := range decider.engines {
-		if !shown[id] && one.running == 0 {
+	for id, state := range decider.engines {
+		if !listed[id] && state.running == 0 {
 			delete(decider.engines, id)
 		}
 	}
 }
 
-// String says where a selection goes, for logs.
+// String describes the target of a selection for logs.
 func (selection *Selection) String() string {
-	return fmt.Sprintf("%s@%s foreseen %v", selection.Replica, selection.Address, selection.Foreseen)
+	return fmt.Sprintf("%s@%s predicted %v", selection.Replica, selection.Address, selection.Foreseen)
 }
--- a/decide/way.go
+++ b/decide/way.go
@@ -2,56 +2,57 @@
 
 import "time"
 
-// way is a circuit breaker for another region: what this daemon knows of the way there.
-// Where several of its replicas in a row are shunned for their connections or their silence,
-// and nothing comes from any other there, the way is closed, and not each replica by itself.
+// regionBreaker is a circuit breaker for the network path to another region. When several
+// replicas of the region in a row are in backoff for connection failures or silence, and
+// nothing comes from any other replica there, the breaker opens for the whole region.
 //
-// Invariants: missed are the replicas that were shunned since something last came from the
-// region; the way is in doubt exactly while they are enough, and while it is, one request at
-// a time goes there, wayTry apart, as long as others may serve what is asked. What may be
-// sent once goes there on a new connection only, which finds out before anything is sent.
-type way struct {
-	missed map[*engine]bool
-	tried  time.Duration
+// Invariants: unreachable are the replicas that were put into backoff since something last
+// came from the region. The breaker is open exactly while there are at least
+// regionFailureThreshold of them. While it is open, one request per regionProbeInterval goes
+// there, as long as other regions may serve the request. A request that may be sent only once
+// goes there on a new connection only, which fails before anything is sent.
+type regionBreaker struct {
+	unreachable map[*engine]bool
+	lastProbe   time.Duration
 }
 
 const (
-	// wayMisses is how many replicas of a region in a row tell that it is out of reach.
-	wayMisses = 3
-	// wayTry is how long requests to a region in doubt are apart.
-	wayTry = 600 * time.Millisecond
+	// regionFailureThreshold is how many replicas in a row must be unreachable for the breaker to open.
+	regionFailureThreshold = 3
+	// regionProbeInterval is the interval between requests to a region whose breaker is open.
+	regionProbeInterval = 600 * time.Millisecond
 )
 
-// isDoubted tells whether the region seems to be out of reach. Its own region never is:
-// there each replica counts by itself.
+// isDoubted reports whether the circuit breaker of the region is open. There is none for this
+// daemon's own region, where each replica is judged by itself.
 func (decider *Decider) isDoubted(region string) bool {
-	one := decider.ways[region]
-	return one != nil && len(one.missed) >= wayMisses
+	breaker := decider.breakers[region]
+	return breaker != nil && len(breaker.unreachable) >= regionFailureThreshold
 }
 
-// closed gives for how long nothing is to go to the region; zero when a request may.
-func (decider *Decider) closed(region string, now time.Duration) time.Duration {
+// breakerWait returns for how long nothing must be sent to the region; zero if a request may be.
+func (decider *Decider) breakerWait(region string, now time.Duration) time.Duration {
 	if !decider.isDoubted(region) {
 		return 0
 	}
-	return max(0, decider.ways[region].tried+wayTry-now)
+	return max(0, decider.breakers[region].lastProbe+regionProbeInterval-now)
 }
 
-// missed notes that a replica was shunned.
-func (decider *Decider) missed(seat *engine, now time.Duration) {
-	if seat.region == "" || seat.region == decider.Self.Region {
+// missed records that a replica was put into backoff.
+func (decider *Decider) missed(state *engine, now time.Duration) {
+	if state.region == "" || state.region == decider.Self.Region {
 		return
 	}
-	one := decider.ways[seat.region]
-	if one == nil {
-		one = &way{missed: map[*engine]bool{}}
-		decider.ways[seat.region] = one
+	breaker := decider.breakers[state.region]
+	if breaker == nil {
+		breaker = &regionBreaker{unreachable: map[*engine]bool{}}
+		decider.breakers[state.region] = breaker
 	}
-	one.missed[seat] = true
-	if decider.isDoubted(seat.region) {
-		one.tried = now
+	breaker.unreachable[state] = true
+	if decider.isDoubted(state.region) {
+		breaker.lastProbe = now
 	}
 }
 
-// alive notes that something came from a replica.
-func (decider *Decider) alive(seat *engine) { delete(decider.ways, seat.region) }
+// closeBreaker closes the circuit breaker of a replica's region, as something came from there.
+func (decider *Decider) closeBreaker(state *engine) { delete(decider.breakers, state.region) }
--- a/decide/way_test.go
+++ b/decide/way_test.go
@@ -36,7 +36,7 @@
 	}
 	isDark, back = true, false
 	clinic.Run(6 * time.Second)
-	if doubted < 3 || doubted > int(6*time.Second/decide.WayTry)+1 || back {
+	if doubted < 3 || doubted > int(6*time.Second/decide.RegionProbeInterval)+1 || back {
 		t.Errorf("%d went in doubt in six seconds", doubted)
 	}
 	isDark = false
@@ -60,12 +60,12 @@
 			tries++
 			return &verdict.Mishap{Verdict: verdict.NotRun, Code: "replica_unreached", Status: 503}
 		}
-		clinic.declines = func(mishap *verdict.Mishap) {
+		clinic.declines = func(failure *verdict.Mishap) {
 			declined++
-			if mishap.Verdict != verdict.NotRun || mishap.ComeBack < min(last, 2*time.Second) {
-				t.Errorf("%s: %s, come back in %v behind %v", path, mishap.Code, mishap.ComeBack, last)
+			if failure.Verdict != verdict.NotRun || failure.ComeBack < min(last, 2*time.Second) {
+				t.Errorf("%s: %s, come back in %v behind %v", path, failure.Code, failure.ComeBack, last)
 			}
-			last = mishap.ComeBack
+			last = failure.ComeBack
 		}
 		clinic.Run(2 * time.Second)
 		isGone = true
--- a/decide/weigh.go
+++ b/decide/weigh.go
@@ -6,7 +6,8 @@
 	"swifttiller/verdict"
 )
 
-// Weigh reads from the body what a call costs and how its prompt begins.
+// Weigh reads from the request body what determines the cost of a call, and the hash of the
+// beginning of its prompt.
 func (decider *Decider) Weigh(call *Call, body []byte) *verdict.Mishap {
 	reject := func(message string) *verdict.Mishap {
 		decider.guard.Lock()
@@ -18,7 +19,7 @@
 	}
 	root := gjson.ParseBytes(body)
 	if model := root.Get("model"); model.Type != gjson.String || model.Str != call.Model {
-		return reject("the body's model must be the header's")
+		return reject("the model in the body must match the one in the header")
 	}
 	if root.Get("stream").Type != gjson.True {
 		return reject("only streamed completions are served: set stream to true")
