--- a/decide/cold_test.go
+++ b/decide/cold_test.go
@@ -13,10 +13,10 @@
 	"swifttiller/standing"
 )
 
-// TestColdPart: daemons of any number, in three regions, each sending a cold replica all
-// that it may as soon as it may, from an instant of its own, keep within what the replica
-// bears in every second; they use most of it, those in its region half of what is left
-// for ranks.
+// TestColdPart guards against daemons that overload a cold replica. Daemons of several
+// counts, in three regions, each send it all that they may as soon as they may, starting at
+// different instants. Together they must keep within its limit in every second, and use most
+// of it; half of the requests come from daemons of its own region where all shares are remainders.
 func TestColdPart(t *testing.T) {
 	tree, problems := settings.Parse([]byte(`{"whole":{"placements":{"m":{"version":"any","capacity":24}},"limits":{"cold_excess":1.275}},
  "engines":{"m":{"probe_path":"/v","cold_ms":3000,"cold_per_s":19,"berths":24}},
@@ -57,34 +57,35 @@
 		}
 		t.Logf("%d daemons: at most %d in a second, %d in ten, by region %v", count, most, len(sent), byRegion)
 		if most > bound {
-			t.Errorf("%d daemons sent a cold replica %d in a second", count, most)
+			t.Errorf("%d daemons sent a cold replica %d requests in one second", count, most)
 		}
 		if len(sent) < 9*bound*9/10 {
-			t.Errorf("%d daemons sent only %d in ten seconds", count, len(sent))
+			t.Errorf("%d daemons sent a cold replica only %d requests in ten seconds", count, len(sent))
 		}
 		if count == 88 && 2*byRegion["b"] != len(sent) {
-			t.Errorf("%v: the daemons of its own region have not half of it", byRegion)
+			t.Errorf("requests by region %v: not half of them came from the replica's own region", byRegion)
 		}
 	}
-	// Where half of the daemons are not heard of, the two halves keep within it together.
+	// Two halves of the daemons that don't know of each other keep within the limit together.
 	var halves [2][]session.Member
 	for index := range 88 {
 		halves[index%2] = append(halves[index%2], session.Member{Name: fmt.Sprint("d", index), Role: session.Data, Region: "b"})
 	}
 	sum := 0
 	for _, half := range halves {
-		for _, one := range half {
-			sum += coldLimit(bound, half, one, &standing.Place{ID: "i-1", Region: "b"}, 88)
+		for _, member := range half {
+			sum += coldLimit(bound, half, member, &standing.Place{ID: "i-1", Region: "b"}, 88)
 		}
 	}
 	if sum > bound || sum < bound/2 {
-		t.Errorf("two halves that do not hear of each other may send %d", sum)
+		t.Errorf("two halves of the daemons that don't know of each other may send %d requests", sum)
 	}
 }
 
-// TestColdPartElsewhere: where all replicas are cold, every one of many daemons may send
-// to those of its own region, and about as much to those of any two others, which may be
-// the only homes of what its callers ask.
+// TestColdPartElsewhere guards against daemons without a share in any cold replica. While all
+// replicas are cold, each of many daemons must be able to send to replicas of its own region,
+// and about as much to those of the two other regions, which may be the only homes of its
+// callers' requests.
 func TestColdPartElsewhere(t *testing.T) {
 	const bound = 24
 	replicas := map[string]int{"a": 40, "b": 30, "c": 20}
@@ -111,14 +112,14 @@
 	}
 	for id, sum := range sums {
 		if sum != bound {
-			t.Errorf("%s is sent %d in a second", id, sum)
+			t.Errorf("%s gets %d requests in a second", id, sum)
 		}
 	}
 }
 
-// TestWordOfAReplica: what a replica said itself counts where nobody keeps its region's
-// standing: for the life that said it, for a permit's length, and never against a standing
-// that shows it as cold.
+// TestWordOfAReplica checks that a replica's own reply that it is warm counts while no leader
+// maintains its region's routing table: for the boot that sent it, for the length of a lease,
+// and never against a routing table that lists the replica as cold.
 func TestWordOfAReplica(t *testing.T) {
 	tree, problems := settings.Parse([]byte(`{"whole":{"placements":{"m":{"version":"any","capacity":24}},"limits":{"permit_ms":2000}},
  "engines":{"m":{"probe_path":"/v","cold_ms":3000,"cold_per_s":19,"berths":24}},"regions":{"a":{"zones":{"a-1":{}}}}}`))
@@ -136,33 +137,33 @@
 		return decider.isCold(view, &endpoint, decider.engine(endpoint.ID), world.Now())
 	}
 	if len(decider.Inquiries()) > 0 {
-		t.Error("asked though no request wants it")
+		t.Error("replicas are probed though no request needs it")
 	}
 	decider.wanted = world.Now()
 	list := decider.Inquiries()
 	if len(list) != 1 || list[0] != (Inquiry{Replica: "i-1", Address: "x", Boot: "i-1", Path: "/v"}) || len(decider.Inquiries()) > 0 {
-		t.Fatalf("asked are %v", list)
+		t.Fatalf("the probes are %v", list)
 	}
 	if !isCold(warm) {
-		t.Error("warm before it said so")
+		t.Error("the replica counts as warm before it replied")
 	}
 	decider.Inquired(list[0], world.Now(), false)
 	if !isCold(warm) {
-		t.Error("warm though it did not say so")
+		t.Error("the replica counts as warm though it replied that it is not")
 	}
 	decider.Inquired(list[0], world.Now(), true)
 	next, cold := warm, warm
 	next.Boot, cold.Warm = "i-2", 0.5
 	if isCold(warm) || !isCold(next) || !isCold(cold) {
-		t.Errorf("it is %v, its next life %v, one that the standing shows as cold %v", isCold(warm), isCold(next), isCold(cold))
+		t.Errorf("cold: %v, after its restart %v, with a routing table that lists it as cold %v", isCold(warm), isCold(next), isCold(cold))
 	}
 	world.Run(1999 * time.Millisecond)
 	decider.wanted = world.Now()
 	if isCold(warm) || len(decider.Inquiries()) != 1 {
-		t.Error("its word ends before a permit's length, or it is not asked again before")
+		t.Error("the reply expires before a lease's length, or the replica is not probed again before")
 	}
 	world.Run(time.Millisecond)
 	if !isCold(warm) {
-		t.Error("its word has no end")
+		t.Error("the reply never expires")
 	}
 }
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -23,7 +23,8 @@
 const document = `{"whole":{"placements":{"m":{"version":"v1","capacity":8}},"homes":{"inland":["a"]},"limits":{"queue_length":2,"queue_ms":400}},
  "regions":{"a":{"zones":{"a-1":{},"a-2":{}}},"b":{"zones":{"b-1":{}}}}}`
 
-// view is what the daemons go by: some replicas in region a, one in b.
+// view returns a view with three replicas in region a and one in region b, at which each daemon
+// has the given credit. With trial set, the replica r1 also has a version on trial.
 func view(daemons []string, credit int, trial bool) *permit.View {
 	tree, problems := settings.Parse([]byte(document))
 	if len(problems) > 0 {
@@ -31,18 +32,18 @@
 	}
 	out := &permit.View{Serial: 3, Tree: tree, Expiry: loop.Forever, Evacuated: map[string]bool{}, Standings: map[string]standing.Standing{}}
 	for _, endpoint := range []struct{ region, zone, id string }{{"a", "a-1", "r1"}, {"a", "a-1", "r2"}, {"a", "a-2", "r3"}, {"b", "b-1", "far"}} {
-		one := out.Standings[endpoint.region]
-		one.Region = endpoint.region
+		table := out.Standings[endpoint.region]
+		table.Region = endpoint.region
 		credits := map[string]int{}
 		for _, name := range daemons {
 			credits[name] = credit
 		}
-		one.Places = append(one.Places, standing.Place{ID: endpoint.id, Address: endpoint.id, Zone: endpoint.zone, Region: endpoint.region, Capacity: 8, Whole: 8, Warm: 1, Credits: credits})
-		one.Rows = append(one.Rows, standing.Row{Replica: endpoint.id, Model: "m", Version: "v1"})
+		table.Places = append(table.Places, standing.Place{ID: endpoint.id, Address: endpoint.id, Zone: endpoint.zone, Region: endpoint.region, Capacity: 8, Whole: 8, Warm: 1, Credits: credits})
+		table.Rows = append(table.Rows, standing.Row{Replica: endpoint.id, Model: "m", Version: "v1"})
 		if trial && endpoint.id == "r1" {
-			one.Rows = append(one.Rows, standing.Row{Replica: endpoint.id, Model: "m", Version: "v2", Trial: true})
+			table.Rows = append(table.Rows, standing.Row{Replica: endpoint.id, Model: "m", Version: "v2", Trial: true})
 		}
-		out.Standings[endpoint.region] = one
+		out.Standings[endpoint.region] = table
 	}
 	return out
 }
@@ -52,7 +53,7 @@
 	return &decide.Call{ID: id, Ticket: ticket.Seal(), Model: "m", Kind: "k", Bytes: 100, Answer: 10, Prefix: 7}
 }
 
-// service shows what the wire may call.
+// service exposes the methods that are called over the network.
 type service struct{ decider *decide.Decider }
 
 func (service service) Settle(claim decide.Claim, claimed *decide.Claimed) error {
@@ -63,11 +64,11 @@
 	return service.decider.Inherit(bequest, taken)
 }
 
-func (service service) Inherits(incarnation string, heir *string) error {
-	return service.decider.Inherits(incarnation, heir)
+func (service service) Inherits(incarnation string, successor *string) error {
+	return service.decider.Inherits(incarnation, successor)
 }
 
-// bench is a few data daemons' deciders in a simulation.
+// bench simulates a few data daemons, each with a decider; now is the view of them all.
 type bench struct {
 	*sim.Sim
 	deciders map[string]*decide.Decider
@@ -83,9 +84,9 @@
 	return bench
 }
 
-func (bench *bench) start(name string, life int) {
+func (bench *bench) start(name string, incarnation int) {
 	bench.Start(name, func(node *sim.Node) {
-		self := session.Member{Name: name, Incarnation: fmt.Sprint(name, "#", life), Role: session.Data, Region: "a", Zone: "a-1", Wire: name, HTTP: name}
+		self := session.Member{Name: name, Incarnation: fmt.Sprint(name, "#", incarnation), Role: session.Data, Region: "a", Zone: "a-1", Wire: name, HTTP: name}
 		decider := decide.New(decide.Options{World: node, Net: sim.Net{Node: node}, Holder: func() *permit.View { return bench.now }, Self: self, Began: node.Now()})
 		bench.deciders[name] = decider
 		server := rpc.NewServer()
@@ -102,19 +103,21 @@
 	bench.Run(1500 * time.Millisecond)
 }
 
-// allow asks a daemon whether a call may go on.
-func (bench *bench) allow(name, ticket, id string) (got *decide.Call, failure *verdict.Mishap) {
-	got = call(id)
-	got.Ticket = ticket
-	bench.do(name, func(decider *decide.Decider) { failure = decider.Allow(got) })
-	return got, failure
+// allow sends a call with the ticket and request id to a daemon and returns whether it is admitted.
+func (bench *bench) allow(name, ticket, id string) (admitted *decide.Call, failure *verdict.Mishap) {
+	admitted = call(id)
+	admitted.Ticket = ticket
+	bench.do(name, func(decider *decide.Decider) { failure = decider.Allow(admitted) })
+	return admitted, failure
 }
 
+// TestTicketsRunOnceAnywhere guards against a request that runs twice under one ticket, or that is
+// reported as not run although it runs or ran, when its tries reach several daemons.
 func TestTicketsRunOnceAnywhere(t *testing.T) {
 	locate := func(bench *bench) (ticket string, first string) {
 		bench.do("x", func(decider *decide.Decider) {
-			members, one, _, _ := decider.Locate("m", "k", "", "a-1", 7)
-			ticket, first = one.Seal(), members[0].Name
+			members, located, _, _ := decider.Locate("m", "k", "", "a-1", 7)
+			ticket, first = located.Seal(), members[0].Name
 		})
 		return ticket, first
 	}
@@ -126,6 +129,7 @@
 		}
 		return rest
 	}
+	// A ticket's daemon hands the right to run an unseen request to the daemon that claims it.
 	Convey("given away along a chain, a request that never ran may run at one place only", t, func() {
 		bench := newBench("x", "y", "z")
 		defer bench.Close()
@@ -138,14 +142,14 @@
 		_, failure = bench.allow(rest[1], ticket, "q")
 		So(failure.Verdict, ShouldEqual, verdict.MayHaveRun)
 		So(failure.Code, ShouldEqual, "running")
-		// It was declined as not run there, and that word stands.
+		// It is rejected as not run there, and that reply is final.
 		bench.do(rest[0], func(decider *decide.Decider) {
 			decider.Settled(at, verdict.Decline(503, "queue_full", "", 0))
 		})
 		for _, name := range rest {
 			_, failure = bench.allow(name, ticket, "q")
 			if failure == nil || failure.Code != "declined_before" || failure.Verdict != verdict.NotRun {
-				t.Errorf("twice: told not_run, and then %v at %s", failure, name)
+				t.Errorf("twice: replied not_run, and then %v at %s", failure, name)
 			}
 		}
 		at, failure = bench.allow(rest[1], ticket, "r")
@@ -170,6 +174,7 @@
 		_, failure = bench.allow(others(first)[1], ticket, "q")
 		So(failure.Code, ShouldEqual, "daemon_gone")
 	})
+	// In a planned stop, a daemon hands its ticket rows over to one successor.
 	Convey("a daemon that stops leaves what it knows to one heir, which alone decides about what was never seen", t, func() {
 		bench := newBench("x", "y", "z")
 		defer bench.Close()
@@ -185,7 +190,7 @@
 			isLeft = decider.Bequeath()
 		})
 		So(isLeft, ShouldBeTrue)
-		// Still there, it promises nothing that its heir does not know of.
+		// While it still runs, it must not admit requests that its successor does not know of.
 		_, failure = bench.allow(first, ticket, "late")
 		So(failure.Code, ShouldEqual, "stopping")
 		bench.Kill(first)
@@ -202,8 +207,8 @@
 			So(code(name, "unrun"), ShouldEqual, "declined_before")
 			So(code(name, "late"), ShouldNotEqual, "")
 		}
-		// Never seen: let in at the first that is asked, also the restarted one,
-		// and nowhere else.
+		// Requests never seen before are admitted at the first daemon that gets them, also at
+		// the restarted one, and at no other.
 		for index, name := range []string{"x", "y", "z"} {
 			id := fmt.Sprint("new", index)
 			So(code(name, id), ShouldEqual, "")
@@ -223,6 +228,7 @@
 	})
 }
 
+// TestDecisions checks the admission, the selection and the retry budget of ticketed requests.
 func TestDecisions(t *testing.T) {
 	Convey("without a permit, in an evacuated zone, or outside a home everything is declined as not run", t, func() {
 		bench := newBench("x")
@@ -233,10 +239,10 @@
 			change(next)
 			bench.now = next
 			count++
-			one := call(fmt.Sprint("q", count))
-			one.Home = home
+			request := call(fmt.Sprint("q", count))
+			request.Home = home
 			var failure *verdict.Mishap
-			bench.do("x", func(decider *decide.Decider) { failure = decider.Allow(one) })
+			bench.do("x", func(decider *decide.Decider) { failure = decider.Allow(request) })
 			if failure == nil {
 				return ""
 			}
@@ -258,12 +264,12 @@
 		used := map[string]int{}
 		for index := 0; index < 8; index++ {
 			bench.Node("x").Go(func() {
-				one := call(fmt.Sprint("h", index))
-				one.Home = "wide"
-				if failure := bench.deciders["x"].Allow(one); failure != nil {
+				request := call(fmt.Sprint("h", index))
+				request.Home = "wide"
+				if failure := bench.deciders["x"].Allow(request); failure != nil {
 					panic(failure)
 				}
-				if selection, failure := bench.deciders["x"].Select(one, nil); failure == nil {
+				if selection, failure := bench.deciders["x"].Select(request, nil); failure == nil {
 					used[selection.Replica]++
 				}
 			})
@@ -275,18 +281,18 @@
 		bench := newBench("x", "y")
 		defer bench.Close()
 		bench.do("x", func(*decide.Decider) {})
-		asked := bench.Messages["Ticket.Settle"]
+		claims := bench.Messages["Ticket.Settle"]
 		_, failure := bench.allow("x", decide.Ticket{ID: "i", Daemon: "evil", Incarnation: "n", Wire: "elsewhere", Expiry: time.Hour}.Seal(), "q")
 		So(failure.Code, ShouldEqual, "daemon_gone")
-		So(bench.Messages["Ticket.Settle"], ShouldEqual, asked)
+		So(bench.Messages["Ticket.Settle"], ShouldEqual, claims)
 	})
 	Convey("a retry of what ran already costs no retry", t, func() {
 		bench := newBench("x")
 		defer bench.Close()
 		var ticket string
 		bench.do("x", func(decider *decide.Decider) {
-			_, one, _, _ := decider.Locate("m", "k", "", "a-1", 7)
-			ticket = one.Seal()
+			_, located, _, _ := decider.Locate("m", "k", "", "a-1", 7)
+			ticket = located.Seal()
 			done := call("done")
 			done.Ticket = ticket
 			if decider.Allow(done) != nil {
@@ -313,12 +319,12 @@
 			bench.now = view([]string{"x"}, 4, false)
 			bench.now.Evacuated[map[string]string{"r1": "a-1", "r2": "a-1", "r3": "a-2", "far": "b-1"}[selection.Replica]] = true
 			if _, failure := decider.Gate(selection); failure == nil || failure.Code != "moved_on" {
-				panic("let through")
+				panic("passed the gate")
 			}
 			bench.now = view([]string{"x"}, 4, false)
 			bench.now.Expiry = 0
 			if _, failure := decider.Gate(selection); failure == nil || failure.Code != "no_permit" {
-				panic("let through")
+				panic("passed the gate")
 			}
 		})
 	})
@@ -330,10 +336,10 @@
 		var waits []time.Duration
 		for index := 0; index < 30; index++ {
 			bench.Node("x").Go(func() {
-				one := call(fmt.Sprint("q", index))
-				one.Home = "inland"
+				request := call(fmt.Sprint("q", index))
+				request.Home = "inland"
 				began := bench.Now()
-				selection, failure := bench.deciders["x"].Select(one, nil)
+				selection, failure := bench.deciders["x"].Select(request, nil)
 				if failure != nil {
 					codes[failure.Code]++
 					waits = append(waits, bench.Now()-began)
@@ -358,16 +364,16 @@
 		defer bench.Close()
 		bench.now = view([]string{"x"}, 4, true)
 		trials := 0
-		run := func(count int, fails bool) {
+		send := func(count int, fails bool) {
 			for index := 0; index < count; index++ {
 				decider := bench.deciders["x"]
 				bench.Node("x").Go(func() {
-					one := call(fmt.Sprint("t", bench.Now()))
-					one.Prefix = uint64(index) + 1
-					if decider.Allow(one) != nil {
+					request := call(fmt.Sprint("t", bench.Now()))
+					request.Prefix = uint64(index) + 1
+					if decider.Allow(request) != nil {
 						return
 					}
-					selection, failure := decider.Select(one, nil)
+					selection, failure := decider.Select(request, nil)
 					if failure != nil {
 						return
 					}
@@ -383,30 +389,30 @@
 				bench.Run(20 * time.Millisecond)
 			}
 		}
-		run(300, false)
+		send(300, false)
 		So(trials, ShouldBeBetweenOrEqual, 15, 24) // 8 % of 300
 		trials = 0
-		run(200, true)
+		send(200, true)
 		So(trials, ShouldBeLessThanOrEqualTo, 16)
 	})
 	Convey("retries are let in up to a fifth of the real demand of the last seconds; nothing else is saved up", t, func() {
 		bench := newBench("x")
 		defer bench.Close()
 		count := 0
-		ask := func(isRetry bool) bool {
+		allow := func(isRetry bool) bool {
 			count++
-			one := call(fmt.Sprint("r", count))
-			one.Retried = isRetry
-			return bench.deciders["x"].Allow(one) == nil
+			request := call(fmt.Sprint("r", count))
+			request.Retried = isRetry
+			return bench.deciders["x"].Allow(request) == nil
 		}
 		again, fresh := 0, 0
 		bench.do("x", func(decider *decide.Decider) {
 			for index := 0; index < 1000; index++ {
-				if ask(false) {
+				if allow(false) {
 					fresh++
 				}
 				for try := 0; try < 3; try++ {
-					if ask(true) {
+					if allow(true) {
 						again++
 					}
 				}
@@ -418,19 +424,19 @@
 		again = 0
 		bench.do("x", func(decider *decide.Decider) {
 			for try := 0; try < 50; try++ {
-				if ask(true) {
+				if allow(true) {
 					again++
 				}
 			}
 		})
-		So(again, ShouldEqual, 1) // one, for rounding; old demand buys nothing
+		So(again, ShouldEqual, 1) // one retry is always allowed; old demand earns none
 	})
 	Convey("no decline promises not_run while another try of the request runs or ran", t, func() {
-		type way struct {
+		type rejectionCase struct {
 			change func(bench *bench)
 			code   string
 		}
-		for name, one := range map[string]way{
+		for name, rejection := range map[string]rejectionCase{
 			"no permit":    {func(bench *bench) { bench.now.Expiry = 0 }, "no_permit"},
 			"evacuated":    {func(bench *bench) { bench.now.Evacuated["a-1"] = true }, "evacuated"},
 			"stopping":     {func(bench *bench) { bench.deciders["x"].Stop() }, "stopping"},
@@ -453,12 +459,12 @@
 			var codes []string
 			var verdicts []verdict.Verdict
 			bench.do("x", func(decider *decide.Decider) {
-				tell := func(id string) {
+				retry := func(id string) {
 					again := call(id)
 					again.Retried, again.Home = true, home
 					failure := decider.Allow(again)
 					if failure == nil {
-						panic(name + ": let in")
+						panic(name + ": admitted")
 					}
 					codes, verdicts = append(codes, failure.Code), append(verdicts, failure.Verdict)
 				}
@@ -468,13 +474,13 @@
 					panic("declined")
 				}
 				decider.Settled(ran, nil)
-				one.change(bench)
-				tell("runs")
-				tell("ran")
-				tell("never seen")
+				rejection.change(bench)
+				retry("runs")
+				retry("ran")
+				retry("never seen")
 			})
 			bench.Close()
-			So(codes, ShouldResemble, []string{"running", "ran", one.code})
+			So(codes, ShouldResemble, []string{"running", "ran", rejection.code})
 			So(verdicts, ShouldResemble, []verdict.Verdict{verdict.MayHaveRun, verdict.Ran, verdict.NotRun})
 		}
 	})
@@ -487,7 +493,7 @@
 	})
 }
 
-// treeOf is the bench's tree with one section of the whole replaced.
+// treeOf returns the settings of document with one section of its "whole" part replaced.
 func treeOf(section string) *settings.Tree {
 	name, _, _ := strings.Cut(section, ":")
 	text := document
@@ -503,7 +509,7 @@
 	return tree
 }
 
-// BenchmarkDecision is everything that a data daemon decides for one request.
+// BenchmarkDecision measures all decisions of a data daemon about one request.
 func BenchmarkDecision(b *testing.B) {
 	world := loop.NewMachine()
 	now := view([]string{"x"}, 8, false)
@@ -511,11 +517,11 @@
 	body := []byte(`{"model":"m","stream":true,"max_tokens":16,"prompt":"` + fmt.Sprintf("%06000d", 7) + `"}`)
 	b.ReportAllocs()
 	for b.Loop() {
-		one := &decide.Call{ID: "q", Model: "m", Kind: "k"}
-		if failure := decider.Weigh(one, body); failure != nil {
+		request := &decide.Call{ID: "q", Model: "m", Kind: "k"}
+		if failure := decider.Weigh(request, body); failure != nil {
 			b.Fatal(failure)
 		}
-		selection, failure := decider.Select(one, nil)
+		selection, failure := decider.Select(request, nil)
 		if failure != nil {
 			b.Fatal(failure)
 		}
--- a/decide/owner_test.go
+++ b/decide/owner_test.go
@@ -13,16 +13,16 @@
 	"swifttiller/verdict"
 )
 
-// TestSuccessorReadsForAll: where the owner of a shared part can't be reached, all daemons send
-// what has that part to the same other replica, so that it is read again once and not by
-// each daemon elsewhere; once the owner is back, they go to one of the two.
+// TestSuccessorReadsForAll guards against duplicate prefill. While the owner of a shared part is
+// unreachable, all daemons must send the requests with that part to the same other replica, and
+// not each daemon to another one. Once the owner is back, the requests go to one of the two.
 func TestSuccessorReadsForAll(t *testing.T) {
 	world := sim.New(1)
 	t.Cleanup(world.Close)
 	view := routedView(30)
-	for _, one := range view.Standings {
-		for at := range one.Places {
-			one.Places[at].Slot = at + 1
+	for _, table := range view.Standings {
+		for at := range table.Places {
+			table.Places[at].Slot = at + 1
 		}
 	}
 	const daemons, parts = 12, 8
@@ -35,15 +35,15 @@
 		})
 	}
 	world.Run(time.Millisecond)
-	asked := 0
-	// seats gives how many requests with the part went where, one of each daemon.
-	seats := func(part int, failure func(replica string) *verdict.Mishap) map[string]int {
-		where := map[string]int{}
+	requests := 0
+	// send sends one request with the part from each daemon, and returns how many went to each replica.
+	send := func(part int, failureAt func(replica string) *verdict.Mishap) map[string]int {
+		counts := map[string]int{}
 		for name, decider := range deciders {
 			world.Node(name).Go(func() {
-				asked++
+				requests++
 				routed := &decide.Routed{ID: "r", Host: "h.example", Path: resumedPath, Tokens: 17020, Most: 48, Bytes: 17000, Expiry: world.Now() + time.Minute,
-					Parts: []decide.Part{{ID: uint64(part), Tokens: 13300}, {ID: uint64(1000 + asked), Tokens: 3720}}}
+					Parts: []decide.Part{{ID: uint64(part), Tokens: 13300}, {ID: uint64(1000 + requests), Tokens: 3720}}}
 				if failure := decider.Direct(routed); failure != nil {
 					t.Error(failure.Code)
 					return
@@ -53,8 +53,8 @@
 					t.Error(routeFailure.Code)
 					return
 				}
-				where[selection.Replica]++
-				ended := failure(selection.Replica)
+				counts[selection.Replica]++
+				ended := failureAt(selection.Replica)
 				if ended == nil {
 					loop.Sleep(world.Node(name), selection.Foreseen)
 					decider.Heard(selection, nil)
@@ -64,32 +64,32 @@
 			})
 			world.Run(time.Millisecond)
 		}
-		return where
+		return counts
 	}
-	well := func(string) *verdict.Mishap { return nil }
+	succeed := func(string) *verdict.Mishap { return nil }
 	for part := 1; part <= parts; part++ {
 		owner := ""
-		for name, count := range seats(part, well) {
+		for name, count := range send(part, succeed) {
 			if owner = name; count != daemons {
-				t.Fatalf("part %d has no owner: %d of %d went to %s", part, count, daemons, name)
+				t.Fatalf("part %d has no owner: %d of %d requests went to %s", part, count, daemons, name)
 			}
 		}
-		gone := func(replica string) *verdict.Mishap {
+		failOwner := func(replica string) *verdict.Mishap {
 			if replica == owner {
 				return &verdict.Mishap{Verdict: verdict.NotRun, Code: "replica_unreached"}
 			}
 			return nil
 		}
 		world.Run(2 * time.Second)
-		if where := seats(part, gone); len(where) != 1 {
-			t.Fatalf("part %d: %v before they know that %s is gone", part, where, owner)
+		if counts := send(part, failOwner); len(counts) != 1 {
+			t.Fatalf("part %d: requests went to %v before the daemons knew that owner %s is gone", part, counts, owner)
 		}
-		if where := seats(part, well); len(where) != 1 || where[owner] > 0 {
-			t.Errorf("part %d, whose owner %s is gone, is read at %v", part, owner, where)
+		if counts := send(part, succeed); len(counts) != 1 || counts[owner] > 0 {
+			t.Errorf("part %d, whose owner %s is gone: requests went to %v", part, owner, counts)
 		}
 		world.Run(2 * time.Second)
-		if where := seats(part, well); len(where) > 2 || where[owner] == 0 {
-			t.Errorf("part %d, whose owner %s is back, is read at %v", part, owner, where)
+		if counts := send(part, succeed); len(counts) > 2 || counts[owner] == 0 {
+			t.Errorf("part %d, whose owner %s is back: requests went to %v", part, owner, counts)
 		}
 		world.Run(2 * time.Second)
 	}
--- a/decide/route_bench_test.go
+++ b/decide/route_bench_test.go
@@ -13,8 +13,8 @@
 	"swifttiller/standing"
 )
 
-// routedView is what a daemon goes by that may send to many replicas: in three regions,
-// half of them in the first, with one route for all.
+// routedView returns a view with the given number of replicas in three regions, half of them in
+// the first one, and with two routes: one whose requests may be repeated and one without.
 func routedView(replicas int) *permit.View {
 	tree, problems := settings.Parse([]byte(`{"whole":{"placements":{"m":{"version":"any","capacity":64}}},
  "engines":{"m":{"probe_path":"/vitals","cold_ms":3000,"cold_per_s":26,"berths":64,"cache_tokens":348621,"spacing":4}},
@@ -28,11 +28,11 @@
 	for index := range replicas {
 		region := []string{"a", "a", "a", "b", "b", "c"}[index%6]
 		id := fmt.Sprintf("i-%d", index)
-		one := out.Standings[region]
-		one.Region = region
-		one.Places = append(one.Places, standing.Place{ID: id, Address: id, Zone: region + "-1", Region: region, Boot: id, Capacity: 64, Whole: 64, Warm: 1, Credits: map[string]int{"x": 64}})
-		one.Rows = append(one.Rows, standing.Row{Replica: id, Model: "m", Version: "v1"})
-		out.Standings[region] = one
+		table := out.Standings[region]
+		table.Region = region
+		table.Places = append(table.Places, standing.Place{ID: id, Address: id, Zone: region + "-1", Region: region, Boot: id, Capacity: 64, Whole: 64, Warm: 1, Credits: map[string]int{"x": 64}})
+		table.Rows = append(table.Rows, standing.Row{Replica: id, Model: "m", Version: "v1"})
+		out.Standings[region] = table
 	}
 	for index := range 8 {
 		out.Members = append(out.Members, session.Member{Name: fmt.Sprint("d", index), Role: session.Data, Region: "a", Zone: "a-1", Door: "x"})
@@ -40,14 +40,14 @@
 	return out
 }
 
-// BenchmarkRoute is one decision about a request with a shared part, and its end, among
-// 90 replicas that this daemon knows from other requests.
+// BenchmarkRoute measures one decision about a request with a shared part, including its end,
+// among 90 replicas that this daemon knows from other requests.
 func BenchmarkRoute(b *testing.B) {
 	view := routedView(90)
 	world := loop.NewMachine()
 	decider := decide.New(decide.Options{World: world, Holder: func() *permit.View { return view }, Self: session.Member{Name: "x", Role: session.Data, Region: "a", Zone: "a-1"}, Began: world.Now()})
 	number := 0
-	one := func() {
+	serve := func() {
 		number++
 		routed := &decide.Routed{ID: "r", Host: "h.example", Path: "/x/y", Tokens: 17020, Most: 48, Bytes: 68000, Expiry: world.Now() + time.Minute,
 			Parts: []decide.Part{{ID: uint64(1 + number%12), Tokens: 13300}, {ID: uint64(1000 + number), Tokens: 3720}}}
@@ -63,10 +63,10 @@
 		decider.Unseat(selection, nil, time.Millisecond)
 	}
 	for range 2000 {
-		one()
+		serve()
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		one()
+		serve()
 	}
 }
--- a/decide/spread_test.go
+++ b/decide/spread_test.go
@@ -13,15 +13,15 @@
 	"swifttiller/standing"
 )
 
-// TestShortPromptsUseAllReplicas: where replicas do not tell their load, the short prompts of a
-// region are spread over all its replicas, whatever long ones these also get.
+// TestShortPromptsUseAllReplicas checks that, where replicas don't report their load, the short
+// prompts of a region are spread over all its replicas, whatever long prompts these also get.
 func TestShortPromptsUseAllReplicas(t *testing.T) {
 	clinic := newClinic(t, 30, oncePath)
 	clinic.Run(20 * time.Second)
 	most, least := 0, clinic.all
 	for index := range 30 {
 		if region := index % 6; region > 2 {
-			continue // elsewhere
+			continue // in another region
 		}
 		count := len(clinic.sent[fmt.Sprint("i-", index)])
 		most, least = max(most, count), min(least, count)
@@ -31,8 +31,8 @@
 	}
 }
 
-// TestSilenceAlone: a replica that says nothing is silent, and fails only where something else
-// speaks against it: the routing table has it no more.
+// TestSilenceAlone checks that silence alone makes a replica Silent, and that it is Failing only
+// on further evidence, here that the routing table no longer lists it.
 func TestSilenceAlone(t *testing.T) {
 	view := routedView(30)
 	world := sim.New(1)
@@ -50,16 +50,16 @@
 			t.Error(failure.Code)
 			return
 		}
-		look := func(span time.Duration) {
+		suspectAfter := func(span time.Duration) {
 			loop.Sleep(node, span)
 			suspicions = append(suspicions, decider.Suspect(selection))
 		}
-		look(100 * time.Millisecond)
-		look(10 * time.Second)
+		suspectAfter(100 * time.Millisecond)
+		suspectAfter(10 * time.Second)
 		others := *view
 		others.Standings = map[string]standing.Standing{"a": {Region: "a"}}
 		view = &others
-		look(time.Second)
+		suspectAfter(time.Second)
 	})
 	world.Run(20 * time.Second)
 	if want := []decide.Suspicion{decide.Unsuspected, decide.Silent, decide.Failing}; fmt.Sprint(suspicions) != fmt.Sprint(want) {
--- a/decide/way_test.go
+++ b/decide/way_test.go
@@ -9,12 +9,12 @@
 	"swifttiller/verdict"
 )
 
-// TestWayToARegion: replicas of another region that fail by themselves, one of them always and
-// all of them now and then, put no doubt on the way there; that none of it answers any more
-// does, and the first one that answers ends it.
+// TestWayToARegion guards against a circuit breaker that opens for single replicas. Replicas of
+// another region that fail by themselves, one of them always and all of them now and then, must
+// not open it. It must open once no replica there answers, and close at the first answer.
 func TestWayToARegion(t *testing.T) {
 	clinic := newClinic(t, 60, resumedPath)
-	clinic.view.Evacuated["a-1"] = true // its own region, so all goes to b and c
+	clinic.view.Evacuated["a-1"] = true // the daemon's own region, so that all requests go to b and c
 	doubted, back, isDark := 0, false, false
 	clinic.hears = func(selection *decide.Selection) *verdict.Mishap {
 		if selection.Doubted {
@@ -32,23 +32,23 @@
 	}
 	clinic.Run(3 * time.Second)
 	if doubted > 0 || !back {
-		t.Fatalf("%d went in doubt, though most answer", doubted)
+		t.Fatalf("%d requests were probes, or region b was not used, though most replicas answer", doubted)
 	}
 	isDark, back = true, false
 	clinic.Run(6 * time.Second)
 	if doubted < 3 || doubted > int(6*time.Second/decide.RegionProbeInterval)+1 || back {
-		t.Errorf("%d went in doubt in six seconds", doubted)
+		t.Errorf("%d requests were probes of the unreachable region in six seconds", doubted)
 	}
 	isDark = false
 	clinic.Run(5 * time.Second)
 	if !back {
-		t.Error("it is not used though it is back")
+		t.Error("the region is not used though it is reachable again")
 	}
 }
 
-// TestNobodyInReach: while no connection opens to any replica, one request a while tries one, and
-// the others are declined at once and told to come back the later the longer that lasts; all
-// are used again soon after the first connection opens.
+// TestNobodyInReach checks the case that no connection opens to any replica. One request per
+// interval probes a replica; the others are rejected at once, with a retry delay that grows
+// with the outage. All replicas are used again soon after the first connection opens.
 func TestNobodyInReach(t *testing.T) {
 	for _, path := range []string{resumedPath, oncePath} {
 		clinic := newClinic(t, 12, path)
@@ -63,23 +63,23 @@
 		clinic.declines = func(failure *verdict.Mishap) {
 			declined++
 			if failure.Verdict != verdict.NotRun || failure.ComeBack < min(last, 2*time.Second) {
-				t.Errorf("%s: %s, come back in %v behind %v", path, failure.Code, failure.ComeBack, last)
+				t.Errorf("%s: %s, retry delay %v after one of %v", path, failure.Code, failure.ComeBack, last)
 			}
 			last = failure.ComeBack
 		}
 		clinic.Run(2 * time.Second)
 		isGone = true
 		clinic.Run(3 * time.Second)
-		// 300 requests came; each replica is found out once, and then all are tried in turns.
+		// 300 requests came. Each replica is found unreachable once, and then all are probed in turn.
 		if tries > 12+3*30 || declined < 180 || last < 2*time.Second {
-			t.Errorf("%s: %d tries, %d declined, come back in %v at the last", path, tries, declined, last)
+			t.Errorf("%s: %d probes, %d rejected, last retry delay %v", path, tries, declined, last)
 		}
 		isGone = false
 		clinic.Run(200 * time.Millisecond)
 		declined = 0
 		clinic.Run(time.Second)
 		if declined > 0 {
-			t.Errorf("%s: %d declined though all are back", path, declined)
+			t.Errorf("%s: %d rejected though all replicas are back", path, declined)
 		}
 	}
 }
