--- a/decide/candidates.go
+++ b/decide/candidates.go
@@ -24,7 +24,7 @@
 	running, waiting         float64
 	// isOwner and isSuccessor are set by assignOwners for the replicas that own the shared parts.
 	isOwner, isSuccessor bool
-	// isProbe is set if the replica is unreachable as far as is known.
+	// isProbe is set if the replica was last found unreachable, so that a request to it is a probe.
 	isProbe bool
 }
 
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -86,21 +86,24 @@
 // Quota limits the request rate of tenants.
 type Quota interface {
 	// Ask reports whether a request is within the tenant's limit, and if not, when to retry.
-	Ask(tenant string) (comeBack time.Duration, isAllowed bool)
+	Ask(tenant string) (retryAfter time.Duration, isAllowed bool)
 	// Return refunds a request that Ask allowed and that was not run.
 	Return(tenant string)
 }
 
+// use is what this daemon has running at a replica: the cost, and the attempts by model and version.
 type use struct {
 	units int
 	rows  map[standing.Held]int
 }
 
+// suspect is a replica whose connection broke, and until when it gets nothing.
 type suspect struct {
 	until  time.Duration
 	region string
 }
 
+// waiter is a queued request.
 type waiter struct {
 	box   loop.Mailbox
 	model string
@@ -183,9 +186,10 @@
 	return decider
 }
 
-func (decider *Decider) decline(status int, code, message string, comeBack time.Duration) *verdict.Mishap {
+// decline counts and returns the rejection of a request that was not run.
+func (decider *Decider) decline(status int, code, message string, retryAfter time.Duration) *verdict.Mishap {
 	decider.counts.Declined[code]++
-	return verdict.Decline(status, code, message, comeBack)
+	return verdict.Decline(status, code, message, retryAfter)
 }
 
 // Gate is the last check before bytes are sent to a replica. It returns the version of the
@@ -278,6 +282,7 @@
 	return counts
 }
 
+// flow returns the rate of a model in the table, which it creates if need be.
 func (decider *Decider) flow(table map[string]*flow, model string) *flow {
 	rate := table[model]
 	if rate == nil {
--- a/decide/engine.go
+++ b/decide/engine.go
@@ -73,8 +73,8 @@
 	coldShare     *coldShare
 	silent        time.Duration
 	awaitingFirst int
-	// shunned is until when the replica gets nothing after a connection failure; strikes
-	// is the number of such failures in a row.
+	// shunned is until when the replica gets nothing, in backoff after a connection failure, a
+	// silence or a rejection; strikes is the number of these in a row.
 	shunned time.Duration
 	strikes int
 	// isUnreachable is set if a connection could not be opened and none has been since.
@@ -93,9 +93,9 @@
 	region, model string
 }
 
-// admits reports whether a replica without a sign of life since its last connection failure
-// may get a request after the backoff: one at a time, and after a second failure in a row only
-// requests that may be repeated elsewhere, unless the backoff ended more than mostShun ago.
+// admits reports whether a replica without a sign of life since its last backoff may get a
+// request: one at a time, and after a second strike only requests that may be repeated
+// elsewhere, unless the backoff ended more than mostShun ago.
 func (engine *engine) admits(now time.Duration, isRepeatable bool) bool {
 	if engine.strikes == 0 {
 		return true
--- a/decide/forecast.go
+++ b/decide/forecast.go
@@ -43,11 +43,11 @@
 	candidate.uncached, candidate.uncachedShared = own+shared, shared
 	candidate.running, candidate.waiting = running, waiting
 	candidate.ttft = decider.baseLatency + decider.reading(state.prefillTokens) + decider.reading(candidate.uncached) + costs.contention(running) + time.Duration(waiting*float64(delayPerWaiting)) + state.decayedLag(now)
-	again := float64(shared) / 1000 * float64(costs.duplicatePrefill)
+	duplicateCost := float64(shared) / 1000 * float64(costs.duplicatePrefill)
 	if candidate.isSuccessor {
-		again *= successorCostShare
+		duplicateCost *= successorCostShare
 	}
-	candidate.cost = candidate.ttft + time.Duration(again)
+	candidate.cost = candidate.ttft + time.Duration(duplicateCost)
 	if candidate.endpoint.Region != decider.Self.Region {
 		candidate.ttft += costs.crossRegion
 		candidate.cost += 2*costs.crossRegion + time.Duration(costs.crossRegionKiB*float64(routed.Bytes)/1024*float64(time.Millisecond))
--- a/decide/pace.go
+++ b/decide/pace.go
@@ -59,24 +59,24 @@
 // however many daemons there are.
 func coldLimit(total int, members []session.Member, self session.Member, endpoint *standing.Place, daemons int) int {
 	key := nameKey(endpoint.ID + "/" + endpoint.Boot)
-	isNear, own := self.Region == endpoint.Region, score(key, self.Name)
-	turn, unlike, count := 0, 0, 1 // the rank among daemons on the same side of isNear, and how many are on the other
+	isNear, ownScore := self.Region == endpoint.Region, score(key, self.Name)
+	sideRank, otherSide, count := 0, 0, 1 // the rank among daemons on the same side of isNear, and how many are on the other
 	for _, member := range members {
 		if member.Role != session.Data || member.Name == self.Name {
 			continue
 		}
 		count++
-		other := score(key, member.Name)
+		otherScore := score(key, member.Name)
 		switch {
 		case member.Region == endpoint.Region != isNear:
-			unlike++
-		case other > own || other == own && member.Name < self.Name:
-			turn++
+			otherSide++
+		case otherScore > ownScore || otherScore == ownScore && member.Name < self.Name:
+			sideRank++
 		}
 	}
-	rank := turn + min(turn, unlike)
+	rank := sideRank + min(sideRank, otherSide)
 	if !isNear {
-		rank = turn + min(turn+1, unlike)
+		rank = sideRank + min(sideRank+1, otherSide)
 	}
 	divisor := max(count, daemons)
 	limit := total / divisor
--- a/decide/route.go
+++ b/decide/route.go
@@ -50,13 +50,13 @@
 	if decider.Quota == nil || routed.Tenant == nil {
 		return nil
 	}
-	comeBack, isAllowed := decider.Quota.Ask(routed.Tenant.Name)
+	retryAfter, isAllowed := decider.Quota.Ask(routed.Tenant.Name)
 	if routed.isQuotaCharged = isAllowed; isAllowed {
 		return nil
 	}
 	decider.guard.Lock()
 	defer decider.guard.Unlock()
-	return decider.decline(429, "over_quota", "the tenant is above its rate limit", comeBack)
+	return decider.decline(429, "over_quota", "the tenant is above its rate limit", retryAfter)
 }
 
 // Unran refunds a request that was admitted by Direct and not run to its tenant's limit.
@@ -235,6 +235,7 @@
 	retryAfterRestart = time.Second
 )
 
+// dequeue removes a request from the queue.
 func (decider *Decider) dequeue(entry *waiter) {
 	for index, waiting := range decider.queue {
 		if waiting == entry {
--- a/decide/seat.go
+++ b/decide/seat.go
@@ -69,14 +69,14 @@
 }
 
 // Begun records the first chunk of an answer, or the end of an attempt that had none.
-func (decider *Decider) Begun(selection *Selection, isPiece bool) {
+func (decider *Decider) Begun(selection *Selection, isChunk bool) {
 	now := decider.World.Now()
 	decider.guard.Lock()
 	defer decider.guard.Unlock()
-	decider.noteBegun(selection, isPiece, now)
+	decider.noteBegun(selection, isChunk, now)
 }
 
-func (decider *Decider) noteBegun(selection *Selection, isPiece bool, now time.Duration) {
+func (decider *Decider) noteBegun(selection *Selection, isChunk bool, now time.Duration) {
 	if selection.hasBegun {
 		return
 	}
@@ -85,7 +85,7 @@
 	state.prefillTokens -= selection.uncached
 	state.awaitingFirst--
 	delete(decider.judging.waiting, selection)
-	if !isPiece {
+	if !isChunk {
 		return
 	}
 	state.flowing++
