--- a/decide/engine.go
+++ b/decide/engine.go
@@ -89,7 +89,7 @@
 	// word is the replica's last reply to a probe of its warmth, inquired when it was last probed.
 	word     word
 	inquired time.Duration
-	// region and model are those of the last attempt.
+	// region and model are those of the last attempt, or of the peer report that made it held.
 	region, model string
 }
 
