--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -23,26 +23,27 @@
 const document = `{"whole":{"placements":{"m":{"version":"v1","capacity":8}},"homes":{"inland":["a"]},"limits":{"queue_length":2,"queue_ms":400}},
  "regions":{"a":{"zones":{"a-1":{},"a-2":{}}},"b":{"zones":{"b-1":{}}}}}`
 
-// view is what the daemons go by: some replicas in region a, one in b.
+// view returns a view with three replicas in region a and one in region b, at which each daemon
+// has the given credit. With trial set, the replica r1 also has a version on trial.
 func view(daemons []string, credit int, trial bool) *permit.View {
 	tree, problems := settings.Parse([]byte(document))
 	if len(problems) > 0 {
 		panic(problems)
 	}
 	out := &permit.View{Serial: 3, Tree: tree, Expiry: loop.Forever, Evacuated: map[string]bool{}, Standings: map[string]standing.Standing{}}
-	for _, place := range []struct{ region, zone, id string }{{"a", "a-1", "r1"}, {"a", "a-1", "r2"}, {"a", "a-2", "r3"}, {"b", "b-1", "far"}} {
-		one := out.Standings[place.region]
-		one.Region = place.region
+	for _, endpoint := range []struct{ region, zone, id string }{{"a", "a-1", "r1"}, {"a", "a-1", "r2"}, {"a", "a-2", "r3"}, {"b", "b-1", "far"}} {
+		table := out.Standings[endpoint.region]
+		table.Region = endpoint.region
 		credits := map[string]int{}
 		for _, name := range daemons {
 			credits[name] = credit
 		}
-		one.Places = append(one.Places, standing.Place{ID: place.id, Address: place.id, Zone: place.zone, Region: place.region, Capacity: 8, Whole: 8, Warm: 1, Credits: credits})
-		one.Rows = append(one.Rows, standing.Row{Replica: place.id, Model: "m", Version: "v1"})
-		if trial && place.id == "r1" {
-			one.Rows = append(one.Rows, standing.Row{Replica: place.id, Model: "m", Version: "v2", Trial: true})
+		table.Places = append(table.Places, standing.Place{ID: endpoint.id, Address: endpoint.id, Zone: endpoint.zone, Region: endpoint.region, Capacity: 8, Whole: 8, Warm: 1, Credits: credits})
+		table.Rows = append(table.Rows, standing.Row{Replica: endpoint.id, Model: "m", Version: "v1"})
+		if trial && endpoint.id == "r1" {
+			table.Rows = append(table.Rows, standing.Row{Replica: endpoint.id, Model: "m", Version: "v2", Trial: true})
 		}
-		out.Standings[place.region] = one
+		out.Standings[endpoint.region] = table
 	}
 	return out
 }
@@ -52,7 +53,7 @@
 	return &decide.Call{ID: id, Ticket: ticket.Seal(), Model: "m", Kind: "k", Bytes: 100, Answer: 10, Prefix: 7}
 }
 
-// service shows what the wire may call.
+// service exposes the methods that are called over the network.
 type service struct{ decider *decide.Decider }
 
 func (service service) Settle(claim decide.Claim, claimed *decide.Claimed) error {
@@ -63,11 +64,11 @@
 	return service.decider.Inherit(bequest, taken)
 }
 
-func (service service) Inherits(incarnation string, heir *string) error {
-	return service.decider.Inherits(incarnation, heir)
+func (service service) Inherits(incarnation string, successor *string) error {
+	return service.decider.Inherits(incarnation, successor)
 }
 
-// bench is a few data daemons' deciders in a simulation.
+// bench simulates a few data daemons, each with a decider; now is the view of them all.
 type bench struct {
 	*sim.Sim
 	deciders map[string]*decide.Decider
@@ -83,9 +84,9 @@
 	return bench
 }
 
-func (bench *bench) start(name string, life int) {
+func (bench *bench) start(name string, incarnation int) {
 	bench.Start(name, func(node *sim.Node) {
-		self := session.Member{Name: name, Incarnation: fmt.Sprint(name, "#", life), Role: session.Data, Region: "a", Zone: "a-1", Wire: name, HTTP: name}
+		self := session.Member{Name: name, Incarnation: fmt.Sprint(name, "#", incarnation), Role: session.Data, Region: "a", Zone: "a-1", Wire: name, HTTP: name}
 		decider := decide.New(decide.Options{World: node, Net: sim.Net{Node: node}, Holder: func() *permit.View { return bench.now }, Self: self, Began: node.Now()})
 		bench.deciders[name] = decider
 		server := rpc.NewServer()
@@ -102,19 +103,21 @@
 	bench.Run(1500 * time.Millisecond)
 }
 
-// allow asks a daemon whether a call may go on.
-func (bench *bench) allow(name, ticket, id string) (got *decide.Call, mishap *verdict.Mishap) {
-	got = call(id)
-	got.Ticket = ticket
-	bench.do(name, func(decider *decide.Decider) { mishap = decider.Allow(got) })
-	return got, mishap
+// allow sends a call with the ticket and request id to a daemon and returns whether it is admitted.
+func (bench *bench) allow(name, ticket, id string) (admitted *decide.Call, failure *verdict.Mishap) {
+	admitted = call(id)
+	admitted.Ticket = ticket
+	bench.do(name, func(decider *decide.Decider) { failure = decider.Allow(admitted) })
+	return admitted, failure
 }
 
+// TestTicketsRunOnceAnywhere guards against a request that runs twice under one ticket, or that is
+// reported as not run although it runs or ran, when its tries reach several daemons.
 func TestTicketsRunOnceAnywhere(t *testing.T) {
 	locate := func(bench *bench) (ticket string, first string) {
 		bench.do("x", func(decider *decide.Decider) {
-			members, one, _, _ := decider.Locate("m", "k", "", "a-1", 7)
-			ticket, first = one.Seal(), members[0].Name
+			members, located, _, _ := decider.Locate("m", "k", "", "a-1", 7)
+			ticket, first = located.Seal(), members[0].Name
 		})
 		return ticket, first
 	}
@@ -126,56 +129,58 @@
 		}
 		return rest
 	}
+	// A ticket's daemon hands the right to run an unseen request to the daemon that claims it.
 	Convey("given away along a chain, a request that never ran may run at one place only", t, func() {
 		bench := newBench("x", "y", "z")
 		defer bench.Close()
 		ticket, first := locate(bench)
 		rest := others(first)
-		at, mishap := bench.allow(rest[0], ticket, "q")
-		So(mishap, ShouldBeNil)
-		_, mishap = bench.allow(first, ticket, "q")
-		So(mishap.Code, ShouldEqual, "elsewhere")
-		_, mishap = bench.allow(rest[1], ticket, "q")
-		So(mishap.Verdict, ShouldEqual, verdict.MayHaveRun)
-		So(mishap.Code, ShouldEqual, "running")
-		// It was declined as not run there, and that word stands.
+		at, failure := bench.allow(rest[0], ticket, "q")
+		So(failure, ShouldBeNil)
+		_, failure = bench.allow(first, ticket, "q")
+		So(failure.Code, ShouldEqual, "elsewhere")
+		_, failure = bench.allow(rest[1], ticket, "q")
+		So(failure.Verdict, ShouldEqual, verdict.MayHaveRun)
+		So(failure.Code, ShouldEqual, "running")
+		// It is rejected as not run there, and that reply is final.
 		bench.do(rest[0], func(decider *decide.Decider) {
 			decider.Settled(at, verdict.Decline(503, "queue_full", "", 0))
 		})
 		for _, name := range rest {
-			_, mishap = bench.allow(name, ticket, "q")
-			if mishap == nil || mishap.Code != "declined_before" || mishap.Verdict != verdict.NotRun {
-				t.Errorf("twice: told not_run, and then %v at %s", mishap, name)
+			_, failure = bench.allow(name, ticket, "q")
+			if failure == nil || failure.Code != "declined_before" || failure.Verdict != verdict.NotRun {
+				t.Errorf("twice: replied not_run, and then %v at %s", failure, name)
 			}
 		}
-		at, mishap = bench.allow(rest[1], ticket, "r")
-		So(mishap, ShouldBeNil)
+		at, failure = bench.allow(rest[1], ticket, "r")
+		So(failure, ShouldBeNil)
 		bench.do(rest[1], func(decider *decide.Decider) { decider.Settled(at, nil) })
-		_, mishap = bench.allow(rest[1], ticket, "r")
-		So(mishap.Verdict, ShouldEqual, verdict.Ran)
-		_, mishap = bench.allow(rest[0], ticket, "r")
-		So(mishap.Code, ShouldEqual, "ran")
+		_, failure = bench.allow(rest[1], ticket, "r")
+		So(failure.Verdict, ShouldEqual, verdict.Ran)
+		_, failure = bench.allow(rest[0], ticket, "r")
+		So(failure.Code, ShouldEqual, "ran")
 	})
 	Convey("when the daemon of the ticket is gone, or another life of it answers, it is never run", t, func() {
 		bench := newBench("x", "y", "z")
 		defer bench.Close()
 		ticket, first := locate(bench)
 		bench.Kill(first)
-		_, mishap := bench.allow(others(first)[0], ticket, "q")
-		So(mishap.Code, ShouldEqual, "daemon_gone")
-		So(mishap.Verdict, ShouldEqual, verdict.MayHaveRun)
+		_, failure := bench.allow(others(first)[0], ticket, "q")
+		So(failure.Code, ShouldEqual, "daemon_gone")
+		So(failure.Verdict, ShouldEqual, verdict.MayHaveRun)
 		bench.start(first, 2)
-		_, mishap = bench.allow(first, ticket, "q")
-		So(mishap.Code, ShouldEqual, "daemon_gone")
-		_, mishap = bench.allow(others(first)[1], ticket, "q")
-		So(mishap.Code, ShouldEqual, "daemon_gone")
+		_, failure = bench.allow(first, ticket, "q")
+		So(failure.Code, ShouldEqual, "daemon_gone")
+		_, failure = bench.allow(others(first)[1], ticket, "q")
+		So(failure.Code, ShouldEqual, "daemon_gone")
 	})
+	// In a planned stop, a daemon hands its ticket rows over to one successor.
 	Convey("a daemon that stops leaves what it knows to one heir, which alone decides about what was never seen", t, func() {
 		bench := newBench("x", "y", "z")
 		defer bench.Close()
 		ticket, first := locate(bench)
-		ran, mishap := bench.allow(first, ticket, "ran")
-		So(mishap, ShouldBeNil)
+		ran, failure := bench.allow(first, ticket, "ran")
+		So(failure, ShouldBeNil)
 		bench.do(first, func(decider *decide.Decider) { decider.Settled(ran, nil) })
 		unrun, _ := bench.allow(first, ticket, "unrun")
 		bench.do(first, func(decider *decide.Decider) { decider.Settled(unrun, verdict.Decline(503, "queue_full", "", 0)) })
@@ -185,15 +190,15 @@
 			isLeft = decider.Bequeath()
 		})
 		So(isLeft, ShouldBeTrue)
-		// Still there, it promises nothing that its heir does not know of.
-		_, mishap = bench.allow(first, ticket, "late")
-		So(mishap.Code, ShouldEqual, "stopping")
+		// While it still runs, it must not admit requests that its successor does not know of.
+		_, failure = bench.allow(first, ticket, "late")
+		So(failure.Code, ShouldEqual, "stopping")
 		bench.Kill(first)
 		bench.start(first, 2)
 		bench.now.Members[map[string]int{"x": 0, "y": 1, "z": 2}[first]].Incarnation = first + "#2"
 		code := func(name, id string) string {
-			if _, mishap := bench.allow(name, ticket, id); mishap != nil {
-				return mishap.Code
+			if _, failure := bench.allow(name, ticket, id); failure != nil {
+				return failure.Code
 			}
 			return ""
 		}
@@ -202,8 +207,8 @@
 			So(code(name, "unrun"), ShouldEqual, "declined_before")
 			So(code(name, "late"), ShouldNotEqual, "")
 		}
-		// Never seen: let in at the first that is asked, also the restarted one,
-		// and nowhere else.
+		// Requests never seen before are admitted at the first daemon that gets them, also at
+		// the restarted one, and at no other.
 		for index, name := range []string{"x", "y", "z"} {
 			id := fmt.Sprint("new", index)
 			So(code(name, id), ShouldEqual, "")
@@ -216,13 +221,14 @@
 		ticket, first := locate(bench)
 		bench.Run(2 * time.Minute)
 		for _, name := range []string{first, others(first)[0]} {
-			_, mishap := bench.allow(name, ticket, "q")
-			So(mishap.Code, ShouldEqual, "ticket_expired")
-			So(mishap.Verdict, ShouldEqual, verdict.MayHaveRun)
+			_, failure := bench.allow(name, ticket, "q")
+			So(failure.Code, ShouldEqual, "ticket_expired")
+			So(failure.Verdict, ShouldEqual, verdict.MayHaveRun)
 		}
 	})
 }
 
+// TestDecisions checks the admission, the selection and the retry budget of ticketed requests.
 func TestDecisions(t *testing.T) {
 	Convey("without a permit, in an evacuated zone, or outside a home everything is declined as not run", t, func() {
 		bench := newBench("x")
@@ -233,15 +239,15 @@
 			change(next)
 			bench.now = next
 			count++
-			one := call(fmt.Sprint("q", count))
-			one.Home = home
-			var mishap *verdict.Mishap
-			bench.do("x", func(decider *decide.Decider) { mishap = decider.Allow(one) })
-			if mishap == nil {
+			request := call(fmt.Sprint("q", count))
+			request.Home = home
+			var failure *verdict.Mishap
+			bench.do("x", func(decider *decide.Decider) { failure = decider.Allow(request) })
+			if failure == nil {
 				return ""
 			}
-			So(mishap.Verdict, ShouldEqual, verdict.NotRun)
-			return mishap.Code
+			So(failure.Verdict, ShouldEqual, verdict.NotRun)
+			return failure.Code
 		}
 		So(code(func(*permit.View) {}, "inland"), ShouldEqual, "")
 		So(code(func(view *permit.View) { view.Expiry = 0 }, ""), ShouldEqual, "no_permit")
@@ -258,12 +264,12 @@
 		used := map[string]int{}
 		for index := 0; index < 8; index++ {
 			bench.Node("x").Go(func() {
-				one := call(fmt.Sprint("h", index))
-				one.Home = "wide"
-				if mishap := bench.deciders["x"].Allow(one); mishap != nil {
-					panic(mishap)
+				request := call(fmt.Sprint("h", index))
+				request.Home = "wide"
+				if failure := bench.deciders["x"].Allow(request); failure != nil {
+					panic(failure)
 				}
-				if selection, mishap := bench.deciders["x"].Select(one, nil); mishap == nil {
+				if selection, failure := bench.deciders["x"].Select(request, nil); failure == nil {
 					used[selection.Replica]++
 				}
 			})
@@ -275,18 +281,18 @@
 		bench := newBench("x", "y")
 		defer bench.Close()
 		bench.do("x", func(*decide.Decider) {})
-		asked := bench.Messages["Ticket.Settle"]
-		_, mishap := bench.allow("x", decide.Ticket{ID: "i", Daemon: "evil", Incarnation: "n", Wire: "elsewhere", Expiry: time.Hour}.Seal(), "q")
-		So(mishap.Code, ShouldEqual, "daemon_gone")
-		So(bench.Messages["Ticket.Settle"], ShouldEqual, asked)
+		claims := bench.Messages["Ticket.Settle"]
+		_, failure := bench.allow("x", decide.Ticket{ID: "i", Daemon: "evil", Incarnation: "n", Wire: "elsewhere", Expiry: time.Hour}.Seal(), "q")
+		So(failure.Code, ShouldEqual, "daemon_gone")
+		So(bench.Messages["Ticket.Settle"], ShouldEqual, claims)
 	})
 	Convey("a retry of what ran already costs no retry", t, func() {
 		bench := newBench("x")
 		defer bench.Close()
 		var ticket string
 		bench.do("x", func(decider *decide.Decider) {
-			_, one, _, _ := decider.Locate("m", "k", "", "a-1", 7)
-			ticket = one.Seal()
+			_, located, _, _ := decider.Locate("m", "k", "", "a-1", 7)
+			ticket = located.Seal()
 			done := call("done")
 			done.Ticket = ticket
 			if decider.Allow(done) != nil {
@@ -296,8 +302,8 @@
 			for try := 0; try < 50; try++ {
 				again := call("done")
 				again.Ticket, again.Retried = ticket, true
-				if mishap := decider.Allow(again); mishap == nil || mishap.Code != "ran" {
-					panic(mishap)
+				if failure := decider.Allow(again); failure == nil || failure.Code != "ran" {
+					panic(failure)
 				}
 			}
 		})
@@ -307,18 +313,18 @@
 		defer bench.Close()
 		bench.do("x", func(decider *decide.Decider) {
 			selection, _ := decider.Select(call("q"), nil)
-			if _, mishap := decider.Gate(selection); mishap != nil {
-				panic(mishap)
+			if _, failure := decider.Gate(selection); failure != nil {
+				panic(failure)
 			}
 			bench.now = view([]string{"x"}, 4, false)
 			bench.now.Evacuated[map[string]string{"r1": "a-1", "r2": "a-1", "r3": "a-2", "far": "b-1"}[selection.Replica]] = true
-			if _, mishap := decider.Gate(selection); mishap == nil || mishap.Code != "moved_on" {
-				panic("let through")
+			if _, failure := decider.Gate(selection); failure == nil || failure.Code != "moved_on" {
+				panic("passed the gate")
 			}
 			bench.now = view([]string{"x"}, 4, false)
 			bench.now.Expiry = 0
-			if _, mishap := decider.Gate(selection); mishap == nil || mishap.Code != "no_permit" {
-				panic("let through")
+			if _, failure := decider.Gate(selection); failure == nil || failure.Code != "no_permit" {
+				panic("passed the gate")
 			}
 		})
 	})
@@ -330,12 +336,12 @@
 		var waits []time.Duration
 		for index := 0; index < 30; index++ {
 			bench.Node("x").Go(func() {
-				one := call(fmt.Sprint("q", index))
-				one.Home = "inland"
+				request := call(fmt.Sprint("q", index))
+				request.Home = "inland"
 				began := bench.Now()
-				selection, mishap := bench.deciders["x"].Select(one, nil)
-				if mishap != nil {
-					codes[mishap.Code]++
+				selection, failure := bench.deciders["x"].Select(request, nil)
+				if failure != nil {
+					codes[failure.Code]++
 					waits = append(waits, bench.Now()-began)
 					return
 				}
@@ -358,17 +364,17 @@
 		defer bench.Close()
 		bench.now = view([]string{"x"}, 4, true)
 		trials := 0
-		run := func(count int, fails bool) {
+		send := func(count int, fails bool) {
 			for index := 0; index < count; index++ {
 				decider := bench.deciders["x"]
 				bench.Node("x").Go(func() {
-					one := call(fmt.Sprint("t", bench.Now()))
-					one.Prefix = uint64(index) + 1
-					if decider.Allow(one) != nil {
+					request := call(fmt.Sprint("t", bench.Now()))
+					request.Prefix = uint64(index) + 1
+					if decider.Allow(request) != nil {
 						return
 					}
-					selection, mishap := decider.Select(one, nil)
-					if mishap != nil {
+					selection, failure := decider.Select(request, nil)
+					if failure != nil {
 						return
 					}
 					var end *verdict.Mishap
@@ -383,30 +389,30 @@
 				bench.Run(20 * time.Millisecond)
 			}
 		}
-		run(300, false)
+		send(300, false)
 		So(trials, ShouldBeBetweenOrEqual, 15, 24) // 8 % of 300
 		trials = 0
-		run(200, true)
+		send(200, true)
 		So(trials, ShouldBeLessThanOrEqualTo, 16)
 	})
 	Convey("retries are let in up to a fifth of the real demand of the last seconds; nothing else is saved up", t, func() {
 		bench := newBench("x")
 		defer bench.Close()
 		count := 0
-		ask := func(isRetry bool) bool {
+		allow := func(isRetry bool) bool {
 			count++
-			one := call(fmt.Sprint("r", count))
-			one.Retried = isRetry
-			return bench.deciders["x"].Allow(one) == nil
+			request := call(fmt.Sprint("r", count))
+			request.Retried = isRetry
+			return bench.deciders["x"].Allow(request) == nil
 		}
 		again, fresh := 0, 0
 		bench.do("x", func(decider *decide.Decider) {
 			for index := 0; index < 1000; index++ {
-				if ask(false) {
+				if allow(false) {
 					fresh++
 				}
 				for try := 0; try < 3; try++ {
-					if ask(true) {
+					if allow(true) {
 						again++
 					}
 				}
@@ -418,19 +424,19 @@
 		again = 0
 		bench.do("x", func(decider *decide.Decider) {
 			for try := 0; try < 50; try++ {
-				if ask(true) {
+				if allow(true) {
 					again++
 				}
 			}
 		})
-		So(again, ShouldEqual, 1) // one, for rounding; old demand buys nothing
+		So(again, ShouldEqual, 1) // one retry is always allowed; old demand earns none
 	})
 	Convey("no decline promises not_run while another try of the request runs or ran", t, func() {
-		type way struct {
+		type rejectionCase struct {
 			change func(bench *bench)
 			code   string
 		}
-		for name, one := range map[string]way{
+		for name, rejection := range map[string]rejectionCase{
 			"no permit":    {func(bench *bench) { bench.now.Expiry = 0 }, "no_permit"},
 			"evacuated":    {func(bench *bench) { bench.now.Evacuated["a-1"] = true }, "evacuated"},
 			"stopping":     {func(bench *bench) { bench.deciders["x"].Stop() }, "stopping"},
@@ -453,14 +459,14 @@
 			var codes []string
 			var verdicts []verdict.Verdict
 			bench.do("x", func(decider *decide.Decider) {
-				tell := func(id string) {
+				retry := func(id string) {
 					again := call(id)
 					again.Retried, again.Home = true, home
-					mishap := decider.Allow(again)
-					if mishap == nil {
-						panic(name + ": let in")
+					failure := decider.Allow(again)
+					if failure == nil {
+						panic(name + ": admitted")
 					}
-					codes, verdicts = append(codes, mishap.Code), append(verdicts, mishap.Verdict)
+					codes, verdicts = append(codes, failure.Code), append(verdicts, failure.Verdict)
 				}
 				runs, ran := call("runs"), call("ran")
 				runs.Home, ran.Home = home, home
@@ -468,26 +474,26 @@
 					panic("declined")
 				}
 				decider.Settled(ran, nil)
-				one.change(bench)
-				tell("runs")
-				tell("ran")
-				tell("never seen")
+				rejection.change(bench)
+				retry("runs")
+				retry("ran")
+				retry("never seen")
 			})
 			bench.Close()
-			So(codes, ShouldResemble, []string{"running", "ran", one.code})
+			So(codes, ShouldResemble, []string{"running", "ran", rejection.code})
 			So(verdicts, ShouldResemble, []verdict.Verdict{verdict.MayHaveRun, verdict.Ran, verdict.NotRun})
 		}
 	})
 	Convey("a try without a ticket is not run, and nothing is said of others", t, func() {
 		bench := newBench("x")
 		defer bench.Close()
-		_, mishap := bench.allow("x", "", "q")
-		So(mishap.Code, ShouldEqual, "ticket_needed")
-		So(mishap.Verdict, ShouldEqual, verdict.MayHaveRun)
+		_, failure := bench.allow("x", "", "q")
+		So(failure.Code, ShouldEqual, "ticket_needed")
+		So(failure.Verdict, ShouldEqual, verdict.MayHaveRun)
 	})
 }
 
-// treeOf is the bench's tree with one section of the whole replaced.
+// treeOf returns the settings of document with one section of its "whole" part replaced.
 func treeOf(section string) *settings.Tree {
 	name, _, _ := strings.Cut(section, ":")
 	text := document
@@ -503,7 +509,7 @@
 	return tree
 }
 
-// BenchmarkDecision is everything that a data daemon decides for one request.
+// BenchmarkDecision measures all decisions of a data daemon about one request.
 func BenchmarkDecision(b *testing.B) {
 	world := loop.NewMachine()
 	now := view([]string{"x"}, 8, false)
@@ -511,16 +517,16 @@
 	body := []byte(`{"model":"m","stream":true,"max_tokens":16,"prompt":"` + fmt.Sprintf("%06000d", 7) + `"}`)
 	b.ReportAllocs()
 	for b.Loop() {
-		one := &decide.Call{ID: "q", Model: "m", Kind: "k"}
-		if mishap := decider.Weigh(one, body); mishap != nil {
-			b.Fatal(mishap)
+		request := &decide.Call{ID: "q", Model: "m", Kind: "k"}
+		if failure := decider.Weigh(request, body); failure != nil {
+			b.Fatal(failure)
 		}
-		selection, mishap := decider.Select(one, nil)
-		if mishap != nil {
-			b.Fatal(mishap)
+		selection, failure := decider.Select(request, nil)
+		if failure != nil {
+			b.Fatal(failure)
 		}
-		if _, mishap := decider.Gate(selection); mishap != nil {
-			b.Fatal(mishap)
+		if _, failure := decider.Gate(selection); failure != nil {
+			b.Fatal(failure)
 		}
 		decider.Release(selection, nil, time.Millisecond)
 	}
