--- a/decide/call.go
+++ b/decide/call.go
@@ -16,24 +16,24 @@
 	"swifttiller/verdict"
 )
 
-// Calls that carry a ticket: whether they may go on, and which replica gets them.
+// Calls that carry a ticket: whether they may run, and which replica gets them.
 
-// Allow says whether the request may go on at all: by what the headers tell,
-// before any of the body is read.
+// Allow decides from the headers alone, before any of the body is read, whether the
+// request may run at all.
 //
-// The ticket is settled before anything else is looked at: a decline that says
-// not_run speaks of the request and not only of this try, so it may be given only
-// once it is known here that no other try of it runs or ran.
+// The ticket is settled before any other check. A rejection with not_run is about the
+// request and not only about this try of it, so it may be sent only once this daemon
+// knows that no other try of the request is running or has run.
 func (decider *Decider) Allow(call *Call) *verdict.Mishap {
-	if mishap := decider.named(call); mishap != nil {
+	if mishap := decider.checkHeaders(call); mishap != nil {
 		return mishap
 	}
 	if mishap := decider.settle(call); mishap != nil {
 		return mishap
 	}
-	mishap := decider.place(decider.Holder(), call)
+	mishap := decider.checkPlacement(decider.Holder(), call)
 	if mishap == nil {
-		mishap = decider.afford(decider.Holder(), call)
+		mishap = decider.chargeRetry(decider.Holder(), call)
 	}
 	if mishap != nil {
 		decider.Settled(call, mishap)
@@ -41,29 +41,29 @@
 	return mishap
 }
 
-// named checks the headers that say which request this is.
-func (decider *Decider) named(call *Call) *verdict.Mishap {
+// checkHeaders checks the headers that identify the request.
+func (decider *Decider) checkHeaders(call *Call) *verdict.Mishap {
 	decider.guard.Lock()
 	defer decider.guard.Unlock()
-	call.retry = call.Retried || decider.tickets.recent(call.ID)
+	call.retry = call.Retried || decider.tickets.isRecent(call.ID)
 	switch {
 	case call.ID == "" || call.Model == "":
 		return decider.decline(400, "bad_request", "the headers Swifttiller-Request-Id and Swifttiller-Model are needed", 0)
 	case call.Ticket == "":
-		// Without one there is no telling whether another try of it ran.
+		// Without a ticket it can't be known whether another try has run.
 		decider.counts.Declined["ticket_needed"]++
 		return &verdict.Mishap{Verdict: verdict.MayHaveRun, Code: "ticket_needed", Status: 428,
-			Message: "the header Swifttiller-Ticket is needed: this try was not run, and without the ticket it can't be known whether another was; ask /v1/locate before the first try and keep its ticket for all of them"}
+			Message: "the header Swifttiller-Ticket is needed: this try did not run, and without a ticket it can't be known whether another one did; call /v1/locate before the first try and send its ticket with all tries"}
 	}
 	return nil
 }
 
-// afford draws a retry on the budget, or counts real demand.
+// chargeRetry takes a retry from the budget, or counts a first try as demand.
 //
-// Invariant: over every span of budgetSpan that ends with a retry let in, those
-// let in (and our own redispatches) are at most retry_share of the demand, and
-// one more while nothing else was let in.
-func (decider *Decider) afford(view *permit.View, call *Call) *verdict.Mishap {
+// Invariant: in every budgetSpan that ends with an admitted retry, the admitted retries
+// and this daemon's own further attempts are at most retry_share of the demand. A single
+// one is always admitted if the span has no other.
+func (decider *Decider) chargeRetry(view *permit.View, call *Call) *verdict.Mishap {
 	decider.guard.Lock()
 	defer decider.guard.Unlock()
 	if !call.retry {
@@ -73,33 +73,33 @@
 	}
 	decider.counts.Retries++
 	if !decider.spend(view, &decider.budget) {
-		return decider.decline(429, "retry_budget", "too many retries for the real demand; come back later", comeBackAfter(view))
+		return decider.decline(429, "retry_budget", "too many retries compared with first tries; retry later", retryDelay(view))
 	}
 	decider.counts.Allowed++
 	return nil
 }
 
-// spend takes one retry from the budget, if there is one.
+// spend takes one retry from the budget and reports whether there was one.
 func (decider *Decider) spend(view *permit.View, budget *budget) bool {
 	now := decider.World.Now()
-	fresh, again := budget.sums(now)
-	if again > 0 && float64(again+1) > view.Tree.Limit("retry_share", decider.Self.Zone)*float64(fresh) {
+	fresh, retries := budget.sums(now)
+	if retries > 0 && float64(retries+1) > view.Tree.Limit("retry_share", decider.Self.Zone)*float64(fresh) {
 		return false
 	}
-	budget.count(now).again++
+	budget.count(now).retries++
 	return true
 }
 
-// comeBackAfter is when a declined retry may be worth another.
-func comeBackAfter(view *permit.View) time.Duration {
+// retryDelay is the delay after which a rejected request may be retried.
+func retryDelay(view *permit.View) time.Duration {
 	return max(time.Second, view.Tree.Span("queue_ms", ""))
 }
 
-// place checks everything that depends on where the daemon is.
-func (decider *Decider) place(view *permit.View, call *Call) *verdict.Mishap {
+// checkPlacement checks everything that depends on the daemon's location.
+func (decider *Decider) checkPlacement(view *permit.View, call *Call) *verdict.Mishap {
 	decider.guard.Lock()
 	defer decider.guard.Unlock()
-	if mishap := decider.serving(view); mishap != nil {
+	if mishap := decider.checkServing(view); mishap != nil {
 		return mishap
 	}
 	placement, placed := view.Tree.Placement(call.Model, decider.Self.Zone)
@@ -108,7 +108,7 @@
 	}
 	for _, tag := range []string{call.Home, placement.Home} {
 		if !view.Tree.Allowed(tag, decider.Self.Region) {
-			return decider.decline(421, "outside_home", fmt.Sprintf("home %q does not include region %s; locate again", tag, decider.Self.Region), 0)
+			return decider.decline(421, "outside_home", fmt.Sprintf("home %q does not include region %s; call /v1/locate again", tag, decider.Self.Region), 0)
 		}
 	}
 	call.bound = placement.Home
@@ -119,31 +119,31 @@
 	return nil
 }
 
-func (decider *Decider) serving(view *permit.View) *verdict.Mishap {
+func (decider *Decider) checkServing(view *permit.View) *verdict.Mishap {
 	switch {
 	case decider.stopped:
-		return decider.decline(503, "stopping", "this daemon is about to stop; locate another", time.Second)
+		return decider.decline(503, "stopping", "this daemon is shutting down; call /v1/locate for another", time.Second)
 	case !view.Stands(decider.World.Now()):
-		return decider.decline(503, "no_permit", "this daemon has no permit to serve; try another", time.Second)
+		return decider.decline(503, "no_permit", "this daemon holds no valid lease; try another daemon", time.Second)
 	case view.Evacuated[decider.Self.Zone]:
-		return decider.decline(503, "evacuated", "this daemon's zone is evacuated; locate another", time.Second)
+		return decider.decline(503, "evacuated", "this daemon's zone is evacuated; call /v1/locate for another daemon", time.Second)
 	}
 	return nil
 }
 
 type candidate struct {
-	row    standing.Row
-	place  *standing.Place
-	credit int
-	units  int
-	home   bool // in this daemon's region
+	row      standing.Row
+	endpoint *standing.Place
+	credit   int
+	units    int
+	isHome   bool // in this daemon's region
 }
 
-// candidates lists the rows that the call may use under the view.
+// candidates lists the rows of the view's routing tables that the call may use.
 func (decider *Decider) candidates(view *permit.View, call *Call, avoid map[string]bool) (out []candidate) {
 	now := decider.World.Now()
-	for name, one := range decider.suspects {
-		if now >= one.until && view.Kept[one.region] >= one.until-view.Tree.Span("permit_ms", "")/2 {
+	for name, suspected := range decider.suspects {
+		if now >= suspected.until && view.Kept[suspected.region] >= suspected.until-view.Tree.Span("permit_ms", "")/2 {
 			delete(decider.suspects, name)
 		}
 	}
@@ -153,20 +153,20 @@
 		}
 	}
 	for _, region := range view.Tree.Regions() {
-		one, known := view.Standings[region]
+		table, known := view.Standings[region]
 		if !known || !call.within(view, region) {
 			continue
 		}
 		index := map[string]*standing.Place{}
-		for at := range one.Places {
-			place := &one.Places[at]
+		for at := range table.Places {
+			place := &table.Places[at]
 			index[place.ID] = place
 			if past, known := decider.past[place.ID]; known && past != place.Boot {
 				delete(decider.past, place.ID)
 			}
 		}
-		isWatched, fails := decider.watched(view, region, call.Model) != "", decider.fails(view, region, call.Model)
-		for _, row := range one.Rows {
+		isWatched, fails := decider.watchedVersion(view, region, call.Model) != "", decider.fails(view, region, call.Model)
+		for _, row := range table.Rows {
 			place := index[row.Replica]
 			if row.Back != fails && (row.Back || isWatched) {
 				continue
@@ -198,23 +198,23 @@
 	return false
 }
 
-// Cost is what a call weighs.
+// Cost returns the cost units of a call, at most standing.Heaviest.
 func Cost(tree *settings.Tree, zone string, call *Call) int {
 	cost := 1 + call.Bytes/int(tree.Limit("prompt_unit_bytes", zone)) + call.Answer/int(tree.Limit("answer_unit_tokens", zone))
 	return min(cost, standing.Heaviest)
 }
 
-// Select gives a replica to an allowed call, waiting in the queue if it must.
-// What it gives must be handed back by Release.
+// Select returns a replica for an allowed call, and waits in the queue if none is free.
+// The caller must return the selection through Release.
 func (decider *Decider) Select(call *Call, avoid map[string]bool) (*Selection, *verdict.Mishap) {
 	began := decider.World.Now()
-	var mine *waiter
+	var queued *waiter
 	leave := func() {
-		if mine == nil {
+		if queued == nil {
 			return
 		}
-		for index, one := range decider.queue {
-			if one == mine {
+		for index, other := range decider.queue {
+			if other == queued {
 				decider.queue = append(decider.queue[:index:index], decider.queue[index+1:]...)
 				return
 			}
@@ -225,7 +225,7 @@
 		view := decider.Holder()
 		now := decider.World.Now()
 		if !view.Stands(now) {
-			mishap := decider.decline(503, "no_permit", "this daemon has no permit to serve; try another", time.Second)
+			mishap := decider.decline(503, "no_permit", "this daemon holds no valid lease; try another daemon", time.Second)
 			leave()
 			decider.guard.Unlock()
 			return nil, mishap
@@ -236,59 +236,61 @@
 		}
 		cost := Cost(view.Tree, decider.Self.Zone, call)
 		list := decider.candidates(view, call, avoid)
-		if mine == nil {
+		if queued == nil {
 			decider.flow(decider.demand, call.Model).add(now, float64(cost))
 		}
-		late := now-began > bound/4 || decider.wait(call.Model, cost) > bound/2
+		late := now-began > bound/4 || decider.estimateWait(call.Model, cost) > bound/2
 		if selection := decider.pick(view, call, list, cost, late); selection != nil {
 			leave()
 			decider.guard.Unlock()
 			return selection, nil
 		}
-		if mine == nil {
+		if queued == nil {
 			var mishap *verdict.Mishap
 			switch {
 			case len(list) == 0 && !decider.served(view, call):
-				mishap = decider.decline(503, "no_replica", "no replica can serve this now", comeBackAfter(view))
+				mishap = decider.decline(503, "no_replica", "no replica can serve this request now", retryDelay(view))
 			case len(decider.queue) >= int(view.Tree.Limit("queue_length", decider.Self.Zone)):
-				mishap = decider.decline(503, "queue_full", "the queue is full", comeBackAfter(view))
-			case decider.wait(call.Model, cost) > bound:
-				mishap = decider.decline(503, "too_late", "the queue would outlast the time allowed", max(time.Second, decider.wait(call.Model, cost)))
+				mishap = decider.decline(503, "queue_full", "the queue is full", retryDelay(view))
+			case decider.estimateWait(call.Model, cost) > bound:
+				mishap = decider.decline(503, "too_late", "the estimated queueing time exceeds the time allowed", max(time.Second, decider.estimateWait(call.Model, cost)))
 			}
 			if mishap != nil {
 				decider.guard.Unlock()
 				return nil, mishap
 			}
-			mine = &waiter{box: decider.World.Mailbox(), model: call.Model, cost: cost}
-			decider.queue = append(decider.queue, mine)
+			queued = &waiter{box: decider.World.Mailbox(), model: call.Model, cost: cost}
+			decider.queue = append(decider.queue, queued)
 		}
 		if now-began >= bound {
-			mishap := decider.decline(503, "too_late", "no replica became free in time", comeBackAfter(view))
+			mishap := decider.decline(503, "too_late", "no replica became free within the queue timeout", retryDelay(view))
 			leave()
 			decider.guard.Unlock()
 			return nil, mishap
 		}
 		decider.guard.Unlock()
-		// Woken by a release or a new view; a quarter of the bound at the most,
-		// as then another region may be asked.
-		mine.box.Take(min(began+bound-now, bound/4))
+		// A release or a new view wakes it up. It waits for a quarter of the bound at
+		// most, as after that replicas of other regions may be used too.
+		queued.box.Take(min(began+bound-now, bound/4))
 	}
 }
 
-// within tells whether the call may be in the region, by all homes that bind it.
+// within reports whether the call may run in the region, by the caller's home and the
+// placement's.
 func (call *Call) within(view *permit.View, region string) bool {
 	return view.Tree.Allowed(call.Home, region) && view.Tree.Allowed(call.bound, region)
 }
 
-// served tells whether any row anywhere would do for the call, credits aside.
+// served reports whether any replica in any region could serve the call, whether or not
+// this daemon has credits there.
 func (decider *Decider) served(view *permit.View, call *Call) bool {
 	for _, region := range view.Tree.Regions() {
 		if !call.within(view, region) {
 			continue
 		}
-		one := view.Standings[region]
-		placed := places{list: one.Places}
-		for _, row := range one.Rows {
+		table := view.Standings[region]
+		placed := places{list: table.Places}
+		for _, row := range table.Rows {
 			if place := placed.of(row.Replica); row.Model == call.Model && !denies(row, call.Kind) && place != nil && !view.Evacuated[place.Zone] {
 				return true
 			}
@@ -297,46 +299,46 @@
 	return false
 }
 
-// wait estimates how long a newcomer would queue.
-func (decider *Decider) wait(model string, cost int) time.Duration {
+// estimateWait estimates how long a new call of the model would wait in the queue.
+func (decider *Decider) estimateWait(model string, cost int) time.Duration {
 	ahead := 0
-	for _, one := range decider.queue {
-		if one.model == model {
-			ahead += one.cost
+	for _, queued := range decider.queue {
+		if queued.model == model {
+			ahead += queued.cost
 		}
 	}
 	rate := decider.flow(decider.released, model).rate(decider.World.Now())
 	if ahead == 0 || rate < 0.5 {
-		return 0 // nothing is known; the queue's own bounds hold
+		return 0 // no estimate; the queue's length and timeout still apply
 	}
 	return time.Duration(float64(ahead+cost) / rate * float64(time.Second))
 }
 
-// pick selects among candidates with free credit: home before spill, the
-// prompt's own replica while it is not much busier than the rest, and else the
-// one whose credit is used least.
+// pick selects among the candidates with free credit: the home region before others, the
+// replica that has cached the prompt while it is not much busier than the rest, and
+// otherwise the one whose credit is used least. It returns nil if there is none.
 func (decider *Decider) pick(view *permit.View, call *Call, list []candidate, cost int, late bool) *Selection {
 	var free []candidate
 	anyHome := false
-	for _, one := range list {
-		anyHome = anyHome || one.home
+	for _, option := range list {
+		anyHome = anyHome || option.isHome
 	}
-	most := 0
-	for _, one := range list {
-		most = max(most, one.credit)
+	maxCredit := 0
+	for _, option := range list {
+		maxCredit = max(maxCredit, option.credit)
 	}
-	// A request that outweighs all that this daemon may spend at any replica
-	// takes a whole credit, and goes where this daemon has nothing else; to a
-	// cold replica only when nobody else may send it anything.
-	heavy := cost > most
-	for _, one := range list {
-		if heavy && (one.units > 0 || one.place.Warm < 1 && !one.place.Alone(decider.Self.Name)) {
+	// A request that costs more than all of this daemon's credits at any replica takes a
+	// whole credit, and goes to a replica where this daemon runs nothing else. It goes to
+	// a cold one only if no other daemon may send requests there.
+	heavy := cost > maxCredit
+	for _, option := range list {
+		if heavy && (option.units > 0 || option.endpoint.Warm < 1 && !option.endpoint.Alone(decider.Self.Name)) {
 			continue
 		}
-		if !heavy && one.units+cost > one.credit || !one.home && anyHome && !late {
+		if !heavy && option.units+cost > option.credit || !option.isHome && anyHome && !late {
 			continue
 		}
-		free = append(free, one)
+		free = append(free, option)
 	}
 	free = decider.trial(view, call, free)
 	if len(free) == 0 {
@@ -345,21 +347,21 @@
 	best := func(home bool) (candidate, bool, bool) {
 		var group []candidate
 		total, credit := 0, 0
-		for _, one := range list {
-			if one.home == home {
-				total += one.units
-				credit += one.credit
+		for _, option := range list {
+			if option.isHome == home {
+				total += option.units
+				credit += option.credit
 			}
 		}
-		for _, one := range free {
-			if one.home == home {
-				group = append(group, one)
+		for _, option := range free {
+			if option.isHome == home {
+				group = append(group, option)
 			}
 		}
 		if len(group) == 0 {
 			return candidate{}, false, false
 		}
-		if group[0].row.Trial && decider.holdsAny(view, call.Model) {
+		if group[0].row.Trial && decider.allowsAnyVersion(view, call.Model) {
 			return slices.MaxFunc(group, func(a, b candidate) int {
 				return cmp.Compare(trialRank(a.row.Model, a.row.Version, a.row.Replica), trialRank(b.row.Model, b.row.Version, b.row.Replica))
 			}), false, true
@@ -369,49 +371,49 @@
 			return x > y || x == y && group[a].row.Version < group[b].row.Version
 		})
 		if slack := view.Tree.Limit("affinity_slack", decider.Self.Zone); call.Prefix != 0 && slack > 0 {
-			for _, one := range group {
-				even := float64(total+cost) * float64(one.credit) / float64(max(1, credit))
-				if float64(one.units+cost) <= max(slack*even, float64(one.credit)/2) {
-					return one, true, true
+			for _, option := range group {
+				fairShare := float64(total+cost) * float64(option.credit) / float64(max(1, credit))
+				if float64(option.units+cost) <= max(slack*fairShare, float64(option.credit)/2) {
+					return option, true, true
 				}
-				break // only the prompt's own replica counts as warm
+				break // only the replica with the highest score has the prompt cached
 			}
 		}
 		least := group[0]
-		for _, one := range group[1:] {
-			if (one.units+cost)*least.credit < (least.units+cost)*one.credit {
-				least = one
+		for _, option := range group[1:] {
+			if (option.units+cost)*least.credit < (least.units+cost)*option.credit {
+				least = option
 			}
 		}
 		return least, false, true
 	}
-	one, affine, ok := best(true)
+	option, affine, ok := best(true)
 	if !ok {
-		if one, affine, ok = best(false); !ok {
+		if option, affine, ok = best(false); !ok {
 			return nil
 		}
 	}
-	selection := &Selection{Replica: one.row.Replica, Address: one.place.Address, Version: one.row.Version, Boot: one.place.Boot, Region: one.place.Region, Serial: view.Serial, Cost: cost, Trial: one.row.Trial, Spill: !one.home, Affine: affine, call: call}
+	selection := &Selection{Replica: option.row.Replica, Address: option.endpoint.Address, Version: option.row.Version, Boot: option.endpoint.Boot, Region: option.endpoint.Region, Serial: view.Serial, Cost: cost, Trial: option.row.Trial, Spill: !option.isHome, Affine: affine, call: call}
 	decider.dispatched(view, selection)
 	return selection
 }
 
-// score is the rendezvous weight of a prompt's beginning at a replica.
+// score is the rendezvous hashing weight of a prompt prefix at a replica.
 func score(prefix uint64, name string) uint64 {
-	// The FNV-1a sum of "%x/%s" of both, without writing that.
+	// The FNV-1a hash of "%x/%s" of the two, without formatting the text.
 	const offset, prime = 14695981039346656037, 1099511628211
 	var digits [17]byte
 	value := uint64(offset)
-	for _, one := range append(strconv.AppendUint(digits[:0], prefix, 16), '/') {
-		value = (value ^ uint64(one)) * prime
+	for _, char := range append(strconv.AppendUint(digits[:0], prefix, 16), '/') {
+		value = (value ^ uint64(char)) * prime
 	}
-	for at := range len(name) {
-		value = (value ^ uint64(name[at])) * prime
+	for index := range len(name) {
+		value = (value ^ uint64(name[index])) * prime
 	}
 	return session.Spread(value)
 }
 
-// Prefix hashes the beginning of a prompt.
+// Prefix hashes the first 1024 bytes of a prompt; the hash is 0 only if the prompt is empty.
 func Prefix(prompt []byte) uint64 {
 	if len(prompt) == 0 {
 		return 0
--- a/decide/doors.go
+++ b/decide/doors.go
@@ -4,12 +4,13 @@
 	"swifttiller/session"
 )
 
-// Doors: where callers are led.
+// Doors: the addresses at which callers enter.
 
-// Doors gives the daemons that callers in the zone may go to with requests for the host:
-// those in the zone; else in the region; else where all of the host's routes have a home;
-// else those there that are about to stop, who serve late comers; else any. None while
-// this daemon has no permit.
+// Doors returns the daemons that callers in the zone may send requests for the host to, from
+// the nearest of these groups that is not empty: those in the zone; those in the region;
+// those in regions that are a home of all the host's routes; those of the caller's region,
+// then of such homes, that are shutting down and still serve late requests; any other that
+// is not shutting down. It returns none while this daemon has no valid lease.
 func (decider *Decider) Doors(host, region, zone string) []session.Member {
 	view := decider.Holder()
 	if !view.Serves(decider.World.Now()) {
@@ -20,18 +21,18 @@
 		homes[home] = view.Tree.AtHome(host, home)
 	}
 	const none = 6
-	distance := func(one session.Member) int {
-		isHome := homes[one.Region]
+	distance := func(member session.Member) int {
+		isHome := homes[member.Region]
 		switch {
-		case one.Role != session.Data || one.Door == "" || one.Leaving && one.Region != region && !isHome:
+		case member.Role != session.Data || member.Door == "" || member.Leaving && member.Region != region && !isHome:
 			return none
-		case one.Leaving && one.Region == region:
+		case member.Leaving && member.Region == region:
 			return 3
-		case one.Leaving:
+		case member.Leaving:
 			return 4
-		case one.Zone == zone:
+		case member.Zone == zone:
 			return 0
-		case one.Region == region:
+		case member.Region == region:
 			return 1
 		case isHome:
 			return 2
@@ -40,11 +41,11 @@
 	}
 	var out []session.Member
 	nearest := none
-	for _, one := range view.Members {
-		if at := distance(one); at < nearest {
-			out, nearest = append(out[:0], one), at
+	for _, member := range view.Members {
+		if at := distance(member); at < nearest {
+			out, nearest = append(out[:0], member), at
 		} else if at == nearest && at < none {
-			out = append(out, one)
+			out = append(out, member)
 		}
 	}
 	return out
--- a/decide/doors_test.go
+++ b/decide/doors_test.go
@@ -29,41 +29,41 @@
 	}
 	world := sim.New(1)
 	t.Cleanup(world.Close)
-	for _, one := range []struct {
-		what, host, region, zone string
+	for _, test := range []struct {
+		name, host, region, zone string
 		leaving, gone            []string
 		want                     []string
 	}{
-		{what: "the zone", host: "home.example", region: "a", zone: "a-1", want: []string{"a1"}},
-		{what: "the region", host: "home.example", region: "a", zone: "a-1", leaving: []string{"a1"}, want: []string{"a2"}},
-		{what: "the other home", host: "home.example", region: "a", zone: "a-1", leaving: []string{"a1", "a2"}, want: []string{"b1", "b2"}},
-		{what: "its own region, which is no home", host: "home.example", region: "c", zone: "c-1", want: []string{"c1"}},
-		{what: "both homes", host: "home.example", region: "c", zone: "c-1", leaving: []string{"c1"}, want: []string{"a1", "a2", "b1", "b2"}},
-		{what: "anywhere that stays, without homes", host: "any.example", region: "b", zone: "b-1", leaving: []string{"b1", "b2"}, want: []string{"a1", "a2", "c1"}},
-		{what: "those of its own that still serve", host: "home.example", region: "b", zone: "b-1", leaving: []string{"a1", "a2", "b1", "b2"}, want: []string{"b1", "b2"}},
-		{what: "a home's that still serve", host: "home.example", region: "b", zone: "b-1", leaving: []string{"a1"}, gone: []string{"a2", "b1", "b2"}, want: []string{"a1"}},
-		{what: "elsewhere when nothing else is left", host: "home.example", region: "b", zone: "b-1", gone: []string{"a1", "a2", "b1", "b2"}, want: []string{"c1"}},
-		{what: "an unknown host as one without homes", host: "other.example", region: "b", zone: "b-1", leaving: []string{"b1", "b2"}, want: []string{"a1", "a2", "c1"}},
-		{what: "all leave", host: "any.example", region: "c", zone: "c-1", leaving: []string{"a1", "a2", "b1", "b2", "c1"}, want: []string{"c1"}},
+		{name: "the zone", host: "home.example", region: "a", zone: "a-1", want: []string{"a1"}},
+		{name: "the region", host: "home.example", region: "a", zone: "a-1", leaving: []string{"a1"}, want: []string{"a2"}},
+		{name: "the other home", host: "home.example", region: "a", zone: "a-1", leaving: []string{"a1", "a2"}, want: []string{"b1", "b2"}},
+		{name: "its own region, which is no home", host: "home.example", region: "c", zone: "c-1", want: []string{"c1"}},
+		{name: "both homes", host: "home.example", region: "c", zone: "c-1", leaving: []string{"c1"}, want: []string{"a1", "a2", "b1", "b2"}},
+		{name: "anywhere that stays, without homes", host: "any.example", region: "b", zone: "b-1", leaving: []string{"b1", "b2"}, want: []string{"a1", "a2", "c1"}},
+		{name: "those of its own that still serve", host: "home.example", region: "b", zone: "b-1", leaving: []string{"a1", "a2", "b1", "b2"}, want: []string{"b1", "b2"}},
+		{name: "a home's that still serve", host: "home.example", region: "b", zone: "b-1", leaving: []string{"a1"}, gone: []string{"a2", "b1", "b2"}, want: []string{"a1"}},
+		{name: "elsewhere when nothing else is left", host: "home.example", region: "b", zone: "b-1", gone: []string{"a1", "a2", "b1", "b2"}, want: []string{"c1"}},
+		{name: "an unknown host as one without homes", host: "other.example", region: "b", zone: "b-1", leaving: []string{"b1", "b2"}, want: []string{"a1", "a2", "c1"}},
+		{name: "all leave", host: "any.example", region: "c", zone: "c-1", leaving: []string{"a1", "a2", "b1", "b2", "c1"}, want: []string{"c1"}},
 	} {
 		view := &permit.View{Tree: tree, Expiry: loop.Forever}
 		for _, member := range members {
-			member.Role, member.Door, member.Leaving = session.Data, member.Name, slices.Contains(one.leaving, member.Name)
-			if !slices.Contains(one.gone, member.Name) {
+			member.Role, member.Door, member.Leaving = session.Data, member.Name, slices.Contains(test.leaving, member.Name)
+			if !slices.Contains(test.gone, member.Name) {
 				view.Members = append(view.Members, member)
 			}
 		}
 		var got []string
 		world.Start("asked", func(node *sim.Node) {
 			decider := decide.New(decide.Options{World: node, Holder: func() *permit.View { return view }, Self: view.Members[0]})
-			for _, member := range decider.Doors(one.host, one.region, one.zone) {
+			for _, member := range decider.Doors(test.host, test.region, test.zone) {
 				got = append(got, member.Door)
 			}
 		})
 		world.Run(1)
 		world.Kill("asked")
-		if !slices.Equal(got, one.want) {
-			t.Errorf("%s: got %v, want %v", one.what, got, one.want)
+		if !slices.Equal(got, test.want) {
+			t.Errorf("%s: got %v, want %v", test.name, got, test.want)
 		}
 	}
 }
--- a/decide/health.go
+++ b/decide/health.go
@@ -9,143 +9,147 @@
 	"swifttiller/verdict"
 )
 
-// health is how a replica does, by what became of this daemon's own requests there,
-// whatever its probes say.
+// health is the state of a replica by the outcomes of this daemon's own requests there,
+// whatever its health checks say. A replica whose failures stand out is ejected, as in
+// outlier detection: it is held out of use for a while and readmitted by a few probe requests.
 //
-// Invariants: good and bad are counts that halve each healthHalf, as of at, and good is at
-// most mostGood. A replica is
-// held from the mishap that made it stand out until it has served enough; it gets
-// nothing before until, and few requests after it. Nothing holds it for ever: until is
-// never more than mostHold away, or mostExtended after the hold began where peers report that
-// theirs go on, and after that successes alone count.
+// Invariants: successes and bad are counts that halve each healthHalfLife, as of the time
+// at, and successes is at most maxSuccesses. A replica is ejected from the failure that made
+// it an outlier until it has served enough probes: it gets nothing before ejectedUntil, and
+// few requests after it. No ejection is permanent: ejectedUntil is at most maxEjection ahead,
+// or maxExtended after ejectedSince if peers report that their ejections go on, and after that
+// only successes count.
 type health struct {
-	good, bad float64
-	at        time.Duration
-	// isHeld tells that it stands out; holds is how often it has of late.
-	isHeld bool
-	holds  int
-	until  time.Duration
-	// began is when the present hold did.
-	began time.Duration
-	// span is the present hold's, served how many requests went well since until, and
-	// asked when the last of them was sent.
-	span   time.Duration
-	served int
-	asked  time.Duration
-	// freed is when it was last let go.
-	freed time.Duration
+	successes, bad float64
+	at             time.Duration
+	// isHeld is set while the replica is ejected; ejections counts its recent ejections.
+	isHeld       bool
+	ejections    int
+	ejectedUntil time.Duration
+	// ejectedSince is when the present ejection began.
+	ejectedSince time.Duration
+	// ejectionSpan is the length of the present ejection, probeSuccesses the number of requests
+	// that succeeded since ejectedUntil, and asked the time at which the last request was sent.
+	ejectionSpan   time.Duration
+	probeSuccesses int
+	asked          time.Duration
+	// readmitted is when the last ejection ended.
+	readmitted time.Duration
 }
 
-// Constants of holds. A replica's mishaps stand out when there are more than
-// standOut and usualTimes those that the others would have had, and usualLeast is the
-// least share of mishaps that is taken for theirs.
+// Constants of ejections. A replica is an outlier if its failures exceed minOutlierFailures
+// plus outlierFactor times the failures that it would have at the failure share of the other
+// replicas; that share is taken to be minUsualShare at least.
 const (
-	healthHalf = 4 * time.Second
-	standOut   = 0.5
-	usualTimes = 3
-	usualLeast = 0.02
-	// mostGood bounds how many good ones speak for a replica.
-	mostGood   = 20
-	usualPrior = 4 // good ones that the others are taken to have had besides
-	// firstHold doubles with each hold up to mostHold; one that has been well for
-	// twice mostHold begins anew.
-	firstHold = time.Second
-	mostHold  = 8 * time.Second
-	// heldShare bounds which part of a region's replicas of a model is held at once.
-	heldShare = 0.4
-	// tryGap is how long the requests to one that was held are apart, at least. Those that can't
-	// be repeated wait for unsafeWait longer, or half as long again as the hold was; where
-	// others come that can be, for their first success, but no longer than safeTimes the hold.
-	// Full service comes after enoughTries, and moreTries more for each further hold.
-	tryGap      = 150 * time.Millisecond
-	unsafeWait  = time.Second
-	safeTimes   = 4
-	safeWait    = 2 * mostHold
-	enoughTries = 3
-	moreTries   = 2
-	// slowTimes and slowMore bound first pieces that are no later than foreseen ones may
-	// be; slowBad is what a later one counts.
+	healthHalfLife     = 4 * time.Second
+	minOutlierFailures = 0.5
+	outlierFactor      = 3
+	minUsualShare      = 0.02
+	// maxSuccesses bounds how many successes count in a replica's favor.
+	maxSuccesses   = 20
+	priorSuccesses = 4 // successes that are added to those of the other replicas
+	// firstEjection doubles with each ejection up to maxEjection. A replica that has been
+	// healthy for twice maxEjection starts again at firstEjection.
+	firstEjection = time.Second
+	maxEjection   = 8 * time.Second
+	// maxEjectedShare bounds the share of a region's replicas of a model that are ejected at once.
+	maxEjectedShare = 0.4
+	// probeInterval is the shortest time between requests to a replica after an ejection.
+	// Requests that can't be repeated are sent there later than others, by minUnsafeWait or
+	// half the ejection's length, whichever is longer. If repeatable requests come for the
+	// model they wait for the first success of one, for up to unsafeWaitFactor times the
+	// ejection's length and maxUnsafeWait. The replica is readmitted after minProbes
+	// successes, and extraProbes more for each further ejection.
+	probeInterval    = 150 * time.Millisecond
+	minUnsafeWait    = time.Second
+	unsafeWaitFactor = 4
+	maxUnsafeWait    = 2 * maxEjection
+	minProbes        = 3
+	extraProbes      = 2
+	// A first token is late if it takes longer than slowTimes the forecast plus slowMore;
+	// slowBad is its weight as a failure.
 	slowTimes = 3
 	slowMore  = 300 * time.Millisecond
 	slowBad   = 0.4
-	// overdueBad counts one that has no answer when it is overdue.
-	overdueBad = 0.6
-	// unknownShare is which part a late long prompt counts where the replica does not tell its
-	// load: what others sent there may be read before it.
-	unknownShare = 0.5
-	// leastBad is the count of mishaps that weighs nothing any more.
+	// overdueWeight is the weight of a request that is overdue and has no answer.
+	overdueWeight = 0.6
+	// unknownLoadShare is the share of its weight that a late long prompt counts if the
+	// replica does not report its load: it may first have had to read the prompts of other daemons.
+	unknownLoadShare = 0.5
+	// leastBad is the count of failures below which they are ignored.
 	leastBad = 0.25
-	// mishapWeight and unsafeWeight are what a sure mishap would weigh in a selection.
-	mishapWeight = 300 * time.Millisecond
-	unsafeWeight = 2 * time.Second
+	// repeatablePenalty and unsafePenalty are the time by which a certain failure would
+	// worsen a replica's forecast, for requests that can be repeated and for others.
+	repeatablePenalty = 300 * time.Millisecond
+	unsafePenalty     = 2 * time.Second
 )
 
-func (health *health) fade(now time.Duration) {
+func (health *health) decay(now time.Duration) {
 	if span := now - health.at; span > 0 {
-		left := math.Exp2(-span.Seconds() / healthHalf.Seconds())
-		health.good *= left
-		health.bad *= left
+		factor := math.Exp2(-span.Seconds() / healthHalfLife.Seconds())
+		health.successes *= factor
+		health.bad *= factor
 		health.at = now
 	}
 }
 
-// share is that of mishaps, those that colleagues report included, of which a few outcomes
-// say little.
-func (health *health) share(now time.Duration, reported float64) float64 {
-	health.fade(now)
-	bad := health.bad + reported
-	return bad / (health.good + bad + 1)
+// failureShare is the share of failures, including those that peers report. A few outcomes
+// are not enough for a large share.
+func (health *health) failureShare(now time.Duration, reported float64) float64 {
+	health.decay(now)
+	failures := health.bad + reported
+	return failures / (health.successes + failures + 1)
 }
 
-// isWorse tells whether its mishaps, with those that colleagues report, are plainly more than
-// those of the others, of whose requests the usual share fails.
-func (health *health) isWorse(usual, reported float64) bool {
-	bad := health.bad + reported
-	return bad > standOut+usualTimes*usual*(health.good+bad)
+// isOutlier reports whether the failures, including those that peers report, are plainly more
+// than those of the other replicas, of whose requests the usual share fails.
+func (health *health) isOutlier(usual, reported float64) bool {
+	failures := health.bad + reported
+	return failures > minOutlierFailures+outlierFactor*usual*(health.successes+failures)
 }
 
-// hold leaves the replica alone, longer each time.
-func (health *health) hold(now time.Duration) {
-	if !health.isHeld && health.holds > 0 && now-health.freed > 2*mostHold {
-		health.holds = 0
+// eject takes the replica out of use, longer each time.
+func (health *health) eject(now time.Duration) {
+	if !health.isHeld && health.ejections > 0 && now-health.readmitted > 2*maxEjection {
+		health.ejections = 0
 	}
-	health.span = min(firstHold<<min(health.holds, 8), mostHold)
-	health.holds++
-	health.isHeld, health.began, health.until, health.served = true, now, now+health.span, 0
+	health.ejectionSpan = min(firstEjection<<min(health.ejections, 8), maxEjection)
+	health.ejections++
+	health.isHeld, health.ejectedSince, health.ejectedUntil, health.probeSuccesses = true, now, now+health.ejectionSpan, 0
 }
 
-// well counts a success; one that has served enough since it was held is let go.
+// well counts a success, and readmits a replica that has served enough probes.
 func (health *health) well(now time.Duration) {
-	health.fade(now)
-	health.good = min(mostGood, health.good+1)
-	if !health.isHeld || now < health.until {
+	health.decay(now)
+	health.successes = min(maxSuccesses, health.successes+1)
+	if !health.isHeld || now < health.ejectedUntil {
 		return
 	}
-	if health.served++; health.served >= enoughTries+moreTries*(health.holds-1) {
-		health.isHeld, health.freed, health.bad = false, now, 0
+	if health.probeSuccesses++; health.probeSuccesses >= minProbes+extraProbes*(health.ejections-1) {
+		health.isHeld, health.readmitted, health.bad = false, now, 0
 	}
 }
 
-// opens gives how long a held replica is to be left alone yet; zero when it may get a
-// request of the kind now. Others that can be repeated come or not: where they do, one that
-// can't is not what tells whether the replica is well again.
+// opens returns how long an ejected replica still gets no request of the kind; zero if it may
+// get one now. othersAre tells that repeatable requests come for the model: these then probe
+// the replica, so that one that can't be repeated does not have to.
 func (health *health) opens(now time.Duration, isRepeatable, othersAre bool) time.Duration {
 	if !health.isHeld {
 		return 0
 	}
-	at := max(health.until, health.asked+tryGap)
+	due := max(health.ejectedUntil, health.asked+probeInterval)
 	if !isRepeatable {
-		wait := max(unsafeWait, health.span/2)
-		if othersAre && health.served == 0 {
-			wait = max(unsafeWait, min(safeTimes*health.span, safeWait))
+		wait := max(minUnsafeWait, health.ejectionSpan/2)
+		if othersAre && health.probeSuccesses == 0 {
+			wait = max(minUnsafeWait, min(unsafeWaitFactor*health.ejectionSpan, maxUnsafeWait))
 		}
-		at = max(at, health.until+wait)
+		due = max(due, health.ejectedUntil+wait)
 	}
-	return max(0, at-now)
+	return max(0, due-now)
 }
 
-// badness is what an outcome counts against the replica: nothing if it says nothing of it,
-// and a late one as much as is certain.
+// badness is the weight of an outcome as a failure of the replica: zero if it shows nothing
+// about the replica, and for a late answer the certainty that the replica caused it.
 func badness(mishap *verdict.Mishap, isEmpty bool, certainty float64) float64 {
 	if mishap == nil {
 		return 0
@@ -155,126 +159,127 @@
 		return 1
 	case "replica_declined":
 		if isEmpty {
-			return 1 // it turned away while it had places
+			return 1 // it rejected the request though it had free slots
 		}
 	case "replica_silent", "expired":
 		if isEmpty {
-			return certainty // it was late while it had places
+			return certainty // it was late though it had free slots
 		}
 	}
 	return 0
 }
 
-// isSure tells whether a mishap that counts is the replica's for sure. Lateness is not: it
-// is of load as well, which all daemons of a region see alike, and would run from together.
+// isSure reports whether a failure is certainly the replica's own. Lateness is not: it also
+// comes from load, which all daemons of a region observe alike, so that they would all move
+// away from the replica at once.
 func isSure(mishap *verdict.Mishap) bool {
 	return mishap.Code != "replica_silent" && mishap.Code != "expired"
 }
 
-// judgeHealth takes in what became of a routed request at its replica; who holds the
-// guard calls it.
-func (decider *Decider) judgeHealth(selection *Selection, bad float64, now time.Duration) {
+// judgeHealth adds the weight of a routed request's failure to its replica's health, and
+// ejects the replica if that makes it an outlier. The caller holds guard.
+func (decider *Decider) judgeHealth(selection *Selection, weight float64, now time.Duration) {
 	health := &selection.seat.health
-	health.fade(now)
-	health.bad += bad
+	health.decay(now)
+	health.bad += weight
 	decider.wary = now + warySpan
 	switch {
 	case health.isHeld:
-		// It fails what it was tried with, and not what was under way before.
-		if now >= health.until && selection.sent >= health.until && bad >= standOut {
-			health.hold(now)
+		// A failed probe ejects it again; requests sent before the probing do not.
+		if now >= health.ejectedUntil && selection.sent >= health.ejectedUntil && weight >= minOutlierFailures {
+			health.eject(now)
 		}
-	case health.isWorse(decider.usual(selection.seat, selection.Region, selection.call.Model, now), selection.seat.reported(selection.Boot, now)) &&
-		decider.mayHold(decider.Holder(), selection.Region, selection.call.Model):
-		health.hold(now)
+	case health.isOutlier(decider.usualFailureShare(selection.seat, selection.Region, selection.call.Model, now), selection.seat.reported(selection.Boot, now)) &&
+		decider.mayEject(decider.Holder(), selection.Region, selection.call.Model):
+		health.eject(now)
 	}
 }
 
-// judgeLate is judgeHealth for a late first piece, that says nothing of a replica that has
-// much to do, or is cold.
-func (decider *Decider) judgeLate(selection *Selection, bad float64, now time.Duration) {
+// judgeLate is judgeHealth for a late first token. That shows nothing about a replica that
+// is busy or cold.
+func (decider *Decider) judgeLate(selection *Selection, weight float64, now time.Duration) {
 	view := decider.Holder()
 	if view.Tree == nil || selection.isCold || !selection.seat.isEmpty(view.Tree.Engine(selection.call.Model), now) {
 		return
 	}
-	decider.judgeHealth(selection, bad*decider.certainty(selection, now), now)
+	decider.judgeHealth(selection, weight*decider.certainty(selection, now), now)
 }
 
-// certainty is which part of what a late answer counts against its replica.
+// certainty is the share of its weight that a late answer counts against its replica.
 func (decider *Decider) certainty(selection *Selection, now time.Duration) float64 {
 	if selection.seat.freshness(now) > 0 || !decider.isLong(selection.routed) {
 		return 1
 	}
-	return unknownShare
+	return unknownLoadShare
 }
 
-// overdueAt notes once that a request has no answer though it is overdue, and tells
-// whether its replica stands out; who holds the guard calls it.
+// overdueAt counts a request that is overdue without an answer once, and reports whether its
+// replica is ejected. The caller holds guard.
 func (decider *Decider) overdueAt(selection *Selection, now time.Duration) bool {
 	if !selection.hasBegun && !selection.isLate && now-selection.sent > decider.Overdue(selection) {
 		selection.isLate = true
-		decider.judgeLate(selection, overdueBad, now)
+		decider.judgeLate(selection, overdueWeight, now)
 	}
 	return selection.seat.health.isHeld
 }
 
-// usual is the share of mishaps at the other replicas of the region and model that are
-// not held.
-func (decider *Decider) usual(seat *engine, region, model string, now time.Duration) float64 {
-	good, bad := float64(usualPrior), 0.0
-	for _, one := range decider.engines {
-		if one == seat || one.health.isHeld || one.region != region || one.model != model {
+// usualFailureShare is the share of failures at the other replicas of the region and model,
+// without the ejected ones.
+func (decider *Decider) usualFailureShare(state *engine, region, model string, now time.Duration) float64 {
+	good, bad := float64(priorSuccesses), 0.0
+	for _, other := range decider.engines {
+		if other == state || other.health.isHeld || other.region != region || other.model != model {
 			continue
 		}
-		one.health.fade(now)
-		good += one.health.good
-		bad += one.health.bad
+		other.health.decay(now)
+		good += other.health.successes
+		bad += other.health.bad
 	}
-	return max(usualLeast, bad/(good+bad))
+	return max(minUsualShare, bad/(good+bad))
 }
 
-// mayHold tells whether one more of the region's replicas of the model may be held.
+// mayEject reports whether one more of the region's replicas of the model may be ejected.
 //
-// Invariant: at most heldShare of those that the standing shows are.
-func (decider *Decider) mayHold(view *permit.View, region, model string) bool {
+// Invariant: at most maxEjectedShare of those in the region's routing table are.
+func (decider *Decider) mayEject(view *permit.View, region, model string) bool {
 	all, held := 0, 0
-	one := view.Standings[region]
-	placed := places{list: one.Places}
-	for _, row := range one.Rows {
+	table := view.Standings[region]
+	placed := places{list: table.Places}
+	for _, row := range table.Rows {
 		if place := placed.of(row.Replica); row.Model != model || place == nil || view.Evacuated[place.Zone] {
 			continue
 		}
 		all++
-		if one := decider.engines[row.Replica]; one != nil && one.health.isHeld {
+		if state := decider.engines[row.Replica]; state != nil && state.health.isHeld {
 			held++
 		}
 	}
-	return float64(held+1) <= heldShare*float64(all)
+	return float64(held+1) <= maxEjectedShare*float64(all)
 }
 
-// penalty is what a replica has to be better by for the requests that fail there, by what this
-// daemon knows and what colleagues report.
+// penalty is the time by which the replica's forecast is worsened for the failures there, by
+// this daemon's own counts and those that peers report.
 func (health *health) penalty(now time.Duration, isRepeatable bool, reported float64) time.Duration {
-	if health.bad+reported < leastBad || health.isHeld && now >= health.until {
-		return 0 // one that is being tried gets few requests anyhow
+	if health.bad+reported < leastBad || health.isHeld && now >= health.ejectedUntil {
+		return 0 // a replica that is being probed gets few requests anyway
 	}
-	weight := unsafeWeight
+	weight := unsafePenalty
 	if isRepeatable {
-		weight = mishapWeight
+		weight = repeatablePenalty
 	}
-	return time.Duration(health.share(now, reported) * float64(weight))
+	return time.Duration(health.failureShare(now, reported) * float64(weight))
 }
 
-// isEmpty tells whether most of the replica's places were free, as far as is known.
+// isEmpty reports whether the replica has free slots, as far as is known.
 func (engine *engine) isEmpty(known *settings.Engine, now time.Duration) bool {
 	return known != nil && known.Berths > 0 && engine.filled(known, now) < 1
 }
 
-// repeatableSpan is for how long after its last request that may be repeated a model is taken
-// to get more of them.
+// repeatableSpan is how long after a model's last repeatable request more of them are
+// expected.
 const repeatableSpan = 2 * time.Second
 
-// hasRepeatable tells whether requests that may be repeated come for the model.
+// hasRepeatable reports whether repeatable requests come for the model at present.
 func (decider *Decider) hasRepeatable(model string, now time.Duration) bool {
 	at, has := decider.repeatable[model]
 	return has && now-at < repeatableSpan
--- a/decide/health_test.go
+++ b/decide/health_test.go
@@ -45,14 +45,14 @@
 		clinic.decider = decide.New(decide.Options{World: node, Holder: func() *permit.View { return view }, Self: session.Member{Name: "x", Role: session.Data, Region: "a", Zone: "a-1"}})
 		for {
 			loop.Sleep(node, 10*time.Millisecond)
-			node.Go(func() { clinic.one(node, path) })
+			node.Go(func() { clinic.request(node, path) })
 		}
 	})
 	return clinic
 }
 
-// one is one request of 30 ms, at whichever replica it is sent to.
-func (clinic *clinic) one(node *sim.Node, path string) {
+// request is one request of 30 ms, at whichever replica it is sent to.
+func (clinic *clinic) request(node *sim.Node, path string) {
 	routed := &decide.Routed{ID: "r", Host: "h.example", Path: path, Tokens: 100, Most: 40, Expiry: node.Now() + 10*time.Second}
 	if mishap := clinic.decider.Direct(routed); mishap != nil {
 		clinic.t.Error(mishap.Code)
@@ -83,7 +83,7 @@
 	clinic.decider.Unseat(selection, mishap, 30*time.Millisecond)
 }
 
-func (clinic *clinic) look() (failed, all int) {
+func (clinic *clinic) takeCounts() (failed, all int) {
 	failed, all = clinic.failed, clinic.all
 	clinic.failed, clinic.all = 0, 0
 	return failed, all
@@ -117,23 +117,23 @@
 	for _, path := range []string{resumedPath, oncePath} {
 		clinic := newClinic(t, 30, path)
 		clinic.Run(3 * time.Second)
-		clinic.look()
-		ill := clinic.busiest()
+		clinic.takeCounts()
+		failing := clinic.busiest()
 		clinic.fails = func(replica string) *verdict.Mishap {
-			if replica == ill && clinic.Draw(10) < 4 {
+			if replica == failing && clinic.Draw(10) < 4 {
 				return badAnswer
 			}
 			return nil
 		}
 		from := clinic.Now()
 		clinic.Run(20 * time.Second)
-		if failed, all := clinic.look(); failed == 0 || failed > 16 {
+		if failed, all := clinic.takeCounts(); failed == 0 || failed > 16 {
 			t.Errorf("%s: %d of %d failed", path, failed, all)
 		}
 		// Gaps between requests there; the first is for its first mishap, which weighs a little.
 		var gaps []time.Duration
 		last := from
-		for _, at := range clinic.sent[ill] {
+		for _, at := range clinic.sent[failing] {
 			if gap := at - last; at > from && gap > 700*time.Millisecond {
 				gaps = append(gaps, gap)
 			}
@@ -154,9 +154,9 @@
 func TestReplicasAreTriedGently(t *testing.T) {
 	clinic := newClinic(t, 30, resumedPath)
 	clinic.Run(2 * time.Second)
-	ill := clinic.busiest()
+	failing := clinic.busiest()
 	clinic.fails = func(replica string) *verdict.Mishap {
-		if replica == ill {
+		if replica == failing {
 			return badAnswer
 		}
 		return nil
@@ -164,10 +164,10 @@
 	from := clinic.Now()
 	clinic.Run(20 * time.Second)
 	late := 0
-	for at, when := range clinic.sent[ill] {
+	for at, when := range clinic.sent[failing] {
 		if when > from+time.Second {
 			late++
-			if gap := when - clinic.sent[ill][at-1]; gap < 140*time.Millisecond {
+			if gap := when - clinic.sent[failing][at-1]; gap < 140*time.Millisecond {
 				t.Errorf("two requests %v apart", gap)
 			}
 		}
--- a/decide/judge.go
+++ b/decide/judge.go
@@ -8,184 +8,188 @@
 	"swifttiller/standing"
 )
 
-// judging is what a data daemon knows of versions on trial, and of ones that are
-// watched after their route moved. It stops what plainly fails by its own counts
-// and asks nobody.
+// judging is what a data daemon knows about versions on trial, and about versions that
+// are watched after a rollout has moved a route to them. By its own counts alone, without
+// asking other daemons, it stops sending requests to a version that plainly fails.
 //
-// Invariants: tokens of a kind and region grow only while a trial of its model
-// stands there, by small_share for each dispatch into that region, so of what
-// reached its replicas no kind ever gave a trial more than that share. What is
-// asked and declined, or goes elsewhere, buys nothing. A version in failed stays there until a view of all regions shows it
-// neither on trial nor watched; counts that fade do not clear it.
+// Invariants: the tokens of a kind and region grow only while a version of its model is
+// on trial there, by small_share for each attempt in that region. Of the attempts that
+// reached replicas of the region, no kind thus ever gives a trial more than that share.
+// Requests that are rejected, or go to another region, earn no tokens. A version stays in
+// failed until a view of all regions shows it neither on trial nor watched; the decay of
+// the counts does not clear it.
 type judging struct {
-	view    *permit.View      // that trials and watches were read from
-	trials  map[string]string // by region/model: the version on trial
-	watches map[string]string // by region/model: the version that is watched
-	left    map[string]string // by region/model: the one to go back to
-	tokens  map[string]*tokens
-	failed  map[standing.Held]bool
-	// pots are the tokens where placements hold any version, by region/model.
-	pots map[string]*pot
-	// waiting are dispatches without a piece so far, and since when; usual is how
-	// long the first piece of a model and kind takes, smoothed.
-	waiting map[*Selection]time.Duration
-	usual   map[string]time.Duration
-	learned map[string]int // how many first pieces that was learned from
+	view     *permit.View      // the view that trials and watches were read from
+	trials   map[string]string // by region/model: the version on trial
+	watches  map[string]string // by region/model: the version that is watched
+	previous map[string]string // by region/model: the version to go back to
+	buckets  map[string]*tokenBucket
+	failed   map[standing.Held]bool
+	// sharedBuckets are the buckets of models whose placement allows any version, by
+	// region/model.
+	sharedBuckets map[string]*sharedBucket
+	// waiting maps attempts without a first token to the time at which they started.
+	// usualFirst is the smoothed time to first token, by model/kind.
+	waiting      map[*Selection]time.Duration
+	usualFirst   map[string]time.Duration
+	firstSamples map[string]int // how many first tokens usualFirst was learned from
 }
 
-// tokens are a kind's dispatches saved up for a trial. They are spent in bursts,
-// since a version may fail only under load.
-type tokens struct {
+// tokenBucket holds the attempts of one kind that have been saved up for a trial. They
+// are spent in bursts, since a version may fail only under load.
+type tokenBucket struct {
 	value      float64
 	rate       flow
 	isSpending bool
 }
 
-// pot holds the dispatches saved up for a trial where the placement holds any version.
-// There the small share is one of all kinds together, as a trial is short: it ends with
-// its term, and a kind that comes seldom would save up nothing of its own until then.
-// Kinds that had fewer trials than others come first, and one token is kept for them.
+// sharedBucket holds the attempts saved up for a trial where the placement allows any
+// version. There all kinds share one bucket, because a trial is short: it ends with its
+// term, and a rare kind would not save up a token of its own by then. Kinds that had
+// fewer trial attempts than others go first, and one token is reserved for them.
 //
-// Invariant: value grows from zero, by small_share for each dispatch into the region, so
-// that of what reached its replicas never more than that share was the trial's.
-type pot struct {
-	tokens
+// Invariant: value starts at zero and grows by small_share for each attempt in the
+// region, so of the attempts that reached replicas there the trial never got more than
+// that share.
+type sharedBucket struct {
+	tokenBucket
 	version string
-	kinds   map[string]*kindPart
+	kinds   map[string]*kindBucket
 }
 
-// kindPart is one kind's part in a pot.
-type kindPart struct {
-	value  float64 // what the kind may give yet, bounded by openKindShare of it
+// kindBucket is the part of one kind of requests in a sharedBucket.
+type kindBucket struct {
+	value  float64 // attempts that the kind may still give, at most maxKindShare of its own
 	rate   flow
 	trials int
 }
 
-// openKindShare is the most of one kind that a trial of a pot gets.
-const openKindShare = 0.3
+// maxKindShare is the largest share of one kind that a trial with a sharedBucket gets.
+const maxKindShare = 0.3
 
-// part is the kind's, which may give one at once.
-func (pot *pot) part(kind string) *kindPart {
-	one := pot.kinds[kind]
-	if one == nil {
-		one = &kindPart{value: 1}
-		pot.kinds[kind] = one
+// bucketOf returns the bucket of the kind; a new one starts with one token.
+func (shared *sharedBucket) bucketOf(kind string) *kindBucket {
+	bucket := shared.kinds[kind]
+	if bucket == nil {
+		bucket = &kindBucket{value: 1}
+		shared.kinds[kind] = bucket
 	}
-	return one
+	return bucket
 }
 
-// save counts a dispatch for the region's pot.
-func (decider *Decider) save(view *permit.View, selection *Selection) {
-	at := selection.Region + "/" + selection.call.Model
-	version := decider.scan(view).trials[at]
+// accrueShared counts an attempt in the shared bucket of its region and model.
+func (decider *Decider) accrueShared(view *permit.View, selection *Selection) {
+	key := selection.Region + "/" + selection.call.Model
+	version := decider.refreshTrials(view).trials[key]
 	if version == "" {
-		delete(decider.judging.pots, at)
+		delete(decider.judging.sharedBuckets, key)
 		return
 	}
-	purse := decider.judging.pots[at]
-	if purse == nil || purse.version != version {
-		purse = &pot{version: version, kinds: map[string]*kindPart{}}
-		decider.judging.pots[at] = purse
+	bucket := decider.judging.sharedBuckets[key]
+	if bucket == nil || bucket.version != version {
+		bucket = &sharedBucket{version: version, kinds: map[string]*kindBucket{}}
+		decider.judging.sharedBuckets[key] = bucket
 	}
 	now := decider.World.Now()
-	part := purse.part(selection.call.Kind)
-	purse.rate.add(now, 1)
-	part.rate.add(now, 1)
-	purse.value += view.Tree.Limit("small_share", decider.Self.Zone)
-	part.value += openKindShare
+	kind := bucket.bucketOf(selection.call.Kind)
+	bucket.rate.add(now, 1)
+	kind.rate.add(now, 1)
+	bucket.value += view.Tree.Limit("small_share", decider.Self.Zone)
+	kind.value += maxKindShare
 	if selection.Trial {
-		purse.value--
-		part.value--
-		part.trials++
+		bucket.value--
+		kind.value--
+		kind.trials++
 	}
 }
 
-// unsave takes back what a dispatch that did not run was counted for.
-func (decider *Decider) unsave(view *permit.View, selection *Selection) {
-	purse := decider.judging.pots[selection.Region+"/"+selection.call.Model]
-	if purse == nil || selection.Trial && selection.Version != purse.version {
+// refundShared reverses accrueShared for an attempt that did not run.
+func (decider *Decider) refundShared(view *permit.View, selection *Selection) {
+	bucket := decider.judging.sharedBuckets[selection.Region+"/"+selection.call.Model]
+	if bucket == nil || selection.Trial && selection.Version != bucket.version {
 		return
 	}
-	part := purse.part(selection.call.Kind)
-	purse.value -= view.Tree.Limit("small_share", decider.Self.Zone)
-	part.value -= openKindShare
+	kind := bucket.bucketOf(selection.call.Kind)
+	bucket.value -= view.Tree.Limit("small_share", decider.Self.Zone)
+	kind.value -= maxKindShare
 	if selection.Trial {
-		purse.value++
-		part.value++
-		part.trials--
+		bucket.value++
+		kind.value++
+		kind.trials--
 	}
 }
 
-// openBurst is for how long dispatches are saved up in a pot before any is spent.
-const openBurst = time.Second
+// sharedBurstSpan is the time for which attempts are saved up in a shared bucket before
+// any is spent.
+const sharedBurstSpan = time.Second
 
-// leastBurst is how many are saved up at the least: a version that fails under load does
-// not show it to one request at a time.
-const leastBurst = 2
+// minBurst is the smallest number of attempts to save up: a version that fails under load
+// does not fail if it gets one request at a time.
+const minBurst = 2
 
-// gives tells whether the kind may give the pot's trial a dispatch now.
-func (pot *pot) gives(kind string, share float64, now time.Duration) bool {
-	mine := pot.part(kind)
-	if mine.value < 1 {
+// allows reports whether the kind may give the trial an attempt now.
+func (shared *sharedBucket) allows(kind string, share float64, now time.Duration) bool {
+	own := shared.bucketOf(kind)
+	if own.value < 1 {
 		return false
 	}
-	kept := 0.0
-	for _, one := range pot.kinds {
+	reserved := 0.0
+	for _, other := range shared.kinds {
 		switch {
-		case one.trials > 0 && mine.trials == 0:
-			return pot.value >= 1 // it comes first
-		case one.trials > mine.trials:
-			kept = 0
+		case other.trials > 0 && own.trials == 0:
+			return shared.value >= 1 // a kind without a trial attempt goes first
+		case other.trials > own.trials:
+			reserved = 0
 		}
-		if one.trials < mine.trials && one.rate.rate(now) > 0 {
-			kept = 1
+		if other.trials < own.trials && other.rate.rate(now) > 0 {
+			reserved = 1
 		}
 	}
 	switch {
-	case pot.value < 1+kept:
-		pot.isSpending = false
-	case pot.value >= kept+max(leastBurst, pot.rate.rate(now)*share*openBurst.Seconds()):
-		pot.isSpending = true
+	case shared.value < 1+reserved:
+		shared.isSpending = false
+	case shared.value >= reserved+max(minBurst, shared.rate.rate(now)*share*sharedBurstSpan.Seconds()):
+		shared.isSpending = true
 	}
-	return pot.isSpending
+	return shared.isSpending
 }
 
 func newJudging() judging {
-	return judging{pots: map[string]*pot{}, tokens: map[string]*tokens{}, failed: map[standing.Held]bool{}, waiting: map[*Selection]time.Duration{}, usual: map[string]time.Duration{}, learned: map[string]int{}}
+	return judging{sharedBuckets: map[string]*sharedBucket{}, buckets: map[string]*tokenBucket{}, failed: map[standing.Held]bool{}, waiting: map[*Selection]time.Duration{}, usualFirst: map[string]time.Duration{}, firstSamples: map[string]int{}}
 }
 
-// scan reads from a new view what is on trial and what is watched.
-func (decider *Decider) scan(view *permit.View) *judging {
+// refreshTrials reads the trials and the watched versions from the view if it is new.
+func (decider *Decider) refreshTrials(view *permit.View) *judging {
 	judging := &decider.judging
 	if judging.view == view {
 		return judging
 	}
 	judging.view = view
-	judging.trials, judging.watches, judging.left = map[string]string{}, map[string]string{}, map[string]string{}
+	judging.trials, judging.watches, judging.previous = map[string]string{}, map[string]string{}, map[string]string{}
 	shown := map[standing.Held]bool{}
-	for region, one := range view.Standings {
-		for _, row := range one.Rows {
+	for region, table := range view.Standings {
+		for _, row := range table.Rows {
 			if row.Trial {
 				judging.trials[region+"/"+row.Model] = row.Version
 				shown[standing.Held{Model: row.Model, Version: row.Version}] = true
 			}
 			if row.Back {
-				judging.left[region+"/"+row.Model] = row.Version
+				judging.previous[region+"/"+row.Model] = row.Version
 			}
 		}
-		for _, row := range one.Rows {
-			if at := region + "/" + row.Model; judging.left[at] != "" && !row.Back && !row.Trial {
-				judging.watches[at] = row.Version
+		for _, row := range table.Rows {
+			if key := region + "/" + row.Model; judging.previous[key] != "" && !row.Back && !row.Trial {
+				judging.watches[key] = row.Version
 				shown[standing.Held{Model: row.Model, Version: row.Version}] = true
 			}
 		}
 	}
-	for _, one := range view.Standings {
-		for _, version := range one.Failed {
+	for _, table := range view.Standings {
+		for _, version := range table.Failed {
 			judging.failed[version] = true
 		}
 	}
-	isWhole := true // a region without a standing now may show it again
+	isWhole := true // a region without a routing table may still have the version
 	for _, region := range view.Tree.Regions() {
 		_, has := view.Standings[region]
 		isWhole = isWhole && has
@@ -198,241 +202,243 @@
 	return judging
 }
 
-// tokenKey names the tokens of a call's kind in a region.
+// tokenKey is the key of the bucket of a call's kind in a region.
 func tokenKey(region string, call *Call) string { return region + "/" + call.Model + "/" + call.Kind }
 
-// accrue counts a dispatch into the region for the trial of its model there, if
-// there is one, and takes what the trial itself was given.
+// accrue adds small_share of an attempt to the bucket of the trial of its model in the
+// region, if there is one, and removes a token if the attempt went to the trial itself.
 func (decider *Decider) accrue(view *permit.View, selection *Selection) {
-	if decider.holdsAny(view, selection.call.Model) {
-		decider.save(view, selection)
+	if decider.allowsAnyVersion(view, selection.call.Model) {
+		decider.accrueShared(view, selection)
 		return
 	}
 	call, key := selection.call, tokenKey(selection.Region, selection.call)
-	if decider.scan(view).trials[selection.Region+"/"+call.Model] == "" {
-		delete(decider.judging.tokens, key)
+	if decider.refreshTrials(view).trials[selection.Region+"/"+call.Model] == "" {
+		delete(decider.judging.buckets, key)
 		return
 	}
-	one := decider.judging.tokens[key]
-	if one == nil {
-		one = &tokens{}
-		decider.judging.tokens[key] = one
+	bucket := decider.judging.buckets[key]
+	if bucket == nil {
+		bucket = &tokenBucket{}
+		decider.judging.buckets[key] = bucket
 	}
-	one.rate.add(decider.World.Now(), 1)
-	one.value += view.Tree.Limit("small_share", decider.Self.Zone)
+	bucket.rate.add(decider.World.Now(), 1)
+	bucket.value += view.Tree.Limit("small_share", decider.Self.Zone)
 	if selection.Trial {
-		one.value--
+		bucket.value--
 	}
 }
 
-// refund takes back what a dispatch that did not run was counted for.
+// refund reverses accrue for an attempt that did not run.
 func (decider *Decider) refund(view *permit.View, selection *Selection) {
 	if view.Tree == nil {
 		return
 	}
-	if decider.holdsAny(view, selection.call.Model) {
-		decider.unsave(view, selection)
+	if decider.allowsAnyVersion(view, selection.call.Model) {
+		decider.refundShared(view, selection)
 		return
 	}
-	one := decider.judging.tokens[tokenKey(selection.Region, selection.call)]
-	if one == nil {
+	bucket := decider.judging.buckets[tokenKey(selection.Region, selection.call)]
+	if bucket == nil {
 		return
 	}
-	one.value -= view.Tree.Limit("small_share", decider.Self.Zone)
+	bucket.value -= view.Tree.Limit("small_share", decider.Self.Zone)
 	if selection.Trial {
-		one.value++
+		bucket.value++
 	}
 }
 
-// burst is how many dispatches are saved up before any is spent: what a third of
+// burst is the number of attempts to save up before any is spent: as many as a third of
 // the trial's time brings in.
-func (decider *Decider) burst(view *permit.View, one *tokens) float64 {
-	rate := one.rate.rate(decider.World.Now()) * view.Tree.Limit("small_share", decider.Self.Zone)
+func (decider *Decider) burst(view *permit.View, bucket *tokenBucket) float64 {
+	rate := bucket.rate.rate(decider.World.Now()) * view.Tree.Limit("small_share", decider.Self.Zone)
 	return max(1, rate*view.Tree.Span("trial_ms", decider.Self.Region).Seconds()/3)
 }
 
-// holdsAny tells whether the model's placement holds any version.
-func (decider *Decider) holdsAny(view *permit.View, model string) bool {
+// allowsAnyVersion reports whether the model's placement allows any version.
+func (decider *Decider) allowsAnyVersion(view *permit.View, model string) bool {
 	placement, _ := view.Tree.Placement(model, decider.Self.Zone)
 	return placement.Any()
 }
 
-// opensTrial gives the version of the call's model that is on trial in the region,
-// empty when there is none, and whether this request is to go to it now: then it goes
-// to none of the other versions there. The caller holds guard, and what it selects it
-// counts by dispatched.
+// opensTrial returns the version of the call's model that is on trial in the region, empty
+// if there is none, and whether this request should go to it now rather than to any other
+// version there. The caller holds guard, and counts what it selects through dispatched.
 func (decider *Decider) opensTrial(view *permit.View, call *Call, region string) (version string, open bool) {
-	version = decider.scan(view).trials[region+"/"+call.Model]
-	return version, version != "" && decider.opens(view, call, region, settings.AnyVersion, version)
+	version = decider.refreshTrials(view).trials[region+"/"+call.Model]
+	return version, version != "" && decider.allowsTrial(view, call, region, settings.AnyVersion, version)
 }
 
-// trialRank orders the replicas of a version on trial, the greatest first. All daemons
-// have the same order: what they may give goes to few replicas, which so bear a load at
-// which a version that fails under load shows it.
+// trialRank orders the replicas of a version on trial, the greatest first. The order is the
+// same for all daemons, so that the few trial requests go to few replicas, whose load is
+// then high enough to expose a version that fails under load.
 func trialRank(model, version, replica string) uint64 {
 	return score(Prefix([]byte(model+"@"+version)), replica)
 }
 
-// barred tells whether a version of a model gets none of the region's requests, unless
-// opensTrial has opened it for the one at hand: it is on trial; it is watched after its
-// move and plainly fails by this daemon's own counts; or it was left by that move and
-// stands by. The caller holds guard.
+// barred reports whether a version of a model gets none of the region's requests, unless
+// opensTrial has opened it for the request at hand: it is on trial; or it is watched after
+// a rollout and plainly fails by this daemon's own counts; or it is the previous version,
+// which stands by while the watched one does not fail. The caller holds guard.
 func (decider *Decider) barred(view *permit.View, region, model, version string) bool {
-	judging := decider.scan(view)
-	at := region + "/" + model
+	judging := decider.refreshTrials(view)
+	key := region + "/" + model
 	switch {
-	case judging.trials[at] == version:
+	case judging.trials[key] == version:
 		return true
-	case judging.watches[at] == "":
+	case judging.watches[key] == "":
 		return false
-	case judging.watches[at] == version:
+	case judging.watches[key] == version:
 		return decider.fails(view, region, model)
 	}
 	return !decider.fails(view, region, model)
 }
 
-// opens tells whether the kind may give the region's trial a dispatch now.
-func (decider *Decider) opens(view *permit.View, call *Call, region, old, trial string) bool {
-	if decider.holdsAny(view, call.Model) {
-		pot := decider.judging.pots[region+"/"+call.Model]
-		if pot == nil || pot.version != trial || call.retry || decider.isPlain(call.Model, old, trial) {
+// allowsTrial reports whether the kind may give the region's trial an attempt now.
+func (decider *Decider) allowsTrial(view *permit.View, call *Call, region, current, trial string) bool {
+	if decider.allowsAnyVersion(view, call.Model) {
+		shared := decider.judging.sharedBuckets[region+"/"+call.Model]
+		if shared == nil || shared.version != trial || call.retry || decider.plainlyFails(call.Model, current, trial) {
 			return false
 		}
-		return pot.gives(call.Kind, view.Tree.Limit("small_share", decider.Self.Zone), decider.World.Now())
+		return shared.allows(call.Kind, view.Tree.Limit("small_share", decider.Self.Zone), decider.World.Now())
 	}
-	one := decider.judging.tokens[tokenKey(region, call)]
-	if one == nil || call.retry || decider.isPlain(call.Model, old, trial) {
+	bucket := decider.judging.buckets[tokenKey(region, call)]
+	if bucket == nil || call.retry || decider.plainlyFails(call.Model, current, trial) {
 		return false
 	}
 	switch {
-	case one.value < 1:
-		one.isSpending = false
-	case one.value >= decider.burst(view, one):
-		one.isSpending = true
+	case bucket.value < 1:
+		bucket.isSpending = false
+	case bucket.value >= decider.burst(view, bucket):
+		bucket.isSpending = true
 	}
-	return one.isSpending
+	return bucket.isSpending
 }
 
-// isPlain tells whether a version plainly fails by this daemon's own counts.
-func (decider *Decider) isPlain(model, old, version string) bool {
+// plainlyFails reports whether a version plainly fails by this daemon's own counts.
+func (decider *Decider) plainlyFails(model, current, version string) bool {
 	held := standing.Held{Model: model, Version: version}
-	if !decider.judging.failed[held] && standing.TrialFails(model, standing.Route{Version: old, Trial: version}, decider.recent(decider.World.Now())) {
+	if !decider.judging.failed[held] && standing.TrialFails(model, standing.Route{Version: current, Trial: version}, decider.recent(decider.World.Now())) {
 		decider.judging.failed[held] = true
 	}
 	return decider.judging.failed[held]
 }
 
-// watched is the version that the region's route moved to a short while ago; it
-// is empty when there is nothing to go back to.
-func (decider *Decider) watched(view *permit.View, region, model string) string {
-	return decider.scan(view).watches[region+"/"+model]
+// watchedVersion returns the version that the region's route moved to recently, or an empty
+// string if there is no previous version to go back to.
+func (decider *Decider) watchedVersion(view *permit.View, region, model string) string {
+	return decider.refreshTrials(view).watches[region+"/"+model]
 }
 
-// fails tells whether the region's watched version plainly fails, so that the
-// one that was left is to be used.
+// fails reports whether the region's watched version plainly fails, so that the previous
+// one is to be used.
 func (decider *Decider) fails(view *permit.View, region, model string) bool {
-	version := decider.watched(view, region, model)
-	old := decider.judging.left[region+"/"+model]
-	if decider.holdsAny(view, model) {
-		old = settings.AnyVersion // several may have been left
+	version := decider.watchedVersion(view, region, model)
+	previous := decider.judging.previous[region+"/"+model]
+	if decider.allowsAnyVersion(view, model) {
+		previous = settings.AnyVersion // the rollout may have replaced several versions
 	}
-	return version != "" && decider.isPlain(model, old, version)
+	return version != "" && decider.plainlyFails(model, previous, version)
 }
 
-// trial decides, where a replica has both versions, which of its rows counts:
-// the trial's while the small share allows it and its failures are not plain.
+// trial drops from the candidates the rows that do not count now. Where a trial is open,
+// its rows replace all others of the region if the placement allows any version, else only
+// those of the same replicas; where it is not open, its rows are dropped. A trial is open
+// while the small share allows it and the version does not plainly fail.
 func (decider *Decider) trial(view *permit.View, call *Call, free []candidate) []candidate {
-	trials, olds := map[string]string{}, map[string]string{} // by region
-	trialled := map[string]bool{}
-	for _, one := range free {
-		if one.row.Trial {
-			trials[one.place.Region] = one.row.Version
-			trialled[one.row.Replica] = true
+	trialVersions, currentVersions := map[string]string{}, map[string]string{} // by region
+	replicasOnTrial := map[string]bool{}
+	for _, option := range free {
+		if option.row.Trial {
+			trialVersions[option.endpoint.Region] = option.row.Version
+			replicasOnTrial[option.row.Replica] = true
 		} else {
-			olds[one.place.Region] = one.row.Version
+			currentVersions[option.endpoint.Region] = option.row.Version
 		}
 	}
-	if len(trials) == 0 {
+	if len(trialVersions) == 0 {
 		return free
 	}
-	decider.scan(view)
+	decider.refreshTrials(view)
 	isOpen := map[string]bool{}
-	holdsAny := decider.holdsAny(view, call.Model)
-	for region, trial := range trials {
+	holdsAny := decider.allowsAnyVersion(view, call.Model)
+	for region, trial := range trialVersions {
 		if holdsAny {
-			olds[region] = settings.AnyVersion
+			currentVersions[region] = settings.AnyVersion
 		}
-		isOpen[region] = decider.opens(view, call, region, olds[region], trial)
+		isOpen[region] = decider.allowsTrial(view, call, region, currentVersions[region], trial)
 	}
 	out := free[:0:0]
-	for _, one := range free {
-		opened := isOpen[one.place.Region]
-		if one.row.Trial && !opened || !one.row.Trial && opened && (holdsAny || trialled[one.row.Replica]) {
+	for _, option := range free {
+		opened := isOpen[option.endpoint.Region]
+		if option.row.Trial && !opened || !option.row.Trial && opened && (holdsAny || replicasOnTrial[option.row.Replica]) {
 			continue
 		}
-		out = append(out, one)
+		out = append(out, option)
 	}
 	return out
 }
 
-// First notes that a dispatch got its first piece.
+// First notes that an attempt got its first token.
 func (decider *Decider) First(selection *Selection) {
 	decider.guard.Lock()
 	defer decider.guard.Unlock()
 	delete(decider.judging.waiting, selection)
 }
 
-// Ratios of how long a first piece may take before it is late: to stall_ms, and to what is usual for the kind.
+// Factors of the time after which a first token is late: the longer one of stall_ms divided
+// by overdueStallShare and the usual time of the kind times overdueUsualFactor.
 const (
-	overdueShare = 5
-	overdueUsual = 4
+	overdueStallShare  = 5
+	overdueUsualFactor = 4
 )
 
-func (decider *Decider) overdue(selection *Selection) time.Duration {
-	bound := decider.judging.usual[selection.call.Model+"/"+selection.call.Kind] * overdueUsual
+func (decider *Decider) lateBound(selection *Selection) time.Duration {
+	bound := decider.judging.usualFirst[selection.call.Model+"/"+selection.call.Kind] * overdueUsualFactor
 	if view := decider.Holder(); view.Tree != nil {
-		bound = max(bound, view.Tree.Span("stall_ms", decider.Self.Zone)/overdueShare)
+		bound = max(bound, view.Tree.Span("stall_ms", decider.Self.Zone)/overdueStallShare)
 	}
 	return bound
 }
 
-// late tells whether the dispatch has waited too long for a piece.
+// late reports whether the attempt has waited too long for a first token.
 func (decider *Decider) late(selection *Selection, now time.Duration) bool {
 	since, waits := decider.judging.waiting[selection]
 	since += selection.Allowance
-	return waits && now-since > decider.overdue(selection)
+	return waits && now-since > decider.lateBound(selection)
 }
 
-// learnedEnough is from how many first pieces on it is known what is usual.
-const learnedEnough = 32
+// minFirstSamples is the number of first tokens from which the usual time is known.
+const minFirstSamples = 32
 
-// slow tells whether a first piece took plainly longer than is usual for the kind.
-func (decider *Decider) slow(selection *Selection, first time.Duration) bool {
+// isSlow reports whether a first token took plainly longer than is usual for the kind.
+func (decider *Decider) isSlow(selection *Selection, first time.Duration) bool {
 	key := selection.call.Model + "/" + selection.call.Kind
-	usual := decider.judging.usual[key]
-	return decider.judging.learned[key] >= learnedEnough && float64(first) > standing.SlowUsual*float64(usual)
+	usual := decider.judging.usualFirst[key]
+	return decider.judging.firstSamples[key] >= minFirstSamples && float64(first) > standing.SlowUsual*float64(usual)
 }
 
-// learn smooths what is usual.
-func (decider *Decider) learn(selection *Selection, first time.Duration) {
+// learnUsual adds a sample to the smoothed time to first token.
+func (decider *Decider) learnUsual(selection *Selection, first time.Duration) {
 	key := selection.call.Model + "/" + selection.call.Kind
-	usual := decider.judging.usual[key]
-	decider.judging.usual[key] = usual + (first-usual)/16
-	decider.judging.learned[key]++
+	usual := decider.judging.usualFirst[key]
+	decider.judging.usualFirst[key] = usual + (first-usual)/16
+	decider.judging.firstSamples[key]++
 }
 
-// recent are the last seconds' outcomes, with those that are overdue by now.
+// recent returns the outcomes of the last seconds, counting overdue attempts as late.
 func (decider *Decider) recent(now time.Duration) map[standing.Outcome]standing.Outcome {
 	out := decider.window.recent(now)
 	decider.addLate(now, out, false)
 	return out
 }
 
-// totals are all outcomes, with those that are overdue by now.
+// totals returns all outcomes, counting overdue attempts as late.
 func (decider *Decider) totals(now time.Duration) map[standing.Outcome]standing.Outcome {
 	out := map[standing.Outcome]standing.Outcome{}
-	for key, one := range decider.window.totals {
-		out[key] = one
+	for key, outcome := range decider.window.totals {
+		out[key] = outcome
 	}
 	decider.addLate(now, out, true)
 	return out
--- a/decide/keys_test.go
+++ b/decide/keys_test.go
@@ -34,7 +34,7 @@
 	view := tenanted
 	world := loop.NewMachine()
 	decider := decide.New(decide.Options{World: world, Holder: func() *permit.View { return view }, Self: session.Member{Name: "x", Role: session.Data, Region: "a", Zone: "a-1"}})
-	for _, one := range []struct {
+	for _, test := range []struct {
 		view         *permit.View
 		path, key    string
 		status       int
@@ -56,21 +56,21 @@
 		{routedView(30), resumedPath, "", 0, "", ""},
 		{routedView(30), resumedPath, "k1", 0, "", ""},
 	} {
-		view = one.view
-		routed := &decide.Routed{Host: "h.example", Path: one.path, Key: one.key, Expiry: world.Now() + time.Minute}
+		view = test.view
+		routed := &decide.Routed{Host: "h.example", Path: test.path, Key: test.key, Expiry: world.Now() + time.Minute}
 		mishap := decider.Direct(routed)
 		switch {
-		case (mishap != nil) != (one.status != 0), mishap != nil && (mishap.Status != one.status || mishap.Code != one.code):
-			t.Errorf("%s with key %q: %+v", one.path, one.key, mishap)
-		case mishap == nil && routed.IsTenanted != one.view.Tree.Tenanted():
-			t.Errorf("%s with key %q: tenanted: %v", one.path, one.key, routed.IsTenanted)
+		case (mishap != nil) != (test.status != 0), mishap != nil && (mishap.Status != test.status || mishap.Code != test.code):
+			t.Errorf("%s with key %q: %+v", test.path, test.key, mishap)
+		case mishap == nil && routed.IsTenanted != test.view.Tree.Tenanted():
+			t.Errorf("%s with key %q: tenanted: %v", test.path, test.key, routed.IsTenanted)
 		}
 		got := ""
 		if mishap == nil && routed.Tenant != nil {
 			got = routed.Tenant.Name
 		}
-		if got != one.tenant {
-			t.Errorf("%s with key %q is of %q", one.path, one.key, got)
+		if got != test.tenant {
+			t.Errorf("%s with key %q is of %q", test.path, test.key, got)
 		}
 	}
 }
@@ -82,12 +82,12 @@
 	world := loop.NewMachine()
 	for _, own := range []string{"a", "b", "c"} {
 		decider := decide.New(decide.Options{World: world, Holder: func() *permit.View { return view }, Self: session.Member{Name: "x", Role: session.Data, Region: own, Zone: own + "-1"}})
-		for _, one := range []struct {
+		for _, test := range []struct {
 			path, key, allowed string
 			urgency            int
 		}{{resumedPath, "k1", "ab", 0}, {resumedPath, "k3", "abc", 4}, {oncePath, "k1", "b", 0}, {oncePath, "k3", "bc", 4}} {
 			for index := range 200 {
-				routed := &decide.Routed{Host: "h.example", Path: one.path, Key: one.key, Tokens: 17020, Most: 48, Expiry: world.Now() + time.Minute,
+				routed := &decide.Routed{Host: "h.example", Path: test.path, Key: test.key, Tokens: 17020, Most: 48, Expiry: world.Now() + time.Minute,
 					Parts: []decide.Part{{ID: uint64(1 + index%12), Tokens: 13300}, {ID: uint64(1000 + index), Tokens: 3720}}}
 				if mishap := decider.Direct(routed); mishap != nil {
 					t.Fatal(mishap.Code)
@@ -97,8 +97,8 @@
 					t.Fatal(mishap.Code)
 				}
 				decider.Begun(selection, true)
-				if !strings.Contains(one.allowed, selection.Region) || routed.Urgency() != one.urgency {
-					t.Fatalf("home: %s with %s from %s went to %s, with the rank %d", one.path, one.key, own, selection.Region, routed.Urgency())
+				if !strings.Contains(test.allowed, selection.Region) || routed.Urgency() != test.urgency {
+					t.Fatalf("home: %s with %s from %s went to %s, with the rank %d", test.path, test.key, own, selection.Region, routed.Urgency())
 				}
 				decider.Unseat(selection, nil, time.Millisecond)
 			}
--- a/decide/open_test.go
+++ b/decide/open_test.go
@@ -21,34 +21,34 @@
 		panic(problems)
 	}
 	out.Tree = tree
-	one := out.Standings["a"]
+	table := out.Standings["a"]
 	if older != nil {
-		for index := range one.Rows {
-			older(&one.Rows[index])
+		for index := range table.Rows {
+			older(&table.Rows[index])
 		}
 	}
 	for _, id := range []string{"r4", "r5"} {
-		one.Places = append(one.Places, standing.Place{ID: id, Address: id, Zone: "a-1", Region: "a", Capacity: 64, Whole: 64, Warm: 1, Credits: map[string]int{"x": 64}})
+		table.Places = append(table.Places, standing.Place{ID: id, Address: id, Zone: "a-1", Region: "a", Capacity: 64, Whole: 64, Warm: 1, Credits: map[string]int{"x": 64}})
 		row := standing.Row{Replica: id, Model: "m", Version: "v2"}
 		newer(&row)
-		one.Rows = append(one.Rows, row)
+		table.Rows = append(table.Rows, row)
 	}
-	out.Standings["a"] = one
+	out.Standings["a"] = table
 	return out
 }
 
 func onTrial(row *standing.Row) { row.Trial = true }
 
-// serves has one request of the kind served, with its first piece after the time that
+// serveOne has one request of the kind served, with its first piece after the time that
 // is given for the version, and tells where it went; a time below zero fails it.
-func serves(t *testing.T, bench *bench, kind string, first func(version string) time.Duration) *decide.Selection {
+func serveOne(t *testing.T, bench *bench, kind string, first func(version string) time.Duration) *decide.Selection {
 	t.Helper()
 	var selection *decide.Selection
 	bench.Node("x").Go(func() {
-		one := call("q")
-		one.Kind = kind
+		request := call("q")
+		request.Kind = kind
 		var mishap *verdict.Mishap
-		if selection, mishap = bench.deciders["x"].Select(one, nil); mishap != nil {
+		if selection, mishap = bench.deciders["x"].Select(request, nil); mishap != nil {
 			t.Errorf("declined: %v", mishap)
 			return
 		}
@@ -62,7 +62,7 @@
 	return selection
 }
 
-func steady(span time.Duration) func(string) time.Duration {
+func constantTime(span time.Duration) func(string) time.Duration {
 	return func(string) time.Duration { return span }
 }
 
@@ -72,34 +72,34 @@
 func TestOpenTrialKeepsItsShare(t *testing.T) {
 	bench := newBench("x")
 	bench.now = openView(onTrial, nil)
-	mine, seldom, seldomAll := 0, 0, 0
-	where := map[string]int{}
-	for whole := 1; whole <= 2000; whole++ {
+	trials, rareTrials, rareTotal := 0, 0, 0
+	byReplica := map[string]int{}
+	for total := 1; total <= 2000; total++ {
 		kind := "often"
-		if whole%20 == 0 {
+		if total%20 == 0 {
 			kind = "seldom"
-			seldomAll++
+			rareTotal++
 		}
-		selection := serves(t, bench, kind, steady(100*time.Millisecond))
+		selection := serveOne(t, bench, kind, constantTime(100*time.Millisecond))
 		if selection.Trial != (selection.Version == "v2") {
 			t.Fatalf("%s was given as a trial: %v", selection.Version, selection.Trial)
 		}
 		if selection.Trial {
-			mine++
-			where[selection.Replica]++
+			trials++
+			byReplica[selection.Replica]++
 			if kind == "seldom" {
-				seldom++
+				rareTrials++
 			}
 		}
-		if float64(mine) > 0.08*float64(whole)+0.001 {
-			t.Fatalf("bad version: %d of the first %d went to the trial", mine, whole)
+		if float64(trials) > 0.08*float64(total)+0.001 {
+			t.Fatalf("bad version: %d of the first %d went to the trial", trials, total)
 		}
-		if whole == 60 && seldom == 0 {
+		if total == 60 && rareTrials == 0 {
 			t.Error("no request of the kind that comes seldom was tried among the first 60")
 		}
 	}
-	if mine < 140 || len(where) != 1 || float64(seldom) > 0.31*float64(seldomAll)+1 || seldom < 20 {
-		t.Errorf("the trial got %d, %d of the %d that come seldom, at %v", mine, seldom, seldomAll, where)
+	if trials < 140 || len(byReplica) != 1 || float64(rareTrials) > 0.31*float64(rareTotal)+1 || rareTrials < 20 {
+		t.Errorf("the trial got %d, %d of the %d that come seldom, at %v", trials, rareTrials, rareTotal, byReplica)
 	}
 }
 
@@ -124,7 +124,7 @@
 		if open {
 			isOpened++
 		}
-		serves(t, bench, "k", func(version string) time.Duration {
+		serveOne(t, bench, "k", func(version string) time.Duration {
 			if version == "v2" {
 				failed++
 				return -1
@@ -139,7 +139,7 @@
 	if !decider.Barred(bench.now, "a", "m", "v2") || decider.Barred(bench.now, "a", "m", "v1") {
 		t.Error("one that failed is gone back from, if its move is watched")
 	}
-	if selection := serves(t, bench, "k", steady(time.Millisecond)); selection.Version != "v1" {
+	if selection := serveOne(t, bench, "k", constantTime(time.Millisecond)); selection.Version != "v1" {
 		t.Errorf("%s was given", selection.Version)
 	}
 }
@@ -148,7 +148,7 @@
 // version that takes three times as long has shown it within 50 answers; one that takes
 // as long, or longer by what was known beforehand, has not.
 func TestSeveralTimesSlowerIsNoticed(t *testing.T) {
-	for _, one := range []struct {
+	for _, test := range []struct {
 		took, allowance time.Duration
 		part            int // every how many of its answers
 		want            bool
@@ -166,28 +166,28 @@
 					return
 				}
 				if selection.Version == "v2" {
-					if answers++; answers%one.part == 0 {
-						took = one.took
+					if answers++; answers%test.part == 0 {
+						took = test.took
 					}
-					selection.Allowance = one.allowance
+					selection.Allowance = test.allowance
 				}
 				decider.Release(selection, nil, took)
 			})
 			bench.Run(5 * time.Millisecond)
-			var mine, other standing.Outcome
+			var trial, other standing.Outcome
 			for _, outcome := range decider.Report().Total {
 				if outcome.Version == "v2" {
-					mine.Add(outcome)
+					trial.Add(outcome)
 				} else {
 					other.Add(outcome)
 				}
 			}
-			isNoticed = standing.Slower(mine, other) || standing.PlainVersion(mine, other)
+			isNoticed = standing.Slower(trial, other) || standing.PlainVersion(trial, other)
 		}
-		if isNoticed != one.want {
-			t.Errorf("%+v: noticed %v after %d answers", one, isNoticed, answers)
+		if isNoticed != test.want {
+			t.Errorf("%+v: noticed %v after %d answers", test, isNoticed, answers)
 		} else {
-			t.Log(fmt.Sprintf("%+v: noticed %v after %d answers", one, isNoticed, answers))
+			t.Log(fmt.Sprintf("%+v: noticed %v after %d answers", test, isNoticed, answers))
 		}
 	}
 }
--- a/decide/peerreport.go
+++ b/decide/peerreport.go
@@ -11,71 +11,73 @@
 	"swifttiller/session"
 )
 
-// Health reports: what one data daemon has found out about a replica by requests of its own,
-// its peers of the region need not pay for again.
+// Health reports: data daemons of a region share what their own requests have shown about a
+// replica, so that each of them need not find out by failures of its own.
 
-// HealthReport is what a data daemon holds against one life of a replica.
+// HealthReport is the failure record of one data daemon about one run (boot) of a replica.
 type HealthReport struct {
 	Replica, Boot string
 	Region, Model string
-	// Bad is the count of failures that speak against it, as it has faded when this was sent.
+	// Bad is the decayed count of failures as of when the report was sent.
 	Bad float64
-	// Held is for how long yet the daemon leaves it alone; zero if it does not.
+	// Held is the remaining time of the daemon's ejection of the replica; zero if there is none.
 	Held time.Duration
 }
 
-// HealthReports are what one data daemon tells a peer of its region.
+// HealthReports is what one data daemon sends to a peer of its region.
 //
-// Invariant: they are hints. One that is lost, late, repeated or out of order costs a few
-// requests at the most: each replaces what the same daemon told of the same replica before,
-// fades as own counts do, and counts for no longer than a hold may last.
+// Invariant: reports are hints. One that is lost, late, repeated or out of order costs a few
+// requests at most: each replaces the previous one of the same daemon about the same replica,
+// decays like own counts, and counts for no longer than an ejection may last.
 type HealthReports struct {
-	// From is the daemon's name, and Zone where it is.
+	// From is the daemon's name, and Zone its zone.
 	From, Zone string
 	Replicas   []HealthReport
 }
 
 // Constants of reports.
 const (
-	// reportDelay is for how long failures are collected before the first report of them goes
-	// out; reportEach is by how much each peer lengthens that between two reports, so
-	// that what a daemon receives a second does not grow with the region.
-	reportDelay = 10 * time.Millisecond
-	reportEach  = 4 * time.Millisecond
-	// reportPatience bounds a call.
-	reportPatience = 500 * time.Millisecond
-	// zoneBad is the most that reports from one zone count, in failures of this daemon's own.
-	zoneBad = 1
-	// reportedHold is how much must be reported for a replica to be held by a daemon that it
-	// has not failed: more than one zone can, as its reports may be about the way from there.
-	reportedHold = 1.5 * zoneBad
-	// mostExtended is for how long after it began reports may extend a hold.
-	mostExtended = 2 * mostHold
+	// reportDelay is how long failures are collected before the first report about them.
+	// reportIntervalPerPeer is how much each peer lengthens the interval between two reports,
+	// so that the number of reports that a daemon receives in a second does not grow with the
+	// region.
+	reportDelay           = 10 * time.Millisecond
+	reportIntervalPerPeer = 4 * time.Millisecond
+	// reportTimeout bounds a call.
+	reportTimeout = 500 * time.Millisecond
+	// maxZoneFailures bounds what reports of one zone count, in failures of this daemon's own.
+	maxZoneFailures = 1
+	// minReportedFailures is the reported count from which a daemon ejects a replica that has
+	// not failed it. It is more than one zone can reach, as the reports of a zone may be due
+	// to its network path to the replica.
+	minReportedFailures = 1.5 * maxZoneFailures
+	// maxExtended bounds how long after its start reports may extend an ejection.
+	maxExtended = 2 * maxEjection
 )
 
-// healthReport is what a peer told of a replica's life, when, and until when that one
-// holds it.
+// healthReport is a peer's report about a run of a replica, the time it came, and until when
+// the peer ejects the replica.
 type healthReport struct {
 	boot, zone string
-	bad        float64
+	failures   float64
 	at, until  time.Duration
 }
 
-// left is what the report counts yet.
-func (report *healthReport) left(now time.Duration) float64 {
-	return report.bad * math.Exp2(-(now-report.at).Seconds()/healthHalf.Seconds())
+// remaining is what the report still counts after its decay.
+func (report *healthReport) remaining(now time.Duration) float64 {
+	return report.failures * math.Exp2(-(now-report.at).Seconds()/healthHalfLife.Seconds())
 }
 
-// outbound are the reports that are to be sent.
+// outbound holds the reports that are yet to be sent.
 type outbound struct {
 	replicas  map[string]HealthReport
 	isSending bool
 }
 
-// report has peers told what speaks against the replica of a selection; who holds the
-// guard calls it.
+// report queues a report to the peers about the replica of a selection. The caller holds
+// guard.
 func (decider *Decider) report(selection *Selection) {
-	if len(decider.reportees()) == 0 {
+	if len(decider.reportPeers()) == 0 {
 		return
 	}
 	if decider.outbound.replicas == nil {
@@ -88,8 +90,8 @@
 	}
 }
 
-// reportees are the peers of the region, which reports go to.
-func (decider *Decider) reportees() (list []session.Member) {
+// reportPeers lists the peers of the region that get the reports.
+func (decider *Decider) reportPeers() (list []session.Member) {
 	if decider.Net == nil {
 		return nil
 	}
@@ -101,7 +103,7 @@
 	return list
 }
 
-// sendReports sends what was collected until nothing is left.
+// sendReports sends the queued reports until none is left.
 func (decider *Decider) sendReports() {
 	span := reportDelay
 	for loop.Sleep(decider.World, span) {
@@ -109,34 +111,34 @@
 		if !has {
 			return
 		}
-		peers := decider.reportees()
+		peers := decider.reportPeers()
 		for _, peer := range peers {
 			decider.World.Go(func() {
 				var isTaken bool
-				// What is lost is told again with the next failure.
-				_ = decider.Net.Call(peer.Wire, "Health.Report", reports, &isTaken, reportPatience)
+				// A lost report is sent again with the next failure.
+				_ = decider.Net.Call(peer.Wire, "Health.Report", reports, &isTaken, reportTimeout)
 			})
 		}
-		span = max(reportDelay, time.Duration(len(peers))*reportEach)
+		span = max(reportDelay, time.Duration(len(peers))*reportIntervalPerPeer)
 	}
 }
 
-// takeOutbound gives the reports that are due; if there are none, sending is over.
+// takeOutbound returns the queued reports; if there are none, it ends the sending.
 func (decider *Decider) takeOutbound() (reports HealthReports, has bool) {
 	decider.guard.Lock()
 	defer decider.guard.Unlock()
 	now := decider.World.Now()
 	reports.From, reports.Zone = decider.Self.Name, decider.Self.Zone
 	for _, id := range slices.Sorted(maps.Keys(decider.outbound.replicas)) {
-		report, seat := decider.outbound.replicas[id], decider.engines[id]
-		if seat == nil {
+		report, state := decider.outbound.replicas[id], decider.engines[id]
+		if state == nil {
 			continue
 		}
-		health := &seat.health
-		health.fade(now)
+		health := &state.health
+		health.decay(now)
 		report.Bad = health.bad
 		if health.isHeld {
-			report.Held = max(0, health.until-now)
+			report.Held = max(0, health.ejectedUntil-now)
 		}
 		reports.Replicas = append(reports.Replicas, report)
 	}
@@ -145,12 +147,12 @@
 	return reports, decider.outbound.isSending
 }
 
-// TakeReports takes in what a peer holds against replicas.
+// TakeReports applies a peer's reports about replicas.
 //
-// Invariants: reports from one zone hold no replica by themselves: it needs a failure of this
-// daemon's own there, or reports from a second zone. None extends a hold beyond mostExtended
-// after it began, or one since which the replica has served well. No more replicas are held
-// than mayHold allows.
+// Invariants: reports of one zone alone eject no replica: that also takes a failure of this
+// daemon's own there, or reports of a second zone. None extends an ejection beyond maxExtended
+// after its start, or after the replica has served a probe. No more replicas are ejected than
+// mayEject allows.
 func (decider *Decider) TakeReports(reports HealthReports) {
 	view := decider.Holder()
 	now := decider.World.Now()
@@ -158,41 +160,41 @@
 	defer decider.guard.Unlock()
 	for _, report := range reports.Replicas {
 		if boot, isShown := shownBoot(view, report.Region, report.Replica); !isShown || boot != report.Boot || !(report.Bad >= 0) {
-			continue // another life, or one that this daemon sends nothing to
+			continue // another run of the replica, one this daemon sends nothing to, or no valid count
 		}
 		decider.takeReport(view, reports, report, now)
 	}
 }
 
 func (decider *Decider) takeReport(view *permit.View, reports HealthReports, report HealthReport, now time.Duration) {
-	seat := decider.engine(report.Replica)
-	if seat.reports == nil {
-		seat.reports = map[string]healthReport{}
+	state := decider.engine(report.Replica)
+	if state.reports == nil {
+		state.reports = map[string]healthReport{}
 	}
-	held := max(0, min(report.Held, mostHold))
-	seat.reports[reports.From] = healthReport{report.Boot, reports.Zone, min(report.Bad, zoneBad), now, now + held}
+	held := max(0, min(report.Held, maxEjection))
+	state.reports[reports.From] = healthReport{report.Boot, reports.Zone, min(report.Bad, maxZoneFailures), now, now + held}
 	if held == 0 {
 		return
 	}
-	health := &seat.health
+	health := &state.health
 	if health.isHeld {
-		if health.served == 0 {
-			// Peers do not all try it at the same moment.
+		if health.probeSuccesses == 0 {
+			// A random delay keeps the peers from probing it all at the same moment.
 			health.extend(now + held + time.Duration(decider.World.Draw(int64(held/2)+1)))
 		}
 		return
 	}
-	health.fade(now)
-	reported := seat.reported(report.Boot, now)
-	isSeen := health.bad >= standOut || reported >= reportedHold
-	if isSeen && health.isWorse(decider.usual(seat, report.Region, report.Model, now), reported) && decider.mayHold(view, report.Region, report.Model) {
-		seat.region, seat.model = report.Region, report.Model
-		health.hold(now)
+	health.decay(now)
+	reported := state.reported(report.Boot, now)
+	isSeen := health.bad >= minOutlierFailures || reported >= minReportedFailures
+	if isSeen && health.isOutlier(decider.usualFailureShare(state, report.Region, report.Model, now), reported) && decider.mayEject(view, report.Region, report.Model) {
+		state.region, state.model = report.Region, report.Model
+		health.eject(now)
 		health.extend(now + held)
 	}
 }
 
-// shownBoot gives the life of a replica that the region's standing shows.
+// shownBoot returns the run (boot) of a replica that the region's routing table shows.
 func shownBoot(view *permit.View, region, replica string) (boot string, isShown bool) {
 	places := view.Standings[region].Places
 	for at := range places {
@@ -203,28 +205,28 @@
 	return "", false
 }
 
-// reported is what peers hold against the replica's life now, in failures; what counts no
-// more is forgotten.
-func (engine *engine) reported(boot string, now time.Duration) (bad float64) {
+// reported sums what peers report against the present run of the replica, in failures, and
+// forgets reports that no longer count.
+func (engine *engine) reported(boot string, now time.Duration) (failures float64) {
 	if len(engine.reports) == 0 {
 		return 0
 	}
 	zones := map[string]float64{}
 	for from, report := range engine.reports {
-		left := report.left(now)
-		if report.boot != boot || left < leastBad && now >= report.until {
+		remaining := report.remaining(now)
+		if report.boot != boot || remaining < leastBad && now >= report.until {
 			delete(engine.reports, from)
 			continue
 		}
-		zones[report.zone] = max(zones[report.zone], left)
+		zones[report.zone] = max(zones[report.zone], remaining)
 	}
 	for _, zone := range slices.Sorted(maps.Keys(zones)) {
-		bad += zones[zone] // in one order, as sums of fractions depend on it
+		failures += zones[zone] // in a fixed order, as floating-point sums depend on it
 	}
-	return bad
+	return failures
 }
 
-// extend has a hold last until then, within the bound.
+// extend prolongs an ejection until the time, up to the bound.
 func (health *health) extend(until time.Duration) {
-	health.until = max(health.until, min(until, health.began+mostExtended))
+	health.ejectedUntil = max(health.ejectedUntil, min(until, health.ejectedSince+maxExtended))
 }
--- a/decide/peerreport_test.go
+++ b/decide/peerreport_test.go
@@ -22,13 +22,13 @@
 	}
 }
 
-// reported is a report by a peer of region a about one of the clinic's replicas there.
-func reported(replica string, bad float64, held time.Duration) decide.HealthReport {
+// newReport is a report by a peer of region a about one of the clinic's replicas there.
+func newReport(replica string, bad float64, held time.Duration) decide.HealthReport {
 	return decide.HealthReport{Replica: replica, Boot: replica, Region: "a", Model: "m", Bad: bad, Held: held}
 }
 
-// tell has the clinic's daemon take a report.
-func (clinic *clinic) tell(from, zone string, replicas ...decide.HealthReport) {
+// takeReports has the clinic's daemon take a report.
+func (clinic *clinic) takeReports(from, zone string, replicas ...decide.HealthReport) {
 	clinic.decider.TakeReports(decide.HealthReports{From: from, Zone: zone, Replicas: replicas})
 }
 
@@ -39,16 +39,16 @@
 	clinic := newClinic(t, 30, resumedPath)
 	clinic.Run(3 * time.Second)
 	busiest := clinic.busiest()
-	unused := reported("i-0", 1, 4*time.Second)
+	unused := newReport("i-0", 1, 4*time.Second)
 	clinic.decider.ForgetHealth(unused.Replica)
 	for round := range 5 {
-		clinic.tell(fmt.Sprint("d", round), "a-1", reported(busiest, 1, 4*time.Second), unused)
-		clinic.tell(fmt.Sprint("d", round), "a-1", reported(busiest, 1, 4*time.Second), unused)
+		clinic.takeReports(fmt.Sprint("d", round), "a-1", newReport(busiest, 1, 4*time.Second), unused)
+		clinic.takeReports(fmt.Sprint("d", round), "a-1", newReport(busiest, 1, 4*time.Second), unused)
 	}
 	if held := clinic.decider.Held("a"); len(held) > 0 {
 		t.Fatalf("worth: %v is held by the word of one zone", held)
 	}
-	clinic.tell("e", "a-2", reported(busiest, 1, 4*time.Second))
+	clinic.takeReports("e", "a-2", newReport(busiest, 1, 4*time.Second))
 	if held := clinic.decider.Held("a"); !slices.Equal(held, []string{busiest}) {
 		t.Errorf("worth: by the word of two zones %v is held, not %s", held, busiest)
 	}
@@ -56,7 +56,7 @@
 	clinic = newClinic(t, 30, resumedPath)
 	clinic.Run(3 * time.Second)
 	busiest = clinic.busiest()
-	clinic.tell("d", "a-1", reported(busiest, 1, 4*time.Second))
+	clinic.takeReports("d", "a-1", newReport(busiest, 1, 4*time.Second))
 	failed := 0
 	clinic.fails = func(replica string) *verdict.Mishap {
 		if replica == busiest {
@@ -76,12 +76,12 @@
 func TestReportsAreOfOneLife(t *testing.T) {
 	clinic := newClinic(t, 30, resumedPath)
 	clinic.Run(3 * time.Second)
-	former := reported(clinic.busiest(), 1, 4*time.Second)
+	former := newReport(clinic.busiest(), 1, 4*time.Second)
 	former.Boot = "former"
-	unknown := reported("unknown", 1, 4*time.Second)
-	elsewhere := reported("i-3", 1, 4*time.Second) // of region b
+	unknown := newReport("unknown", 1, 4*time.Second)
+	elsewhere := newReport("i-3", 1, 4*time.Second) // of region b
 	for _, zone := range []string{"a-1", "a-2", "a-3"} {
-		clinic.tell("of "+zone, zone, former, unknown, elsewhere)
+		clinic.takeReports("of "+zone, zone, former, unknown, elsewhere)
 	}
 	if held := clinic.decider.Held("a"); len(held) > 0 {
 		t.Errorf("worth: %v is held", held)
@@ -93,9 +93,9 @@
 func TestReportsExtendAHold(t *testing.T) {
 	clinic := newClinic(t, 30, resumedPath)
 	clinic.Run(3 * time.Second)
-	ill := clinic.busiest()
+	failing := clinic.busiest()
 	clinic.fails = func(replica string) *verdict.Mishap {
-		if replica == ill {
+		if replica == failing {
 			return badAnswer
 		}
 		return nil
@@ -105,19 +105,19 @@
 	}
 	began := clinic.Now()
 	clinic.fails = func(string) *verdict.Mishap { return nil } // it is well again, but for the peer
-	sent := len(clinic.sent[ill])
+	sent := len(clinic.sent[failing])
 	for clinic.Now() < began+15*time.Second {
-		clinic.tell("d", "a-1", reported(ill, 1, 8*time.Second))
+		clinic.takeReports("d", "a-1", newReport(failing, 1, 8*time.Second))
 		clinic.Run(500 * time.Millisecond)
 	}
-	if more := len(clinic.sent[ill]) - sent; more > 0 {
+	if more := len(clinic.sent[failing]) - sent; more > 0 {
 		t.Errorf("worth: %d requests went to it though a peer's fail", more)
 	}
 	for clinic.Now() < began+25*time.Second {
-		clinic.tell("d", "a-1", reported(ill, 1, 8*time.Second))
+		clinic.takeReports("d", "a-1", newReport(failing, 1, 8*time.Second))
 		clinic.Run(500 * time.Millisecond)
 	}
-	if len(clinic.sent[ill]) == sent {
+	if len(clinic.sent[failing]) == sent {
 		t.Error("worth: a peer whose own way is broken keeps it out for good")
 	}
 }
@@ -134,11 +134,11 @@
 			var replicas []decide.HealthReport
 			for range rapid.IntRange(1, 15).Draw(draw, "replicas") {
 				id := fmt.Sprint("i-", rapid.IntRange(0, 29).Draw(draw, "replica"))
-				replicas = append(replicas, reported(id, rapid.Float64().Draw(draw, "bad"), time.Duration(rapid.Int64().Draw(draw, "held"))))
+				replicas = append(replicas, newReport(id, rapid.Float64().Draw(draw, "bad"), time.Duration(rapid.Int64().Draw(draw, "held"))))
 			}
 			number := rapid.IntRange(0, 9).Draw(draw, "daemon")
 			for range rapid.IntRange(1, 3).Draw(draw, "times") {
-				clinic.tell(fmt.Sprint("d", number), fmt.Sprint("a-", number%3), replicas...)
+				clinic.takeReports(fmt.Sprint("d", number), fmt.Sprint("a-", number%3), replicas...)
 			}
 			if held := clinic.decider.Held("a"); len(held)*5 > 15*2 {
 				draw.Fatalf("worth: %d of 15 replicas are held", len(held))
--- a/decide/release.go
+++ b/decide/release.go
@@ -9,11 +9,11 @@
 	"swifttiller/verdict"
 )
 
-// Ends of dispatches, of either kind.
+// Ends of attempts, of calls with tickets and of routed requests.
 
-// dispatched counts a selection that is about to be given out.
+// dispatched counts a selection that is about to be returned.
 func (decider *Decider) dispatched(view *permit.View, selection *Selection) {
-	decider.occupy(selection, 1)
+	decider.addUse(selection, 1)
 	decider.counts.Dispatches++
 	decider.accrue(view, selection)
 	decider.judging.waiting[selection] = decider.World.Now()
@@ -28,7 +28,7 @@
 	}
 }
 
-func (decider *Decider) occupy(selection *Selection, sign int) {
+func (decider *Decider) addUse(selection *Selection, sign int) {
 	used := decider.uses[selection.Replica]
 	if used == nil {
 		used = &use{rows: map[standing.Held]int{}}
@@ -45,8 +45,8 @@
 	}
 }
 
-// Release hands a selection back with what became of it. First is the time to the
-// first piece, 0 if there was none.
+// Release returns a selection with its outcome. first is the time to the first token, 0 if
+// there was none.
 func (decider *Decider) Release(selection *Selection, mishap *verdict.Mishap, first time.Duration) {
 	now := decider.World.Now()
 	outcome := standing.Outcome{Replica: selection.Replica, Model: selection.call.Model, Version: selection.Version, Kind: selection.call.Kind, Boot: selection.Boot}
@@ -55,20 +55,21 @@
 	switch {
 	case mishap == nil:
 		outcome.OK, outcome.Least = 1, first
-		if first > selection.Allowance+decider.overdue(selection) {
+		if first > selection.Allowance+decider.lateBound(selection) {
 			outcome.Late = 1
 		}
-		if decider.slow(selection, first-selection.Allowance) {
+		if decider.isSlow(selection, first-selection.Allowance) {
 			outcome.Slow = 1
 		}
 	case mishap.Code == "caller_gone" && !decider.late(selection, now) || mishap.Code == "no_permit" || mishap.Code == "moved_on" || mishap.Code == "replica_rejected":
-		// Says nothing about the replica.
+		// No evidence about the replica.
 	case mishap.Code == replica.AnewCode:
 		decider.past[selection.Replica] = selection.Boot
 	case mishap.Code == "replica_unreached":
 		outcome.Unreached = 1
 	case mishap.Code == "replica_declined":
-		// Only this word is the replica's; 503 may have other reasons.
+		// Only a rejection with a delay comes from the replica itself; a 503 may have other
+		// causes.
 		if mishap.ComeBack > 0 {
 			outcome.Full = 1
 		}
@@ -80,12 +81,12 @@
 	}
 	delete(decider.judging.waiting, selection)
 	if outcome.OK > 0 && outcome.Late == 0 && !(selection.Trial && outcome.Slow > 0) {
-		decider.learn(selection, max(0, first-selection.Allowance))
+		decider.learnUsual(selection, max(0, first-selection.Allowance))
 	}
-	decider.occupy(selection, -1)
+	decider.addUse(selection, -1)
 	decider.flow(decider.released, selection.call.Model).add(now, float64(selection.Cost))
 	if outcome.Full > 0 {
-		// Left alone for a tick, in which the standing learns of it too.
+		// It gets nothing for a tick, after which the routing table shows it as full too.
 		if view := decider.Holder(); view.Tree != nil {
 			decider.fullUntil[selection.Replica] = now + standing.Tick(view.Tree.Span("permit_ms", ""))
 		}
@@ -96,13 +97,13 @@
 		}
 	}
 	decider.window.add(now, outcome, selection.Region)
-	for _, one := range decider.queue {
-		one.box.Put(nil)
+	for _, waiting := range decider.queue {
+		waiting.box.Put(nil)
 	}
 }
 
-// Redispatch tells whether a dispatch that did not run may be tried again; it
-// costs a retry.
+// Redispatch reports whether an attempt that did not run may be repeated; that uses a retry
+// from the budget.
 func (decider *Decider) Redispatch() bool {
 	decider.guard.Lock()
 	defer decider.guard.Unlock()
--- a/decide/report.go
+++ b/decide/report.go
@@ -11,21 +11,22 @@
 
 // Reports to the control plane.
 
-// Report says to the standing what this daemon holds and lacks.
+// Report is this daemon's report to the routing tables' leaders: its load, demand, outcomes and
+// lack of capacity.
 func (decider *Decider) Report() standing.Report {
 	now := decider.World.Now()
 	decider.guard.Lock()
 	defer decider.guard.Unlock()
-	// Under the guard, as in Select: what runs by an older standing than the one
-	// that is reported is in the report.
+	// The view is read under the guard, as in Select, so that attempts under an older routing
+	// table than the reported one are in the report.
 	view := decider.Holder()
 	report := standing.Report{
 		Config: view.Serial, Standing: map[string]uint64{}, Permit: view.Expiry - now, Demand: map[string]float64{}, Overflow: map[string]float64{},
 		InFlight: map[string]int{}, Streams: map[standing.Held]int{}, Queue: len(decider.queue),
 		Demanded: decider.counts.Demanded, Retries: decider.counts.Retries, Allowed: decider.counts.Allowed + decider.counts.Redispatches, Declined: map[string]uint64{},
 	}
-	for region, one := range view.Standings {
-		report.Standing[region] = one.Serial
+	for region, table := range view.Standings {
+		report.Standing[region] = table.Serial
 	}
 	maps.DeleteFunc(decider.digests, func(region string, _ *digest) bool { _, isShown := view.Standings[region]; return !isShown })
 	if view.Tree != nil {
@@ -35,128 +36,129 @@
 		report.Failed = append(report.Failed, version)
 	}
 	slices.SortFunc(report.Failed, func(a, b standing.Held) int { return cmp.Compare(a.Model+"|"+a.Version, b.Model+"|"+b.Version) })
-	isSteady := decider.steady(view)
-	for _, one := range ordered(decider.recent(now)) {
-		if isSteady(one.Model) {
-			report.Near = append(report.Near, one)
+	isSteady := decider.steadyModels(view)
+	for _, outcome := range ordered(decider.recent(now)) {
+		if isSteady(outcome.Model) {
+			report.Near = append(report.Near, outcome)
 		} else {
-			report.Recent = append(report.Recent, one)
+			report.Recent = append(report.Recent, outcome)
 		}
 	}
-	for _, one := range ordered(decider.totals(now)) {
-		if !isSteady(one.Model) {
-			report.Total = append(report.Total, one)
+	for _, outcome := range ordered(decider.totals(now)) {
+		if !isSteady(outcome.Model) {
+			report.Total = append(report.Total, outcome)
 		}
 	}
 	for code, count := range decider.counts.Declined {
 		report.Declined[code] = count
 	}
-	local, here := map[string]float64{}, map[string]bool{}
-	if one, known := view.Standings[decider.Self.Region]; known {
-		digest := decider.digest(decider.Self.Region, one)
-		local, here = digest.credits, digest.here
+	localCredits, localReplicas := map[string]float64{}, map[string]bool{}
+	if table, known := view.Standings[decider.Self.Region]; known {
+		digest := decider.digest(decider.Self.Region, table)
+		localCredits, localReplicas = digest.credits, digest.replicas
 	}
-	held := map[string]float64{}
-	away := map[string]float64{}
+	usedUnits := map[string]float64{}
+	remoteUnits := map[string]float64{}
 	for name, used := range decider.uses {
-		all, areSteady := 0, len(used.rows) > 0
+		all, allSteady := 0, len(used.rows) > 0
 		for row, count := range used.rows {
 			all += count
-			areSteady = areSteady && isSteady(row.Model)
+			allSteady = allSteady && isSteady(row.Model)
 		}
-		if areSteady {
+		if allSteady {
 			continue
 		}
 		report.InFlight[name] = used.units
 		for row, count := range used.rows {
 			report.Streams[row] = count
 			units := float64(used.units) * float64(count) / float64(all)
-			held[row.Model] += units
-			if !here[name] {
-				away[row.Model] += units
+			usedUnits[row.Model] += units
+			if !localReplicas[name] {
+				remoteUnits[row.Model] += units
 			}
 		}
 	}
-	for _, one := range decider.queue {
-		held[one.model] += float64(one.cost)
+	for _, waiting := range decider.queue {
+		usedUnits[waiting.model] += float64(waiting.cost)
 	}
 	for model, flow := range decider.demand {
 		if isSteady(model) {
 			continue
 		}
-		// What it holds now, and what comes within a queue's time.
-		report.Demand[model] = held[model] + flow.rate(now)*0.25
-		if lack := held[model] - local[model]; lack > 0 {
-			report.Overflow[model] = max(lack, away[model])
-		} else if away[model] > 0 {
-			report.Overflow[model] = away[model]
+		// What it uses now, and what arrives within a queue's time.
+		report.Demand[model] = usedUnits[model] + flow.rate(now)*0.25
+		if lack := usedUnits[model] - localCredits[model]; lack > 0 {
+			report.Overflow[model] = max(lack, remoteUnits[model])
+		} else if remoteUnits[model] > 0 {
+			report.Overflow[model] = remoteUnits[model]
 		}
-		if local[model] == 0 {
-			report.Overflow[model] = max(report.Overflow[model], held[model]+flow.rate(now))
+		if localCredits[model] == 0 {
+			report.Overflow[model] = max(report.Overflow[model], usedUnits[model]+flow.rate(now))
 		}
 	}
 	return report
 }
 
-// digest is what reports go by of a region's standing. It is never changed.
+// digest is what Report needs to know of a region's routing table. It is immutable.
 type digest struct {
-	// rows and places are those that it was made of.
+	// rows and places are those that the digest was made of.
 	rows   []standing.Row
 	places []standing.Place
-	// versions has one version of each model, and mixed the models that have several, or
-	// rows on trial or standing by.
+	// versions has one version of each model. mixed has the models with several versions,
+	// or with rows that are on trial or stand by for a rollback.
 	versions map[string]string
 	mixed    map[string]bool
-	// credits are this daemon's, by model, and here the replicas that have rows.
-	credits map[string]float64
-	here    map[string]bool
+	// credits are this daemon's own, by model; replicas has those with rows.
+	credits  map[string]float64
+	replicas map[string]bool
 }
 
-// digest gives the digest of a region's standing; who holds the guard calls it. A new view
-// has the rows and places of the one before where nothing changed, and these are never
-// changed: so most often it is there already.
-func (decider *Decider) digest(region string, one standing.Standing) *digest {
-	have := decider.digests[region]
-	if have != nil && isOne(have.rows, one.Rows) && isOne(have.places, one.Places) {
-		return have
-	}
-	out := &digest{rows: one.Rows, places: one.Places, versions: map[string]string{}, mixed: map[string]bool{}, credits: map[string]float64{}, here: map[string]bool{}}
+// digest returns the digest of a region's routing table; the caller holds guard. A new view
+// shares the rows and places of the previous one where nothing has changed, and these are
+// immutable, so most often the digest is cached.
+func (decider *Decider) digest(region string, table standing.Standing) *digest {
+	cached := decider.digests[region]
+	if cached != nil && isSameSlice(cached.rows, table.Rows) && isSameSlice(cached.places, table.Places) {
+		return cached
+	}
+	fresh := &digest{rows: table.Rows, places: table.Places, versions: map[string]string{}, mixed: map[string]bool{}, credits: map[string]float64{}, replicas: map[string]bool{}}
 	credits := map[string]int{}
-	for _, place := range one.Places {
+	for _, place := range table.Places {
 		credits[place.ID] = place.Credits[decider.Self.Name]
 	}
 	counted := map[[2]string]bool{}
-	for _, row := range one.Rows {
-		if version, known := out.versions[row.Model]; known && version != row.Version || row.Trial || row.Back {
-			out.mixed[row.Model] = true
+	for _, row := range table.Rows {
+		if version, known := fresh.versions[row.Model]; known && version != row.Version || row.Trial || row.Back {
+			fresh.mixed[row.Model] = true
 		}
-		out.versions[row.Model] = row.Version
-		out.here[row.Replica] = true
+		fresh.versions[row.Model] = row.Version
+		fresh.replicas[row.Replica] = true
 		if at := [2]string{row.Model, row.Replica}; !counted[at] {
 			counted[at] = true
-			out.credits[row.Model] += float64(credits[row.Replica])
+			fresh.credits[row.Model] += float64(credits[row.Replica])
 		}
 	}
-	decider.digests[region] = out
-	return out
+	decider.digests[region] = fresh
+	return fresh
 }
 
-// isOne tells whether two slices are one and the same.
-func isOne[T any](a, b []T) bool {
+// isSameSlice reports whether two slices share the same memory and length.
+func isSameSlice[T any](a, b []T) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
-// steady tells which models need no more than a word on mishaps: nobody deals their
-// credits, as they have an engine, and no run can be about them, as replicas hold what
-// they will; and all hold the same version.
-func (decider *Decider) steady(view *permit.View) func(model string) bool {
+// steadyModels returns a function that reports whether a model needs nothing but failures in
+// the report. That is so if it has an engine, since then no credits are allocated for it; if
+// its placement allows any version in all regions, since then no rollout can be about it; and
+// if all replicas hold the same version.
+func (decider *Decider) steadyModels(view *permit.View) func(model string) bool {
 	if view.Tree == nil {
 		return func(string) bool { return false }
 	}
 	versions := map[string]string{}
 	unsteady := map[string]bool{}
-	for region, one := range view.Standings {
-		digest := decider.digest(region, one)
+	for region, table := range view.Standings {
+		digest := decider.digest(region, table)
 		for model, version := range digest.versions {
 			if other, known := versions[model]; known && other != version || digest.mixed[model] {
 				unsteady[model] = true
--- a/decide/report_bench_test.go
+++ b/decide/report_bench_test.go
@@ -32,13 +32,13 @@
 	view := &permit.View{Serial: 1, Tree: tree, Standings: map[string]standing.Standing{}, Expiry: time.Hour}
 	for index := range 16 {
 		region := fmt.Sprintf("g%d", index)
-		one := standing.Standing{Region: region, Serial: 1}
+		table := standing.Standing{Region: region, Serial: 1}
 		for at := range 219 {
 			id := fmt.Sprintf("%s-r%d", region, at)
-			one.Rows = append(one.Rows, standing.Row{Replica: id, Model: fmt.Sprintf("m%d", at%22), Version: "v1"})
-			one.Places = append(one.Places, standing.Place{ID: id, Zone: region + "-1", Region: region, Warm: 1, Credits: map[string]int{"d1": 3}})
+			table.Rows = append(table.Rows, standing.Row{Replica: id, Model: fmt.Sprintf("m%d", at%22), Version: "v1"})
+			table.Places = append(table.Places, standing.Place{ID: id, Zone: region + "-1", Region: region, Warm: 1, Credits: map[string]int{"d1": 3}})
 		}
-		view.Standings[region] = one
+		view.Standings[region] = table
 	}
 	world := loop.NewMachine()
 	defer world.End()
@@ -48,8 +48,8 @@
 		if turn++; turn%3 == 0 {
 			next := *view
 			next.Standings = map[string]standing.Standing{}
-			for region, one := range view.Standings {
-				next.Standings[region] = one
+			for region, table := range view.Standings {
+				next.Standings[region] = table
 			}
 			view = &next
 		}
--- a/decide/report_test.go
+++ b/decide/report_test.go
@@ -16,11 +16,11 @@
 		defer bench.Close()
 		var selection *decide.Selection
 		bench.do("x", func(decider *decide.Decider) {
-			one := call("a")
+			request := call("a")
 			_, ticket, _, _ := decider.Locate("m", "k", "", "a-1", 7)
-			one.Ticket = ticket.Seal()
-			if decider.Allow(one) == nil {
-				selection, _ = decider.Select(one, nil)
+			request.Ticket = ticket.Seal()
+			if decider.Allow(request) == nil {
+				selection, _ = decider.Select(request, nil)
 			}
 		})
 		So(selection, ShouldNotBeNil)
--- a/decide/suspicion.go
+++ b/decide/suspicion.go
@@ -6,81 +6,81 @@
 	"swifttiller/permit"
 )
 
-// Suspicion: what speaks against a replica that says nothing.
+// Suspicion about replicas that send nothing.
 
-// Suspicion is what speaks against a replica from which a first piece is overdue.
+// Suspicion is the level of evidence against a replica whose first token is overdue.
 type Suspicion int
 
-// Suspicions, each worse than the one before it.
+// Levels of suspicion, each worse than the one before.
 const (
-	// Unsuspected replicas have shown of late that they are alive.
+	// Unsuspected replicas have recently shown that they are alive.
 	Unsuspected Suspicion = iota
-	// Silent ones have told this daemon nothing for longer than it takes. That alone says
-	// little: one daemon of many hears each replica seldom, and one that reads a long prompt
-	// says nothing meanwhile.
+	// Silent replicas have sent this daemon nothing for longer than expected. That alone is
+	// weak evidence: one daemon of many rarely hears from each replica, and a replica that
+	// reads a long prompt sends nothing meanwhile.
 	Silent
-	// Failing ones stand out by their failures, or are silent and in the routing table no
-	// more, or in a region that seems to be out of reach.
+	// Failing replicas are outliers by their failures; or they are silent and either no
+	// longer in the routing table or in a region that seems to be unreachable.
 	Failing
 )
 
-// Suspect tells what speaks against the replica of a selection. One that has been silent for
-// so long that others should get its requests gets none for a while.
+// Suspect returns the suspicion against the replica of a selection. A replica that has been
+// silent for too long gets no requests for a while.
 func (decider *Decider) Suspect(selection *Selection) Suspicion {
 	now := decider.World.Now()
 	decider.guard.Lock()
 	defer decider.guard.Unlock()
-	seat := selection.seat
+	state := selection.seat
 	if decider.overdueAt(selection, now) {
 		return Failing
 	}
-	if now-max(seat.silent, seat.vouched) < seat.silence(selection) {
+	if now-max(state.silent, state.vouched) < state.silenceLimit(selection) {
 		return Unsuspected
 	}
 	decider.wary = now + warySpan
-	decider.shun(seat, now)
-	decider.missed(seat, now)
+	decider.shun(state, now)
+	decider.missed(state, now)
 	if decider.isDoubted(selection.Region) || !isListed(decider.Holder(), selection) {
 		return Failing
 	}
 	return Silent
 }
 
-// isListed tells whether the life of a selection's replica is in the routing table.
+// isListed reports whether this run (boot) of the selection's replica is in the routing table.
 func isListed(view *permit.View, selection *Selection) bool {
 	placed := places{list: view.Standings[selection.Region].Places}
 	place := placed.of(selection.Replica)
 	return place != nil && place.Boot == selection.Boot
 }
 
-// silence is how long a replica may say nothing at all while something is to come from
-// it: not long where streams flow, whose pieces come one after the other.
-func (engine *engine) silence(selection *Selection) time.Duration {
+// silenceLimit is how long a replica may send nothing at all while a response is expected from
+// it. It is short while streams are running, as their chunks come one after the other.
+func (engine *engine) silenceLimit(selection *Selection) time.Duration {
 	if engine.flowing > 0 {
-		return flowSilence
+		return streamSilence
 	}
-	return leastSilence + silenceTimes*selection.Foreseen
+	return minSilence + silenceFactor*selection.Foreseen
 }
 
 const (
-	flowSilence  = 400 * time.Millisecond
-	leastSilence = 300 * time.Millisecond
-	silenceTimes = 3
-	firstShun    = 300 * time.Millisecond
-	mostShun     = 3 * time.Second
+	streamSilence = 400 * time.Millisecond
+	minSilence    = 300 * time.Millisecond
+	silenceFactor = 3
+	firstShun     = 300 * time.Millisecond
+	mostShun      = 3 * time.Second
 )
 
-// shun leaves a replica alone for a while, longer each time in a row, never for good.
-func (decider *Decider) shun(seat *engine, now time.Duration) {
-	if now < seat.shunned {
+// shun keeps requests from a replica for a while, longer each time in a row, up to mostShun.
+func (decider *Decider) shun(state *engine, now time.Duration) {
+	if now < state.shunned {
 		return
 	}
-	seat.shunned = now + min(firstShun<<min(seat.strikes, 8), mostShun)
-	seat.strikes++
+	state.shunned = now + min(firstShun<<min(state.strikes, 8), mostShun)
+	state.strikes++
 }
 
-// Overdue is by when a first piece should have come, counted from the dispatch; after
-// that a request that may run again is worth another replica.
+// Overdue is the time after its attempt by which a first token should have come. After that a
+// repeatable request is worth sending to another replica.
 func (decider *Decider) Overdue(selection *Selection) time.Duration {
-	return leastSilence + silenceTimes*max(selection.Foreseen, decider.reading(selection.routed.Tokens))
+	return minSilence + silenceFactor*max(selection.Foreseen, decider.reading(selection.routed.Tokens))
 }
--- a/decide/ticket.go
+++ b/decide/ticket.go
@@ -16,8 +16,9 @@
 
 // Ticket binds a caller's requests to one incarnation of a data daemon.
 //
-// Invariant: Expiry is on the uptime of the daemon that it is bound to, which
-// is what that daemon compares it with; no two clocks are compared.
+// Invariant: Expiry is measured in the uptime of the daemon that the ticket is
+// bound to, and only that daemon compares it with its own uptime. Clocks of two
+// machines are never compared.
 type Ticket struct {
 	ID          string        `json:"i"`
 	Daemon      string        `json:"d"`
@@ -26,13 +27,14 @@
 	Expiry      time.Duration `json:"e"`
 }
 
-// Seal is the ticket as callers carry it.
+// Seal encodes the ticket as the text that callers send back with each request.
 func (ticket Ticket) Seal() string {
 	body, _ := json.Marshal(ticket)
 	return base64.RawURLEncoding.EncodeToString(body)
 }
 
-// Open reads a ticket.
+// Open decodes the text of a ticket. It reports false if the text is malformed or
+// lacks the id, the incarnation or the address.
 func Open(text string) (ticket Ticket, ok bool) {
 	body, err := base64.RawURLEncoding.DecodeString(text)
 	return ticket, err == nil && json.Unmarshal(body, &ticket) == nil && ticket.ID != "" && ticket.Incarnation != "" && ticket.Wire != ""
@@ -40,90 +42,94 @@
 
 type ticketKey struct{ ticket, request string }
 
-// States of a (ticket, request id).
+// States of a (ticket, request id) pair.
 const (
-	running = iota
-	ended   // ran, or may have run
-	unrun   // declined as not run, and never to be run under this ticket
-	barred  // never run here, and never to be: another daemon has it
+	running       = iota
+	ended         // the request ran or may have run
+	rejectedUnrun // rejected without running; it never runs under this ticket
+	transferred   // never ran here and never will: another daemon owns it
 )
 
 type ticketRow struct {
-	state  int
-	expiry time.Duration
-	// holder has it when the state is barred.
-	holder, incarnation string
-	ran                 bool
+	state    int
+	deadline time.Duration
+	// ownerWire and incarnation are those of the daemon that owns the request, if
+	// the state is transferred.
+	ownerWire, incarnation string
+	ran                    bool
 }
 
-// tickets remembers every (ticket, request id) until the ticket expires.
+// tickets remembers every (ticket, request id) until the ticket expires, so that a
+// request runs at most once.
 //
-// Invariant: a key is let in only when it has no row, and a row leaves the table
-// only after its ticket's expiry. A full table declines newcomers; it forgets
-// nobody. Of all daemons one at the most lets in a ticket's unseen keys: the one
-// that it is bound to, or after a planned stop that one's heir, which holds all
-// its rows; a daemon that has an heir asks it before it says anything.
+// Invariant: a key is admitted only if it has no row, and a row is removed only
+// after its ticket has expired. A full table rejects new keys and never evicts a row.
+// At most one daemon admits the unseen keys of a ticket: the one that it is bound to
+// or, after that one's planned shutdown, its successor, which has received all its
+// rows. A daemon that has a successor asks it before it decides anything.
 type tickets struct {
-	// inherited are incarnations whose rows were left to this one, and when each
-	// began, on this one's clock. heir has this one's.
-	// No ticket of theirs lasts past heldUntil.
-	inherited, heldUntil map[string]time.Duration
-	heir                 *session.Member
-	rows                 map[ticketKey]ticketRow
-	ids                  map[string]time.Duration // request ids seen of late
-	swept                time.Duration
+	// inherited maps the incarnations whose rows this daemon has taken over to the
+	// time at which each started, on this daemon's clock. No ticket of such an
+	// incarnation is valid after inheritedUntil. successor is the daemon that took
+	// over this daemon's own rows.
+	inherited, inheritedUntil map[string]time.Duration
+	successor                 *session.Member
+	rows                      map[ticketKey]ticketRow
+	recentIDs                 map[string]time.Duration // request ids seen recently, with their deadlines
+	lastSweep                 time.Duration
 }
 
-const mostTickets = 200000
+const maxTickets = 200000
 
 func (tickets *tickets) init() {
-	tickets.rows, tickets.ids = map[ticketKey]ticketRow{}, map[string]time.Duration{}
-	tickets.inherited, tickets.heldUntil = map[string]time.Duration{}, map[string]time.Duration{}
+	tickets.rows, tickets.recentIDs = map[ticketKey]ticketRow{}, map[string]time.Duration{}
+	tickets.inherited, tickets.inheritedUntil = map[string]time.Duration{}, map[string]time.Duration{}
 }
 
-func (tickets *tickets) recent(id string) bool { _, seen := tickets.ids[id]; return seen }
+func (tickets *tickets) isRecent(id string) bool { _, seen := tickets.recentIDs[id]; return seen }
 
 func (tickets *tickets) sweep(now time.Duration) {
-	if now-tickets.swept < time.Second {
+	if now-tickets.lastSweep < time.Second {
 		return
 	}
-	tickets.swept = now
+	tickets.lastSweep = now
 	for key, row := range tickets.rows {
-		if now > row.expiry && row.state != running {
+		if now > row.deadline && row.state != running {
 			delete(tickets.rows, key)
 		}
 	}
-	for id, expiry := range tickets.ids {
-		if now > expiry {
-			delete(tickets.ids, id)
+	for id, deadline := range tickets.recentIDs {
+		if now > deadline {
+			delete(tickets.recentIDs, id)
 		}
 	}
-	for incarnation, until := range tickets.heldUntil {
+	for incarnation, until := range tickets.inheritedUntil {
 		if now > until {
-			delete(tickets.heldUntil, incarnation)
+			delete(tickets.inheritedUntil, incarnation)
 			delete(tickets.inherited, incarnation)
 		}
 	}
 }
 
-// Locate lists where a call may go, the best first, and a ticket for the first.
+// Locate returns the daemons that a call may be sent to, best first, and a ticket
+// for the first one with its lifetime.
 func (decider *Decider) Locate(model, kind, home, zone string, prefix uint64) ([]session.Member, *Ticket, time.Duration, *verdict.Mishap) {
 	view := decider.Holder()
 	now := decider.World.Now()
 	decider.guard.Lock()
 	defer decider.guard.Unlock()
 	if !view.Stands(now) {
-		return nil, nil, 0, decider.decline(503, "no_permit", "this daemon has no permit to answer for the system; try another", time.Second)
+		return nil, nil, 0, decider.decline(503, "no_permit", "this daemon holds no valid lease and can't locate others; try another daemon", time.Second)
 	}
-	list := usable(view, model, home)
+	list := eligibleDaemons(view, model, home)
 	if len(list) == 0 {
-		return nil, nil, 0, decider.decline(503, "nowhere", "no daemon may serve this model with this home now", comeBackAfter(view))
+		return nil, nil, 0, decider.decline(503, "nowhere", "no daemon can currently serve this model within this home", retryDelay(view))
 	}
 	if zone == "" {
 		zone = decider.Self.Zone
 	}
 	region, _ := view.Tree.RegionOf(zone)
-	near := func(member session.Member) int {
+	distance := func(member session.Member) int {
 		switch {
 		case member.Zone == zone:
 			return 0
@@ -134,27 +140,29 @@
 	}
 	decider.counts.located++
 	if prefix == 0 {
-		prefix = decider.counts.located // nothing to keep together: spread
+		prefix = decider.counts.located // no prompt to keep together, so spread the calls
 	}
-	// Callers that share a prompt go to the same daemon of a zone, which knows
-	// how busy the prompt's own replica is; the draw is the prefix's.
+	// Callers that share the beginning of a prompt go to the same daemon of a zone, as
+	// that one knows the load of the replica that has cached it. Rendezvous hashing of
+	// the prefix selects the daemon.
 	sort.SliceStable(list, func(a, b int) bool {
-		if x, y := near(list[a]), near(list[b]); x != y {
+		if x, y := distance(list[a]), distance(list[b]); x != y {
 			return x < y
 		}
 		return score(prefix, list[a].Name) > score(prefix, list[b].Name)
 	})
-	life := view.Tree.Span("ticket_ms", "")
+	lifetime := view.Tree.Span("ticket_ms", "")
 	first := list[0]
 	ticket := &Ticket{
 		ID:     decider.Self.Incarnation + "." + strconv.FormatUint(decider.counts.located, 36),
-		Daemon: first.Name, Incarnation: first.Incarnation, Wire: first.Wire, Expiry: first.Uptime + life,
+		Daemon: first.Name, Incarnation: first.Incarnation, Wire: first.Wire, Expiry: first.Uptime + lifetime,
 	}
-	return list, ticket, life, nil
+	return list, ticket, lifetime, nil
 }
 
-// usable lists the daemons that may serve the model with the home tag.
-func usable(view *permit.View, model, home string) (list []session.Member) {
+// eligibleDaemons lists the daemons that may serve the model for requests with the
+// home tag.
+func eligibleDaemons(view *permit.View, model, home string) (list []session.Member) {
 	for _, member := range view.Members {
 		if member.Role != session.Data || member.Leaving || view.Evacuated[member.Zone] {
 			continue
@@ -167,37 +175,38 @@
 	return list
 }
 
-// settle makes sure that this (ticket, request id) runs at most once anywhere.
+// settle makes sure that a (ticket, request id) runs at most once on any daemon.
 func (decider *Decider) settle(call *Call) *verdict.Mishap {
 	now := decider.World.Now()
 	ticket, ok := Open(call.Ticket)
 	if !ok {
 		decider.guard.Lock()
 		defer decider.guard.Unlock()
-		return decider.decline(400, "bad_ticket", "the ticket can't be read; locate again", 0)
+		return decider.decline(400, "bad_ticket", "the ticket can't be decoded; call /v1/locate again", 0)
 	}
 	key := ticketKey{ticket.ID, call.ID}
 	decider.guard.Lock()
-	heir, isOurs := decider.tickets.heir, decider.ours(ticket)
+	successor, isOurs := decider.tickets.successor, decider.decidesFor(ticket)
 	decider.guard.Unlock()
-	if isOurs && heir == nil {
-		return decider.own(call, ticket, key)
+	if isOurs && successor == nil {
+		return decider.admitOwn(call, ticket, key)
 	}
-	// Another's: first what is known here, then ask the one it is bound to.
-	if mishap, known := decider.here(call, key); known {
+	// The ticket is bound to another daemon: check the local rows first, then ask
+	// that daemon.
+	if mishap, known := decider.checkLocal(call, key); known {
 		return mishap
 	}
-	var expiry time.Duration
-	mishap := gone()
-	if bound := decider.bound(ticket); !isOurs && bound != nil {
-		expiry, mishap = decider.claim(ticket, call.ID, bound.Wire, bound.Incarnation, 0)
+	var timeLeft time.Duration
+	mishap := daemonGone()
+	if bound := decider.boundDaemon(ticket); !isOurs && bound != nil {
+		timeLeft, mishap = decider.claim(ticket, call.ID, bound.Wire, bound.Incarnation, 0)
 	}
-	if mishap != nil && mishap.Code == goneCode {
+	if mishap != nil && mishap.Code == daemonGoneCode {
 		if !isOurs {
-			heir = decider.heirOf(ticket)
+			successor = decider.findSuccessor(ticket)
 		}
-		if heir != nil {
-			expiry, mishap = decider.claim(ticket, call.ID, heir.Wire, heir.Incarnation, 0)
+		if successor != nil {
+			timeLeft, mishap = decider.claim(ticket, call.ID, successor.Wire, successor.Incarnation, 0)
 		}
 	}
 	decider.guard.Lock()
@@ -206,61 +215,63 @@
 		decider.counts.Declined[mishap.Code]++
 		return mishap
 	}
-	return decider.enter(call, key, now+expiry)
+	return decider.admit(call, key, now+timeLeft)
 }
 
-// here judges by this daemon's own row.
-func (decider *Decider) here(call *Call, key ticketKey) (*verdict.Mishap, bool) {
+// checkLocal returns the outcome by this daemon's own row for the key, if it has one.
+func (decider *Decider) checkLocal(call *Call, key ticketKey) (*verdict.Mishap, bool) {
 	decider.guard.Lock()
 	defer decider.guard.Unlock()
 	row, known := decider.tickets.rows[key]
 	if !known {
 		return nil, false
 	}
-	return decider.judge(call, key, row), true
+	return decider.rejectRepeated(call, key, row), true
 }
 
-// judge says what a row makes of a call that shows its key again.
-func (decider *Decider) judge(call *Call, key ticketKey, row ticketRow) *verdict.Mishap {
+// rejectRepeated returns the rejection for a call whose key already has a row.
+func (decider *Decider) rejectRepeated(call *Call, key ticketKey, row ticketRow) *verdict.Mishap {
 	switch row.state {
-	case unrun:
-		return decider.decline(503, "declined_before", "this request was declined as not run under this ticket; locate again", 0)
+	case rejectedUnrun:
+		return decider.decline(503, "declined_before", "this request was already rejected without running under this ticket; call /v1/locate for a new one", 0)
 	case running:
 		decider.counts.Declined["running"]++
-		return &verdict.Mishap{Verdict: verdict.MayHaveRun, Code: "running", Message: "this request is running already", Status: 409}
+		return &verdict.Mishap{Verdict: verdict.MayHaveRun, Code: "running", Message: "this request is already running", Status: 409}
 	case ended:
 		decider.counts.Declined["ran"]++
 		verdictOf := verdict.MayHaveRun
 		if row.ran {
 			verdictOf = verdict.Ran
 		}
-		return &verdict.Mishap{Verdict: verdictOf, Code: "ran", Message: "this request ran already and is never run again", Status: 409}
+		return &verdict.Mishap{Verdict: verdictOf, Code: "ran", Message: "this request has already run and is never run again", Status: 409}
 	}
 	decider.counts.Declined["elsewhere"]++
-	return &verdict.Mishap{Verdict: verdict.MayHaveRun, Code: "elsewhere", Message: "this request was given to daemon " + row.holder, Status: 409}
+	return &verdict.Mishap{Verdict: verdict.MayHaveRun, Code: "elsewhere", Message: "this request was transferred to daemon " + row.ownerWire, Status: 409}
 }
 
-// own judges a ticket that is bound to this incarnation.
-func (decider *Decider) own(call *Call, ticket Ticket, key ticketKey) *verdict.Mishap {
+// admitOwn decides about a ticket that is bound to this incarnation or to one whose
+// rows it inherited.
+func (decider *Decider) admitOwn(call *Call, ticket Ticket, key ticketKey) *verdict.Mishap {
 	decider.guard.Lock()
 	defer decider.guard.Unlock()
-	if decider.tickets.heir != nil {
-		return gone() // left to the heir since the question was asked
+	if decider.tickets.successor != nil {
+		return daemonGone() // a successor has taken over since the caller checked
 	}
 	if row, known := decider.tickets.rows[key]; known {
-		return decider.judge(call, key, row)
+		return decider.rejectRepeated(call, key, row)
 	}
-	left := decider.left(ticket)
+	left := decider.timeLeft(ticket)
 	if left <= 0 {
 		decider.counts.Declined["ticket_expired"]++
-		return expired()
+		return ticketExpired()
 	}
-	return decider.enter(call, key, decider.World.Now()+left)
+	return decider.admit(call, key, decider.World.Now()+left)
 }
 
-// left is how long a ticket of this incarnation lasts yet; a ticket from the
-// far future is as good as expired.
-func (decider *Decider) left(ticket Ticket) time.Duration {
+// timeLeft returns how long a ticket of this incarnation, or of an inherited one, is
+// still valid. A ticket that expires implausibly late, after more than twice
+// ticket_ms, counts as expired.
+func (decider *Decider) timeLeft(ticket Ticket) time.Duration {
 	began, isInherited := decider.tickets.inherited[ticket.Incarnation]
 	if !isInherited {
 		began = decider.Began
@@ -272,31 +283,31 @@
 	return left
 }
 
-func expired() *verdict.Mishap {
-	return &verdict.Mishap{Verdict: verdict.MayHaveRun, Code: "ticket_expired", Message: "the ticket has expired, and with it the memory of whether this ran; locate again, and use a new request id only if running twice does no harm", Status: 409}
+func ticketExpired() *verdict.Mishap {
+	return &verdict.Mishap{Verdict: verdict.MayHaveRun, Code: "ticket_expired", Message: "the ticket has expired, and with it the record of whether this request ran; call /v1/locate again, and use a new request id only if running twice does no harm", Status: 409}
 }
 
-// enter makes the row of a newcomer.
-func (decider *Decider) enter(call *Call, key ticketKey, expiry time.Duration) *verdict.Mishap {
+// admit adds a row for a key that has none yet.
+func (decider *Decider) admit(call *Call, key ticketKey, deadline time.Duration) *verdict.Mishap {
 	now := decider.World.Now()
 	decider.tickets.sweep(now)
 	if row, known := decider.tickets.rows[key]; known {
-		return decider.judge(call, key, row)
+		return decider.rejectRepeated(call, key, row)
 	}
-	if len(decider.tickets.rows) >= mostTickets {
-		// What can't be remembered can't be promised either.
+	if len(decider.tickets.rows) >= maxTickets {
+		// Without a row, a second run of this request could not be prevented.
 		decider.counts.Declined["tickets_full"]++
-		return &verdict.Mishap{Verdict: verdict.MayHaveRun, Code: "tickets_full", Message: "too many requests are remembered; come back later", Status: 503, ComeBack: 5 * time.Second}
+		return &verdict.Mishap{Verdict: verdict.MayHaveRun, Code: "tickets_full", Message: "the table of recent requests is full; retry later", Status: 503, ComeBack: 5 * time.Second}
 	}
-	decider.tickets.rows[key] = ticketRow{state: running, expiry: expiry}
-	if len(decider.tickets.ids) < mostTickets {
-		decider.tickets.ids[call.ID] = expiry
+	decider.tickets.rows[key] = ticketRow{state: running, deadline: deadline}
+	if len(decider.tickets.recentIDs) < maxTickets {
+		decider.tickets.recentIDs[call.ID] = deadline
 	}
 	call.barred = &key
 	return nil
 }
 
-// Settled tells how a call that was allowed has ended.
+// Settled records the outcome of a call that Allow admitted.
 func (decider *Decider) Settled(call *Call, mishap *verdict.Mishap) {
 	if call.barred == nil {
 		return
@@ -306,35 +317,35 @@
 	row := decider.tickets.rows[*call.barred]
 	switch {
 	case mishap != nil && mishap.Verdict == verdict.NotRun:
-		row.state = unrun
+		row.state = rejectedUnrun
 	default:
 		row.state, row.ran = ended, mishap == nil || mishap.Verdict == verdict.Ran
 	}
 	decider.tickets.rows[*call.barred] = row
 }
 
-// Claim is another daemon's question about a (ticket, request id).
+// Claim is a request by another daemon to take over a (ticket, request id).
 type Claim struct {
 	Ticket  Ticket
 	Request string
-	// The claimant, to whom it is given if it never ran.
+	// The claimant, which gets the request if it never ran.
 	Daemon, Incarnation, Wire string
 }
 
-// Claimed answers.
+// Claimed is the reply to a Claim.
 type Claimed struct {
-	Incarnation string // of the one who answers
-	Given       bool   // never ran, and barred here now
+	Incarnation string // of the daemon that replies
+	Given       bool   // it never ran; it is now transferred to the claimant
 	Running     bool
 	Ran         bool
-	Unrun       bool // was told not_run, which stands
+	Unrun       bool // its caller was told not_run, which stays final
 	Expired     bool
 	Left        time.Duration
-	// Next has it, when it was given away before.
+	// Next and NextIncarnation are those of the daemon that it was transferred to before.
 	Next, NextIncarnation string
 }
 
-// Settle answers a claim. Giving bars the key here for good.
+// Settle answers a claim. After a transfer this daemon never runs the request itself.
 func (decider *Decider) Settle(claim Claim, claimed *Claimed) error {
 	now := decider.World.Now()
 	decider.guard.Lock()
@@ -343,128 +354,131 @@
 	key := ticketKey{claim.Ticket.ID, claim.Request}
 	row, known := decider.tickets.rows[key]
 	if !known {
-		left := decider.left(claim.Ticket)
-		if !decider.ours(claim.Ticket) || left <= 0 || len(decider.tickets.rows) >= mostTickets {
-			// Asked as the next in a chain, it should know; it does not.
+		left := decider.timeLeft(claim.Ticket)
+		if !decider.decidesFor(claim.Ticket) || left <= 0 || len(decider.tickets.rows) >= maxTickets {
+			// A claimant that follows a chain of transfers expects a row here; without
+			// one, whether the request ran is unknown.
 			claimed.Expired = true
 			return nil
 		}
-		if heir := decider.tickets.heir; heir != nil {
-			claimed.Next, claimed.NextIncarnation = heir.Wire, heir.Incarnation
+		if successor := decider.tickets.successor; successor != nil {
+			claimed.Next, claimed.NextIncarnation = successor.Wire, successor.Incarnation
 			return nil
 		}
 		claimed.Left, claimed.Given = left, true
-		decider.tickets.rows[key] = ticketRow{state: barred, expiry: now + left, holder: claim.Wire, incarnation: claim.Incarnation}
+		decider.tickets.rows[key] = ticketRow{state: transferred, deadline: now + left, ownerWire: claim.Wire, incarnation: claim.Incarnation}
 		return nil
 	}
-	claimed.Left = row.expiry - now
+	claimed.Left = row.deadline - now
 	switch row.state {
 	case running:
 		claimed.Running = true
 	case ended:
 		claimed.Ran = true
-	case barred:
-		claimed.Next, claimed.NextIncarnation = row.holder, row.incarnation
-		// The same claimant asks again: its first answer may have been lost.
+	case transferred:
+		claimed.Next, claimed.NextIncarnation = row.ownerWire, row.incarnation
+		// The claimant repeats its claim, as the first reply may have been lost.
 		claimed.Given = row.incarnation == claim.Incarnation
-	case unrun:
+	case rejectedUnrun:
 		claimed.Unrun = true
 	}
 	return nil
 }
 
-// ours tells whether this daemon decides about the ticket's unseen requests.
-func (decider *Decider) ours(ticket Ticket) bool {
+// decidesFor reports whether this daemon decides about unseen requests of the ticket.
+func (decider *Decider) decidesFor(ticket Ticket) bool {
 	_, isInherited := decider.tickets.inherited[ticket.Incarnation]
 	return isInherited || ticket.Incarnation == decider.Self.Incarnation
 }
 
-// bound is the daemon that the ticket is bound to, while it is a member. Only
-// members are asked; a ticket may say anything. A daemon that has just begun waits
-// for its first permit, as it knows no members before.
-func (decider *Decider) bound(ticket Ticket) *session.Member {
-	expiry := decider.World.Now() + claimPatience
-	for decider.Holder().Tree == nil && decider.World.Now() < expiry {
-		if !loop.Sleep(decider.World, claimPatience/20) {
+// boundDaemon returns the daemon that the ticket is bound to, if that is a member.
+// Only members are contacted, as callers can write any address into a ticket. A daemon
+// that has just started waits for its first lease, before which it knows no members.
+func (decider *Decider) boundDaemon(ticket Ticket) *session.Member {
+	deadline := decider.World.Now() + claimTimeout
+	for decider.Holder().Tree == nil && decider.World.Now() < deadline {
+		if !loop.Sleep(decider.World, claimTimeout/20) {
 			return nil
 		}
 	}
-	for _, one := range decider.Holder().Members {
-		if one.Role == session.Data && one.Incarnation == ticket.Incarnation && one.Wire == ticket.Wire && one.Wire != decider.Self.Wire {
-			return &one
+	for _, member := range decider.Holder().Members {
+		if member.Role == session.Data && member.Incarnation == ticket.Incarnation && member.Wire == ticket.Wire && member.Wire != decider.Self.Wire {
+			return &member
 		}
 	}
 	return nil
 }
 
-// heirOf finds who was left the ticket's rows.
-func (decider *Decider) heirOf(ticket Ticket) *session.Member {
+// findSuccessor asks the other daemons which one has inherited the ticket's rows.
+func (decider *Decider) findSuccessor(ticket Ticket) *session.Member {
 	var others []session.Member
-	for _, one := range decider.Holder().Members {
-		if one.Role == session.Data && one.Wire != decider.Self.Wire {
-			others = append(others, one)
+	for _, member := range decider.Holder().Members {
+		if member.Role == session.Data && member.Wire != decider.Self.Wire {
+			others = append(others, member)
 		}
 	}
 	var found *session.Member
-	loop.Gather(decider.World, len(others), claimPatience, func(index int) (heir string) {
-		if decider.Net.Call(others[index].Wire, "Ticket.Inherits", ticket.Incarnation, &heir, claimPatience) != nil {
+	loop.Gather(decider.World, len(others), claimTimeout, func(index int) (successor string) {
+		if decider.Net.Call(others[index].Wire, "Ticket.Inherits", ticket.Incarnation, &successor, claimTimeout) != nil {
 			return ""
 		}
-		return heir
-	}, func(index int, heir string) bool {
-		if heir != "" {
+		return successor
+	}, func(index int, successor string) bool {
+		if successor != "" {
 			found = &others[index]
-			found.Incarnation = heir // the member's may be of an earlier life
+			found.Incarnation = successor // the member list may still show an earlier incarnation
 		}
-		return heir != ""
+		return successor != ""
 	})
 	return found
 }
 
-// Bequest is all that a daemon remembers of tickets, left to an heir in a planned
-// stop once nothing runs any more.
+// Bequest is everything that a daemon remembers about tickets. In a planned shutdown,
+// once nothing runs any more, it is handed to a successor.
 type Bequest struct {
-	// Uptimes are of the incarnations whose tickets it decides about.
+	// Uptimes holds the uptimes of the incarnations whose tickets the daemon
+	// decides about.
 	Uptimes map[string]time.Duration
 	Rows    []Bequeathed
 }
 
-// Bequeathed is one row.
+// Bequeathed is one row of a Bequest.
 type Bequeathed struct {
 	Ticket, Request     string
 	Unrun, Ran          bool
-	Holder, Incarnation string // who has it, if it was given away
+	Holder, Incarnation string // the daemon that owns it, if it was transferred
 	Left                time.Duration
 }
 
-// Bequeath leaves everything to a colleague, the nearest first; true if one took
-// it. From then on this daemon decides about no unseen request itself.
+// Bequeath hands all rows over to a peer, trying those of its own region first, and
+// reports whether one has accepted them. From then on this daemon decides about no
+// unseen request itself.
 func (decider *Decider) Bequeath() bool {
 	var near, far []session.Member
-	for _, one := range decider.Holder().Members {
+	for _, member := range decider.Holder().Members {
 		switch {
-		case one.Role != session.Data || one.Leaving || one.Incarnation == decider.Self.Incarnation:
-		case one.Region == decider.Self.Region:
-			near = append(near, one)
+		case member.Role != session.Data || member.Leaving || member.Incarnation == decider.Self.Incarnation:
+		case member.Region == decider.Self.Region:
+			near = append(near, member)
 		default:
-			far = append(far, one)
+			far = append(far, member)
 		}
 	}
-	for _, one := range append(near, far...) {
+	for _, member := range append(near, far...) {
 		decider.guard.Lock()
-		decider.tickets.heir = &one
+		decider.tickets.successor = &member
 		bequest := decider.bequest()
 		decider.guard.Unlock()
 		var taken bool
-		// One that was told and did not answer may have taken it: it stays heir, so
-		// that there are never two.
-		err := decider.Net.Call(one.Wire, "Ticket.Inherit", bequest, &taken, claimPatience)
+		// A peer that received the call and did not reply may have accepted. It stays
+		// the successor, so that there are never two.
+		err := decider.Net.Call(member.Wire, "Ticket.Inherit", bequest, &taken, claimTimeout)
 		if err == nil && taken || err != nil && !wire.Unsent(err) {
 			return err == nil
 		}
 	}
 	decider.guard.Lock()
-	decider.tickets.heir = nil
+	decider.tickets.successor = nil
 	decider.guard.Unlock()
 	return false
 }
@@ -476,41 +490,41 @@
 		out.Uptimes[incarnation] = now - began
 	}
 	for key, row := range decider.tickets.rows {
-		if row.expiry > now {
-			out.Rows = append(out.Rows, Bequeathed{Ticket: key.ticket, Request: key.request, Unrun: row.state == unrun, Ran: row.ran, Holder: row.holder, Incarnation: row.incarnation, Left: row.expiry - now})
+		if row.deadline > now {
+			out.Rows = append(out.Rows, Bequeathed{Ticket: key.ticket, Request: key.request, Unrun: row.state == rejectedUnrun, Ran: row.ran, Holder: row.ownerWire, Incarnation: row.incarnation, Left: row.deadline - now})
 		}
 	}
 	return out
 }
 
-// Inherit takes a colleague's rows. What this daemon has of its own it knows
-// better.
+// Inherit takes over the rows of a peer that shuts down. Rows that this daemon already
+// has are kept, as they are newer.
 func (decider *Decider) Inherit(bequest Bequest, taken *bool) error {
 	now := decider.World.Now()
 	decider.guard.Lock()
 	defer decider.guard.Unlock()
-	if decider.stopped || decider.tickets.heir != nil || len(decider.tickets.rows)+len(bequest.Rows) > mostTickets {
+	if decider.stopped || decider.tickets.successor != nil || len(decider.tickets.rows)+len(bequest.Rows) > maxTickets {
 		return nil
 	}
 	for incarnation, uptime := range bequest.Uptimes {
 		decider.tickets.inherited[incarnation] = now - uptime
 		if view := decider.Holder(); view.Tree != nil {
-			decider.tickets.heldUntil[incarnation] = now + 2*view.Tree.Span("ticket_ms", "")
+			decider.tickets.inheritedUntil[incarnation] = now + 2*view.Tree.Span("ticket_ms", "")
 		}
 	}
-	for _, one := range bequest.Rows {
-		key := ticketKey{one.Ticket, one.Request}
-		// What was given to this one, and is not here, has not come yet or was lost
-		// on its way: it was not let in.
-		if _, known := decider.tickets.rows[key]; known || one.Incarnation == decider.Self.Incarnation {
+	for _, entry := range bequest.Rows {
+		key := ticketKey{entry.Ticket, entry.Request}
+		// A request that was transferred to this daemon and has no row here was never
+		// admitted: it has not arrived yet, or its transfer was lost.
+		if _, known := decider.tickets.rows[key]; known || entry.Incarnation == decider.Self.Incarnation {
 			continue
 		}
-		row := ticketRow{state: ended, expiry: now + one.Left, holder: one.Holder, incarnation: one.Incarnation, ran: one.Ran}
+		row := ticketRow{state: ended, deadline: now + entry.Left, ownerWire: entry.Holder, incarnation: entry.Incarnation, ran: entry.Ran}
 		switch {
-		case one.Unrun:
-			row.state = unrun
-		case one.Holder != "":
-			row.state = barred
+		case entry.Unrun:
+			row.state = rejectedUnrun
+		case entry.Holder != "":
+			row.state = transferred
 		}
 		decider.tickets.rows[key] = row
 	}
@@ -518,69 +532,71 @@
 	return nil
 }
 
-// Inherits gives this incarnation if the asked one's rows were left here.
-func (decider *Decider) Inherits(incarnation string, heir *string) error {
+// Inherits replies with this daemon's incarnation if it has inherited the rows of the
+// given incarnation.
+func (decider *Decider) Inherits(incarnation string, successor *string) error {
 	decider.guard.Lock()
 	defer decider.guard.Unlock()
 	if _, isInherited := decider.tickets.inherited[incarnation]; isInherited {
-		*heir = decider.Self.Incarnation
+		*successor = decider.Self.Incarnation
 	}
 	return nil
 }
 
-const goneCode = "daemon_gone"
+const daemonGoneCode = "daemon_gone"
 
-func gone() *verdict.Mishap {
-	return &verdict.Mishap{Verdict: verdict.MayHaveRun, Code: goneCode, Message: "the daemon that the ticket is bound to is gone or can't be asked; the request may have run there", Status: 409}
+func daemonGone() *verdict.Mishap {
+	return &verdict.Mishap{Verdict: verdict.MayHaveRun, Code: daemonGoneCode, Message: "the daemon that the ticket is bound to is gone or unreachable; the request may have run there", Status: 409}
 }
 
-// mostHops bounds how far a chain of givings is followed.
-const mostHops = 4
+// maxHops bounds how many transfers of a request are followed from daemon to daemon.
+const maxHops = 4
 
-// claim asks the daemon at the address for the key.
+// claim asks the daemon at the address to transfer the request, and returns how long
+// the ticket is still valid.
 func (decider *Decider) claim(ticket Ticket, request, address, incarnation string, hops int) (time.Duration, *verdict.Mishap) {
-	doubt := func(code, message string) (time.Duration, *verdict.Mishap) {
+	unknown := func(code, message string) (time.Duration, *verdict.Mishap) {
 		return 0, &verdict.Mishap{Verdict: verdict.MayHaveRun, Code: code, Message: message, Status: 409}
 	}
-	ask := Claim{Ticket: ticket, Request: request, Daemon: decider.Self.Name, Incarnation: decider.Self.Incarnation, Wire: decider.Self.Wire}
+	claim := Claim{Ticket: ticket, Request: request, Daemon: decider.Self.Name, Incarnation: decider.Self.Incarnation, Wire: decider.Self.Wire}
 	var claimed Claimed
-	err := decider.Net.Call(address, "Ticket.Settle", ask, &claimed, claimPatience)
+	err := decider.Net.Call(address, "Ticket.Settle", claim, &claimed, claimTimeout)
 	switch {
 	case err != nil || claimed.Incarnation != incarnation:
-		return 0, gone()
+		return 0, daemonGone()
 	case claimed.Given && claimed.Left > 0:
 		return claimed.Left, nil
 	case claimed.Unrun:
-		return 0, verdict.Decline(503, "declined_before", "this request was declined as not run under this ticket; locate again", 0)
+		return 0, verdict.Decline(503, "declined_before", "this request was already rejected without running under this ticket; call /v1/locate for a new one", 0)
 	case claimed.Running:
-		return doubt("running", "this request is running at another daemon")
+		return unknown("running", "this request is already running at another daemon")
 	case claimed.Ran:
-		return doubt("ran", "this request ran at another daemon and is never run again")
+		return unknown("ran", "this request has already run at another daemon and is never run again")
 	case claimed.NextIncarnation == decider.Self.Incarnation:
-		return decider.inherit(ticket)
-	case claimed.Next != "" && hops < mostHops:
+		return decider.awaitInheritance(ticket)
+	case claimed.Next != "" && hops < maxHops:
 		return decider.claim(ticket, request, claimed.Next, claimed.NextIncarnation, hops+1)
 	}
-	return 0, expired()
+	return 0, ticketExpired()
 }
 
-// inherit is the answer to a claim that ends at this daemon itself: it is the
-// heir, and the rows may still be on their way.
-func (decider *Decider) inherit(ticket Ticket) (time.Duration, *verdict.Mishap) {
-	expiry := decider.World.Now() + claimPatience
+// awaitInheritance handles a claim that leads back to this daemon: it is the
+// successor, and the rows may still be in transit.
+func (decider *Decider) awaitInheritance(ticket Ticket) (time.Duration, *verdict.Mishap) {
+	deadline := decider.World.Now() + claimTimeout
 	for {
 		decider.guard.Lock()
-		isOurs, left := decider.ours(ticket), decider.left(ticket)
+		isOurs, left := decider.decidesFor(ticket), decider.timeLeft(ticket)
 		decider.guard.Unlock()
 		switch {
 		case isOurs && left > 0:
 			return left, nil
 		case isOurs:
-			return 0, expired()
-		case decider.World.Now() >= expiry || !loop.Sleep(decider.World, claimPatience/20):
-			return 0, gone()
+			return 0, ticketExpired()
+		case decider.World.Now() >= deadline || !loop.Sleep(decider.World, claimTimeout/20):
+			return 0, daemonGone()
 		}
 	}
 }
 
-const claimPatience = 700 * time.Millisecond
+const claimTimeout = 700 * time.Millisecond
--- a/decide/window.go
+++ b/decide/window.go
@@ -13,18 +13,18 @@
 	at    time.Duration
 }
 
-const smooth = 2 * time.Second
+const smoothingSpan = 2 * time.Second
 
 func (flow *flow) decay(now time.Duration) {
 	if now <= flow.at {
 		return
 	}
-	left := 1 - float64(now-flow.at)/float64(smooth)
-	if left < 0 {
-		left = 0
+	remaining := 1 - float64(now-flow.at)/float64(smoothingSpan)
+	if remaining < 0 {
+		remaining = 0
 	}
-	// A short step of the exponential, repeated; never below zero.
-	flow.value *= left
+	// One linear step approximates the exponential decay; it never goes below zero.
+	flow.value *= remaining
 	flow.at = now
 }
 
@@ -33,19 +33,19 @@
 	flow.value += amount
 }
 
-// rate is per second.
+// rate returns the rate per second.
 func (flow *flow) rate(now time.Duration) float64 {
 	flow.decay(now)
-	return flow.value / smooth.Seconds()
+	return flow.value / smoothingSpan.Seconds()
 }
 
-// window keeps outcomes of the last seconds, in slices, and all totals.
+// window keeps the outcomes of the last seconds, in slices, and the totals since the start.
 type window struct {
-	slices [windowSlices]slice
+	slices [windowSlices]windowSlice
 	totals map[standing.Outcome]standing.Outcome
 }
 
-type slice struct {
+type windowSlice struct {
 	number int64
 	counts map[standing.Outcome]standing.Outcome
 }
@@ -59,7 +59,7 @@
 	number := int64(now / sliceSpan)
 	slot := &window.slices[number%windowSlices]
 	if slot.number != number || slot.counts == nil {
-		*slot = slice{number, map[standing.Outcome]standing.Outcome{}}
+		*slot = windowSlice{number, map[standing.Outcome]standing.Outcome{}}
 	}
 	key := outcome.Key()
 	sum, known := slot.counts[key]
@@ -84,12 +84,12 @@
 		if number-slot.number >= windowSlices {
 			continue
 		}
-		for key, one := range slot.counts {
+		for key, outcome := range slot.counts {
 			sum, known := out[key]
 			if !known {
 				sum = key
 			}
-			sum.Add(one)
+			sum.Add(outcome)
 			out[key] = sum
 		}
 	}
@@ -98,8 +98,8 @@
 
 func ordered(table map[standing.Outcome]standing.Outcome) []standing.Outcome {
 	out := make([]standing.Outcome, 0, len(table))
-	for _, one := range table {
-		out = append(out, one)
+	for _, outcome := range table {
+		out = append(out, outcome)
 	}
 	sort.Slice(out, func(a, b int) bool {
 		x, y := out[a], out[b]
@@ -108,39 +108,39 @@
 	return out
 }
 
-// budget counts real demand and retries of the last seconds, in slices.
-type budget [budgetSlices]tally
+// budget counts first tries and retries of the last seconds, in slices.
+type budget [budgetSlices]budgetSlice
 
-type tally struct {
-	number       int64
-	fresh, again int
+type budgetSlice struct {
+	number         int64
+	fresh, retries int
 }
 
 const (
 	budgetSlices = 40
-	// budgetSpan is what a share of demand is taken of; short beside what a storm
-	// lasts, long beside the burst that a planned stop makes.
+	// budgetSpan is the time over which the share of retries is taken: short compared
+	// with a retry storm, long compared with the burst that a planned shutdown causes.
 	budgetSpan = 10 * time.Second
 )
 
-// count is the slice of the time.
-func (budget *budget) count(now time.Duration) *tally {
+// count returns the slice for the time, emptied if it was of an earlier span.
+func (budget *budget) count(now time.Duration) *budgetSlice {
 	number := int64(now / (budgetSpan / budgetSlices))
 	slot := &budget[number%budgetSlices]
 	if slot.number != number {
-		*slot = tally{number: number}
+		*slot = budgetSlice{number: number}
 	}
 	return slot
 }
 
-// sums adds up the span before the time.
-func (budget *budget) sums(now time.Duration) (fresh, again int) {
+// sums returns the first tries and retries within the span that ends now.
+func (budget *budget) sums(now time.Duration) (fresh, retries int) {
 	number := int64(now / (budgetSpan / budgetSlices))
 	for _, slot := range budget {
 		if number-slot.number < budgetSlices {
 			fresh += slot.fresh
-			again += slot.again
+			retries += slot.retries
 		}
 	}
-	return fresh, again
+	return fresh, retries
 }
