--- a/decide/doors_test.go
+++ b/decide/doors_test.go
@@ -12,9 +12,9 @@
 	"swifttiller/sim"
 )
 
-// TestDoorsLeadHome: where a caller's region has no daemon left that stays, it is led to
-// the homes of its host's routes, or to those of its own that still serve; elsewhere only
-// where there are none of these.
+// TestDoorsLeadHome: if all daemons of a caller's region are leaving, callers are sent to
+// the home regions of their host's routes, or to those of their own region that still serve;
+// to other regions only if there are none of these. Otherwise requests would leave their home.
 func TestDoorsLeadHome(t *testing.T) {
 	tree, problems := settings.Parse([]byte(`{"whole":{"placements":{"m":{"version":"any","capacity":64}}},"engines":{"m":{"probe_path":"/vitals"}},
  "routes":[{"name":"r","host":"home.example","prefix":"/x/","kind":"safe","timeout_ms":1000,"homes":["a","b"],"shares":[{"model":"m","weight":1}]},
@@ -39,12 +39,12 @@
 		{name: "the other home", host: "home.example", region: "a", zone: "a-1", leaving: []string{"a1", "a2"}, want: []string{"b1", "b2"}},
 		{name: "its own region, which is no home", host: "home.example", region: "c", zone: "c-1", want: []string{"c1"}},
 		{name: "both homes", host: "home.example", region: "c", zone: "c-1", leaving: []string{"c1"}, want: []string{"a1", "a2", "b1", "b2"}},
-		{name: "anywhere that stays, without homes", host: "any.example", region: "b", zone: "b-1", leaving: []string{"b1", "b2"}, want: []string{"a1", "a2", "c1"}},
-		{name: "those of its own that still serve", host: "home.example", region: "b", zone: "b-1", leaving: []string{"a1", "a2", "b1", "b2"}, want: []string{"b1", "b2"}},
-		{name: "a home's that still serve", host: "home.example", region: "b", zone: "b-1", leaving: []string{"a1"}, gone: []string{"a2", "b1", "b2"}, want: []string{"a1"}},
-		{name: "elsewhere when nothing else is left", host: "home.example", region: "b", zone: "b-1", gone: []string{"a1", "a2", "b1", "b2"}, want: []string{"c1"}},
-		{name: "an unknown host as one without homes", host: "other.example", region: "b", zone: "b-1", leaving: []string{"b1", "b2"}, want: []string{"a1", "a2", "c1"}},
-		{name: "all leave", host: "any.example", region: "c", zone: "c-1", leaving: []string{"a1", "a2", "b1", "b2", "c1"}, want: []string{"c1"}},
+		{name: "any that is not leaving, for a host without homes", host: "any.example", region: "b", zone: "b-1", leaving: []string{"b1", "b2"}, want: []string{"a1", "a2", "c1"}},
+		{name: "those of its own region that still serve", host: "home.example", region: "b", zone: "b-1", leaving: []string{"a1", "a2", "b1", "b2"}, want: []string{"b1", "b2"}},
+		{name: "those of a home that still serve", host: "home.example", region: "b", zone: "b-1", leaving: []string{"a1"}, gone: []string{"a2", "b1", "b2"}, want: []string{"a1"}},
+		{name: "another region if nothing else is left", host: "home.example", region: "b", zone: "b-1", gone: []string{"a1", "a2", "b1", "b2"}, want: []string{"c1"}},
+		{name: "an unknown host like one without homes", host: "other.example", region: "b", zone: "b-1", leaving: []string{"b1", "b2"}, want: []string{"a1", "a2", "c1"}},
+		{name: "the caller's own region if all are leaving", host: "any.example", region: "c", zone: "c-1", leaving: []string{"a1", "a2", "b1", "b2", "c1"}, want: []string{"c1"}},
 	} {
 		view := &permit.View{Tree: tree, Expiry: loop.Forever}
 		for _, member := range members {
--- a/decide/health_test.go
+++ b/decide/health_test.go
@@ -13,24 +13,25 @@
 	"swifttiller/verdict"
 )
 
-// clinic is a decider over many replicas, of which some fail.
+// clinic is a decider in a simulation with many replicas, some of which fail.
 type clinic struct {
 	*sim.Sim
 	t       *testing.T
 	decider *decide.Decider
-	// fails gives what becomes of a request at the replica.
+	// fails returns the outcome of a request at the replica; nil is a success.
 	fails func(replica string) *verdict.Mishap
-	// hears, if set, is the same by the whole selection.
+	// hears, if set, takes the place of fails and gets the whole selection.
 	hears func(selection *decide.Selection) *verdict.Mishap
-	// declines, if set, gets what no replica was given for.
+	// declines, if set, gets the rejections of requests that no replica was found for.
 	declines func(mishap *verdict.Mishap)
 	view     *permit.View
-	// sent are when requests went to which replica; failed and all count since the last look.
+	// sent holds the times of the requests to each replica; failed and all count requests
+	// since the last takeCounts.
 	sent        map[string][]time.Duration
 	failed, all int
 }
 
-// The routes of a clinic: one may be repeated, the other not.
+// Routes of a clinic: the requests of the first may be repeated, those of the other not.
 const (
 	resumedPath = "/x/y"
 	oncePath    = "/once/y"
@@ -51,7 +52,7 @@
 	return clinic
 }
 
-// request is one request of 30 ms, at whichever replica it is sent to.
+// request sends one request of 30 ms to the replica that the decider selects.
 func (clinic *clinic) request(node *sim.Node, path string) {
 	routed := &decide.Routed{ID: "r", Host: "h.example", Path: path, Tokens: 100, Most: 40, Expiry: node.Now() + 10*time.Second}
 	if mishap := clinic.decider.Direct(routed); mishap != nil {
@@ -89,7 +90,7 @@
 	return failed, all
 }
 
-// idle are those that got nothing in a span up to now.
+// idle lists the replicas that got no request in the span before now.
 func (clinic *clinic) idle(span time.Duration) (names []string) {
 	for name, sent := range clinic.sent {
 		if clinic.Now()-sent[len(sent)-1] > span {
@@ -99,7 +100,7 @@
 	return names
 }
 
-// busiest is the replica that got the most.
+// busiest returns the replica that got the most requests.
 func (clinic *clinic) busiest() (most string) {
 	for name, sent := range clinic.sent {
 		if count := len(clinic.sent[most]); len(sent) > count || len(sent) == count && name < most {
@@ -111,8 +112,8 @@
 
 var badAnswer = &verdict.Mishap{Verdict: verdict.Ran, Code: "replica_failed", Status: 502}
 
-// TestMishapsKeepReplicasOut: a replica that fails a part of its requests gets few, and is
-// left alone longer each time; it is back at work soon after it fails no more.
+// TestMishapsKeepReplicasOut: a replica that fails 4 of 10 requests is ejected, longer
+// each time, so that few requests fail; it serves again soon after it has recovered.
 func TestMishapsKeepReplicasOut(t *testing.T) {
 	for _, path := range []string{resumedPath, oncePath} {
 		clinic := newClinic(t, 30, path)
@@ -128,9 +129,10 @@
 		from := clinic.Now()
 		clinic.Run(20 * time.Second)
 		if failed, all := clinic.takeCounts(); failed == 0 || failed > 16 {
-			t.Errorf("%s: %d of %d failed", path, failed, all)
+			t.Errorf("%s: %d of %d requests failed, want 1 to 16", path, failed, all)
 		}
-		// Gaps between requests there; the first is for its first mishap, which weighs a little.
+		// Gaps between requests there. The first one follows its first failure, which alone is
+		// only a penalty in the selection.
 		var gaps []time.Duration
 		last := from
 		for _, at := range clinic.sent[failing] {
@@ -140,17 +142,18 @@
 			last = max(last, at)
 		}
 		if len(gaps) < 3 || slices.Max(gaps[2:]) <= gaps[1] || slices.Max(gaps) > 11*time.Second {
-			t.Errorf("%s: left alone for %v", path, gaps)
+			t.Errorf("%s: gaps between requests to the failing replica are %v, want growing ones of at most 11 s", path, gaps)
 		}
 		clinic.fails = func(string) *verdict.Mishap { return nil }
 		clinic.Run(15 * time.Second)
 		if names := clinic.idle(time.Second); len(names) > 0 {
-			t.Errorf("%s: %v are still left alone", path, names)
+			t.Errorf("%s: %v still get no requests after they have recovered", path, names)
 		}
 	}
 }
 
-// TestReplicasAreTriedGently: what comes first to one that was held is far apart.
+// TestReplicasAreTriedGently: the first requests to a replica after its ejection are at
+// least 140 ms apart, so that few fail if it has not recovered.
 func TestReplicasAreTriedGently(t *testing.T) {
 	clinic := newClinic(t, 30, resumedPath)
 	clinic.Run(2 * time.Second)
@@ -168,17 +171,17 @@
 		if when > from+time.Second {
 			late++
 			if gap := when - clinic.sent[failing][at-1]; gap < 140*time.Millisecond {
-				t.Errorf("two requests %v apart", gap)
+				t.Errorf("two probe requests are only %v apart", gap)
 			}
 		}
 	}
 	if late == 0 || late > 12 {
-		t.Errorf("%d requests went to one that fails all", late)
+		t.Errorf("%d requests went to a replica that fails all, want 1 to 12", late)
 	}
 }
 
-// TestMostReplicasAreNeverOut: however many fail, at most two in five of a region's are
-// left alone; and where all fail alike none is.
+// TestMostReplicasAreNeverOut: however many replicas fail, at most two in five of a region's
+// are ejected, and of two none is. Ejecting more would overload the rest.
 func TestMostReplicasAreNeverOut(t *testing.T) {
 	for _, replicas := range []int{2, 3, 12, 30, 60} {
 		clinic := newClinic(t, replicas, oncePath)
@@ -198,11 +201,11 @@
 				inRegion = replicas
 			}
 			if held := len(clinic.decider.Held("a")); held*5 > inRegion*2 {
-				t.Fatalf("%d of %d are left alone", held, inRegion)
+				t.Fatalf("%d of %d replicas are ejected, more than two in five", held, inRegion)
 			}
 		}
 		if replicas == 2 && most > 0 {
-			t.Errorf("%d of 2 were left alone", most)
+			t.Errorf("%d of 2 replicas were ejected, want none", most)
 		}
 	}
 }
--- a/decide/keys_test.go
+++ b/decide/keys_test.go
@@ -12,7 +12,7 @@
 	"swifttiller/settings"
 )
 
-// keyedView is a routed view whose tree has other words in the place of some.
+// keyedView returns a routed view with parts of its configuration replaced.
 func keyedView(t *testing.T, changes ...string) *permit.View {
 	t.Helper()
 	view := routedView(30)
@@ -26,8 +26,9 @@
 
 const keyed = `"tenants":[{"name":"one","keys":["k1","k2"],"urgency":0,"homes":["a","b"]},{"name":"two","keys":["k3"]}],"regions"`
 
-// TestKeys: a request needs a key that some tenant holds by the configuration of this very
-// moment, unless its route is keyless; that it has no route is found first.
+// TestKeys: a request needs a key that a tenant has in the present configuration, unless its
+// route is keyless; a missing route is reported first. A key that was revoked, or moved to
+// another tenant, must not be accepted by an older configuration.
 func TestKeys(t *testing.T) {
 	tenanted := keyedView(t, `"regions"`, keyed, `"name":"o"`, `"keyless":true,"name":"o"`)
 	passed := keyedView(t, `"regions"`, `"tenants":[{"name":"one","keys":["k2"]},{"name":"two","keys":["k1"]}],"regions"`)
@@ -61,22 +62,22 @@
 		mishap := decider.Direct(routed)
 		switch {
 		case (mishap != nil) != (test.status != 0), mishap != nil && (mishap.Status != test.status || mishap.Code != test.code):
-			t.Errorf("%s with key %q: %+v", test.path, test.key, mishap)
+			t.Errorf("%s with key %q: unexpected outcome %+v", test.path, test.key, mishap)
 		case mishap == nil && routed.IsTenanted != test.view.Tree.Tenanted():
-			t.Errorf("%s with key %q: tenanted: %v", test.path, test.key, routed.IsTenanted)
+			t.Errorf("%s with key %q: IsTenanted is %v, unlike the configuration", test.path, test.key, routed.IsTenanted)
 		}
 		got := ""
 		if mishap == nil && routed.Tenant != nil {
 			got = routed.Tenant.Name
 		}
 		if got != test.tenant {
-			t.Errorf("%s with key %q is of %q", test.path, test.key, got)
+			t.Errorf("%s with key %q belongs to tenant %q", test.path, test.key, got)
 		}
 	}
 }
 
-// TestTenantBindsToo: a request goes where its route and its tenant both allow it, and its
-// rank is its tenant's where that has one.
+// TestTenantBindsToo: a request goes only to regions that are homes of both its route and its
+// tenant, and its urgency is the tenant's if that has one, else the route's.
 func TestTenantBindsToo(t *testing.T) {
 	view := keyedView(t, `"regions"`, keyed, `"name":"o"`, `"homes":["b","c"],"urgency":4,"name":"o"`, `"name":"r"`, `"urgency":4,"name":"r"`)
 	world := loop.NewMachine()
@@ -98,13 +99,13 @@
 				}
 				decider.Begun(selection, true)
 				if !strings.Contains(test.allowed, selection.Region) || routed.Urgency() != test.urgency {
-					t.Fatalf("home: %s with %s from %s went to %s, with the rank %d", test.path, test.key, own, selection.Region, routed.Urgency())
+					t.Fatalf("home: %s with key %s from region %s went to %s, with urgency %d", test.path, test.key, own, selection.Region, routed.Urgency())
 				}
 				decider.Unseat(selection, nil, time.Millisecond)
 			}
 		}
 	}
-	// Where the two have no region in common it goes nowhere.
+	// If the two have no region in common, the request is rejected.
 	view = keyedView(t, `"regions"`, keyed, `"name":"o"`, `"homes":["c"],"name":"o"`)
 	decider := decide.New(decide.Options{World: world, Holder: func() *permit.View { return view }, Self: session.Member{Name: "x", Role: session.Data, Region: "a", Zone: "a-1"}})
 	routed := &decide.Routed{Host: "h.example", Path: oncePath, Key: "k1", Tokens: 100, Most: 40, Expiry: world.Now() + time.Minute}
@@ -112,6 +113,6 @@
 		t.Fatal(mishap.Code)
 	}
 	if selection, mishap := decider.Route(routed, nil); mishap == nil || mishap.Status != 503 {
-		t.Errorf("home: it went to %v, %v", selection, mishap)
+		t.Errorf("home: a request without a common home region went to %v, %v", selection, mishap)
 	}
 }
--- a/decide/open_test.go
+++ b/decide/open_test.go
@@ -13,7 +13,7 @@
 	"swifttiller/verdict"
 )
 
-// openView is a placement of any version, with r1 to r3 at v1 and r4 and r5 as given.
+// openView has a placement of any version, with r1 to r3 at v1 and r4 and r5 as newer sets them.
 func openView(newer func(row *standing.Row), older func(row *standing.Row)) *permit.View {
 	out := view([]string{"x"}, 64, false)
 	tree, problems := settings.Parse([]byte(strings.NewReplacer(`"version":"v1"`, `"version":"any"`, `"queue_ms":400`, `"queue_ms":400,"stall_ms":2000`).Replace(document)))
@@ -39,8 +39,8 @@
 
 func onTrial(row *standing.Row) { row.Trial = true }
 
-// serveOne has one request of the kind served, with its first piece after the time that
-// is given for the version, and tells where it went; a time below zero fails it.
+// serveOne runs one request of the kind, with the time to first token that first gives for its
+// version, and returns its selection; a negative time makes the request fail.
 func serveOne(t *testing.T, bench *bench, kind string, first func(version string) time.Duration) *decide.Selection {
 	t.Helper()
 	var selection *decide.Selection
@@ -49,7 +49,7 @@
 		request.Kind = kind
 		var mishap *verdict.Mishap
 		if selection, mishap = bench.deciders["x"].Select(request, nil); mishap != nil {
-			t.Errorf("declined: %v", mishap)
+			t.Errorf("request rejected: %v", mishap)
 			return
 		}
 		if took := first(selection.Version); took < 0 {
@@ -66,9 +66,9 @@
 	return func(string) time.Duration { return span }
 }
 
-// TestOpenTrialKeepsItsShare: of all requests from the trial's beginning on, never more
-// than the small share goes to it; a kind that comes seldom is tried early; and what it
-// gets goes to few replicas.
+// TestOpenTrialKeepsItsShare: from the trial's start on, never more than the small share of all
+// requests goes to it, so that a bad version harms few. A rare kind gets an early trial request,
+// and all trial requests go to few replicas.
 func TestOpenTrialKeepsItsShare(t *testing.T) {
 	bench := newBench("x")
 	bench.now = openView(onTrial, nil)
@@ -82,7 +82,7 @@
 		}
 		selection := serveOne(t, bench, kind, constantTime(100*time.Millisecond))
 		if selection.Trial != (selection.Version == "v2") {
-			t.Fatalf("%s was given as a trial: %v", selection.Version, selection.Trial)
+			t.Fatalf("selection of version %s has Trial set to %v", selection.Version, selection.Trial)
 		}
 		if selection.Trial {
 			trials++
@@ -92,34 +92,35 @@
 			}
 		}
 		if float64(trials) > 0.08*float64(total)+0.001 {
-			t.Fatalf("bad version: %d of the first %d went to the trial", trials, total)
+			t.Fatalf("bad version: %d of the first %d requests went to the trial, above its share", trials, total)
 		}
 		if total == 60 && rareTrials == 0 {
-			t.Error("no request of the kind that comes seldom was tried among the first 60")
+			t.Error("none of the first 60 requests of the rare kind went to the trial")
 		}
 	}
 	if trials < 140 || len(byReplica) != 1 || float64(rareTrials) > 0.31*float64(rareTotal)+1 || rareTrials < 20 {
-		t.Errorf("the trial got %d, %d of the %d that come seldom, at %v", trials, rareTrials, rareTotal, byReplica)
+		t.Errorf("the trial got %d requests, and %d of the %d of the rare kind, at replicas %v", trials, rareTrials, rareTotal, byReplica)
 	}
 }
 
-// TestOpenTrialIsShutByItsOwnCounts: opensTrial and barred, as another way of selecting
-// uses them.
+// TestOpenTrialIsShutByItsOwnCounts: a daemon closes a trial that fails by its own counts, and
+// goes back from a failed version that it watches. The test calls opensTrial and barred as the
+// selection of routed requests does.
 func TestOpenTrialIsShutByItsOwnCounts(t *testing.T) {
 	bench := newBench("x")
 	bench.now = openView(onTrial, nil)
 	decider := bench.deciders["x"]
 	if !decider.Barred(bench.now, "a", "m", "v2") || decider.Barred(bench.now, "a", "m", "v1") || decider.Barred(bench.now, "b", "m", "v1") {
-		t.Error("the version on trial, and it alone, is barred")
+		t.Error("the version on trial is not barred, or another one is")
 	}
 	isOpened, failed := 0, 0
 	for range 600 {
 		version, open := decider.OpensTrial(bench.now, call("q"), "a")
 		if version != "v2" {
-			t.Fatalf("%q is on trial", version)
+			t.Fatalf("%q is on trial, want v2", version)
 		}
 		if _, elsewhere := decider.OpensTrial(bench.now, call("q"), "b"); elsewhere {
-			t.Fatal("a trial is open where there is none")
+			t.Fatal("a trial is open in a region that has none")
 		}
 		if open {
 			isOpened++
@@ -133,24 +134,24 @@
 		})
 	}
 	if isOpened == 0 || failed < 3 || failed > 6 {
-		t.Errorf("opened %d times, failed %d", isOpened, failed)
+		t.Errorf("the trial was opened %d times and failed %d requests, want at least 1 opening and 3 to 6 failures", isOpened, failed)
 	}
 	bench.now = openView(func(*standing.Row) {}, func(row *standing.Row) { row.Back = true })
 	if !decider.Barred(bench.now, "a", "m", "v2") || decider.Barred(bench.now, "a", "m", "v1") {
-		t.Error("one that failed is gone back from, if its move is watched")
+		t.Error("the failed version that is watched is not barred, or the previous one is")
 	}
 	if selection := serveOne(t, bench, "k", constantTime(time.Millisecond)); selection.Version != "v1" {
-		t.Errorf("%s was given", selection.Version)
+		t.Errorf("version %s was selected, want v1", selection.Version)
 	}
 }
 
-// TestSeveralTimesSlowerIsNoticed: with first pieces of 100 ms and a stall_ms of 2000, a
-// version that takes three times as long has shown it within 50 answers; one that takes
-// as long, or longer by what was known beforehand, has not.
+// TestSeveralTimesSlowerIsNoticed: with first tokens after 100 ms and a stall_ms of 2000, a
+// version that takes three times as long is found slower within 50 answers. One that takes as
+// long, or longer only by its allowance, is not.
 func TestSeveralTimesSlowerIsNoticed(t *testing.T) {
 	for _, test := range []struct {
 		took, allowance time.Duration
-		part            int // every how many of its answers
+		part            int // one in this many of its answers takes that long
 		want            bool
 	}{{300 * time.Millisecond, 0, 1, true}, {300 * time.Millisecond, 0, 3, true}, {500 * time.Millisecond, 0, 1, true}, {100 * time.Millisecond, 0, 1, false}, {180 * time.Millisecond, 0, 1, false}, {400 * time.Millisecond, 300 * time.Millisecond, 1, false}} {
 		bench := newBench("x")
@@ -162,7 +163,7 @@
 			bench.Node("x").Go(func() {
 				selection, mishap := decider.Select(call("q"), nil)
 				if mishap != nil {
-					t.Errorf("declined: %v", mishap)
+					t.Errorf("request rejected: %v", mishap)
 					return
 				}
 				if selection.Version == "v2" {
@@ -185,9 +186,9 @@
 			isNoticed = standing.Slower(trial, other) || standing.PlainVersion(trial, other)
 		}
 		if isNoticed != test.want {
-			t.Errorf("%+v: noticed %v after %d answers", test, isNoticed, answers)
+			t.Errorf("%+v: found slower: %v, after %d answers", test, isNoticed, answers)
 		} else {
-			t.Log(fmt.Sprintf("%+v: noticed %v after %d answers", test, isNoticed, answers))
+			t.Log(fmt.Sprintf("%+v: found slower: %v, after %d answers", test, isNoticed, answers))
 		}
 	}
 }
--- a/decide/peerreport_test.go
+++ b/decide/peerreport_test.go
@@ -13,7 +13,7 @@
 	"swifttiller/verdict"
 )
 
-// Property tests draw the same cases each time; the flags of the command line come after these.
+// Property tests draw the same cases each run, unless flags of the command line say otherwise.
 func init() {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "25"} {
 		if err := flag.Set(name, value); err != nil {
@@ -22,19 +22,20 @@
 	}
 }
 
-// newReport is a report by a peer of region a about one of the clinic's replicas there.
+// newReport returns a report by a peer of region a about one of the clinic's replicas there.
 func newReport(replica string, bad float64, held time.Duration) decide.HealthReport {
 	return decide.HealthReport{Replica: replica, Boot: replica, Region: "a", Model: "m", Bad: bad, Held: held}
 }
 
-// takeReports has the clinic's daemon take a report.
+// takeReports passes a peer's reports to the clinic's daemon.
 func (clinic *clinic) takeReports(from, zone string, replicas ...decide.HealthReport) {
 	clinic.decider.TakeReports(decide.HealthReports{From: from, Zone: zone, Replicas: replicas})
 }
 
-// TestReportsOfOneZoneHoldNothing: however many peers of one zone report a replica, however
-// often, it stays in use; with a peer of a second zone, or a mishap of this daemon's own
-// there, it is left alone.
+// TestReportsOfOneZoneHoldNothing: if only the network path from one zone is broken, its
+// daemons report a replica that works for others. However many peers of one zone report it,
+// and however often, it stays in use; with a report from a second zone, or after a failure
+// of this daemon's own there, it is ejected.
 func TestReportsOfOneZoneHoldNothing(t *testing.T) {
 	clinic := newClinic(t, 30, resumedPath)
 	clinic.Run(3 * time.Second)
@@ -46,11 +47,11 @@
 		clinic.takeReports(fmt.Sprint("d", round), "a-1", newReport(busiest, 1, 4*time.Second), unused)
 	}
 	if held := clinic.decider.Held("a"); len(held) > 0 {
-		t.Fatalf("worth: %v is held by the word of one zone", held)
+		t.Fatalf("worth: %v is ejected by reports of one zone alone", held)
 	}
 	clinic.takeReports("e", "a-2", newReport(busiest, 1, 4*time.Second))
 	if held := clinic.decider.Held("a"); !slices.Equal(held, []string{busiest}) {
-		t.Errorf("worth: by the word of two zones %v is held, not %s", held, busiest)
+		t.Errorf("worth: by reports of two zones %v is ejected, want only %s", held, busiest)
 	}
 
 	clinic = newClinic(t, 30, resumedPath)
@@ -67,29 +68,29 @@
 	}
 	clinic.Run(4 * time.Second)
 	if failed > 1 {
-		t.Errorf("worth: %d requests failed at a replica that a peer had reported, not 1 at the most", failed)
+		t.Errorf("worth: %d requests failed at a replica that a peer had reported, want 1 at most", failed)
 	}
 }
 
-// TestReportsAreOfOneLife: what is told of another life of a replica, or of one that the
-// standing does not show, changes nothing.
+// TestReportsAreOfOneLife: reports about an earlier run of a replica, or about one that the
+// region's routing table does not show, change nothing.
 func TestReportsAreOfOneLife(t *testing.T) {
 	clinic := newClinic(t, 30, resumedPath)
 	clinic.Run(3 * time.Second)
 	former := newReport(clinic.busiest(), 1, 4*time.Second)
 	former.Boot = "former"
 	unknown := newReport("unknown", 1, 4*time.Second)
-	elsewhere := newReport("i-3", 1, 4*time.Second) // of region b
+	elsewhere := newReport("i-3", 1, 4*time.Second) // in region b
 	for _, zone := range []string{"a-1", "a-2", "a-3"} {
 		clinic.takeReports("of "+zone, zone, former, unknown, elsewhere)
 	}
 	if held := clinic.decider.Held("a"); len(held) > 0 {
-		t.Errorf("worth: %v is held", held)
+		t.Errorf("worth: %v is ejected by reports that are not about the present replicas", held)
 	}
 }
 
-// TestReportsExtendAHold: a daemon that holds a replica does not try it while a peer's
-// tries fail, but no longer than the bound.
+// TestReportsExtendAHold: a daemon does not probe an ejected replica while a peer's probes
+// fail, but only up to the bound.
 func TestReportsExtendAHold(t *testing.T) {
 	clinic := newClinic(t, 30, resumedPath)
 	clinic.Run(3 * time.Second)
@@ -104,27 +105,27 @@
 		clinic.Run(10 * time.Millisecond)
 	}
 	began := clinic.Now()
-	clinic.fails = func(string) *verdict.Mishap { return nil } // it is well again, but for the peer
+	clinic.fails = func(string) *verdict.Mishap { return nil } // it has recovered, though the peer still reports failures
 	sent := len(clinic.sent[failing])
 	for clinic.Now() < began+15*time.Second {
 		clinic.takeReports("d", "a-1", newReport(failing, 1, 8*time.Second))
 		clinic.Run(500 * time.Millisecond)
 	}
 	if more := len(clinic.sent[failing]) - sent; more > 0 {
-		t.Errorf("worth: %d requests went to it though a peer's fail", more)
+		t.Errorf("worth: %d requests went to the replica though a peer's requests still fail there", more)
 	}
 	for clinic.Now() < began+25*time.Second {
 		clinic.takeReports("d", "a-1", newReport(failing, 1, 8*time.Second))
 		clinic.Run(500 * time.Millisecond)
 	}
 	if len(clinic.sent[failing]) == sent {
-		t.Error("worth: a peer whose own way is broken keeps it out for good")
+		t.Error("worth: a peer whose own network path is broken keeps the replica ejected for good")
 	}
 }
 
-// TestAnyReports: whatever is reported, in any order and any number of times, no more than two
-// in five replicas of the region are held, each request finds a replica, and all is forgotten
-// soon after.
+// TestAnyReports: whatever is reported, in any order and any number of times, at most two in
+// five replicas of the region are ejected, each request finds a replica, and the reports have
+// no effect any more soon after.
 func TestAnyReports(t *testing.T) {
 	rapid.Check(t, func(draw *rapid.T) {
 		clinic := newClinic(t, 30, rapid.SampledFrom([]string{resumedPath, oncePath}).Draw(draw, "path"))
@@ -141,13 +142,13 @@
 				clinic.takeReports(fmt.Sprint("d", number), fmt.Sprint("a-", number%3), replicas...)
 			}
 			if held := clinic.decider.Held("a"); len(held)*5 > 15*2 {
-				draw.Fatalf("worth: %d of 15 replicas are held", len(held))
+				draw.Fatalf("worth: %d of 15 replicas are ejected", len(held))
 			}
 			clinic.Run(50 * time.Millisecond)
 		}
 		clinic.Run(30 * time.Second)
 		if names := clinic.idle(2 * time.Second); len(names) > 0 {
-			draw.Fatalf("worth: %v are still left alone", names)
+			draw.Fatalf("worth: %v still get no requests", names)
 		}
 	})
 }
--- a/decide/report_bench_test.go
+++ b/decide/report_bench_test.go
@@ -13,8 +13,8 @@
 	"swifttiller/standing"
 )
 
-// BenchmarkReport is a report in calm at 16 regions, 22 models and 3,500 replicas. Of three
-// reports one follows a renewal, which shows a new view of the same standings.
+// BenchmarkReport makes reports without load at 16 regions, 22 models and 3,500 replicas. Every
+// third one follows a lease renewal, which brings a new view with the same routing tables.
 func BenchmarkReport(b *testing.B) {
 	placements, engines, regions := "", "", ""
 	for index := range 22 {
@@ -54,7 +54,7 @@
 			view = &next
 		}
 		if len(decider.Report().Standing) != 16 {
-			b.Fatal("no report")
+			b.Fatal("the report lacks regions")
 		}
 	}
 }
--- a/decide/report_test.go
+++ b/decide/report_test.go
@@ -8,8 +8,9 @@
 	"swifttiller/decide"
 )
 
-// TestReportFollowsStandings: what a report says of credits is of the view at hand, also
-// where other regions' standings stay and this daemon's own has a new one.
+// TestReportFollowsStandings: the credits in a report follow the present view. The digest of a
+// region's routing table is cached, and must be made again when a new view changes the table
+// of this daemon's own region while those of other regions stay.
 func TestReportFollowsStandings(t *testing.T) {
 	Convey("A daemon that holds a request", t, func() {
 		bench := newBench("x")
@@ -31,7 +32,7 @@
 			next.Standings = other.Standings
 			bench.now = &next
 			if lack := bench.deciders["x"].Report().Overflow["m"]; lack <= 0 {
-				t.Errorf("control traffic: a report goes by the standing before: it lacks %v", lack)
+				t.Errorf("control traffic: the report follows the previous routing table: its overflow is %v", lack)
 			}
 		})
 	})
