--- a/decide/health.go
+++ b/decide/health.go
@@ -159,11 +159,11 @@
 		return 1
 	case "replica_declined":
 		if isEmpty {
-			return 1 // it rejected the request though it had free slots
+			return 1 // it rejected the request though most of its slots were free
 		}
 	case "replica_silent", "expired":
 		if isEmpty {
-			return certainty // it was late though it had free slots
+			return certainty // it was late though most of its slots were free
 		}
 	}
 	return 0
@@ -242,7 +242,7 @@
 //
 // Invariant: at most maxEjectedShare of those in the region's routing table are.
 func (decider *Decider) mayEject(view *permit.View, region, model string) bool {
-	all, held := 0, 0
+	all, ejected := 0, 0
 	table := view.Standings[region]
 	placed := places{list: table.Places}
 	for _, row := range table.Rows {
@@ -251,10 +251,10 @@
 		}
 		all++
 		if state := decider.engines[row.Replica]; state != nil && state.health.isHeld {
-			held++
+			ejected++
 		}
 	}
-	return float64(held+1) <= maxEjectedShare*float64(all)
+	return float64(ejected+1) <= maxEjectedShare*float64(all)
 }
 
 // penalty is the time by which the replica's forecast is worsened for the failures there, by
@@ -270,7 +270,7 @@
 	return time.Duration(health.failureShare(now, reported) * float64(weight))
 }
 
-// isEmpty reports whether the replica has free slots, as far as is known.
+// isEmpty reports whether less than half of the replica's slots are in use, as far as is known.
 func (engine *engine) isEmpty(known *settings.Engine, now time.Duration) bool {
 	return known != nil && known.Berths > 0 && engine.filled(known, now) < 1
 }
--- a/decide/health_test.go
+++ b/decide/health_test.go
@@ -200,8 +200,8 @@
 			if replicas < 4 {
 				inRegion = replicas
 			}
-			if held := len(clinic.decider.Held("a")); held*5 > inRegion*2 {
-				t.Fatalf("%d of %d replicas are ejected, more than two in five", held, inRegion)
+			if ejected := len(clinic.decider.Held("a")); ejected*5 > inRegion*2 {
+				t.Fatalf("%d of %d replicas are ejected, more than two in five", ejected, inRegion)
 			}
 		}
 		if replicas == 2 && most > 0 {
--- a/decide/judge.go
+++ b/decide/judge.go
@@ -318,11 +318,11 @@
 
 // plainlyFails reports whether a version plainly fails by this daemon's own counts.
 func (decider *Decider) plainlyFails(model, current, version string) bool {
-	held := standing.Held{Model: model, Version: version}
-	if !decider.judging.failed[held] && standing.TrialFails(model, standing.Route{Version: current, Trial: version}, decider.recent(decider.World.Now())) {
-		decider.judging.failed[held] = true
+	modelVersion := standing.Held{Model: model, Version: version}
+	if !decider.judging.failed[modelVersion] && standing.TrialFails(model, standing.Route{Version: current, Trial: version}, decider.recent(decider.World.Now())) {
+		decider.judging.failed[modelVersion] = true
 	}
-	return decider.judging.failed[held]
+	return decider.judging.failed[modelVersion]
 }
 
 // watchedVersion returns the version that the region's route moved to recently, or an empty
--- a/decide/keys_test.go
+++ b/decide/keys_test.go
@@ -24,14 +24,14 @@
 	return view
 }
 
-const keyed = `"tenants":[{"name":"one","keys":["k1","k2"],"urgency":0,"homes":["a","b"]},{"name":"two","keys":["k3"]}],"regions"`
+const tenantsJSON = `"tenants":[{"name":"one","keys":["k1","k2"],"urgency":0,"homes":["a","b"]},{"name":"two","keys":["k3"]}],"regions"`
 
 // TestKeys: a request needs a key that a tenant has in the present configuration, unless its
 // route is keyless; a missing route is reported first. A key that was revoked, or moved to
 // another tenant, must not be accepted by an older configuration.
 func TestKeys(t *testing.T) {
-	tenanted := keyedView(t, `"regions"`, keyed, `"name":"o"`, `"keyless":true,"name":"o"`)
-	passed := keyedView(t, `"regions"`, `"tenants":[{"name":"one","keys":["k2"]},{"name":"two","keys":["k1"]}],"regions"`)
+	tenanted := keyedView(t, `"regions"`, tenantsJSON, `"name":"o"`, `"keyless":true,"name":"o"`)
+	moved := keyedView(t, `"regions"`, `"tenants":[{"name":"one","keys":["k2"]},{"name":"two","keys":["k1"]}],"regions"`)
 	view := tenanted
 	world := loop.NewMachine()
 	decider := decide.New(decide.Options{World: world, Holder: func() *permit.View { return view }, Self: session.Member{Name: "x", Role: session.Data, Region: "a", Zone: "a-1"}})
@@ -50,9 +50,9 @@
 		{tenanted, "/nowhere/", "k4", 404, "", "no_route"},
 		{tenanted, oncePath, "", 0, "", ""},
 		{tenanted, oncePath, "k1", 0, "", ""},
-		{passed, resumedPath, "k1", 0, "two", ""},
-		{passed, resumedPath, "k3", 401, "", "unknown_key"},
-		{passed, oncePath, "", 401, "", "unknown_key"},
+		{moved, resumedPath, "k1", 0, "two", ""},
+		{moved, resumedPath, "k3", 401, "", "unknown_key"},
+		{moved, oncePath, "", 401, "", "unknown_key"},
 		{keyedView(t, `"regions"`, `"tenants":[],"regions"`), resumedPath, "k1", 401, "", "unknown_key"},
 		{routedView(30), resumedPath, "", 0, "", ""},
 		{routedView(30), resumedPath, "k1", 0, "", ""},
@@ -79,7 +79,7 @@
 // TestTenantBindsToo: a request goes only to regions that are homes of both its route and its
 // tenant, and its urgency is the tenant's if that has one, else the route's.
 func TestTenantBindsToo(t *testing.T) {
-	view := keyedView(t, `"regions"`, keyed, `"name":"o"`, `"homes":["b","c"],"urgency":4,"name":"o"`, `"name":"r"`, `"urgency":4,"name":"r"`)
+	view := keyedView(t, `"regions"`, tenantsJSON, `"name":"o"`, `"homes":["b","c"],"urgency":4,"name":"o"`, `"name":"r"`, `"urgency":4,"name":"r"`)
 	world := loop.NewMachine()
 	for _, own := range []string{"a", "b", "c"} {
 		decider := decide.New(decide.Options{World: world, Holder: func() *permit.View { return view }, Self: session.Member{Name: "x", Role: session.Data, Region: own, Zone: own + "-1"}})
@@ -106,7 +106,7 @@
 		}
 	}
 	// If the two have no region in common, the request is rejected.
-	view = keyedView(t, `"regions"`, keyed, `"name":"o"`, `"homes":["c"],"name":"o"`)
+	view = keyedView(t, `"regions"`, tenantsJSON, `"name":"o"`, `"homes":["c"],"name":"o"`)
 	decider := decide.New(decide.Options{World: world, Holder: func() *permit.View { return view }, Self: session.Member{Name: "x", Role: session.Data, Region: "a", Zone: "a-1"}})
 	routed := &decide.Routed{Host: "h.example", Path: oncePath, Key: "k1", Tokens: 100, Most: 40, Expiry: world.Now() + time.Minute}
 	if mishap := decider.Direct(routed); mishap != nil {
--- a/decide/peerreport.go
+++ b/decide/peerreport.go
@@ -171,16 +171,16 @@
 	if state.reports == nil {
 		state.reports = map[string]healthReport{}
 	}
-	held := max(0, min(report.Held, maxEjection))
-	state.reports[reports.From] = healthReport{report.Boot, reports.Zone, min(report.Bad, maxZoneFailures), now, now + held}
-	if held == 0 {
+	remaining := max(0, min(report.Held, maxEjection))
+	state.reports[reports.From] = healthReport{report.Boot, reports.Zone, min(report.Bad, maxZoneFailures), now, now + remaining}
+	if remaining == 0 {
 		return
 	}
 	health := &state.health
 	if health.isHeld {
 		if health.probeSuccesses == 0 {
 			// A random delay keeps the peers from probing it all at the same moment.
-			health.extend(now + held + time.Duration(decider.World.Draw(int64(held/2)+1)))
+			health.extend(now + remaining + time.Duration(decider.World.Draw(int64(remaining/2)+1)))
 		}
 		return
 	}
@@ -190,7 +190,7 @@
 	if isSeen && health.isOutlier(decider.usualFailureShare(state, report.Region, report.Model, now), reported) && decider.mayEject(view, report.Region, report.Model) {
 		state.region, state.model = report.Region, report.Model
 		health.eject(now)
-		health.extend(now + held)
+		health.extend(now + remaining)
 	}
 }
 
--- a/decide/report.go
+++ b/decide/report.go
@@ -87,8 +87,8 @@
 		}
 		// What it uses now, and what arrives within a queue's time.
 		report.Demand[model] = usedUnits[model] + flow.rate(now)*0.25
-		if lack := usedUnits[model] - localCredits[model]; lack > 0 {
-			report.Overflow[model] = max(lack, remoteUnits[model])
+		if missing := usedUnits[model] - localCredits[model]; missing > 0 {
+			report.Overflow[model] = max(missing, remoteUnits[model])
 		} else if remoteUnits[model] > 0 {
 			report.Overflow[model] = remoteUnits[model]
 		}
@@ -148,9 +148,9 @@
 }
 
 // steadyModels returns a function that reports whether a model needs nothing but failures in
-// the report. That is so if it has an engine, since then no credits are allocated for it; if
-// its placement allows any version in all regions, since then no rollout can be about it; and
-// if all replicas hold the same version.
+// the report. Three conditions must hold: the model has an engine, so that no credits are
+// allocated for it; its placement allows any version in all regions, so that no rollout can be
+// about it; and all its replicas hold the same version.
 func (decider *Decider) steadyModels(view *permit.View) func(model string) bool {
 	if view.Tree == nil {
 		return func(string) bool { return false }
--- a/decide/report_test.go
+++ b/decide/report_test.go
@@ -31,8 +31,8 @@
 			next := *bench.now
 			next.Standings = other.Standings
 			bench.now = &next
-			if lack := bench.deciders["x"].Report().Overflow["m"]; lack <= 0 {
-				t.Errorf("control traffic: the report follows the previous routing table: its overflow is %v", lack)
+			if overflow := bench.deciders["x"].Report().Overflow["m"]; overflow <= 0 {
+				t.Errorf("control traffic: the report follows the previous routing table: its overflow is %v", overflow)
 			}
 		})
 	})
