--- a/decide/report_test.go
+++ b/decide/report_test.go
@@ -8,19 +8,20 @@
 	"swifttiller/decide"
 )
 
-// TestReportFollowsStandings: what a report says of credits is of the view at hand, also
-// where other regions' standings stay and this daemon's own has a new one.
+// TestReportFollowsStandings: the credits in a report follow the present view. The digest of a
+// region's routing table is cached, and must be made again when a new view changes the table
+// of this daemon's own region while those of other regions stay.
 func TestReportFollowsStandings(t *testing.T) {
 	Convey("A daemon that holds a request", t, func() {
 		bench := newBench("x")
 		defer bench.Close()
 		var selection *decide.Selection
 		bench.do("x", func(decider *decide.Decider) {
-			one := call("a")
+			request := call("a")
 			_, ticket, _, _ := decider.Locate("m", "k", "", "a-1", 7)
-			one.Ticket = ticket.Seal()
-			if decider.Allow(one) == nil {
-				selection, _ = decider.Select(one, nil)
+			request.Ticket = ticket.Seal()
+			if decider.Allow(request) == nil {
+				selection, _ = decider.Select(request, nil)
 			}
 		})
 		So(selection, ShouldNotBeNil)
@@ -30,8 +31,8 @@
 			next := *bench.now
 			next.Standings = other.Standings
 			bench.now = &next
-			if lack := bench.deciders["x"].Report().Overflow["m"]; lack <= 0 {
-				t.Errorf("control traffic: a report goes by the standing before: it lacks %v", lack)
+			if overflow := bench.deciders["x"].Report().Overflow["m"]; overflow <= 0 {
+				t.Errorf("control traffic: the report follows the previous routing table: its overflow is %v", overflow)
 			}
 		})
 	})
