--- a/docs/words_test.go
+++ b/docs/words_test.go
@@ -29,7 +29,7 @@
 	"cmd/controlplane": 2,
 	"controlplane":     23,
 	"dataplane":        21,
-	"decide":           46,
+	"decide":           31,
 	"disk":             3,
 	"doctor":           33,
 	"duty":             12,
