--- a/tenant/placement.go
+++ b/tenant/placement.go
@@ -6,112 +6,119 @@
 	"strings"
 )
 
-// Parts of a tenant's shared beginnings, by a hash: a move takes them over part by part.
+// Parts is the number of hash partitions of a tenant's shared prompt prefixes. A move
+// transfers ownership partition by partition.
 const Parts = 256
 
-// Spread says that a hot beginning has so many owners, between which sessions are split.
+// Spread assigns a hot prefix several owners; its sessions are split between them.
 type Spread struct {
 	Key  uint64 `json:"key"`
 	Over int    `json:"over"`
 }
 
-// Placement is where the shared parts of a tenant's prompts have their owners. It decides
-// about nothing but whom the parts are taken to be kept by: running streams end where
-// they run, homes bind, and a region without a replica leaves it as if there were none.
+// Placement says in which regions the shared prefixes of a tenant's prompts have their
+// owners, the replicas that are expected to have them cached. It affects nothing else:
+// running streams end on the replica that serves them, the tenant's home regions remain
+// mandatory, and requests are routed as if there were no placement when a region has no
+// replica.
 //
-// Invariants: Now and Next have each region once; while Moving is false, Next is empty
-// and Part is zero; while it is true, beginnings of the first Part parts go by Next, all
-// others by Now, so each has one placement at a time.
+// Invariants: Now and Next list each region once. While Moving is false, Next is empty
+// and Part is zero. While Moving is true, prefixes of the first Part partitions follow
+// Next and all others follow Now, so each prefix has one placement at a time.
 type Placement struct {
 	Tenant string `json:"tenant"`
-	// Now are the regions that have owners of their own; callers elsewhere go to the
-	// first. None means one owner over all regions, as without a placement.
+	// Now lists the regions that have owners of their own; callers in other regions use
+	// the first one. If it is empty, each prefix has one owner across all regions, as
+	// without a placement.
 	Now    []string `json:"now,omitempty"`
 	Next   []string `json:"next,omitempty"`
 	Moving bool     `json:"moving,omitempty"`
 	Part   int      `json:"part,omitempty"`
-	// Back tells that the move is being taken back.
+	// Back reports whether the move is being rolled back.
 	Back bool     `json:"back,omitempty"`
 	Hot  []Spread `json:"hot,omitempty"`
-	// Pinned ones are an operator's, and stay until released.
+	// Pinned marks a placement that an operator set; it stays until released.
 	Pinned bool   `json:"pinned,omitempty"`
 	Reason string `json:"reason,omitempty"`
 }
 
-// isPlain tells whether it says nothing.
-func (placement Placement) isPlain() bool {
+// isEmpty reports whether the placement has no effect and need not be stored.
+func (placement Placement) isEmpty() bool {
 	return len(placement.Now) == 0 && !placement.Moving && len(placement.Hot) == 0 && !placement.Pinned
 }
 
-// regions are those by which a beginning goes.
-func (placement *Placement) regions(key uint64) []string {
-	if placement.Moving && int(mix(key)>>56) < placement.Part {
+// regionsFor returns the regions that apply to a prefix: Next if its partition has
+// moved, otherwise Now.
+func (placement *Placement) regionsFor(key uint64) []string {
+	if placement.Moving && int(hash(key)>>56) < placement.Part {
 		return placement.Next
 	}
 	return placement.Now
 }
 
-// Home is the region that has the owner of a beginning for callers in the given one;
-// empty for one owner over all. Within tells whether the request may go to a region.
+// Home returns the region that has the owner of a prefix for callers in the given region,
+// or "" if there is one owner across all regions. within reports whether the request may
+// be served in a region.
 func (placement *Placement) Home(key uint64, region string, within func(string) bool) string {
 	first := ""
-	for _, one := range placement.regions(key) {
-		if !within(one) {
+	for _, candidate := range placement.regionsFor(key) {
+		if !within(candidate) {
 			continue
 		}
-		if one == region {
-			return one
+		if candidate == region {
+			return candidate
 		}
 		if first == "" {
-			first = one
+			first = candidate
 		}
 	}
 	return first
 }
 
-// Owner is the key by which a session's beginning finds its owner: of a hot one, one of
-// several.
+// Owner returns the key that selects the owner of a prefix for a session. A hot prefix
+// has several owners; the session's hash selects one of them.
 func (placement *Placement) Owner(key, session uint64) uint64 {
-	for _, one := range placement.Hot {
-		if one.Key == key && one.Over > 1 {
-			if turn := mix(session) % uint64(one.Over); turn > 0 {
-				return mix(key + turn)
+	for _, spread := range placement.Hot {
+		if spread.Key == key && spread.Over > 1 {
+			if index := hash(session) % uint64(spread.Over); index > 0 {
+				return hash(key + index)
 			}
 		}
 	}
 	return key
 }
 
-// Book is what the register of placements holds.
+// Book is the content of the register of placements.
 //
-// Invariants: Placed is in the order of tenants, each once, at most MostKept; only the
-// holder of the duty with the serial Duty, or an operator, writes the next one.
+// Invariants: Placed is sorted by tenant, has each tenant once and at most MostKept of
+// them. Only the leader whose term is Duty, or an operator, writes the next version.
 type Book struct {
 	Duty   uint64      `json:"duty"`
 	Placed []Placement `json:"placed"`
 }
 
-// Find gives a tenant's placement, nil where there is none.
+// Find returns a tenant's placement, or nil if it has none.
 func (book *Book) Find(tenant string) *Placement {
 	if book == nil {
 		return nil
 	}
-	at, has := slices.BinarySearchFunc(book.Placed, tenant, func(one Placement, tenant string) int { return strings.Compare(one.Tenant, tenant) })
-	if !has {
+	index, found := slices.BinarySearchFunc(book.Placed, tenant, func(placement Placement, tenant string) int { return strings.Compare(placement.Tenant, tenant) })
+	if !found {
 		return nil
 	}
-	return &book.Placed[at]
+	return &book.Placed[index]
 }
 
-// With gives the book with the placement in the place of its tenant's; plain ones go.
+// With returns a copy of the book in which the placement replaces that of its tenant. An
+// empty placement is removed.
 func (book Book) With(placement Placement) Book {
 	next := Book{Duty: book.Duty}
-	for _, one := range book.Placed {
-		if one.Tenant != placement.Tenant {
-			next.Placed = append(next.Placed, one)
+	for _, existing := range book.Placed {
+		if existing.Tenant != placement.Tenant {
+			next.Placed = append(next.Placed, existing)
 		}
 	}
-	if !placement.isPlain() {
+	if !placement.isEmpty() {
 		next.Placed = append(next.Placed, placement)
 	}
 	sort.Slice(next.Placed, func(a, b int) bool { return next.Placed[a].Tenant < next.Placed[b].Tenant })
--- a/tenant/plan.go
+++ b/tenant/plan.go
@@ -8,34 +8,37 @@
 	"time"
 )
 
-// load is what placed tenants take up of a region's replicas of a model.
-type load struct{ berths, tokens, reading float64 }
+// load is what tenants occupy of a region's replicas of a model: request slots, tokens of
+// the prefix cache, and prefill in tokens per second.
+type load struct{ slots, tokens, prefill float64 }
 
-// used sums up what the other placed tenants take up, by region.
-func (watch *Watch) used(scene Scene, book Book, but string) map[string]load {
+// otherLoads returns the load of all other placed tenants of the same model by region. A
+// tenant on the move counts in the regions that it moves to.
+func (watch *Watch) otherLoads(scene Scene, book Book, except string) map[string]load {
 	out := map[string]load{}
 	var model string
-	if one := watch.rows[but]; one != nil {
-		model = one.short.Model
+	if state := watch.tenants[except]; state != nil {
+		model = state.short.Model
 	}
 	for _, placement := range book.Placed {
-		one := watch.rows[placement.Tenant]
-		if placement.Tenant == but || one == nil || one.short.Model != model {
+		state := watch.tenants[placement.Tenant]
+		if placement.Tenant == except || state == nil || state.short.Model != model {
 			continue
 		}
 		regions := placement.Now
 		if placement.Moving && !placement.Back {
 			regions = placement.Next
 		}
-		for region, more := range loads(one.short, regions) {
+		for region, added := range loads(state.short, regions) {
 			sum := out[region]
-			out[region] = load{sum.berths + more.berths, sum.tokens + more.tokens, sum.reading + more.reading}
+			out[region] = load{sum.slots + added.slots, sum.tokens + added.tokens, sum.prefill + added.prefill}
 		}
 	}
 	return out
 }
 
-// loads is what a tenant takes up in the regions that it would be placed in.
+// loads returns a tenant's load by region if it is placed in the given regions. Callers of
+// other regions go to the first one.
 func loads(profile *Profile, regions []string) map[string]load {
 	out := map[string]load{}
 	elsewhere := 1.0
@@ -43,132 +46,138 @@
 		elsewhere -= profile.Share(region)
 	}
 	rate := profile.Rate()
-	for at, region := range regions {
+	for index, region := range regions {
 		share := profile.Share(region)
-		if at == 0 {
+		if index == 0 {
 			share += elsewhere
 		}
 		out[region] = load{
-			berths:  share * rate * each(profile.Held, profile.Ended) / 1000,
-			tokens:  profile.pool(),
-			reading: share * max(0, profile.Prompt-profile.Shared),
+			slots:   share * rate * divide(profile.Held, profile.Ended) / 1000,
+			tokens:  profile.prefixTokens(),
+			prefill: share * max(0, profile.Prompt-profile.Shared),
 		}
 	}
 	return out
 }
 
-// plan is one tenant's judgement in a turn.
+// plan has the inputs for placing one tenant in one turn.
 type plan struct {
-	scene     Scene
-	profile   *Profile
-	placement Placement
-	used      map[string]load
-	stay      time.Duration
+	scene      Scene
+	profile    *Profile
+	placement  Placement
+	otherLoads map[string]load
+	minStay    time.Duration
 }
 
-func (plan plan) grounds() map[string]Ground { return plan.scene.Grounds[plan.profile.Model] }
+// capacities returns the regions' replicas of the tenant's model.
+func (plan plan) capacities() map[string]Ground { return plan.scene.Grounds[plan.profile.Model] }
 
-// holds is which part of the tenant's shared parts has an owner in the region.
-func (plan plan) holds(regions []string, region string) float64 {
+// ownerShare returns the fraction of the tenant's shared prefixes that have an owner in the
+// region.
+func (plan plan) ownerShare(regions []string, region string) float64 {
 	if len(regions) > 0 {
 		if slices.Contains(regions, region) {
 			return 1
 		}
 		return 0
 	}
-	all := 0
-	for _, one := range plan.scene.Homes(plan.placement.Tenant) {
-		all += plan.grounds()[one].Replicas
+	total := 0
+	for _, home := range plan.scene.Homes(plan.placement.Tenant) {
+		total += plan.capacities()[home].Replicas
 	}
-	return each(float64(plan.grounds()[region].Replicas), float64(all))
+	return divide(float64(plan.capacities()[region].Replicas), float64(total))
 }
 
-// far is which part of the long requests goes to another region.
-func (plan plan) far(regions []string) (far float64) {
+// remoteShare returns the fraction of the long requests that are sent to another region.
+func (plan plan) remoteShare(regions []string) (share float64) {
 	for _, region := range plan.scene.Homes(plan.placement.Tenant) {
-		far += plan.profile.Share(region) * (1 - plan.holds(regions, region))
+		share += plan.profile.Share(region) * (1 - plan.ownerShare(regions, region))
 	}
-	return far
+	return share
 }
 
-// way is what each long request pays for the way to another region, in ms, as daemons
-// weigh it.
-func (plan plan) way() float64 {
-	return 2*plan.scene.Far + plan.scene.FarKB*each(plan.profile.KB, plan.profile.Rate())
+// remoteCost returns the cost in ms of sending a long request to another region, by the
+// weights that data daemons use for routing.
+func (plan plan) remoteCost() float64 {
+	return 2*plan.scene.Far + plan.scene.FarKB*divide(plan.profile.KB, plan.profile.Rate())
 }
 
-// gain is what is foreseen to be gained, in ms of waiting, while the placement stays: ways
-// that are saved, and what owners are less busy with.
+// gain returns the predicted gain in ms of waiting over the minimum stay of the placement:
+// saved network time to other regions, and shorter prefill queues at the owners.
 func (plan plan) gain(from, to []string) float64 {
-	saved := (plan.far(from)-plan.far(to))*plan.way() + plan.wait(from) - plan.wait(to)
-	return plan.profile.Long * saved * plan.stay.Seconds()
+	saved := (plan.remoteShare(from)-plan.remoteShare(to))*plan.remoteCost() + plan.prefillWait(from) - plan.prefillWait(to)
+	return plan.profile.Long * saved * plan.minStay.Seconds()
 }
 
-// busiest is which part of its time the busiest of so many owners reads, beside what
-// others have it read: few beginnings fall on owners unevenly.
-func (plan plan) busiest(reading, others float64, owners int) float64 {
+// ownerUtilization returns the fraction of its time that the busiest owner spends on
+// prefill, including that of other tenants. The fewer prefixes there are, the more unevenly
+// they are spread over the owners.
+func (plan plan) ownerUtilization(prefill, others float64, owners int) float64 {
 	if owners == 0 {
-		return mostBusy
+		return maxOwnerUtilization
 	}
 	count := float64(owners)
 	share := min(1, (1+math.Sqrt(2*math.Log(count)*count/max(1, plan.profile.Beginnings)))/count)
-	return min(mostBusy, (reading*share+others/count)/readRate)
+	return min(maxOwnerUtilization, (prefill*share+others/count)/prefillRate)
 }
 
-// wait is for how many ms a prompt waits on average until others are read, at the busiest
-// owners: half a prompt's reading times what is before it.
-func (plan plan) wait(regions []string) (wait float64) {
-	own := each(max(0, plan.profile.Prompt-plan.profile.Shared), plan.profile.Rate()) / readRate * 1000
-	queue := func(busy float64) float64 { return own * busy / (2 * (1 - busy)) }
+// prefillWait returns for how many ms a prompt waits on average for the prefill of others at
+// the busiest owners: half of a prompt's own prefill time, times the length of the queue
+// before it (an M/D/1 queue).
+func (plan plan) prefillWait(regions []string) (wait float64) {
+	ownMs := divide(max(0, plan.profile.Prompt-plan.profile.Shared), plan.profile.Rate()) / prefillRate * 1000
+	queueing := func(utilization float64) float64 { return ownMs * utilization / (2 * (1 - utilization)) }
 	if len(regions) == 0 {
 		owners, others := 0, 0.0
 		for _, region := range plan.scene.Homes(plan.placement.Tenant) {
-			owners += plan.grounds()[region].Replicas
-			others += plan.used[region].reading
+			owners += plan.capacities()[region].Replicas
+			others += plan.otherLoads[region].prefill
 		}
-		return queue(plan.busiest(max(0, plan.profile.Prompt-plan.profile.Shared), others, owners))
+		return queueing(plan.ownerUtilization(max(0, plan.profile.Prompt-plan.profile.Shared), others, owners))
 	}
-	all := max(1, plan.profile.Prompt-plan.profile.Shared)
-	for region, one := range loads(plan.profile, regions) {
-		wait += one.reading / all * queue(plan.busiest(one.reading, plan.used[region].reading, plan.grounds()[region].Replicas))
+	total := max(1, plan.profile.Prompt-plan.profile.Shared)
+	for region, regionLoad := range loads(plan.profile, regions) {
+		wait += regionLoad.prefill / total * queueing(plan.ownerUtilization(regionLoad.prefill, plan.otherLoads[region].prefill, plan.capacities()[region].Replicas))
 	}
 	return wait
 }
 
-// tokens are those that are read again when the owners go from one set of regions to the
-// other.
-func (plan plan) tokens(from, to []string) (tokens float64) {
+// recomputedTokens returns how many cached tokens have to be prefilled again when the
+// owners move from one set of regions to the other.
+func (plan plan) recomputedTokens(from, to []string) (tokens float64) {
 	for _, region := range plan.scene.Homes(plan.placement.Tenant) {
-		tokens += plan.profile.pool() * max(0, plan.holds(to, region)-plan.holds(from, region))
+		tokens += plan.profile.prefixTokens() * max(0, plan.ownerShare(to, region)-plan.ownerShare(from, region))
 	}
 	return tokens
 }
 
-// price is what so many tokens read again are worth, in ms of waiting.
-func (plan plan) price(tokens float64) float64 {
-	return tokens * (plan.scene.Again + 1e6/readRate) / 1000
+// recomputeCost returns the cost of prefilling the tokens again, in ms of waiting.
+func (plan plan) recomputeCost(tokens float64) float64 {
+	return tokens * (plan.scene.Again + 1e6/prefillRate) / 1000
 }
 
-// fits tells whether the regions' replicas bear the tenant beside the others.
+// fits reports whether the regions' replicas have capacity for the tenant in addition to
+// the others: request slots, prefix cache and prefill.
 func (plan plan) fits(regions []string) bool {
-	for region, more := range loads(plan.profile, regions) {
-		ground, used := plan.grounds()[region], plan.used[region]
+	for region, added := range loads(plan.profile, regions) {
+		capacity, used := plan.capacities()[region], plan.otherLoads[region]
 		switch {
-		case ground.Replicas == 0,
-			used.berths+more.berths > half*float64(ground.Replicas*ground.Berths),
-			ground.Cache > 0 && used.tokens+more.tokens > half*float64(ground.Replicas*ground.Cache),
-			plan.busiest(more.reading, used.reading, ground.Replicas) > half:
+		case capacity.Replicas == 0,
+			used.slots+added.slots > maxUtilization*float64(capacity.Replicas*capacity.Berths),
+			capacity.Cache > 0 && used.tokens+added.tokens > maxUtilization*float64(capacity.Replicas*capacity.Cache),
+			plan.ownerUtilization(added.prefill, used.prefill, capacity.Replicas) > maxUtilization:
 			return false
 		}
 	}
 	return true
 }
 
-// candidates are the sets of regions to weigh: those with the most callers, and none.
+// candidates returns the sets of regions to compare: the one, two, three and so on regions
+// with the most callers, and no regions if the tenant has a placement now.
 func (plan plan) candidates() (out [][]string) {
 	var regions []string
 	for _, region := range plan.scene.Homes(plan.placement.Tenant) {
-		if plan.profile.Share(region) >= regionShare && plan.grounds()[region].Replicas > 0 {
+		if plan.profile.Share(region) >= minRegionShare && plan.capacities()[region].Replicas > 0 {
 			regions = append(regions, region)
 		}
 	}
@@ -182,87 +191,91 @@
 	return out
 }
 
-// best gives the best next placement, and what is gained by it; the notice says
-// nothing where the present one is best.
+// best returns the best next placement and a notice with its gain. If the current one is
+// best, the notice's What is empty.
 func (plan plan) best() (Placement, Notice) {
-	have := plan.placement
-	notice := Notice{Tenant: have.Tenant, From: have.Now, To: have.Now}
-	regions, most := []string(nil), 0.0
+	current := plan.placement
+	notice := Notice{Tenant: current.Tenant, From: current.Now, To: current.Now}
+	chosen, bestNet := []string(nil), 0.0
 	for _, to := range plan.candidates() {
-		tokens := plan.tokens(have.Now, to)
-		gain, price := plan.gain(have.Now, to), plan.price(tokens)
-		net := gain - margin*price
-		if net <= most || plan.far(have.Now)-plan.far(to) < worthwhile || !plan.fits(to) {
+		tokens := plan.recomputedTokens(current.Now, to)
+		gain, price := plan.gain(current.Now, to), plan.recomputeCost(tokens)
+		net := gain - gainMargin*price
+		if net <= bestNet || plan.remoteShare(current.Now)-plan.remoteShare(to) < minShareSaved || !plan.fits(to) {
 			continue
 		}
-		regions, most = to, net
+		chosen, bestNet = to, net
 		notice.What, notice.Gain, notice.Price, notice.Tokens, notice.To = "begins to move", gain, price, tokens, to
-		notice.Reason = fmt.Sprintf("%.0f%% of its long prompts go far, then %.0f%%; %s", 100*plan.far(have.Now), 100*plan.far(to), plan.profile)
+		notice.Reason = fmt.Sprintf("%.0f%% of its long prompts go far, then %.0f%%; %s", 100*plan.remoteShare(current.Now), 100*plan.remoteShare(to), plan.profile)
 	}
 	if notice.What != "" {
-		have.Next, have.Moving, have.Part, have.Reason = regions, true, 0, notice.Reason
-		return have, notice
+		current.Next, current.Moving, current.Part, current.Reason = chosen, true, 0, notice.Reason
+		return current, notice
 	}
-	if next, spread, isBetter := plan.spread(); isBetter {
+	if next, spread, isBetter := plan.spreadHot(); isBetter {
 		return next, spread
 	}
 	return plan.placement, notice
 }
 
-// spread gives hot beginnings as many owners as their load needs.
-func (plan plan) spread() (Placement, Notice, bool) {
-	have, profile := plan.placement, plan.profile
-	berths, replicas := 0, 0
-	for _, region := range plan.scene.Homes(have.Tenant) {
-		berths = max(berths, plan.grounds()[region].Berths)
-		replicas += plan.grounds()[region].Replicas
+// spreadHot assigns hot prefixes as many owners as their load needs. It returns false if
+// nothing changes or the change costs more than it gains.
+func (plan plan) spreadHot() (Placement, Notice, bool) {
+	current, profile := plan.placement, plan.profile
+	slots, replicas := 0, 0
+	for _, region := range plan.scene.Homes(current.Tenant) {
+		slots = max(slots, plan.capacities()[region].Berths)
+		replicas += plan.capacities()[region].Replicas
 	}
-	if berths == 0 || replicas == 0 {
-		return have, Notice{}, false
+	if slots == 0 || replicas == 0 {
+		return current, Notice{}, false
 	}
-	own := each(max(0, profile.Prompt-profile.Shared), profile.Rate())
-	shared := each(profile.Shared, profile.Keyed)
-	busiest := 1.0 // which part of a beginning's requests one region's owner gets
-	if len(have.Now) > 0 {
-		busiest = 0
-		for _, one := range loads(profile, have.Now) {
-			busiest = max(busiest, each(one.reading, max(0, profile.Prompt-profile.Shared)))
+	ownTokens := divide(max(0, profile.Prompt-profile.Shared), profile.Rate())
+	shared := divide(profile.Shared, profile.Keyed)
+	largestShare := 1.0 // the largest fraction of a prefix's requests that one region's owner gets
+	if len(current.Now) > 0 {
+		largestShare = 0
+		for _, regionLoad := range loads(profile, current.Now) {
+			largestShare = max(largestShare, divide(regionLoad.prefill, max(0, profile.Prompt-profile.Shared)))
 		}
 	}
-	next := have
+	next := current
 	next.Hot = nil
-	gain, tokens, most := 0.0, 0.0, 0.0
+	gain, tokens, highest := 0.0, 0.0, 0.0
 	keys := make([]uint64, 0, len(profile.Hot))
 	for key := range profile.Hot {
 		keys = append(keys, key)
 	}
 	slices.Sort(keys)
 	for _, key := range keys {
-		rate := busiest * profile.Hot[key]
-		full := max(rate*each(profile.Held, profile.Ended)/1000/float64(berths), rate*own/readRate)
-		over, before := max(1, min(mostOwners, replicas, int(math.Ceil(full/half)))), 1
-		for _, one := range have.Hot {
-			if one.Key == key {
-				before = one.Over
+		rate := largestShare * profile.Hot[key]
+		replicaLoad := max(rate*divide(profile.Held, profile.Ended)/1000/float64(slots), rate*ownTokens/prefillRate)
+		owners, previous := max(1, min(maxOwners, replicas, int(math.Ceil(replicaLoad/maxUtilization)))), 1
+		for _, spread := range current.Hot {
+			if spread.Key == key {
+				previous = spread.Over
 			}
 		}
-		// It shrinks only where it would still be well below at one owner less.
-		if over < before && full > half*half*float64(before-1)*2 {
-			over = before
+		// Owners are removed only if one owner less would still be well below full load.
+		if owners < previous && replicaLoad > maxUtilization*maxUtilization*float64(previous-1)*2 {
+			owners = previous
 		}
-		if over > 1 {
-			next.Hot = append(next.Hot, Spread{Key: key, Over: over})
+		if owners > 1 {
+			next.Hot = append(next.Hot, Spread{Key: key, Over: owners})
 		}
-		if over > before {
-			crowded := func(owners int) float64 { part := full / float64(owners); return crowd * part * part }
-			gain += rate * (crowded(before) - crowded(over)) * plan.stay.Seconds()
-			tokens += shared * float64(over-before)
+		if owners > previous {
+			overloadMs := func(count int) float64 {
+				share := replicaLoad / float64(count)
+				return fullReplicaDelayMs * share * share
+			}
+			gain += rate * (overloadMs(previous) - overloadMs(owners)) * plan.minStay.Seconds()
+			tokens += shared * float64(owners-previous)
 		}
-		most = max(most, full)
+		highest = max(highest, replicaLoad)
 	}
-	if slices.Equal(next.Hot, have.Hot) || tokens > 0 && gain <= margin*plan.price(tokens) {
-		return have, Notice{}, false
+	if slices.Equal(next.Hot, current.Hot) || tokens > 0 && gain <= gainMargin*plan.recomputeCost(tokens) {
+		return current, Notice{}, false
 	}
-	next.Reason = fmt.Sprintf("its hottest beginning takes up %.1f of a replica", most)
-	return next, Notice{Tenant: have.Tenant, What: "is spread", Reason: next.Reason, Gain: gain, Price: plan.price(tokens), Tokens: tokens, From: have.Now, To: have.Now}, true
+	next.Reason = fmt.Sprintf("its hottest beginning takes up %.1f of a replica", highest)
+	return next, Notice{Tenant: current.Tenant, What: "changes the number of owners of its hot prefixes", Reason: next.Reason, Gain: gain, Price: plan.recomputeCost(tokens), Tokens: tokens, From: current.Now, To: current.Now}, true
 }
--- a/tenant/tally.go
+++ b/tenant/tally.go
@@ -1,6 +1,7 @@
-// Package tenant notices that a tenant's sessions have changed and plans where its work
-// goes from then on. A tenant is a route with its requests. All here is pure: tables and
-// functions over them, with the time handed in.
+// Package tenant detects when a tenant's traffic changes and plans in which regions the
+// owners of its shared prompt prefixes are placed from then on. A tenant is a route with
+// its requests. The package does no I/O and reads no clock: it consists of tables and
+// functions over them, and callers pass in the time.
 package tenant
 
 import (
@@ -10,73 +11,77 @@
 	"time"
 )
 
-// Bounds of what is counted, told and kept, whatever there are of tenants.
+// Limits that keep counters, reports and stored state small however many tenants there are.
 const (
-	// Heavy is how many tenants a data daemon counts, MostTold how many a control daemon
-	// tells of, MostKept how many the duty's holder knows and a register holds.
-	Heavy    = 24
-	MostTold = 48
-	MostKept = 64
-	// hottest is how many shared beginnings of a tenant's prompts are counted.
-	hottest = 3
+	// Heavy is how many tenants a data daemon counts, MaxReported how many a control
+	// daemon reports, and MostKept how many the leader tracks and the register holds.
+	Heavy       = 24
+	MaxReported = 48
+	MostKept    = 64
+	// maxHotPrefixes is how many shared prefixes are counted per tenant.
+	maxHotPrefixes = 3
 )
 
-// Request is what counts of a request.
+// Request has the properties of a request that are counted.
 type Request struct {
 	Tenant, Model string
-	// Key names the shared beginning of its prompt, zero where it has none.
+	// Key identifies the shared prefix of the prompt; it is zero if there is none.
 	Key                    uint64
 	Prompt, Shared, Answer int
 	Bytes                  int
-	// Long tells whether it goes where long prompts go.
+	// Long reports whether the request is routed like those with long prompts.
 	Long bool
 }
 
-// weight is what a request weighs among tenants: the tokens that it brings.
+// weight returns what the request adds to its tenant's weight: about the number of its
+// prompt and answer tokens.
 func (request Request) weight() int { return 1 + request.Prompt + request.Answer }
 
-// Hot is a shared beginning that many requests have.
+// Hot counts the requests that share a frequent prefix. Count is at most Error too high.
 type Hot struct {
 	Key          uint64
 	Count, Error int
 }
 
-// Tally is what a data daemon counted of one tenant in a window. Region is where it
-// arrived; whoever gathers tallies fills it in.
+// Counters holds what a data daemon counted for one tenant in a window. Region is where
+// the requests arrived; Gather fills it in.
 //
-// Invariant: Weight is never below what the tenant brought, and at most Error above it;
-// all else counts only requests since the tenant last came into the sketch.
-type Tally struct {
+// Invariant: Weight is never below the tenant's true weight and at most Error above it.
+// All other counters cover only the requests since the tenant last entered the sketch.
+type Counters struct {
 	Tenant, Region, Model string
 	Weight, Error         int
-	// Count are its requests, Keyed those that share a beginning, Long those of them that
-	// go where long prompts go, Ended those that ended.
+	// Count is the number of requests, Keyed of those with a shared prefix, Long of the
+	// keyed ones that are routed like long prompts, and Ended of those that ended.
 	Count, Keyed, Long, Ended int
-	// Prompt, Shared and Answer are sums of tokens, Shared of Keyed ones; KB of kilobytes
-	// sent; Held of the milliseconds that Ended ones took.
+	// Prompt, Shared and Answer are sums of tokens (Shared over the keyed requests), KB is
+	// the sum of kilobytes sent, and Held the sum of the ended requests' durations in
+	// milliseconds.
 	Prompt, Shared, Answer, KB, Held int
-	// Marks has a bit for each shared beginning, by a hash.
+	// Marks is a bitmap with one bit set per shared prefix, selected by its hash.
 	Marks uint64
 	Hot   []Hot
 }
 
-// Told is what a daemon tells of a window: rates are sums over its Span.
+// Told is a daemon's report of a window. Its counters are sums over Span.
 type Told struct {
 	Serial  uint64
 	Span    time.Duration
-	Tallies []Tally
-	// Heard are, of a control daemon, the data daemons that it heard, by region.
+	Tallies []Counters
+	// Heard is, in a control daemon's report, the number of data daemons by region whose
+	// reports it contains; nil in a data daemon's report.
 	Heard map[string]int
 }
 
-// Sum is what was gathered of all that was told.
-type Sum struct {
-	Tallies []Tally
-	Heard   map[string]int
+// Totals holds the counters of all reports, by tenant and region, and how many data
+// daemons of each region they come from.
+type Totals struct {
+	Tallies   []Counters
+	Reporters map[string]int
 }
 
-// mix spreads a key over all bits.
-func mix(key uint64) uint64 {
+// hash mixes the bits of a key (the 64-bit finalizer of MurmurHash3).
+func hash(key uint64) uint64 {
 	key ^= key >> 33
 	key *= 0xff51afd7ed558ccd
 	key ^= key >> 33
@@ -84,126 +89,127 @@
 	return key ^ key>>33
 }
 
-// add counts one shared beginning by the space-saving algorithm.
-func (tally *Tally) add(hot Hot) {
-	least := -1
-	for at := range tally.Hot {
-		one := &tally.Hot[at]
-		if one.Key == hot.Key {
-			one.Count += hot.Count
-			one.Error += hot.Error
+// addHot adds to a shared prefix's count by the Space-Saving algorithm.
+func (counters *Counters) addHot(hot Hot) {
+	lightest := -1
+	for index := range counters.Hot {
+		entry := &counters.Hot[index]
+		if entry.Key == hot.Key {
+			entry.Count += hot.Count
+			entry.Error += hot.Error
 			return
 		}
-		if least < 0 || one.Count < tally.Hot[least].Count {
-			least = at
+		if lightest < 0 || entry.Count < counters.Hot[lightest].Count {
+			lightest = index
 		}
 	}
-	if len(tally.Hot) < hottest {
-		tally.Hot = append(tally.Hot, hot)
+	if len(counters.Hot) < maxHotPrefixes {
+		counters.Hot = append(counters.Hot, hot)
 		return
 	}
-	under := tally.Hot[least].Count
-	tally.Hot[least] = Hot{Key: hot.Key, Count: under + hot.Count, Error: under + hot.Error}
+	evictedCount := counters.Hot[lightest].Count
+	counters.Hot[lightest] = Hot{Key: hot.Key, Count: evictedCount + hot.Count, Error: evictedCount + hot.Error}
 }
 
-// join adds another tally of the tenant.
-func (tally *Tally) join(other Tally) {
-	tally.Weight += other.Weight
-	tally.Error += other.Error
-	tally.Count += other.Count
-	tally.Keyed += other.Keyed
-	tally.Long += other.Long
-	tally.Ended += other.Ended
-	tally.Prompt += other.Prompt
-	tally.Shared += other.Shared
-	tally.Answer += other.Answer
-	tally.KB += other.KB
-	tally.Held += other.Held
-	tally.Marks |= other.Marks
-	for _, one := range other.Hot {
-		tally.add(one)
+// merge adds other counters of the same tenant.
+func (counters *Counters) merge(other Counters) {
+	counters.Weight += other.Weight
+	counters.Error += other.Error
+	counters.Count += other.Count
+	counters.Keyed += other.Keyed
+	counters.Long += other.Long
+	counters.Ended += other.Ended
+	counters.Prompt += other.Prompt
+	counters.Shared += other.Shared
+	counters.Answer += other.Answer
+	counters.KB += other.KB
+	counters.Held += other.Held
+	counters.Marks |= other.Marks
+	for _, hot := range other.Hot {
+		counters.addHot(hot)
 	}
 }
 
-// distinct is how many shared beginnings there were, by linear counting; more than some
-// two hundred can't be told apart.
-func distinct(marks uint64) float64 {
+// estimateDistinct estimates the number of distinct shared prefixes by linear counting.
+// With 64 bits, the estimate saturates above some two hundred.
+func estimateDistinct(marks uint64) float64 {
 	empty := max(1, 64-bits.OnesCount64(marks))
 	return -64 * math.Log(float64(empty)/64)
 }
 
-// Sketch counts the heavy tenants of a window by the space-saving algorithm: however many
-// there are, it holds Heavy of them, and every one that brings more than a Heavy-th of
-// the whole weight is among them.
+// Sketch counts the heaviest tenants of a window by the Space-Saving algorithm. However
+// many tenants there are, it holds at most Heavy of them, and every tenant with more than
+// 1/Heavy of the total weight is among them.
 type Sketch struct {
-	table map[string]*Tally
+	byTenant map[string]*Counters
 }
 
 // Note counts a request.
 func (sketch *Sketch) Note(request Request) {
-	if sketch.table == nil {
-		sketch.table = make(map[string]*Tally, Heavy)
+	if sketch.byTenant == nil {
+		sketch.byTenant = make(map[string]*Counters, Heavy)
 	}
-	tally := sketch.table[request.Tenant]
-	if tally == nil {
-		fresh := &Tally{Tenant: request.Tenant, Model: request.Model}
-		if len(sketch.table) >= Heavy {
-			least := sketch.least()
-			fresh.Weight, fresh.Error = least.Weight, least.Weight
-			delete(sketch.table, least.Tenant)
+	counters := sketch.byTenant[request.Tenant]
+	if counters == nil {
+		fresh := &Counters{Tenant: request.Tenant, Model: request.Model}
+		if len(sketch.byTenant) >= Heavy {
+			lightest := sketch.lightest()
+			fresh.Weight, fresh.Error = lightest.Weight, lightest.Weight
+			delete(sketch.byTenant, lightest.Tenant)
 		}
-		tally = fresh
-		sketch.table[request.Tenant] = tally
+		counters = fresh
+		sketch.byTenant[request.Tenant] = counters
 	}
-	tally.Weight += request.weight()
-	tally.Count++
-	tally.Prompt += request.Prompt
-	tally.Answer += request.Answer
-	tally.KB += (request.Bytes + 512) / 1024
+	counters.Weight += request.weight()
+	counters.Count++
+	counters.Prompt += request.Prompt
+	counters.Answer += request.Answer
+	counters.KB += (request.Bytes + 512) / 1024
 	if request.Key == 0 {
 		return
 	}
-	tally.Keyed++
-	tally.Shared += request.Shared
-	tally.Marks |= 1 << (mix(request.Key) & 63)
-	tally.add(Hot{Key: request.Key, Count: 1})
+	counters.Keyed++
+	counters.Shared += request.Shared
+	counters.Marks |= 1 << (hash(request.Key) & 63)
+	counters.addHot(Hot{Key: request.Key, Count: 1})
 	if request.Long {
-		tally.Long++
+		counters.Long++
 	}
 }
 
-// IsEmpty tells whether nothing was counted.
-func (sketch *Sketch) IsEmpty() bool { return len(sketch.table) == 0 }
+// IsEmpty reports whether nothing has been counted.
+func (sketch *Sketch) IsEmpty() bool { return len(sketch.byTenant) == 0 }
 
-// Ended counts a request's end.
+// Ended counts a request that ended after the given duration.
 func (sketch *Sketch) Ended(tenant string, took time.Duration) {
-	if tally := sketch.table[tenant]; tally != nil {
-		tally.Ended++
-		tally.Held += int(took / time.Millisecond)
+	if counters := sketch.byTenant[tenant]; counters != nil {
+		counters.Ended++
+		counters.Held += int(took / time.Millisecond)
 	}
 }
 
-// least is the tenant that gives way; of equal ones it is the same on every daemon.
-func (sketch *Sketch) least() (least *Tally) {
-	for _, one := range sketch.table {
-		if least == nil || one.Weight < least.Weight || one.Weight == least.Weight && one.Tenant < least.Tenant {
-			least = one
+// lightest returns the tenant to evict. Ties are broken by name, so every daemon evicts
+// the same one.
+func (sketch *Sketch) lightest() (lightest *Counters) {
+	for _, counters := range sketch.byTenant {
+		if lightest == nil || counters.Weight < lightest.Weight || counters.Weight == lightest.Weight && counters.Tenant < lightest.Tenant {
+			lightest = counters
 		}
 	}
-	return least
+	return lightest
 }
 
-// tallies are those of the sketch, the heaviest first.
-func (sketch *Sketch) tallies() []Tally {
-	out := make([]Tally, 0, len(sketch.table))
-	for _, one := range sketch.table {
-		out = append(out, *one)
+// byWeight returns copies of the sketch's counters, heaviest first.
+func (sketch *Sketch) byWeight() []Counters {
+	out := make([]Counters, 0, len(sketch.byTenant))
+	for _, counters := range sketch.byTenant {
+		out = append(out, *counters)
 	}
-	sortTallies(out)
+	sortByWeight(out)
 	return out
 }
 
-func sortTallies(list []Tally) {
+func sortByWeight(list []Counters) {
 	sort.Slice(list, func(a, b int) bool {
 		x, y := &list[a], &list[b]
 		if x.Weight != y.Weight {
@@ -213,88 +219,91 @@
 	})
 }
 
-// Counter counts window by window. The zero value counts nothing yet.
+// Counter counts requests window by window. The zero value has no window open.
 type Counter struct {
 	Sketch
-	began  time.Duration
-	serial uint64
+	windowStart time.Duration
+	serial      uint64
 }
 
-// Turn ends the window if it is over, and gives what is to be told of it; nil while it
-// lasts. A span of zero or less counts nothing.
+// Turn closes the window if it has lasted for span and returns its report; it returns nil
+// while the window is open. A span of zero or less discards the counters and opens no
+// window.
 func (counter *Counter) Turn(now, span time.Duration) *Told {
 	switch {
 	case span <= 0:
 		*counter = Counter{serial: counter.serial}
 		return nil
-	case counter.began == 0:
-		counter.began = max(1, now)
-		counter.table = nil
+	case counter.windowStart == 0:
+		counter.windowStart = max(1, now)
+		counter.byTenant = nil
 		return nil
-	case now-counter.began < span:
+	case now-counter.windowStart < span:
 		return nil
 	}
 	counter.serial++
-	told := &Told{Serial: counter.serial, Span: now - counter.began, Tallies: counter.tallies()}
-	counter.began, counter.table = now, nil
-	return told
+	report := &Told{Serial: counter.serial, Span: now - counter.windowStart, Tallies: counter.byWeight()}
+	counter.windowStart, counter.byTenant = now, nil
+	return report
 }
 
-// Heard is what one daemon told, and the region that it is in.
+// Heard is one daemon's report with the region that the daemon is in.
 type Heard struct {
 	Region string
 	Told   *Told
 }
 
-// perSecond is the scale of gathered tallies: sums over this span.
-const perSecond = 10 * time.Second
+// referenceSpan is the time span to which gathered counters are scaled.
+const referenceSpan = 10 * time.Second
 
-// Gather adds up what daemons told, by tenant and region, scaled to one span, and keeps
-// the heaviest MostTold. Where tallies name their region themselves, that one counts.
-func Gather(heard []Heard) Sum {
-	sums, counts := map[[2]string]*Tally{}, map[string]int{}
-	for _, one := range heard {
-		if one.Told == nil || one.Told.Span <= 0 {
+// Gather adds up the reports of daemons by tenant and region, scaled to referenceSpan, and
+// keeps the MaxReported heaviest. Counters that name a region keep it; others get the
+// region of the reporting daemon.
+func Gather(reports []Heard) Totals {
+	sums, reporters := map[[2]string]*Counters{}, map[string]int{}
+	for _, report := range reports {
+		if report.Told == nil || report.Told.Span <= 0 {
 			continue
 		}
-		if one.Told.Heard == nil {
-			counts[one.Region]++
+		if report.Told.Heard == nil {
+			reporters[report.Region]++
 		}
-		for region, count := range one.Told.Heard {
-			counts[region] += count
+		for region, count := range report.Told.Heard {
+			reporters[region] += count
 		}
-		for _, tally := range one.Told.Tallies {
-			if tally.Region == "" {
-				tally.Region = one.Region
+		for _, counters := range report.Told.Tallies {
+			if counters.Region == "" {
+				counters.Region = report.Region
 			}
-			tally.scale(float64(perSecond) / float64(one.Told.Span))
-			at := [2]string{tally.Tenant, tally.Region}
-			if sums[at] == nil {
-				sums[at] = &Tally{Tenant: tally.Tenant, Region: tally.Region, Model: tally.Model}
+			counters.scale(float64(referenceSpan) / float64(report.Told.Span))
+			key := [2]string{counters.Tenant, counters.Region}
+			if sums[key] == nil {
+				sums[key] = &Counters{Tenant: counters.Tenant, Region: counters.Region, Model: counters.Model}
 			}
-			sums[at].join(tally)
+			sums[key].merge(counters)
 		}
 	}
-	out := make([]Tally, 0, len(sums))
-	for _, one := range sums {
-		out = append(out, *one)
+	out := make([]Counters, 0, len(sums))
+	for _, counters := range sums {
+		out = append(out, *counters)
 	}
-	sortTallies(out)
-	return Sum{Tallies: out[:min(len(out), MostTold)], Heard: counts}
+	sortByWeight(out)
+	return Totals{Tallies: out[:min(len(out), MaxReported)], Reporters: reporters}
 }
 
-// Tell is what a control daemon tells of what it gathered.
-func Tell(serial uint64, sum Sum) *Told {
-	return &Told{Serial: serial, Span: perSecond, Tallies: sum.Tallies, Heard: sum.Heard}
+// Tell returns a control daemon's report of the totals that it gathered.
+func Tell(serial uint64, totals Totals) *Told {
+	return &Told{Serial: serial, Span: referenceSpan, Tallies: totals.Tallies, Heard: totals.Reporters}
 }
 
-func (tally *Tally) scale(by float64) {
-	for _, field := range []*int{&tally.Weight, &tally.Error, &tally.Count, &tally.Keyed, &tally.Long, &tally.Ended, &tally.Prompt, &tally.Shared, &tally.Answer, &tally.KB, &tally.Held} {
-		*field = int(math.Round(float64(*field) * by))
+// scale multiplies all sums by the factor. It copies Hot first, as reports share it.
+func (counters *Counters) scale(factor float64) {
+	for _, field := range []*int{&counters.Weight, &counters.Error, &counters.Count, &counters.Keyed, &counters.Long, &counters.Ended, &counters.Prompt, &counters.Shared, &counters.Answer, &counters.KB, &counters.Held} {
+		*field = int(math.Round(float64(*field) * factor))
 	}
-	tally.Hot = append([]Hot{}, tally.Hot...)
-	for at := range tally.Hot {
-		tally.Hot[at].Count = int(math.Round(float64(tally.Hot[at].Count) * by))
-		tally.Hot[at].Error = int(math.Round(float64(tally.Hot[at].Error) * by))
+	counters.Hot = append([]Hot{}, counters.Hot...)
+	for index := range counters.Hot {
+		counters.Hot[index].Count = int(math.Round(float64(counters.Hot[index].Count) * factor))
+		counters.Hot[index].Error = int(math.Round(float64(counters.Hot[index].Error) * factor))
 	}
 }
--- a/tenant/tenant_test.go
+++ b/tenant/tenant_test.go
@@ -22,50 +22,50 @@
 
 var regions = []string{"a", "b", "c"}
 
-// crowd is one tenant's load: requests a second by region, and what they are like.
-type crowd struct {
-	name                 string
-	rates                []float64
-	prompt, shared, most float64
-	beginnings           int
-	long                 float64
-	heldMs               float64
-	homes                []string
+// traffic is one tenant's load: requests a second by region, and what they are like.
+type traffic struct {
+	name                   string
+	rates                  []float64
+	prompt, shared, answer float64
+	prefixes               int
+	long                   float64
+	durationMs             float64
+	homes                  []string
 }
 
-// big is a tenant with long prompts, of which most is shared.
-func big(name string, rates ...float64) crowd {
-	return crowd{name: name, rates: rates, prompt: 17000, shared: 13300, most: 60, beginnings: 24, long: 1, heldMs: 1500}
+// longPromptTenant is a tenant with long prompts, of which most is shared.
+func longPromptTenant(name string, rates ...float64) traffic {
+	return traffic{name: name, rates: rates, prompt: 17000, shared: 13300, answer: 60, prefixes: 24, long: 1, durationMs: 1500}
 }
 
-// day plays windows over a watch.
-type day struct {
+// simulation plays windows over a watch.
+type simulation struct {
 	*rand.Rand
 	testing.TB
-	crowds  []crowd
-	watch   *tenant.Watch
-	book    tenant.Book
-	now     time.Duration
-	budget  float64
-	notices []tenant.Notice
-	at      []time.Duration
-	// clumps is how many requests come at a time, swing how far rates go up and down in
+	traffic   []traffic
+	watch     *tenant.Watch
+	book      tenant.Book
+	now       time.Duration
+	budget    float64
+	notices   []tenant.Notice
+	noticedAt []time.Duration
+	// burst is how many requests come at a time, swing how far rates go up and down in
 	// every 26 s, each region at its own phase.
-	clumps int
-	swing  float64
-	moved  float64
-	flow   float64
+	burst        int
+	swing        float64
+	recomputed   float64
+	promptTokens float64
 	// silent are regions that nothing is heard of.
 	silent map[string]bool
 }
 
-func newDay(t testing.TB, seed uint64, crowds ...crowd) *day {
-	day := &day{TB: t, Rand: rand.New(rand.NewPCG(seed, 1)), crowds: crowds, budget: 0.1, clumps: 1}
+func newSimulation(t testing.TB, seed uint64, crowds ...traffic) *simulation {
+	day := &simulation{TB: t, Rand: rand.New(rand.NewPCG(seed, 1)), traffic: crowds, budget: 0.1, burst: 1}
 	day.watch = tenant.NewWatch(0, nil)
 	return day
 }
 
-func (day *day) poisson(mean float64) int {
+func (day *simulation) poisson(mean float64) int {
 	if mean > 40 {
 		return max(0, int(math.Round(mean+math.Sqrt(mean)*day.NormFloat64())))
 	}
@@ -76,21 +76,21 @@
 	return count
 }
 
-// long is the sum of so many lengths with a long tail.
-func (day *day) long(count int, mean float64) int {
+// sampleTotal is the sum of so many lengths with a long tail.
+func (day *simulation) sampleTotal(count int, mean float64) int {
 	if count == 0 {
 		return 0
 	}
 	return max(0, int(float64(count)*mean+math.Sqrt(float64(count))*1.5*mean*day.NormFloat64()))
 }
 
-func (day *day) scene() tenant.Scene {
+func (day *simulation) scene() tenant.Scene {
 	grounds := map[string]map[string]tenant.Ground{model: {}}
 	for at, region := range regions {
 		grounds[model][region] = tenant.Ground{Replicas: 6 - at, Berths: 64, Cache: 348621}
 	}
 	return tenant.Scene{Now: day.now, Window: window, Duty: 1, Grounds: grounds, Far: 80, FarKB: 4, Again: 60, Change: 0.25, Budget: day.budget, Homes: func(name string) []string {
-		for _, one := range day.crowds {
+		for _, one := range day.traffic {
 			if one.name == name {
 				if one.homes != nil {
 					return one.homes
@@ -103,24 +103,24 @@
 }
 
 // tallies are what is gathered of a window.
-func (day *day) sum() tenant.Sum {
+func (day *simulation) totals() tenant.Totals {
 	var heard []tenant.Heard
 	for at, region := range regions {
 		told := &tenant.Told{Serial: 1, Span: window}
-		for _, one := range day.crowds {
+		for _, one := range day.traffic {
 			wave := 1 + day.swing*math.Sin(2*math.Pi*(day.now.Seconds()/26+float64(at)/3))
-			count := day.clumps * day.poisson(one.rates[at]*wave*window.Seconds()/float64(day.clumps))
+			count := day.burst * day.poisson(one.rates[at]*wave*window.Seconds()/float64(day.burst))
 			if count == 0 {
 				continue
 			}
-			tally := tenant.Tally{Tenant: one.name, Model: model, Count: count, Keyed: count, Ended: count, Long: int(one.long * float64(count)), Shared: int(one.shared) * count, Held: day.long(count, one.heldMs), Answer: day.long(count, one.most)}
-			tally.Prompt = tally.Shared + day.long(count, one.prompt-one.shared)
+			tally := tenant.Counters{Tenant: one.name, Model: model, Count: count, Keyed: count, Ended: count, Long: int(one.long * float64(count)), Shared: int(one.shared) * count, Held: day.sampleTotal(count, one.durationMs), Answer: day.sampleTotal(count, one.answer)}
+			tally.Prompt = tally.Shared + day.sampleTotal(count, one.prompt-one.shared)
 			tally.KB, tally.Weight = tally.Prompt/256, tally.Prompt+tally.Answer
-			for beginning := range one.beginnings {
+			for beginning := range one.prefixes {
 				tally.Marks |= 1 << (beginning * 7 % 64)
 			}
-			for beginning := range min(3, one.beginnings) {
-				tally.Hot = append(tally.Hot, tenant.Hot{Key: uint64(beginning + 1), Count: count / one.beginnings})
+			for beginning := range min(3, one.prefixes) {
+				tally.Hot = append(tally.Hot, tenant.Hot{Key: uint64(beginning + 1), Count: count / one.prefixes})
 			}
 			told.Tallies = append(told.Tallies, tally)
 		}
@@ -132,30 +132,30 @@
 }
 
 // run plays so many windows.
-func (day *day) run(windows int) {
+func (day *simulation) run(windows int) {
 	for range windows {
 		day.now += window
-		sum := day.sum()
+		sum := day.totals()
 		for _, one := range sum.Tallies {
-			day.flow += float64(one.Prompt) / 10 * window.Seconds()
+			day.promptTokens += float64(one.Prompt) / 10 * window.Seconds()
 		}
 		next, notices := day.watch.Turn(day.scene(), sum, day.book)
 		for _, one := range notices {
 			if one.What != "has changed" && one.What != "begins to move" {
-				day.moved += one.Tokens
+				day.recomputed += one.Tokens
 			}
-			day.notices, day.at = append(day.notices, one), append(day.at, day.now)
+			day.notices, day.noticedAt = append(day.notices, one), append(day.noticedAt, day.now)
 		}
 		day.book = next
 		// The last part of a move may stand on what is counted a little later.
-		if day.moved > 1.1*day.budget*day.flow {
-			day.Fatalf("placed: %.0f tokens are read again after %v, of %.0f", day.moved, day.now, day.flow)
+		if day.recomputed > 1.1*day.budget*day.promptTokens {
+			day.Fatalf("placed: %.0f tokens are read again after %v, of %.0f", day.recomputed, day.now, day.promptTokens)
 		}
 	}
 }
 
-// holder has another one take the duty, from the registers alone.
-func (day *day) holder(t *testing.T) {
+// changeLeader has another one take the duty, from the registers alone.
+func (day *simulation) changeLeader(t *testing.T) {
 	text, err := json.Marshal(day.watch.Usual())
 	var usual []tenant.Profile
 	if err == nil {
@@ -167,9 +167,9 @@
 	day.watch = tenant.NewWatch(day.now, usual)
 }
 
-func (day *day) count(what string) (count int) {
+func (day *simulation) count(action string) (count int) {
 	for _, one := range day.notices {
-		if one.What == what {
+		if one.What == action {
 			count++
 		}
 	}
@@ -203,7 +203,7 @@
 			continue
 		}
 		heavy++
-		at := slices.IndexFunc(told.Tallies, func(one tenant.Tally) bool { return one.Tenant == name })
+		at := slices.IndexFunc(told.Tallies, func(one tenant.Counters) bool { return one.Tenant == name })
 		if at < 0 {
 			t.Errorf("%s, with %d, is not told of", name, truth[name])
 			continue
@@ -234,7 +234,7 @@
 	}
 	sum := tenant.Tell(1, tenant.Gather(heard))
 	t.Logf("a data daemon tells %d bytes a window, a control daemon %d", size(told), size(sum))
-	if size(told) > 4096 || size(sum) > 8192 || len(sum.Tallies) > tenant.MostTold {
+	if size(told) > 4096 || size(sum) > 8192 || len(sum.Tallies) > tenant.MaxReported {
 		t.Errorf("a data daemon tells %d bytes, a control daemon %d of %d tenants", size(told), size(sum), len(sum.Tallies))
 	}
 	if counter.Turn(6*time.Second, window) != nil || counter.Turn(20*time.Second, 0) != nil || !counter.IsEmpty() {
@@ -246,17 +246,17 @@
 // the placement follows, and what is read again stays within the budget.
 func TestCallersMove(t *testing.T) {
 	for seed := uint64(1); seed <= 10; seed++ {
-		day := newDay(t, seed, big("h.example/one/", 8, 0.6, 0.6), big("h.example/two/", 5, 5, 5))
+		day := newSimulation(t, seed, longPromptTenant("h.example/one/", 8, 0.6, 0.6), longPromptTenant("h.example/two/", 5, 5, 5))
 		day.swing = 0.4
 		day.run(40)
 		if len(day.notices) > 0 {
 			t.Fatalf("seed %d: noticed before anything happened: %+v", seed, day.notices)
 		}
 		began := day.now
-		day.crowds[0].rates = []float64{0.6, 0.6, 8}
+		day.traffic[0].rates = []float64{0.6, 0.6, 8}
 		day.run(40)
-		if len(day.notices) == 0 || day.notices[0].What != "has changed" || day.at[0]-began > 8*window {
-			t.Fatalf("seed %d: noticed %+v at %v", seed, day.notices, day.at)
+		if len(day.notices) == 0 || day.notices[0].What != "has changed" || day.noticedAt[0]-began > 8*window {
+			t.Fatalf("seed %d: noticed %+v at %v", seed, day.notices, day.noticedAt)
 		}
 		placement := day.book.Find("h.example/one/")
 		if placement == nil || placement.Moving || !slices.Equal(placement.Now, []string{"c"}) {
@@ -265,12 +265,12 @@
 		if day.book.Find("h.example/two/") != nil {
 			t.Errorf("seed %d: the other tenant was placed, too", seed)
 		}
-		if day.moved == 0 || day.moved > day.budget*day.flow {
-			t.Errorf("seed %d: %.0f of %.0f tokens were read again", seed, day.moved, day.flow)
+		if day.recomputed == 0 || day.recomputed > day.budget*day.promptTokens {
+			t.Errorf("seed %d: %.0f of %.0f tokens were read again", seed, day.recomputed, day.promptTokens)
 		}
 		if seed == 1 {
 			for at, one := range day.notices {
-				t.Logf("%v after the change: %s %s (%s), gain %.0f, price %.0f, tokens %.0f, part %d", day.at[at]-began, one.Tenant, one.What, one.Reason, one.Gain, one.Price, one.Tokens, one.Part)
+				t.Logf("%v after the change: %s %s (%s), gain %.0f, price %.0f, tokens %.0f, part %d", day.noticedAt[at]-began, one.Tenant, one.What, one.Reason, one.Gain, one.Price, one.Tokens, one.Part)
 			}
 		}
 	}
@@ -286,13 +286,13 @@
 	for seed := uint64(1); seed <= seeds; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			day := newDay(t, seed, big("h.example/one/", 8, 0.6, 0.6), big("h.example/two/", 5, 5, 5), big("h.example/few/", 0.5, 0.2, 0.1), big("h.example/clumped/", 4, 2, 2),
-				crowd{name: "h.example/short/", rates: []float64{30, 10, 10}, prompt: 380, shared: 90, most: 12, beginnings: 40, heldMs: 700},
-				crowd{name: "h.example/mixed/", rates: []float64{3, 9, 3}, prompt: 3000, shared: 1500, most: 200, beginnings: 12, long: 0.5, heldMs: 2500})
-			day.swing, day.clumps = 0.4, 2
+			day := newSimulation(t, seed, longPromptTenant("h.example/one/", 8, 0.6, 0.6), longPromptTenant("h.example/two/", 5, 5, 5), longPromptTenant("h.example/few/", 0.5, 0.2, 0.1), longPromptTenant("h.example/clumped/", 4, 2, 2),
+				traffic{name: "h.example/short/", rates: []float64{30, 10, 10}, prompt: 380, shared: 90, answer: 12, prefixes: 40, durationMs: 700},
+				traffic{name: "h.example/mixed/", rates: []float64{3, 9, 3}, prompt: 3000, shared: 1500, answer: 200, prefixes: 12, long: 0.5, durationMs: 2500})
+			day.swing, day.burst = 0.4, 2
 			day.run(28800)
 			if len(day.notices) > 0 || len(day.book.Placed) > 0 {
-				t.Errorf("%d false alarms, the first at %v: %+v", len(day.notices), day.at[0], day.notices[0])
+				t.Errorf("%d false alarms, the first at %v: %+v", len(day.notices), day.noticedAt[0], day.notices[0])
 			}
 		})
 	}
@@ -301,7 +301,7 @@
 // TestSilence: a region that nothing is heard of for up to a minute has not lost its
 // callers, nor has one that a new holder hears late; in the end it has.
 func TestSilence(t *testing.T) {
-	day := newDay(t, 1, big("h.example/one/", 6, 10, 0.6))
+	day := newSimulation(t, 1, longPromptTenant("h.example/one/", 6, 10, 0.6))
 	day.run(40)
 	for _, region := range regions {
 		day.silent = map[string]bool{region: true}
@@ -309,13 +309,13 @@
 		day.silent = nil
 		day.run(30)
 		day.silent = map[string]bool{region: true}
-		day.holder(t)
+		day.changeLeader(t)
 		day.run(2)
 		day.silent = nil
 		day.run(30)
 	}
 	if len(day.notices) > 0 {
-		t.Errorf("placed: %d false alarms, the first at %v: %+v", len(day.notices), day.at[0], day.notices[0])
+		t.Errorf("placed: %d false alarms, the first at %v: %+v", len(day.notices), day.noticedAt[0], day.notices[0])
 	}
 	day.silent = map[string]bool{"b": true}
 	day.run(60)
@@ -328,10 +328,10 @@
 // the budget.
 func TestFlapping(t *testing.T) {
 	for _, every := range []int{1, 3, 5, 9, 15, 30, 60} {
-		day := newDay(t, uint64(every), big("h.example/one/", 8, 0.6, 0.6))
+		day := newSimulation(t, uint64(every), longPromptTenant("h.example/one/", 8, 0.6, 0.6))
 		day.run(30)
 		for turn := 0; day.now < time.Hour; turn++ {
-			day.crowds[0].rates = [][]float64{{1, 1, 12}, {8, 0.6, 0.6}}[turn%2]
+			day.traffic[0].rates = [][]float64{{1, 1, 12}, {8, 0.6, 0.6}}[turn%2]
 			day.run(every)
 		}
 		moves := day.count("begins to move")
@@ -340,15 +340,15 @@
 			if one.What != "begins to move" {
 				continue
 			}
-			if day.at[at]-last < 10*window {
-				t.Errorf("placed: every %d windows: moved at %v and again at %v", every, last, day.at[at])
+			if day.noticedAt[at]-last < 10*window {
+				t.Errorf("placed: every %d windows: moved at %v and again at %v", every, last, day.noticedAt[at])
 			}
-			last = day.at[at]
+			last = day.noticedAt[at]
 		}
-		t.Logf("to and fro every %d windows: noticed %d times, %d moves begun in an hour, %.0f of %.0f tokens read again", every, day.count("has changed"), moves, day.moved, day.flow)
+		t.Logf("to and fro every %d windows: noticed %d times, %d moves begun in an hour, %.0f of %.0f tokens read again", every, day.count("has changed"), moves, day.recomputed, day.promptTokens)
 		// An hour has 120 of the shortest stays.
 		if moves > 40 {
-			t.Errorf("placed: every %d windows: %d moves, %.0f of %.0f tokens", every, moves, day.moved, day.flow)
+			t.Errorf("placed: every %d windows: %d moves, %.0f of %.0f tokens", every, moves, day.recomputed, day.promptTokens)
 		}
 	}
 }
@@ -357,15 +357,15 @@
 // duty, or taken back where nothing is gained by it any more; a change that the first one
 // had no time to notice is noticed by the next.
 func TestNextHolder(t *testing.T) {
-	begun := func(seed uint64) *day {
-		day := newDay(t, seed, big("h.example/one/", 8, 0.6, 0.6))
+	begun := func(seed uint64) *simulation {
+		day := newSimulation(t, seed, longPromptTenant("h.example/one/", 8, 0.6, 0.6))
 		day.budget = 0.001
 		day.run(40)
-		day.crowds[0].rates = []float64{0.6, 0.6, 8}
+		day.traffic[0].rates = []float64{0.6, 0.6, 8}
 		for range 60 {
 			day.run(1)
 			if one := day.book.Find("h.example/one/"); one != nil && one.Moving && one.Part > 0 {
-				day.holder(t)
+				day.changeLeader(t)
 				return day
 			}
 		}
@@ -379,22 +379,22 @@
 		t.Errorf("from part %d on it ended as %+v", half.Part, one)
 	}
 	day = begun(2)
-	day.crowds[0].rates = []float64{4, 4, 0.2}
+	day.traffic[0].rates = []float64{4, 4, 0.2}
 	day.run(1200)
 	if one := day.book.Find("h.example/one/"); day.count("is back") != 1 || one != nil && (one.Moving || slices.Contains(one.Now, "c")) {
 		t.Errorf("it ended as %+v: %+v", one, day.notices)
 	}
 	day = begun(3)
-	day.crowds[0].rates = []float64{0, 0, 0}
+	day.traffic[0].rates = []float64{0, 0, 0}
 	day.run(200)
 	if one := day.book.Find("h.example/one/"); one != nil && one.Moving {
 		t.Errorf("idle, it ended as %+v", one)
 	}
-	day = newDay(t, 4, big("h.example/one/", 8, 0.6, 0.6))
+	day = newSimulation(t, 4, longPromptTenant("h.example/one/", 8, 0.6, 0.6))
 	day.run(40)
-	day.crowds[0].rates = []float64{0.6, 0.6, 8}
+	day.traffic[0].rates = []float64{0.6, 0.6, 8}
 	day.run(1)
-	day.holder(t)
+	day.changeLeader(t)
 	day.run(40)
 	if day.count("has changed") != 1 {
 		t.Errorf("the next holder noticed %+v", day.notices)
@@ -406,12 +406,12 @@
 func TestHomesBind(t *testing.T) {
 	moves := 0
 	for seed := uint64(1); seed <= 20; seed++ {
-		one := big("h.example/one/", 8, 8, 1)
+		one := longPromptTenant("h.example/one/", 8, 8, 1)
 		one.homes = []string{"a", "c"}
-		day := newDay(t, seed, one)
+		day := newSimulation(t, seed, one)
 		day.run(30)
 		for range 40 {
-			day.crowds[0].rates = []float64{20 * day.Float64(), 20 * day.Float64(), 20 * day.Float64()}
+			day.traffic[0].rates = []float64{20 * day.Float64(), 20 * day.Float64(), 20 * day.Float64()}
 			day.run(10)
 			placement := day.book.Find("h.example/one/")
 			if placement == nil {
@@ -444,11 +444,11 @@
 // TestGrows: a beginning that outgrows its owner gets several, and a session stays with
 // one; it shrinks again.
 func TestGrows(t *testing.T) {
-	one := big("h.example/one/", 2, 2, 2)
-	one.beginnings = 1
-	day := newDay(t, 3, one)
+	one := longPromptTenant("h.example/one/", 2, 2, 2)
+	one.prefixes = 1
+	day := newSimulation(t, 3, one)
 	day.run(30)
-	day.crowds[0].rates = []float64{25, 25, 25}
+	day.traffic[0].rates = []float64{25, 25, 25}
 	day.run(60)
 	placement := day.book.Find(one.name)
 	if placement == nil || len(placement.Hot) != 1 || placement.Hot[0].Over < 2 {
@@ -465,7 +465,7 @@
 	if len(seen) != placement.Hot[0].Over || !seen[1] {
 		t.Errorf("%d owners", len(seen))
 	}
-	day.crowds[0].rates = []float64{2, 2, 2}
+	day.traffic[0].rates = []float64{2, 2, 2}
 	day.run(100)
 	if placement := day.book.Find(one.name); placement != nil && len(placement.Hot) > 0 {
 		t.Errorf("it is still placed %+v", placement)
@@ -474,10 +474,10 @@
 
 // TestPinned: what an operator pinned stays, whatever happens, and books keep their order.
 func TestPinned(t *testing.T) {
-	day := newDay(t, 6, big("h.example/one/", 8, 0.6, 0.6))
+	day := newSimulation(t, 6, longPromptTenant("h.example/one/", 8, 0.6, 0.6))
 	day.book = day.book.With(tenant.Placement{Tenant: "h.example/one/", Now: []string{"b"}, Pinned: true}).With(tenant.Placement{Tenant: "a.example/", Now: []string{"b"}, Pinned: true})
 	day.run(40)
-	day.crowds[0].rates = []float64{0.6, 0.6, 8}
+	day.traffic[0].rates = []float64{0.6, 0.6, 8}
 	day.run(60)
 	if one := day.book.Find("h.example/one/"); one == nil || !slices.Equal(one.Now, []string{"b"}) || day.count("begins to move") > 0 || day.count("has changed") != 1 {
 		t.Errorf("placed %+v: %+v", one, day.notices)
--- a/tenant/watch.go
+++ b/tenant/watch.go
@@ -10,142 +10,160 @@
 	"time"
 )
 
-// Ratios of the watch; spans are in windows.
+// Thresholds and weights of the watch. Durations are in windows unless stated otherwise.
 const (
-	// quick and slow are the shares by which the short and the long profile follow.
-	quick = 0.5
-	slow  = 1.0 / 16
-	// settled is after how many windows a tenant is known; least how many requests the
-	// short profile must stand on.
-	settled = 16
-	least   = 40
-	// confirmed is in how many windows in a row a change must show, and followed which
-	// part of it the long profile must have followed.
-	confirmed = 2
-	followed  = 0.25
-	// stays is how long a placement stays at the least; each move that follows another
-	// within stayTimes of that doubles it, up to stayMost times.
-	stays, stayTimes, stayMost = 10, 4, 16
-	// calm is how long a noticed change is left to show itself whole before a placement is
-	// judged by it, and open for how long it then may lead to a move.
-	calm, open = 2, 4
-	// margin is by what times the gain that is foreseen must exceed the price.
-	margin = 2
-	// worthwhile is the least part of a tenant's long prompts that a move keeps near.
-	worthwhile = 0.15
-	// regionShare is the least part of a tenant's callers for which a region gets owners
-	// of its own.
-	regionShare = 0.25
-	// half of what a region's replicas bear, keep and read is the most that is placed.
-	half = 0.5
-	// readRate is the tokens that a replica reads in a second between the tokens of others,
-	// as is taken beforehand; mostBusy is as busy as an owner is taken to be at the most.
-	readRate, mostBusy = 35000.0, 0.95
-	// crowd is what a full replica adds to a first piece, in ms.
-	crowd = 64.0
-	// mostOwners bounds the owners of a hot beginning.
-	mostOwners = 4
-	// blind is for how many turns a new watch notices nothing, as it may not have heard all
-	// yet; audible which part of a region's data daemons must be heard for a turn to count,
-	// for deafness turns at the most: then there are fewer of them.
-	blind, audible, deafness = 4, 0.75, 20
-	// idle is the requests a second below which a tenant is forgotten.
-	idle = 0.01
+	// shortWeight and longWeight are the weights of a new window in the moving averages of
+	// the short and the long profile.
+	shortWeight = 0.5
+	longWeight  = 1.0 / 16
+	// warmupWindows is after how many windows a tenant gets its baseline; minSamples is how
+	// many requests the short profile must be based on to detect a change.
+	warmupWindows = 16
+	minSamples    = 40
+	// confirmWindows is in how many consecutive windows a change must be seen.
+	// longFollowShare is by what fraction of Scene.Change the long profile must have moved
+	// too.
+	confirmWindows  = 2
+	longFollowShare = 0.25
+	// minStayWindows is how long a placement stays at least. Each move that follows another
+	// one within repeatStays times the minimum stay doubles it, up to maxStayFactor times
+	// minStayWindows.
+	minStayWindows, repeatStays, maxStayFactor = 10, 4, 16
+	// settleWindows is the delay between detecting a change and planning a placement, so
+	// that the profile shows the whole change; openWindows is for how long after that it
+	// may lead to a move.
+	settleWindows, openWindows = 2, 4
+	// gainMargin is how many times the cost the predicted gain must exceed.
+	gainMargin = 2
+	// minShareSaved is the minimum fraction of a tenant's long prompts that a move must keep
+	// from being sent to another region.
+	minShareSaved = 0.15
+	// minRegionShare is the minimum fraction of a tenant's callers for which a region gets
+	// owners of its own.
+	minRegionShare = 0.25
+	// maxUtilization is the maximum fraction of a region's request slots, prefix cache and
+	// prefill capacity that placed tenants may use.
+	maxUtilization = 0.5
+	// prefillRate is the assumed prefill throughput of a replica in tokens per second while
+	// it also decodes other requests. maxOwnerUtilization caps the predicted utilization of
+	// an owner.
+	prefillRate, maxOwnerUtilization = 35000.0, 0.95
+	// fullReplicaDelayMs is what a full replica adds to the time to first token, in ms.
+	fullReplicaDelayMs = 64.0
+	// maxOwners is the maximum number of owners of a hot prefix.
+	maxOwners = 4
+	// blindTurns is for how many turns a new watch detects no changes, as it may not have
+	// the reports of all daemons yet. minReporterShare is the fraction of a region's usual
+	// data daemons whose reports a turn needs to count. After maxIncompleteTurns turns in a
+	// row without them, the lower number of daemons is accepted as the usual one.
+	blindTurns, minReporterShare, maxIncompleteTurns = 4, 0.75, 20
+	// idleRate is the rate in requests per second below which a tenant is forgotten.
+	idleRate = 0.01
 )
 
-// Ground is what is known of a region's replicas of a model.
+// Ground describes the capacity of a region's replicas of a model.
 type Ground struct {
-	// Replicas are those that may get requests of the model.
-	Replicas      int
+	// Replicas is the number of replicas that may get requests for the model.
+	Replicas int
+	// Berths is the number of request slots, and Cache the prefix cache in tokens, of one
+	// replica; a Cache of zero is not checked.
 	Berths, Cache int
 }
 
-// Scene is what a turn is made by.
+// Scene has the inputs of a turn.
 //
 // Invariant: Now never falls from turn to turn of a watch.
 type Scene struct {
 	Now, Window time.Duration
 	Duty        uint64
-	// Grounds are by model and region.
+	// Grounds has the replicas by model and region.
 	Grounds map[string]map[string]Ground
-	// Homes gives the regions that may serve a tenant, none for one that is not there.
+	// Homes returns the regions that may serve a tenant, or none if the tenant has no route.
 	Homes func(tenant string) []string
-	// Far is the price of a way to another region in ms, FarKB of each KB on it, Again of
-	// a thousand shared tokens that are read again.
+	// Costs in ms of waiting: Far of the network path to another region, FarKB of each KB
+	// sent on it, and Again of prefilling a thousand shared tokens again.
 	Far, FarKB, Again float64
-	// Change is how far a tenant's work must have moved, and Budget which part of all
-	// prompt tokens moves may make be read again.
+	// Change is the distance from its baseline at which a tenant counts as changed. Budget
+	// is the fraction of all prompt tokens that moves may cause to be prefilled again.
 	Change, Budget float64
 }
 
-// Notice is something that a turn noticed or planned, with its figures.
+// Notice is a change that a turn detected or planned, with its figures, for the log.
 type Notice struct {
 	Tenant, What, Reason string
-	// Distance is how far the sessions have moved; Gain and Price are in ms of waiting,
-	// the gain over the span that the placement stays at the least; Tokens are those
-	// that are read again.
+	// Distance is how far the traffic is from its baseline. Gain, over the minimum stay of
+	// the placement, and Price are in ms of waiting. Tokens is how many tokens have to be
+	// prefilled again.
 	Distance, Gain, Price, Tokens float64
 	From, To                      []string
-	Part                          int
+	// Part is how many partitions have moved.
+	Part int
 }
 
-// row is one tenant in the watch's table.
-type row struct {
+// tenantState is what the watch knows of one tenant.
+type tenantState struct {
 	short, long *Profile
-	// basis is what the tenant was like when it was last found changed, or known; judged
-	// is the one before, while the change has led to nothing yet: the next holder has to
-	// notice it too.
-	basis, judged *Profile
-	turns         int
-	// strange is in how many windows in a row it seemed changed; from and until are the
-	// turns between which a noticed change may lead to a move, until is zero for none.
-	strange     int
-	from, until int
-	// moved is when its placement last changed, stay for how long that stays.
-	moved, stay time.Duration
+	// baseline is the profile when a change was last detected, or at the end of the warm-up.
+	// previousBaseline is the one before it while the change has not led to a move yet: it
+	// is what Usual hands over, so that the next leader detects the change too.
+	baseline, previousBaseline *Profile
+	// windows is for how many windows the tenant has been tracked.
+	windows int
+	// changedWindows is in how many consecutive windows the tenant seemed changed. openFrom
+	// and openUntil are the first and last turn in which a detected change may lead to a
+	// move; openUntil is zero if there is none.
+	changedWindows      int
+	openFrom, openUntil int
+	// movedAt is when the placement last changed, minStay for how long it then stays.
+	movedAt, minStay time.Duration
 }
 
-// Watch is the duty holder's table of tenants, and the systems over it.
+// Watch is the leader's table of tenants. It detects changes of their traffic and plans
+// and advances moves.
 //
-// Invariants: at most MostKept rows; bucket is never above what Budget allows in the
-// span of a stay, and nothing is moved beyond it; no placement changes twice within a
-// stay, and none that was there when the watch began within the first.
+// Invariants: it tracks at most MostKept tenants. tokenBudget is a token bucket that never
+// holds more than what Scene.Budget allows in a minimum stay, and moves never exceed it. No
+// placement changes twice within its minimum stay, and a placement that existed when the
+// watch began does not change within the first one.
 type Watch struct {
-	rows   map[string]*row
-	last   time.Duration
-	bucket float64
-	turn   int
-	// heard is how many data daemons are usually heard, by region; deaf for how many turns
-	// in a row too few were.
-	heard map[string]float64
-	deaf  int
+	tenants     map[string]*tenantState
+	lastTurn    time.Duration
+	tokenBudget float64
+	turn        int
+	// usualReporters is the usual number of data daemons, by region, whose reports arrive;
+	// incompleteTurns is in how many consecutive turns too few did.
+	usualReporters  map[string]float64
+	incompleteTurns int
 }
 
-// NewWatch begins a watch by what a former holder found usual.
-func NewWatch(now time.Duration, usual []Profile) *Watch {
-	watch := &Watch{rows: map[string]*row{}, last: now, heard: map[string]float64{}}
-	for _, one := range usual[:min(len(usual), MostKept)] {
-		if one.Rates != nil {
-			watch.rows[one.Tenant] = &row{short: one.clone(), long: one.clone(), basis: one.clone(), moved: now}
+// NewWatch returns a watch that starts with the baselines of the previous leader, as
+// returned by Usual.
+func NewWatch(now time.Duration, baselines []Profile) *Watch {
+	watch := &Watch{tenants: map[string]*tenantState{}, lastTurn: now, usualReporters: map[string]float64{}}
+	for _, profile := range baselines[:min(len(baselines), MostKept)] {
+		if profile.Rates != nil {
+			watch.tenants[profile.Tenant] = &tenantState{short: profile.clone(), long: profile.clone(), baseline: profile.clone(), movedAt: now}
 		}
 	}
 	return watch
 }
 
-// Usual is what a next holder has to know: what the tenants were judged by.
+// Usual returns the tenants' baselines, which the next leader needs.
 func (watch *Watch) Usual() (out []Profile) {
 	for _, name := range watch.names() {
-		switch one := watch.rows[name]; {
-		case one.until > 0 && one.judged != nil:
-			out = append(out, *one.judged)
-		case one.basis != nil:
-			out = append(out, *one.basis)
+		switch state := watch.tenants[name]; {
+		case state.openUntil > 0 && state.previousBaseline != nil:
+			out = append(out, *state.previousBaseline)
+		case state.baseline != nil:
+			out = append(out, *state.baseline)
 		}
 	}
 	return out
 }
 
-// Seen is what the watch knows of a tenant, for operators.
+// Seen is the state of a tenant as shown to operators. Distance is how far Short is from
+// the baseline and By the dimension that differs most; IsKnown reports whether there is a
+// baseline.
 type Seen struct {
 	Tenant   string
 	Short    Profile
@@ -155,257 +173,265 @@
 	IsKnown  bool
 }
 
-// Seen lists the tenants, the heaviest first.
+// Seen returns the state of all tenants, heaviest first.
 func (watch *Watch) Seen() (out []Seen) {
 	for _, name := range watch.names() {
-		one := watch.rows[name]
-		seen := Seen{Tenant: name, Short: *one.short.clone(), Long: *one.long.clone(), IsKnown: one.basis != nil}
-		if one.basis != nil {
-			seen.Distance, seen.By = Distance(one.basis, one.short)
+		state := watch.tenants[name]
+		status := Seen{Tenant: name, Short: *state.short.clone(), Long: *state.long.clone(), IsKnown: state.baseline != nil}
+		if state.baseline != nil {
+			status.Distance, status.By = Distance(state.baseline, state.short)
 		}
-		out = append(out, seen)
+		out = append(out, status)
 	}
 	return out
 }
 
-// names are the tenants, the heaviest first.
+// names returns the names of the tenants, heaviest first.
 func (watch *Watch) names() []string {
-	names := slices.Sorted(maps.Keys(watch.rows))
-	sort.SliceStable(names, func(a, b int) bool { return watch.rows[names[a]].weight() > watch.rows[names[b]].weight() })
+	names := slices.Sorted(maps.Keys(watch.tenants))
+	sort.SliceStable(names, func(a, b int) bool { return watch.tenants[names[a]].weight() > watch.tenants[names[b]].weight() })
 	return names
 }
 
-func (row *row) weight() float64 { return row.long.Prompt + row.long.Answer }
+// weight returns the tenant's prompt and answer tokens per second.
+func (state *tenantState) weight() float64 { return state.long.Prompt + state.long.Answer }
 
-// Turn takes what was gathered in a window, and gives the next book.
-func (watch *Watch) Turn(scene Scene, sum Sum, book Book) (next Book, notices []Notice) {
+// Turn processes the totals of a window. It returns the next placements and what it
+// detected and changed.
+func (watch *Watch) Turn(scene Scene, totals Totals, book Book) (next Book, notices []Notice) {
 	watch.turn++
-	span := scene.Now - watch.last
-	watch.last = scene.Now
-	hears := watch.hears(sum.Heard)
-	if hears {
-		watch.learn(scene, profiles(sum.Tallies), span)
-	}
-	stay := stays * scene.Window
-	flow := 0.0
-	for _, one := range watch.rows {
-		flow += one.long.Prompt
-	}
-	watch.bucket = min(watch.bucket+scene.Budget*flow*span.Seconds(), scene.Budget*flow*stay.Seconds())
+	span := scene.Now - watch.lastTurn
+	watch.lastTurn = scene.Now
+	isComplete := watch.isComplete(totals.Reporters)
+	if isComplete {
+		watch.update(scene, buildProfiles(totals.Tallies), span)
+	}
+	minStay := minStayWindows * scene.Window
+	tokenRate := 0.0
+	for _, state := range watch.tenants {
+		tokenRate += state.long.Prompt
+	}
+	watch.tokenBudget = min(watch.tokenBudget+scene.Budget*tokenRate*span.Seconds(), scene.Budget*tokenRate*minStay.Seconds())
 	next = Book{Duty: scene.Duty}
-	for _, one := range book.Placed {
-		if one.Pinned || len(scene.Homes(one.Tenant)) > 0 {
-			next.Placed = append(next.Placed, one)
+	for _, placement := range book.Placed {
+		if placement.Pinned || len(scene.Homes(placement.Tenant)) > 0 {
+			next.Placed = append(next.Placed, placement)
 		} else {
-			notices = append(notices, Notice{Tenant: one.Tenant, What: "is gone", From: one.Now})
+			notices = append(notices, Notice{Tenant: placement.Tenant, What: "no longer has a route", From: placement.Now})
 		}
 	}
 	for _, name := range watch.names() {
-		one := watch.rows[name]
-		if one.stay < stay {
-			one.stay = stay
+		state := watch.tenants[name]
+		if state.minStay < minStay {
+			state.minStay = minStay
 		}
-		if hears {
-			if notice, isNoticed := one.detect(scene, watch.turn); isNoticed {
+		if isComplete {
+			if notice, isNoticed := state.detect(scene, watch.turn); isNoticed {
 				notices = append(notices, notice)
 			}
 		}
-		have := Placement{Tenant: name}
+		current := Placement{Tenant: name}
 		if found := next.Find(name); found != nil {
-			have = *found
+			current = *found
 		}
-		if have.Pinned {
+		if current.Pinned {
 			continue
 		}
-		plan := plan{scene: scene, profile: one.short, placement: have, used: watch.used(scene, next, name), stay: one.stay}
+		plan := plan{scene: scene, profile: state.short, placement: current, otherLoads: watch.otherLoads(scene, next, name), minStay: state.minStay}
 		switch {
-		case have.Moving:
-			have, notices = watch.step(plan, one, notices)
-		case !hears || one.until == 0 || watch.turn < one.from || one.moved > 0 && scene.Now-one.moved < one.stay:
+		case current.Moving:
+			current, notices = watch.advance(plan, state, notices)
+		case !isComplete || state.openUntil == 0 || watch.turn < state.openFrom || state.movedAt > 0 && scene.Now-state.movedAt < state.minStay:
 			continue
 		default:
-			have, notices = watch.begin(plan, one, notices)
+			current, notices = watch.start(plan, state, notices)
 		}
 		if len(next.Placed) < MostKept || next.Find(name) != nil {
-			next = next.With(have)
+			next = next.With(current)
 		}
 	}
-	// Moves of tenants that nothing is heard of end at once: nothing is read again.
-	for _, one := range slices.Clone(next.Placed) {
-		if one.Moving && watch.rows[one.Tenant] == nil && watch.turn > settled {
-			one.Part = Parts
-			if one.Back {
-				one.Part = 0
+	// Moves of tenants without traffic finish at once, as no tokens have to be prefilled
+	// again.
+	for _, placement := range slices.Clone(next.Placed) {
+		if placement.Moving && watch.tenants[placement.Tenant] == nil && watch.turn > warmupWindows {
+			placement.Part = Parts
+			if placement.Back {
+				placement.Part = 0
 			}
-			next = next.With(one.ended())
-			notices = append(notices, Notice{Tenant: one.Tenant, What: "has moved", From: one.Now, To: one.Next, Part: Parts, Reason: "it is idle"})
+			next = next.With(placement.finished())
+			notices = append(notices, Notice{Tenant: placement.Tenant, What: "has moved", From: placement.Now, To: placement.Next, Part: Parts, Reason: "the tenant is idle"})
 		}
 	}
 	return next, notices
 }
 
-// hears tells whether enough data daemons of every region were heard: a region that is cut
-// off, or whose control daemon is gone, has not lost its callers.
-func (watch *Watch) hears(heard map[string]int) bool {
-	isDeaf := false
-	for region, usual := range watch.heard {
-		isDeaf = isDeaf || float64(heard[region]) < audible*usual
-	}
-	if isDeaf && watch.deaf < deafness {
-		watch.deaf++
+// isComplete reports whether enough data daemons of every region have reported. Without
+// this check, a region that is cut off from the leader, or whose control daemon is down,
+// would seem to have lost its callers.
+func (watch *Watch) isComplete(reporters map[string]int) bool {
+	isIncomplete := false
+	for region, usualCount := range watch.usualReporters {
+		isIncomplete = isIncomplete || float64(reporters[region]) < minReporterShare*usualCount
+	}
+	if isIncomplete && watch.incompleteTurns < maxIncompleteTurns {
+		watch.incompleteTurns++
 		return false
 	}
-	if isDeaf {
-		watch.heard = map[string]float64{}
+	if isIncomplete {
+		watch.usualReporters = map[string]float64{}
 	}
-	watch.deaf = 0
-	for region, count := range heard {
-		if usual, known := watch.heard[region]; known {
-			watch.heard[region] = usual + (float64(count)-usual)/4
+	watch.incompleteTurns = 0
+	for region, count := range reporters {
+		if usualCount, known := watch.usualReporters[region]; known {
+			watch.usualReporters[region] = usualCount + (float64(count)-usualCount)/4
 		} else {
-			watch.heard[region] = float64(count)
+			watch.usualReporters[region] = float64(count)
 		}
 	}
 	return true
 }
 
-// learn blends what was heard into the table, and lets the lightest go.
-func (watch *Watch) learn(scene Scene, fresh map[string]*Profile, span time.Duration) {
-	for name, one := range fresh {
-		if watch.rows[name] == nil {
-			watch.rows[name] = &row{short: one.clone(), long: one.clone()}
+// update blends the fresh profiles into the table and drops tenants that are idle, have no
+// route, or are the lightest beyond MostKept.
+func (watch *Watch) update(scene Scene, fresh map[string]*Profile, span time.Duration) {
+	for name, profile := range fresh {
+		if watch.tenants[name] == nil {
+			watch.tenants[name] = &tenantState{short: profile.clone(), long: profile.clone()}
 		}
 	}
-	for name, one := range watch.rows {
-		now := fresh[name]
-		if now == nil {
-			now = &Profile{Tenant: name, Model: one.short.Model}
+	for name, state := range watch.tenants {
+		current := fresh[name]
+		if current == nil {
+			current = &Profile{Tenant: name, Model: state.short.Model}
 		}
-		one.turns++
-		one.short.blend(now, max(quick, 1/float64(one.turns)), span)
-		one.long.blend(now, max(slow, 1/float64(one.turns)), span)
-		if len(scene.Homes(name)) == 0 || one.long.Rate() < idle {
-			delete(watch.rows, name)
+		state.windows++
+		state.short.blend(current, max(shortWeight, 1/float64(state.windows)), span)
+		state.long.blend(current, max(longWeight, 1/float64(state.windows)), span)
+		if len(scene.Homes(name)) == 0 || state.long.Rate() < idleRate {
+			delete(watch.tenants, name)
 		}
 	}
 	names := watch.names()
 	for _, name := range names[min(len(names), MostKept):] {
-		delete(watch.rows, name)
+		delete(watch.tenants, name)
 	}
 }
 
-// detect compares the short profile with what the tenant was judged by.
-func (row *row) detect(scene Scene, turn int) (notice Notice, isNoticed bool) {
-	if row.until > 0 && turn > row.until && scene.Now-row.moved >= row.stay {
-		row.until, row.judged = 0, nil
-	}
-	if row.basis == nil {
-		if row.turns >= settled {
-			row.basis = row.long.clone()
+// detect compares the tenant's profiles with its baseline. If they have changed, it makes
+// the short profile the new baseline and opens the turns in which the tenant may move.
+func (state *tenantState) detect(scene Scene, turn int) (notice Notice, isNoticed bool) {
+	if state.openUntil > 0 && turn > state.openUntil && scene.Now-state.movedAt >= state.minStay {
+		state.openUntil, state.previousBaseline = 0, nil
+	}
+	if state.baseline == nil {
+		if state.windows >= warmupWindows {
+			state.baseline = state.long.clone()
 		}
 		return notice, false
 	}
-	samples := row.short.Rate() * scene.Window.Seconds() * (2 - quick) / quick
-	short, by := Distance(row.basis, row.short)
-	long, _ := Distance(row.basis, row.long)
-	if turn <= blind || samples < least || short < scene.Change+doubt(samples) || long < followed*scene.Change {
-		row.strange = 0
+	samples := state.short.Rate() * scene.Window.Seconds() * (2 - shortWeight) / shortWeight
+	short, by := Distance(state.baseline, state.short)
+	long, _ := Distance(state.baseline, state.long)
+	if turn <= blindTurns || samples < minSamples || short < scene.Change+noiseMargin(samples) || long < longFollowShare*scene.Change {
+		state.changedWindows = 0
 		return notice, false
 	}
-	if row.strange++; row.strange < confirmed {
+	if state.changedWindows++; state.changedWindows < confirmWindows {
 		return notice, false
 	}
-	notice = Notice{Tenant: row.short.Tenant, What: "has changed", Distance: short, Reason: fmt.Sprintf("%s; %s, was %s", by, row.short, row.basis)}
-	if row.until == 0 {
-		row.judged = row.basis
+	notice = Notice{Tenant: state.short.Tenant, What: "has changed", Distance: short, Reason: fmt.Sprintf("%s; %s, was %s", by, state.short, state.baseline)}
+	if state.openUntil == 0 {
+		state.previousBaseline = state.baseline
 	}
-	row.strange, row.basis = 0, row.short.clone()
-	row.from = turn + calm
-	row.until = row.from + open
-	if row.moved > 0 {
-		row.until = max(row.until, turn+open+int(max(0, row.moved+row.stay-scene.Now)/scene.Window))
+	state.changedWindows, state.baseline = 0, state.short.clone()
+	state.openFrom = turn + settleWindows
+	state.openUntil = state.openFrom + openWindows
+	if state.movedAt > 0 {
+		state.openUntil = max(state.openUntil, turn+openWindows+int(max(0, state.movedAt+state.minStay-scene.Now)/scene.Window))
 	}
 	return notice, true
 }
 
-// String shows the profile's main figures.
+// String returns the profile's main figures. Stored placements contain it in their reason.
 func (profile *Profile) String() string {
 	var shares []string
 	for _, region := range slices.Sorted(maps.Keys(profile.Rates)) {
 		shares = append(shares, fmt.Sprintf("%s %.0f%%", region, 100*profile.Share(region)))
 	}
-	return fmt.Sprintf("%.1f/s from %s, prompts of %.0f tokens, %.0f shared, answers of %.0f, %.0f ms each", profile.Rate(), strings.Join(shares, " "), each(profile.Prompt, profile.Rate()), each(profile.Shared, profile.Keyed), each(profile.Answer, profile.Rate()), each(profile.Held, profile.Ended))
+	return fmt.Sprintf("%.1f/s from %s, prompts of %.0f tokens, %.0f shared, answers of %.0f, %.0f ms each", profile.Rate(), strings.Join(shares, " "), divide(profile.Prompt, profile.Rate()), divide(profile.Shared, profile.Keyed), divide(profile.Answer, profile.Rate()), divide(profile.Held, profile.Ended))
 }
 
-// begin judges a tenant whose sessions have changed.
-func (watch *Watch) begin(plan plan, one *row, notices []Notice) (Placement, []Notice) {
-	have := plan.placement
+// start plans a new placement for a tenant whose traffic has changed.
+func (watch *Watch) start(plan plan, state *tenantState, notices []Notice) (Placement, []Notice) {
+	current := plan.placement
 	next, notice := plan.best()
-	// A move is paid for part by part, all else at once.
-	if notice.What == "" || !next.Moving && notice.Tokens > watch.bucket {
-		return have, notices
+	// A move draws on the token budget as its partitions move, any other change at once.
+	if notice.What == "" || !next.Moving && notice.Tokens > watch.tokenBudget {
+		return current, notices
 	}
 	if !next.Moving {
-		watch.bucket -= notice.Tokens
+		watch.tokenBudget -= notice.Tokens
 	}
-	if one.moved > 0 && plan.scene.Now-one.moved < stayTimes*one.stay {
-		one.stay = min(2*one.stay, stayMost*stays*plan.scene.Window)
+	if state.movedAt > 0 && plan.scene.Now-state.movedAt < repeatStays*state.minStay {
+		state.minStay = min(2*state.minStay, maxStayFactor*minStayWindows*plan.scene.Window)
 	} else {
-		one.stay = stays * plan.scene.Window
+		state.minStay = minStayWindows * plan.scene.Window
 	}
-	one.judged = nil
-	watch.touched(one, plan.scene)
+	state.previousBaseline = nil
+	watch.markMoved(state, plan.scene)
 	return next, append(notices, notice)
 }
 
-// touched notes that a placement has changed: it stays now, and is judged once more when
-// that is over.
-func (watch *Watch) touched(one *row, scene Scene) {
-	one.moved = scene.Now
-	one.until = watch.turn + int(one.stay/scene.Window) + open
+// markMoved records that the placement has changed. It then stays for the minimum stay and
+// may change in the openWindows turns after that.
+func (watch *Watch) markMoved(state *tenantState, scene Scene) {
+	state.movedAt = scene.Now
+	state.openUntil = watch.turn + int(state.minStay/scene.Window) + openWindows
 }
 
-// step takes a move on by as many parts as the bucket allows, or back.
-func (watch *Watch) step(plan plan, one *row, notices []Notice) (Placement, []Notice) {
-	have := plan.placement
-	watch.touched(one, plan.scene)
-	if !have.Back && one.turns > confirmed {
-		// Is it still worth it? What was moved so far is paid.
-		if gain := plan.gain(have.Now, have.Next); gain <= 0 {
-			have.Back = true
-			notices = append(notices, Notice{Tenant: have.Tenant, What: "goes back", Reason: "nothing is gained any more; " + plan.profile.String(), Gain: gain, From: have.Next, To: have.Now, Part: have.Part})
+// advance moves as many more partitions as the token budget allows, forward or back.
+func (watch *Watch) advance(plan plan, state *tenantState, notices []Notice) (Placement, []Notice) {
+	current := plan.placement
+	watch.markMoved(state, plan.scene)
+	if !current.Back && state.windows > confirmWindows {
+		// Roll the move back if it no longer gains anything. The cost is left out, as that of
+		// the partitions moved so far is already spent.
+		if gain := plan.gain(current.Now, current.Next); gain <= 0 {
+			current.Back = true
+			notices = append(notices, Notice{Tenant: current.Tenant, What: "begins to move back", Reason: "the move no longer gains anything; " + plan.profile.String(), Gain: gain, From: current.Next, To: current.Now, Part: current.Part})
 		}
 	}
-	tokens := plan.tokens(have.Now, have.Next)
-	if have.Back {
-		tokens = plan.tokens(have.Next, have.Now)
+	tokens := plan.recomputedTokens(current.Now, current.Next)
+	if current.Back {
+		tokens = plan.recomputedTokens(current.Next, current.Now)
 	}
 	parts := Parts
 	if tokens > 0 {
-		parts = int(watch.bucket / tokens * Parts)
+		parts = int(watch.tokenBudget / tokens * Parts)
 	}
 	if parts <= 0 {
-		return have, notices
+		return current, notices
 	}
-	before := have.Part
-	if have.Back {
-		have.Part = max(0, have.Part-parts)
+	previous := current.Part
+	if current.Back {
+		current.Part = max(0, current.Part-parts)
 	} else {
-		have.Part = min(Parts, have.Part+parts)
+		current.Part = min(Parts, current.Part+parts)
 	}
-	watch.bucket -= tokens * math.Abs(float64(have.Part-before)) / Parts
-	notice := Notice{Tenant: have.Tenant, What: "moves", Tokens: tokens * math.Abs(float64(have.Part-before)) / Parts, From: have.Now, To: have.Next, Part: have.Part}
-	if ended := have.ended(); !ended.Moving {
-		have, notice.What = ended, "has moved"
+	watch.tokenBudget -= tokens * math.Abs(float64(current.Part-previous)) / Parts
+	notice := Notice{Tenant: current.Tenant, What: "moves", Tokens: tokens * math.Abs(float64(current.Part-previous)) / Parts, From: current.Now, To: current.Next, Part: current.Part}
+	if finished := current.finished(); !finished.Moving {
+		current, notice.What = finished, "has moved"
 		if notice.Part == 0 {
 			notice.What = "is back"
 		}
 	}
-	return have, append(notices, notice)
+	return current, append(notices, notice)
 }
 
-// ended is the placement, settled if its move is at an end.
-func (placement Placement) ended() Placement {
+// finished returns the placement with its move completed if all partitions have moved, or
+// cleared if all are back; otherwise it returns the placement unchanged.
+func (placement Placement) finished() Placement {
 	switch {
 	case placement.Part >= Parts && !placement.Back:
 		placement.Now = placement.Next
