--- a/tenant/tenant_test.go
+++ b/tenant/tenant_test.go
@@ -22,7 +22,9 @@
 
 var regions = []string{"a", "b", "c"}
 
-// traffic is one tenant's load: requests a second by region, and what they are like.
+// traffic describes one tenant's requests: their rate per second in each of regions, the
+// average tokens of a prompt, of its shared prefix and of an answer, the number of distinct
+// prefixes, the fraction of long prompts, and the average duration.
 type traffic struct {
 	name                   string
 	rates                  []float64
@@ -33,12 +35,12 @@
 	homes                  []string
 }
 
-// longPromptTenant is a tenant with long prompts, of which most is shared.
+// longPromptTenant returns a tenant with long prompts, most of which is a shared prefix.
 func longPromptTenant(name string, rates ...float64) traffic {
 	return traffic{name: name, rates: rates, prompt: 17000, shared: 13300, answer: 60, prefixes: 24, long: 1, durationMs: 1500}
 }
 
-// simulation plays windows over a watch.
+// simulation feeds generated traffic to a watch, window by window.
 type simulation struct {
 	*rand.Rand
 	testing.TB
@@ -49,51 +51,56 @@
 	budget    float64
 	notices   []tenant.Notice
 	noticedAt []time.Duration
-	// burst is how many requests come at a time, swing how far rates go up and down in
-	// every 26 s, each region at its own phase.
-	burst        int
-	swing        float64
+	// burst is how many requests arrive at a time. swing is the amplitude, as a fraction, of
+	// a sine wave with a period of 26 s on all rates, with a different phase per region.
+	burst int
+	swing float64
+	// recomputed and promptTokens are the tokens prefilled again because of moves, and all
+	// prompt tokens, so far.
 	recomputed   float64
 	promptTokens float64
-	// silent are regions that nothing is heard of.
+	// silent has the regions whose reports are lost.
 	silent map[string]bool
 }
 
-func newSimulation(t testing.TB, seed uint64, crowds ...traffic) *simulation {
-	day := &simulation{TB: t, Rand: rand.New(rand.NewPCG(seed, 1)), traffic: crowds, budget: 0.1, burst: 1}
-	day.watch = tenant.NewWatch(0, nil)
-	return day
+func newSimulation(t testing.TB, seed uint64, tenants ...traffic) *simulation {
+	sim := &simulation{TB: t, Rand: rand.New(rand.NewPCG(seed, 1)), traffic: tenants, budget: 0.1, burst: 1}
+	sim.watch = tenant.NewWatch(0, nil)
+	return sim
 }
 
-func (day *simulation) poisson(mean float64) int {
+// poisson draws from a Poisson distribution; above a mean of 40, from its normal
+// approximation.
+func (sim *simulation) poisson(mean float64) int {
 	if mean > 40 {
-		return max(0, int(math.Round(mean+math.Sqrt(mean)*day.NormFloat64())))
+		return max(0, int(math.Round(mean+math.Sqrt(mean)*sim.NormFloat64())))
 	}
-	count, left := 0, math.Exp(-mean)
-	for product := day.Float64(); product > left; product *= day.Float64() {
+	count, limit := 0, math.Exp(-mean)
+	for product := sim.Float64(); product > limit; product *= sim.Float64() {
 		count++
 	}
 	return count
 }
 
-// sampleTotal is the sum of so many lengths with a long tail.
-func (day *simulation) sampleTotal(count int, mean float64) int {
+// sampleTotal draws the sum of count lengths from a distribution whose standard deviation
+// is 1.5 times its mean.
+func (sim *simulation) sampleTotal(count int, mean float64) int {
 	if count == 0 {
 		return 0
 	}
-	return max(0, int(float64(count)*mean+math.Sqrt(float64(count))*1.5*mean*day.NormFloat64()))
+	return max(0, int(float64(count)*mean+math.Sqrt(float64(count))*1.5*mean*sim.NormFloat64()))
 }
 
-func (day *simulation) scene() tenant.Scene {
-	grounds := map[string]map[string]tenant.Ground{model: {}}
-	for at, region := range regions {
-		grounds[model][region] = tenant.Ground{Replicas: 6 - at, Berths: 64, Cache: 348621}
-	}
-	return tenant.Scene{Now: day.now, Window: window, Duty: 1, Grounds: grounds, Far: 80, FarKB: 4, Again: 60, Change: 0.25, Budget: day.budget, Homes: func(name string) []string {
-		for _, one := range day.traffic {
-			if one.name == name {
-				if one.homes != nil {
-					return one.homes
+func (sim *simulation) scene() tenant.Scene {
+	capacities := map[string]map[string]tenant.Ground{model: {}}
+	for index, region := range regions {
+		capacities[model][region] = tenant.Ground{Replicas: 6 - index, Berths: 64, Cache: 348621}
+	}
+	return tenant.Scene{Now: sim.now, Window: window, Duty: 1, Grounds: capacities, Far: 80, FarKB: 4, Again: 60, Change: 0.25, Budget: sim.budget, Homes: func(name string) []string {
+		for _, load := range sim.traffic {
+			if load.name == name {
+				if load.homes != nil {
+					return load.homes
 				}
 				return regions
 			}
@@ -102,122 +109,126 @@
 	}}
 }
 
-// tallies are what is gathered of a window.
-func (day *simulation) totals() tenant.Totals {
-	var heard []tenant.Heard
-	for at, region := range regions {
-		told := &tenant.Told{Serial: 1, Span: window}
-		for _, one := range day.traffic {
-			wave := 1 + day.swing*math.Sin(2*math.Pi*(day.now.Seconds()/26+float64(at)/3))
-			count := day.burst * day.poisson(one.rates[at]*wave*window.Seconds()/float64(day.burst))
+// totals generates the requests of a window and returns the totals of the regions' reports.
+func (sim *simulation) totals() tenant.Totals {
+	var reports []tenant.Heard
+	for index, region := range regions {
+		report := &tenant.Told{Serial: 1, Span: window}
+		for _, load := range sim.traffic {
+			wave := 1 + sim.swing*math.Sin(2*math.Pi*(sim.now.Seconds()/26+float64(index)/3))
+			count := sim.burst * sim.poisson(load.rates[index]*wave*window.Seconds()/float64(sim.burst))
 			if count == 0 {
 				continue
 			}
-			tally := tenant.Counters{Tenant: one.name, Model: model, Count: count, Keyed: count, Ended: count, Long: int(one.long * float64(count)), Shared: int(one.shared) * count, Held: day.sampleTotal(count, one.durationMs), Answer: day.sampleTotal(count, one.answer)}
-			tally.Prompt = tally.Shared + day.sampleTotal(count, one.prompt-one.shared)
-			tally.KB, tally.Weight = tally.Prompt/256, tally.Prompt+tally.Answer
-			for beginning := range one.prefixes {
-				tally.Marks |= 1 << (beginning * 7 % 64)
+			counters := tenant.Counters{Tenant: load.name, Model: model, Count: count, Keyed: count, Ended: count, Long: int(load.long * float64(count)), Shared: int(load.shared) * count, Held: sim.sampleTotal(count, load.durationMs), Answer: sim.sampleTotal(count, load.answer)}
+			counters.Prompt = counters.Shared + sim.sampleTotal(count, load.prompt-load.shared)
+			counters.KB, counters.Weight = counters.Prompt/256, counters.Prompt+counters.Answer
+			for prefix := range load.prefixes {
+				counters.Marks |= 1 << (prefix * 7 % 64)
 			}
-			for beginning := range min(3, one.prefixes) {
-				tally.Hot = append(tally.Hot, tenant.Hot{Key: uint64(beginning + 1), Count: count / one.prefixes})
+			for prefix := range min(3, load.prefixes) {
+				counters.Hot = append(counters.Hot, tenant.Hot{Key: uint64(prefix + 1), Count: count / load.prefixes})
 			}
-			told.Tallies = append(told.Tallies, tally)
+			report.Tallies = append(report.Tallies, counters)
 		}
-		if !day.silent[region] {
-			heard = append(heard, tenant.Heard{Region: region, Told: told})
+		if !sim.silent[region] {
+			reports = append(reports, tenant.Heard{Region: region, Told: report})
 		}
 	}
-	return tenant.Gather(heard)
+	return tenant.Gather(reports)
 }
 
-// run plays so many windows.
-func (day *simulation) run(windows int) {
+// run simulates the given number of windows. It fails the test if moves exceed the budget.
+func (sim *simulation) run(windows int) {
 	for range windows {
-		day.now += window
-		sum := day.totals()
-		for _, one := range sum.Tallies {
-			day.promptTokens += float64(one.Prompt) / 10 * window.Seconds()
+		sim.now += window
+		totals := sim.totals()
+		for _, counters := range totals.Tallies {
+			sim.promptTokens += float64(counters.Prompt) / 10 * window.Seconds()
 		}
-		next, notices := day.watch.Turn(day.scene(), sum, day.book)
-		for _, one := range notices {
-			if one.What != "has changed" && one.What != "begins to move" {
-				day.recomputed += one.Tokens
+		next, notices := sim.watch.Turn(sim.scene(), totals, sim.book)
+		for _, notice := range notices {
+			if notice.What != "has changed" && notice.What != "begins to move" {
+				sim.recomputed += notice.Tokens
 			}
-			day.notices, day.noticedAt = append(day.notices, one), append(day.noticedAt, day.now)
+			sim.notices, sim.noticedAt = append(sim.notices, notice), append(sim.noticedAt, sim.now)
 		}
-		day.book = next
-		// The last part of a move may stand on what is counted a little later.
-		if day.recomputed > 1.1*day.budget*day.promptTokens {
-			day.Fatalf("placed: %.0f tokens are read again after %v, of %.0f", day.recomputed, day.now, day.promptTokens)
+		sim.book = next
+		// The tolerance of 1.1 allows for the last part of a move, whose budget may come from
+		// prompts that are counted a little later.
+		if sim.recomputed > 1.1*sim.budget*sim.promptTokens {
+			sim.Fatalf("placed: moves caused %.0f tokens to be prefilled again after %v, of %.0f prompt tokens", sim.recomputed, sim.now, sim.promptTokens)
 		}
 	}
 }
 
-// changeLeader has another one take the duty, from the registers alone.
-func (day *simulation) changeLeader(t *testing.T) {
-	text, err := json.Marshal(day.watch.Usual())
-	var usual []tenant.Profile
+// changeLeader replaces the watch by that of a new leader, which has only what is stored in
+// the registers.
+func (sim *simulation) changeLeader(t *testing.T) {
+	text, err := json.Marshal(sim.watch.Usual())
+	var baselines []tenant.Profile
 	if err == nil {
-		err = json.Unmarshal(text, &usual)
+		err = json.Unmarshal(text, &baselines)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	day.watch = tenant.NewWatch(day.now, usual)
+	sim.watch = tenant.NewWatch(sim.now, baselines)
 }
 
-func (day *simulation) count(action string) (count int) {
-	for _, one := range day.notices {
-		if one.What == action {
+// count returns how many notices have the given What.
+func (sim *simulation) count(action string) (count int) {
+	for _, notice := range sim.notices {
+		if notice.What == action {
 			count++
 		}
 	}
 	return count
 }
 
-// TestSketch: of 21,000 tenants the heavy ones are found, what is told of them is near
-// the truth, and neither table nor word grows with the tenants.
+// TestSketch checks that the heavy ones of 21,000 tenants are found, that their counters
+// are close to the truth, and that neither the table nor the reports grow with the number
+// of tenants.
 func TestSketch(t *testing.T) {
-	draw := rand.New(rand.NewPCG(7, 1))
-	zipf := rand.NewZipf(draw, 1.2, 1, 20999)
+	random := rand.New(rand.NewPCG(7, 1))
+	zipf := rand.NewZipf(random, 1.2, 1, 20999)
 	var counter tenant.Counter
 	counter.Turn(time.Second, window)
 	truth := map[string]int{}
 	for range 200000 {
 		name := fmt.Sprintf("t%d.example/x/", zipf.Uint64())
 		truth[name] += 1001 + 60
-		counter.Note(tenant.Request{Tenant: name, Model: model, Key: 1 + draw.Uint64N(6), Prompt: 1000, Shared: 800, Answer: 60, Bytes: 4000})
+		counter.Note(tenant.Request{Tenant: name, Model: model, Key: 1 + random.Uint64N(6), Prompt: 1000, Shared: 800, Answer: 60, Bytes: 4000})
 		counter.Ended(name, time.Second)
 	}
-	told := counter.Turn(5*time.Second, window)
-	if told == nil || len(told.Tallies) != tenant.Heavy {
-		t.Fatalf("told %v", told)
+	report := counter.Turn(5*time.Second, window)
+	if report == nil || len(report.Tallies) != tenant.Heavy {
+		t.Fatalf("unexpected report of the window: %v", report)
 	}
-	whole, heavy := 0, 0
+	total, heavy := 0, 0
 	for _, weight := range truth {
-		whole += weight
+		total += weight
 	}
 	for name, weight := range truth {
-		if weight <= whole/tenant.Heavy {
+		if weight <= total/tenant.Heavy {
 			continue
 		}
 		heavy++
-		at := slices.IndexFunc(told.Tallies, func(one tenant.Counters) bool { return one.Tenant == name })
-		if at < 0 {
-			t.Errorf("%s, with %d, is not told of", name, truth[name])
+		index := slices.IndexFunc(report.Tallies, func(counters tenant.Counters) bool { return counters.Tenant == name })
+		if index < 0 {
+			t.Errorf("%s, with weight %d, is not in the report", name, truth[name])
 			continue
 		}
-		if one := told.Tallies[at]; one.Weight < truth[name] || one.Weight-one.Error > truth[name] || float64(one.Count*1061) < 0.9*float64(truth[name]) {
-			t.Errorf("%s: weight %d of which %d may be others', %d requests; it has %d", name, one.Weight, one.Error, one.Count, truth[name])
+		if counters := report.Tallies[index]; counters.Weight < truth[name] || counters.Weight-counters.Error > truth[name] || float64(counters.Count*1061) < 0.9*float64(truth[name]) {
+			t.Errorf("%s: reported weight %d with an error of up to %d, and %d requests; its true weight is %d", name, counters.Weight, counters.Error, counters.Count, truth[name])
 		}
 	}
 	if heavy < 3 {
 		t.Errorf("vacuous: %d heavy tenants", heavy)
 	}
-	for _, one := range told.Tallies {
-		if one.Weight < truth[one.Tenant] || one.Weight-one.Error > truth[one.Tenant] {
-			t.Errorf("%s: weight %d of which %d may be others'; it has %d", one.Tenant, one.Weight, one.Error, truth[one.Tenant])
+	for _, counters := range report.Tallies {
+		if counters.Weight < truth[counters.Tenant] || counters.Weight-counters.Error > truth[counters.Tenant] {
+			t.Errorf("%s: reported weight %d with an error of up to %d; its true weight is %d", counters.Tenant, counters.Weight, counters.Error, truth[counters.Tenant])
 		}
 	}
 	size := func(value any) int {
@@ -227,57 +238,58 @@
 		}
 		return out.Len()
 	}
-	// A data daemon's word of a window, and a control daemon's of 70 data daemons.
-	var heard []tenant.Heard
-	for at := range 70 {
-		heard = append(heard, tenant.Heard{Region: regions[at%3], Told: told})
+	// Compare a data daemon's report of a window with a control daemon's of 70 data daemons.
+	var reports []tenant.Heard
+	for index := range 70 {
+		reports = append(reports, tenant.Heard{Region: regions[index%3], Told: report})
 	}
-	sum := tenant.Tell(1, tenant.Gather(heard))
-	t.Logf("a data daemon tells %d bytes a window, a control daemon %d", size(told), size(sum))
-	if size(told) > 4096 || size(sum) > 8192 || len(sum.Tallies) > tenant.MaxReported {
-		t.Errorf("a data daemon tells %d bytes, a control daemon %d of %d tenants", size(told), size(sum), len(sum.Tallies))
+	gathered := tenant.Tell(1, tenant.Gather(reports))
+	t.Logf("report of a data daemon: %d bytes per window, of a control daemon: %d", size(report), size(gathered))
+	if size(report) > 4096 || size(gathered) > 8192 || len(gathered.Tallies) > tenant.MaxReported {
+		t.Errorf("the report of a data daemon has %d bytes, that of a control daemon %d with %d tenants", size(report), size(gathered), len(gathered.Tallies))
 	}
 	if counter.Turn(6*time.Second, window) != nil || counter.Turn(20*time.Second, 0) != nil || !counter.IsEmpty() {
-		t.Error("windows end when they should not, or count where nothing is to be counted")
+		t.Error("a window closed early, or requests are counted although counting is off")
 	}
 }
 
-// TestCallersMove: callers that move to another region are noticed within eight windows,
-// the placement follows, and what is read again stays within the budget.
+// TestCallersMove checks that callers that move to another region are detected within
+// eight windows, that the placement follows them, and that the tokens prefilled again stay
+// within the budget.
 func TestCallersMove(t *testing.T) {
 	for seed := uint64(1); seed <= 10; seed++ {
-		day := newSimulation(t, seed, longPromptTenant("h.example/one/", 8, 0.6, 0.6), longPromptTenant("h.example/two/", 5, 5, 5))
-		day.swing = 0.4
-		day.run(40)
-		if len(day.notices) > 0 {
-			t.Fatalf("seed %d: noticed before anything happened: %+v", seed, day.notices)
+		sim := newSimulation(t, seed, longPromptTenant("h.example/one/", 8, 0.6, 0.6), longPromptTenant("h.example/two/", 5, 5, 5))
+		sim.swing = 0.4
+		sim.run(40)
+		if len(sim.notices) > 0 {
+			t.Fatalf("seed %d: notices before the traffic changed: %+v", seed, sim.notices)
 		}
-		began := day.now
-		day.traffic[0].rates = []float64{0.6, 0.6, 8}
-		day.run(40)
-		if len(day.notices) == 0 || day.notices[0].What != "has changed" || day.noticedAt[0]-began > 8*window {
-			t.Fatalf("seed %d: noticed %+v at %v", seed, day.notices, day.noticedAt)
+		changedAt := sim.now
+		sim.traffic[0].rates = []float64{0.6, 0.6, 8}
+		sim.run(40)
+		if len(sim.notices) == 0 || sim.notices[0].What != "has changed" || sim.noticedAt[0]-changedAt > 8*window {
+			t.Fatalf("seed %d: change not detected in time: notices %+v at %v", seed, sim.notices, sim.noticedAt)
 		}
-		placement := day.book.Find("h.example/one/")
+		placement := sim.book.Find("h.example/one/")
 		if placement == nil || placement.Moving || !slices.Equal(placement.Now, []string{"c"}) {
-			t.Errorf("seed %d: placed %+v", seed, placement)
+			t.Errorf("seed %d: placement did not follow the callers to c: %+v", seed, placement)
 		}
-		if day.book.Find("h.example/two/") != nil {
-			t.Errorf("seed %d: the other tenant was placed, too", seed)
+		if sim.book.Find("h.example/two/") != nil {
+			t.Errorf("seed %d: the unchanged tenant got a placement too", seed)
 		}
-		if day.recomputed == 0 || day.recomputed > day.budget*day.promptTokens {
-			t.Errorf("seed %d: %.0f of %.0f tokens were read again", seed, day.recomputed, day.promptTokens)
+		if sim.recomputed == 0 || sim.recomputed > sim.budget*sim.promptTokens {
+			t.Errorf("seed %d: %.0f of %.0f tokens were prefilled again", seed, sim.recomputed, sim.promptTokens)
 		}
 		if seed == 1 {
-			for at, one := range day.notices {
-				t.Logf("%v after the change: %s %s (%s), gain %.0f, price %.0f, tokens %.0f, part %d", day.noticedAt[at]-began, one.Tenant, one.What, one.Reason, one.Gain, one.Price, one.Tokens, one.Part)
+			for index, notice := range sim.notices {
+				t.Logf("%v after the change: %s %s (%s), gain %.0f, price %.0f, tokens %.0f, part %d", sim.noticedAt[index]-changedAt, notice.Tenant, notice.What, notice.Reason, notice.Gain, notice.Price, notice.Tokens, notice.Part)
 			}
 		}
 	}
 }
 
-// TestSteadyDay: noisy tenants that stay as they are never move, nor are they noticed,
-// over a day of 28,800 windows a seed.
+// TestSteadyDay checks that tenants with noisy but unchanged traffic never cause a false
+// alarm or a move, over a day of 28,800 windows for each seed.
 func TestSteadyDay(t *testing.T) {
 	seeds := uint64(3)
 	if testing.Short() {
@@ -286,203 +298,206 @@
 	for seed := uint64(1); seed <= seeds; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			day := newSimulation(t, seed, longPromptTenant("h.example/one/", 8, 0.6, 0.6), longPromptTenant("h.example/two/", 5, 5, 5), longPromptTenant("h.example/few/", 0.5, 0.2, 0.1), longPromptTenant("h.example/clumped/", 4, 2, 2),
+			sim := newSimulation(t, seed, longPromptTenant("h.example/one/", 8, 0.6, 0.6), longPromptTenant("h.example/two/", 5, 5, 5), longPromptTenant("h.example/few/", 0.5, 0.2, 0.1), longPromptTenant("h.example/clumped/", 4, 2, 2),
 				traffic{name: "h.example/short/", rates: []float64{30, 10, 10}, prompt: 380, shared: 90, answer: 12, prefixes: 40, durationMs: 700},
 				traffic{name: "h.example/mixed/", rates: []float64{3, 9, 3}, prompt: 3000, shared: 1500, answer: 200, prefixes: 12, long: 0.5, durationMs: 2500})
-			day.swing, day.burst = 0.4, 2
-			day.run(28800)
-			if len(day.notices) > 0 || len(day.book.Placed) > 0 {
-				t.Errorf("%d false alarms, the first at %v: %+v", len(day.notices), day.noticedAt[0], day.notices[0])
+			sim.swing, sim.burst = 0.4, 2
+			sim.run(28800)
+			if len(sim.notices) > 0 || len(sim.book.Placed) > 0 {
+				t.Errorf("%d false alarms, the first at %v: %+v", len(sim.notices), sim.noticedAt[0], sim.notices[0])
 			}
 		})
 	}
 }
 
-// TestSilence: a region that nothing is heard of for up to a minute has not lost its
-// callers, nor has one that a new holder hears late; in the end it has.
+// TestSilence checks that a region whose reports are missing for up to a minute does not
+// seem to have lost its callers, nor one whose reports reach a new leader late. If they
+// stay missing, it does.
 func TestSilence(t *testing.T) {
-	day := newSimulation(t, 1, longPromptTenant("h.example/one/", 6, 10, 0.6))
-	day.run(40)
+	sim := newSimulation(t, 1, longPromptTenant("h.example/one/", 6, 10, 0.6))
+	sim.run(40)
 	for _, region := range regions {
-		day.silent = map[string]bool{region: true}
-		day.run(19)
-		day.silent = nil
-		day.run(30)
-		day.silent = map[string]bool{region: true}
-		day.changeLeader(t)
-		day.run(2)
-		day.silent = nil
-		day.run(30)
-	}
-	if len(day.notices) > 0 {
-		t.Errorf("placed: %d false alarms, the first at %v: %+v", len(day.notices), day.noticedAt[0], day.notices[0])
-	}
-	day.silent = map[string]bool{"b": true}
-	day.run(60)
-	if day.count("has changed") == 0 {
-		t.Error("vacuous: it is never noticed")
+		sim.silent = map[string]bool{region: true}
+		sim.run(19)
+		sim.silent = nil
+		sim.run(30)
+		sim.silent = map[string]bool{region: true}
+		sim.changeLeader(t)
+		sim.run(2)
+		sim.silent = nil
+		sim.run(30)
+	}
+	if len(sim.notices) > 0 {
+		t.Errorf("placed: %d false alarms, the first at %v: %+v", len(sim.notices), sim.noticedAt[0], sim.notices[0])
+	}
+	sim.silent = map[string]bool{"b": true}
+	sim.run(60)
+	if sim.count("has changed") == 0 {
+		t.Error("vacuous: the missing region is never detected")
 	}
 }
 
-// TestFlapping: callers that go to and fro, at any pace, move a tenant seldom, and within
-// the budget.
+// TestFlapping checks that callers that alternate between regions, at any period, move a
+// tenant rarely and within the budget.
 func TestFlapping(t *testing.T) {
-	for _, every := range []int{1, 3, 5, 9, 15, 30, 60} {
-		day := newSimulation(t, uint64(every), longPromptTenant("h.example/one/", 8, 0.6, 0.6))
-		day.run(30)
-		for turn := 0; day.now < time.Hour; turn++ {
-			day.traffic[0].rates = [][]float64{{1, 1, 12}, {8, 0.6, 0.6}}[turn%2]
-			day.run(every)
+	for _, period := range []int{1, 3, 5, 9, 15, 30, 60} {
+		sim := newSimulation(t, uint64(period), longPromptTenant("h.example/one/", 8, 0.6, 0.6))
+		sim.run(30)
+		for turn := 0; sim.now < time.Hour; turn++ {
+			sim.traffic[0].rates = [][]float64{{1, 1, 12}, {8, 0.6, 0.6}}[turn%2]
+			sim.run(period)
 		}
-		moves := day.count("begins to move")
+		moves := sim.count("begins to move")
 		last := -time.Hour
-		for at, one := range day.notices {
-			if one.What != "begins to move" {
+		for index, notice := range sim.notices {
+			if notice.What != "begins to move" {
 				continue
 			}
-			if day.noticedAt[at]-last < 10*window {
-				t.Errorf("placed: every %d windows: moved at %v and again at %v", every, last, day.noticedAt[at])
+			if sim.noticedAt[index]-last < 10*window {
+				t.Errorf("placed: callers alternate every %d windows: moved at %v and again at %v", period, last, sim.noticedAt[index])
 			}
-			last = day.noticedAt[at]
+			last = sim.noticedAt[index]
 		}
-		t.Logf("to and fro every %d windows: noticed %d times, %d moves begun in an hour, %.0f of %.0f tokens read again", every, day.count("has changed"), moves, day.recomputed, day.promptTokens)
-		// An hour has 120 of the shortest stays.
+		t.Logf("callers alternate every %d windows: %d changes detected, %d moves begun in an hour, %.0f of %.0f tokens prefilled again", period, sim.count("has changed"), moves, sim.recomputed, sim.promptTokens)
+		// An hour has 120 minimum stays.
 		if moves > 40 {
-			t.Errorf("placed: every %d windows: %d moves, %.0f of %.0f tokens", every, moves, day.recomputed, day.promptTokens)
+			t.Errorf("placed: callers alternate every %d windows: %d moves, %.0f of %.0f tokens prefilled again", period, moves, sim.recomputed, sim.promptTokens)
 		}
 	}
 }
 
-// TestNextHolder: a move that stands half done is finished by the next holder of the
-// duty, or taken back where nothing is gained by it any more; a change that the first one
-// had no time to notice is noticed by the next.
+// TestNextHolder checks that the next leader finishes a partly done move, or rolls it back
+// if it no longer gains anything, and that it detects a change that the first leader had no
+// time to detect.
 func TestNextHolder(t *testing.T) {
-	begun := func(seed uint64) *simulation {
-		day := newSimulation(t, seed, longPromptTenant("h.example/one/", 8, 0.6, 0.6))
-		day.budget = 0.001
-		day.run(40)
-		day.traffic[0].rates = []float64{0.6, 0.6, 8}
+	startMove := func(seed uint64) *simulation {
+		sim := newSimulation(t, seed, longPromptTenant("h.example/one/", 8, 0.6, 0.6))
+		sim.budget = 0.001
+		sim.run(40)
+		sim.traffic[0].rates = []float64{0.6, 0.6, 8}
 		for range 60 {
-			day.run(1)
-			if one := day.book.Find("h.example/one/"); one != nil && one.Moving && one.Part > 0 {
-				day.changeLeader(t)
-				return day
+			sim.run(1)
+			if placement := sim.book.Find("h.example/one/"); placement != nil && placement.Moving && placement.Part > 0 {
+				sim.changeLeader(t)
+				return sim
 			}
 		}
-		t.Fatalf("vacuous: no move was half done; %+v", day.notices)
+		t.Fatalf("vacuous: no move was partly done: %+v", sim.notices)
 		return nil
 	}
-	day := begun(1)
-	half := *day.book.Find("h.example/one/")
-	day.run(1200)
-	if one := day.book.Find("h.example/one/"); one == nil || one.Moving || !slices.Equal(one.Now, []string{"c"}) {
-		t.Errorf("from part %d on it ended as %+v", half.Part, one)
-	}
-	day = begun(2)
-	day.traffic[0].rates = []float64{4, 4, 0.2}
-	day.run(1200)
-	if one := day.book.Find("h.example/one/"); day.count("is back") != 1 || one != nil && (one.Moving || slices.Contains(one.Now, "c")) {
-		t.Errorf("it ended as %+v: %+v", one, day.notices)
-	}
-	day = begun(3)
-	day.traffic[0].rates = []float64{0, 0, 0}
-	day.run(200)
-	if one := day.book.Find("h.example/one/"); one != nil && one.Moving {
-		t.Errorf("idle, it ended as %+v", one)
-	}
-	day = newSimulation(t, 4, longPromptTenant("h.example/one/", 8, 0.6, 0.6))
-	day.run(40)
-	day.traffic[0].rates = []float64{0.6, 0.6, 8}
-	day.run(1)
-	day.changeLeader(t)
-	day.run(40)
-	if day.count("has changed") != 1 {
-		t.Errorf("the next holder noticed %+v", day.notices)
+	sim := startMove(1)
+	partial := *sim.book.Find("h.example/one/")
+	sim.run(1200)
+	if placement := sim.book.Find("h.example/one/"); placement == nil || placement.Moving || !slices.Equal(placement.Now, []string{"c"}) {
+		t.Errorf("the move, taken over at part %d, did not finish: %+v", partial.Part, placement)
+	}
+	sim = startMove(2)
+	sim.traffic[0].rates = []float64{4, 4, 0.2}
+	sim.run(1200)
+	if placement := sim.book.Find("h.example/one/"); sim.count("is back") != 1 || placement != nil && (placement.Moving || slices.Contains(placement.Now, "c")) {
+		t.Errorf("the move was not rolled back: %+v; notices: %+v", placement, sim.notices)
+	}
+	sim = startMove(3)
+	sim.traffic[0].rates = []float64{0, 0, 0}
+	sim.run(200)
+	if placement := sim.book.Find("h.example/one/"); placement != nil && placement.Moving {
+		t.Errorf("the move of an idle tenant did not end: %+v", placement)
+	}
+	sim = newSimulation(t, 4, longPromptTenant("h.example/one/", 8, 0.6, 0.6))
+	sim.run(40)
+	sim.traffic[0].rates = []float64{0.6, 0.6, 8}
+	sim.run(1)
+	sim.changeLeader(t)
+	sim.run(40)
+	if sim.count("has changed") != 1 {
+		t.Errorf("want one change detected by the next leader, got %+v", sim.notices)
 	}
 }
 
-// TestHomesBind: whatever the load, a placement names homes alone, each once, and only
-// regions with replicas; part by part a beginning has one home for each caller.
+// TestHomesBind checks that, whatever the load, a placement lists only the tenant's home
+// regions, each once, and that every prefix has a permitted home for each caller at every
+// step of a move.
 func TestHomesBind(t *testing.T) {
 	moves := 0
 	for seed := uint64(1); seed <= 20; seed++ {
-		one := longPromptTenant("h.example/one/", 8, 8, 1)
-		one.homes = []string{"a", "c"}
-		day := newSimulation(t, seed, one)
-		day.run(30)
+		load := longPromptTenant("h.example/one/", 8, 8, 1)
+		load.homes = []string{"a", "c"}
+		sim := newSimulation(t, seed, load)
+		sim.run(30)
 		for range 40 {
-			day.traffic[0].rates = []float64{20 * day.Float64(), 20 * day.Float64(), 20 * day.Float64()}
-			day.run(10)
-			placement := day.book.Find("h.example/one/")
+			sim.traffic[0].rates = []float64{20 * sim.Float64(), 20 * sim.Float64(), 20 * sim.Float64()}
+			sim.run(10)
+			placement := sim.book.Find("h.example/one/")
 			if placement == nil {
 				continue
 			}
 			for _, list := range [][]string{placement.Now, placement.Next} {
 				if slices.Contains(list, "b") {
-					t.Fatalf("home: seed %d: placed %+v", seed, placement)
+					t.Fatalf("home: seed %d: placed outside of its homes: %+v", seed, placement)
 				}
 				if len(slices.Compact(slices.Sorted(slices.Values(list)))) != len(list) {
-					t.Fatalf("seed %d: placed %+v", seed, placement)
+					t.Fatalf("seed %d: placement lists a region twice: %+v", seed, placement)
 				}
 			}
 			for key := range uint64(50) {
 				for _, region := range regions {
 					home := placement.Home(key, region, func(region string) bool { return region != "c" })
 					if home == "c" || home != "" && region == "a" && home != "a" {
-						t.Fatalf("home: seed %d: %+v sends %d of %s to %s", seed, placement, key, region, home)
+						t.Fatalf("home: seed %d: %+v sends prefix %d of callers in %s to %s", seed, placement, key, region, home)
 					}
 				}
 			}
 		}
-		moves += day.count("begins to move")
+		moves += sim.count("begins to move")
 	}
 	if moves == 0 {
 		t.Error("vacuous: nothing moved")
 	}
 }
 
-// TestGrows: a beginning that outgrows its owner gets several, and a session stays with
-// one; it shrinks again.
+// TestGrows checks that a prefix whose load exceeds one owner gets several, that a session
+// stays with one of them, and that it has one owner again when the load falls.
 func TestGrows(t *testing.T) {
-	one := longPromptTenant("h.example/one/", 2, 2, 2)
-	one.prefixes = 1
-	day := newSimulation(t, 3, one)
-	day.run(30)
-	day.traffic[0].rates = []float64{25, 25, 25}
-	day.run(60)
-	placement := day.book.Find(one.name)
+	load := longPromptTenant("h.example/one/", 2, 2, 2)
+	load.prefixes = 1
+	sim := newSimulation(t, 3, load)
+	sim.run(30)
+	sim.traffic[0].rates = []float64{25, 25, 25}
+	sim.run(60)
+	placement := sim.book.Find(load.name)
 	if placement == nil || len(placement.Hot) != 1 || placement.Hot[0].Over < 2 {
-		t.Fatalf("placed %+v: %+v", placement, day.notices)
+		t.Fatalf("hot prefix was not spread: %+v; notices: %+v", placement, sim.notices)
 	}
-	seen := map[uint64]bool{}
+	owners := map[uint64]bool{}
 	for session := range uint64(200) {
 		first, again := placement.Owner(1, session), placement.Owner(1, session)
 		if first != again || placement.Owner(2, session) != 2 {
 			t.Error("a session does not stay with its owner")
 		}
-		seen[first] = true
+		owners[first] = true
 	}
-	if len(seen) != placement.Hot[0].Over || !seen[1] {
-		t.Errorf("%d owners", len(seen))
+	if len(owners) != placement.Hot[0].Over || !owners[1] {
+		t.Errorf("sessions use %d owners, or never the first one", len(owners))
 	}
-	day.traffic[0].rates = []float64{2, 2, 2}
-	day.run(100)
-	if placement := day.book.Find(one.name); placement != nil && len(placement.Hot) > 0 {
-		t.Errorf("it is still placed %+v", placement)
+	sim.traffic[0].rates = []float64{2, 2, 2}
+	sim.run(100)
+	if placement := sim.book.Find(load.name); placement != nil && len(placement.Hot) > 0 {
+		t.Errorf("still spread after the load fell: %+v", placement)
 	}
 }
 
-// TestPinned: what an operator pinned stays, whatever happens, and books keep their order.
+// TestPinned checks that a placement pinned by an operator stays when the traffic changes,
+// and that the placements stay sorted.
 func TestPinned(t *testing.T) {
-	day := newSimulation(t, 6, longPromptTenant("h.example/one/", 8, 0.6, 0.6))
-	day.book = day.book.With(tenant.Placement{Tenant: "h.example/one/", Now: []string{"b"}, Pinned: true}).With(tenant.Placement{Tenant: "a.example/", Now: []string{"b"}, Pinned: true})
-	day.run(40)
-	day.traffic[0].rates = []float64{0.6, 0.6, 8}
-	day.run(60)
-	if one := day.book.Find("h.example/one/"); one == nil || !slices.Equal(one.Now, []string{"b"}) || day.count("begins to move") > 0 || day.count("has changed") != 1 {
-		t.Errorf("placed %+v: %+v", one, day.notices)
-	}
-	if !slices.IsSortedFunc(day.book.Placed, func(a, b tenant.Placement) int { return strings.Compare(a.Tenant, b.Tenant) }) {
-		t.Errorf("out of order: %+v", day.book)
+	sim := newSimulation(t, 6, longPromptTenant("h.example/one/", 8, 0.6, 0.6))
+	sim.book = sim.book.With(tenant.Placement{Tenant: "h.example/one/", Now: []string{"b"}, Pinned: true}).With(tenant.Placement{Tenant: "a.example/", Now: []string{"b"}, Pinned: true})
+	sim.run(40)
+	sim.traffic[0].rates = []float64{0.6, 0.6, 8}
+	sim.run(60)
+	if placement := sim.book.Find("h.example/one/"); placement == nil || !slices.Equal(placement.Now, []string{"b"}) || sim.count("begins to move") > 0 || sim.count("has changed") != 1 {
+		t.Errorf("pinned placement changed, or its change was not detected once: %+v; notices: %+v", placement, sim.notices)
+	}
+	if !slices.IsSortedFunc(sim.book.Placed, func(a, b tenant.Placement) int { return strings.Compare(a.Tenant, b.Tenant) }) {
+		t.Errorf("placements are not sorted by tenant: %+v", sim.book)
 	}
 }
--- a/tenant/watch.go
+++ b/tenant/watch.go
@@ -398,7 +398,7 @@
 		// the partitions moved so far is already spent.
 		if gain := plan.gain(current.Now, current.Next); gain <= 0 {
 			current.Back = true
-			notices = append(notices, Notice{Tenant: current.Tenant, What: "begins to move back", Reason: "the move no longer gains anything; " + plan.profile.String(), Gain: gain, From: current.Next, To: current.Now, Part: current.Part})
+			notices = append(notices, Notice{Tenant: current.Tenant, What: "starts to move back", Reason: "the move no longer gains anything; " + plan.profile.String(), Gain: gain, From: current.Next, To: current.Now, Part: current.Part})
 		}
 	}
 	tokens := plan.recomputedTokens(current.Now, current.Next)
