--- a/tenant/plan.go
+++ b/tenant/plan.go
@@ -13,7 +13,7 @@
 type load struct{ slots, tokens, prefill float64 }
 
 // otherLoads returns the load of all other placed tenants of the same model by region. A
-// tenant on the move counts in the regions that it moves to.
+// tenant on the move counts in the regions that it moves to, unless it is moving back.
 func (watch *Watch) otherLoads(scene Scene, book Book, except string) map[string]load {
 	out := map[string]load{}
 	var model string
--- a/tenant/watch.go
+++ b/tenant/watch.go
@@ -72,10 +72,11 @@
 
 // Scene has the inputs of a turn.
 //
-// Invariant: Now never falls from turn to turn of a watch.
+// Invariant: Now never decreases from one turn of a watch to the next.
 type Scene struct {
 	Now, Window time.Duration
-	Duty        uint64
+	// Duty is the leader's term.
+	Duty uint64
 	// Grounds has the replicas by model and region.
 	Grounds map[string]map[string]Ground
 	// Homes returns the regions that may serve a tenant, or none if the tenant has no route.
@@ -102,6 +103,7 @@
 
 // tenantState is what the watch knows of one tenant.
 type tenantState struct {
+	// short and long are moving averages that follow changes quickly and slowly.
 	short, long *Profile
 	// baseline is the profile when a change was last detected, or at the end of the warm-up.
 	// previousBaseline is the one before it while the change has not led to a move yet: it
