--- a/controlplane/caller_test.go
+++ b/controlplane/caller_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// pair gives both ends of a connection over loopback.
-func pair(t *testing.T) (client, server net.Conn) {
+// connPair gives both ends of a connection over loopback.
+func connPair(t *testing.T) (client, server net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -27,25 +27,25 @@
 // TestIsClosed: a caller that closed its connection is seen, and nothing that it sent before
 // is lost by the look.
 func TestIsClosed(t *testing.T) {
-	client, server := pair(t)
+	client, server := connPair(t)
 	if isClosed(server) {
 		t.Error("an idle connection counts as closed")
 	}
 	if _, err := client.Write([]byte("xy")); err != nil {
 		t.Fatal(err)
 	}
-	one := make([]byte, 1)
-	if _, err := io.ReadFull(server, one); err != nil || one[0] != 'x' {
+	buffer := make([]byte, 1)
+	if _, err := io.ReadFull(server, buffer); err != nil || buffer[0] != 'x' {
 		t.Fatal(err)
 	}
 	if isClosed(server) {
 		t.Error("a connection with bytes to be read counts as closed")
 	}
-	if _, err := io.ReadFull(server, one); err != nil || one[0] != 'y' {
+	if _, err := io.ReadFull(server, buffer); err != nil || buffer[0] != 'y' {
 		t.Error("the look took what was sent:", err)
 	}
 	client.Close()
-	if _, err := server.Read(one); err != io.EOF {
+	if _, err := server.Read(buffer); err != io.EOF {
 		t.Fatal(err)
 	}
 	if !isClosed(server) {
--- a/controlplane/copies.go
+++ b/controlplane/copies.go
@@ -7,48 +7,48 @@
 	"time"
 )
 
-// compareTurns is every how many turns of the core's reconciler, six of which are a session's
+// compareRounds is every how many turns of the core's reconciler, six of which are a session's
 // span, its holder compares the acceptors' copies.
-const compareTurns = 12
+const compareRounds = 12
 
-// absences remembers since when acceptors of the core have lacked copies, or have not been
+// absenceTracker remembers since when acceptors of the core have lacked copies, or have not been
 // heard, as far as this daemon has seen.
 //
 // Invariant: since has exactly the acceptors that lacked something the last time, each with the
 // first of the times in a row.
-type absences struct {
-	guard sync.Mutex
+type absenceTracker struct {
+	mu    sync.Mutex
 	since map[string]time.Duration
 }
 
-// note notes who lacks something now.
-func (absences *absences) note(now time.Duration, ids []string) {
-	absences.guard.Lock()
-	defer absences.guard.Unlock()
-	if absences.since == nil {
-		absences.since = map[string]time.Duration{}
+// update notes who lacks something now.
+func (tracker *absenceTracker) update(now time.Duration, ids []string) {
+	tracker.mu.Lock()
+	defer tracker.mu.Unlock()
+	if tracker.since == nil {
+		tracker.since = map[string]time.Duration{}
 	}
-	maps.DeleteFunc(absences.since, func(id string, _ time.Duration) bool { return !slices.Contains(ids, id) })
+	maps.DeleteFunc(tracker.since, func(id string, _ time.Duration) bool { return !slices.Contains(ids, id) })
 	for _, id := range ids {
-		if _, isKnown := absences.since[id]; !isKnown {
-			absences.since[id] = now
+		if _, isKnown := tracker.since[id]; !isKnown {
+			tracker.since[id] = now
 		}
 	}
 }
 
 // addTo puts into the ages for how long each has lacked something, where that is longer.
-func (absences *absences) addTo(ages map[string]time.Duration, now time.Duration) {
-	absences.guard.Lock()
-	defer absences.guard.Unlock()
-	for id, since := range absences.since {
+func (tracker *absenceTracker) addTo(ages map[string]time.Duration, now time.Duration) {
+	tracker.mu.Lock()
+	defer tracker.mu.Unlock()
+	for id, since := range tracker.since {
 		ages[id] = max(ages[id], now-since)
 	}
 }
 
 // compareCopies notes which acceptors lack copies now; the holder of the core's duty does it.
 func (daemon *Daemon) compareCopies() {
-	redundancy := redundancy(daemon.Core(), daemon.Compare())
-	daemon.behind.note(daemon.World.Now(), redundancy.lacking())
+	redundancy := computeRedundancy(daemon.Core(), daemon.Compare())
+	daemon.behind.update(daemon.World.Now(), redundancy.lacking())
 }
 
 // lacking tells for how long acceptors have lacked copies or have not been heard, as far as
@@ -57,7 +57,7 @@
 	ages := map[string]time.Duration{}
 	now := daemon.World.Now()
 	daemon.behind.addTo(ages, now)
-	daemon.unheard.addTo(ages, now)
+	daemon.silent.addTo(ages, now)
 	return ages
 }
 
--- a/controlplane/daemon.go
+++ b/controlplane/daemon.go
@@ -58,15 +58,15 @@
 	Objects  *rollout.Objects
 	Book     *workflow.Book
 
-	guard   sync.Mutex
-	regions map[string]*region
-	stopped atomic.Bool
-	mended  atomic.Int64
-	tenants tenants
-	pauses  pauseDetector
+	mu       sync.Mutex
+	regions  map[string]*region
+	stopped  atomic.Bool
+	repaired atomic.Int64
+	tenants  tenants
+	pauses   pauseDetector
 	// behind are acceptors that lack copies, as the holder of the core's duty sees them, and
 	// unheard those without a session.
-	behind, unheard absences
+	behind, silent absenceTracker
 }
 
 // RegionDuty is the duty that covers a region: its replicas, standing and runs.
@@ -85,7 +85,7 @@
 		daemon.Log = zap.NewNop()
 	}
 	daemon.Keeper = &register.Keeper{Options: register.Options{
-		World: options.World, Net: options.Net, Self: options.Process.Name + "." + options.Incarnation, Patience: roundPatience,
+		World: options.World, Net: options.Net, Self: options.Process.Name + "." + options.Incarnation, Patience: roundTimeout,
 		Locate: func(id string) string { return daemon.Table.Locate(id) },
 	}}
 	identity := ""
@@ -106,43 +106,43 @@
 		}
 	}
 	daemon.Table = session.NewTable(session.Options{
-		World: options.World, Net: options.Net, Seeds: options.Live.Seeds, Keeper: daemon.Keeper, Span: daemon.span, Tell: daemon.tell, Tenants: daemon.tenants.told.Load,
+		World: options.World, Net: options.Net, Seeds: options.Live.Seeds, Keeper: daemon.Keeper, Span: daemon.sessionTimeout, Tell: daemon.describeSelf, Tenants: daemon.tenants.announcement.Load,
 		Self: session.Member{Name: options.Process.Name, Incarnation: options.Incarnation, Role: session.Control, Region: options.Process.Region, Zone: options.Process.Zone, Wire: options.Process.Wire, HTTP: options.Process.HTTP, Acceptor: identity},
 	})
-	daemon.Office = &permit.Office{Options: permit.Options{World: options.World, Net: options.Net, Keeper: daemon.Keeper, Table: daemon.Table, Kept: daemon.kept, Silence: orderSilence}}
+	daemon.Office = &permit.Office{Options: permit.Options{World: options.World, Net: options.Net, Keeper: daemon.Keeper, Table: daemon.Table, Kept: daemon.tableAge, Silence: orderQuorumTimeout}}
 	daemon.Duties = &duty.Keeper{Options: duty.Options{
-		World: options.World, Keeper: daemon.Keeper, Name: options.Process.Name, Incarnation: options.Incarnation, Span: daemon.span,
-		Alive: daemon.alive, Claims: daemon.claims, Reborn: daemon.reborn, Watched: daemon.Table.Watched, IsBack: daemon.Core().Epoch > 0, Wanted: daemon.duties,
+		World: options.World, Keeper: daemon.Keeper, Name: options.Process.Name, Incarnation: options.Incarnation, Span: daemon.sessionTimeout,
+		Alive: daemon.isAlive, Claims: daemon.claimsLeadership, Reborn: daemon.hasRestarted, Watched: daemon.Table.Watched, IsBack: daemon.Core().Epoch > 0, Wanted: daemon.elections,
 	}}
-	daemon.Objects = &rollout.Objects{World: options.World, Keeper: daemon.Keeper, Name: options.Process.Name + "." + options.Incarnation, Changed: daemon.moved}
+	daemon.Objects = &rollout.Objects{World: options.World, Keeper: daemon.Keeper, Name: options.Process.Name + "." + options.Incarnation, Changed: daemon.routesChanged}
 	daemon.Book = &workflow.Book{World: options.World, Keeper: daemon.Keeper}
 	return daemon, nil
 }
 
-// moved makes the regions' standings show at once what was written of a model's routes,
+// routesChanged makes the regions' standings show at once what was written of a model's routes,
 // where an order under a term is under way.
-func (daemon *Daemon) moved() {
+func (daemon *Daemon) routesChanged() {
 	_, _, tree := daemon.Office.Current()
 	if tree == nil {
 		return
 	}
-	daemon.guard.Lock()
-	defer daemon.guard.Unlock()
+	daemon.mu.Lock()
+	defer daemon.mu.Unlock()
 	for _, region := range daemon.regions {
-		if region.hurries(tree) {
-			region.computer.Wake()
+		if region.hasUrgentRollout(tree) {
+			region.computeWaker.Wake()
 		}
 	}
 }
 
-// roundPatience bounds one operation on a register.
-const roundPatience = 2 * time.Second
+// roundTimeout bounds one operation on a register.
+const roundTimeout = 2 * time.Second
 
-// span is the session bound in force.
-func (daemon *Daemon) span() time.Duration { return daemon.limit("session_ms") }
+// sessionTimeout is the session bound in force.
+func (daemon *Daemon) sessionTimeout() time.Duration { return daemon.timeLimit("session_ms") }
 
-// limit is a limit of time in force for the whole system.
-func (daemon *Daemon) limit(name string) time.Duration {
+// timeLimit is a limit of time in force for the whole system.
+func (daemon *Daemon) timeLimit(name string) time.Duration {
 	var tree *settings.Tree
 	if daemon.Office != nil {
 		_, _, tree = daemon.Office.Current()
@@ -150,69 +150,69 @@
 	return tree.Span(name, "")
 }
 
-// spans is a ratio of the session bound, as a loop's span.
-func (daemon *Daemon) spans(times, parts time.Duration) func() time.Duration {
-	return func() time.Duration { return times * daemon.span() / parts }
+// sessionFraction is a ratio of the session bound, as a loop's span.
+func (daemon *Daemon) sessionFraction(times, parts time.Duration) func() time.Duration {
+	return func() time.Duration { return times * daemon.sessionTimeout() / parts }
 }
 
-// kept tells whether the region's standing, as read, is kept up to date, as far as
+// tableAge tells whether the region's standing, as read, is kept up to date, as far as
 // this daemon has seen: how long ago the holder of the duty that it was written
 // under found it to be so. That the holder is alive is not enough: without a
 // majority of the core it can't write what it sees.
-func (daemon *Daemon) kept(region string, read standing.Standing) (time.Duration, bool) {
+func (daemon *Daemon) tableAge(region string, read standing.Standing) (time.Duration, bool) {
 	duty, known := daemon.Duties.Last(RegionDuty + region)
 	if !known || duty.Serial != read.Duty {
 		return 0, false
 	}
-	holder, isAlive := daemon.holder(duty)
+	holder, isAlive := daemon.leader(duty)
 	keeping, keeps := holder.Member.Keeps[region]
 	_, _, tree := daemon.Office.Current()
 	age := holder.Age + keeping.Age
 	return age, isAlive && keeps && keeping.Duty == duty.Serial && keeping.Serial <= read.Serial && tree != nil && age < tree.Span("permit_ms", "")
 }
 
-// holder gives the session of a duty's holder, if it is a member.
-func (daemon *Daemon) holder(held duty.Duty) (session.Session, bool) {
-	one, isMember := daemon.Table.Find(held.Holder)
-	return one, isMember && one.Member.Role == session.Control && one.Member.Incarnation == held.Incarnation
+// leader gives the session of a duty's holder, if it is a member.
+func (daemon *Daemon) leader(held duty.Duty) (session.Session, bool) {
+	found, isMember := daemon.Table.Find(held.Holder)
+	return found, isMember && found.Member.Role == session.Control && found.Member.Incarnation == held.Incarnation
 }
 
-// tell tells the colleagues which duties this daemon holds and which standings it
+// describeSelf tells the colleagues which duties this daemon holds and which standings it
 // keeps.
-func (daemon *Daemon) tell(self *session.Member) {
+func (daemon *Daemon) describeSelf(self *session.Member) {
 	self.Duties, self.Keeps = daemon.Duties.Holds(), map[string]session.Keeping{}
-	daemon.guard.Lock()
-	defer daemon.guard.Unlock()
+	daemon.mu.Lock()
+	defer daemon.mu.Unlock()
 	for name, region := range daemon.regions {
-		if keeping, keeps := region.keeping(); keeps {
+		if keeping, keeps := region.maintained(); keeps {
 			self.Keeps[name] = keeping
 		}
 	}
 }
 
-// claims tells whether the holder of a duty says itself that it holds it.
-func (daemon *Daemon) claims(name string, held duty.Duty) bool {
-	one, isAlive := daemon.holder(held)
-	return isAlive && one.Member.Duties[name] == held.Serial
+// claimsLeadership tells whether the holder of a duty says itself that it holds it.
+func (daemon *Daemon) claimsLeadership(name string, held duty.Duty) bool {
+	found, isAlive := daemon.leader(held)
+	return isAlive && found.Member.Duties[name] == held.Serial
 }
 
-func (daemon *Daemon) alive(name, incarnation string) bool {
-	_, isAlive := daemon.holder(duty.Duty{Holder: name, Incarnation: incarnation})
+func (daemon *Daemon) isAlive(name, incarnation string) bool {
+	_, isAlive := daemon.leader(duty.Duty{Holder: name, Incarnation: incarnation})
 	return isAlive
 }
 
-// reborn tells whether another incarnation of that name is a member, which
+// hasRestarted tells whether another incarnation of that name is a member, which
 // proves that the given one is gone.
-func (daemon *Daemon) reborn(name, incarnation string) bool {
-	one, isMember := daemon.Table.Find(name)
-	return isMember && one.Member.Role == session.Control && one.Member.Incarnation != incarnation
+func (daemon *Daemon) hasRestarted(name, incarnation string) bool {
+	found, isMember := daemon.Table.Find(name)
+	return isMember && found.Member.Role == session.Control && found.Member.Incarnation != incarnation
 }
 
-// duties lists what there is to do, the core and this daemon's own region first.
-func (daemon *Daemon) duties() []string {
+// elections lists what there is to do, the core and this daemon's own region first.
+func (daemon *Daemon) elections() []string {
 	_, _, tree := daemon.Office.Current()
 	if tree == nil {
-		if daemon.Duties.IsBack && daemon.Table.Watched() < daemon.span() {
+		if daemon.Duties.IsBack && daemon.Table.Watched() < daemon.sessionTimeout() {
 			return nil // the configuration is read first, and then all are run for together
 		}
 		return []string{CoreDuty}
@@ -294,10 +294,10 @@
 	world.Go(daemon.discover)
 	world.Go(daemon.Duties.Run)
 	world.Go(daemon.watchConfig)
-	world.Go(daemon.janitor)
-	world.Go(daemon.tend)
+	world.Go(daemon.sweepRecords)
+	world.Go(daemon.reconcileMembership)
 	if daemon.Acceptor != nil {
-		world.Go(daemon.repair)
+		world.Go(daemon.repairCopies)
 	}
 }
 
@@ -306,19 +306,19 @@
 func (daemon *Daemon) discover() {
 	loop.Every(daemon.World, func() time.Duration {
 		if daemon.Core().Epoch == 0 {
-			return daemon.span() / 15
+			return daemon.sessionTimeout() / 15
 		}
-		return 4 * daemon.span()
+		return 4 * daemon.sessionTimeout()
 	}, func() bool {
 		daemon.Discover(daemon.Table.Colleagues())
-		daemon.begin()
+		daemon.initFirstCore()
 		return !daemon.stopped.Load()
 	})
 }
 
 // watchConfig reads the configuration and keeps one task per region.
 func (daemon *Daemon) watchConfig() {
-	loop.Every(daemon.World, daemon.spans(1, 3), func() bool {
+	loop.Every(daemon.World, daemon.sessionFraction(1, 3), func() bool {
 		if daemon.Core().Epoch > 0 {
 			if err := daemon.Office.Refresh(); err != nil {
 				daemon.Log.Debug("the configuration can't be read", zap.Error(err))
@@ -326,37 +326,37 @@
 		}
 		if _, _, tree := daemon.Office.Current(); tree != nil {
 			for _, name := range tree.Regions() {
-				daemon.ensure(name)
+				daemon.ensureRegion(name)
 			}
-			daemon.attendTenants()
+			daemon.startTenantLoops()
 		}
 		return !daemon.stopped.Load()
 	})
 }
 
-func (daemon *Daemon) ensure(name string) {
-	daemon.guard.Lock()
+func (daemon *Daemon) ensureRegion(name string) {
+	daemon.mu.Lock()
 	_, known := daemon.regions[name]
 	if !known {
 		daemon.regions[name] = newRegion(daemon, name)
 	}
-	one := daemon.regions[name]
-	daemon.guard.Unlock()
+	region := daemon.regions[name]
+	daemon.mu.Unlock()
 	if !known {
-		one.run()
+		region.run()
 	}
 }
 
-// repair compares this disk's copies with the colleagues', and at once where it has
+// repairCopies compares this disk's copies with the colleagues', and at once where it has
 // missed a change of the core.
-func (daemon *Daemon) repair() {
+func (daemon *Daemon) repairCopies() {
 	turn := 0
-	loop.Every(daemon.World, daemon.spans(1, 6), func() bool {
+	loop.Every(daemon.World, daemon.sessionFraction(1, 6), func() bool {
 		if turn++; turn%24 != 1 && !daemon.isBehind() {
 			return !daemon.stopped.Load()
 		}
 		mended, err := daemon.Repair(daemon.Acceptor)
-		daemon.mended.Add(int64(mended))
+		daemon.repaired.Add(int64(mended))
 		if mended > 0 || err != nil {
 			daemon.Log.Info("copies compared", zap.Int("mended", mended), zap.Error(err))
 		}
@@ -373,8 +373,8 @@
 	return about.Sealed || core.Has(about.ID) && about.Core.Epoch < core.Epoch
 }
 
-func (daemon *Daemon) janitor() {
-	loop.Every(daemon.World, daemon.spans(4, 1), func() bool {
+func (daemon *Daemon) sweepRecords() {
+	loop.Every(daemon.World, daemon.sessionFraction(4, 1), func() bool {
 		if _, held := daemon.Duties.Held(JanitorDuty); held {
 			daemon.Office.Sweep()
 		}
@@ -387,9 +387,9 @@
 	daemon.stopped.Store(true)
 	daemon.Duties.Resign()
 	self := daemon.Table.Self
-	for _, one := range daemon.Table.Live(session.Control) {
-		if one.Member.Name != self.Name {
-			_ = daemon.Net.Call(one.Member.Wire, "Session.Beat", session.Beat{Member: self, Over: true}, new(session.Answer), daemon.span()/4)
+	for _, peer := range daemon.Table.Live(session.Control) {
+		if peer.Member.Name != self.Name {
+			_ = daemon.Net.Call(peer.Member.Wire, "Session.Beat", session.Beat{Member: self, Over: true}, new(session.Answer), daemon.sessionTimeout()/4)
 		}
 	}
 }
--- a/controlplane/http.go
+++ b/controlplane/http.go
@@ -11,18 +11,18 @@
 	"swifttiller/verdict"
 )
 
-// fail answers with a mishap.
-func fail(ctx *fiber.Ctx, err error) error {
-	mishap := Answer(err)
-	if mishap.ComeBack > 0 {
-		ctx.Set("Retry-After", strconv.Itoa(int((mishap.ComeBack+time.Second-1)/time.Second)))
+// sendError answers with a mishap.
+func sendError(ctx *fiber.Ctx, err error) error {
+	failure := Answer(err)
+	if failure.ComeBack > 0 {
+		ctx.Set("Retry-After", strconv.Itoa(int((failure.ComeBack+time.Second-1)/time.Second)))
 	}
-	return ctx.Status(mishap.Status).Type("json").Send(mishap.JSON())
+	return ctx.Status(failure.Status).Type("json").Send(failure.JSON())
 }
 
-func reply(ctx *fiber.Ctx, value any, err error) error {
+func sendJSON(ctx *fiber.Ctx, value any, err error) error {
 	if err != nil {
-		return fail(ctx, err)
+		return sendError(ctx, err)
 	}
 	body, err := json.Marshal(value)
 	if err != nil {
@@ -41,36 +41,36 @@
 		return ctx.Status(status).Type("json").Send(verdict.Decline(status, "bad_request", err.Error(), 0).JSON())
 	}})
 	app.Get("/v1/health", func(ctx *fiber.Ctx) error {
-		return reply(ctx, map[string]any{"name": daemon.Process.Name, "core_epoch": daemon.Core().Epoch}, nil)
+		return sendJSON(ctx, map[string]any{"name": daemon.Process.Name, "core_epoch": daemon.Core().Epoch}, nil)
 	})
-	app.Get("/v1/local", func(ctx *fiber.Ctx) error { return reply(ctx, daemon.Local(), nil) })
-	app.Get("/v1/status", func(ctx *fiber.Ctx) error { return reply(ctx, daemon.Status(), nil) })
-	app.Get("/v1/counters", func(ctx *fiber.Ctx) error { return reply(ctx, daemon.Counters(), nil) })
-	app.Get("/v1/members", func(ctx *fiber.Ctx) error { return reply(ctx, daemon.Table.Live(""), nil) })
+	app.Get("/v1/local", func(ctx *fiber.Ctx) error { return sendJSON(ctx, daemon.Local(), nil) })
+	app.Get("/v1/status", func(ctx *fiber.Ctx) error { return sendJSON(ctx, daemon.Status(), nil) })
+	app.Get("/v1/counters", func(ctx *fiber.Ctx) error { return sendJSON(ctx, daemon.Counters(), nil) })
+	app.Get("/v1/members", func(ctx *fiber.Ctx) error { return sendJSON(ctx, daemon.Table.Live(""), nil) })
 	app.Get("/v1/config", func(ctx *fiber.Ctx) error {
 		if err := daemon.Office.Refresh(); err != nil {
-			return fail(ctx, err)
+			return sendError(ctx, err)
 		}
 		serial, config, tree := daemon.Office.Current()
 		if tree == nil {
-			return reply(ctx, map[string]any{"serial": 0}, nil)
+			return sendJSON(ctx, map[string]any{"serial": 0}, nil)
 		}
 		out := map[string]any{"serial": serial, "document": config.Whole(), "evacuated": config.Evacuated}
-		if place, asked := ctx.Queries()["effective"]; asked {
-			leaves, known := effective(tree, place)
+		if scope, isSet := ctx.Queries()["effective"]; isSet {
+			leaves, known := effective(tree, scope)
 			if !known {
-				return fail(ctx, verdict.Decline(404, "no_zone", fmt.Sprintf("the configuration has no zone or region %q", place), 0))
+				return sendError(ctx, verdict.Decline(404, "no_zone", fmt.Sprintf("the configuration has no zone or region %q", scope), 0))
 			}
 			out["effective"] = leaves
 		}
-		return reply(ctx, out, nil)
+		return sendJSON(ctx, out, nil)
 	})
 	app.Post("/v1/config", func(ctx *fiber.Ctx) error {
 		var expect *uint64
 		if text := ctx.Query("expect"); text != "" {
 			serial, err := strconv.ParseUint(text, 10, 64)
 			if err != nil {
-				return fail(ctx, verdict.Decline(400, "bad_request", "expect must be a serial", 0))
+				return sendError(ctx, verdict.Decline(400, "bad_request", "expect must be a serial", 0))
 			}
 			expect = &serial
 		}
@@ -78,105 +78,105 @@
 		if text := ctx.Query("expect_label"); text != "" {
 			label, err := strconv.ParseUint(text, 10, 64)
 			if err != nil || expect != nil {
-				return fail(ctx, verdict.Decline(400, "bad_request", "expect_label must be a label, and stand without expect", 0))
+				return sendError(ctx, verdict.Decline(400, "bad_request", "expect_label must be a label, and stand without expect", 0))
 			}
 			applied, err := daemon.For(CallerOf(ctx)).Replace(document, label)
-			return reply(ctx, applied, err)
+			return sendJSON(ctx, applied, err)
 		}
 		applied, err := daemon.For(CallerOf(ctx)).Apply(document, expect, ctx.QueryBool("dry_run"))
-		return reply(ctx, applied, err)
+		return sendJSON(ctx, applied, err)
 	})
 	for path, back := range map[string]bool{"evacuate": false, "hand-back": true} {
 		app.Post("/v1/zones/:zone/"+path, func(ctx *fiber.Ctx) error {
 			applied, err := daemon.For(CallerOf(ctx)).Evacuate(string([]byte(ctx.Params("zone"))), back)
-			return reply(ctx, applied, err)
+			return sendJSON(ctx, applied, err)
 		})
 	}
 	app.Post("/v1/daemons/:name/reload", func(ctx *fiber.Ctx) error {
 		reloaded, err := daemon.Reload(string([]byte(ctx.Params("name"))))
-		return reply(ctx, reloaded, err)
+		return sendJSON(ctx, reloaded, err)
 	})
 	app.Post("/v1/init", func(ctx *fiber.Ctx) error {
-		var ask struct{ Seeds []string }
-		if err := json.Unmarshal(ctx.Body(), &ask); err != nil || len(ask.Seeds) == 0 {
-			ask.Seeds = daemon.Live.Seeds()
+		var request struct{ Seeds []string }
+		if err := json.Unmarshal(ctx.Body(), &request); err != nil || len(request.Seeds) == 0 {
+			request.Seeds = daemon.Live.Seeds()
 		}
-		core, err := daemon.Init(ask.Seeds)
+		core, err := daemon.Init(request.Seeds)
 		if err != nil {
 			err = verdict.Decline(409, "init", err.Error(), 0)
 		}
-		return reply(ctx, core, err)
+		return sendJSON(ctx, core, err)
 	})
 	app.Post("/v1/core", func(ctx *fiber.Ctx) error {
-		var ask struct{ Add, Remove []string }
-		if err := json.Unmarshal(ctx.Body(), &ask); err != nil {
-			return fail(ctx, verdict.Decline(400, "bad_request", err.Error(), 0))
+		var request struct{ Add, Remove []string }
+		if err := json.Unmarshal(ctx.Body(), &request); err != nil {
+			return sendError(ctx, verdict.Decline(400, "bad_request", err.Error(), 0))
 		}
-		core, err := daemon.ChangeVotes(ask.Add, ask.Remove)
-		return reply(ctx, core, err)
+		core, err := daemon.ChangeVotes(request.Add, request.Remove)
+		return sendJSON(ctx, core, err)
 	})
 	app.Get("/v1/handovers", func(ctx *fiber.Ctx) error {
 		models, err := daemon.Handovers()
-		return reply(ctx, models, err)
+		return sendJSON(ctx, models, err)
 	})
 	app.Post("/v1/handovers", func(ctx *fiber.Ctx) error {
-		var ask struct {
+		var request struct {
 			ID, Model, Version string
 			Regions            []string
 		}
-		if err := json.Unmarshal(ctx.Body(), &ask); err != nil {
-			return fail(ctx, verdict.Decline(400, "bad_request", err.Error(), 0))
+		if err := json.Unmarshal(ctx.Body(), &request); err != nil {
+			return sendError(ctx, verdict.Decline(400, "bad_request", err.Error(), 0))
 		}
-		runs, err := daemon.Handover(ask.ID, ask.Model, ask.Version, ask.Regions)
-		return reply(ctx, runs, err)
+		runs, err := daemon.Handover(request.ID, request.Model, request.Version, request.Regions)
+		return sendJSON(ctx, runs, err)
 	})
 	app.Post("/v1/rollouts", func(ctx *fiber.Ctx) error {
-		var ask struct {
+		var request struct {
 			Model, Version string
 			Over           float64 `json:"over_s"`
 		}
-		if err := json.Unmarshal(ctx.Body(), &ask); err != nil {
-			return fail(ctx, verdict.Decline(400, "bad_request", err.Error(), 0))
+		if err := json.Unmarshal(ctx.Body(), &request); err != nil {
+			return sendError(ctx, verdict.Decline(400, "bad_request", err.Error(), 0))
 		}
-		if err := daemon.For(CallerOf(ctx)).BeginRollout(ask.Model, ask.Version, time.Duration(ask.Over*float64(time.Second))); err != nil {
-			return fail(ctx, err)
+		if err := daemon.For(CallerOf(ctx)).BeginRollout(request.Model, request.Version, time.Duration(request.Over*float64(time.Second))); err != nil {
+			return sendError(ctx, err)
 		}
-		state, err := daemon.RolloutState(ask.Model)
-		return reply(ctx, state, err)
+		state, err := daemon.RolloutState(request.Model)
+		return sendJSON(ctx, state, err)
 	})
 	app.Get("/v1/rollouts/:model", func(ctx *fiber.Ctx) error {
 		state, err := daemon.RolloutState(string([]byte(ctx.Params("model"))))
-		return reply(ctx, state, err)
+		return sendJSON(ctx, state, err)
 	})
 	app.Get("/v1/tenants", func(ctx *fiber.Ctx) error {
 		tenants, err := daemon.Tenants()
-		return reply(ctx, tenants, err)
+		return sendJSON(ctx, tenants, err)
 	})
 	for path, isPin := range map[string]bool{"pin": true, "release": false} {
 		app.Post("/v1/tenants/"+path, func(ctx *fiber.Ctx) error {
-			var ask struct {
+			var request struct {
 				Tenant  string
 				Regions []string
 			}
-			if err := json.Unmarshal(ctx.Body(), &ask); err != nil || ask.Tenant == "" || isPin != (len(ask.Regions) > 0) {
-				return fail(ctx, verdict.Decline(400, "bad_request", "a pin needs a tenant and regions, a release a tenant", 0))
+			if err := json.Unmarshal(ctx.Body(), &request); err != nil || request.Tenant == "" || isPin != (len(request.Regions) > 0) {
+				return sendError(ctx, verdict.Decline(400, "bad_request", "a pin needs a tenant and regions, a release a tenant", 0))
 			}
-			placement, err := daemon.Pin(ask.Tenant, ask.Regions)
-			return reply(ctx, placement, err)
+			placement, err := daemon.Pin(request.Tenant, request.Regions)
+			return sendJSON(ctx, placement, err)
 		})
 	}
 	app.Post("/v1/handovers/:model/rollback", func(ctx *fiber.Ctx) error {
-		model, err := daemon.Objects.Rollback(string([]byte(ctx.Params("model"))), words(string([]byte(ctx.Query("regions")))), daemon.standby())
-		return reply(ctx, model, err)
+		model, err := daemon.Objects.Rollback(string([]byte(ctx.Params("model"))), splitList(string([]byte(ctx.Query("regions")))), daemon.standbyPeriod())
+		return sendJSON(ctx, model, err)
 	})
 	app.Post("/v1/handovers/:model/promote", func(ctx *fiber.Ctx) error {
-		model, err := daemon.Objects.Promote(string([]byte(ctx.Params("model"))), ctx.QueryBool("stay"), daemon.standby())
-		return reply(ctx, model, err)
+		model, err := daemon.Objects.Promote(string([]byte(ctx.Params("model"))), ctx.QueryBool("stay"), daemon.standbyPeriod())
+		return sendJSON(ctx, model, err)
 	})
 	return app
 }
 
-func (daemon *Daemon) standby() time.Duration {
+func (daemon *Daemon) standbyPeriod() time.Duration {
 	if _, _, tree := daemon.Office.Current(); tree != nil {
 		return tree.Span("standby_ms", "")
 	}
@@ -186,16 +186,16 @@
 // Counters are the daemon's counters and gauges.
 func (daemon *Daemon) Counters() map[string]any {
 	local := daemon.Local()
-	live := map[string]int{}
-	for _, one := range local.Sessions {
-		live[one.Member.Role]++
+	sessions := map[string]int{}
+	for _, entry := range local.Sessions {
+		sessions[entry.Member.Role]++
 	}
 	held := 0
 	for range local.Regions {
 		held++
 	}
 	out := map[string]any{
-		"config_serial": local.Serial, "core_epoch": local.Core.Epoch, "sessions": live, "duties_held": held,
+		"config_serial": local.Serial, "core_epoch": local.Core.Epoch, "sessions": sessions, "duties_held": held,
 		"permits_granted": local.Granted, "cells_mended": local.Mended, "rounds": local.Rounds, "duty_changes": local.Changes,
 	}
 	if local.Acceptor != nil {
--- a/controlplane/operate.go
+++ b/controlplane/operate.go
@@ -21,34 +21,34 @@
 	"swifttiller/workflow"
 )
 
-// unknown is how an operator's step ends when its outcome can't be told.
-func unknown(err error) *verdict.Mishap {
+// outcomeUnknown is how an operator's step ends when its outcome can't be told.
+func outcomeUnknown(err error) *verdict.Mishap {
 	return &verdict.Mishap{Verdict: verdict.MayHaveRun, Code: "outcome_unknown", Status: 504, Cause: err,
 		Message: "the outcome is unknown: " + err.Error() + "; look at `controlplane show` and `controlplane handover status` to find out"}
 }
 
 // Answer turns an error of the registers and objects into an operator's.
 func Answer(err error) *verdict.Mishap {
-	var mishap *verdict.Mishap
+	var failure *verdict.Mishap
 	var stale *register.Stale
 	var problems settings.Problems
-	var decline *rollout.Decline
+	var rejection *rollout.Decline
 	var outdated *Outdated
 	switch {
 	case err == nil:
 		return nil
-	case errors.As(err, &mishap):
-		return mishap
+	case errors.As(err, &failure):
+		return failure
 	case errors.Is(err, register.ErrUncertain), errors.Is(err, permit.ErrUnconfirmed):
-		return unknown(err)
+		return outcomeUnknown(err)
 	case errors.As(err, &stale):
 		return verdict.Decline(409, "stale", fmt.Sprintf("expected serial %d, but the current serial is %d", stale.Want, stale.Have), 0)
 	case errors.As(err, &outdated):
 		return verdict.Decline(409, "stale", outdated.Error(), 0)
 	case errors.As(err, &problems):
 		return verdict.Decline(422, "invalid", problems.Error(), 0)
-	case errors.As(err, &decline):
-		return verdict.Decline(409, "declined", decline.Reason, 0)
+	case errors.As(err, &rejection):
+		return verdict.Decline(409, "declined", rejection.Reason, 0)
 	case errors.Is(err, workflow.ErrBusy), errors.Is(err, workflow.ErrOther), errors.Is(err, workflow.ErrUsed), errors.Is(err, register.ErrCoreChange):
 		return verdict.Decline(409, "conflict", err.Error(), 0)
 	case errors.Is(err, ErrAbandoned), errors.Is(err, rollout.ErrAbandoned):
@@ -64,13 +64,13 @@
 // Reload has a member reread its process's settings.
 func (daemon *Daemon) Reload(name string) (settings.Reloaded, error) {
 	var out settings.Reloaded
-	for _, one := range daemon.Table.Live("") {
-		if one.Member.Name != name {
+	for _, member := range daemon.Table.Live("") {
+		if member.Member.Name != name {
 			continue
 		}
 		if name == daemon.Process.Name {
 			out = daemon.Live.Reload()
-		} else if err := daemon.Net.Call(one.Member.Wire, "Process.Reload", struct{}{}, &out, roundPatience); wire.Unsent(err) {
+		} else if err := daemon.Net.Call(member.Member.Wire, "Process.Reload", struct{}{}, &out, roundTimeout); wire.Unsent(err) {
 			return out, verdict.Decline(503, "unreached", err.Error(), time.Second)
 		} else if err != nil {
 			return out, &verdict.Mishap{Verdict: verdict.MayHaveRun, Code: "outcome_unknown", Status: 504, Cause: err, Message: "the outcome is unknown: " + err.Error() + "; reloading again does no harm"}
@@ -148,18 +148,18 @@
 		if err != nil {
 			return nil, err
 		}
-		one := ModelStatus{Model: object, Shelves: map[string]workflow.Shelf{}}
+		status := ModelStatus{Model: object, Shelves: map[string]workflow.Shelf{}}
 		for _, region := range tree.Regions() {
 			shelf, _, err := daemon.Book.Read(rollout.Key(model, region))
 			if err != nil {
 				return nil, err
 			}
-			one.Shelves[region] = shelf
+			status.Shelves[region] = shelf
 		}
-		if one.Versions, err = daemon.Objects.Versions(model); err != nil {
+		if status.Versions, err = daemon.Objects.Versions(model); err != nil {
 			return nil, err
 		}
-		out[model] = one
+		out[model] = status
 	}
 	return out, nil
 }
@@ -231,7 +231,7 @@
 	serial, config, tree := daemon.Office.Current()
 	out := Local{
 		Member: daemon.Table.Self, Core: daemon.Core(), Serial: serial, Evacuated: config.Evacuated, Sessions: daemon.Table.Live(""),
-		Regions: map[string]RegionState{}, Mended: daemon.mended.Load(), Rounds: daemon.Rounded(), Granted: daemon.Office.Grants(), Wall: daemon.World.Wall(), Watched: daemon.Table.Watched(),
+		Regions: map[string]RegionState{}, Mended: daemon.repaired.Load(), Rounds: daemon.Rounded(), Granted: daemon.Office.Grants(), Wall: daemon.World.Wall(), Watched: daemon.Table.Watched(),
 		Lacking: daemon.lacking(),
 	}
 	out.Duties, out.Changes = daemon.Duties.Seen()
@@ -239,20 +239,20 @@
 		out.Acceptor = new(register.About)
 		_ = daemon.Acceptor.Describe(struct{}{}, out.Acceptor)
 	}
-	daemon.guard.Lock()
+	daemon.mu.Lock()
 	regions := make([]*region, 0, len(daemon.regions))
-	for _, one := range daemon.regions {
-		regions = append(regions, one)
+	for _, region := range daemon.regions {
+		regions = append(regions, region)
 	}
-	daemon.guard.Unlock()
-	for _, one := range regions {
-		if serial, held := daemon.Duties.Held(RegionDuty + one.name); held && tree != nil {
-			one.guard.Lock()
-			during := one.tenure
-			state := RegionState{Duty: serial, Standing: one.before, ListError: one.listErr, RollError: one.failed}
-			one.guard.Unlock()
-			state.Replicas, _ = one.rows(tree, during)
-			out.Regions[one.name] = state
+	daemon.mu.Unlock()
+	for _, region := range regions {
+		if serial, held := daemon.Duties.Held(RegionDuty + region.name); held && tree != nil {
+			region.mu.Lock()
+			observed := region.leadership
+			state := RegionState{Duty: serial, Standing: region.table, ListError: region.listError, RollError: region.rollError}
+			region.mu.Unlock()
+			state.Replicas, _ = region.replicaRows(tree, observed)
+			out.Regions[region.name] = state
 		}
 	}
 	return out
@@ -298,15 +298,15 @@
 	out := Status{Asked: self.Member.Name, Core: self.Core, Locals: map[string]Local{self.Member.Name: self}, Unreached: map[string]string{}, Skews: map[string]time.Duration{}}
 	addresses := map[string]string{} // by address: what it is
 	for _, member := range self.Core.Members {
-		at := daemon.Table.Locate(member.ID)
-		if at == "" {
-			at = member.Address
+		address := daemon.Table.Locate(member.ID)
+		if address == "" {
+			address = member.Address
 		}
-		addresses[at] = "acceptor " + member.ID
+		addresses[address] = "acceptor " + member.ID
 	}
-	for _, one := range self.Sessions {
-		if one.Member.Role == session.Control {
-			addresses[one.Member.Wire] = one.Member.Name
+	for _, entry := range self.Sessions {
+		if entry.Member.Role == session.Control {
+			addresses[entry.Member.Wire] = entry.Member.Name
 		}
 	}
 	for _, seed := range daemon.Live.Seeds() {
@@ -320,24 +320,24 @@
 		list = append(list, address)
 	}
 	slices.Sort(list)
-	type got struct {
+	type localResult struct {
 		local Local
 		err   error
 	}
-	loop.Gather(daemon.World, len(list), daemon.span(), func(index int) got {
+	loop.Gather(daemon.World, len(list), daemon.sessionTimeout(), func(index int) localResult {
 		var reply LocalReply
-		var one got
-		if one.err = daemon.Net.Call(list[index], "Local.Local", struct{}{}, &reply, daemon.span()*3/4); one.err == nil {
-			one.err = json.Unmarshal(reply.Body, &one.local)
+		var entry localResult
+		if entry.err = daemon.Net.Call(list[index], "Local.Local", struct{}{}, &reply, daemon.sessionTimeout()*3/4); entry.err == nil {
+			entry.err = json.Unmarshal(reply.Body, &entry.local)
 		}
-		return one
-	}, func(index int, one got) bool {
+		return entry
+	}, func(index int, entry localResult) bool {
 		address := list[index]
-		if one.err == nil {
-			out.Locals[one.local.Member.Name] = one.local
-			out.Skews[one.local.Member.Name] = one.local.Wall.Sub(daemon.World.Wall())
+		if entry.err == nil {
+			out.Locals[entry.local.Member.Name] = entry.local
+			out.Skews[entry.local.Member.Name] = entry.local.Wall.Sub(daemon.World.Wall())
 		} else {
-			out.Unreached[address] = addresses[address] + ": " + one.err.Error()
+			out.Unreached[address] = addresses[address] + ": " + entry.err.Error()
 			if slices.Contains(daemon.Live.Seeds(), address) {
 				out.SeedsUnmet = append(out.SeedsUnmet, address)
 			}
@@ -346,8 +346,8 @@
 	})
 	for _, address := range list {
 		answered := out.Unreached[address] != ""
-		for _, one := range out.Locals {
-			answered = answered || one.Member.Wire == address
+		for _, entry := range out.Locals {
+			answered = answered || entry.Member.Wire == address
 		}
 		if !answered {
 			out.Unreached[address] = addresses[address] + ": no answer in time"
@@ -357,7 +357,7 @@
 		}
 	}
 	slices.Sort(out.SeedsUnmet)
-	value, err := daemon.ReadWithin(permit.ConfigKey, orderSilence)
+	value, err := daemon.ReadWithin(permit.ConfigKey, orderQuorumTimeout)
 	if err != nil {
 		out.Trouble = err.Error()
 		out.Serial = self.Serial
@@ -365,7 +365,7 @@
 	}
 	out.Majority, out.Serial = true, value.Serial
 	out.Sums = daemon.Compare()
-	redundancy := redundancy(out.Core, out.Sums)
+	redundancy := computeRedundancy(out.Core, out.Sums)
 	redundancy.LackingFor = redundancy.lackingFor(out.Locals)
 	out.Redundancy = &redundancy
 	_ = daemon.Office.Learn(value)
@@ -381,8 +381,8 @@
 }
 
 // effective gives every value that holds at a place, and where it came from.
-func effective(tree *settings.Tree, place string) (map[string]map[string]any, bool) {
-	leaves, known := tree.Effective(place)
+func effective(tree *settings.Tree, scope string) (map[string]map[string]any, bool) {
+	leaves, known := tree.Effective(scope)
 	if !known {
 		return nil, false
 	}
@@ -393,6 +393,6 @@
 	return out, true
 }
 
-func words(text string) []string {
+func splitList(text string) []string {
 	return slices.DeleteFunc(strings.Split(text, ","), func(word string) bool { return word == "" })
 }
--- a/controlplane/order.go
+++ b/controlplane/order.go
@@ -19,15 +19,15 @@
 )
 
 const (
-	// orderSilence is for how long an order goes on while no majority of the core answers.
+	// orderQuorumTimeout is for how long an order goes on while no majority of the core answers.
 	// Operators turn to another daemon after a second.
-	orderSilence = roundPatience * 2 / 5
-	// orderSpan is how long after its arrival an order may still be written that builds on
+	orderQuorumTimeout = roundTimeout * 2 / 5
+	// orderMaxAge is how long after its arrival an order may still be written that builds on
 	// no version: who gave it up may have had the opposite acknowledged elsewhere since.
-	orderSpan = roundPatience / 2
-	// documentSpan is that of a document, which is written only on top of the one that it
+	orderMaxAge = roundTimeout / 2
+	// documentMaxAge is that of a document, which is written only on top of the one that it
 	// builds on.
-	documentSpan = 2 * roundPatience
+	documentMaxAge = 2 * roundTimeout
 )
 
 // ErrAbandoned: the caller of an order left, or its time is over, before it was written.
@@ -52,13 +52,13 @@
 // For takes an order that is read now. One that may have lain unread while this daemon was
 // frozen counts as having arrived when the freeze began.
 func (daemon *Daemon) For(caller Caller) *Operator {
-	return &Operator{daemon: daemon, caller: caller, arrived: daemon.pauses.earliest()}
+	return &Operator{daemon: daemon, caller: caller, arrived: daemon.pauses.earliestArrival()}
 }
 
 // isAbandoned tells whether nothing may be written for the caller any more, the span after
 // the order's arrival at the latest.
-func (operator *Operator) isAbandoned(span time.Duration) bool {
-	return operator.daemon.World.Now()-operator.arrived > span || operator.caller.IsGone != nil && operator.caller.IsGone()
+func (operator *Operator) isAbandoned(maxAge time.Duration) bool {
+	return operator.daemon.World.Now()-operator.arrived > maxAge || operator.caller.IsGone != nil && operator.caller.IsGone()
 }
 
 // Apply is Operator.Apply for a caller that can't leave.
@@ -97,8 +97,8 @@
 		return permit.Applied{}, nil
 	}
 	archived := daemon.Office.Archive()
-	return daemon.Office.Change(expect, operator.fenced(documentSpan, func(config permit.Config) (permit.Config, error) {
-		config, err := config.Take(document, marked(tree.Label(), rest, origin), archived)
+	return daemon.Office.Change(expect, operator.unlessAbandoned(documentMaxAge, func(config permit.Config) (permit.Config, error) {
+		config, err := config.Take(document, versionMark(tree.Label(), rest, origin), archived)
 		// An evacuation outlasts configurations; a zone that is no more does not.
 		config.Evacuated = slices.DeleteFunc(slices.Clone(config.Evacuated), func(zone string) bool {
 			_, known := tree.RegionOf(zone)
@@ -116,18 +116,18 @@
 	return fmt.Sprintf("expected the configuration labelled %d, but the current one is %d", outdated.Want, outdated.Have)
 }
 
-// marked is the mark of a document, by what the operator sent: that which it was made
+// versionMark is the mark of a document, by what the operator sent: that which it was made
 // from, if it says so. One without a label has none.
-func marked(label uint64, rest, origin []byte) permit.Mark {
+func versionMark(label uint64, rest, origin []byte) permit.Mark {
 	if label == 0 {
 		return ""
 	}
-	sent := origin
-	if len(sent) == 0 {
-		sent = rest
+	source := origin
+	if len(source) == 0 {
+		source = rest
 	}
 	var compact bytes.Buffer
-	_ = json.Compact(&compact, sent) // a tree was parsed from it
+	_ = json.Compact(&compact, source) // a tree was parsed from it
 	sum := sha256.Sum256(compact.Bytes())
 	return permit.Mark(fmt.Sprintf("%d/%s", label, base64.RawStdEncoding.EncodeToString(sum[:9])))
 }
@@ -144,61 +144,61 @@
 	if len(problems) > 0 {
 		return permit.Applied{}, problems
 	}
-	mark := marked(tree.Label(), rest, origin)
+	mark := versionMark(tree.Label(), rest, origin)
 	if applied, isTaken, err := daemon.Office.Again(mark); isTaken {
-		return daemon.ended(operator.arrived, applied, err)
+		return daemon.logOutcome(operator.arrived, applied, err)
 	}
 	archived := daemon.Office.Archive()
-	var under permit.Config // what was revised last
-	applied, err := operator.settle(documentSpan, func(config permit.Config) (permit.Config, error) {
-		under = config
-		switch have := config.Label(); {
+	var base permit.Config // what was revised last
+	applied, err := operator.changeRepeatable(documentMaxAge, func(config permit.Config) (permit.Config, error) {
+		base = config
+		switch label := config.Label(); {
 		case slices.Contains(config.Taken, mark):
 			return config, permit.ErrSame
-		case expect != have:
-			return config, &Outdated{Have: have, Want: expect}
-		case tree.Label() <= have:
-			return config, settings.Problems{{Path: "$.label", Reason: fmt.Sprintf("%d is not above the current %d", tree.Label(), have)}}
+		case expect != label:
+			return config, &Outdated{Have: label, Want: expect}
+		case tree.Label() <= label:
+			return config, settings.Problems{{Path: "$.label", Reason: fmt.Sprintf("%d is not above the current %d", tree.Label(), label)}}
 		}
 		return config.Take(document, mark, archived)
 	})
 	var outdated *Outdated
-	if !errors.As(err, &outdated) || under.Archived == 0 || mark.Label() > under.Label() {
+	if !errors.As(err, &outdated) || base.Archived == 0 || mark.Label() > base.Label() {
 		return applied, err
 	}
 	// It may have been taken long ago.
-	isTaken, recallErr := daemon.Office.Recall(under, mark, orderSilence)
+	isTaken, recallErr := daemon.Office.Recall(base, mark, orderQuorumTimeout)
 	switch {
 	case recallErr != nil:
 		return applied, recallErr
 	case !isTaken:
 		return applied, err
 	}
-	return operator.settle(documentSpan, func(config permit.Config) (permit.Config, error) { return config, permit.ErrSame })
+	return operator.changeRepeatable(documentMaxAge, func(config permit.Config) (permit.Config, error) { return config, permit.ErrSame })
 }
 
-// fenced is the revision that declines to write for a caller that is gone. It runs right
+// unlessAbandoned is the revision that declines to write for a caller that is gone. It runs right
 // before each write, so that a daemon that was frozen meanwhile finds out.
-func (operator *Operator) fenced(span time.Duration, revise func(permit.Config) (permit.Config, error)) func(permit.Config) (permit.Config, error) {
+func (operator *Operator) unlessAbandoned(maxAge time.Duration, revise func(permit.Config) (permit.Config, error)) func(permit.Config) (permit.Config, error) {
 	return func(config permit.Config) (permit.Config, error) {
 		next, err := revise(config)
-		if err == nil && operator.isAbandoned(span) {
+		if err == nil && operator.isAbandoned(maxAge) {
 			err = ErrAbandoned
 		}
 		return next, err
 	}
 }
 
-// settle carries out a change that may be made twice: what brings about the same again is
+// changeRepeatable carries out a change that may be made twice: what brings about the same again is
 // ErrSame. Where its outcome can't be told, whoever sends it again finds out: the ballot of
 // that is higher, so that the first either lies beneath what it reads, or never will.
-func (operator *Operator) settle(span time.Duration, revise func(permit.Config) (permit.Config, error)) (permit.Applied, error) {
-	applied, err := operator.daemon.Office.Change(nil, operator.fenced(span, revise))
-	return operator.daemon.ended(operator.arrived, applied, err)
+func (operator *Operator) changeRepeatable(maxAge time.Duration, revise func(permit.Config) (permit.Config, error)) (permit.Applied, error) {
+	applied, err := operator.daemon.Office.Change(nil, operator.unlessAbandoned(maxAge, revise))
+	return operator.daemon.logOutcome(operator.arrived, applied, err)
 }
 
-// ended logs what became of an operator's change.
-func (daemon *Daemon) ended(began time.Duration, applied permit.Applied, err error) (permit.Applied, error) {
+// logOutcome logs what became of an operator's change.
+func (daemon *Daemon) logOutcome(began time.Duration, applied permit.Applied, err error) (permit.Applied, error) {
 	daemon.Log.Info("the operator's change has ended", zap.Uint64("serial", applied.Serial), zap.Duration("took", daemon.World.Now()-began),
 		zap.Duration("acknowledged_in", applied.Took), zap.Int("holders", applied.Holders), zap.Strings("expired", applied.Expired), zap.Error(err))
 	return applied, err
@@ -222,9 +222,9 @@
 		_, isKnown := tree.RegionOf(zone)
 		return isKnown && slices.Contains(config.Evacuated, zone) != back
 	}); isSo || err != nil {
-		return daemon.ended(operator.arrived, applied, err)
+		return daemon.logOutcome(operator.arrived, applied, err)
 	}
-	return operator.settle(orderSpan, func(config permit.Config) (permit.Config, error) {
+	return operator.changeRepeatable(orderMaxAge, func(config permit.Config) (permit.Config, error) {
 		if len(config.Document) == 0 {
 			return config, verdict.Decline(409, "no_configuration", "there is no configuration yet", 0)
 		}
@@ -239,12 +239,12 @@
 		if isOut != back {
 			return config, permit.ErrSame
 		}
-		out := slices.DeleteFunc(slices.Clone(config.Evacuated), func(one string) bool { return one == zone })
+		zones := slices.DeleteFunc(slices.Clone(config.Evacuated), func(evacuated string) bool { return evacuated == zone })
 		if !back {
-			out = append(out, zone)
-			slices.Sort(out)
+			zones = append(zones, zone)
+			slices.Sort(zones)
 		}
-		config.Evacuated = out
+		config.Evacuated = zones
 		return config, nil
 	})
 }
@@ -258,8 +258,8 @@
 	Reason  string `json:"reason,omitempty"` // why it was taken back
 }
 
-// open lists the regions that place the model with any version.
-func open(tree *settings.Tree, model string) (regions []string) {
+// regionsWithAnyVersion lists the regions that place the model with any version.
+func regionsWithAnyVersion(tree *settings.Tree, model string) (regions []string) {
 	if tree == nil {
 		return nil
 	}
@@ -286,14 +286,14 @@
 		return Answer(err)
 	}
 	_, _, tree := daemon.Office.Current()
-	regions := open(tree, model)
+	regions := regionsWithAnyVersion(tree, model)
 	switch {
 	case tree == nil:
 		return verdict.Decline(409, "no_configuration", "there is no configuration yet", 0)
 	case len(regions) == 0:
 		return verdict.Decline(404, "no_model", fmt.Sprintf("model %q is placed in no region with any version", model), 0)
 	}
-	fence := rollout.Fence{Silence: orderSilence, IsAbandoned: func() bool { return operator.isAbandoned(orderSpan) }}
+	fence := rollout.Fence{Silence: orderQuorumTimeout, IsAbandoned: func() bool { return operator.isAbandoned(orderMaxAge) }}
 	if _, err := daemon.Objects.BeginWithin(fence, model, version, over, regions); err != nil {
 		return Answer(err)
 	}
@@ -303,17 +303,17 @@
 // RolloutState tells how the model's newest roll-out under a term stands. The error is
 // always a *verdict.Mishap.
 func (daemon *Daemon) RolloutState(model string) (RolloutState, error) {
-	have, err := daemon.Objects.ModelWithin(model, orderSilence)
+	object, err := daemon.Objects.ModelWithin(model, orderQuorumTimeout)
 	if err != nil {
 		return RolloutState{}, Answer(err)
 	}
-	if have.Order == nil {
+	if object.Order == nil {
 		return RolloutState{}, nil
 	}
 	_, _, tree := daemon.Office.Current()
-	regions := open(tree, model)
+	regions := regionsWithAnyVersion(tree, model)
 	if tree == nil { // it started just now
-		regions = have.Order.Regions
+		regions = object.Order.Regions
 	}
-	return RolloutState{State: have.Order.State(regions), Version: have.Order.Version, Reason: have.Order.Back}, nil
+	return RolloutState{State: object.Order.State(regions), Version: object.Order.Version, Reason: object.Order.Back}, nil
 }
--- a/controlplane/pause.go
+++ b/controlplane/pause.go
@@ -12,7 +12,7 @@
 	// pauseInterval is how often the detector notes that the process runs, and pauseLeast is
 	// how long it must not have run for that to be a pause, and no busy machine.
 	pauseInterval = 100 * time.Millisecond
-	pauseLeast    = 3 * pauseInterval
+	minPause      = 3 * pauseInterval
 	// pauseBacklog is for how long after a pause what is read may have come during it: the
 	// sockets are read at once, and a loaded machine takes longer.
 	pauseBacklog = 500 * time.Millisecond
@@ -24,11 +24,11 @@
 // Invariants: ran never falls and is the last time at which the process is known to have run by
 // its timer; pausedAt is the value of ran before the last pause, resumed when that was over.
 type pauseDetector struct {
-	world             loop.World
-	guard             sync.Mutex
-	ran               time.Duration
-	pausedAt, resumed time.Duration
-	isRunning         bool
+	world               loop.World
+	mu                  sync.Mutex
+	ranAt               time.Duration
+	pausedAt, resumedAt time.Duration
+	isRunning           bool
 }
 
 // run notes at each interval that the process runs, until the daemon stops.
@@ -41,27 +41,27 @@
 
 // note notes that the process runs now.
 func (detector *pauseDetector) note() {
-	detector.guard.Lock()
-	defer detector.guard.Unlock()
+	detector.mu.Lock()
+	defer detector.mu.Unlock()
 	now := detector.world.Now()
-	if detector.isRunning && now-detector.ran >= pauseLeast {
-		detector.pausedAt, detector.resumed = detector.ran, now
+	if detector.isRunning && now-detector.ranAt >= minPause {
+		detector.pausedAt, detector.resumedAt = detector.ranAt, now
 	}
-	detector.ran, detector.isRunning = now, true
+	detector.ranAt, detector.isRunning = now, true
 }
 
-// earliest is the earliest time at which something that is read now may have arrived at this
+// earliestArrival is the earliest time at which something that is read now may have arrived at this
 // machine.
-func (detector *pauseDetector) earliest() time.Duration {
-	detector.guard.Lock()
-	defer detector.guard.Unlock()
+func (detector *pauseDetector) earliestArrival() time.Duration {
+	detector.mu.Lock()
+	defer detector.mu.Unlock()
 	now := detector.world.Now()
 	switch {
 	case !detector.isRunning:
 		return now
-	case now-detector.ran >= pauseLeast:
-		return detector.ran // the timer of before the pause has not run yet
-	case detector.resumed > 0 && now-detector.resumed < pauseBacklog:
+	case now-detector.ranAt >= minPause:
+		return detector.ranAt // the timer of before the pause has not run yet
+	case detector.resumedAt > 0 && now-detector.resumedAt < pauseBacklog:
 		return detector.pausedAt
 	}
 	return now
--- a/controlplane/pause_test.go
+++ b/controlplane/pause_test.go
@@ -17,22 +17,22 @@
 		var node *sim.Node
 		world.Start("c", func(started *sim.Node) {
 			node, detector = started, &pauseDetector{world: started}
-			if got := detector.earliest(); got != started.Now() {
+			if got := detector.earliestArrival(); got != started.Now() {
 				t.Errorf("order: before it runs %v, not now", got)
 			}
 			detector.run(func() bool { return false })
 		})
 		world.Run(time.Second + time.Duration(seed)*7*time.Millisecond)
-		if got, now := detector.earliest(), node.Now(); got != now {
+		if got, now := detector.earliestArrival(), node.Now(); got != now {
 			t.Errorf("order: seed %d: in calm it is %v, not now, %v", seed, got, now)
 		}
 		frozen := node.Now()
 		world.Freeze("c", 2*time.Second)
 		var reads []time.Duration
 		node.Go(func() { // as the machine wakes
-			reads = append(reads, detector.earliest())
+			reads = append(reads, detector.earliestArrival())
 			loop.Sleep(node, pauseBacklog/2)
-			reads = append(reads, detector.earliest())
+			reads = append(reads, detector.earliestArrival())
 		})
 		world.Run(2*time.Second + pauseBacklog/2 + 10*time.Millisecond)
 		for at, got := range reads {
@@ -44,7 +44,7 @@
 			t.Errorf("vacuous: %d reads", len(reads))
 		}
 		world.Run(pauseBacklog)
-		if got, now := detector.earliest(), node.Now(); got != now {
+		if got, now := detector.earliestArrival(), node.Now(); got != now {
 			t.Errorf("order: seed %d: long after the freeze it is %v, not now, %v", seed, got, now)
 		}
 		world.Close()
--- a/controlplane/reconciler_model_test.go
+++ b/controlplane/reconciler_model_test.go
@@ -15,12 +15,12 @@
 // that lose power, disks and the others' hearing, in all orders. What an acceptor holds is
 // abstract: whether it has the newest acknowledged value.
 
-// modelBound is how long an acceptor may be unheard before another takes its place.
-const modelBound = time.Second
+// modelReplaceAfter is how long an acceptor may be unheard before another takes its place.
+const modelReplaceAfter = time.Second
 
 // Levels of silence of an acceptor.
 const (
-	isHeard = iota
+	live = iota
 	silentShort
 	silentLong     // for the bound
 	silentVeryLong // for dropAfter bounds
@@ -49,16 +49,16 @@
 
 // modelRules are the rules that are tried: the product's, or planted bugs.
 type modelRules struct {
-	reconcile func(core register.Core, seen map[string]Sighting, bound time.Duration) (Tended, bool)
-	mayBeMade func(step Tended, core, next register.Core, inStep map[string]bool, answered int) bool
+	plan   func(core register.Core, seen map[string]AcceptorView, bound time.Duration) (CoreChange, bool)
+	isSafe func(step CoreChange, core, next register.Core, inStep map[string]bool, answered int) bool
 	// tolerates tells whether the environment may take a disk while so many of the votes are
 	// lost or not whole, that one included.
 	tolerates func(lacking, votes int) bool
 }
 
 var productRules = modelRules{
-	reconcile: Tend,
-	mayBeMade: Tended.mayBeMade,
+	plan:      PlanCoreChange,
+	isSafe:    CoreChange.isSafe,
 	tolerates: func(lacking, votes int) bool { return lacking <= (votes-1)/2 },
 }
 
@@ -119,19 +119,19 @@
 }
 
 // seen is what the reconciler sees.
-func (state modelState) seen() map[string]Sighting {
-	unheard := []time.Duration{0, modelBound / 2, modelBound, dropAfter * modelBound}
-	seen := map[string]Sighting{}
+func (state modelState) seen() map[string]AcceptorView {
+	unheard := []time.Duration{0, modelReplaceAfter / 2, modelReplaceAfter, shrinkAfter * modelReplaceAfter}
+	seen := map[string]AcceptorView{}
 	for at, machine := range state.machines {
 		if machine.isUp {
 			name := fmt.Sprint("m", at)
 			member := session.Member{Name: name, Wire: name, Region: fmt.Sprint("r", at%3), Zone: fmt.Sprint("r", at%3, "-1"), Acceptor: identity(at, machine.life)}
-			seen[member.Acceptor] = Sighting{Member: member, IsMember: true}
+			seen[member.Acceptor] = AcceptorView{Member: member, IsMember: true}
 		}
 	}
 	for _, vote := range state.votes {
 		if !state.isAlive(vote) {
-			seen[identity(vote.machine, vote.life)] = Sighting{Member: session.Member{Name: fmt.Sprint("m", vote.machine)}, Unheard: unheard[vote.silence]}
+			seen[identity(vote.machine, vote.life)] = AcceptorView{Member: session.Member{Name: fmt.Sprint("m", vote.machine)}, SilentFor: unheard[vote.silence]}
 		}
 	}
 	return seen
@@ -147,8 +147,8 @@
 	return count
 }
 
-// broken tells whether a majority could answer without the newest acknowledged value.
-func (state modelState) broken() bool {
+// losesValue tells whether a majority could answer without the newest acknowledged value.
+func (state modelState) losesValue() bool {
 	without := 0
 	for _, vote := range state.votes {
 		if state.exists(vote) && vote.isInStep && !state.machines[vote.machine].holds {
@@ -201,10 +201,10 @@
 			}
 		}
 	}
-	if slices.ContainsFunc(state.votes, func(vote modelVote) bool { return vote.silence > isHeard && vote.silence < silentVeryLong }) {
+	if slices.ContainsFunc(state.votes, func(vote modelVote) bool { return vote.silence > live && vote.silence < silentVeryLong }) {
 		add("time passes", func(next *modelState) {
 			for at := range next.votes {
-				if next.votes[at].silence > isHeard {
+				if next.votes[at].silence > live {
 					next.votes[at].silence = min(silentVeryLong, next.votes[at].silence+1)
 				}
 			}
@@ -236,7 +236,7 @@
 func (state *modelState) down(machine int) {
 	state.machines[machine].isUp = false
 	for at := range state.votes {
-		if state.votes[at].machine == machine && state.votes[at].silence == isHeard {
+		if state.votes[at].machine == machine && state.votes[at].silence == live {
 			state.votes[at].silence = silentShort
 		}
 	}
@@ -246,7 +246,7 @@
 	state.machines[machine].isUp = true
 	for at := range state.votes {
 		if vote := &state.votes[at]; vote.machine == machine && state.exists(*vote) {
-			vote.silence = isHeard
+			vote.silence = live
 		}
 	}
 }
@@ -255,7 +255,7 @@
 // majority of the next core.
 func (state modelState) reconciled(rules modelRules) (out []nextState) {
 	core, seen := state.core(), state.seen()
-	step, isDue := rules.reconcile(core, seen, modelBound)
+	step, isDue := rules.plan(core, seen, modelReplaceAfter)
 	if !isDue || len(state.voters()) < state.majority() {
 		return nil
 	}
@@ -271,7 +271,7 @@
 	}
 	members := step.Next(core, seen)
 	next := register.Core{Epoch: core.Epoch + 1, Members: members}
-	if !rules.mayBeMade(step, core, next, inStep, answered) {
+	if !rules.isSafe(step, core, next, inStep, answered) {
 		return nil
 	}
 	changed := state.clone()
@@ -311,7 +311,7 @@
 		state.up(at)
 	}
 	state = state.settled(rules)
-	return state.lacking() == 0 && len(state.votes) == min(len(state.machines), MostVotes)
+	return state.lacking() == 0 && len(state.votes) == min(len(state.machines), MaxVotes)
 }
 
 // replaces tells whether no vote stays lost where a majority can vote and another machine runs
@@ -343,7 +343,7 @@
 			}
 		}
 		for at := range state.votes {
-			if state.votes[at].silence > isHeard {
+			if state.votes[at].silence > live {
 				state.votes[at].silence = silentVeryLong
 			}
 		}
@@ -381,27 +381,27 @@
 	queue := []*visit{{state: first}}
 	seen := map[string]bool{first.key(): true}
 	for len(queue) > 0 {
-		one := queue[0]
+		current := queue[0]
 		queue = queue[1:]
-		report.depth = max(report.depth, one.depth)
+		report.depth = max(report.depth, current.depth)
 		switch {
-		case one.state.broken():
+		case current.state.losesValue():
 			report.why = "a majority can answer without the newest acknowledged value"
-		case !one.state.settles(rules):
+		case !current.state.settles(rules):
 			report.why = "the core does not become whole again"
-		case !one.state.replaces(rules):
+		case !current.state.replaces(rules):
 			report.why = "a lost vote is not replaced though a machine waits"
 		}
 		if report.why != "" {
-			for at := one; at != nil; at = at.before {
+			for at := current; at != nil; at = at.before {
 				report.broken = append([]string{at.step}, report.broken...)
 			}
 			break
 		}
-		for _, next := range one.state.steps(rules, mostWipes) {
+		for _, next := range current.state.steps(rules, mostWipes) {
 			if key := next.state.key(); !seen[key] {
 				seen[key] = true
-				queue = append(queue, &visit{next.state, one, next.step, one.depth + 1})
+				queue = append(queue, &visit{next.state, current, next.step, current.depth + 1})
 			}
 		}
 	}
@@ -426,10 +426,10 @@
 }
 
 // without gives the product's rules but for steps that are like that.
-func without(isLike func(step Tended) bool) modelRules {
+func without(isLike func(step CoreChange) bool) modelRules {
 	rules := productRules
-	rules.reconcile = func(core register.Core, seen map[string]Sighting, bound time.Duration) (Tended, bool) {
-		step, isDue := Tend(core, seen, bound)
+	rules.plan = func(core register.Core, seen map[string]AcceptorView, bound time.Duration) (CoreChange, bool) {
+		step, isDue := PlanCoreChange(core, seen, bound)
 		return step, isDue && !isLike(step)
 	}
 	return rules
@@ -438,17 +438,17 @@
 // TestReconcilerModelSeesBugs: the model finds rules that never replace, never grow or never
 // may make a step, and an environment that takes more disks than are tolerated.
 func TestReconcilerModelSeesBugs(t *testing.T) {
-	late := productRules
-	late.mayBeMade = func(_ Tended, core, _ register.Core, inStep map[string]bool, _ int) bool {
+	allInStep := productRules
+	allInStep.isSafe = func(_ CoreChange, core, _ register.Core, inStep map[string]bool, _ int) bool {
 		return len(inStep) == len(core.Members)
 	}
-	cruel := productRules
-	cruel.tolerates = func(int, int) bool { return true }
+	anyLoss := productRules
+	anyLoss.tolerates = func(int, int) bool { return true }
 	for name, rules := range map[string]modelRules{
-		"lost ones are not replaced":     without(func(step Tended) bool { return step.Remove != "" }),
-		"newcomers stay out":             without(func(step Tended) bool { return step.Whole && step.Add != "" }),
-		"steps only while all are there": late,
-		"any disks are lost":             cruel,
+		"lost ones are not replaced":     without(func(step CoreChange) bool { return step.Remove != "" }),
+		"newcomers stay out":             without(func(step CoreChange) bool { return step.NeedsAll && step.Add != "" }),
+		"steps only while all are there": allInStep,
+		"any disks are lost":             anyLoss,
 	} {
 		report := explore(4, 3, 2, rules)
 		t.Logf("%s: %s, after %d states", name, report.why, report.states)
--- a/controlplane/redundancy.go
+++ b/controlplane/redundancy.go
@@ -25,16 +25,16 @@
 	LackingFor map[string]time.Duration `json:"lacking_for,omitempty"`
 }
 
-// redundancy judges the acceptors' digests, by identity and range by range. A range has a
+// computeRedundancy judges the acceptors' digests, by identity and range by range. A range has a
 // right digest where a majority of the core agrees; without one nobody counts as whole.
-func redundancy(core register.Core, sums map[string][]string) Redundancy {
+func computeRedundancy(core register.Core, digests map[string][]string) Redundancy {
 	out := Redundancy{Wanted: len(core.Members)}
 	for _, member := range core.Members {
-		mine, answered := sums[member.ID]
+		own, answered := digests[member.ID]
 		switch {
 		case !answered:
 			out.Silent = append(out.Silent, member.ID)
-		case isAgreed(core, sums, mine):
+		case isAgreed(core, digests, own):
 			out.Whole++
 		default:
 			out.Behind = append(out.Behind, member.ID)
@@ -45,11 +45,11 @@
 }
 
 // isAgreed tells whether a majority of the core has each of the digests.
-func isAgreed(core register.Core, sums map[string][]string, mine []string) bool {
-	for at, sum := range mine {
+func isAgreed(core register.Core, digests map[string][]string, own []string) bool {
+	for index, digest := range own {
 		same := 0
 		for _, member := range core.Members {
-			if theirs := sums[member.ID]; at < len(theirs) && theirs[at] == sum {
+			if others := digests[member.ID]; index < len(others) && others[index] == digest {
 				same++
 			}
 		}
@@ -57,7 +57,7 @@
 			return false
 		}
 	}
-	return len(mine) > 0
+	return len(own) > 0
 }
 
 // IsWhole tells that every acceptor of the core holds what was decided.
--- a/controlplane/redundancy_test.go
+++ b/controlplane/redundancy_test.go
@@ -19,7 +19,7 @@
 // each range.
 func TestRedundancy(t *testing.T) {
 	three := coreOf("a", "b", "c")
-	for name, one := range map[string]struct {
+	for name, testCase := range map[string]struct {
 		core register.Core
 		sums map[string][]string
 		want Redundancy
@@ -34,9 +34,9 @@
 			Redundancy{Whole: 5, Wanted: 7, Losable: 1, Behind: []string{"f"}, Silent: []string{"g"}}},
 		"half of four": {coreOf("a", "b", "c", "d"), map[string][]string{"a": {"1"}, "b": {"1"}, "c": {"0"}, "d": {"0"}}, Redundancy{Wanted: 4, Behind: []string{"a", "b", "c", "d"}}},
 	} {
-		got := redundancy(one.core, one.sums)
-		if !reflect.DeepEqual(got, one.want) {
-			t.Errorf("%s: %+v, not %+v", name, got, one.want)
+		got := computeRedundancy(testCase.core, testCase.sums)
+		if !reflect.DeepEqual(got, testCase.want) {
+			t.Errorf("%s: %+v, not %+v", name, got, testCase.want)
 		}
 		if got.IsWhole() != (len(got.lacking()) == 0) {
 			t.Errorf("%s: whole is %v, lacking %v", name, got.IsWhole(), got.lacking())
--- a/controlplane/region.go
+++ b/controlplane/region.go
@@ -21,10 +21,10 @@
 	"swifttiller/workflow"
 )
 
-// tenure is one holding of a duty without a break: under which serial, none when zero, and
+// leadership is one holding of a duty without a break: under which serial, none when zero, and
 // since when.
-type tenure struct {
-	duty  uint64
+type leadership struct {
+	term  uint64
 	since time.Duration
 }
 
@@ -34,38 +34,38 @@
 // Lock order: guard alone; nothing waits under it.
 type region struct {
 	*Daemon
-	name  string
-	guard sync.Mutex
-	tenure
-	table   map[string]*watched
-	seeded  bool // the table has been filled, from the last standing or the platform
-	listAt  time.Duration
-	listErr string
-	// lostAt is when a replica that the list shows, and not as leaving, was last found dark;
+	name string
+	mu   sync.Mutex
+	leadership
+	replicas   map[string]*watchedReplica
+	isFilled   bool // the table has been filled, from the last standing or the platform
+	nextListAt time.Duration
+	listError  string
+	// lastDarkAt is when a replica that the list shows, and not as leaving, was last found dark;
 	// zero for never in this tenure.
-	lostAt  time.Duration
-	before  *standing.Standing
-	written time.Duration
-	// proved is when the last computation began that found before to be so, or
+	lastDarkAt time.Duration
+	table      *standing.Standing
+	writtenAt  time.Duration
+	// verifiedAt is when the last computation began that found before to be so, or
 	// wrote it, under the duty.
-	proved time.Duration
-	routes map[string]standing.Route // as last read
+	verifiedAt time.Duration
+	routes     map[string]standing.Route // as last read
 	// idle are models about which there is no run, nor ever was one, nor can be by
 	// itself, as last read; nil before that.
-	idle   map[string]bool
-	runner *rollout.Runner
-	failed string
-	// computer and roller are the loops that compute the standing and turn the runs: the
+	idle      map[string]bool
+	runner    *rollout.Runner
+	rollError string
+	// computeWaker and roller are the loops that compute the standing and turn the runs: the
 	// one is woken by what is written of a route, the other by a new standing.
-	computer, roller *loop.Waker
-	// ended are lives that are over, to be told soon.
-	ended []permit.Leaver
+	computeWaker, rollWaker *loop.Waker
+	// endedBoots are lives that are over, to be told soon.
+	endedBoots []permit.Leaver
 	// evacuated are the zones that were, when the table was last read.
 	evacuated map[string]bool
 }
 
 func newRegion(daemon *Daemon, name string) *region {
-	return &region{Daemon: daemon, name: name, table: map[string]*watched{}, computer: loop.NewWaker(daemon.World), roller: loop.NewWaker(daemon.World)}
+	return &region{Daemon: daemon, name: name, replicas: map[string]*watchedReplica{}, computeWaker: loop.NewWaker(daemon.World), rollWaker: loop.NewWaker(daemon.World)}
 }
 
 func (region *region) tree() *settings.Tree {
@@ -79,42 +79,42 @@
 	region.World.Go(func() {
 		// Much more often than the platform is asked, so that a new holder of the duty
 		// asks at once; list itself keeps the platform's span.
-		loop.Every(region.World, region.every(func(tree *settings.Tree) time.Duration {
-			return min(tree.Span("platform_ms", region.name)/2, tree.Span("dark_ms", region.name)/2, region.unlisted())
-		}), region.guarded(region.list))
+		loop.Every(region.World, region.interval(func(tree *settings.Tree) time.Duration {
+			return min(tree.Span("platform_ms", region.name)/2, tree.Span("dark_ms", region.name)/2, region.untilNextList())
+		}), region.whileLeader(region.list))
 	})
 	region.World.Go(func() {
-		loop.Every(region.World, region.every(func(tree *settings.Tree) time.Duration { return tree.Span("probe_ms", region.name) }), region.guarded(region.probe))
+		loop.Every(region.World, region.interval(func(tree *settings.Tree) time.Duration { return tree.Span("probe_ms", region.name) }), region.whileLeader(region.probeAll))
 	})
 	region.World.Go(func() {
-		region.computer.Run(region.World, region.every(tick), region.guarded(region.compute))
+		region.computeWaker.Run(region.World, region.interval(tick), region.whileLeader(region.compute))
 	})
 	region.World.Go(func() {
-		region.roller.Run(region.World, region.every(func(tree *settings.Tree) time.Duration {
-			if region.hurries(tree) {
-				return min(tick(tree), max(tick(tree)/8, region.due()))
+		region.rollWaker.Run(region.World, region.interval(func(tree *settings.Tree) time.Duration {
+			if region.hasUrgentRollout(tree) {
+				return min(tick(tree), max(tick(tree)/8, region.nextRunDue()))
 			}
 			return 2 * tick(tree)
-		}), region.guarded(region.roll))
+		}), region.whileLeader(region.advanceRollouts))
 	})
 }
 
-// due is after which time a run of the region has something to do. The loop that turns
+// nextRunDue is after which time a run of the region has something to do. The loop that turns
 // the runs alone asks it.
-func (region *region) due() time.Duration {
-	region.guard.Lock()
+func (region *region) nextRunDue() time.Duration {
+	region.mu.Lock()
 	runner := region.runner
-	region.guard.Unlock()
+	region.mu.Unlock()
 	if runner == nil {
 		return loop.Forever
 	}
 	return runner.Due()
 }
 
-// hurries tells whether an order under a term is under way here.
-func (region *region) hurries(tree *settings.Tree) bool {
-	region.guard.Lock()
-	defer region.guard.Unlock()
+// hasUrgentRollout tells whether an order under a term is under way here.
+func (region *region) hasUrgentRollout(tree *settings.Tree) bool {
+	region.mu.Lock()
+	defer region.mu.Unlock()
 	for model, route := range region.routes {
 		if placement, _ := tree.Placement(model, region.name); placement.Any() && (route.Trial != "" || route.Watched) {
 			return true
@@ -123,91 +123,91 @@
 	return false
 }
 
-// every gives a loop's span as the settings have it at the time, and a part of it right
+// interval gives a loop's span as the settings have it at the time, and a part of it right
 // after this daemon began anew: until a standing is written nobody keeps what data daemons
 // go by up to date.
-func (region *region) every(span func(tree *settings.Tree) time.Duration) func() time.Duration {
+func (region *region) interval(interval func(tree *settings.Tree) time.Duration) func() time.Duration {
 	return func() time.Duration {
-		if region.isFresh() {
-			return min(span(region.tree()), region.tree().Span("dark_ms", region.name)/8)
+		if region.hasJustRestarted() {
+			return min(interval(region.tree()), region.tree().Span("dark_ms", region.name)/8)
 		}
-		return span(region.tree())
+		return interval(region.tree())
 	}
 }
 
-// isFresh tells whether this daemon has begun anew not long ago, may have had the duty
+// hasJustRestarted tells whether this daemon has begun anew not long ago, may have had the duty
 // before, and has not written a standing under it yet.
-func (region *region) isFresh() bool {
-	if !region.Duties.IsBack || region.Table.Watched() > 3*region.span() {
+func (region *region) hasJustRestarted() bool {
+	if !region.Duties.IsBack || region.Table.Watched() > 3*region.sessionTimeout() {
 		return false
 	}
-	region.guard.Lock()
-	defer region.guard.Unlock()
-	return region.before == nil || region.before.Duty != region.duty
+	region.mu.Lock()
+	defer region.mu.Unlock()
+	return region.table == nil || region.table.Duty != region.term
 }
 
-// guarded makes a step that runs only under the duty.
-func (region *region) guarded(step func(serial uint64, tree *settings.Tree)) func() bool {
+// whileLeader makes a step that runs only under the duty.
+func (region *region) whileLeader(step func(term uint64, tree *settings.Tree)) func() bool {
 	return func() bool {
-		serial, held := region.Duties.Held(RegionDuty + region.name)
-		region.guard.Lock()
+		term, held := region.Duties.Held(RegionDuty + region.name)
+		region.mu.Lock()
 		if !held {
-			region.tenure, region.seeded, region.before = tenure{}, false, nil
-			region.table = map[string]*watched{}
+			region.leadership, region.isFilled, region.table = leadership{}, false, nil
+			region.replicas = map[string]*watchedReplica{}
 			region.runner = nil
-		} else if region.duty != serial {
-			region.tenure = tenure{serial, region.World.Now()}
-			region.seeded, region.before, region.idle = false, nil, nil
-			region.runner, region.listAt, region.lostAt = nil, 0, 0
+		} else if region.term != term {
+			region.leadership = leadership{term, region.World.Now()}
+			region.isFilled, region.table, region.idle = false, nil, nil
+			region.runner, region.nextListAt, region.lastDarkAt = nil, 0, 0
 		}
-		region.guard.Unlock()
+		region.mu.Unlock()
 		if tree := region.tree(); held && tree != nil {
-			step(serial, tree)
+			step(term, tree)
 		}
 		return !region.stopped.Load()
 	}
 }
 
-// rows gives the replicas' table for the pure functions; false where it is not the table of
+// replicaRows gives the replicas' table for the pure functions; false where it is not the table of
 // the tenure any more, which was lost or began anew meanwhile: then the table was emptied.
-func (region *region) rows(tree *settings.Tree, during tenure) ([]standing.Replica, bool) {
+func (region *region) replicaRows(tree *settings.Tree, expected leadership) ([]standing.Replica, bool) {
 	now := region.World.Now()
-	dark := tree.Span("dark_ms", region.name)
-	tallies := region.tallies()
-	region.guard.Lock()
-	defer region.guard.Unlock()
-	if region.tenure != during || !region.seeded {
+	darkAfter := tree.Span("dark_ms", region.name)
+	outcomes := region.recentOutcomes()
+	region.mu.Lock()
+	defer region.mu.Unlock()
+	if region.leadership != expected || !region.isFilled {
 		return nil, false
 	}
-	dim, all := 0, 0 // engines' replicas that do not answer probes, and all of them
-	for _, one := range region.table {
-		if one.engine(tree) != nil && !one.leaving && !one.unlisted && !one.isOver {
-			all++
-			if !one.probed || now-one.answered >= dark {
-				dim++
+	silent, total := 0, 0 // engines' replicas that do not answer probes, and all of them
+	for _, watched := range region.replicas {
+		if watched.engine(tree) != nil && !watched.leaving && !watched.unlisted && !watched.hasEnded {
+			total++
+			if !watched.probed || now-watched.answeredAt >= darkAfter {
+				silent++
 			}
 		}
 	}
 	// Probes wait behind requests, and the way to a region may be cut here and not
 	// there: where most do not answer, those that are listed stay in use, and data
 	// daemons go by what their own requests tell.
-	isDoubtful := 2*dim > all
+	mayBePartitioned := 2*silent > total
 	var out []standing.Replica
-	for _, one := range region.table {
+	for _, watched := range region.replicas {
 		row := standing.Replica{
-			ID: one.ID, Address: one.Address, Zone: one.Zone, Region: region.name,
-			Leaving: one.leaving || one.unlisted || one.isOver, Alive: one.probed && now-one.answered < dark,
-			Boot: one.boot(tree), Held: one.vitals.Held, Load: one.vitals.Load, Cold: now < one.coldUntil,
+			ID: watched.ID, Address: watched.Address, Zone: watched.Zone, Region: region.name,
+			Leaving: watched.leaving || watched.unlisted || watched.hasEnded, Alive: watched.probed && now-watched.answeredAt < darkAfter,
+			Boot: watched.boot(tree), Held: watched.health.Held, Load: watched.health.Load, Cold: now < watched.coldUntil,
 		}
-		if one.Version != "" {
+		if watched.Version != "" {
 			row.Held = maps.Clone(row.Held)
 			if row.Held == nil {
 				row.Held = map[string]string{}
 			}
-			row.Held[one.Model+"/"+one.Version] = standing.Ready
+			row.Held[watched.Model+"/"+watched.Version] = standing.Ready
 		}
-		if one.engine(tree) != nil {
-			row.Alive = (row.Alive || isDoubtful && (one.probed || now-region.since > 2*dark)) && !one.isOut(tallies[one.ID], now)
+		if watched.engine(tree) != nil {
+			row.Alive = (row.Alive || mayBePartitioned && (watched.probed || now-region.since > 2*darkAfter)) && !watched.isExcluded(outcomes[watched.ID], now)
 		}
 		out = append(out, row)
 	}
@@ -215,12 +215,12 @@
 	return out, true
 }
 
-// daemons gives the data daemons' table.
-func (daemon *Daemon) daemons() (out []standing.Daemon, incarnations map[string]string) {
+// dataDaemons gives the data daemons' table.
+func (daemon *Daemon) dataDaemons() (out []standing.Daemon, incarnations map[string]string) {
 	incarnations = map[string]string{}
-	for _, one := range daemon.Table.Live(session.Data) {
-		out = append(out, standing.Daemon{Name: one.Member.Name, Zone: one.Member.Zone, Region: one.Member.Region, Report: one.Report})
-		incarnations[one.Member.Name] = one.Member.Name + "#" + one.Member.Incarnation
+	for _, daemonSession := range daemon.Table.Live(session.Data) {
+		out = append(out, standing.Daemon{Name: daemonSession.Member.Name, Zone: daemonSession.Member.Zone, Region: daemonSession.Member.Region, Report: daemonSession.Report})
+		incarnations[daemonSession.Member.Name] = daemonSession.Member.Name + "#" + daemonSession.Member.Incarnation
 	}
 	return out, incarnations
 }
@@ -229,40 +229,40 @@
 // holder of the duty does not take a region for empty while the platform lags.
 // In which life the replicas are, and what they hold where that is ordered, only probes
 // can say; until they do it is the life that was shown last. It is false, and nothing is filled, where the tenure is over.
-func (region *region) restore(last standing.Standing, during tenure) bool {
+func (region *region) restore(last standing.Standing, expected leadership) bool {
 	now := region.World.Now()
 	tree := region.tree()
-	region.guard.Lock()
-	defer region.guard.Unlock()
-	if region.tenure != during {
+	region.mu.Lock()
+	defer region.mu.Unlock()
+	if region.leadership != expected {
 		return false
 	}
-	for _, place := range last.Places {
+	for _, endpoint := range last.Places {
 		// The list may have come first.
-		if have := region.table[place.ID]; have != nil && !have.probed && have.vitals.Boot == "" && have.Address == place.Address {
-			have.vitals.Boot = place.Boot
+		if listed := region.replicas[endpoint.ID]; listed != nil && !listed.probed && listed.health.Boot == "" && listed.Address == endpoint.Address {
+			listed.health.Boot = endpoint.Boot
 		}
-		if region.table[place.ID] == nil {
-			one := &watched{Listed: listing.Listed{ID: place.ID, Address: place.Address, Zone: place.Zone}, answered: now, vitals: replica.Vitals{Boot: place.Boot}}
+		if region.replicas[endpoint.ID] == nil {
+			watched := &watchedReplica{Listed: listing.Listed{ID: endpoint.ID, Address: endpoint.Address, Zone: endpoint.Zone}, answeredAt: now, health: replica.Vitals{Boot: endpoint.Boot}}
 			for _, row := range last.Rows {
 				// Whatever version it holds it holds for all of its life.
-				if placement, _ := tree.Placement(row.Model, place.Zone); row.Replica == place.ID && placement.Any() {
-					one.Model, one.Version = row.Model, row.Version
+				if placement, _ := tree.Placement(row.Model, endpoint.Zone); row.Replica == endpoint.ID && placement.Any() {
+					watched.Model, watched.Version = row.Model, row.Version
 				}
 			}
-			region.table[place.ID] = one
+			region.replicas[endpoint.ID] = watched
 		}
 	}
-	region.seeded = region.seeded || len(last.Places) > 0
+	region.isFilled = region.isFilled || len(last.Places) > 0
 	return true
 }
 
 // compute makes the standing and writes it when it says something new.
-func (region *region) compute(serial uint64, tree *settings.Tree) {
+func (region *region) compute(term uint64, tree *settings.Tree) {
 	now := region.World.Now()
-	region.guard.Lock()
-	before, seeded, written, during := region.before, region.seeded, region.written, region.tenure
-	region.guard.Unlock()
+	region.mu.Lock()
+	before, isFilled, writtenAt, observed := region.table, region.isFilled, region.writtenAt, region.leadership
+	region.mu.Unlock()
 	models := tree.Models(region.name)
 	keys := []string{permit.StandingPrefix + region.name}
 	for _, model := range models {
@@ -279,30 +279,30 @@
 				return
 			}
 		}
-		if !region.restore(last, during) {
+		if !region.restore(last, observed) {
 			return
 		}
-		before, written, seeded = &last, now, seeded || len(last.Places) > 0
+		before, writtenAt, isFilled = &last, now, isFilled || len(last.Places) > 0
 	}
 	// Until every replica was probed or is dark, the last standing stays.
-	if !seeded || region.unprobed(tree) {
+	if !isFilled || region.awaitsProbes(tree) {
 		return
 	}
-	_, whole, _ := region.Office.Current()
+	_, config, _ := region.Office.Current()
 	evacuated := map[string]bool{}
-	for _, zone := range whole.Evacuated {
+	for _, zone := range config.Evacuated {
 		evacuated[zone] = true
 	}
-	region.handedBack(tree, evacuated)
-	replicas, isMine := region.rows(tree, during)
-	if !isMine {
+	region.markReturnedCold(tree, evacuated)
+	replicas, isLeader := region.replicaRows(tree, observed)
+	if !isLeader {
 		return
 	}
 	input := standing.Input{
-		Region: region.name, Tree: tree, Duty: serial, Evacuated: evacuated, Replicas: replicas,
-		Gone: region.Table.Gone(), Routes: map[string]standing.Route{}, Before: before, Since: now - written,
+		Region: region.name, Tree: tree, Duty: term, Evacuated: evacuated, Replicas: replicas,
+		Gone: region.Table.Gone(), Routes: map[string]standing.Route{}, Before: before, Since: now - writtenAt,
 	}
-	input.Daemons, _ = region.daemons()
+	input.Daemons, _ = region.dataDaemons()
 	for _, model := range models {
 		if object, err := region.Objects.Open(values[rollout.ModelPrefix+model]); err == nil {
 			if route, known := object.Routes[region.name]; known {
@@ -316,12 +316,12 @@
 		idle[model] = placement.Any() && values[rollout.ModelPrefix+model].Serial == 0 && values[rollout.DelayedPrefix+model].Serial == 0 &&
 			values[workflow.Prefix+rollout.Key(model, region.name)].Serial == 0
 	}
-	region.guard.Lock()
+	region.mu.Lock()
 	region.routes, region.idle = input.Routes, idle
-	region.guard.Unlock()
+	region.mu.Unlock()
 	next := standing.Compute(input)
 	if before.Serial > 0 && standing.Same(*before, next) {
-		region.keep(serial, before, written, now)
+		region.recordTable(term, before, writtenAt, now)
 		return
 	}
 	data, err := permit.PackStanding(next)
@@ -337,117 +337,117 @@
 		if !errors.As(err, &stale) {
 			region.Log.Debug("a standing was not written", zap.String("region", region.name), zap.Error(err))
 		}
-		region.keep(serial, nil, 0, 0)
+		region.recordTable(term, nil, 0, 0)
 		return
 	}
 	next.Serial = value.Serial
-	if region.hurries(tree) {
-		region.roller.Wake()
+	if region.hasUrgentRollout(tree) {
+		region.rollWaker.Wake()
 	}
 	region.Log.Info("a standing was written", zap.String("region", region.name), zap.Uint64("serial", next.Serial), zap.String("changed", standing.Changed(*before, next)), zap.Strings("replicas", next.Shown()), zap.Duration("took", region.World.Now()-now))
-	region.keep(serial, &next, now, now)
-	region.tell(dropped(*before, next), next.Serial)
+	region.recordTable(term, &next, now, now)
+	region.notifyLeaving(removedBoots(*before, next), next.Serial)
 }
 
-// dropped are the lives that were in the standing before and are not in the next one.
-func dropped(before, next standing.Standing) (out []permit.Leaver) {
-	stays := map[permit.Leaver]bool{}
-	for _, one := range next.Places {
-		stays[permit.Leaver{Replica: one.ID, Boot: one.Boot}] = true
-	}
-	for _, one := range before.Places {
-		if life := (permit.Leaver{Replica: one.ID, Boot: one.Boot}); !stays[life] && life.Boot != "" {
-			out = append(out, life)
+// removedBoots are the lives that were in the standing before and are not in the next one.
+func removedBoots(before, next standing.Standing) (out []permit.Leaver) {
+	remaining := map[permit.Leaver]bool{}
+	for _, endpoint := range next.Places {
+		remaining[permit.Leaver{Replica: endpoint.ID, Boot: endpoint.Boot}] = true
+	}
+	for _, endpoint := range before.Places {
+		if boot := (permit.Leaver{Replica: endpoint.ID, Boot: endpoint.Boot}); !remaining[boot] && boot.Boot != "" {
+			out = append(out, boot)
 		}
 	}
 	return out
 }
 
-// handedBack takes replicas of zones that are evacuated no more for cold: what became
+// markReturnedCold takes replicas of zones that are evacuated no more for cold: what became
 // of them meanwhile nobody saw.
-func (region *region) handedBack(tree *settings.Tree, evacuated map[string]bool) {
+func (region *region) markReturnedCold(tree *settings.Tree, evacuated map[string]bool) {
 	now := region.World.Now()
-	region.guard.Lock()
-	defer region.guard.Unlock()
-	for _, one := range region.table {
-		if engine := one.engine(tree); engine != nil && region.evacuated[one.Zone] && !evacuated[one.Zone] {
-			one.coldUntil = max(one.coldUntil, now+engine.Cold)
+	region.mu.Lock()
+	defer region.mu.Unlock()
+	for _, watched := range region.replicas {
+		if engine := watched.engine(tree); engine != nil && region.evacuated[watched.Zone] && !evacuated[watched.Zone] {
+			watched.coldUntil = max(watched.coldUntil, now+engine.Cold)
 		}
 	}
 	region.evacuated = evacuated
 }
 
-// unprobed tells whether some replica may yet answer its first probe. Where most have
+// awaitsProbes tells whether some replica may yet answer its first probe. Where most have
 // answered none yet, that is so until they are taken for doubtful (see rows): between
 // the two a new holder of the duty would show a region without replicas.
-func (region *region) unprobed(tree *settings.Tree) bool {
+func (region *region) awaitsProbes(tree *settings.Tree) bool {
 	now := region.World.Now()
-	region.guard.Lock()
-	defer region.guard.Unlock()
-	dark := tree.Span("dark_ms", region.name)
+	region.mu.Lock()
+	defer region.mu.Unlock()
+	darkAfter := tree.Span("dark_ms", region.name)
 	// Only right after taking the duty; later a newcomer holds up nobody.
-	if now-region.since > 2*dark {
+	if now-region.since > 2*darkAfter {
 		return false
 	}
 	waiting, silent := 0, 0
-	for _, one := range region.table {
+	for _, watched := range region.replicas {
 		switch {
-		case one.probed:
-		case now-one.answered < dark:
+		case watched.probed:
+		case now-watched.answeredAt < darkAfter:
 			waiting++
 		default:
 			silent++
 		}
 	}
-	return waiting > 0 || 2*silent > len(region.table)
+	return waiting > 0 || 2*silent > len(region.replicas)
 }
 
-func (region *region) keep(duty uint64, before *standing.Standing, written, proved time.Duration) {
-	region.guard.Lock()
-	defer region.guard.Unlock()
-	if region.duty == duty {
-		region.before, region.written, region.proved = before, written, proved
+func (region *region) recordTable(term uint64, table *standing.Standing, writtenAt, verifiedAt time.Duration) {
+	region.mu.Lock()
+	defer region.mu.Unlock()
+	if region.term == term {
+		region.table, region.writtenAt, region.verifiedAt = table, writtenAt, verifiedAt
 	}
 }
 
-// keeping is the standing that this daemon keeps up to date, if it does.
-func (region *region) keeping() (session.Keeping, bool) {
-	region.guard.Lock()
-	defer region.guard.Unlock()
-	if region.before == nil || region.before.Duty != region.duty {
+// maintained is the standing that this daemon keeps up to date, if it does.
+func (region *region) maintained() (session.Keeping, bool) {
+	region.mu.Lock()
+	defer region.mu.Unlock()
+	if region.table == nil || region.table.Duty != region.term {
 		return session.Keeping{}, false
 	}
-	return session.Keeping{Duty: region.duty, Serial: region.before.Serial, Age: region.World.Now() - region.proved}, true
+	return session.Keeping{Duty: region.term, Serial: region.table.Serial, Age: region.World.Now() - region.verifiedAt}, true
 }
 
-// roll turns the region's runs.
-func (region *region) roll(serial uint64, tree *settings.Tree) {
-	region.guard.Lock()
+// advanceRollouts turns the region's runs.
+func (region *region) advanceRollouts(term uint64, tree *settings.Tree) {
+	region.mu.Lock()
 	if region.runner == nil {
 		region.runner = &rollout.Runner{World: region.World, Objects: region.Objects, Book: region.Book, Client: region.Replicas, Point: region.Point}
 	}
-	runner, routes, before, idle, during := region.runner, region.routes, region.before, region.idle, region.tenure
-	region.guard.Unlock()
-	if idle == nil || region.unprobed(tree) {
+	runner, routes, table, idle, observed := region.runner, region.routes, region.table, region.idle, region.leadership
+	region.mu.Unlock()
+	if idle == nil || region.awaitsProbes(tree) {
 		return
 	}
-	replicas, isMine := region.rows(tree, during)
-	if !isMine {
+	replicas, isLeader := region.replicaRows(tree, observed)
+	if !isLeader {
 		return
 	}
-	_, whole, _ := region.Office.Current()
-	scene := rollout.Scene{Region: region.name, Duty: serial, Tree: tree, Evacuated: map[string]bool{}, Replicas: replicas, Routes: routes, Standing: before, Watched: region.Table.Watched(), Idle: idle}
-	scene.Daemons, scene.Incarnations = region.daemons()
-	for _, zone := range whole.Evacuated {
+	_, config, _ := region.Office.Current()
+	scene := rollout.Scene{Region: region.name, Duty: term, Tree: tree, Evacuated: map[string]bool{}, Replicas: replicas, Routes: routes, Standing: table, Watched: region.Table.Watched(), Idle: idle}
+	scene.Daemons, scene.Incarnations = region.dataDaemons()
+	for _, zone := range config.Evacuated {
 		scene.Evacuated[zone] = true
 	}
 	err := runner.Turn(scene)
-	region.guard.Lock()
-	region.failed = ""
+	region.mu.Lock()
+	region.rollError = ""
 	if err != nil {
-		region.failed = err.Error()
+		region.rollError = err.Error()
 	}
-	region.guard.Unlock()
+	region.mu.Unlock()
 	if err != nil {
 		region.Log.Warn("roll-out turn", zap.String("region", region.name), zap.Error(err))
 	}
--- a/controlplane/region_probe.go
+++ b/controlplane/region_probe.go
@@ -14,147 +14,147 @@
 	"swifttiller/verdict"
 )
 
-// watched is a replica as this daemon's probes have seen it.
-type watched struct {
+// watchedReplica is a replica as this daemon's probes have seen it.
+type watchedReplica struct {
 	listing.Listed
-	vitals replica.Vitals
+	health replica.Vitals
 	probed bool
-	// answered is when a probe was last answered; before the first answer, when
+	// answeredAt is when a probe was last answered; before the first answer, when
 	// the replica came into the table.
-	answered time.Duration
+	answeredAt time.Duration
 	// isDark tells that a probe has found it unanswered for dark_ms.
 	isDark   bool
 	leaving  bool
 	unlisted bool
-	// isOver tells that another one answered at its address, so that its life is over,
+	// hasEnded tells that another one answered at its address, so that its life is over,
 	// whatever the list still shows; a later answer of its own would take that back.
-	isOver bool
-	// wasWell tells whether it ever answered that it is well. condemned is until when it
+	hasEnded bool
+	// wasHealthy tells whether it ever answered that it is well. condemned is until when it
 	// is out, as it says that it is ill and what daemons sent it bears that out.
-	wasWell   bool
-	condemned time.Duration
+	wasHealthy    bool
+	excludedUntil time.Duration
 	// coldUntil is until when it is cold, as far as list and probes have told.
 	coldUntil time.Duration
 }
 
 // engine is what the tree says of the replica's kind; nil where probes tell all.
-func (one *watched) engine(tree *settings.Tree) *settings.Engine {
-	if one.Model == "" {
+func (watched *watchedReplica) engine(tree *settings.Tree) *settings.Engine {
+	if watched.Model == "" {
 		return nil
 	}
-	return tree.Engine(one.Model)
+	return tree.Engine(watched.Model)
 }
 
 // boot is the life that a standing shows: what its probes told, or, where they tell nothing
 // of that, the name under which the platform lists it.
-func (one *watched) boot(tree *settings.Tree) string {
-	if one.vitals.Boot == "" && one.engine(tree) != nil {
-		return one.ID
+func (watched *watchedReplica) boot(tree *settings.Tree) string {
+	if watched.health.Boot == "" && watched.engine(tree) != nil {
+		return watched.ID
 	}
-	return one.vitals.Boot
+	return watched.health.Boot
 }
 
-// probe asks every replica in the table.
-func (region *region) probe(_ uint64, tree *settings.Tree) {
-	isFresh := region.isFresh()
+// probeAll asks every replica in the table.
+func (region *region) probeAll(_ uint64, tree *settings.Tree) {
+	hasJustRestarted := region.hasJustRestarted()
 	// Those that did not answer yet are asked more often.
-	region.ask(tree, func(one *watched) bool { return !isFresh || !one.probed })
+	region.probeSelected(tree, func(watched *watchedReplica) bool { return !hasJustRestarted || !watched.probed })
 }
 
-// ask probes those of the table that are to be asked. The first answer of one is a reason to
+// probeSelected probes those of the table that are to be asked. The first answer of one is a reason to
 // compute the standing at once.
-func (region *region) ask(tree *settings.Tree, isAsked func(one *watched) bool) {
+func (region *region) probeSelected(tree *settings.Tree, isSelected func(watched *watchedReplica) bool) {
 	// The rows themselves are touched under the guard alone: the list may change them
 	// meanwhile.
 	type target struct {
-		*watched
+		*watchedReplica
 		id, address string
 		engine      *settings.Engine
 	}
-	region.guard.Lock()
+	region.mu.Lock()
 	var targets []target
-	for id, one := range region.table {
-		if isAsked(one) {
-			targets = append(targets, target{one, id, one.Address, one.engine(tree)})
+	for id, watched := range region.replicas {
+		if isSelected(watched) {
+			targets = append(targets, target{watched, id, watched.Address, watched.engine(tree)})
 		}
 	}
-	region.guard.Unlock()
+	region.mu.Unlock()
 	sort.Slice(targets, func(a, b int) bool { return targets[a].id < targets[b].id })
-	patience := tree.Span("dark_ms", region.name) / 2
-	tallies := region.tallies()
-	for _, one := range targets {
+	timeout := tree.Span("dark_ms", region.name) / 2
+	outcomes := region.recentOutcomes()
+	for _, watched := range targets {
 		region.World.Go(func() {
-			asked := region.World.Now()
-			var vitals replica.Vitals
+			sentAt := region.World.Now()
+			var health replica.Vitals
 			var err error
-			if one.engine != nil && region.Dialect != nil {
-				vitals, err = region.Dialect.Probe(replica.Target{ID: one.id, Address: one.address, Path: one.engine.ProbePath}, patience)
+			if watched.engine != nil && region.Dialect != nil {
+				health, err = region.Dialect.Probe(replica.Target{ID: watched.id, Address: watched.address, Path: watched.engine.ProbePath}, timeout)
 			} else {
-				vitals, err = region.Replicas.Probe(one.address, patience)
+				health, err = region.Replicas.Probe(watched.address, timeout)
 			}
-			region.guard.Lock()
-			defer region.guard.Unlock()
-			if mishap, isMishap := err.(*verdict.Mishap); isMishap && mishap.Code == replica.AnewCode && !one.isOver {
+			region.mu.Lock()
+			defer region.mu.Unlock()
+			if failure, isFailure := err.(*verdict.Mishap); isFailure && failure.Code == replica.AnewCode && !watched.hasEnded {
 				// Else each data daemon would find out by a request of its own.
-				one.isOver = true
-				region.over(permit.Leaver{Replica: one.id, Boot: one.boot(tree)})
-				region.computer.Wake()
+				watched.hasEnded = true
+				region.announceEnded(permit.Leaver{Replica: watched.id, Boot: watched.boot(tree)})
+				region.computeWaker.Wake()
 			}
-			if err != nil && one.probed && !one.isDark && region.World.Now()-one.answered >= tree.Span("dark_ms", region.name) {
+			if err != nil && watched.probed && !watched.isDark && region.World.Now()-watched.answeredAt >= tree.Span("dark_ms", region.name) {
 				// Data daemons send it requests until a standing without it reaches them.
-				one.isDark = true
-				region.computer.Wake()
+				watched.isDark = true
+				region.computeWaker.Wake()
 			}
-			if err != nil || asked < one.answered {
+			if err != nil || sentAt < watched.answeredAt {
 				return
 			}
-			one.isDark = false
-			one.isOver = false
-			if vitals.Ill && !one.wasWell && tallies[one.id].OK == 0 {
+			watched.isDark = false
+			watched.hasEnded = false
+			if health.Ill && !watched.wasHealthy && outcomes[watched.id].OK == 0 {
 				return // it is not there yet
 			}
-			one.wasWell = one.wasWell || !vitals.Ill
-			if !vitals.Ill {
-				one.condemned = 0
+			watched.wasHealthy = watched.wasHealthy || !health.Ill
+			if !health.Ill {
+				watched.excludedUntil = 0
 			}
-			if vitals.Boot != one.vitals.Boot {
-				one.leaving = one.Leaving
+			if health.Boot != watched.health.Boot {
+				watched.leaving = watched.Leaving
 			}
-			if !one.probed {
-				region.computer.Wake()
+			if !watched.probed {
+				region.computeWaker.Wake()
 			}
-			one.vitals, one.probed, one.answered = vitals, true, asked
-			one.coldUntil = max(one.coldUntil, asked+vitals.Cold)
-			one.leaving = one.leaving || vitals.Leaving
+			watched.health, watched.probed, watched.answeredAt = health, true, sentAt
+			watched.coldUntil = max(watched.coldUntil, sentAt+health.Cold)
+			watched.leaving = watched.leaving || health.Leaving
 		})
 	}
 }
 
-// overSpan is how long lives that are over are gathered before they are told: where a zone's
+// endedBatchDelay is how long lives that are over are gathered before they are told: where a zone's
 // machines come back, there are many.
-const overSpan = 30 * time.Millisecond
+const endedBatchDelay = 30 * time.Millisecond
 
-// over tells data daemons soon that a life is over, before a standing is written without it.
+// announceEnded tells data daemons soon that a life is over, before a standing is written without it.
 // Who holds the guard calls it.
-func (region *region) over(life permit.Leaver) {
-	if region.ended = append(region.ended, life); len(region.ended) > 1 {
+func (region *region) announceEnded(boot permit.Leaver) {
+	if region.endedBoots = append(region.endedBoots, boot); len(region.endedBoots) > 1 {
 		return // it goes with the others
 	}
 	region.World.Go(func() {
-		loop.Sleep(region.World, overSpan)
-		region.guard.Lock()
-		lives := region.ended
-		region.ended = nil
-		region.guard.Unlock()
-		region.tell(lives, 0)
+		loop.Sleep(region.World, endedBatchDelay)
+		region.mu.Lock()
+		boots := region.endedBoots
+		region.endedBoots = nil
+		region.mu.Unlock()
+		region.notifyLeaving(boots, 0)
 	})
 }
 
-// tallies are what data daemons report of their latest requests, by replica.
-func (region *region) tallies() map[string]standing.Outcome {
+// recentOutcomes are what data daemons report of their latest requests, by replica.
+func (region *region) recentOutcomes() map[string]standing.Outcome {
 	out := map[string]standing.Outcome{}
-	for _, one := range region.Table.Live(session.Data) {
-		for _, list := range [][]standing.Outcome{one.Report.Recent, one.Report.Near} {
+	for _, dataDaemon := range region.Table.Live(session.Data) {
+		for _, list := range [][]standing.Outcome{dataDaemon.Report.Recent, dataDaemon.Report.Near} {
 			for _, outcome := range list {
 				sum := out[outcome.Replica]
 				sum.Add(outcome)
@@ -165,18 +165,18 @@
 	return out
 }
 
-// condemnedSpan is how long a replica is out that says that it is ill, and fails.
-const condemnedSpan = 10 * time.Second
+// exclusionPeriod is how long a replica is out that says that it is ill, and fails.
+const exclusionPeriod = 10 * time.Second
 
-// isOut tells whether a replica that says that it is ill gets no requests. Its own word
+// isExcluded tells whether a replica that says that it is ill gets no requests. Its own word
 // is not enough: it is out while most of what daemons sent it of late failed. Whoever
 // leaves says the same and is marked in the list soon after.
-func (one *watched) isOut(tally standing.Outcome, now time.Duration) bool {
-	if !one.vitals.Ill {
+func (watched *watchedReplica) isExcluded(outcome standing.Outcome, now time.Duration) bool {
+	if !watched.health.Ill {
 		return false
 	}
-	if tally.Mishaps+tally.Unreached > tally.OK {
-		one.condemned = now + condemnedSpan
+	if outcome.Mishaps+outcome.Unreached > outcome.OK {
+		watched.excludedUntil = now + exclusionPeriod
 	}
-	return now < one.condemned
+	return now < watched.excludedUntil
 }
--- a/controlplane/tenants.go
+++ b/controlplane/tenants.go
@@ -24,8 +24,8 @@
 // TenantDuty is the duty that watches tenants' sessions over all regions.
 const TenantDuty = "tenants"
 
-// UsualKey holds what the tenants were judged by, for the next holder of the duty.
-const UsualKey = "tenants/usual"
+// BaselineKey holds what the tenants were judged by, for the next holder of the duty.
+const BaselineKey = "tenants/usual"
 
 // Numbered points of a turn of the watch, for faults in tests. A move goes on turn by
 // turn; each turn writes the placements once.
@@ -41,75 +41,75 @@
 // Invariants: told is never changed once stored; watch is nil while this daemon does not
 // hold the duty.
 type tenants struct {
-	told  atomic.Pointer[tenant.Told]
-	begun sync.Once
-	guard sync.Mutex
-	duty  uint64
-	watch *tenant.Watch
-	// usual is the text last read of the register, or written; turn counts the turns.
-	usual string
-	turn  int
+	announcement atomic.Pointer[tenant.Told]
+	started      sync.Once
+	mu           sync.Mutex
+	term         uint64
+	watch        *tenant.Watch
+	// baseline is the text last read of the register, or written; turn counts the turns.
+	baseline string
+	rounds   int
 }
 
-// usualTurns is every how many turns what tenants are judged by is written, if it changed.
-const usualTurns = 4
+// baselineRounds is every how many turns what tenants are judged by is written, if it changed.
+const baselineRounds = 4
 
-// tenantSpan is how often tenants are looked at; sessions' span, and false, while never.
-func (daemon *Daemon) tenantSpan() (time.Duration, bool) {
+// tenantInterval is how often tenants are looked at; sessions' span, and false, while never.
+func (daemon *Daemon) tenantInterval() (time.Duration, bool) {
 	if _, _, tree := daemon.Office.Current(); tree != nil {
-		if span := tree.Span("tenant_ms", ""); span > 0 {
-			return span, true
+		if interval := tree.Span("tenant_ms", ""); interval > 0 {
+			return interval, true
 		}
 	}
-	return daemon.span(), false
+	return daemon.sessionTimeout(), false
 }
 
-// attendTenants begins to look at tenants once the settings first say so.
-func (daemon *Daemon) attendTenants() {
-	if _, isOn := daemon.tenantSpan(); isOn {
-		daemon.tenants.begun.Do(func() {
-			daemon.World.Go(daemon.tellTenants)
-			daemon.World.Go(daemon.watchTenants)
+// startTenantLoops begins to look at tenants once the settings first say so.
+func (daemon *Daemon) startTenantLoops() {
+	if _, isOn := daemon.tenantInterval(); isOn {
+		daemon.tenants.started.Do(func() {
+			daemon.World.Go(daemon.aggregateTenants)
+			daemon.World.Go(daemon.runTenantPlanner)
 		})
 	}
 }
 
-// tellTenants adds up what data daemons tell this one, for whoever holds the duty.
-func (daemon *Daemon) tellTenants() {
+// aggregateTenants adds up what data daemons tell this one, for whoever holds the duty.
+func (daemon *Daemon) aggregateTenants() {
 	serial := uint64(0)
-	loop.Every(daemon.World, func() time.Duration { span, _ := daemon.tenantSpan(); return span / 2 }, func() bool {
-		if _, isOn := daemon.tenantSpan(); !isOn {
-			daemon.tenants.told.Store(nil)
+	loop.Every(daemon.World, func() time.Duration { interval, _ := daemon.tenantInterval(); return interval / 2 }, func() bool {
+		if _, isOn := daemon.tenantInterval(); !isOn {
+			daemon.tenants.announcement.Store(nil)
 			return !daemon.stopped.Load()
 		}
 		serial++
-		daemon.tenants.told.Store(tenant.Tell(serial, tenant.Gather(heard(daemon.Table.FirstHand()))))
+		daemon.tenants.announcement.Store(tenant.Tell(serial, tenant.Gather(tenantReports(daemon.Table.FirstHand()))))
 		return !daemon.stopped.Load()
 	})
 }
 
-// heard is what sessions tell of tenants.
-func heard(sessions []session.Session) (out []tenant.Heard) {
-	for _, one := range sessions {
-		out = append(out, tenant.Heard{Region: one.Member.Region, Told: one.Report.Tenants})
+// tenantReports is what sessions tell of tenants.
+func tenantReports(sessions []session.Session) (out []tenant.Heard) {
+	for _, reporter := range sessions {
+		out = append(out, tenant.Heard{Region: reporter.Member.Region, Told: reporter.Report.Tenants})
 	}
 	return out
 }
 
-// watchTenants watches and places while this daemon holds the duty.
-func (daemon *Daemon) watchTenants() {
-	loop.Every(daemon.World, func() time.Duration { span, _ := daemon.tenantSpan(); return span }, func() bool {
-		serial, held := daemon.Duties.Held(TenantDuty)
+// runTenantPlanner watches and places while this daemon holds the duty.
+func (daemon *Daemon) runTenantPlanner() {
+	loop.Every(daemon.World, func() time.Duration { interval, _ := daemon.tenantInterval(); return interval }, func() bool {
+		term, held := daemon.Duties.Held(TenantDuty)
 		_, _, tree := daemon.Office.Current()
-		span, isOn := daemon.tenantSpan()
+		interval, isOn := daemon.tenantInterval()
 		table := &daemon.tenants
-		table.guard.Lock()
-		if !held || !isOn || table.duty != serial {
-			table.duty, table.watch, table.usual, table.turn = 0, nil, "", 0
+		table.mu.Lock()
+		if !held || !isOn || table.term != term {
+			table.term, table.watch, table.baseline, table.rounds = 0, nil, "", 0
 		}
-		table.guard.Unlock()
+		table.mu.Unlock()
 		if held && isOn {
-			daemon.turnTenants(serial, span, tree)
+			daemon.planTenants(term, interval, tree)
 		}
 		return !daemon.stopped.Load()
 	})
@@ -121,14 +121,14 @@
 	}
 }
 
-// turnTenants is one turn of the watch: what was told, what was placed, what follows.
+// planTenants is one turn of the watch: what was told, what was placed, what follows.
 //
 // Invariant: what is written is swapped against the very placements that it was planned
 // from, and never over those of a later holder of the duty.
-func (daemon *Daemon) turnTenants(serial uint64, span time.Duration, tree *settings.Tree) {
+func (daemon *Daemon) planTenants(term uint64, interval time.Duration, tree *settings.Tree) {
 	daemon.point(PointRead)
 	now := daemon.World.Now()
-	keys := []string{permit.PlacedKey, UsualKey}
+	keys := []string{permit.PlacedKey, BaselineKey}
 	for _, region := range tree.Regions() {
 		keys = append(keys, permit.StandingPrefix+region)
 	}
@@ -137,33 +137,33 @@
 		return
 	}
 	placed := values[permit.PlacedKey]
-	book, isRead := permit.OpenPlaced(placed.Data)
-	if placed.Serial > 0 && !isRead || book.Duty > serial {
-		daemon.Log.Warn("the tenants' placements are not this holder's to write", zap.Uint64("duty", serial), zap.Uint64("written_by", book.Duty))
+	placements, isReadable := permit.OpenPlaced(placed.Data)
+	if placed.Serial > 0 && !isReadable || placements.Duty > term {
+		daemon.Log.Warn("the tenants' placements are not this holder's to write", zap.Uint64("duty", term), zap.Uint64("written_by", placements.Duty))
 		return
 	}
 	table := &daemon.tenants
-	table.guard.Lock()
+	table.mu.Lock()
 	if table.watch == nil {
-		var usual []tenant.Profile
-		if value := values[UsualKey]; value.Serial > 0 {
-			_ = json.Unmarshal(value.Data, &usual)
-			table.usual = string(value.Data)
+		var baseline []tenant.Profile
+		if value := values[BaselineKey]; value.Serial > 0 {
+			_ = json.Unmarshal(value.Data, &baseline)
+			table.baseline = string(value.Data)
 		}
-		table.duty, table.watch = serial, tenant.NewWatch(now, usual)
+		table.term, table.watch = term, tenant.NewWatch(now, baseline)
 	}
-	table.turn++
-	scene := daemon.tenantScene(serial, span, tree, values)
-	next, notices := table.watch.Turn(scene, tenant.Gather(heard(daemon.Table.Live(session.Control))), book)
-	usual, _ := json.Marshal(table.watch.Usual())
-	writesUsual := string(usual) != table.usual && (table.turn%usualTurns == 0 || len(notices) > 0)
-	table.guard.Unlock()
-	for _, one := range notices {
-		daemon.Log.Info("a tenant "+one.What, zap.String("tenant", one.Tenant), zap.String("reason", one.Reason), zap.Float64("distance", one.Distance),
-			zap.Float64("gain_ms", one.Gain), zap.Float64("price_ms", one.Price), zap.Float64("tokens", one.Tokens), zap.Strings("from", one.From), zap.Strings("to", one.To), zap.Int("part", one.Part))
+	table.rounds++
+	scene := daemon.tenantScene(term, interval, tree, values)
+	next, notices := table.watch.Turn(scene, tenant.Gather(tenantReports(daemon.Table.Live(session.Control))), placements)
+	baseline, _ := json.Marshal(table.watch.Usual())
+	writesBaseline := string(baseline) != table.baseline && (table.rounds%baselineRounds == 0 || len(notices) > 0)
+	table.mu.Unlock()
+	for _, notice := range notices {
+		daemon.Log.Info("a tenant "+notice.What, zap.String("tenant", notice.Tenant), zap.String("reason", notice.Reason), zap.Float64("distance", notice.Distance),
+			zap.Float64("gain_ms", notice.Gain), zap.Float64("price_ms", notice.Price), zap.Float64("tokens", notice.Tokens), zap.Strings("from", notice.From), zap.Strings("to", notice.To), zap.Int("part", notice.Part))
 	}
 	daemon.point(PointPlanned)
-	if !slices.EqualFunc(book.Placed, next.Placed, samePlacement) {
+	if !slices.EqualFunc(placements.Placed, next.Placed, samePlacement) {
 		data, err := permit.PackPlaced(next)
 		if err != nil {
 			daemon.Log.Error("tenants' placements can't be written", zap.Error(err))
@@ -175,11 +175,11 @@
 		}
 		daemon.point(PointWritten)
 	}
-	if writesUsual {
-		if _, err := daemon.Swap(UsualKey, values[UsualKey].Serial, usual); err == nil {
-			table.guard.Lock()
-			table.usual = string(usual)
-			table.guard.Unlock()
+	if writesBaseline {
+		if _, err := daemon.Swap(BaselineKey, values[BaselineKey].Serial, baseline); err == nil {
+			table.mu.Lock()
+			table.baseline = string(baseline)
+			table.mu.Unlock()
 			daemon.point(PointUsual)
 		}
 	}
@@ -192,24 +192,24 @@
 }
 
 // tenantScene is what the watch plans by.
-func (daemon *Daemon) tenantScene(serial uint64, span time.Duration, tree *settings.Tree, values map[string]register.Value) tenant.Scene {
+func (daemon *Daemon) tenantScene(term uint64, interval time.Duration, tree *settings.Tree, values map[string]register.Value) tenant.Scene {
 	_, config, _ := daemon.Office.Current()
-	grounds := map[string]map[string]tenant.Ground{}
+	capacities := map[string]map[string]tenant.Ground{}
 	for _, region := range tree.Regions() {
 		value := values[permit.StandingPrefix+region]
 		if value.Serial == 0 {
 			continue
 		}
-		one, _, err := permit.OpenStanding(value)
+		table, _, err := permit.OpenStanding(value)
 		if err != nil {
 			continue
 		}
 		counts := map[string]int{}
 		zones := map[string]string{}
-		for _, place := range one.Places {
-			zones[place.ID] = place.Zone
+		for _, endpoint := range table.Places {
+			zones[endpoint.ID] = endpoint.Zone
 		}
-		for _, row := range one.Rows {
+		for _, row := range table.Rows {
 			if !row.Trial && !row.Back && !slices.Contains(config.Evacuated, zones[row.Replica]) {
 				counts[row.Model]++
 			}
@@ -219,14 +219,14 @@
 			if engine == nil {
 				continue
 			}
-			if grounds[model] == nil {
-				grounds[model] = map[string]tenant.Ground{}
+			if capacities[model] == nil {
+				capacities[model] = map[string]tenant.Ground{}
 			}
-			grounds[model][region] = tenant.Ground{Replicas: count, Berths: engine.Berths, Cache: engine.CacheTokens}
+			capacities[model][region] = tenant.Ground{Replicas: count, Berths: engine.Berths, Cache: engine.CacheTokens}
 		}
 	}
 	return tenant.Scene{
-		Now: daemon.World.Now(), Window: span, Duty: serial, Grounds: grounds,
+		Now: daemon.World.Now(), Window: interval, Duty: term, Grounds: capacities,
 		Homes: func(name string) []string {
 			route := tree.RouteAt(name)
 			switch {
@@ -260,8 +260,8 @@
 // Seen tells what this daemon, holding the duty, knows of tenants; as JSON.
 func (service tenantService) Seen(_ struct{}, reply *LocalReply) (err error) {
 	table := &service.daemon.tenants
-	table.guard.Lock()
-	defer table.guard.Unlock()
+	table.mu.Lock()
+	defer table.mu.Unlock()
 	if table.watch == nil {
 		return errors.New("this daemon does not hold the duty")
 	}
@@ -275,9 +275,9 @@
 	if err != nil {
 		return out, err
 	}
-	book, _ := permit.OpenPlaced(value.Data)
-	out.Serial, out.Duty, out.Placed = value.Serial, book.Duty, book.Placed
-	if _, out.IsOn = daemon.tenantSpan(); !out.IsOn {
+	placements, _ := permit.OpenPlaced(value.Data)
+	out.Serial, out.Duty, out.Placed = value.Serial, placements.Duty, placements.Placed
+	if _, out.IsOn = daemon.tenantInterval(); !out.IsOn {
 		out.Trouble = "tenant_ms is 0: nobody looks at tenants, and no placement is in force"
 		return out, nil
 	}
@@ -286,8 +286,8 @@
 	var reply LocalReply
 	if held.Holder == daemon.Process.Name {
 		err = tenantService{daemon}.Seen(struct{}{}, &reply)
-	} else if holder, isThere := daemon.Table.Find(held.Holder); isThere {
-		err = daemon.Net.Call(holder.Member.Wire, "Tenant.Seen", struct{}{}, &reply, daemon.span())
+	} else if holder, isMember := daemon.Table.Find(held.Holder); isMember {
+		err = daemon.Net.Call(holder.Member.Wire, "Tenant.Seen", struct{}{}, &reply, daemon.sessionTimeout())
 	} else {
 		err = errors.New("nobody is known to hold the duty")
 	}
@@ -313,13 +313,13 @@
 	case route == nil && len(regions) > 0:
 		return tenant.Placement{}, verdict.Decline(404, "no_tenant", fmt.Sprintf("no route has the host and prefix %q", name), 0)
 	}
-	for at, region := range regions {
+	for index, region := range regions {
 		switch {
 		case !slices.Contains(tree.Regions(), region):
 			return tenant.Placement{}, verdict.Decline(404, "no_region", fmt.Sprintf("the configuration has no region %q", region), 0)
 		case !route.Within(region):
 			return tenant.Placement{}, verdict.Decline(409, "not_home", fmt.Sprintf("%s may not be served in %s; its homes are %s", name, region, strings.Join(route.Homes, ", ")), 0)
-		case slices.Contains(regions[:at], region):
+		case slices.Contains(regions[:index], region):
 			return tenant.Placement{}, verdict.Decline(400, "bad_request", fmt.Sprintf("region %q stands twice", region), 0)
 		}
 	}
@@ -328,17 +328,17 @@
 		next = tenant.Placement{Tenant: name, Now: regions, Pinned: true, Reason: "an operator's"}
 	}
 	_, err := daemon.Change(permit.PlacedKey, func(value register.Value) ([]byte, error) {
-		book, isRead := permit.OpenPlaced(value.Data)
-		have := book.Find(name)
+		placements, isReadable := permit.OpenPlaced(value.Data)
+		existing := placements.Find(name)
 		switch {
-		case value.Serial > 0 && !isRead:
+		case value.Serial > 0 && !isReadable:
 			return nil, errors.New("the register of placements can't be read")
-		case !next.Pinned && have == nil:
+		case !next.Pinned && existing == nil:
 			return nil, verdict.Decline(404, "not_placed", fmt.Sprintf("tenant %q has no placement", name), 0)
-		case have == nil && len(book.Placed) >= tenant.MostKept:
-			return nil, verdict.Decline(409, "full", fmt.Sprintf("%d tenants are placed already; release one", len(book.Placed)), 0)
+		case existing == nil && len(placements.Placed) >= tenant.MostKept:
+			return nil, verdict.Decline(409, "full", fmt.Sprintf("%d tenants are placed already; release one", len(placements.Placed)), 0)
 		}
-		return permit.PackPlaced(book.With(next))
+		return permit.PackPlaced(placements.With(next))
 	})
 	if err != nil {
 		return tenant.Placement{}, Answer(err)
--- a/controlplane/tender.go
+++ b/controlplane/tender.go
@@ -17,32 +17,32 @@
 // CoreDuty is the duty that keeps the core equal to the acceptors that live.
 const CoreDuty = "core"
 
-// MostVotes is how far the core grows by itself.
-const MostVotes = 7
+// MaxVotes is how far the core grows by itself.
+const MaxVotes = 7
 
-// dropAfter is how many bounds one of an even core may be unheard before its vote goes
+// shrinkAfter is how many bounds one of an even core may be unheard before its vote goes
 // without another in its place: longer than a region is usually out of reach, as each
 // change of the core costs a copy. One that went in order is waited for but once.
-const dropAfter = 20
+const shrinkAfter = 20
 
-// Sighting is the last that was heard of an acceptor's daemon. Unheard counts from
+// AcceptorView is the last that was heard of an acceptor's daemon. Unheard counts from
 // then, or from when this daemon began to look if it never heard of it.
-type Sighting struct {
-	Member  session.Member
-	Unheard time.Duration
+type AcceptorView struct {
+	Member    session.Member
+	SilentFor time.Duration
 	// IsMember is whether its session stands.
 	IsMember bool
 }
 
-// Tended is one step for the core, by identities; Add and Remove may be empty, and
+// CoreChange is one step for the core, by identities; Add and Remove may be empty, and
 // if both are, an address in the core is out of date.
-type Tended struct {
+type CoreChange struct {
 	Add, Remove string
-	// Whole steps are made only while every acceptor of the core answers.
-	Whole bool
+	// NeedsAll steps are made only while every acceptor of the core answers.
+	NeedsAll bool
 }
 
-// Tend gives the next step for the core, if there is one. What was seen has every
+// PlanCoreChange gives the next step for the core, if there is one. What was seen has every
 // acceptor of the core and every control daemon's acceptor; bound is how long one of
 // the core may be unheard before another takes its place.
 //
@@ -50,22 +50,22 @@
 // only silent is removed only for another in its place; without that, only one whose
 // daemon is back with another disk, which has a vote already, or one of an even core of
 // four or more, which bears no more losses with it than without. Growth waits for all.
-func Tend(core register.Core, seen map[string]Sighting, bound time.Duration) (Tended, bool) {
-	var waiting []Sighting
-	for id, one := range seen {
-		if one.IsMember && !one.Member.Leaving && !core.Has(id) {
-			waiting = append(waiting, one)
+func PlanCoreChange(core register.Core, seen map[string]AcceptorView, replaceAfter time.Duration) (CoreChange, bool) {
+	var waiting []AcceptorView
+	for id, view := range seen {
+		if view.IsMember && !view.Member.Leaving && !core.Has(id) {
+			waiting = append(waiting, view)
 		}
 	}
 	regions, zones := map[string]int{}, map[string]int{}
 	for _, member := range core.Members {
-		if at := seen[member.ID]; at.IsMember {
-			regions[at.Member.Region]++
-			zones[at.Member.Zone]++
+		if view := seen[member.ID]; view.IsMember {
+			regions[view.Member.Region]++
+			zones[view.Member.Zone]++
 		}
 	}
 	// Votes are spread over regions, then over zones.
-	slices.SortFunc(waiting, func(a, b Sighting) int {
+	slices.SortFunc(waiting, func(a, b AcceptorView) int {
 		return cmp.Or(cmp.Compare(regions[a.Member.Region], regions[b.Member.Region]), cmp.Compare(zones[a.Member.Zone], zones[b.Member.Zone]), cmp.Compare(a.Member.Name, b.Member.Name))
 	})
 	allLive := true
@@ -74,49 +74,49 @@
 			continue
 		}
 		allLive = false
-		if next, isReborn := reborn(core, member, seen); isReborn {
-			if core.Has(next) {
-				return Tended{Remove: member.ID}, true
+		if successor, isReplaced := replacementOf(core, member, seen); isReplaced {
+			if core.Has(successor) {
+				return CoreChange{Remove: member.ID}, true
 			}
-			return Tended{Add: next, Remove: member.ID}, true
+			return CoreChange{Add: successor, Remove: member.ID}, true
 		}
 	}
 	for _, member := range core.Members {
-		if at := seen[member.ID]; !at.IsMember && at.Unheard >= bound && len(waiting) > 0 {
-			return Tended{Add: waiting[0].Member.Acceptor, Remove: member.ID}, true
+		if view := seen[member.ID]; !view.IsMember && view.SilentFor >= replaceAfter && len(waiting) > 0 {
+			return CoreChange{Add: waiting[0].Member.Acceptor, Remove: member.ID}, true
 		}
 	}
 	for _, member := range core.Members {
-		at, patience := seen[member.ID], dropAfter*bound
-		if at.Member.Leaving {
-			patience = bound
+		view, timeout := seen[member.ID], shrinkAfter*replaceAfter
+		if view.Member.Leaving {
+			timeout = replaceAfter
 		}
-		if !at.IsMember && at.Unheard >= patience && len(core.Members)%2 == 0 && len(core.Members) >= 4 {
-			return Tended{Remove: member.ID}, true
+		if !view.IsMember && view.SilentFor >= timeout && len(core.Members)%2 == 0 && len(core.Members) >= 4 {
+			return CoreChange{Remove: member.ID}, true
 		}
 	}
-	if allLive && len(waiting) > 0 && len(core.Members) < MostVotes {
-		return Tended{Add: waiting[0].Member.Acceptor, Whole: true}, true
+	if allLive && len(waiting) > 0 && len(core.Members) < MaxVotes {
+		return CoreChange{Add: waiting[0].Member.Acceptor, NeedsAll: true}, true
 	}
 	for _, member := range core.Members {
-		if at := seen[member.ID]; at.IsMember && at.Member.Wire != member.Address {
-			return Tended{Whole: true}, true
+		if view := seen[member.ID]; view.IsMember && view.Member.Wire != member.Address {
+			return CoreChange{NeedsAll: true}, true
 		}
 	}
-	return Tended{}, false
+	return CoreChange{}, false
 }
 
-// reborn gives the acceptor with which the daemon of a member that is not heard is
+// replacementOf gives the acceptor with which the daemon of a member that is not heard is
 // back, or that waits at the member's address.
-func reborn(core register.Core, member register.Member, seen map[string]Sighting) (string, bool) {
+func replacementOf(core register.Core, member register.Member, seen map[string]AcceptorView) (string, bool) {
 	ids := slices.Sorted(maps.Keys(seen))
 	for _, id := range ids {
-		if one := seen[id]; one.IsMember && one.Member.Name == member.Name {
+		if view := seen[id]; view.IsMember && view.Member.Name == member.Name {
 			return id, true
 		}
 	}
 	for _, id := range ids {
-		if one := seen[id]; one.IsMember && one.Member.Wire == member.Address && !core.Has(id) {
+		if view := seen[id]; view.IsMember && view.Member.Wire == member.Address && !core.Has(id) {
 			return id, true
 		}
 	}
@@ -124,18 +124,18 @@
 }
 
 // Next gives the members of the core after the step.
-func (tended Tended) Next(core register.Core, seen map[string]Sighting) (members []register.Member) {
-	ids := []string{tended.Add}
+func (change CoreChange) Next(core register.Core, seen map[string]AcceptorView) (members []register.Member) {
+	ids := []string{change.Add}
 	for _, member := range core.Members {
 		ids = append(ids, member.ID)
 	}
 	for index, id := range ids {
-		if id == "" || id == tended.Remove {
+		if id == "" || id == change.Remove {
 			continue
 		}
-		at := seen[id]
-		member := register.Member{ID: id, Address: at.Member.Wire, Name: at.Member.Name}
-		if index > 0 && !at.IsMember {
+		view := seen[id]
+		member := register.Member{ID: id, Address: view.Member.Wire, Name: view.Member.Name}
+		if index > 0 && !view.IsMember {
 			member = core.Members[index-1]
 		}
 		members = append(members, member)
@@ -143,32 +143,32 @@
 	return members
 }
 
-// mayBeMade tells whether the step from one core to the next is safe now: which acceptors of
+// isSafe tells whether the step from one core to the next is safe now: which acceptors of
 // the core hold its epoch and can vote, and how many answered at all.
 //
 // Invariant: those that stay are a majority of the next core without the newcomer.
-func (tended Tended) mayBeMade(core, next register.Core, inStep map[string]bool, answered int) bool {
-	stay := 0
+func (change CoreChange) isSafe(core, next register.Core, inStep map[string]bool, answered int) bool {
+	remaining := 0
 	for id := range inStep {
-		if id != tended.Remove {
-			stay++
+		if id != change.Remove {
+			remaining++
 		}
 	}
-	return stay >= next.Majority() && (!tended.Whole || answered >= len(core.Members))
+	return remaining >= next.Majority() && (!change.NeedsAll || answered >= len(core.Members))
 }
 
-// tender is what a daemon remembers of acceptors. All daemons do, so that whoever
+// membershipReconciler is what a daemon remembers of acceptors. All daemons do, so that whoever
 // gets the duty knows for how long one has been silent.
-type tender struct {
-	daemon *Daemon
-	since  map[string]time.Duration // by acceptor: when it was last heard, or first missed
-	seen   map[string]session.Member
-	// turns counts those since this daemon holds the core's duty.
-	turns int
+type membershipReconciler struct {
+	daemon     *Daemon
+	lastSeenAt map[string]time.Duration // by acceptor: when it was last heard, or first missed
+	seen       map[string]session.Member
+	// rounds counts those since this daemon holds the core's duty.
+	rounds int
 }
 
-// unheard lists the acceptors of the core whose daemons have no session.
-func unheard(core register.Core, seen map[string]Sighting) (ids []string) {
+// silentAcceptors lists the acceptors of the core whose daemons have no session.
+func silentAcceptors(core register.Core, seen map[string]AcceptorView) (ids []string) {
 	for _, member := range core.Members {
 		if !seen[member.ID].IsMember {
 			ids = append(ids, member.ID)
@@ -177,104 +177,104 @@
 	return ids
 }
 
-// look notes who is heard now, and forgets whoever is neither in the core nor a member.
-func (tender *tender) look(core register.Core) map[string]Sighting {
-	daemon := tender.daemon
-	now, seen := daemon.World.Now(), map[string]Sighting{}
-	for _, one := range daemon.Table.Live(session.Control) {
-		if id := one.Member.Acceptor; id != "" {
-			tender.since[id], tender.seen[id] = now-one.Age, one.Member
-			seen[id] = Sighting{Member: one.Member, Unheard: one.Age, IsMember: true}
+// observe notes who is heard now, and forgets whoever is neither in the core nor a member.
+func (reconciler *membershipReconciler) observe(core register.Core) map[string]AcceptorView {
+	daemon := reconciler.daemon
+	now, seen := daemon.World.Now(), map[string]AcceptorView{}
+	for _, view := range daemon.Table.Live(session.Control) {
+		if id := view.Member.Acceptor; id != "" {
+			reconciler.lastSeenAt[id], reconciler.seen[id] = now-view.Age, view.Member
+			seen[id] = AcceptorView{Member: view.Member, SilentFor: view.Age, IsMember: true}
 		}
 	}
 	for _, member := range core.Members {
 		if _, isMember := seen[member.ID]; !isMember {
-			if since, known := tender.since[member.ID]; !known {
-				tender.since[member.ID] = now
-			} else if one, isHeard := tender.seen[member.ID]; isHeard && now-since < daemon.span() {
+			if since, known := reconciler.lastSeenAt[member.ID]; !known {
+				reconciler.lastSeenAt[member.ID] = now
+			} else if view, isHeard := reconciler.seen[member.ID]; isHeard && now-since < daemon.sessionTimeout() {
 				// Silence ends a session after a whole span: this one said that it was over.
-				one.Leaving = true
-				tender.seen[member.ID] = one
+				view.Leaving = true
+				reconciler.seen[member.ID] = view
 			}
-			seen[member.ID] = Sighting{Member: tender.seen[member.ID], Unheard: now - tender.since[member.ID]}
+			seen[member.ID] = AcceptorView{Member: reconciler.seen[member.ID], SilentFor: now - reconciler.lastSeenAt[member.ID]}
 		}
 	}
-	for id := range tender.since {
+	for id := range reconciler.lastSeenAt {
 		if _, kept := seen[id]; !kept {
-			delete(tender.since, id)
-			delete(tender.seen, id)
+			delete(reconciler.lastSeenAt, id)
+			delete(reconciler.seen, id)
 		}
 	}
 	return seen
 }
 
-// errMoved: the core is another one than was looked at.
-var errMoved = errors.New("the core has changed meanwhile")
+// errCoreChanged: the core is another one than was looked at.
+var errCoreChanged = errors.New("the core has changed meanwhile")
 
-// turn looks at the core once and makes a step if it is this daemon's to make.
+// reconcile looks at the core once and makes a step if it is this daemon's to make.
 //
 // Invariant: a step is made only while the acceptors of the core that stay, hold its
 // epoch and can vote are a majority of the next core too. All that was acknowledged
 // then lies at a majority of the next core without the newcomer's copy, and no step
 // follows another before newcomers hold theirs, or are not needed: however often
 // machines are replaced, no majority is made of acceptors that hold nothing.
-func (tender *tender) turn() {
-	daemon := tender.daemon
+func (reconciler *membershipReconciler) reconcile() {
+	daemon := reconciler.daemon
 	core := daemon.Core()
 	if core.Epoch == 0 {
 		return
 	}
-	seen := tender.look(core)
-	daemon.unheard.note(daemon.World.Now(), unheard(core, seen))
+	seen := reconciler.observe(core)
+	daemon.silent.update(daemon.World.Now(), silentAcceptors(core, seen))
 	if _, held := daemon.Duties.Held(CoreDuty); !held {
-		daemon.behind.note(daemon.World.Now(), nil) // the holder looks after that
-		tender.turns = 0
+		daemon.behind.update(daemon.World.Now(), nil) // the holder looks after that
+		reconciler.rounds = 0
 		return
 	}
-	if tender.turns++; tender.turns%compareTurns == 1 {
+	if reconciler.rounds++; reconciler.rounds%compareRounds == 1 {
 		daemon.compareCopies()
 	}
-	step, isDue := Tend(core, seen, max(daemon.span(), daemon.limit("replace_ms")))
+	change, isDue := PlanCoreChange(core, seen, max(daemon.sessionTimeout(), daemon.timeLimit("replace_ms")))
 	if !isDue {
 		return
 	}
-	next := register.Core{Epoch: core.Epoch + 1, Members: step.Next(core, seen)}
+	next := register.Core{Epoch: core.Epoch + 1, Members: change.Next(core, seen)}
 	inStep, answered := daemon.InStep(core)
-	if !step.mayBeMade(core, next, inStep, answered) {
-		daemon.Log.Info("the core is due for a change that must wait", zap.String("add", step.Add), zap.String("remove", step.Remove), zap.Int("in_step", len(inStep)))
+	if !change.isSafe(core, next, inStep, answered) {
+		daemon.Log.Info("the core is due for a change that must wait", zap.String("add", change.Add), zap.String("remove", change.Remove), zap.Int("in_step", len(inStep)))
 		return
 	}
 	var about register.About
-	if step.Add != "" {
-		err := daemon.Net.Call(seen[step.Add].Member.Wire, "Register.Describe", struct{}{}, &about, daemon.span()/4)
-		if err != nil || about.ID != step.Add || about.Disk.Broken != "" {
+	if change.Add != "" {
+		err := daemon.Net.Call(seen[change.Add].Member.Wire, "Register.Describe", struct{}{}, &about, daemon.sessionTimeout()/4)
+		if err != nil || about.ID != change.Add || about.Disk.Broken != "" {
 			return
 		}
 	}
 	if daemon.Point != nil {
 		daemon.Point("tender.change")
 	}
-	_, err := daemon.ChangeCore(func(present register.Core) ([]register.Member, error) {
-		if present.Epoch != core.Epoch {
-			return nil, errMoved
+	_, err := daemon.ChangeCore(func(current register.Core) ([]register.Member, error) {
+		if current.Epoch != core.Epoch {
+			return nil, errCoreChanged
 		}
 		return next.Members, nil
 	})
-	daemon.Log.Info("the core was tended", zap.Uint64("epoch", next.Epoch), zap.String("add", step.Add), zap.String("remove", step.Remove), zap.Error(err))
+	daemon.Log.Info("the core was tended", zap.Uint64("epoch", next.Epoch), zap.String("add", change.Add), zap.String("remove", change.Remove), zap.Error(err))
 }
 
-// tend keeps the core's membership.
-func (daemon *Daemon) tend() {
-	tender := &tender{daemon: daemon, since: map[string]time.Duration{}, seen: map[string]session.Member{}}
-	loop.Every(daemon.World, daemon.spans(1, 6), func() bool {
-		tender.turn()
+// reconcileMembership keeps the core's membership.
+func (daemon *Daemon) reconcileMembership() {
+	reconciler := &membershipReconciler{daemon: daemon, lastSeenAt: map[string]time.Duration{}, seen: map[string]session.Member{}}
+	loop.Every(daemon.World, daemon.sessionFraction(1, 6), func() bool {
+		reconciler.reconcile()
 		return !daemon.stopped.Load()
 	})
 }
 
-// begin makes the first core of the seeds, where the whole system starts for the
+// initFirstCore makes the first core of the seeds, where the whole system starts for the
 // first time and nobody asked knows of a core.
-func (daemon *Daemon) begin() {
+func (daemon *Daemon) initFirstCore() {
 	if !daemon.Process.First || daemon.Acceptor == nil || daemon.Core().Epoch > 0 {
 		return
 	}
--- a/controlplane/tender_test.go
+++ b/controlplane/tender_test.go
@@ -9,52 +9,52 @@
 )
 
 func TestTend(t *testing.T) {
-	const bound = 1500 * time.Millisecond
+	const replaceAfter = 1500 * time.Millisecond
 	core := register.Core{Epoch: 4, Members: []register.Member{{ID: "a-1", Address: "a", Name: "a"}, {ID: "b-1", Address: "b", Name: "b"}, {ID: "c-1", Address: "c", Name: "c"}}}
 	four := register.Core{Epoch: 4, Members: append([]register.Member{{ID: "d-1", Address: "d", Name: "d"}}, core.Members...)}
-	here := func(name, region string) Sighting {
-		return Sighting{Member: session.Member{Name: name, Wire: name, Region: region, Zone: region + "-1", Acceptor: name + "-1"}, IsMember: true}
+	live := func(name, region string) AcceptorView {
+		return AcceptorView{Member: session.Member{Name: name, Wire: name, Region: region, Zone: region + "-1", Acceptor: name + "-1"}, IsMember: true}
 	}
-	gone := func(unheard time.Duration) Sighting { return Sighting{Unheard: unheard} }
-	for _, one := range []struct {
+	silent := func(unheard time.Duration) AcceptorView { return AcceptorView{SilentFor: unheard} }
+	for _, testCase := range []struct {
 		name  string
 		core  register.Core
-		seen  map[string]Sighting
-		step  Tended
+		seen  map[string]AcceptorView
+		step  CoreChange
 		isDue bool
 	}{
-		{"all there", core, map[string]Sighting{}, Tended{}, false},
-		{"one silent, nobody waits", core, map[string]Sighting{"a-1": gone(time.Hour)}, Tended{}, false},
-		{"two silent, nobody waits", core, map[string]Sighting{"a-1": gone(time.Hour), "b-1": gone(time.Hour)}, Tended{}, false},
-		{"one silent for long, one waits", core, map[string]Sighting{"a-1": gone(bound), "x-1": here("x", "east")}, Tended{Add: "x-1", Remove: "a-1"}, true},
-		{"one silent for a moment, one waits", core, map[string]Sighting{"a-1": gone(bound - 1), "x-1": here("x", "east")}, Tended{}, false},
-		{"one back with another disk", core, map[string]Sighting{"a-1": gone(0), "a-2": {Member: session.Member{Name: "a", Wire: "elsewhere", Acceptor: "a-2"}, IsMember: true}}, Tended{Add: "a-2", Remove: "a-1"}, true},
-		{"another at its address", core, map[string]Sighting{"a-1": gone(0), "x-1": {Member: session.Member{Name: "x", Wire: "a", Acceptor: "x-1"}, IsMember: true}}, Tended{Add: "x-1", Remove: "a-1"}, true},
-		{"one of the core has moved to a silent one's address", core, map[string]Sighting{"a-1": gone(time.Hour), "b-1": {Member: session.Member{Name: "b", Wire: "a", Acceptor: "b-1"}, IsMember: true}}, Tended{Whole: true}, true},
+		{"all there", core, map[string]AcceptorView{}, CoreChange{}, false},
+		{"one silent, nobody waits", core, map[string]AcceptorView{"a-1": silent(time.Hour)}, CoreChange{}, false},
+		{"two silent, nobody waits", core, map[string]AcceptorView{"a-1": silent(time.Hour), "b-1": silent(time.Hour)}, CoreChange{}, false},
+		{"one silent for long, one waits", core, map[string]AcceptorView{"a-1": silent(replaceAfter), "x-1": live("x", "east")}, CoreChange{Add: "x-1", Remove: "a-1"}, true},
+		{"one silent for a moment, one waits", core, map[string]AcceptorView{"a-1": silent(replaceAfter - 1), "x-1": live("x", "east")}, CoreChange{}, false},
+		{"one back with another disk", core, map[string]AcceptorView{"a-1": silent(0), "a-2": {Member: session.Member{Name: "a", Wire: "elsewhere", Acceptor: "a-2"}, IsMember: true}}, CoreChange{Add: "a-2", Remove: "a-1"}, true},
+		{"another at its address", core, map[string]AcceptorView{"a-1": silent(0), "x-1": {Member: session.Member{Name: "x", Wire: "a", Acceptor: "x-1"}, IsMember: true}}, CoreChange{Add: "x-1", Remove: "a-1"}, true},
+		{"one of the core has moved to a silent one's address", core, map[string]AcceptorView{"a-1": silent(time.Hour), "b-1": {Member: session.Member{Name: "b", Wire: "a", Acceptor: "b-1"}, IsMember: true}}, CoreChange{NeedsAll: true}, true},
 		{"back with another disk, which votes already", register.Core{Epoch: 4, Members: append([]register.Member{{ID: "a-2", Address: "a", Name: "a"}}, core.Members...)},
-			map[string]Sighting{"a-1": gone(0), "a-2": {Member: session.Member{Name: "a", Wire: "a", Acceptor: "a-2"}, IsMember: true}}, Tended{Remove: "a-1"}, true},
-		{"one waits where there is no vote yet", core, map[string]Sighting{"x-1": here("x", "a"), "y-1": here("y", "east")}, Tended{Add: "y-1", Whole: true}, true},
-		{"one waits that is about to stop", core, map[string]Sighting{"x-1": {Member: session.Member{Name: "x", Wire: "x", Acceptor: "x-1", Leaving: true}, IsMember: true}}, Tended{}, false},
-		{"four, one silent for long", four, map[string]Sighting{"d-1": gone(dropAfter * bound)}, Tended{Remove: "d-1"}, true},
-		{"four, one silent, not for long", four, map[string]Sighting{"d-1": gone(dropAfter*bound - 1)}, Tended{}, false},
-		{"four, one silent, one waits", four, map[string]Sighting{"d-1": gone(dropAfter * bound), "x-1": here("x", "east")}, Tended{Add: "x-1", Remove: "d-1"}, true},
-		{"four, one gone in order", four, map[string]Sighting{"d-1": {Member: session.Member{Name: "d", Leaving: true}, Unheard: bound}}, Tended{Remove: "d-1"}, true},
-		{"four, one going in order", four, map[string]Sighting{"d-1": {Member: session.Member{Name: "d", Wire: "d", Leaving: true}, IsMember: true}}, Tended{}, false},
-		{"two, one silent for long", register.Core{Epoch: 4, Members: core.Members[:2]}, map[string]Sighting{"a-1": gone(time.Hour), "c-1": {Member: session.Member{Name: "c", Wire: "c", Leaving: true}, IsMember: true}}, Tended{}, false},
+			map[string]AcceptorView{"a-1": silent(0), "a-2": {Member: session.Member{Name: "a", Wire: "a", Acceptor: "a-2"}, IsMember: true}}, CoreChange{Remove: "a-1"}, true},
+		{"one waits where there is no vote yet", core, map[string]AcceptorView{"x-1": live("x", "a"), "y-1": live("y", "east")}, CoreChange{Add: "y-1", NeedsAll: true}, true},
+		{"one waits that is about to stop", core, map[string]AcceptorView{"x-1": {Member: session.Member{Name: "x", Wire: "x", Acceptor: "x-1", Leaving: true}, IsMember: true}}, CoreChange{}, false},
+		{"four, one silent for long", four, map[string]AcceptorView{"d-1": silent(shrinkAfter * replaceAfter)}, CoreChange{Remove: "d-1"}, true},
+		{"four, one silent, not for long", four, map[string]AcceptorView{"d-1": silent(shrinkAfter*replaceAfter - 1)}, CoreChange{}, false},
+		{"four, one silent, one waits", four, map[string]AcceptorView{"d-1": silent(shrinkAfter * replaceAfter), "x-1": live("x", "east")}, CoreChange{Add: "x-1", Remove: "d-1"}, true},
+		{"four, one gone in order", four, map[string]AcceptorView{"d-1": {Member: session.Member{Name: "d", Leaving: true}, SilentFor: replaceAfter}}, CoreChange{Remove: "d-1"}, true},
+		{"four, one going in order", four, map[string]AcceptorView{"d-1": {Member: session.Member{Name: "d", Wire: "d", Leaving: true}, IsMember: true}}, CoreChange{}, false},
+		{"two, one silent for long", register.Core{Epoch: 4, Members: core.Members[:2]}, map[string]AcceptorView{"a-1": silent(time.Hour), "c-1": {Member: session.Member{Name: "c", Wire: "c", Leaving: true}, IsMember: true}}, CoreChange{}, false},
 		{"seven vote", register.Core{Epoch: 4, Members: append([]register.Member{{ID: "d-1", Address: "d"}, {ID: "e-1", Address: "e"}, {ID: "f-1", Address: "f"}, {ID: "g-1", Address: "g"}}, core.Members...)},
-			map[string]Sighting{"d-1": here("d", "d"), "e-1": here("e", "e"), "f-1": here("f", "f"), "g-1": here("g", "g"), "x-1": here("x", "x")}, Tended{}, false},
+			map[string]AcceptorView{"d-1": live("d", "d"), "e-1": live("e", "e"), "f-1": live("f", "f"), "g-1": live("g", "g"), "x-1": live("x", "x")}, CoreChange{}, false},
 	} {
 		for _, name := range []string{"a", "b", "c"} {
-			if _, set := one.seen[name+"-1"]; !set {
-				one.seen[name+"-1"] = here(name, name)
+			if _, set := testCase.seen[name+"-1"]; !set {
+				testCase.seen[name+"-1"] = live(name, name)
 			}
 		}
-		step, isDue := Tend(one.core, one.seen, bound)
-		if step != one.step || isDue != one.isDue {
-			t.Errorf("%s: %+v, %v", one.name, step, isDue)
+		step, isDue := PlanCoreChange(testCase.core, testCase.seen, replaceAfter)
+		if step != testCase.step || isDue != testCase.isDue {
+			t.Errorf("%s: %+v, %v", testCase.name, step, isDue)
 		}
-		next := step.Next(one.core, one.seen)
-		votes := len(one.core.Members)
+		next := step.Next(testCase.core, testCase.seen)
+		votes := len(testCase.core.Members)
 		if step.Add != "" {
 			votes++
 		}
@@ -62,7 +62,7 @@
 			votes--
 		}
 		if len(next) != votes {
-			t.Errorf("%s: %d votes after the step, not %d: %v", one.name, len(next), votes, next)
+			t.Errorf("%s: %d votes after the step, not %d: %v", testCase.name, len(next), votes, next)
 		}
 	}
 }
