--- a/controlplane/caller.go
+++ b/controlplane/caller.go
@@ -9,16 +9,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// CallerOf is who waits for the answer to a request. It is good as long as the request's
-// handler runs.
+// CallerOf gives the client of a request. It is valid only while the request's handler runs.
 func CallerOf(ctx *fiber.Ctx) Caller {
 	conn := ctx.Context().Conn()
 	return Caller{IsGone: func() bool { return isClosed(conn) }}
 }
 
-// isClosed tells whether the other side has closed the connection. It looks without
-// reading: what was sent already stays for whoever reads next. A connection that can't be
-// looked at counts as open.
+// isClosed tells whether the peer has closed the connection. It peeks without consuming data. A
+// connection that can't be peeked at counts as open.
 func isClosed(conn net.Conn) bool {
 	system, ok := conn.(syscall.Conn)
 	if !ok {
--- a/controlplane/copies.go
+++ b/controlplane/copies.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// compareRounds is every how many turns of the core's reconciler, six of which are a session's
-// span, its holder compares the acceptors' copies.
+// compareRounds is the number of rounds of the membership reconciler, 6 of which are a session
+// timeout, between two comparisons of the acceptors' copies by the leader of the core.
 const compareRounds = 12
 
-// absenceTracker remembers since when acceptors of the core have lacked copies, or have not been
-// heard, as far as this daemon has seen.
+// absenceTracker records since when acceptors of the core have been behind or silent, as far as
+// this daemon has observed.
 //
-// Invariant: since has exactly the acceptors that lacked something the last time, each with the
-// first of the times in a row.
+// Invariant: since has exactly the acceptors of the last update, each with the time of the first
+// of its consecutive updates.
 type absenceTracker struct {
 	mu    sync.Mutex
 	since map[string]time.Duration
 }
 
-// update notes who lacks something now.
+// update replaces the set of affected acceptors, keeping the times of those that it had already.
 func (tracker *absenceTracker) update(now time.Duration, ids []string) {
 	tracker.mu.Lock()
 	defer tracker.mu.Unlock()
@@ -36,7 +36,7 @@
 	}
 }
 
-// addTo puts into the ages for how long each has lacked something, where that is longer.
+// addTo raises each acceptor's age to the time for which it has been affected.
 func (tracker *absenceTracker) addTo(ages map[string]time.Duration, now time.Duration) {
 	tracker.mu.Lock()
 	defer tracker.mu.Unlock()
@@ -45,14 +45,13 @@
 	}
 }
 
-// compareCopies notes which acceptors lack copies now; the holder of the core's duty does it.
+// compareCopies records which acceptors are behind or silent. Only the leader of the core calls it.
 func (daemon *Daemon) compareCopies() {
 	redundancy := computeRedundancy(daemon.Core(), daemon.Compare())
 	daemon.behind.update(daemon.World.Now(), redundancy.lacking())
 }
 
-// lacking tells for how long acceptors have lacked copies or have not been heard, as far as
-// this daemon has seen.
+// lacking gives, by acceptor, for how long this daemon has observed it to be behind or silent.
 func (daemon *Daemon) lacking() map[string]time.Duration {
 	ages := map[string]time.Duration{}
 	now := daemon.World.Now()
@@ -61,8 +60,8 @@
 	return ages
 }
 
-// lackingFor gives, for each acceptor that lacks something now, the longest time that any
-// daemon has seen it so.
+// lackingFor gives, for each acceptor that is behind or silent now, the longest time for which any
+// daemon has observed that.
 func (redundancy Redundancy) lackingFor(locals map[string]Local) map[string]time.Duration {
 	ages := map[string]time.Duration{}
 	for _, id := range redundancy.lacking() {
--- a/controlplane/daemon.go
+++ b/controlplane/daemon.go
@@ -1,5 +1,6 @@
-// Package controlplane puts a control daemon together: registers, sessions,
-// duties, permits, and the regions' standings and roll-outs.
+// Package controlplane assembles a control daemon from the replicated registers, the
+// session table, leader elections, data daemon leases, and each region's routing table
+// and roll-outs.
 package controlplane
 
 import (
@@ -26,28 +27,29 @@
 	"swifttiller/workflow"
 )
 
-// Options of a daemon: its place, and the outside world.
+// Options are a daemon's settings and its access to the outside world.
 type Options struct {
 	World   loop.World
 	Net     wire.Net
 	Process settings.Process
-	// Live are the process's settings as they stand; nil when they never change.
+	// Live gives the process's current settings; nil if they never change.
 	Live *settings.Live
-	// Folder is the data folder; nil for a daemon without a disk.
+	// Folder is the data directory; nil for a daemon without a disk.
 	Folder      disk.Folder
 	Incarnation string
 	Replicas    replica.Client
-	// Dialect, if set, is how replicas of models with an engine are asked.
+	// Dialect, if set, is the protocol for probing replicas of models with an engine.
 	Dialect  replica.Dialect
 	Platform listing.Client
 	Log      *zap.Logger
-	// Counter, if set, is what Net counts its calls with.
+	// Counter, if set, holds the counts of the RPCs made through Net.
 	Counter *wire.Counter
-	// Point is told of numbered points, for faults in tests.
+	// Point, if set, is called at named points of the code, so that tests can inject faults.
 	Point func(name string)
 }
 
-// Daemon is a control daemon.
+// Daemon is a control daemon. It combines an acceptor of the replicated registers, a member
+// of the session protocol, and a candidate for the elections of all regions and of the core.
 type Daemon struct {
 	Options
 	*register.Keeper
@@ -64,18 +66,20 @@
 	repaired atomic.Int64
 	tenants  tenants
 	pauses   pauseDetector
-	// behind are acceptors that lack copies, as the holder of the core's duty sees them, and
-	// unheard those without a session.
+	// behind tracks the acceptors with missing or outdated copies, as seen by the leader of
+	// the core; silent tracks those whose daemons have no session.
 	behind, silent absenceTracker
 }
 
-// RegionDuty is the duty that covers a region: its replicas, standing and runs.
+// RegionDuty is the key prefix of the election for a region. The leader watches the region's
+// replicas, writes its routing table and drives its roll-outs.
 const RegionDuty = "region/"
 
-// JanitorDuty is the duty that retires old records.
+// JanitorDuty is the election whose leader garbage-collects old lease holders' records.
 const JanitorDuty = "janitor"
 
-// New makes a daemon and brings its disk back; a bad disk is an error.
+// New makes a daemon and recovers the acceptor's state from its disk. A corrupt or unreadable
+// disk is an error.
 func New(options Options) (*Daemon, error) {
 	if options.Live == nil {
 		options.Live = settings.NewLive(settings.LiveOptions{Process: options.Process})
@@ -119,8 +123,8 @@
 	return daemon, nil
 }
 
-// routesChanged makes the regions' standings show at once what was written of a model's routes,
-// where an order under a term is under way.
+// routesChanged wakes the regions that are executing a timed roll-out, so that a change of a
+// model's routes is published in their routing tables at once.
 func (daemon *Daemon) routesChanged() {
 	_, _, tree := daemon.Office.Current()
 	if tree == nil {
@@ -135,13 +139,13 @@
 	}
 }
 
-// roundTimeout bounds one operation on a register.
+// roundTimeout bounds one register operation.
 const roundTimeout = 2 * time.Second
 
-// sessionTimeout is the session bound in force.
+// sessionTimeout is the session timeout currently configured.
 func (daemon *Daemon) sessionTimeout() time.Duration { return daemon.timeLimit("session_ms") }
 
-// timeLimit is a limit of time in force for the whole system.
+// timeLimit is the current value of a system-wide duration setting.
 func (daemon *Daemon) timeLimit(name string) time.Duration {
 	var tree *settings.Tree
 	if daemon.Office != nil {
@@ -150,35 +154,34 @@
 	return tree.Span(name, "")
 }
 
-// sessionFraction is a ratio of the session bound, as a loop's span.
+// sessionFraction gives times/parts of the session timeout, as a loop's interval.
 func (daemon *Daemon) sessionFraction(times, parts time.Duration) func() time.Duration {
 	return func() time.Duration { return times * daemon.sessionTimeout() / parts }
 }
 
-// tableAge tells whether the region's standing, as read, is kept up to date, as far as
-// this daemon has seen: how long ago the holder of the duty that it was written
-// under found it to be so. That the holder is alive is not enough: without a
-// majority of the core it can't write what it sees.
+// tableAge tells whether the region's leader is maintaining the given routing table, as far
+// as this daemon knows, and how long ago the leader last verified it. A live leader alone is
+// not enough: without a majority of the core it can't write what it observes.
 func (daemon *Daemon) tableAge(region string, read standing.Standing) (time.Duration, bool) {
 	duty, known := daemon.Duties.Last(RegionDuty + region)
 	if !known || duty.Serial != read.Duty {
 		return 0, false
 	}
-	holder, isAlive := daemon.leader(duty)
-	keeping, keeps := holder.Member.Keeps[region]
+	leader, isAlive := daemon.leader(duty)
+	keeping, keeps := leader.Member.Keeps[region]
 	_, _, tree := daemon.Office.Current()
-	age := holder.Age + keeping.Age
+	age := leader.Age + keeping.Age
 	return age, isAlive && keeps && keeping.Duty == duty.Serial && keeping.Serial <= read.Serial && tree != nil && age < tree.Span("permit_ms", "")
 }
 
-// leader gives the session of a duty's holder, if it is a member.
+// leader gives the session of the daemon that won an election, if that incarnation is a member.
 func (daemon *Daemon) leader(held duty.Duty) (session.Session, bool) {
 	found, isMember := daemon.Table.Find(held.Holder)
 	return found, isMember && found.Member.Role == session.Control && found.Member.Incarnation == held.Incarnation
 }
 
-// describeSelf tells the colleagues which duties this daemon holds and which standings it
-// keeps.
+// describeSelf fills in what this daemon's heartbeats announce to its peers: the elections
+// that it leads and the routing tables that it maintains.
 func (daemon *Daemon) describeSelf(self *session.Member) {
 	self.Duties, self.Keeps = daemon.Duties.Holds(), map[string]session.Keeping{}
 	daemon.mu.Lock()
@@ -190,30 +193,32 @@
 	}
 }
 
-// claimsLeadership tells whether the holder of a duty says itself that it holds it.
+// claimsLeadership tells whether the recorded leader itself announces that it leads in that term.
 func (daemon *Daemon) claimsLeadership(name string, held duty.Duty) bool {
 	found, isAlive := daemon.leader(held)
 	return isAlive && found.Member.Duties[name] == held.Serial
 }
 
+// isAlive tells whether that incarnation of a control daemon is a member.
 func (daemon *Daemon) isAlive(name, incarnation string) bool {
 	_, isAlive := daemon.leader(duty.Duty{Holder: name, Incarnation: incarnation})
 	return isAlive
 }
 
-// hasRestarted tells whether another incarnation of that name is a member, which
-// proves that the given one is gone.
+// hasRestarted tells whether another incarnation of the named daemon is a member, which
+// proves that the given one has ended.
 func (daemon *Daemon) hasRestarted(name, incarnation string) bool {
 	found, isMember := daemon.Table.Find(name)
 	return isMember && found.Member.Role == session.Control && found.Member.Incarnation != incarnation
 }
 
-// elections lists what there is to do, the core and this daemon's own region first.
+// elections lists the elections to stand in, in order of preference: the core and this
+// daemon's own region first.
 func (daemon *Daemon) elections() []string {
 	_, _, tree := daemon.Office.Current()
 	if tree == nil {
 		if daemon.Duties.IsBack && daemon.Table.Watched() < daemon.sessionTimeout() {
-			return nil // the configuration is read first, and then all are run for together
+			return nil // reads the configuration first, so as to stand in all elections at once
 		}
 		return []string{CoreDuty}
 	}
@@ -230,21 +235,21 @@
 	return names
 }
 
-// diskless answers for a daemon that is no acceptor.
+// diskless serves the register protocol of a daemon without an acceptor.
 type diskless struct{ *register.Keeper }
 
-// Describe tells the core that the daemon knows.
+// Describe reports the newest core that the daemon knows.
 func (diskless diskless) Describe(_ struct{}, about *register.About) error {
 	about.Core = diskless.Core()
 	return nil
 }
 
-// Services registers what colleagues call.
+// Services makes the RPC server that peers and data daemons call.
 func (daemon *Daemon) Services() *rpc.Server {
 	server := rpc.NewServer()
 	register := func(name string, service any) {
 		if err := server.RegisterName(name, service); err != nil {
-			panic(err) // only our own types come here
+			panic(err) // unreachable: all services are types of this module
 		}
 	}
 	if daemon.Acceptor != nil {
@@ -260,28 +265,28 @@
 	return server
 }
 
-// The services show only what is meant for the wire.
+// The services expose only the methods that are meant to be called remotely.
 type (
 	tableService  struct{ table *session.Table }
 	officeService struct{ office *permit.Office }
 )
 
-// Beat takes a daemon's word.
+// Beat handles a daemon's heartbeat.
 func (service tableService) Beat(beat session.Beat, answer *session.Answer) error {
 	return service.table.Beat(beat, answer)
 }
 
-// Share exchanges sessions.
+// Share exchanges session tables with a peer.
 func (service tableService) Share(shared session.Shared, back *session.Shared) error {
 	return service.table.Share(shared, back)
 }
 
-// Renew grants permits.
+// Renew grants or renews a data daemon's lease.
 func (service officeService) Renew(ask permit.Ask, grant *permit.Grant) error {
 	return service.office.Renew(ask, grant)
 }
 
-// Fetch gives configurations.
+// Fetch returns a configuration.
 func (service officeService) Fetch(want permit.Want, edition *permit.Edition) error {
 	return service.office.Fetch(want, edition)
 }
@@ -301,8 +306,8 @@
 	}
 }
 
-// discover asks the seeds and whoever else is known for the core, often while none
-// is known and seldom later.
+// discover queries the seeds and the known peers for the core: every fifteenth of the session
+// timeout while no core is known, and every 4 session timeouts after that.
 func (daemon *Daemon) discover() {
 	loop.Every(daemon.World, func() time.Duration {
 		if daemon.Core().Epoch == 0 {
@@ -316,12 +321,12 @@
 	})
 }
 
-// watchConfig reads the configuration and keeps one task per region.
+// watchConfig polls the configuration and starts the loops of each region that it names.
 func (daemon *Daemon) watchConfig() {
 	loop.Every(daemon.World, daemon.sessionFraction(1, 3), func() bool {
 		if daemon.Core().Epoch > 0 {
 			if err := daemon.Office.Refresh(); err != nil {
-				daemon.Log.Debug("the configuration can't be read", zap.Error(err))
+				daemon.Log.Debug("reading the configuration failed", zap.Error(err))
 			}
 		}
 		if _, _, tree := daemon.Office.Current(); tree != nil {
@@ -334,6 +339,7 @@
 	})
 }
 
+// ensureRegion starts the region's loops unless they run already.
 func (daemon *Daemon) ensureRegion(name string) {
 	daemon.mu.Lock()
 	_, known := daemon.regions[name]
@@ -347,25 +353,25 @@
 	}
 }
 
-// repairCopies compares this disk's copies with the colleagues', and at once where it has
-// missed a change of the core.
+// repairCopies compares the acceptor's registers with its peers' (anti-entropy) every 24th
+// round, and in every round while it has missed a change of the core.
 func (daemon *Daemon) repairCopies() {
-	turn := 0
+	round := 0
 	loop.Every(daemon.World, daemon.sessionFraction(1, 6), func() bool {
-		if turn++; turn%24 != 1 && !daemon.isBehind() {
+		if round++; round%24 != 1 && !daemon.isBehind() {
 			return !daemon.stopped.Load()
 		}
-		mended, err := daemon.Repair(daemon.Acceptor)
-		daemon.repaired.Add(int64(mended))
-		if mended > 0 || err != nil {
-			daemon.Log.Info("copies compared", zap.Int("mended", mended), zap.Error(err))
+		repaired, err := daemon.Repair(daemon.Acceptor)
+		daemon.repaired.Add(int64(repaired))
+		if repaired > 0 || err != nil {
+			daemon.Log.Info("copies compared", zap.Int("mended", repaired), zap.Error(err))
 		}
 		return !daemon.stopped.Load()
 	})
 }
 
-// isBehind tells whether this acceptor belongs to a core that it has not taken over,
-// or gave up what it holds for one.
+// isBehind tells whether the acceptor has not yet installed a core that it belongs to, or was
+// sealed for one.
 func (daemon *Daemon) isBehind() bool {
 	var about register.About
 	_ = daemon.Acceptor.Describe(struct{}{}, &about)
@@ -373,6 +379,7 @@
 	return about.Sealed || core.Has(about.ID) && about.Core.Epoch < core.Epoch
 }
 
+// sweepRecords garbage-collects lease holders' records while this daemon is the janitor.
 func (daemon *Daemon) sweepRecords() {
 	loop.Every(daemon.World, daemon.sessionFraction(4, 1), func() bool {
 		if _, held := daemon.Duties.Held(JanitorDuty); held {
@@ -382,7 +389,8 @@
 	})
 }
 
-// Stop lets go of duties and tells the colleagues, for a planned stop.
+// Stop resigns from all elections and announces the end of this daemon's session to its
+// peers, for a planned shutdown.
 func (daemon *Daemon) Stop() {
 	daemon.stopped.Store(true)
 	daemon.Duties.Resign()
--- a/controlplane/operate.go
+++ b/controlplane/operate.go
@@ -21,13 +21,14 @@
 	"swifttiller/workflow"
 )
 
-// outcomeUnknown is how an operator's step ends when its outcome can't be told.
+// outcomeUnknown makes the error for an operator's command that may or may not have taken effect.
 func outcomeUnknown(err error) *verdict.Mishap {
 	return &verdict.Mishap{Verdict: verdict.MayHaveRun, Code: "outcome_unknown", Status: 504, Cause: err,
 		Message: "the outcome is unknown: " + err.Error() + "; look at `controlplane show` and `controlplane handover status` to find out"}
 }
 
-// Answer turns an error of the registers and objects into an operator's.
+// Answer converts an error of the registers, objects and runs into the error that an operator
+// gets, with its HTTP status and code.
 func Answer(err error) *verdict.Mishap {
 	var failure *verdict.Mishap
 	var stale *register.Stale
@@ -61,7 +62,7 @@
 	return verdict.Decline(500, "failed", err.Error(), 0)
 }
 
-// Reload has a member reread its process's settings.
+// Reload makes the named member reread its process settings.
 func (daemon *Daemon) Reload(name string) (settings.Reloaded, error) {
 	var out settings.Reloaded
 	for _, member := range daemon.Table.Live("") {
@@ -73,24 +74,25 @@
 		} else if err := daemon.Net.Call(member.Member.Wire, "Process.Reload", struct{}{}, &out, roundTimeout); wire.Unsent(err) {
 			return out, verdict.Decline(503, "unreached", err.Error(), time.Second)
 		} else if err != nil {
-			return out, &verdict.Mishap{Verdict: verdict.MayHaveRun, Code: "outcome_unknown", Status: 504, Cause: err, Message: "the outcome is unknown: " + err.Error() + "; reloading again does no harm"}
+			return out, &verdict.Mishap{Verdict: verdict.MayHaveRun, Code: "outcome_unknown", Status: 504, Cause: err, Message: "the outcome is unknown: " + err.Error() + "; it is safe to reload again"}
 		}
 		if len(out.Problems) > 0 {
 			return out, verdict.Decline(422, "invalid", out.String(), 0)
 		}
 		return out, nil
 	}
-	return out, verdict.Decline(404, "no_daemon", fmt.Sprintf("no daemon %q is a member", name), 0)
+	return out, verdict.Decline(404, "no_daemon", fmt.Sprintf("no member is named %q", name), 0)
 }
 
-// Handover starts a run in each region, or joins it.
+// Handover starts a roll-out run of the version in each of the regions (all that place the
+// model if none are given), or joins the run that has this id already.
 func (daemon *Daemon) Handover(id, model, version string, regions []string) (map[string]workflow.Run, error) {
 	_, _, tree := daemon.Office.Current()
 	if tree == nil {
 		return nil, verdict.Decline(409, "no_configuration", "there is no configuration yet", 0)
 	}
 	if id == "" || version == "" {
-		return nil, verdict.Decline(400, "bad_request", "a handover needs an id and a version", 0)
+		return nil, verdict.Decline(400, "bad_request", "a handover requires an id and a version", 0)
 	}
 	if len(regions) == 0 {
 		for _, region := range tree.Regions() {
@@ -110,7 +112,7 @@
 	runs := map[string]workflow.Run{}
 	for _, region := range regions {
 		if placement, _ := tree.Placement(model, region); placement.Any() {
-			return nil, verdict.Decline(409, "any_version", fmt.Sprintf("model %q holds any version in region %s: its replicas start by themselves; order a roll-out under a term", model, region), 0)
+			return nil, verdict.Decline(409, "any_version", fmt.Sprintf("model %q accepts any version in region %s: its replicas come up with a version loaded; start a timed roll-out instead", model, region), 0)
 		}
 	}
 	for _, region := range regions {
@@ -123,14 +125,14 @@
 	return runs, nil
 }
 
-// ModelStatus is what an operator sees of a model.
+// ModelStatus is a model's state as reported to operators.
 type ModelStatus struct {
 	rollout.Model
 	Shelves  map[string]workflow.Shelf  `json:"runs"`
 	Versions map[string]rollout.Version `json:"versions"`
 }
 
-// Handovers shows every model's routes, runs and versions.
+// Handovers reports every model's routes, runs and versions.
 func (daemon *Daemon) Handovers() (map[string]ModelStatus, error) {
 	_, _, tree := daemon.Office.Current()
 	out := map[string]ModelStatus{}
@@ -164,7 +166,8 @@
 	return out, nil
 }
 
-// ChangeVotes changes who votes, by identity; the addresses come from the members.
+// ChangeVotes adds and removes acceptors of the core by identity. The addresses of new ones
+// are looked up in the session table.
 func (daemon *Daemon) ChangeVotes(add, remove []string) (register.Core, error) {
 	return daemon.ChangeCore(func(core register.Core) ([]register.Member, error) {
 		var members []register.Member
@@ -180,11 +183,11 @@
 		}
 		for _, id := range add {
 			if core.Has(id) {
-				return nil, verdict.Decline(409, "in_core", fmt.Sprintf("%q is in the core already", id), 0)
+				return nil, verdict.Decline(409, "in_core", fmt.Sprintf("%q is already in the core", id), 0)
 			}
 			address := daemon.Table.Locate(id)
 			if address == "" {
-				return nil, verdict.Decline(404, "no_acceptor", fmt.Sprintf("no member has the acceptor %q", id), 0)
+				return nil, verdict.Decline(404, "no_acceptor", fmt.Sprintf("no member runs the acceptor %q", id), 0)
 			}
 			members = append(members, register.Member{ID: id, Address: address})
 		}
@@ -195,8 +198,8 @@
 	})
 }
 
-// Local is what one control daemon knows by itself, asked by status and doctor.
-// It needs no majority.
+// Local is the local state of one control daemon, for the status and doctor commands. It is
+// available without a majority of the core.
 type Local struct {
 	Member    session.Member         `json:"member"`
 	Core      register.Core          `json:"core"`
@@ -212,12 +215,12 @@
 	Rounds    any                    `json:"rounds"`
 	Wall      time.Time              `json:"wall"`
 	Watched   time.Duration          `json:"watched"`
-	// Lacking is for how long acceptors have lacked copies or have not been heard, in
-	// nanoseconds.
+	// Lacking gives, by acceptor, for how many nanoseconds its copies have been incomplete or
+	// its daemon has been silent.
 	Lacking map[string]time.Duration `json:"lacking,omitempty"`
 }
 
-// RegionState is what the holder of a region's duty sees.
+// RegionState is a region's state as its leader sees it.
 type RegionState struct {
 	Duty      uint64             `json:"duty"`
 	Replicas  []standing.Replica `json:"replicas"`
@@ -226,7 +229,7 @@
 	RollError string             `json:"roll_error,omitempty"`
 }
 
-// Local describes this daemon.
+// Local reports this daemon's local state.
 func (daemon *Daemon) Local() Local {
 	serial, config, tree := daemon.Office.Current()
 	out := Local{
@@ -258,8 +261,7 @@
 	return out
 }
 
-// Status is the whole system as one control daemon finds it by asking the
-// others.
+// Status is the state of the whole system, as collected by one control daemon from the others.
 type Status struct {
 	Asked      string                   `json:"asked"`
 	Majority   bool                     `json:"majority"`
@@ -272,31 +274,31 @@
 	Document   json.RawMessage          `json:"document,omitempty"`
 	SeedsUnmet []string                 `json:"seeds_unmet,omitempty"`
 	Holders    map[string]permit.Record `json:"holders,omitempty"`
-	// Skews are how far each daemon's calendar stands from the asked one's.
+	// Skews are the differences between each daemon's wall clock and the asked one's.
 	Skews map[string]time.Duration `json:"skews,omitempty"`
-	// Sums are the acceptors' digests, by identity, range by range; Redundancy is what they
-	// say of losses that can be borne.
+	// Sums are the acceptors' digests by identity, one per key range; Redundancy is how many
+	// disk losses the core tolerates, derived from these.
 	Sums       map[string][]string `json:"sums,omitempty"`
 	Redundancy *Redundancy         `json:"redundancy,omitempty"`
 }
 
-// LocalReply carries a Local over the wire, as JSON: it holds interfaces.
+// LocalReply carries a Local as JSON, since gob can't encode the interface values in it.
 type LocalReply struct{ Body []byte }
 
 type localService struct{ daemon *Daemon }
 
-// Local describes the daemon.
+// Local reports the daemon's local state.
 func (service localService) Local(_ struct{}, reply *LocalReply) (err error) {
 	reply.Body, err = json.Marshal(service.daemon.Local())
 	return err
 }
 
-// Status asks every control daemon and the registers. It works against a sick
-// system and says what it could not ask.
+// Status queries every control daemon and reads the registers. It also works while parts of
+// the system are down, and lists what could not be reached.
 func (daemon *Daemon) Status() Status {
 	self := daemon.Local()
 	out := Status{Asked: self.Member.Name, Core: self.Core, Locals: map[string]Local{self.Member.Name: self}, Unreached: map[string]string{}, Skews: map[string]time.Duration{}}
-	addresses := map[string]string{} // by address: what it is
+	addresses := map[string]string{} // by address: a description of who should answer there
 	for _, member := range self.Core.Members {
 		address := daemon.Table.Locate(member.ID)
 		if address == "" {
@@ -350,7 +352,7 @@
 			answered = answered || entry.Member.Wire == address
 		}
 		if !answered {
-			out.Unreached[address] = addresses[address] + ": no answer in time"
+			out.Unreached[address] = addresses[address] + ": timed out"
 			if slices.Contains(daemon.Live.Seeds(), address) {
 				out.SeedsUnmet = append(out.SeedsUnmet, address)
 			}
@@ -380,7 +382,7 @@
 	return out
 }
 
-// effective gives every value that holds at a place, and where it came from.
+// effective gives every setting's value in a zone or region, and the level that set it.
 func effective(tree *settings.Tree, scope string) (map[string]map[string]any, bool) {
 	leaves, known := tree.Effective(scope)
 	if !known {
@@ -393,6 +395,7 @@
 	return out, true
 }
 
+// splitList splits a comma-separated list, leaving out empty items.
 func splitList(text string) []string {
-	return slices.DeleteFunc(strings.Split(text, ","), func(word string) bool { return word == "" })
+	return slices.DeleteFunc(strings.Split(text, ","), func(item string) bool { return item == "" })
 }
--- a/controlplane/order.go
+++ b/controlplane/order.go
@@ -19,70 +19,70 @@
 )
 
 const (
-	// orderQuorumTimeout is for how long an order goes on while no majority of the core answers.
-	// Operators turn to another daemon after a second.
+	// orderQuorumTimeout bounds the attempts of a command while no majority of the core replies.
+	// It is below the second after which operators fail over to another daemon.
 	orderQuorumTimeout = roundTimeout * 2 / 5
-	// orderMaxAge is how long after its arrival an order may still be written that builds on
-	// no version: who gave it up may have had the opposite acknowledged elsewhere since.
+	// orderMaxAge is how long after its arrival a command that names no base version may still
+	// be written: a caller that gave up on it may since have had the opposite command
+	// acknowledged by another daemon.
 	orderMaxAge = roundTimeout / 2
-	// documentMaxAge is that of a document, which is written only on top of the one that it
-	// builds on.
+	// documentMaxAge is the same bound for a document. It is longer, as a document is written
+	// only on top of its base version.
 	documentMaxAge = 2 * roundTimeout
 )
 
-// ErrAbandoned: the caller of an order left, or its time is over, before it was written.
-// Nothing of it was or will be.
-var ErrAbandoned = errors.New("the order was given up before it was written")
+// ErrAbandoned is the error for a command whose caller disconnected, or whose time ran out,
+// before it was written. Nothing of it was or will be written.
+var ErrAbandoned = errors.New("the command was abandoned before it was written")
 
-// Caller is who waits for the outcome of an order.
+// Caller is the client that waits for the outcome of a command.
 type Caller struct {
-	// IsGone, if set, tells whether the caller closed its connection.
+	// IsGone, if set, tells whether the caller has closed its connection.
 	IsGone func() bool
 }
 
-// Operator carries out the orders of one caller. An order is bound to its arrival and to
-// its caller: nothing is written once its time is over or the caller has left, as after a
-// freeze of this daemon.
+// Operator executes one caller's commands. Nothing is written once a command has passed its
+// maximum age or the caller has disconnected, as may be the case after this daemon was frozen.
 type Operator struct {
 	daemon  *Daemon
 	caller  Caller
 	arrived time.Duration
 }
 
-// For takes an order that is read now. One that may have lain unread while this daemon was
-// frozen counts as having arrived when the freeze began.
+// For accepts a command that is read now. If it may have waited in a socket buffer while this
+// daemon was frozen, the beginning of the freeze counts as its arrival.
 func (daemon *Daemon) For(caller Caller) *Operator {
 	return &Operator{daemon: daemon, caller: caller, arrived: daemon.pauses.earliestArrival()}
 }
 
-// isAbandoned tells whether nothing may be written for the caller any more, the span after
-// the order's arrival at the latest.
+// isAbandoned tells whether nothing may be written for the caller any more: the command is
+// older than maxAge, or the caller has disconnected.
 func (operator *Operator) isAbandoned(maxAge time.Duration) bool {
 	return operator.daemon.World.Now()-operator.arrived > maxAge || operator.caller.IsGone != nil && operator.caller.IsGone()
 }
 
-// Apply is Operator.Apply for a caller that can't leave.
+// Apply is Operator.Apply for a caller that can't disconnect.
 func (daemon *Daemon) Apply(document []byte, expect *uint64, dry bool) (permit.Applied, error) {
 	return daemon.For(Caller{}).Apply(document, expect, dry)
 }
 
-// Replace is Operator.Replace for a caller that can't leave.
+// Replace is Operator.Replace for a caller that can't disconnect.
 func (daemon *Daemon) Replace(document []byte, expect uint64) (permit.Applied, error) {
 	return daemon.For(Caller{}).Replace(document, expect)
 }
 
-// Evacuate is Operator.Evacuate for a caller that can't leave.
+// Evacuate is Operator.Evacuate for a caller that can't disconnect.
 func (daemon *Daemon) Evacuate(zone string, back bool) (permit.Applied, error) {
 	return daemon.For(Caller{}).Evacuate(zone, back)
 }
 
-// BeginRollout is Operator.BeginRollout for a caller that can't leave.
+// BeginRollout is Operator.BeginRollout for a caller that can't disconnect.
 func (daemon *Daemon) BeginRollout(model, version string, over time.Duration) error {
 	return daemon.For(Caller{}).BeginRollout(model, version, over)
 }
 
-// Apply checks a whole document and makes it the configuration. It returns once
-// it is acknowledged.
+// Apply validates a whole document and makes it the configuration; dry only validates. It
+// returns once every lease holder applies the document or has lost its lease.
 func (operator *Operator) Apply(document []byte, expect *uint64, dry bool) (permit.Applied, error) {
 	daemon := operator.daemon
 	rest, origin := permit.Apart(document)
@@ -91,7 +91,7 @@
 		return permit.Applied{}, problems
 	}
 	for _, warning := range tree.Warnings() {
-		daemon.Log.Warn("a document sets what means nothing any more", zap.String("path", warning.Path), zap.String("reason", warning.Reason))
+		daemon.Log.Warn("the document sets a setting that has no effect any more", zap.String("path", warning.Path), zap.String("reason", warning.Reason))
 	}
 	if dry {
 		return permit.Applied{}, nil
@@ -99,7 +99,7 @@
 	archived := daemon.Office.Archive()
 	return daemon.Office.Change(expect, operator.unlessAbandoned(documentMaxAge, func(config permit.Config) (permit.Config, error) {
 		config, err := config.Take(document, versionMark(tree.Label(), rest, origin), archived)
-		// An evacuation outlasts configurations; a zone that is no more does not.
+		// Evacuations persist over configuration changes, except those of removed zones.
 		config.Evacuated = slices.DeleteFunc(slices.Clone(config.Evacuated), func(zone string) bool {
 			_, known := tree.RegionOf(zone)
 			return !known
@@ -108,16 +108,17 @@
 	}))
 }
 
-// Outdated is the answer to an order that builds on another label than the current one.
+// Outdated is the error for a document whose base label is not the current one.
 type Outdated struct{ Have, Want uint64 }
 
-// Error is one line.
+// Error names both labels.
 func (outdated *Outdated) Error() string {
-	return fmt.Sprintf("expected the configuration labelled %d, but the current one is %d", outdated.Want, outdated.Have)
+	return fmt.Sprintf("expected the configuration with label %d, but the current label is %d", outdated.Want, outdated.Have)
 }
 
-// versionMark is the mark of a document, by what the operator sent: that which it was made
-// from, if it says so. One without a label has none.
+// versionMark makes a document's version mark, its label and a digest of what the operator
+// sent: the origin that the document was made from, if it has one. A document without a label
+// has no mark.
 func versionMark(label uint64, rest, origin []byte) permit.Mark {
 	if label == 0 {
 		return ""
@@ -127,16 +128,16 @@
 		source = rest
 	}
 	var compact bytes.Buffer
-	_ = json.Compact(&compact, source) // a tree was parsed from it
+	_ = json.Compact(&compact, source) // valid JSON: a tree was parsed from it
 	sum := sha256.Sum256(compact.Bytes())
 	return permit.Mark(fmt.Sprintf("%d/%s", label, base64.RawStdEncoding.EncodeToString(sum[:9])))
 }
 
-// Replace makes a document with a label the configuration, if the current one's label is
-// the expected (0 when there is none), and returns once it is acknowledged. A document
-// that was taken already, as far as it or the history remembers, is acknowledged again,
-// also when others came since. Errors: settings.Problems, *Outdated, those of the
-// registers; register.ErrUncertain alone leaves open whether it was taken.
+// Replace makes a labelled document the configuration if the current label is the expected
+// one (0 for no configuration), and returns once it is acknowledged. It is idempotent: a
+// document that the configuration or its history records as accepted is acknowledged again,
+// even if others have followed. Errors are settings.Problems, *Outdated and those of the
+// registers; only register.ErrUncertain leaves open whether the document was accepted.
 func (operator *Operator) Replace(document []byte, expect uint64) (permit.Applied, error) {
 	daemon := operator.daemon
 	rest, origin := permit.Apart(document)
@@ -149,7 +150,7 @@
 		return daemon.logOutcome(operator.arrived, applied, err)
 	}
 	archived := daemon.Office.Archive()
-	var base permit.Config // what was revised last
+	var base permit.Config // the configuration that the last attempt was based on
 	applied, err := operator.changeRepeatable(documentMaxAge, func(config permit.Config) (permit.Config, error) {
 		base = config
 		switch label := config.Label(); {
@@ -166,7 +167,7 @@
 	if !errors.As(err, &outdated) || base.Archived == 0 || mark.Label() > base.Label() {
 		return applied, err
 	}
-	// It may have been taken long ago.
+	// It may be an old document whose mark was moved to the archived history.
 	isTaken, recallErr := daemon.Office.Recall(base, mark, orderQuorumTimeout)
 	switch {
 	case recallErr != nil:
@@ -177,8 +178,8 @@
 	return operator.changeRepeatable(documentMaxAge, func(config permit.Config) (permit.Config, error) { return config, permit.ErrSame })
 }
 
-// unlessAbandoned is the revision that declines to write for a caller that is gone. It runs right
-// before each write, so that a daemon that was frozen meanwhile finds out.
+// unlessAbandoned wraps a revision so that it fails once the command is abandoned. The check
+// runs right before each write, so that a daemon that was frozen in between notices it.
 func (operator *Operator) unlessAbandoned(maxAge time.Duration, revise func(permit.Config) (permit.Config, error)) func(permit.Config) (permit.Config, error) {
 	return func(config permit.Config) (permit.Config, error) {
 		next, err := revise(config)
@@ -189,23 +190,23 @@
 	}
 }
 
-// changeRepeatable carries out a change that may be made twice: what brings about the same again is
-// ErrSame. Where its outcome can't be told, whoever sends it again finds out: the ballot of
-// that is higher, so that the first either lies beneath what it reads, or never will.
+// changeRepeatable executes an idempotent change, whose revision gives permit.ErrSame if it
+// has been made already. If the outcome is uncertain, sending it again settles it: the second
+// attempt has a higher ballot, so that it either reads the first one's value or prevents it
+// from ever being accepted.
 func (operator *Operator) changeRepeatable(maxAge time.Duration, revise func(permit.Config) (permit.Config, error)) (permit.Applied, error) {
 	applied, err := operator.daemon.Office.Change(nil, operator.unlessAbandoned(maxAge, revise))
 	return operator.daemon.logOutcome(operator.arrived, applied, err)
 }
 
-// logOutcome logs what became of an operator's change.
+// logOutcome logs the outcome of an operator's change.
 func (daemon *Daemon) logOutcome(began time.Duration, applied permit.Applied, err error) (permit.Applied, error) {
-	daemon.Log.Info("the operator's change has ended", zap.Uint64("serial", applied.Serial), zap.Duration("took", daemon.World.Now()-began),
+	daemon.Log.Info("operator command finished", zap.Uint64("serial", applied.Serial), zap.Duration("took", daemon.World.Now()-began),
 		zap.Duration("acknowledged_in", applied.Took), zap.Int("holders", applied.Holders), zap.Strings("expired", applied.Expired), zap.Error(err))
 	return applied, err
 }
 
-// Current is the newest document, read at a majority, with its label; nil when there is
-// none yet.
+// Current reads the newest document and its label from a majority; nil if there is none yet.
 func (daemon *Daemon) Current() (document []byte, label uint64, err error) {
 	if err := daemon.Office.Refresh(); err != nil {
 		return nil, 0, err
@@ -214,8 +215,7 @@
 	return config.Whole(), config.Label(), nil
 }
 
-// Evacuate takes a zone out of service, or hands it back. Where the zone is so already,
-// that is acknowledged again.
+// Evacuate takes a zone out of service, or puts it back into service. It is idempotent.
 func (operator *Operator) Evacuate(zone string, back bool) (permit.Applied, error) {
 	daemon := operator.daemon
 	if applied, isSo, err := daemon.Office.Stands(func(tree *settings.Tree, config permit.Config) bool {
@@ -249,16 +249,15 @@
 	})
 }
 
-// RolloutState is how a model's newest roll-out under a term stands, over all regions.
+// RolloutState is the state of a model's newest timed roll-out over all regions.
 type RolloutState struct {
-	// State is running, done or back (rollout.Moving and its like); empty when there was
-	// none.
+	// State is running, done or back (see rollout.Moving); empty if there was no roll-out.
 	State   string `json:"state"`
 	Version string `json:"version"`
-	Reason  string `json:"reason,omitempty"` // why it was taken back
+	Reason  string `json:"reason,omitempty"` // why it was rolled back
 }
 
-// regionsWithAnyVersion lists the regions that place the model with any version.
+// regionsWithAnyVersion lists the regions whose placement of the model accepts any version.
 func regionsWithAnyVersion(tree *settings.Tree, model string) (regions []string) {
 	if tree == nil {
 		return nil
@@ -271,17 +270,17 @@
 	return regions
 }
 
-// BeginRollout orders that the model's traffic move, in all regions, to the replicas of
-// a version within the term; these start by themselves. The same order again joins the
-// one under way, or one that ended a short while ago; another one meanwhile is declined
-// (409). The error is always a *verdict.Mishap. It returns once the order lasts; the
-// holders of the regions' duties take it up.
+// BeginRollout starts a timed roll-out: in all regions, the model's traffic moves to the
+// replicas of the version within the given time. The replicas come up by themselves. The same
+// command again joins the roll-out that is running or ended a short while ago; a different one
+// while one is running is rejected (409). The error is always a *verdict.Mishap. It returns
+// once the roll-out is stored durably; the regions' leaders execute it.
 func (operator *Operator) BeginRollout(model, version string, over time.Duration) error {
 	if version == "" || over <= 0 {
-		return verdict.Decline(400, "bad_request", "a roll-out needs a version and a term", 0)
+		return verdict.Decline(400, "bad_request", "a roll-out requires a version and a duration", 0)
 	}
 	daemon := operator.daemon
-	// What this daemon remembers may be older than what the operator knows.
+	// The cached configuration may be older than the one that the operator has seen.
 	if err := daemon.Office.Refresh(); err != nil {
 		return Answer(err)
 	}
@@ -291,7 +290,7 @@
 	case tree == nil:
 		return verdict.Decline(409, "no_configuration", "there is no configuration yet", 0)
 	case len(regions) == 0:
-		return verdict.Decline(404, "no_model", fmt.Sprintf("model %q is placed in no region with any version", model), 0)
+		return verdict.Decline(404, "no_model", fmt.Sprintf("no region places model %q with any version", model), 0)
 	}
 	fence := rollout.Fence{Silence: orderQuorumTimeout, IsAbandoned: func() bool { return operator.isAbandoned(orderMaxAge) }}
 	if _, err := daemon.Objects.BeginWithin(fence, model, version, over, regions); err != nil {
@@ -300,8 +299,8 @@
 	return nil
 }
 
-// RolloutState tells how the model's newest roll-out under a term stands. The error is
-// always a *verdict.Mishap.
+// RolloutState reports the state of the model's newest timed roll-out. The error is always a
+// *verdict.Mishap.
 func (daemon *Daemon) RolloutState(model string) (RolloutState, error) {
 	object, err := daemon.Objects.ModelWithin(model, orderQuorumTimeout)
 	if err != nil {
@@ -312,7 +311,7 @@
 	}
 	_, _, tree := daemon.Office.Current()
 	regions := regionsWithAnyVersion(tree, model)
-	if tree == nil { // it started just now
+	if tree == nil { // this daemon has just started and has no configuration yet
 		regions = object.Order.Regions
 	}
 	return RolloutState{State: object.Order.State(regions), Version: object.Order.Version, Reason: object.Order.Back}, nil
--- a/controlplane/pause.go
+++ b/controlplane/pause.go
@@ -9,20 +9,20 @@
 
 // Bounds of the pause detector.
 const (
-	// pauseInterval is how often the detector notes that the process runs, and pauseLeast is
-	// how long it must not have run for that to be a pause, and no busy machine.
+	// pauseInterval is how often the detector records that the process runs. A gap of minPause
+	// counts as a pause; shorter ones occur on a busy machine.
 	pauseInterval = 100 * time.Millisecond
 	minPause      = 3 * pauseInterval
-	// pauseBacklog is for how long after a pause what is read may have come during it: the
-	// sockets are read at once, and a loaded machine takes longer.
+	// pauseBacklog is for how long after a pause data that is read may have arrived during it.
+	// Sockets are normally read at once, but that takes longer on a loaded machine.
 	pauseBacklog = 500 * time.Millisecond
 )
 
-// pauseDetector finds out that this process did not run for a while, as its machine was frozen
-// or suspended: what it reads right after that may have lain in a socket for as long.
+// pauseDetector detects that this process did not run for a while because its machine was frozen
+// or suspended. Data that is read right after that may have waited in a socket for as long.
 //
-// Invariants: ran never falls and is the last time at which the process is known to have run by
-// its timer; pausedAt is the value of ran before the last pause, resumed when that was over.
+// Invariants: ranAt never decreases and is the last time at which the timer fired; pausedAt is the
+// value of ranAt before the last pause, and resumedAt is when that pause was detected to be over.
 type pauseDetector struct {
 	world               loop.World
 	mu                  sync.Mutex
@@ -31,7 +31,7 @@
 	isRunning           bool
 }
 
-// run notes at each interval that the process runs, until the daemon stops.
+// run records at each interval that the process runs, until the daemon stops.
 func (detector *pauseDetector) run(isStopped func() bool) {
 	loop.Every(detector.world, func() time.Duration { return pauseInterval }, func() bool {
 		detector.note()
@@ -39,7 +39,7 @@
 	})
 }
 
-// note notes that the process runs now.
+// note records that the process runs now.
 func (detector *pauseDetector) note() {
 	detector.mu.Lock()
 	defer detector.mu.Unlock()
@@ -50,7 +50,7 @@
 	detector.ranAt, detector.isRunning = now, true
 }
 
-// earliestArrival is the earliest time at which something that is read now may have arrived at this
+// earliestArrival is the earliest time at which data that is read now may have arrived at this
 // machine.
 func (detector *pauseDetector) earliestArrival() time.Duration {
 	detector.mu.Lock()
@@ -60,7 +60,7 @@
 	case !detector.isRunning:
 		return now
 	case now-detector.ranAt >= minPause:
-		return detector.ranAt // the timer of before the pause has not run yet
+		return detector.ranAt // paused: the timer that was set before the pause has not fired yet
 	case detector.resumedAt > 0 && now-detector.resumedAt < pauseBacklog:
 		return detector.pausedAt
 	}
--- a/controlplane/redundancy.go
+++ b/controlplane/redundancy.go
@@ -7,26 +7,27 @@
 	"swifttiller/register"
 )
 
-// Redundancy is how many acceptors of the core hold what was decided, at a moment. While
-// something is being written a copy may count as behind that is not.
+// Redundancy is how many acceptors of the core hold all decided values, at one moment. During a
+// write, an up-to-date copy may be counted as behind.
 type Redundancy struct {
-	// Whole acceptors answer and hold the same copies as a majority of the core; Wanted is
-	// the size of the core.
+	// Whole is the number of acceptors that answer and hold the same copies as a majority of the
+	// core; Wanted is the size of the core.
 	Whole  int `json:"whole"`
 	Wanted int `json:"wanted"`
-	// Losable is how many of the whole ones may lose their disks at once with a majority of
-	// the core left that holds all that was decided.
+	// Losable is how many of these acceptors may lose their disks at once so that a majority of
+	// the core that holds all decided values remains.
 	Losable int `json:"losable"`
-	// Behind are the acceptors that hold other copies, and Silent those that did not answer.
+	// Behind are the acceptors whose copies differ, and Silent those that did not answer.
 	Behind []string `json:"behind,omitempty"`
 	Silent []string `json:"silent,omitempty"`
-	// LackingFor is for how long each of these has been so, in nanoseconds, as the daemons that
-	// answered have seen it: at least so long.
+	// LackingFor is for how many nanoseconds, at least, each of these has been behind or silent,
+	// as observed by the daemons that answered.
 	LackingFor map[string]time.Duration `json:"lacking_for,omitempty"`
 }
 
-// computeRedundancy judges the acceptors' digests, by identity and range by range. A range has a
-// right digest where a majority of the core agrees; without one nobody counts as whole.
+// computeRedundancy compares the acceptors' digests, given by identity, with one digest per key
+// range. The correct digest of a range is the one that a majority of the core has; if a range has
+// none, no acceptor counts as whole.
 func computeRedundancy(core register.Core, digests map[string][]string) Redundancy {
 	out := Redundancy{Wanted: len(core.Members)}
 	for _, member := range core.Members {
@@ -44,7 +45,7 @@
 	return out
 }
 
-// isAgreed tells whether a majority of the core has each of the digests.
+// isAgreed tells whether, for each range, a majority of the core has the acceptor's own digest.
 func isAgreed(core register.Core, digests map[string][]string, own []string) bool {
 	for index, digest := range own {
 		same := 0
@@ -60,10 +61,10 @@
 	return len(own) > 0
 }
 
-// IsWhole tells that every acceptor of the core holds what was decided.
+// IsWhole tells whether every acceptor of the core holds all decided values.
 func (redundancy Redundancy) IsWhole() bool { return redundancy.Whole == redundancy.Wanted }
 
-// lacking are the acceptors that do not count towards what may be lost.
+// lacking lists the acceptors that are behind or silent.
 func (redundancy Redundancy) lacking() []string {
 	return slices.Concat(redundancy.Behind, redundancy.Silent)
 }
--- a/controlplane/region.go
+++ b/controlplane/region.go
@@ -21,46 +21,46 @@
 	"swifttiller/workflow"
 )
 
-// leadership is one holding of a duty without a break: under which serial, none when zero, and
-// since when.
+// leadership is one uninterrupted period of leading a region: its term, zero while not the
+// leader, and its beginning.
 type leadership struct {
 	term  uint64
 	since time.Duration
 }
 
-// region is one region's tables and loops. They run while this daemon holds the
-// region's duty and are emptied when it does not.
+// region is the state and the loops of one region. The loops do their work while this daemon
+// leads the region; the state is cleared when it does not.
 //
-// Lock order: guard alone; nothing waits under it.
+// Locking: while mu is held, no other lock is taken and nothing waits.
 type region struct {
 	*Daemon
 	name string
 	mu   sync.Mutex
 	leadership
 	replicas   map[string]*watchedReplica
-	isFilled   bool // the table has been filled, from the last standing or the platform
+	isFilled   bool // replicas was filled, from the last routing table or the platform's list
 	nextListAt time.Duration
 	listError  string
-	// lastDarkAt is when a replica that the list shows, and not as leaving, was last found dark;
-	// zero for never in this tenure.
+	// lastDarkAt is when a listed replica that is not leaving was last found to fail its health
+	// checks for dark_ms; zero for never during this leadership.
 	lastDarkAt time.Duration
-	table      *standing.Standing
+	table      *standing.Standing // last read or written
 	writtenAt  time.Duration
-	// verifiedAt is when the last computation began that found before to be so, or
-	// wrote it, under the duty.
+	// verifiedAt is when the last computation began that, during this leadership, wrote table
+	// or found it to be up to date.
 	verifiedAt time.Duration
 	routes     map[string]standing.Route // as last read
-	// idle are models about which there is no run, nor ever was one, nor can be by
-	// itself, as last read; nil before that.
+	// idle are the models that, as last read, have and had no roll-out run and can't get one
+	// without an operator; nil before the first read.
 	idle      map[string]bool
 	runner    *rollout.Runner
 	rollError string
-	// computeWaker and roller are the loops that compute the standing and turn the runs: the
-	// one is woken by what is written of a route, the other by a new standing.
+	// computeWaker wakes the loop that computes the routing table, after a change of routes;
+	// rollWaker wakes the loop that advances the roll-outs, after a new routing table.
 	computeWaker, rollWaker *loop.Waker
-	// endedBoots are lives that are over, to be told soon.
+	// endedBoots are replicas' incarnations that have ended, to be announced in a batch.
 	endedBoots []permit.Leaver
-	// evacuated are the zones that were, when the table was last read.
+	// evacuated are the zones that were evacuated at the last computation.
 	evacuated map[string]bool
 }
 
@@ -68,17 +68,18 @@
 	return &region{Daemon: daemon, name: name, replicas: map[string]*watchedReplica{}, computeWaker: loop.NewWaker(daemon.World), rollWaker: loop.NewWaker(daemon.World)}
 }
 
+// tree is the current configuration; nil if there is none.
 func (region *region) tree() *settings.Tree {
 	_, _, tree := region.Office.Current()
 	return tree
 }
 
-// run starts the region's loops: list, probe, compute, roll out.
+// run starts the region's loops: list, probe, compute, and advance roll-outs.
 func (region *region) run() {
 	tick := func(tree *settings.Tree) time.Duration { return standing.Tick(tree.Span("permit_ms", "")) }
 	region.World.Go(func() {
-		// Much more often than the platform is asked, so that a new holder of the duty
-		// asks at once; list itself keeps the platform's span.
+		// This is much more often than the platform is queried, so that a new leader queries it
+		// at once; list itself keeps to the platform's interval.
 		loop.Every(region.World, region.interval(func(tree *settings.Tree) time.Duration {
 			return min(tree.Span("platform_ms", region.name)/2, tree.Span("dark_ms", region.name)/2, region.untilNextList())
 		}), region.whileLeader(region.list))
@@ -99,8 +100,8 @@
 	})
 }
 
-// nextRunDue is after which time a run of the region has something to do. The loop that turns
-// the runs alone asks it.
+// nextRunDue is the time until one of the region's runs has something to do. Only the loop that
+// advances the runs calls it.
 func (region *region) nextRunDue() time.Duration {
 	region.mu.Lock()
 	runner := region.runner
@@ -111,7 +112,7 @@
 	return runner.Due()
 }
 
-// hasUrgentRollout tells whether an order under a term is under way here.
+// hasUrgentRollout tells whether a timed roll-out is in progress in this region.
 func (region *region) hasUrgentRollout(tree *settings.Tree) bool {
 	region.mu.Lock()
 	defer region.mu.Unlock()
@@ -123,9 +124,9 @@
 	return false
 }
 
-// interval gives a loop's span as the settings have it at the time, and a part of it right
-// after this daemon began anew: until a standing is written nobody keeps what data daemons
-// go by up to date.
+// interval gives a loop's interval by the current settings, at most an eighth of dark_ms right
+// after this daemon restarted: until it writes a routing table, nobody maintains the one that
+// data daemons use.
 func (region *region) interval(interval func(tree *settings.Tree) time.Duration) func() time.Duration {
 	return func() time.Duration {
 		if region.hasJustRestarted() {
@@ -135,8 +136,8 @@
 	}
 }
 
-// hasJustRestarted tells whether this daemon has begun anew not long ago, may have had the duty
-// before, and has not written a standing under it yet.
+// hasJustRestarted tells whether this daemon restarted within the last 3 session timeouts, so
+// that it may have led the region before, and has not written a routing table in this term yet.
 func (region *region) hasJustRestarted() bool {
 	if !region.Duties.IsBack || region.Table.Watched() > 3*region.sessionTimeout() {
 		return false
@@ -146,7 +147,8 @@
 	return region.table == nil || region.table.Duty != region.term
 }
 
-// whileLeader makes a step that runs only under the duty.
+// whileLeader wraps a loop's step so that it runs only while this daemon leads the region. It
+// also resets the region's state when leadership is lost or the term changes.
 func (region *region) whileLeader(step func(term uint64, tree *settings.Tree)) func() bool {
 	return func() bool {
 		term, held := region.Duties.Held(RegionDuty + region.name)
@@ -168,8 +170,9 @@
 	}
 }
 
-// replicaRows gives the replicas' table for the pure functions; false where it is not the table of
-// the tenure any more, which was lost or began anew meanwhile: then the table was emptied.
+// replicaRows gives the replicas as input for the pure functions. It is false if the leadership
+// is not the expected one any more: it was lost or its term changed, and the replicas were
+// cleared.
 func (region *region) replicaRows(tree *settings.Tree, expected leadership) ([]standing.Replica, bool) {
 	now := region.World.Now()
 	darkAfter := tree.Span("dark_ms", region.name)
@@ -179,7 +182,7 @@
 	if region.leadership != expected || !region.isFilled {
 		return nil, false
 	}
-	silent, total := 0, 0 // engines' replicas that do not answer probes, and all of them
+	silent, total := 0, 0 // replicas of engines that do not answer health checks, and all of them
 	for _, watched := range region.replicas {
 		if watched.engine(tree) != nil && !watched.leaving && !watched.unlisted && !watched.hasEnded {
 			total++
@@ -188,9 +191,9 @@
 			}
 		}
 	}
-	// Probes wait behind requests, and the way to a region may be cut here and not
-	// there: where most do not answer, those that are listed stay in use, and data
-	// daemons go by what their own requests tell.
+	// Health checks queue behind requests, and this daemon may be partitioned from a region
+	// that others can reach. So if more than half fail their checks, all that are listed stay
+	// in use, and data daemons rely on the outcomes of their own requests.
 	mayBePartitioned := 2*silent > total
 	var out []standing.Replica
 	for _, watched := range region.replicas {
@@ -215,7 +218,7 @@
 	return out, true
 }
 
-// dataDaemons gives the data daemons' table.
+// dataDaemons gives the live data daemons with their reports, and their incarnations by name.
 func (daemon *Daemon) dataDaemons() (out []standing.Daemon, incarnations map[string]string) {
 	incarnations = map[string]string{}
 	for _, daemonSession := range daemon.Table.Live(session.Data) {
@@ -225,10 +228,11 @@
 	return out, incarnations
 }
 
-// restore fills the table with the names of the last standing, so that a new
-// holder of the duty does not take a region for empty while the platform lags.
-// In which life the replicas are, and what they hold where that is ordered, only probes
-// can say; until they do it is the life that was shown last. It is false, and nothing is filled, where the tenure is over.
+// restore adds the replicas of the last routing table, so that a new leader does not take the
+// region for empty while the platform's list is late. Only health checks can tell a replica's
+// incarnation, and the versions that it loads on command; until then, the incarnation shown
+// last is assumed. It is false, and nothing is added, if the leadership is not the expected
+// one any more.
 func (region *region) restore(last standing.Standing, expected leadership) bool {
 	now := region.World.Now()
 	tree := region.tree()
@@ -238,14 +242,14 @@
 		return false
 	}
 	for _, endpoint := range last.Places {
-		// The list may have come first.
+		// The platform's list may have been applied first.
 		if listed := region.replicas[endpoint.ID]; listed != nil && !listed.probed && listed.health.Boot == "" && listed.Address == endpoint.Address {
 			listed.health.Boot = endpoint.Boot
 		}
 		if region.replicas[endpoint.ID] == nil {
 			watched := &watchedReplica{Listed: listing.Listed{ID: endpoint.ID, Address: endpoint.Address, Zone: endpoint.Zone}, answeredAt: now, health: replica.Vitals{Boot: endpoint.Boot}}
 			for _, row := range last.Rows {
-				// Whatever version it holds it holds for all of its life.
+				// With any version allowed, a replica keeps its version for its whole lifetime.
 				if placement, _ := tree.Placement(row.Model, endpoint.Zone); row.Replica == endpoint.ID && placement.Any() {
 					watched.Model, watched.Version = row.Model, row.Version
 				}
@@ -257,7 +261,7 @@
 	return true
 }
 
-// compute makes the standing and writes it when it says something new.
+// compute computes the routing table and writes it if it has changed.
 func (region *region) compute(term uint64, tree *settings.Tree) {
 	now := region.World.Now()
 	region.mu.Lock()
@@ -284,7 +288,8 @@
 		}
 		before, writtenAt, isFilled = &last, now, isFilled || len(last.Places) > 0
 	}
-	// Until every replica was probed or is dark, the last standing stays.
+	// The last routing table is kept until each replica has answered a health check or has
+	// failed to for dark_ms.
 	if !isFilled || region.awaitsProbes(tree) {
 		return
 	}
@@ -326,16 +331,16 @@
 	}
 	data, err := permit.PackStanding(next)
 	if err != nil {
-		region.Log.Error("a standing can't be written", zap.Error(err))
+		region.Log.Error("encoding the routing table failed", zap.Error(err))
 		return
 	}
-	// Swapped against the very standing that this one was computed from: a
-	// paused holder that wakes writes nothing.
+	// Compare-and-swap against the routing table that this one was computed from, so that a
+	// deposed leader that resumes after a pause can't overwrite a newer one.
 	value, err := region.Swap(keys[0], before.Serial, data)
 	if err != nil {
 		var stale *register.Stale
 		if !errors.As(err, &stale) {
-			region.Log.Debug("a standing was not written", zap.String("region", region.name), zap.Error(err))
+			region.Log.Debug("writing the routing table failed", zap.String("region", region.name), zap.Error(err))
 		}
 		region.recordTable(term, nil, 0, 0)
 		return
@@ -344,12 +349,13 @@
 	if region.hasUrgentRollout(tree) {
 		region.rollWaker.Wake()
 	}
-	region.Log.Info("a standing was written", zap.String("region", region.name), zap.Uint64("serial", next.Serial), zap.String("changed", standing.Changed(*before, next)), zap.Strings("replicas", next.Shown()), zap.Duration("took", region.World.Now()-now))
+	region.Log.Info("routing table written", zap.String("region", region.name), zap.Uint64("serial", next.Serial), zap.String("changed", standing.Changed(*before, next)), zap.Strings("replicas", next.Shown()), zap.Duration("took", region.World.Now()-now))
 	region.recordTable(term, &next, now, now)
 	region.notifyLeaving(removedBoots(*before, next), next.Serial)
 }
 
-// removedBoots are the lives that were in the standing before and are not in the next one.
+// removedBoots are the replicas' incarnations that the previous routing table has and the next
+// one does not.
 func removedBoots(before, next standing.Standing) (out []permit.Leaver) {
 	remaining := map[permit.Leaver]bool{}
 	for _, endpoint := range next.Places {
@@ -363,8 +369,8 @@
 	return out
 }
 
-// markReturnedCold takes replicas of zones that are evacuated no more for cold: what became
-// of them meanwhile nobody saw.
+// markReturnedCold marks replicas as cold whose zone has just been put back into service:
+// nobody observed them during the evacuation.
 func (region *region) markReturnedCold(tree *settings.Tree, evacuated map[string]bool) {
 	now := region.World.Now()
 	region.mu.Lock()
@@ -377,15 +383,15 @@
 	region.evacuated = evacuated
 }
 
-// awaitsProbes tells whether some replica may yet answer its first probe. Where most have
-// answered none yet, that is so until they are taken for doubtful (see rows): between
-// the two a new holder of the duty would show a region without replicas.
+// awaitsProbes tells whether a replica's first health check may still be answered. If more than
+// half have not answered any, it stays true until replicaRows assumes a partition: between the
+// two, a new leader would publish a region without replicas.
 func (region *region) awaitsProbes(tree *settings.Tree) bool {
 	now := region.World.Now()
 	region.mu.Lock()
 	defer region.mu.Unlock()
 	darkAfter := tree.Span("dark_ms", region.name)
-	// Only right after taking the duty; later a newcomer holds up nobody.
+	// This applies only right after the election; later a new replica delays nothing.
 	if now-region.since > 2*darkAfter {
 		return false
 	}
@@ -402,6 +408,7 @@
 	return waiting > 0 || 2*silent > len(region.replicas)
 }
 
+// recordTable records the last routing table with its times, if the term is still the current one.
 func (region *region) recordTable(term uint64, table *standing.Standing, writtenAt, verifiedAt time.Duration) {
 	region.mu.Lock()
 	defer region.mu.Unlock()
@@ -410,7 +417,7 @@
 	}
 }
 
-// maintained is the standing that this daemon keeps up to date, if it does.
+// maintained describes the routing table that this daemon maintains; false if it maintains none.
 func (region *region) maintained() (session.Keeping, bool) {
 	region.mu.Lock()
 	defer region.mu.Unlock()
@@ -420,7 +427,7 @@
 	return session.Keeping{Duty: region.term, Serial: region.table.Serial, Age: region.World.Now() - region.verifiedAt}, true
 }
 
-// advanceRollouts turns the region's runs.
+// advanceRollouts runs the next steps of the region's roll-outs.
 func (region *region) advanceRollouts(term uint64, tree *settings.Tree) {
 	region.mu.Lock()
 	if region.runner == nil {
@@ -449,6 +456,6 @@
 	}
 	region.mu.Unlock()
 	if err != nil {
-		region.Log.Warn("roll-out turn", zap.String("region", region.name), zap.Error(err))
+		region.Log.Warn("advancing roll-outs failed", zap.String("region", region.name), zap.Error(err))
 	}
 }
--- a/controlplane/region_list.go
+++ b/controlplane/region_list.go
@@ -13,7 +13,8 @@
 	"swifttiller/settings"
 )
 
-// untilNextList is how long it is until the platform likes to be asked again.
+// untilNextList is the time until the platform may be queried again; loop.Forever if it may be
+// now.
 func (region *region) untilNextList() time.Duration {
 	region.mu.Lock()
 	defer region.mu.Unlock()
@@ -23,12 +24,13 @@
 	return loop.Forever
 }
 
-// listTimerMargin keeps loops whose wakeups are drawn from being early too often.
+// listTimerMargin is added to the wait so that the loop's randomized timer seldom fires too early.
 const listTimerMargin = 20 * time.Millisecond
 
-// notifyLeaving gives data daemons the lives that the list has just shown to be leaving, so that
-// they need not wait for a standing to be computed, written and renewed; and those that a
-// written standing has no more. Whom it does not reach goes by the standing.
+// notifyLeaving sends data daemons the replicas' incarnations that the platform's list has just
+// shown to be leaving, so that they need not wait for a new routing table to be computed, written
+// and fetched with their next lease renewal; and those that a written routing table no longer
+// has. It is best effort: a data daemon that it does not reach learns from the routing table.
 func (region *region) notifyLeaving(leavers []permit.Leaver, serial uint64) {
 	if len(leavers) == 0 {
 		return
@@ -46,10 +48,10 @@
 	}
 }
 
-// notifyAttempts is how often a daemon is told that does not answer.
+// notifyAttempts is how many times a notice is sent to a data daemon that does not reply.
 const notifyAttempts = 2
 
-// list asks the platform, as often as it likes to be asked.
+// list queries the platform for its replicas, no more often than the platform allows.
 func (region *region) list(_ uint64, tree *settings.Tree) {
 	region.mu.Lock()
 	wait := region.World.Now() < region.nextListAt
@@ -67,15 +69,16 @@
 	}
 }
 
-// The list is asked for lossTimes as often while a replica is dark, and for lossSpan after:
-// those that come in its place are known by the list alone.
+// The list is queried lossListFactor times as often while a replica fails its health checks and
+// for lossListWindow after, as replacements become known only through the list.
 const (
 	lossListFactor = 3
 	lossListWindow = 8 * time.Second
 )
 
-// applyList takes in the platform's list, or why there is none, and gives the lives that it
-// is the first one to show as leaving, and whether it shows some for the first time.
+// applyList merges the platform's list, or the error of the query, into the region's replicas. It
+// gives the replicas' incarnations that this list is the first to show as leaving, and whether it
+// has new replicas.
 func (region *region) applyList(tree *settings.Tree, listed []listing.Listed, err error) (leavers []permit.Leaver, hasNew bool) {
 	interval := tree.Span("platform_ms", region.name)
 	now := region.World.Now()
@@ -92,13 +95,14 @@
 	}
 	var limited *listing.Limited
 	if err != nil {
-		// Asked again soon, as there may be no list yet, but not before it wants to be.
+		// Query again soon, as there may be no list yet, but not before the time that the
+		// platform asked for.
 		region.nextListAt = now + min(interval, tree.Span("dark_ms", region.name))
 		if errors.As(err, &limited) {
 			region.nextListAt = max(region.nextListAt, now+limited.ComeBack)
 		}
 		region.listError = err.Error()
-		return nil, false // the last list stands
+		return nil, false // the last list remains in use
 	}
 	region.listError = ""
 	seen := map[string]bool{}
@@ -114,7 +118,7 @@
 			region.replicas[entry.ID] = watched
 		}
 		if entry.Leaving && !watched.leaving {
-			region.Log.Info("a replica is leaving", zap.String("region", region.name), zap.String("replica", entry.ID))
+			region.Log.Info("replica is leaving", zap.String("region", region.name), zap.String("replica", entry.ID))
 			if boot := watched.boot(tree); boot != "" {
 				leavers = append(leavers, permit.Leaver{Replica: entry.ID, Boot: boot})
 			}
--- a/controlplane/region_probe.go
+++ b/controlplane/region_probe.go
@@ -14,30 +14,30 @@
 	"swifttiller/verdict"
 )
 
-// watchedReplica is a replica as this daemon's probes have seen it.
+// watchedReplica is a replica's state by the platform's list and this daemon's health checks.
 type watchedReplica struct {
 	listing.Listed
 	health replica.Vitals
 	probed bool
-	// answeredAt is when a probe was last answered; before the first answer, when
-	// the replica came into the table.
+	// answeredAt is when the last answered health check was sent; before the first answer, when
+	// the replica was added.
 	answeredAt time.Duration
-	// isDark tells that a probe has found it unanswered for dark_ms.
+	// isDark tells that a failed health check found the last answer to be dark_ms old.
 	isDark   bool
 	leaving  bool
 	unlisted bool
-	// hasEnded tells that another one answered at its address, so that its life is over,
-	// whatever the list still shows; a later answer of its own would take that back.
+	// hasEnded tells that another replica answered at its address, so that this one has ended
+	// even if it is still listed. A later answer of its own resets it.
 	hasEnded bool
-	// wasHealthy tells whether it ever answered that it is well. condemned is until when it
-	// is out, as it says that it is ill and what daemons sent it bears that out.
+	// wasHealthy tells whether it ever reported to be healthy. excludedUntil is until when it
+	// gets no requests, because it reports to be unhealthy and requests to it fail.
 	wasHealthy    bool
 	excludedUntil time.Duration
-	// coldUntil is until when it is cold, as far as list and probes have told.
+	// coldUntil is until when it is cold according to the list and the health checks.
 	coldUntil time.Duration
 }
 
-// engine is what the tree says of the replica's kind; nil where probes tell all.
+// engine gives the engine settings of the replica's model; nil if health checks report everything.
 func (watched *watchedReplica) engine(tree *settings.Tree) *settings.Engine {
 	if watched.Model == "" {
 		return nil
@@ -45,8 +45,8 @@
 	return tree.Engine(watched.Model)
 }
 
-// boot is the life that a standing shows: what its probes told, or, where they tell nothing
-// of that, the name under which the platform lists it.
+// boot is the replica's incarnation in the routing table: the one that its health checks report
+// or, for an engine that reports none, its id in the platform's list.
 func (watched *watchedReplica) boot(tree *settings.Tree) string {
 	if watched.health.Boot == "" && watched.engine(tree) != nil {
 		return watched.ID
@@ -54,18 +54,18 @@
 	return watched.health.Boot
 }
 
-// probeAll asks every replica in the table.
+// probeAll sends a health check to every replica.
 func (region *region) probeAll(_ uint64, tree *settings.Tree) {
 	hasJustRestarted := region.hasJustRestarted()
-	// Those that did not answer yet are asked more often.
+	// Right after a restart the loop runs more often, for those that have not answered yet.
 	region.probeSelected(tree, func(watched *watchedReplica) bool { return !hasJustRestarted || !watched.probed })
 }
 
-// probeSelected probes those of the table that are to be asked. The first answer of one is a reason to
-// compute the standing at once.
+// probeSelected sends health checks to the selected replicas. A replica's first answer triggers
+// a computation of the routing table at once.
 func (region *region) probeSelected(tree *settings.Tree, isSelected func(watched *watchedReplica) bool) {
-	// The rows themselves are touched under the guard alone: the list may change them
-	// meanwhile.
+	// The replicas' fields are accessed only under the lock, as a list may change them during
+	// the health checks; so what is needed of them is copied.
 	type target struct {
 		*watchedReplica
 		id, address string
@@ -95,13 +95,13 @@
 			region.mu.Lock()
 			defer region.mu.Unlock()
 			if failure, isFailure := err.(*verdict.Mishap); isFailure && failure.Code == replica.AnewCode && !watched.hasEnded {
-				// Else each data daemon would find out by a request of its own.
+				// Otherwise each data daemon would lose a request to find out.
 				watched.hasEnded = true
 				region.announceEnded(permit.Leaver{Replica: watched.id, Boot: watched.boot(tree)})
 				region.computeWaker.Wake()
 			}
 			if err != nil && watched.probed && !watched.isDark && region.World.Now()-watched.answeredAt >= tree.Span("dark_ms", region.name) {
-				// Data daemons send it requests until a standing without it reaches them.
+				// Data daemons send it requests until they have a routing table without it.
 				watched.isDark = true
 				region.computeWaker.Wake()
 			}
@@ -111,7 +111,7 @@
 			watched.isDark = false
 			watched.hasEnded = false
 			if health.Ill && !watched.wasHealthy && outcomes[watched.id].OK == 0 {
-				return // it is not there yet
+				return // it is still starting
 			}
 			watched.wasHealthy = watched.wasHealthy || !health.Ill
 			if !health.Ill {
@@ -130,15 +130,15 @@
 	}
 }
 
-// endedBatchDelay is how long lives that are over are gathered before they are told: where a zone's
-// machines come back, there are many.
+// endedBatchDelay is how long ended incarnations are collected into one notice: when a whole
+// zone's machines come back, there are many.
 const endedBatchDelay = 30 * time.Millisecond
 
-// announceEnded tells data daemons soon that a life is over, before a standing is written without it.
-// Who holds the guard calls it.
+// announceEnded notifies data daemons within endedBatchDelay that a replica's incarnation has
+// ended, ahead of the routing table without it. The caller holds the lock.
 func (region *region) announceEnded(boot permit.Leaver) {
 	if region.endedBoots = append(region.endedBoots, boot); len(region.endedBoots) > 1 {
-		return // it goes with the others
+		return // the pending notice includes it
 	}
 	region.World.Go(func() {
 		loop.Sleep(region.World, endedBatchDelay)
@@ -150,7 +150,7 @@
 	})
 }
 
-// recentOutcomes are what data daemons report of their latest requests, by replica.
+// recentOutcomes sums up, by replica, the outcomes of recent requests that data daemons report.
 func (region *region) recentOutcomes() map[string]standing.Outcome {
 	out := map[string]standing.Outcome{}
 	for _, dataDaemon := range region.Table.Live(session.Data) {
@@ -165,12 +165,13 @@
 	return out
 }
 
-// exclusionPeriod is how long a replica is out that says that it is ill, and fails.
+// exclusionPeriod is how long a replica gets no requests after it reported to be unhealthy while
+// most requests to it failed.
 const exclusionPeriod = 10 * time.Second
 
-// isExcluded tells whether a replica that says that it is ill gets no requests. Its own word
-// is not enough: it is out while most of what daemons sent it of late failed. Whoever
-// leaves says the same and is marked in the list soon after.
+// isExcluded tells whether a replica gets no requests because it is unhealthy. Its own report is
+// not enough, as a replica that is leaving reports the same and is marked in the list soon after:
+// most of the recent requests to it must have failed too.
 func (watched *watchedReplica) isExcluded(outcome standing.Outcome, now time.Duration) bool {
 	if !watched.health.Ill {
 		return false
