--- a/controlplane/caller_test.go
+++ b/controlplane/caller_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// connPair gives both ends of a connection over loopback.
+// connPair gives both ends of a TCP connection over loopback.
 func connPair(t *testing.T) (client, server net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -24,8 +24,8 @@
 	return client, server
 }
 
-// TestIsClosed: a caller that closed its connection is seen, and nothing that it sent before
-// is lost by the look.
+// TestIsClosed checks that a caller's closed connection is detected, and that the check consumes
+// none of the data that the caller has sent.
 func TestIsClosed(t *testing.T) {
 	client, server := connPair(t)
 	if isClosed(server) {
@@ -42,7 +42,7 @@
 		t.Error("a connection with bytes to be read counts as closed")
 	}
 	if _, err := io.ReadFull(server, buffer); err != nil || buffer[0] != 'y' {
-		t.Error("the look took what was sent:", err)
+		t.Error("the check consumed a byte that was sent:", err)
 	}
 	client.Close()
 	if _, err := server.Read(buffer); err != io.EOF {
@@ -53,10 +53,10 @@
 	}
 	server.Close()
 	if isClosed(server) {
-		t.Error("one that can't be looked at counts as closed")
+		t.Error("a connection that can't be peeked at counts as closed")
 	}
 	inMemory, _ := net.Pipe()
 	if isClosed(inMemory) {
-		t.Error("one without a descriptor counts as closed")
+		t.Error("a connection without a file descriptor counts as closed")
 	}
 }
--- a/controlplane/http.go
+++ b/controlplane/http.go
@@ -11,7 +11,7 @@
 	"swifttiller/verdict"
 )
 
-// sendError answers with a mishap.
+// sendError sends an error as JSON, with its status and, if a retry makes sense, Retry-After.
 func sendError(ctx *fiber.Ctx, err error) error {
 	failure := Answer(err)
 	if failure.ComeBack > 0 {
@@ -20,6 +20,7 @@
 	return ctx.Status(failure.Status).Type("json").Send(failure.JSON())
 }
 
+// sendJSON sends the value as JSON, or the error if there is one.
 func sendJSON(ctx *fiber.Ctx, value any, err error) error {
 	if err != nil {
 		return sendError(ctx, err)
@@ -31,7 +32,7 @@
 	return ctx.Type("json").Send(body)
 }
 
-// App makes the operators' endpoint.
+// App makes the HTTP API for operators.
 func (daemon *Daemon) App() *fiber.App {
 	app := fiber.New(fiber.Config{DisableStartupMessage: true, BodyLimit: 8 << 20, ErrorHandler: func(ctx *fiber.Ctx, err error) error {
 		status := 500
@@ -74,11 +75,11 @@
 			}
 			expect = &serial
 		}
-		document := append([]byte{}, ctx.Body()...) // the body is the library's
+		document := append([]byte{}, ctx.Body()...) // copied: fiber reuses the body's buffer
 		if text := ctx.Query("expect_label"); text != "" {
 			label, err := strconv.ParseUint(text, 10, 64)
 			if err != nil || expect != nil {
-				return sendError(ctx, verdict.Decline(400, "bad_request", "expect_label must be a label, and stand without expect", 0))
+				return sendError(ctx, verdict.Decline(400, "bad_request", "expect_label must be a label and can't be combined with expect", 0))
 			}
 			applied, err := daemon.For(CallerOf(ctx)).Replace(document, label)
 			return sendJSON(ctx, applied, err)
@@ -159,7 +160,7 @@
 				Regions []string
 			}
 			if err := json.Unmarshal(ctx.Body(), &request); err != nil || request.Tenant == "" || isPin != (len(request.Regions) > 0) {
-				return sendError(ctx, verdict.Decline(400, "bad_request", "a pin needs a tenant and regions, a release a tenant", 0))
+				return sendError(ctx, verdict.Decline(400, "bad_request", "pin requires a tenant and regions, release only a tenant", 0))
 			}
 			placement, err := daemon.Pin(request.Tenant, request.Regions)
 			return sendJSON(ctx, placement, err)
@@ -176,6 +177,7 @@
 	return app
 }
 
+// standbyPeriod is the configured standby_ms; 0 without a configuration.
 func (daemon *Daemon) standbyPeriod() time.Duration {
 	if _, _, tree := daemon.Office.Current(); tree != nil {
 		return tree.Span("standby_ms", "")
@@ -183,19 +185,19 @@
 	return 0
 }
 
-// Counters are the daemon's counters and gauges.
+// Counters gives the daemon's counters and gauges by name.
 func (daemon *Daemon) Counters() map[string]any {
 	local := daemon.Local()
 	sessions := map[string]int{}
 	for _, entry := range local.Sessions {
 		sessions[entry.Member.Role]++
 	}
-	held := 0
+	led := 0
 	for range local.Regions {
-		held++
+		led++
 	}
 	out := map[string]any{
-		"config_serial": local.Serial, "core_epoch": local.Core.Epoch, "sessions": sessions, "duties_held": held,
+		"config_serial": local.Serial, "core_epoch": local.Core.Epoch, "sessions": sessions, "duties_held": led,
 		"permits_granted": local.Granted, "cells_mended": local.Mended, "rounds": local.Rounds, "duty_changes": local.Changes,
 	}
 	if local.Acceptor != nil {
--- a/controlplane/redundancy_test.go
+++ b/controlplane/redundancy_test.go
@@ -7,6 +7,7 @@
 	"swifttiller/register"
 )
 
+// coreOf makes a core of the acceptors.
 func coreOf(ids ...string) (core register.Core) {
 	core.Epoch = 1
 	for _, id := range ids {
@@ -15,8 +16,8 @@
 	return core
 }
 
-// TestRedundancy: an acceptor counts once it holds what a majority of its core holds, in
-// each range.
+// TestRedundancy checks that exactly the acceptors are counted as whole whose digests are those of
+// a majority of the core in every range, so that an outdated copy does not count as redundancy.
 func TestRedundancy(t *testing.T) {
 	three := coreOf("a", "b", "c")
 	for name, testCase := range map[string]struct {
@@ -36,10 +37,10 @@
 	} {
 		got := computeRedundancy(testCase.core, testCase.sums)
 		if !reflect.DeepEqual(got, testCase.want) {
-			t.Errorf("%s: %+v, not %+v", name, got, testCase.want)
+			t.Errorf("%s: got %+v, want %+v", name, got, testCase.want)
 		}
 		if got.IsWhole() != (len(got.lacking()) == 0) {
-			t.Errorf("%s: whole is %v, lacking %v", name, got.IsWhole(), got.lacking())
+			t.Errorf("%s: IsWhole is %v although %v are lacking", name, got.IsWhole(), got.lacking())
 		}
 	}
 }
--- a/controlplane/tenants.go
+++ b/controlplane/tenants.go
@@ -21,25 +21,27 @@
 	"swifttiller/verdict"
 )
 
-// TenantDuty is the duty that watches tenants' sessions over all regions.
+// TenantDuty is the election whose leader observes the tenants' load in all regions and places
+// tenants.
 const TenantDuty = "tenants"
 
-// BaselineKey holds what the tenants were judged by, for the next holder of the duty.
+// BaselineKey is the register with the baseline profiles that tenants' load is compared with, for
+// the next leader.
 const BaselineKey = "tenants/usual"
 
-// Numbered points of a turn of the watch, for faults in tests. A move goes on turn by
-// turn; each turn writes the placements once.
+// Points of a planning round, for fault injection in tests. A tenant's move extends over several
+// rounds; each round writes the placements at most once.
 const (
 	PointRead    = "tenants.read"    // before anything is read
-	PointPlanned = "tenants.planned" // the next placements are known, nothing is written
-	PointWritten = "tenants.written" // they are
-	PointUsual   = "tenants.usual"   // what tenants were judged by is written
+	PointPlanned = "tenants.planned" // the next placements are planned, but not written
+	PointWritten = "tenants.written" // the placements are written
+	PointUsual   = "tenants.usual"   // the baseline profiles are written
 )
 
-// tenants is what a control daemon knows of tenants.
+// tenants is a control daemon's state for the placement of tenants.
 //
-// Invariants: told is never changed once stored; watch is nil while this daemon does not
-// hold the duty.
+// Invariants: what announcement points to never changes; watch is nil while this daemon is not
+// the leader.
 type tenants struct {
 	announcement atomic.Pointer[tenant.Told]
 	started      sync.Once
@@ -51,10 +53,12 @@
 	rounds   int
 }
 
-// baselineRounds is every how many turns what tenants are judged by is written, if it changed.
+// baselineRounds is the number of rounds between two writes of the baseline profiles, if they
+// have changed.
 const baselineRounds = 4
 
-// tenantInterval is how often tenants are looked at; sessions' span, and false, while never.
+// tenantInterval is the interval of planning rounds; false, and the session timeout, while the
+// placement of tenants is off.
 func (daemon *Daemon) tenantInterval() (time.Duration, bool) {
 	if _, _, tree := daemon.Office.Current(); tree != nil {
 		if interval := tree.Span("tenant_ms", ""); interval > 0 {
@@ -64,7 +68,7 @@
 	return daemon.sessionTimeout(), false
 }
 
-// startTenantLoops begins to look at tenants once the settings first say so.
+// startTenantLoops starts the tenant loops once the configuration first turns them on.
 func (daemon *Daemon) startTenantLoops() {
 	if _, isOn := daemon.tenantInterval(); isOn {
 		daemon.tenants.started.Do(func() {
@@ -74,7 +78,8 @@
 	}
 }
 
-// aggregateTenants adds up what data daemons tell this one, for whoever holds the duty.
+// aggregateTenants sums up the tenants' load that data daemons report to this daemon, and
+// announces it to the leader.
 func (daemon *Daemon) aggregateTenants() {
 	serial := uint64(0)
 	loop.Every(daemon.World, func() time.Duration { interval, _ := daemon.tenantInterval(); return interval / 2 }, func() bool {
@@ -88,7 +93,7 @@
 	})
 }
 
-// tenantReports is what sessions tell of tenants.
+// tenantReports extracts the reports on tenants from sessions.
 func tenantReports(sessions []session.Session) (out []tenant.Heard) {
 	for _, reporter := range sessions {
 		out = append(out, tenant.Heard{Region: reporter.Member.Region, Told: reporter.Report.Tenants})
@@ -96,7 +101,7 @@
 	return out
 }
 
-// runTenantPlanner watches and places while this daemon holds the duty.
+// runTenantPlanner runs planning rounds while this daemon is the leader.
 func (daemon *Daemon) runTenantPlanner() {
 	loop.Every(daemon.World, func() time.Duration { interval, _ := daemon.tenantInterval(); return interval }, func() bool {
 		term, held := daemon.Duties.Held(TenantDuty)
@@ -115,16 +120,18 @@
 	})
 }
 
+// point reports a point of a planning round to Options.Point.
 func (daemon *Daemon) point(name string) {
 	if daemon.Point != nil {
 		daemon.Point(name)
 	}
 }
 
-// planTenants is one turn of the watch: what was told, what was placed, what follows.
+// planTenants runs one planning round: it reads the placements, plans the next ones from the
+// reported load, and writes them.
 //
-// Invariant: what is written is swapped against the very placements that it was planned
-// from, and never over those of a later holder of the duty.
+// Invariant: the placements are written with a compare-and-swap against those that they were
+// planned from, and never over those of a later term's leader.
 func (daemon *Daemon) planTenants(term uint64, interval time.Duration, tree *settings.Tree) {
 	daemon.point(PointRead)
 	now := daemon.World.Now()
@@ -139,7 +146,7 @@
 	placed := values[permit.PlacedKey]
 	placements, isReadable := permit.OpenPlaced(placed.Data)
 	if placed.Serial > 0 && !isReadable || placements.Duty > term {
-		daemon.Log.Warn("the tenants' placements are not this holder's to write", zap.Uint64("duty", term), zap.Uint64("written_by", placements.Duty))
+		daemon.Log.Warn("skipping tenant placement: the register is unreadable or was written in a later term", zap.Uint64("duty", term), zap.Uint64("written_by", placements.Duty))
 		return
 	}
 	table := &daemon.tenants
@@ -166,11 +173,11 @@
 	if !slices.EqualFunc(placements.Placed, next.Placed, samePlacement) {
 		data, err := permit.PackPlaced(next)
 		if err != nil {
-			daemon.Log.Error("tenants' placements can't be written", zap.Error(err))
+			daemon.Log.Error("encoding tenant placements failed", zap.Error(err))
 			return
 		}
 		if _, err := daemon.Swap(permit.PlacedKey, placed.Serial, data); err != nil {
-			daemon.Log.Info("tenants' placements were not written", zap.Error(err))
+			daemon.Log.Info("writing tenant placements failed", zap.Error(err))
 			return
 		}
 		daemon.point(PointWritten)
@@ -185,13 +192,15 @@
 	}
 }
 
+// samePlacement tells whether two placements are encoded alike.
 func samePlacement(a, b tenant.Placement) bool {
 	left, _ := json.Marshal(a)
 	right, _ := json.Marshal(b)
 	return string(left) == string(right)
 }
 
-// tenantScene is what the watch plans by.
+// tenantScene collects the input of a planning round: each region's capacity by model, the
+// tenants' home regions, and the prices and limits of moves.
 func (daemon *Daemon) tenantScene(term uint64, interval time.Duration, tree *settings.Tree, values map[string]register.Value) tenant.Scene {
 	_, config, _ := daemon.Office.Current()
 	capacities := map[string]map[string]tenant.Ground{}
@@ -242,34 +251,33 @@
 	}
 }
 
-// Tenants is what an operator sees of tenants.
+// Tenants is the state of tenant placement as reported to operators.
 type Tenants struct {
 	Serial uint64             `json:"serial"`
 	Duty   uint64             `json:"duty"`
 	Holder string             `json:"holder"`
 	IsOn   bool               `json:"is_on"`
 	Placed []tenant.Placement `json:"placed"`
-	// Seen are the heavy tenants as the duty's holder sees them; Trouble says why they
-	// are missing.
+	// Seen are the heavy tenants as the leader observes them; Trouble says why they are missing.
 	Seen    []tenant.Seen `json:"seen"`
 	Trouble string        `json:"trouble,omitempty"`
 }
 
 type tenantService struct{ daemon *Daemon }
 
-// Seen tells what this daemon, holding the duty, knows of tenants; as JSON.
+// Seen returns, as JSON, the tenants that this daemon observes; an error if it is not the leader.
 func (service tenantService) Seen(_ struct{}, reply *LocalReply) (err error) {
 	table := &service.daemon.tenants
 	table.mu.Lock()
 	defer table.mu.Unlock()
 	if table.watch == nil {
-		return errors.New("this daemon does not hold the duty")
+		return errors.New("this daemon is not the leader")
 	}
 	reply.Body, err = json.Marshal(table.watch.Seen())
 	return err
 }
 
-// Tenants shows the placements, read at a majority, and what the duty's holder sees.
+// Tenants reports the placements, read from a majority, and the tenants that the leader observes.
 func (daemon *Daemon) Tenants() (out Tenants, err error) {
 	value, err := daemon.Read(permit.PlacedKey)
 	if err != nil {
@@ -278,7 +286,7 @@
 	placements, _ := permit.OpenPlaced(value.Data)
 	out.Serial, out.Duty, out.Placed = value.Serial, placements.Duty, placements.Placed
 	if _, out.IsOn = daemon.tenantInterval(); !out.IsOn {
-		out.Trouble = "tenant_ms is 0: nobody looks at tenants, and no placement is in force"
+		out.Trouble = "tenant_ms is 0: tenant placement is off, and no placement is in force"
 		return out, nil
 	}
 	held, _ := daemon.Duties.Last(TenantDuty)
@@ -289,7 +297,7 @@
 	} else if holder, isMember := daemon.Table.Find(held.Holder); isMember {
 		err = daemon.Net.Call(holder.Member.Wire, "Tenant.Seen", struct{}{}, &reply, daemon.sessionTimeout())
 	} else {
-		err = errors.New("nobody is known to hold the duty")
+		err = errors.New("no leader is known")
 	}
 	if err != nil {
 		out.Trouble = err.Error()
@@ -298,9 +306,9 @@
 	return out, json.Unmarshal(reply.Body, &out.Seen)
 }
 
-// Pin places a tenant in the regions, until it is released; no regions release it. It
-// returns once the placement is decided; data daemons go by it within a permit's length.
-// The error is always a *verdict.Mishap.
+// Pin places a tenant in the regions until it is released; an empty list releases it. It returns
+// once the placement is decided; data daemons apply it within the duration of a lease. The error
+// is always a *verdict.Mishap.
 func (daemon *Daemon) Pin(name string, regions []string) (tenant.Placement, error) {
 	_, _, tree := daemon.Office.Current()
 	if tree == nil {
@@ -311,7 +319,7 @@
 	case tree.Limit("tenant_ms", "") <= 0 && len(regions) > 0:
 		return tenant.Placement{}, verdict.Decline(409, "off", "tenant_ms is 0: no placement would be in force", 0)
 	case route == nil && len(regions) > 0:
-		return tenant.Placement{}, verdict.Decline(404, "no_tenant", fmt.Sprintf("no route has the host and prefix %q", name), 0)
+		return tenant.Placement{}, verdict.Decline(404, "no_tenant", fmt.Sprintf("no route has the host and path prefix %q", name), 0)
 	}
 	for index, region := range regions {
 		switch {
@@ -320,7 +328,7 @@
 		case !route.Within(region):
 			return tenant.Placement{}, verdict.Decline(409, "not_home", fmt.Sprintf("%s may not be served in %s; its homes are %s", name, region, strings.Join(route.Homes, ", ")), 0)
 		case slices.Contains(regions[:index], region):
-			return tenant.Placement{}, verdict.Decline(400, "bad_request", fmt.Sprintf("region %q stands twice", region), 0)
+			return tenant.Placement{}, verdict.Decline(400, "bad_request", fmt.Sprintf("region %q is listed twice", region), 0)
 		}
 	}
 	next := tenant.Placement{Tenant: name}
@@ -332,17 +340,17 @@
 		existing := placements.Find(name)
 		switch {
 		case value.Serial > 0 && !isReadable:
-			return nil, errors.New("the register of placements can't be read")
+			return nil, errors.New("the register of placements is unreadable")
 		case !next.Pinned && existing == nil:
 			return nil, verdict.Decline(404, "not_placed", fmt.Sprintf("tenant %q has no placement", name), 0)
 		case existing == nil && len(placements.Placed) >= tenant.MostKept:
-			return nil, verdict.Decline(409, "full", fmt.Sprintf("%d tenants are placed already; release one", len(placements.Placed)), 0)
+			return nil, verdict.Decline(409, "full", fmt.Sprintf("%d tenants are placed already, which is the limit; release one", len(placements.Placed)), 0)
 		}
 		return permit.PackPlaced(placements.With(next))
 	})
 	if err != nil {
 		return tenant.Placement{}, Answer(err)
 	}
-	daemon.Log.Info("an operator placed a tenant", zap.String("tenant", name), zap.Strings("to", regions))
+	daemon.Log.Info("tenant placement changed by an operator", zap.String("tenant", name), zap.Strings("to", regions))
 	return next, nil
 }
--- a/controlplane/tender.go
+++ b/controlplane/tender.go
@@ -14,42 +14,43 @@
 	"swifttiller/session"
 )
 
-// CoreDuty is the duty that keeps the core equal to the acceptors that live.
+// CoreDuty is the election whose leader reconciles the core's membership with the live acceptors.
 const CoreDuty = "core"
 
-// MaxVotes is how far the core grows by itself.
+// MaxVotes is the size up to which the core grows automatically.
 const MaxVotes = 7
 
-// shrinkAfter is how many bounds one of an even core may be unheard before its vote goes
-// without another in its place: longer than a region is usually out of reach, as each
-// change of the core costs a copy. One that went in order is waited for but once.
+// shrinkAfter is how many times replaceAfter an acceptor of an even core may be silent before it
+// is removed without a replacement. That is longer than a region is usually unreachable, as each
+// change of the core costs a copy of all registers. An acceptor whose daemon was shut down
+// properly is waited for only once replaceAfter.
 const shrinkAfter = 20
 
-// AcceptorView is the last that was heard of an acceptor's daemon. Unheard counts from
-// then, or from when this daemon began to look if it never heard of it.
+// AcceptorView is what this daemon knows of an acceptor's daemon. SilentFor counts from the last
+// sign of life, or, if there never was one, from when the acceptor was first missed.
 type AcceptorView struct {
 	Member    session.Member
 	SilentFor time.Duration
-	// IsMember is whether its session stands.
+	// IsMember tells whether it has a live session.
 	IsMember bool
 }
 
-// CoreChange is one step for the core, by identities; Add and Remove may be empty, and
-// if both are, an address in the core is out of date.
+// CoreChange is one membership change of the core, by acceptor identity. Add and Remove may be
+// empty; if both are, the change only updates an outdated address.
 type CoreChange struct {
 	Add, Remove string
-	// NeedsAll steps are made only while every acceptor of the core answers.
+	// NeedsAll tells that the change is made only while every acceptor of the core answers.
 	NeedsAll bool
 }
 
-// PlanCoreChange gives the next step for the core, if there is one. What was seen has every
-// acceptor of the core and every control daemon's acceptor; bound is how long one of
-// the core may be unheard before another takes its place.
+// PlanCoreChange gives the next change of the core, if one is due. seen has every acceptor of the
+// core and every control daemon's acceptor; replaceAfter is how long an acceptor of the core may
+// be silent before another one replaces it.
 //
-// Invariants: one step adds at most one acceptor and removes at most one. One that is
-// only silent is removed only for another in its place; without that, only one whose
-// daemon is back with another disk, which has a vote already, or one of an even core of
-// four or more, which bears no more losses with it than without. Growth waits for all.
+// Invariants: a change adds at most one acceptor and removes at most one. A silent acceptor is
+// removed without a replacement only if its daemon is back with another disk whose acceptor is in
+// the core already, or if the core is even and has four or more acceptors, as it then tolerates
+// as many losses without it. The core grows only while all of its acceptors are members.
 func PlanCoreChange(core register.Core, seen map[string]AcceptorView, replaceAfter time.Duration) (CoreChange, bool) {
 	var waiting []AcceptorView
 	for id, view := range seen {
@@ -64,7 +65,7 @@
 			zones[view.Member.Zone]++
 		}
 	}
-	// Votes are spread over regions, then over zones.
+	// Acceptors are spread over regions first, then over zones.
 	slices.SortFunc(waiting, func(a, b AcceptorView) int {
 		return cmp.Or(cmp.Compare(regions[a.Member.Region], regions[b.Member.Region]), cmp.Compare(zones[a.Member.Zone], zones[b.Member.Zone]), cmp.Compare(a.Member.Name, b.Member.Name))
 	})
@@ -106,8 +107,8 @@
 	return CoreChange{}, false
 }
 
-// replacementOf gives the acceptor with which the daemon of a member that is not heard is
-// back, or that waits at the member's address.
+// replacementOf gives the acceptor with which a silent member's daemon has come back, or one
+// outside of the core that now runs at the member's address.
 func replacementOf(core register.Core, member register.Member, seen map[string]AcceptorView) (string, bool) {
 	ids := slices.Sorted(maps.Keys(seen))
 	for _, id := range ids {
@@ -123,7 +124,7 @@
 	return "", false
 }
 
-// Next gives the members of the core after the step.
+// Next gives the members of the core after the change.
 func (change CoreChange) Next(core register.Core, seen map[string]AcceptorView) (members []register.Member) {
 	ids := []string{change.Add}
 	for _, member := range core.Members {
@@ -143,10 +144,11 @@
 	return members
 }
 
-// isSafe tells whether the step from one core to the next is safe now: which acceptors of
-// the core hold its epoch and can vote, and how many answered at all.
+// isSafe tells whether the core can safely change to the next one now. inStep are the acceptors
+// of the core that hold its epoch and can vote, and answered is how many answered at all.
 //
-// Invariant: those that stay are a majority of the next core without the newcomer.
+// Invariant: the acceptors in step that remain are a majority of the next core even without the
+// new one.
 func (change CoreChange) isSafe(core, next register.Core, inStep map[string]bool, answered int) bool {
 	remaining := 0
 	for id := range inStep {
@@ -157,17 +159,17 @@
 	return remaining >= next.Majority() && (!change.NeedsAll || answered >= len(core.Members))
 }
 
-// membershipReconciler is what a daemon remembers of acceptors. All daemons do, so that whoever
-// gets the duty knows for how long one has been silent.
+// membershipReconciler tracks the acceptors' signs of life and changes the core accordingly. All
+// control daemons track them, so that a new leader knows for how long each has been silent.
 type membershipReconciler struct {
 	daemon     *Daemon
-	lastSeenAt map[string]time.Duration // by acceptor: when it was last heard, or first missed
+	lastSeenAt map[string]time.Duration // by acceptor: its last sign of life, or when it was first missed
 	seen       map[string]session.Member
-	// rounds counts those since this daemon holds the core's duty.
+	// rounds counts the rounds since this daemon became the leader of the core.
 	rounds int
 }
 
-// silentAcceptors lists the acceptors of the core whose daemons have no session.
+// silentAcceptors lists the acceptors of the core whose daemons have no live session.
 func silentAcceptors(core register.Core, seen map[string]AcceptorView) (ids []string) {
 	for _, member := range core.Members {
 		if !seen[member.ID].IsMember {
@@ -177,7 +179,8 @@
 	return ids
 }
 
-// observe notes who is heard now, and forgets whoever is neither in the core nor a member.
+// observe records which acceptors are alive now, and forgets those that are neither in the core
+// nor members.
 func (reconciler *membershipReconciler) observe(core register.Core) map[string]AcceptorView {
 	daemon := reconciler.daemon
 	now, seen := daemon.World.Now(), map[string]AcceptorView{}
@@ -192,7 +195,8 @@
 			if since, known := reconciler.lastSeenAt[member.ID]; !known {
 				reconciler.lastSeenAt[member.ID] = now
 			} else if view, isHeard := reconciler.seen[member.ID]; isHeard && now-since < daemon.sessionTimeout() {
-				// Silence ends a session after a whole span: this one said that it was over.
+				// A session times out only after sessionTimeout of silence, so this one was ended by
+				// its daemon.
 				view.Leaving = true
 				reconciler.seen[member.ID] = view
 			}
@@ -208,16 +212,17 @@
 	return seen
 }
 
-// errCoreChanged: the core is another one than was looked at.
-var errCoreChanged = errors.New("the core has changed meanwhile")
+// errCoreChanged is the error for a change that was planned for a core that is outdated by now.
+var errCoreChanged = errors.New("the core has changed since the change was planned")
 
-// reconcile looks at the core once and makes a step if it is this daemon's to make.
+// reconcile runs one round: it observes the acceptors and, on the leader of the core, makes the
+// next change if one is due.
 //
-// Invariant: a step is made only while the acceptors of the core that stay, hold its
-// epoch and can vote are a majority of the next core too. All that was acknowledged
-// then lies at a majority of the next core without the newcomer's copy, and no step
-// follows another before newcomers hold theirs, or are not needed: however often
-// machines are replaced, no majority is made of acceptors that hold nothing.
+// Invariant: a change is made only while the remaining acceptors that hold the core's epoch and
+// can vote are a majority of the next core too. All acknowledged values then are at a majority of
+// the next core without the new acceptor's copy, and the next change waits until new acceptors
+// hold their copies or are not needed for that. So however often machines are replaced, no
+// majority consists of acceptors that hold nothing.
 func (reconciler *membershipReconciler) reconcile() {
 	daemon := reconciler.daemon
 	core := daemon.Core()
@@ -227,7 +232,7 @@
 	seen := reconciler.observe(core)
 	daemon.silent.update(daemon.World.Now(), silentAcceptors(core, seen))
 	if _, held := daemon.Duties.Held(CoreDuty); !held {
-		daemon.behind.update(daemon.World.Now(), nil) // the holder looks after that
+		daemon.behind.update(daemon.World.Now(), nil) // only the leader compares copies
 		reconciler.rounds = 0
 		return
 	}
@@ -241,7 +246,7 @@
 	next := register.Core{Epoch: core.Epoch + 1, Members: change.Next(core, seen)}
 	inStep, answered := daemon.InStep(core)
 	if !change.isSafe(core, next, inStep, answered) {
-		daemon.Log.Info("the core is due for a change that must wait", zap.String("add", change.Add), zap.String("remove", change.Remove), zap.Int("in_step", len(inStep)))
+		daemon.Log.Info("a core change is due but not safe yet", zap.String("add", change.Add), zap.String("remove", change.Remove), zap.Int("in_step", len(inStep)))
 		return
 	}
 	var about register.About
@@ -260,10 +265,10 @@
 		}
 		return next.Members, nil
 	})
-	daemon.Log.Info("the core was tended", zap.Uint64("epoch", next.Epoch), zap.String("add", change.Add), zap.String("remove", change.Remove), zap.Error(err))
+	daemon.Log.Info("core change finished", zap.Uint64("epoch", next.Epoch), zap.String("add", change.Add), zap.String("remove", change.Remove), zap.Error(err))
 }
 
-// reconcileMembership keeps the core's membership.
+// reconcileMembership runs the membership reconciler until the daemon stops.
 func (daemon *Daemon) reconcileMembership() {
 	reconciler := &membershipReconciler{daemon: daemon, lastSeenAt: map[string]time.Duration{}, seen: map[string]session.Member{}}
 	loop.Every(daemon.World, daemon.sessionFraction(1, 6), func() bool {
@@ -272,16 +277,16 @@
 	})
 }
 
-// initFirstCore makes the first core of the seeds, where the whole system starts for the
-// first time and nobody asked knows of a core.
+// initFirstCore forms the first core from the seeds when the whole system starts for the first
+// time, as long as this daemon has discovered no core.
 func (daemon *Daemon) initFirstCore() {
 	if !daemon.Process.First || daemon.Acceptor == nil || daemon.Core().Epoch > 0 {
 		return
 	}
 	core, err := daemon.Init(daemon.Live.Seeds())
 	if err != nil {
-		daemon.Log.Debug("the first core is not made yet", zap.Error(err))
+		daemon.Log.Debug("forming the first core failed", zap.Error(err))
 		return
 	}
-	daemon.Log.Info("the first core is made", zap.Any("core", core))
+	daemon.Log.Info("first core formed", zap.Any("core", core))
 }
--- a/controlplane/tender_test.go
+++ b/controlplane/tender_test.go
@@ -8,6 +8,8 @@
 	"swifttiller/session"
 )
 
+// TestTend checks which change of the core is planned for a core and what is known of its
+// acceptors, and that the next core has as many members as the change implies.
 func TestTend(t *testing.T) {
 	const replaceAfter = 1500 * time.Millisecond
 	core := register.Core{Epoch: 4, Members: []register.Member{{ID: "a-1", Address: "a", Name: "a"}, {ID: "b-1", Address: "b", Name: "b"}, {ID: "c-1", Address: "c", Name: "c"}}}
@@ -51,7 +53,7 @@
 		}
 		step, isDue := PlanCoreChange(testCase.core, testCase.seen, replaceAfter)
 		if step != testCase.step || isDue != testCase.isDue {
-			t.Errorf("%s: %+v, %v", testCase.name, step, isDue)
+			t.Errorf("%s: planned %+v, due %v", testCase.name, step, isDue)
 		}
 		next := step.Next(testCase.core, testCase.seen)
 		votes := len(testCase.core.Members)
@@ -62,7 +64,7 @@
 			votes--
 		}
 		if len(next) != votes {
-			t.Errorf("%s: %d votes after the step, not %d: %v", testCase.name, len(next), votes, next)
+			t.Errorf("%s: %d members after the change, not %d: %v", testCase.name, len(next), votes, next)
 		}
 	}
 }
