--- a/controlplane/daemon.go
+++ b/controlplane/daemon.go
@@ -247,48 +247,48 @@
 // Services makes the RPC server that peers and data daemons call.
 func (daemon *Daemon) Services() *rpc.Server {
 	server := rpc.NewServer()
-	register := func(name string, service any) {
+	mustRegister := func(name string, service any) {
 		if err := server.RegisterName(name, service); err != nil {
 			panic(err) // unreachable: all services are types of this module
 		}
 	}
 	if daemon.Acceptor != nil {
-		register("Register", daemon.Acceptor)
+		mustRegister("Register", daemon.Acceptor)
 	} else {
-		register("Register", diskless{daemon.Keeper})
+		mustRegister("Register", diskless{daemon.Keeper})
 	}
-	register("Session", tableService{daemon.Table})
-	register("Permit", officeService{daemon.Office})
-	register("Local", localService{daemon})
-	register("Tenant", tenantService{daemon})
-	register("Process", settings.Service{Live: daemon.Live})
+	mustRegister("Session", tableService{daemon.Table})
+	mustRegister("Permit", officeService{daemon.Office})
+	mustRegister("Local", localService{daemon})
+	mustRegister("Tenant", tenantService{daemon})
+	mustRegister("Process", settings.Service{Live: daemon.Live})
 	return server
 }
 
 // The services expose only the methods that are meant to be called remotely.
 type (
 	tableService  struct{ table *session.Table }
-	officeService struct{ office *permit.Office }
+	officeService struct{ issuer *permit.Office }
 )
 
 // Beat handles a daemon's heartbeat.
-func (service tableService) Beat(beat session.Beat, answer *session.Answer) error {
-	return service.table.Beat(beat, answer)
+func (service tableService) Beat(heartbeat session.Beat, answer *session.Answer) error {
+	return service.table.Beat(heartbeat, answer)
 }
 
 // Share exchanges session tables with a peer.
-func (service tableService) Share(shared session.Shared, back *session.Shared) error {
-	return service.table.Share(shared, back)
+func (service tableService) Share(shared session.Shared, reply *session.Shared) error {
+	return service.table.Share(shared, reply)
 }
 
 // Renew grants or renews a data daemon's lease.
-func (service officeService) Renew(ask permit.Ask, grant *permit.Grant) error {
-	return service.office.Renew(ask, grant)
+func (service officeService) Renew(request permit.Ask, grant *permit.Grant) error {
+	return service.issuer.Renew(request, grant)
 }
 
 // Fetch returns a configuration.
-func (service officeService) Fetch(want permit.Want, edition *permit.Edition) error {
-	return service.office.Fetch(want, edition)
+func (service officeService) Fetch(request permit.Want, edition *permit.Edition) error {
+	return service.issuer.Fetch(request, edition)
 }
 
 // Run starts the daemon's loops.
--- a/controlplane/operate.go
+++ b/controlplane/operate.go
@@ -249,10 +249,10 @@
 	}
 	daemon.mu.Unlock()
 	for _, region := range regions {
-		if serial, held := daemon.Duties.Held(RegionDuty + region.name); held && tree != nil {
+		if term, held := daemon.Duties.Held(RegionDuty + region.name); held && tree != nil {
 			region.mu.Lock()
 			observed := region.leadership
-			state := RegionState{Duty: serial, Standing: region.table, ListError: region.listError, RollError: region.rollError}
+			state := RegionState{Duty: term, Standing: region.table, ListError: region.listError, RollError: region.rollError}
 			region.mu.Unlock()
 			state.Replicas, _ = region.replicaRows(tree, observed)
 			out.Regions[region.name] = state
@@ -274,7 +274,7 @@
 	Document   json.RawMessage          `json:"document,omitempty"`
 	SeedsUnmet []string                 `json:"seeds_unmet,omitempty"`
 	Holders    map[string]permit.Record `json:"holders,omitempty"`
-	// Skews are the differences between each daemon's wall clock and the asked one's.
+	// Skews are the differences between each daemon's wall clock and this daemon's.
 	Skews map[string]time.Duration `json:"skews,omitempty"`
 	// Sums are the acceptors' digests by identity, one per key range; Redundancy is how many
 	// disk losses the core tolerates, derived from these.
--- a/controlplane/reconciler_model_test.go
+++ b/controlplane/reconciler_model_test.go
@@ -11,48 +11,49 @@
 	"swifttiller/session"
 )
 
-// The reconciler of the core as a model: its own rules (Tend, Next, mayBeMade) among machines
-// that lose power, disks and the others' hearing, in all orders. What an acceptor holds is
-// abstract: whether it has the newest acknowledged value.
+// This file model-checks the membership reconciler: it runs the product's own rules
+// (PlanCoreChange, Next, isSafe) in all states that are reachable when machines lose power, disks
+// and connectivity in any order. An acceptor's content is reduced to whether it holds the newest
+// acknowledged value.
 
-// modelReplaceAfter is how long an acceptor may be unheard before another takes its place.
+// modelReplaceAfter is how long an acceptor may be silent before another one replaces it.
 const modelReplaceAfter = time.Second
 
-// Levels of silence of an acceptor.
+// Levels of an acceptor's silence.
 const (
-	live = iota
+	notSilent = iota
 	silentShort
-	silentLong     // for the bound
-	silentVeryLong // for dropAfter bounds
+	silentLong     // for modelReplaceAfter
+	silentVeryLong // for shrinkAfter times modelReplaceAfter
 )
 
-// modelMachine is a machine with a disk; its life counts the disks that it had.
+// modelMachine is a machine with a disk; life is the number of disks that it has had.
 type modelMachine struct {
 	life  int
 	isUp  bool
-	holds bool // the newest acknowledged value
+	holds bool // its disk has the newest acknowledged value
 }
 
-// modelVote is a vote of the core, of one disk.
+// modelVote is a member of the core: an acceptor on one disk of a machine.
 type modelVote struct {
 	machine, life int
 	silence       int
 	isInStep      bool // it holds the core's epoch
 }
 
-// modelState is one state; wipes counts the disks that were lost.
+// modelState is one state of the model; wipes is the number of disks lost so far.
 type modelState struct {
 	machines []modelMachine
 	votes    []modelVote
 	wipes    int
 }
 
-// modelRules are the rules that are tried: the product's, or planted bugs.
+// modelRules are the rules to check: the product's, or ones with planted bugs.
 type modelRules struct {
 	plan   func(core register.Core, seen map[string]AcceptorView, bound time.Duration) (CoreChange, bool)
 	isSafe func(step CoreChange, core, next register.Core, inStep map[string]bool, answered int) bool
-	// tolerates tells whether the environment may take a disk while so many of the votes are
-	// lost or not whole, that one included.
+	// tolerates tells whether the environment may destroy a disk if that leaves the given number of
+	// votes lost, silent or out of date.
 	tolerates func(lacking, votes int) bool
 }
 
@@ -67,7 +68,7 @@
 	return state
 }
 
-// key is the same for states that differ only in which machine is which.
+// key identifies a state up to a permutation of the machines.
 func (state modelState) key() string {
 	rows := make([]string, len(state.machines))
 	for at, machine := range state.machines {
@@ -85,18 +86,18 @@
 
 func identity(machine, life int) string { return fmt.Sprintf("m%d-%d", machine, life) }
 
-// isAlive tells that the vote's disk still exists and its machine runs.
+// isAlive tells whether the vote's disk still exists and its machine is reachable.
 func (state modelState) isAlive(vote modelVote) bool {
 	machine := state.machines[vote.machine]
 	return machine.isUp && machine.life == vote.life
 }
 
-// exists tells that the vote's disk does.
+// exists tells whether the vote's disk still exists.
 func (state modelState) exists(vote modelVote) bool {
 	return state.machines[vote.machine].life == vote.life
 }
 
-// voters are the votes that can be had now.
+// voters are the indices of the votes that can take part in a quorum now.
 func (state modelState) voters() (at []int) {
 	for index, vote := range state.votes {
 		if state.isAlive(vote) && vote.isInStep {
@@ -108,7 +109,7 @@
 
 func (state modelState) majority() int { return len(state.votes)/2 + 1 }
 
-// core is the register's view of the votes.
+// core gives the votes as a core of the registers.
 func (state modelState) core() (core register.Core) {
 	core.Epoch = 1
 	for _, vote := range state.votes {
@@ -118,9 +119,9 @@
 	return core
 }
 
-// seen is what the reconciler sees.
+// seen gives the acceptors as the reconciler observes them.
 func (state modelState) seen() map[string]AcceptorView {
-	unheard := []time.Duration{0, modelReplaceAfter / 2, modelReplaceAfter, shrinkAfter * modelReplaceAfter}
+	silentFor := []time.Duration{0, modelReplaceAfter / 2, modelReplaceAfter, shrinkAfter * modelReplaceAfter}
 	seen := map[string]AcceptorView{}
 	for at, machine := range state.machines {
 		if machine.isUp {
@@ -131,13 +132,13 @@
 	}
 	for _, vote := range state.votes {
 		if !state.isAlive(vote) {
-			seen[identity(vote.machine, vote.life)] = AcceptorView{Member: session.Member{Name: fmt.Sprint("m", vote.machine)}, SilentFor: unheard[vote.silence]}
+			seen[identity(vote.machine, vote.life)] = AcceptorView{Member: session.Member{Name: fmt.Sprint("m", vote.machine)}, SilentFor: silentFor[vote.silence]}
 		}
 	}
 	return seen
 }
 
-// lacking counts the votes that are lost, silent or not whole.
+// lacking counts the votes that are lost, silent or out of date.
 func (state modelState) lacking() (count int) {
 	for _, vote := range state.votes {
 		if !state.isAlive(vote) || !vote.isInStep || !state.machines[vote.machine].holds {
@@ -147,7 +148,8 @@
 	return count
 }
 
-// losesValue tells whether a majority could answer without the newest acknowledged value.
+// losesValue tells whether a majority could answer without the newest acknowledged value, so that
+// it would be lost.
 func (state modelState) losesValue() bool {
 	without := 0
 	for _, vote := range state.votes {
@@ -158,13 +160,13 @@
 	return without >= state.majority()
 }
 
-// nextState is a state that a step leads to.
+// nextState is a successor state and the step that leads to it.
 type nextState struct {
 	step  string
 	state modelState
 }
 
-// subsets gives all choices of so many of the numbers.
+// subsets gives all subsets of the numbers with count elements.
 func subsets(numbers []int, count int) (out [][]int) {
 	if count == 0 {
 		return [][]int{nil}
@@ -177,7 +179,7 @@
 	return out
 }
 
-// steps are all that may happen next.
+// steps gives all possible successor states.
 func (state modelState) steps(rules modelRules, mostWipes int) (out []nextState) {
 	add := func(name string, change func(next *modelState)) {
 		next := state.clone()
@@ -201,10 +203,10 @@
 			}
 		}
 	}
-	if slices.ContainsFunc(state.votes, func(vote modelVote) bool { return vote.silence > live && vote.silence < silentVeryLong }) {
+	if slices.ContainsFunc(state.votes, func(vote modelVote) bool { return vote.silence > notSilent && vote.silence < silentVeryLong }) {
 		add("time passes", func(next *modelState) {
 			for at := range next.votes {
-				if next.votes[at].silence > live {
+				if next.votes[at].silence > notSilent {
 					next.votes[at].silence = min(silentVeryLong, next.votes[at].silence+1)
 				}
 			}
@@ -212,12 +214,12 @@
 	}
 	voters := state.voters()
 	if len(voters) >= state.majority() {
-		for _, takers := range subsets(voters, state.majority()) {
-			add(fmt.Sprint("a value is acknowledged by ", takers), func(next *modelState) {
+		for _, quorum := range subsets(voters, state.majority()) {
+			add(fmt.Sprint("a value is acknowledged by ", quorum), func(next *modelState) {
 				for at := range next.machines {
 					next.machines[at].holds = false
 				}
-				for _, at := range takers {
+				for _, at := range quorum {
 					next.machines[next.votes[at].machine].holds = true
 				}
 			})
@@ -233,26 +235,28 @@
 	return append(out, state.reconciled(rules)...)
 }
 
+// down makes a machine unreachable.
 func (state *modelState) down(machine int) {
 	state.machines[machine].isUp = false
 	for at := range state.votes {
-		if state.votes[at].machine == machine && state.votes[at].silence == live {
+		if state.votes[at].machine == machine && state.votes[at].silence == notSilent {
 			state.votes[at].silence = silentShort
 		}
 	}
 }
 
+// up makes a machine reachable again.
 func (state *modelState) up(machine int) {
 	state.machines[machine].isUp = true
 	for at := range state.votes {
 		if vote := &state.votes[at]; vote.machine == machine && state.exists(*vote) {
-			vote.silence = live
+			vote.silence = notSilent
 		}
 	}
 }
 
-// reconciled are the states after a turn of the reconciler: the change is taken over by any
-// majority of the next core.
+// reconciled gives the states after a round of the reconciler: any majority of the next core may be
+// the one that installs it.
 func (state modelState) reconciled(rules modelRules) (out []nextState) {
 	core, seen := state.core(), state.seen()
 	step, isDue := rules.plan(core, seen, modelReplaceAfter)
@@ -292,19 +296,19 @@
 		}
 		changed.votes = append(changed.votes, vote)
 	}
-	for _, takers := range subsets(alive, changed.majority()) {
+	for _, quorum := range subsets(alive, changed.majority()) {
 		after := changed.clone()
-		for _, at := range takers {
+		for _, at := range quorum {
 			after.votes[at].isInStep = true
 			after.machines[after.votes[at].machine].holds = true
 		}
-		out = append(out, nextState{fmt.Sprintf("the core becomes %v, taken over by %v", members, takers), after})
+		out = append(out, nextState{fmt.Sprintf("the core becomes %v, installed by %v", members, quorum), after})
 	}
 	return out
 }
 
-// settles tells whether the core becomes whole again once nothing more happens to it and all
-// machines are back.
+// settles tells whether the core becomes whole and complete again once all machines are back and
+// nothing more fails.
 func (state modelState) settles(rules modelRules) bool {
 	state = state.clone()
 	for at := range state.machines {
@@ -314,11 +318,11 @@
 	return state.lacking() == 0 && len(state.votes) == min(len(state.machines), MaxVotes)
 }
 
-// replaces tells whether no vote stays lost where a majority can vote and another machine runs
-// that has none.
+// replaces tells whether no vote stays lost while a majority can vote and a reachable machine
+// outside of the core can replace it.
 func (state modelState) replaces(rules modelRules) bool {
 	if len(state.voters()) < state.majority() {
-		return true // nothing can be done
+		return true // no majority: the core can't change
 	}
 	state = state.settled(rules)
 	spares := 0
@@ -330,7 +334,7 @@
 	return spares == 0 || state.lacking() == 0
 }
 
-// settled is the state that the core comes to if nothing more happens to its machines.
+// settled gives the state in which the core ends up if nothing more fails or comes back.
 func (state modelState) settled(rules modelRules) modelState {
 	state = state.clone()
 	for range 40 {
@@ -343,7 +347,7 @@
 			}
 		}
 		for at := range state.votes {
-			if state.votes[at].silence > live {
+			if state.votes[at].silence > notSilent {
 				state.votes[at].silence = silentVeryLong
 			}
 		}
@@ -356,14 +360,15 @@
 	return state
 }
 
-// modelReport is what an exploration saw.
+// modelReport is the result of an exploration.
 type modelReport struct {
 	states, depth int
-	broken        []string // the steps to the first broken promise
+	broken        []string // the steps to the first violation
 	why           string
 }
 
-// explore visits all states, those that differ in names alone once.
+// explore visits all reachable states in breadth-first order, up to a permutation of the machines,
+// until the first violation.
 func explore(machines, votes, mostWipes int, rules modelRules) (report modelReport) {
 	first := modelState{}
 	for at := range machines {
@@ -390,7 +395,7 @@
 		case !current.state.settles(rules):
 			report.why = "the core does not become whole again"
 		case !current.state.replaces(rules):
-			report.why = "a lost vote is not replaced though a machine waits"
+			report.why = "a lost vote is not replaced although a machine is available"
 		}
 		if report.why != "" {
 			for at := current; at != nil; at = at.before {
@@ -409,15 +414,16 @@
 	return report
 }
 
-// TestReconcilerModel: whatever happens to the machines of a core, in any order, within what the
-// core tolerates at each moment, no acknowledged value is lost, and the core is whole again
-// once that is over.
+// TestReconcilerModel checks in all reachable states that no acknowledged value is lost, that lost
+// acceptors are replaced, and that the core becomes whole again after the last failure, as long as
+// there are never more failures at once than the core tolerates. A rule that removes or replaces
+// acceptors too early would form a majority that lacks an acknowledged value.
 func TestReconcilerModel(t *testing.T) {
 	for _, world := range []struct{ machines, votes, wipes int }{{3, 3, 3}, {4, 3, 2}, {4, 4, 2}, {5, 3, 1}} {
 		t.Run(fmt.Sprintf("%d machines, %d votes", world.machines, world.votes), func(t *testing.T) {
 			t.Parallel()
 			report := explore(world.machines, world.votes, world.wipes, productRules)
-			t.Logf("all %d states, %d steps deep, with %d disks lost at the most", report.states, report.depth, world.wipes)
+			t.Logf("explored all %d states, up to %d steps deep, with at most %d disks lost", report.states, report.depth, world.wipes)
 			if report.why != "" {
 				t.Errorf("broken promise: %s:\n%s", report.why, strings.Join(report.broken, "\n"))
 			}
@@ -425,7 +431,7 @@
 	}
 }
 
-// without gives the product's rules but for steps that are like that.
+// without gives the product's rules without the matching changes.
 func without(isLike func(step CoreChange) bool) modelRules {
 	rules := productRules
 	rules.plan = func(core register.Core, seen map[string]AcceptorView, bound time.Duration) (CoreChange, bool) {
@@ -435,8 +441,9 @@
 	return rules
 }
 
-// TestReconcilerModelSeesBugs: the model finds rules that never replace, never grow or never
-// may make a step, and an environment that takes more disks than are tolerated.
+// TestReconcilerModelSeesBugs checks that the model detects planted bugs: rules that never replace
+// an acceptor, never grow the core, or change it only while all acceptors are in step, and an
+// environment that destroys more disks than the core tolerates.
 func TestReconcilerModelSeesBugs(t *testing.T) {
 	allInStep := productRules
 	allInStep.isSafe = func(_ CoreChange, core, _ register.Core, inStep map[string]bool, _ int) bool {
@@ -453,7 +460,7 @@
 		report := explore(4, 3, 2, rules)
 		t.Logf("%s: %s, after %d states", name, report.why, report.states)
 		if report.why == "" {
-			t.Errorf("%s is not seen", name)
+			t.Errorf("the planted bug %s is not detected", name)
 		}
 	}
 }
--- a/controlplane/region.go
+++ b/controlplane/region.go
@@ -58,8 +58,8 @@
 	// computeWaker wakes the loop that computes the routing table, after a change of routes;
 	// rollWaker wakes the loop that advances the roll-outs, after a new routing table.
 	computeWaker, rollWaker *loop.Waker
-	// endedBoots are replicas' incarnations that have ended, to be announced in a batch.
-	endedBoots []permit.Leaver
+	// endedReplicas are replicas' incarnations that have ended, to be announced in a batch.
+	endedReplicas []permit.Leaver
 	// evacuated are the zones that were evacuated at the last computation.
 	evacuated map[string]bool
 }
@@ -351,19 +351,19 @@
 	}
 	region.Log.Info("routing table written", zap.String("region", region.name), zap.Uint64("serial", next.Serial), zap.String("changed", standing.Changed(*before, next)), zap.Strings("replicas", next.Shown()), zap.Duration("took", region.World.Now()-now))
 	region.recordTable(term, &next, now, now)
-	region.notifyLeaving(removedBoots(*before, next), next.Serial)
+	region.notifyLeaving(removedReplicas(*before, next), next.Serial)
 }
 
-// removedBoots are the replicas' incarnations that the previous routing table has and the next
+// removedReplicas are the replicas' incarnations that the previous routing table has and the next
 // one does not.
-func removedBoots(before, next standing.Standing) (out []permit.Leaver) {
+func removedReplicas(before, next standing.Standing) (out []permit.Leaver) {
 	remaining := map[permit.Leaver]bool{}
 	for _, endpoint := range next.Places {
 		remaining[permit.Leaver{Replica: endpoint.ID, Boot: endpoint.Boot}] = true
 	}
 	for _, endpoint := range before.Places {
-		if boot := (permit.Leaver{Replica: endpoint.ID, Boot: endpoint.Boot}); !remaining[boot] && boot.Boot != "" {
-			out = append(out, boot)
+		if incarnation := (permit.Leaver{Replica: endpoint.ID, Boot: endpoint.Boot}); !remaining[incarnation] && incarnation.Boot != "" {
+			out = append(out, incarnation)
 		}
 	}
 	return out
--- a/controlplane/region_list.go
+++ b/controlplane/region_list.go
@@ -51,7 +51,8 @@
 // notifyAttempts is how many times a notice is sent to a data daemon that does not reply.
 const notifyAttempts = 2
 
-// list queries the platform for its replicas, no more often than the platform allows.
+// list queries the platform for its replicas, no more often than configured and than the
+// platform's rate limit allows.
 func (region *region) list(_ uint64, tree *settings.Tree) {
 	region.mu.Lock()
 	wait := region.World.Now() < region.nextListAt
--- a/controlplane/region_probe.go
+++ b/controlplane/region_probe.go
@@ -136,17 +136,17 @@
 
 // announceEnded notifies data daemons within endedBatchDelay that a replica's incarnation has
 // ended, ahead of the routing table without it. The caller holds the lock.
-func (region *region) announceEnded(boot permit.Leaver) {
-	if region.endedBoots = append(region.endedBoots, boot); len(region.endedBoots) > 1 {
+func (region *region) announceEnded(incarnation permit.Leaver) {
+	if region.endedReplicas = append(region.endedReplicas, incarnation); len(region.endedReplicas) > 1 {
 		return // the pending notice includes it
 	}
 	region.World.Go(func() {
 		loop.Sleep(region.World, endedBatchDelay)
 		region.mu.Lock()
-		boots := region.endedBoots
-		region.endedBoots = nil
+		incarnations := region.endedReplicas
+		region.endedReplicas = nil
 		region.mu.Unlock()
-		region.notifyLeaving(boots, 0)
+		region.notifyLeaving(incarnations, 0)
 	})
 }
 
--- a/controlplane/tenants.go
+++ b/controlplane/tenants.go
@@ -48,7 +48,7 @@
 	mu           sync.Mutex
 	term         uint64
 	watch        *tenant.Watch
-	// baseline is the text last read of the register, or written; turn counts the turns.
+	// baseline is the register's text as last read or written; rounds counts planning rounds.
 	baseline string
 	rounds   int
 }
@@ -107,12 +107,12 @@
 		term, held := daemon.Duties.Held(TenantDuty)
 		_, _, tree := daemon.Office.Current()
 		interval, isOn := daemon.tenantInterval()
-		table := &daemon.tenants
-		table.mu.Lock()
-		if !held || !isOn || table.term != term {
-			table.term, table.watch, table.baseline, table.rounds = 0, nil, "", 0
+		state := &daemon.tenants
+		state.mu.Lock()
+		if !held || !isOn || state.term != term {
+			state.term, state.watch, state.baseline, state.rounds = 0, nil, "", 0
 		}
-		table.mu.Unlock()
+		state.mu.Unlock()
 		if held && isOn {
 			daemon.planTenants(term, interval, tree)
 		}
@@ -149,22 +149,22 @@
 		daemon.Log.Warn("skipping tenant placement: the register is unreadable or was written in a later term", zap.Uint64("duty", term), zap.Uint64("written_by", placements.Duty))
 		return
 	}
-	table := &daemon.tenants
-	table.mu.Lock()
-	if table.watch == nil {
+	state := &daemon.tenants
+	state.mu.Lock()
+	if state.watch == nil {
 		var baseline []tenant.Profile
 		if value := values[BaselineKey]; value.Serial > 0 {
 			_ = json.Unmarshal(value.Data, &baseline)
-			table.baseline = string(value.Data)
+			state.baseline = string(value.Data)
 		}
-		table.term, table.watch = term, tenant.NewWatch(now, baseline)
+		state.term, state.watch = term, tenant.NewWatch(now, baseline)
 	}
-	table.rounds++
+	state.rounds++
 	scene := daemon.tenantScene(term, interval, tree, values)
-	next, notices := table.watch.Turn(scene, tenant.Gather(tenantReports(daemon.Table.Live(session.Control))), placements)
-	baseline, _ := json.Marshal(table.watch.Usual())
-	writesBaseline := string(baseline) != table.baseline && (table.rounds%baselineRounds == 0 || len(notices) > 0)
-	table.mu.Unlock()
+	next, notices := state.watch.Turn(scene, tenant.Gather(tenantReports(daemon.Table.Live(session.Control))), placements)
+	baseline, _ := json.Marshal(state.watch.Usual())
+	writesBaseline := string(baseline) != state.baseline && (state.rounds%baselineRounds == 0 || len(notices) > 0)
+	state.mu.Unlock()
 	for _, notice := range notices {
 		daemon.Log.Info("a tenant "+notice.What, zap.String("tenant", notice.Tenant), zap.String("reason", notice.Reason), zap.Float64("distance", notice.Distance),
 			zap.Float64("gain_ms", notice.Gain), zap.Float64("price_ms", notice.Price), zap.Float64("tokens", notice.Tokens), zap.Strings("from", notice.From), zap.Strings("to", notice.To), zap.Int("part", notice.Part))
@@ -184,9 +184,9 @@
 	}
 	if writesBaseline {
 		if _, err := daemon.Swap(BaselineKey, values[BaselineKey].Serial, baseline); err == nil {
-			table.mu.Lock()
-			table.baseline = string(baseline)
-			table.mu.Unlock()
+			state.mu.Lock()
+			state.baseline = string(baseline)
+			state.mu.Unlock()
 			daemon.point(PointUsual)
 		}
 	}
@@ -267,13 +267,13 @@
 
 // Seen returns, as JSON, the tenants that this daemon observes; an error if it is not the leader.
 func (service tenantService) Seen(_ struct{}, reply *LocalReply) (err error) {
-	table := &service.daemon.tenants
-	table.mu.Lock()
-	defer table.mu.Unlock()
-	if table.watch == nil {
+	state := &service.daemon.tenants
+	state.mu.Lock()
+	defer state.mu.Unlock()
+	if state.watch == nil {
 		return errors.New("this daemon is not the leader")
 	}
-	reply.Body, err = json.Marshal(table.watch.Seen())
+	reply.Body, err = json.Marshal(state.watch.Seen())
 	return err
 }
 
@@ -289,13 +289,13 @@
 		out.Trouble = "tenant_ms is 0: tenant placement is off, and no placement is in force"
 		return out, nil
 	}
-	held, _ := daemon.Duties.Last(TenantDuty)
-	out.Holder = held.Holder
+	leadership, _ := daemon.Duties.Last(TenantDuty)
+	out.Holder = leadership.Holder
 	var reply LocalReply
-	if held.Holder == daemon.Process.Name {
+	if leadership.Holder == daemon.Process.Name {
 		err = tenantService{daemon}.Seen(struct{}{}, &reply)
-	} else if holder, isMember := daemon.Table.Find(held.Holder); isMember {
-		err = daemon.Net.Call(holder.Member.Wire, "Tenant.Seen", struct{}{}, &reply, daemon.sessionTimeout())
+	} else if leader, isMember := daemon.Table.Find(leadership.Holder); isMember {
+		err = daemon.Net.Call(leader.Member.Wire, "Tenant.Seen", struct{}{}, &reply, daemon.sessionTimeout())
 	} else {
 		err = errors.New("no leader is known")
 	}
--- a/controlplane/tender.go
+++ b/controlplane/tender.go
@@ -163,8 +163,8 @@
 // control daemons track them, so that a new leader knows for how long each has been silent.
 type membershipReconciler struct {
 	daemon     *Daemon
-	lastSeenAt map[string]time.Duration // by acceptor: its last sign of life, or when it was first missed
-	seen       map[string]session.Member
+	lastSeenAt map[string]time.Duration  // by acceptor: its last sign of life, or when it was first missed
+	seen       map[string]session.Member // by acceptor: its daemon, as last seen
 	// rounds counts the rounds since this daemon became the leader of the core.
 	rounds int
 }
@@ -184,21 +184,21 @@
 func (reconciler *membershipReconciler) observe(core register.Core) map[string]AcceptorView {
 	daemon := reconciler.daemon
 	now, seen := daemon.World.Now(), map[string]AcceptorView{}
-	for _, view := range daemon.Table.Live(session.Control) {
-		if id := view.Member.Acceptor; id != "" {
-			reconciler.lastSeenAt[id], reconciler.seen[id] = now-view.Age, view.Member
-			seen[id] = AcceptorView{Member: view.Member, SilentFor: view.Age, IsMember: true}
+	for _, peer := range daemon.Table.Live(session.Control) {
+		if id := peer.Member.Acceptor; id != "" {
+			reconciler.lastSeenAt[id], reconciler.seen[id] = now-peer.Age, peer.Member
+			seen[id] = AcceptorView{Member: peer.Member, SilentFor: peer.Age, IsMember: true}
 		}
 	}
 	for _, member := range core.Members {
 		if _, isMember := seen[member.ID]; !isMember {
 			if since, known := reconciler.lastSeenAt[member.ID]; !known {
 				reconciler.lastSeenAt[member.ID] = now
-			} else if view, isHeard := reconciler.seen[member.ID]; isHeard && now-since < daemon.sessionTimeout() {
+			} else if last, wasMember := reconciler.seen[member.ID]; wasMember && now-since < daemon.sessionTimeout() {
 				// A session times out only after sessionTimeout of silence, so this one was ended by
 				// its daemon.
-				view.Leaving = true
-				reconciler.seen[member.ID] = view
+				last.Leaving = true
+				reconciler.seen[member.ID] = last
 			}
 			seen[member.ID] = AcceptorView{Member: reconciler.seen[member.ID], SilentFor: now - reconciler.lastSeenAt[member.ID]}
 		}
