--- a/controlplane/daemon.go
+++ b/controlplane/daemon.go
@@ -71,8 +71,8 @@
 	behind, silent absenceTracker
 }
 
-// RegionDuty is the key prefix of the election for a region. The leader watches the region's
-// replicas, writes its routing table and drives its roll-outs.
+// RegionDuty is the prefix of the names of the regions' elections. A region's leader watches the
+// region's replicas, writes its routing table and drives its roll-outs.
 const RegionDuty = "region/"
 
 // JanitorDuty is the election whose leader garbage-collects old lease holders' records.
--- a/controlplane/region.go
+++ b/controlplane/region.go
@@ -170,9 +170,9 @@
 	}
 }
 
-// replicaRows gives the replicas as input for the pure functions. It is false if the leadership
-// is not the expected one any more: it was lost or its term changed, and the replicas were
-// cleared.
+// replicaRows gives the replicas as input for computing the routing table and for the roll-outs. It
+// is false if the leadership is not the expected one any more: it was lost or its term changed, and
+// the region's state was reset.
 func (region *region) replicaRows(tree *settings.Tree, expected leadership) ([]standing.Replica, bool) {
 	now := region.World.Now()
 	darkAfter := tree.Span("dark_ms", region.name)
