--- a/controlplane/daemon.go
+++ b/controlplane/daemon.go
@@ -1,5 +1,6 @@
-// Package controlplane puts a control daemon together: registers, sessions,
-// duties, permits, and the regions' standings and roll-outs.
+// Package controlplane assembles a control daemon from the replicated registers, the
+// session table, leader elections, data daemon leases, and each region's routing table
+// and roll-outs.
 package controlplane
 
 import (
@@ -26,28 +27,29 @@
 	"swifttiller/workflow"
 )
 
-// Options of a daemon: its place, and the outside world.
+// Options are a daemon's settings and its access to the outside world.
 type Options struct {
 	World   loop.World
 	Net     wire.Net
 	Process settings.Process
-	// Live are the process's settings as they stand; nil when they never change.
+	// Live gives the process's current settings; nil if they never change.
 	Live *settings.Live
-	// Folder is the data folder; nil for a daemon without a disk.
+	// Folder is the data directory; nil for a daemon without a disk.
 	Folder      disk.Folder
 	Incarnation string
 	Replicas    replica.Client
-	// Dialect, if set, is how replicas of models with an engine are asked.
+	// Dialect, if set, is the protocol for probing replicas of models with an engine.
 	Dialect  replica.Dialect
 	Platform listing.Client
 	Log      *zap.Logger
-	// Counter, if set, is what Net counts its calls with.
+	// Counter, if set, holds the counts of the RPCs made through Net.
 	Counter *wire.Counter
-	// Point is told of numbered points, for faults in tests.
+	// Point, if set, is called at named points of the code, so that tests can inject faults.
 	Point func(name string)
 }
 
-// Daemon is a control daemon.
+// Daemon is a control daemon. It combines an acceptor of the replicated registers, a member
+// of the session protocol, and a candidate for the elections of all regions and of the core.
 type Daemon struct {
 	Options
 	*register.Keeper
@@ -58,24 +60,26 @@
 	Objects  *rollout.Objects
 	Book     *workflow.Book
 
-	guard   sync.Mutex
-	regions map[string]*region
-	stopped atomic.Bool
-	mended  atomic.Int64
-	tenants tenants
-	pauses  pauseDetector
-	// behind are acceptors that lack copies, as the holder of the core's duty sees them, and
-	// unheard those without a session.
-	behind, unheard absences
+	mu       sync.Mutex
+	regions  map[string]*region
+	stopped  atomic.Bool
+	repaired atomic.Int64
+	tenants  tenants
+	pauses   pauseDetector
+	// behind tracks the acceptors with missing or outdated copies, as seen by the leader of
+	// the core; silent tracks those whose daemons have no session.
+	behind, silent absenceTracker
 }
 
-// RegionDuty is the duty that covers a region: its replicas, standing and runs.
+// RegionDuty is the prefix of the names of the regions' elections. A region's leader watches the
+// region's replicas, writes its routing table and drives its roll-outs.
 const RegionDuty = "region/"
 
-// JanitorDuty is the duty that retires old records.
+// JanitorDuty is the election whose leader garbage-collects old lease holders' records.
 const JanitorDuty = "janitor"
 
-// New makes a daemon and brings its disk back; a bad disk is an error.
+// New makes a daemon and recovers the acceptor's state from its disk. A corrupt or unreadable
+// disk is an error.
 func New(options Options) (*Daemon, error) {
 	if options.Live == nil {
 		options.Live = settings.NewLive(settings.LiveOptions{Process: options.Process})
@@ -85,7 +89,7 @@
 		daemon.Log = zap.NewNop()
 	}
 	daemon.Keeper = &register.Keeper{Options: register.Options{
-		World: options.World, Net: options.Net, Self: options.Process.Name + "." + options.Incarnation, Patience: roundPatience,
+		World: options.World, Net: options.Net, Self: options.Process.Name + "." + options.Incarnation, Patience: roundTimeout,
 		Locate: func(id string) string { return daemon.Table.Locate(id) },
 	}}
 	identity := ""
@@ -106,43 +110,43 @@
 		}
 	}
 	daemon.Table = session.NewTable(session.Options{
-		World: options.World, Net: options.Net, Seeds: options.Live.Seeds, Keeper: daemon.Keeper, Span: daemon.span, Tell: daemon.tell, Tenants: daemon.tenants.told.Load,
+		World: options.World, Net: options.Net, Seeds: options.Live.Seeds, Keeper: daemon.Keeper, Span: daemon.sessionTimeout, Tell: daemon.describeSelf, Tenants: daemon.tenants.announcement.Load,
 		Self: session.Member{Name: options.Process.Name, Incarnation: options.Incarnation, Role: session.Control, Region: options.Process.Region, Zone: options.Process.Zone, Wire: options.Process.Wire, HTTP: options.Process.HTTP, Acceptor: identity},
 	})
-	daemon.Office = &permit.Office{Options: permit.Options{World: options.World, Net: options.Net, Keeper: daemon.Keeper, Table: daemon.Table, Kept: daemon.kept, Silence: orderSilence}}
+	daemon.Office = &permit.Office{Options: permit.Options{World: options.World, Net: options.Net, Keeper: daemon.Keeper, Table: daemon.Table, Kept: daemon.tableAge, Silence: orderQuorumTimeout}}
 	daemon.Duties = &duty.Keeper{Options: duty.Options{
-		World: options.World, Keeper: daemon.Keeper, Name: options.Process.Name, Incarnation: options.Incarnation, Span: daemon.span,
-		Alive: daemon.alive, Claims: daemon.claims, Reborn: daemon.reborn, Watched: daemon.Table.Watched, IsBack: daemon.Core().Epoch > 0, Wanted: daemon.duties,
+		World: options.World, Keeper: daemon.Keeper, Name: options.Process.Name, Incarnation: options.Incarnation, Span: daemon.sessionTimeout,
+		Alive: daemon.isAlive, Claims: daemon.claimsLeadership, Reborn: daemon.hasRestarted, Watched: daemon.Table.Watched, IsBack: daemon.Core().Epoch > 0, Wanted: daemon.elections,
 	}}
-	daemon.Objects = &rollout.Objects{World: options.World, Keeper: daemon.Keeper, Name: options.Process.Name + "." + options.Incarnation, Changed: daemon.moved}
+	daemon.Objects = &rollout.Objects{World: options.World, Keeper: daemon.Keeper, Name: options.Process.Name + "." + options.Incarnation, Changed: daemon.routesChanged}
 	daemon.Book = &workflow.Book{World: options.World, Keeper: daemon.Keeper}
 	return daemon, nil
 }
 
-// moved makes the regions' standings show at once what was written of a model's routes,
-// where an order under a term is under way.
-func (daemon *Daemon) moved() {
+// routesChanged wakes the regions that are executing a timed roll-out, so that a change of a
+// model's routes is published in their routing tables at once.
+func (daemon *Daemon) routesChanged() {
 	_, _, tree := daemon.Office.Current()
 	if tree == nil {
 		return
 	}
-	daemon.guard.Lock()
-	defer daemon.guard.Unlock()
+	daemon.mu.Lock()
+	defer daemon.mu.Unlock()
 	for _, region := range daemon.regions {
-		if region.hurries(tree) {
-			region.computer.Wake()
+		if region.hasUrgentRollout(tree) {
+			region.computeWaker.Wake()
 		}
 	}
 }
 
-// roundPatience bounds one operation on a register.
-const roundPatience = 2 * time.Second
+// roundTimeout bounds one register operation.
+const roundTimeout = 2 * time.Second
 
-// span is the session bound in force.
-func (daemon *Daemon) span() time.Duration { return daemon.limit("session_ms") }
+// sessionTimeout is the session timeout currently configured.
+func (daemon *Daemon) sessionTimeout() time.Duration { return daemon.timeLimit("session_ms") }
 
-// limit is a limit of time in force for the whole system.
-func (daemon *Daemon) limit(name string) time.Duration {
+// timeLimit is the current value of a system-wide duration setting.
+func (daemon *Daemon) timeLimit(name string) time.Duration {
 	var tree *settings.Tree
 	if daemon.Office != nil {
 		_, _, tree = daemon.Office.Current()
@@ -150,70 +154,71 @@
 	return tree.Span(name, "")
 }
 
-// spans is a ratio of the session bound, as a loop's span.
-func (daemon *Daemon) spans(times, parts time.Duration) func() time.Duration {
-	return func() time.Duration { return times * daemon.span() / parts }
+// sessionFraction gives times/parts of the session timeout, as a loop's interval.
+func (daemon *Daemon) sessionFraction(times, parts time.Duration) func() time.Duration {
+	return func() time.Duration { return times * daemon.sessionTimeout() / parts }
 }
 
-// kept tells whether the region's standing, as read, is kept up to date, as far as
-// this daemon has seen: how long ago the holder of the duty that it was written
-// under found it to be so. That the holder is alive is not enough: without a
-// majority of the core it can't write what it sees.
-func (daemon *Daemon) kept(region string, read standing.Standing) (time.Duration, bool) {
+// tableAge tells whether the region's leader is maintaining the given routing table, as far
+// as this daemon knows, and how long ago the leader last verified it. A live leader alone is
+// not enough: without a majority of the core it can't write what it observes.
+func (daemon *Daemon) tableAge(region string, read standing.Standing) (time.Duration, bool) {
 	duty, known := daemon.Duties.Last(RegionDuty + region)
 	if !known || duty.Serial != read.Duty {
 		return 0, false
 	}
-	holder, isAlive := daemon.holder(duty)
-	keeping, keeps := holder.Member.Keeps[region]
+	leader, isAlive := daemon.leader(duty)
+	keeping, keeps := leader.Member.Keeps[region]
 	_, _, tree := daemon.Office.Current()
-	age := holder.Age + keeping.Age
+	age := leader.Age + keeping.Age
 	return age, isAlive && keeps && keeping.Duty == duty.Serial && keeping.Serial <= read.Serial && tree != nil && age < tree.Span("permit_ms", "")
 }
 
-// holder gives the session of a duty's holder, if it is a member.
-func (daemon *Daemon) holder(held duty.Duty) (session.Session, bool) {
-	one, isMember := daemon.Table.Find(held.Holder)
-	return one, isMember && one.Member.Role == session.Control && one.Member.Incarnation == held.Incarnation
+// leader gives the session of the daemon that won an election, if that incarnation is a member.
+func (daemon *Daemon) leader(held duty.Duty) (session.Session, bool) {
+	found, isMember := daemon.Table.Find(held.Holder)
+	return found, isMember && found.Member.Role == session.Control && found.Member.Incarnation == held.Incarnation
 }
 
-// tell tells the colleagues which duties this daemon holds and which standings it
-// keeps.
-func (daemon *Daemon) tell(self *session.Member) {
+// describeSelf fills in what this daemon's heartbeats announce to its peers: the elections
+// that it leads and the routing tables that it maintains.
+func (daemon *Daemon) describeSelf(self *session.Member) {
 	self.Duties, self.Keeps = daemon.Duties.Holds(), map[string]session.Keeping{}
-	daemon.guard.Lock()
-	defer daemon.guard.Unlock()
+	daemon.mu.Lock()
+	defer daemon.mu.Unlock()
 	for name, region := range daemon.regions {
-		if keeping, keeps := region.keeping(); keeps {
+		if keeping, keeps := region.maintained(); keeps {
 			self.Keeps[name] = keeping
 		}
 	}
 }
 
-// claims tells whether the holder of a duty says itself that it holds it.
-func (daemon *Daemon) claims(name string, held duty.Duty) bool {
-	one, isAlive := daemon.holder(held)
-	return isAlive && one.Member.Duties[name] == held.Serial
+// claimsLeadership tells whether the recorded leader itself announces that it leads in that term.
+func (daemon *Daemon) claimsLeadership(name string, held duty.Duty) bool {
+	found, isAlive := daemon.leader(held)
+	return isAlive && found.Member.Duties[name] == held.Serial
 }
 
-func (daemon *Daemon) alive(name, incarnation string) bool {
-	_, isAlive := daemon.holder(duty.Duty{Holder: name, Incarnation: incarnation})
+// isAlive tells whether that incarnation of a control daemon is a member.
+func (daemon *Daemon) isAlive(name, incarnation string) bool {
+	_, isAlive := daemon.leader(duty.Duty{Holder: name, Incarnation: incarnation})
 	return isAlive
 }
 
-// reborn tells whether another incarnation of that name is a member, which
-// proves that the given one is gone.
-func (daemon *Daemon) reborn(name, incarnation string) bool {
-	one, isMember := daemon.Table.Find(name)
-	return isMember && one.Member.Role == session.Control && one.Member.Incarnation != incarnation
+// hasRestarted tells whether another incarnation of the named daemon is a member, which
+// proves that the given one has ended.
+func (daemon *Daemon) hasRestarted(name, incarnation string) bool {
+	found, isMember := daemon.Table.Find(name)
+	return isMember && found.Member.Role == session.Control && found.Member.Incarnation != incarnation
 }
 
-// duties lists what there is to do, the core and this daemon's own region first.
-func (daemon *Daemon) duties() []string {
+// elections lists the elections to stand in, in order of preference: the core and this
+// daemon's own region first.
+func (daemon *Daemon) elections() []string {
 	_, _, tree := daemon.Office.Current()
 	if tree == nil {
-		if daemon.Duties.IsBack && daemon.Table.Watched() < daemon.span() {
-			return nil // the configuration is read first, and then all are run for together
+		if daemon.Duties.IsBack && daemon.Table.Watched() < daemon.sessionTimeout() {
+			return nil // reads the configuration first, so as to stand in all elections at once
 		}
 		return []string{CoreDuty}
 	}
@@ -230,60 +235,60 @@
 	return names
 }
 
-// diskless answers for a daemon that is no acceptor.
+// diskless serves the register protocol of a daemon without an acceptor.
 type diskless struct{ *register.Keeper }
 
-// Describe tells the core that the daemon knows.
+// Describe reports the newest core that the daemon knows.
 func (diskless diskless) Describe(_ struct{}, about *register.About) error {
 	about.Core = diskless.Core()
 	return nil
 }
 
-// Services registers what colleagues call.
+// Services makes the RPC server that peers and data daemons call.
 func (daemon *Daemon) Services() *rpc.Server {
 	server := rpc.NewServer()
-	register := func(name string, service any) {
+	mustRegister := func(name string, service any) {
 		if err := server.RegisterName(name, service); err != nil {
-			panic(err) // only our own types come here
+			panic(err) // unreachable: all services are types of this module
 		}
 	}
 	if daemon.Acceptor != nil {
-		register("Register", daemon.Acceptor)
+		mustRegister("Register", daemon.Acceptor)
 	} else {
-		register("Register", diskless{daemon.Keeper})
+		mustRegister("Register", diskless{daemon.Keeper})
 	}
-	register("Session", tableService{daemon.Table})
-	register("Permit", officeService{daemon.Office})
-	register("Local", localService{daemon})
-	register("Tenant", tenantService{daemon})
-	register("Process", settings.Service{Live: daemon.Live})
+	mustRegister("Session", tableService{daemon.Table})
+	mustRegister("Permit", officeService{daemon.Office})
+	mustRegister("Local", localService{daemon})
+	mustRegister("Tenant", tenantService{daemon})
+	mustRegister("Process", settings.Service{Live: daemon.Live})
 	return server
 }
 
-// The services show only what is meant for the wire.
+// The services expose only the methods that are meant to be called remotely.
 type (
 	tableService  struct{ table *session.Table }
-	officeService struct{ office *permit.Office }
+	officeService struct{ issuer *permit.Office }
 )
 
-// Beat takes a daemon's word.
-func (service tableService) Beat(beat session.Beat, answer *session.Answer) error {
-	return service.table.Beat(beat, answer)
+// Beat handles a daemon's heartbeat.
+func (service tableService) Beat(heartbeat session.Beat, answer *session.Answer) error {
+	return service.table.Beat(heartbeat, answer)
 }
 
-// Share exchanges sessions.
-func (service tableService) Share(shared session.Shared, back *session.Shared) error {
-	return service.table.Share(shared, back)
+// Share exchanges session tables with a peer.
+func (service tableService) Share(shared session.Shared, reply *session.Shared) error {
+	return service.table.Share(shared, reply)
 }
 
-// Renew grants permits.
-func (service officeService) Renew(ask permit.Ask, grant *permit.Grant) error {
-	return service.office.Renew(ask, grant)
+// Renew grants or renews a data daemon's lease.
+func (service officeService) Renew(request permit.Ask, grant *permit.Grant) error {
+	return service.issuer.Renew(request, grant)
 }
 
-// Fetch gives configurations.
-func (service officeService) Fetch(want permit.Want, edition *permit.Edition) error {
-	return service.office.Fetch(want, edition)
+// Fetch returns a configuration.
+func (service officeService) Fetch(request permit.Want, edition *permit.Edition) error {
+	return service.issuer.Fetch(request, edition)
 }
 
 // Run starts the daemon's loops.
@@ -294,78 +299,79 @@
 	world.Go(daemon.discover)
 	world.Go(daemon.Duties.Run)
 	world.Go(daemon.watchConfig)
-	world.Go(daemon.janitor)
-	world.Go(daemon.tend)
+	world.Go(daemon.sweepRecords)
+	world.Go(daemon.reconcileMembership)
 	if daemon.Acceptor != nil {
-		world.Go(daemon.repair)
+		world.Go(daemon.repairCopies)
 	}
 }
 
-// discover asks the seeds and whoever else is known for the core, often while none
-// is known and seldom later.
+// discover queries the seeds and the known peers for the core: every fifteenth of the session
+// timeout while no core is known, and every 4 session timeouts after that.
 func (daemon *Daemon) discover() {
 	loop.Every(daemon.World, func() time.Duration {
 		if daemon.Core().Epoch == 0 {
-			return daemon.span() / 15
+			return daemon.sessionTimeout() / 15
 		}
-		return 4 * daemon.span()
+		return 4 * daemon.sessionTimeout()
 	}, func() bool {
 		daemon.Discover(daemon.Table.Colleagues())
-		daemon.begin()
+		daemon.initFirstCore()
 		return !daemon.stopped.Load()
 	})
 }
 
-// watchConfig reads the configuration and keeps one task per region.
+// watchConfig polls the configuration and starts the loops of each region that it names.
 func (daemon *Daemon) watchConfig() {
-	loop.Every(daemon.World, daemon.spans(1, 3), func() bool {
+	loop.Every(daemon.World, daemon.sessionFraction(1, 3), func() bool {
 		if daemon.Core().Epoch > 0 {
 			if err := daemon.Office.Refresh(); err != nil {
-				daemon.Log.Debug("the configuration can't be read", zap.Error(err))
+				daemon.Log.Debug("reading the configuration failed", zap.Error(err))
 			}
 		}
 		if _, _, tree := daemon.Office.Current(); tree != nil {
 			for _, name := range tree.Regions() {
-				daemon.ensure(name)
+				daemon.ensureRegion(name)
 			}
-			daemon.attendTenants()
+			daemon.startTenantLoops()
 		}
 		return !daemon.stopped.Load()
 	})
 }
 
-func (daemon *Daemon) ensure(name string) {
-	daemon.guard.Lock()
+// ensureRegion starts the region's loops unless they run already.
+func (daemon *Daemon) ensureRegion(name string) {
+	daemon.mu.Lock()
 	_, known := daemon.regions[name]
 	if !known {
 		daemon.regions[name] = newRegion(daemon, name)
 	}
-	one := daemon.regions[name]
-	daemon.guard.Unlock()
+	region := daemon.regions[name]
+	daemon.mu.Unlock()
 	if !known {
-		one.run()
+		region.run()
 	}
 }
 
-// repair compares this disk's copies with the colleagues', and at once where it has
-// missed a change of the core.
-func (daemon *Daemon) repair() {
-	turn := 0
-	loop.Every(daemon.World, daemon.spans(1, 6), func() bool {
-		if turn++; turn%24 != 1 && !daemon.isBehind() {
+// repairCopies compares the acceptor's registers with its peers' (anti-entropy) every 24th
+// round, and in every round while it has missed a change of the core.
+func (daemon *Daemon) repairCopies() {
+	round := 0
+	loop.Every(daemon.World, daemon.sessionFraction(1, 6), func() bool {
+		if round++; round%24 != 1 && !daemon.isBehind() {
 			return !daemon.stopped.Load()
 		}
-		mended, err := daemon.Repair(daemon.Acceptor)
-		daemon.mended.Add(int64(mended))
-		if mended > 0 || err != nil {
-			daemon.Log.Info("copies compared", zap.Int("mended", mended), zap.Error(err))
+		repaired, err := daemon.Repair(daemon.Acceptor)
+		daemon.repaired.Add(int64(repaired))
+		if repaired > 0 || err != nil {
+			daemon.Log.Info("copies compared", zap.Int("mended", repaired), zap.Error(err))
 		}
 		return !daemon.stopped.Load()
 	})
 }
 
-// isBehind tells whether this acceptor belongs to a core that it has not taken over,
-// or gave up what it holds for one.
+// isBehind tells whether the acceptor has not yet installed a core that it belongs to, or was
+// sealed for one.
 func (daemon *Daemon) isBehind() bool {
 	var about register.About
 	_ = daemon.Acceptor.Describe(struct{}{}, &about)
@@ -373,8 +379,9 @@
 	return about.Sealed || core.Has(about.ID) && about.Core.Epoch < core.Epoch
 }
 
-func (daemon *Daemon) janitor() {
-	loop.Every(daemon.World, daemon.spans(4, 1), func() bool {
+// sweepRecords garbage-collects lease holders' records while this daemon is the janitor.
+func (daemon *Daemon) sweepRecords() {
+	loop.Every(daemon.World, daemon.sessionFraction(4, 1), func() bool {
 		if _, held := daemon.Duties.Held(JanitorDuty); held {
 			daemon.Office.Sweep()
 		}
@@ -382,14 +389,15 @@
 	})
 }
 
-// Stop lets go of duties and tells the colleagues, for a planned stop.
+// Stop resigns from all elections and announces the end of this daemon's session to its
+// peers, for a planned shutdown.
 func (daemon *Daemon) Stop() {
 	daemon.stopped.Store(true)
 	daemon.Duties.Resign()
 	self := daemon.Table.Self
-	for _, one := range daemon.Table.Live(session.Control) {
-		if one.Member.Name != self.Name {
-			_ = daemon.Net.Call(one.Member.Wire, "Session.Beat", session.Beat{Member: self, Over: true}, new(session.Answer), daemon.span()/4)
+	for _, peer := range daemon.Table.Live(session.Control) {
+		if peer.Member.Name != self.Name {
+			_ = daemon.Net.Call(peer.Member.Wire, "Session.Beat", session.Beat{Member: self, Over: true}, new(session.Answer), daemon.sessionTimeout()/4)
 		}
 	}
 }
--- a/controlplane/operate.go
+++ b/controlplane/operate.go
@@ -21,34 +21,35 @@
 	"swifttiller/workflow"
 )
 
-// unknown is how an operator's step ends when its outcome can't be told.
-func unknown(err error) *verdict.Mishap {
+// outcomeUnknown makes the error for an operator's command that may or may not have taken effect.
+func outcomeUnknown(err error) *verdict.Mishap {
 	return &verdict.Mishap{Verdict: verdict.MayHaveRun, Code: "outcome_unknown", Status: 504, Cause: err,
 		Message: "the outcome is unknown: " + err.Error() + "; look at `controlplane show` and `controlplane handover status` to find out"}
 }
 
-// Answer turns an error of the registers and objects into an operator's.
+// Answer converts an error of the registers, objects and runs into the error that an operator
+// gets, with its HTTP status and code.
 func Answer(err error) *verdict.Mishap {
-	var mishap *verdict.Mishap
+	var failure *verdict.Mishap
 	var stale *register.Stale
 	var problems settings.Problems
-	var decline *rollout.Decline
+	var rejection *rollout.Decline
 	var outdated *Outdated
 	switch {
 	case err == nil:
 		return nil
-	case errors.As(err, &mishap):
-		return mishap
+	case errors.As(err, &failure):
+		return failure
 	case errors.Is(err, register.ErrUncertain), errors.Is(err, permit.ErrUnconfirmed):
-		return unknown(err)
+		return outcomeUnknown(err)
 	case errors.As(err, &stale):
 		return verdict.Decline(409, "stale", fmt.Sprintf("expected serial %d, but the current serial is %d", stale.Want, stale.Have), 0)
 	case errors.As(err, &outdated):
 		return verdict.Decline(409, "stale", outdated.Error(), 0)
 	case errors.As(err, &problems):
 		return verdict.Decline(422, "invalid", problems.Error(), 0)
-	case errors.As(err, &decline):
-		return verdict.Decline(409, "declined", decline.Reason, 0)
+	case errors.As(err, &rejection):
+		return verdict.Decline(409, "declined", rejection.Reason, 0)
 	case errors.Is(err, workflow.ErrBusy), errors.Is(err, workflow.ErrOther), errors.Is(err, workflow.ErrUsed), errors.Is(err, register.ErrCoreChange):
 		return verdict.Decline(409, "conflict", err.Error(), 0)
 	case errors.Is(err, ErrAbandoned), errors.Is(err, rollout.ErrAbandoned):
@@ -61,36 +62,37 @@
 	return verdict.Decline(500, "failed", err.Error(), 0)
 }
 
-// Reload has a member reread its process's settings.
+// Reload makes the named member reread its process settings.
 func (daemon *Daemon) Reload(name string) (settings.Reloaded, error) {
 	var out settings.Reloaded
-	for _, one := range daemon.Table.Live("") {
-		if one.Member.Name != name {
+	for _, member := range daemon.Table.Live("") {
+		if member.Member.Name != name {
 			continue
 		}
 		if name == daemon.Process.Name {
 			out = daemon.Live.Reload()
-		} else if err := daemon.Net.Call(one.Member.Wire, "Process.Reload", struct{}{}, &out, roundPatience); wire.Unsent(err) {
+		} else if err := daemon.Net.Call(member.Member.Wire, "Process.Reload", struct{}{}, &out, roundTimeout); wire.Unsent(err) {
 			return out, verdict.Decline(503, "unreached", err.Error(), time.Second)
 		} else if err != nil {
-			return out, &verdict.Mishap{Verdict: verdict.MayHaveRun, Code: "outcome_unknown", Status: 504, Cause: err, Message: "the outcome is unknown: " + err.Error() + "; reloading again does no harm"}
+			return out, &verdict.Mishap{Verdict: verdict.MayHaveRun, Code: "outcome_unknown", Status: 504, Cause: err, Message: "the outcome is unknown: " + err.Error() + "; it is safe to reload again"}
 		}
 		if len(out.Problems) > 0 {
 			return out, verdict.Decline(422, "invalid", out.String(), 0)
 		}
 		return out, nil
 	}
-	return out, verdict.Decline(404, "no_daemon", fmt.Sprintf("no daemon %q is a member", name), 0)
+	return out, verdict.Decline(404, "no_daemon", fmt.Sprintf("no member is named %q", name), 0)
 }
 
-// Handover starts a run in each region, or joins it.
+// Handover starts a roll-out run of the version in each of the regions (all that place the
+// model if none are given), or joins the run that has this id already.
 func (daemon *Daemon) Handover(id, model, version string, regions []string) (map[string]workflow.Run, error) {
 	_, _, tree := daemon.Office.Current()
 	if tree == nil {
 		return nil, verdict.Decline(409, "no_configuration", "there is no configuration yet", 0)
 	}
 	if id == "" || version == "" {
-		return nil, verdict.Decline(400, "bad_request", "a handover needs an id and a version", 0)
+		return nil, verdict.Decline(400, "bad_request", "a handover requires an id and a version", 0)
 	}
 	if len(regions) == 0 {
 		for _, region := range tree.Regions() {
@@ -110,7 +112,7 @@
 	runs := map[string]workflow.Run{}
 	for _, region := range regions {
 		if placement, _ := tree.Placement(model, region); placement.Any() {
-			return nil, verdict.Decline(409, "any_version", fmt.Sprintf("model %q holds any version in region %s: its replicas start by themselves; order a roll-out under a term", model, region), 0)
+			return nil, verdict.Decline(409, "any_version", fmt.Sprintf("model %q accepts any version in region %s: its replicas come up with a version loaded; start a timed roll-out instead", model, region), 0)
 		}
 	}
 	for _, region := range regions {
@@ -123,14 +125,14 @@
 	return runs, nil
 }
 
-// ModelStatus is what an operator sees of a model.
+// ModelStatus is a model's state as reported to operators.
 type ModelStatus struct {
 	rollout.Model
 	Shelves  map[string]workflow.Shelf  `json:"runs"`
 	Versions map[string]rollout.Version `json:"versions"`
 }
 
-// Handovers shows every model's routes, runs and versions.
+// Handovers reports every model's routes, runs and versions.
 func (daemon *Daemon) Handovers() (map[string]ModelStatus, error) {
 	_, _, tree := daemon.Office.Current()
 	out := map[string]ModelStatus{}
@@ -148,23 +150,24 @@
 		if err != nil {
 			return nil, err
 		}
-		one := ModelStatus{Model: object, Shelves: map[string]workflow.Shelf{}}
+		status := ModelStatus{Model: object, Shelves: map[string]workflow.Shelf{}}
 		for _, region := range tree.Regions() {
 			shelf, _, err := daemon.Book.Read(rollout.Key(model, region))
 			if err != nil {
 				return nil, err
 			}
-			one.Shelves[region] = shelf
+			status.Shelves[region] = shelf
 		}
-		if one.Versions, err = daemon.Objects.Versions(model); err != nil {
+		if status.Versions, err = daemon.Objects.Versions(model); err != nil {
 			return nil, err
 		}
-		out[model] = one
+		out[model] = status
 	}
 	return out, nil
 }
 
-// ChangeVotes changes who votes, by identity; the addresses come from the members.
+// ChangeVotes adds and removes acceptors of the core by identity. The addresses of new ones
+// are looked up in the session table.
 func (daemon *Daemon) ChangeVotes(add, remove []string) (register.Core, error) {
 	return daemon.ChangeCore(func(core register.Core) ([]register.Member, error) {
 		var members []register.Member
@@ -180,11 +183,11 @@
 		}
 		for _, id := range add {
 			if core.Has(id) {
-				return nil, verdict.Decline(409, "in_core", fmt.Sprintf("%q is in the core already", id), 0)
+				return nil, verdict.Decline(409, "in_core", fmt.Sprintf("%q is already in the core", id), 0)
 			}
 			address := daemon.Table.Locate(id)
 			if address == "" {
-				return nil, verdict.Decline(404, "no_acceptor", fmt.Sprintf("no member has the acceptor %q", id), 0)
+				return nil, verdict.Decline(404, "no_acceptor", fmt.Sprintf("no member runs the acceptor %q", id), 0)
 			}
 			members = append(members, register.Member{ID: id, Address: address})
 		}
@@ -195,8 +198,8 @@
 	})
 }
 
-// Local is what one control daemon knows by itself, asked by status and doctor.
-// It needs no majority.
+// Local is the local state of one control daemon, for the status and doctor commands. It is
+// available without a majority of the core.
 type Local struct {
 	Member    session.Member         `json:"member"`
 	Core      register.Core          `json:"core"`
@@ -212,12 +215,12 @@
 	Rounds    any                    `json:"rounds"`
 	Wall      time.Time              `json:"wall"`
 	Watched   time.Duration          `json:"watched"`
-	// Lacking is for how long acceptors have lacked copies or have not been heard, in
-	// nanoseconds.
+	// Lacking gives, by acceptor, for how many nanoseconds its copies have been incomplete or
+	// its daemon has been silent.
 	Lacking map[string]time.Duration `json:"lacking,omitempty"`
 }
 
-// RegionState is what the holder of a region's duty sees.
+// RegionState is a region's state as its leader sees it.
 type RegionState struct {
 	Duty      uint64             `json:"duty"`
 	Replicas  []standing.Replica `json:"replicas"`
@@ -226,12 +229,12 @@
 	RollError string             `json:"roll_error,omitempty"`
 }
 
-// Local describes this daemon.
+// Local reports this daemon's local state.
 func (daemon *Daemon) Local() Local {
 	serial, config, tree := daemon.Office.Current()
 	out := Local{
 		Member: daemon.Table.Self, Core: daemon.Core(), Serial: serial, Evacuated: config.Evacuated, Sessions: daemon.Table.Live(""),
-		Regions: map[string]RegionState{}, Mended: daemon.mended.Load(), Rounds: daemon.Rounded(), Granted: daemon.Office.Grants(), Wall: daemon.World.Wall(), Watched: daemon.Table.Watched(),
+		Regions: map[string]RegionState{}, Mended: daemon.repaired.Load(), Rounds: daemon.Rounded(), Granted: daemon.Office.Grants(), Wall: daemon.World.Wall(), Watched: daemon.Table.Watched(),
 		Lacking: daemon.lacking(),
 	}
 	out.Duties, out.Changes = daemon.Duties.Seen()
@@ -239,27 +242,26 @@
 		out.Acceptor = new(register.About)
 		_ = daemon.Acceptor.Describe(struct{}{}, out.Acceptor)
 	}
-	daemon.guard.Lock()
+	daemon.mu.Lock()
 	regions := make([]*region, 0, len(daemon.regions))
-	for _, one := range daemon.regions {
-		regions = append(regions, one)
+	for _, region := range daemon.regions {
+		regions = append(regions, region)
 	}
-	daemon.guard.Unlock()
-	for _, one := range regions {
-		if serial, held := daemon.Duties.Held(RegionDuty + one.name); held && tree != nil {
-			one.guard.Lock()
-			during := one.tenure
-			state := RegionState{Duty: serial, Standing: one.before, ListError: one.listErr, RollError: one.failed}
-			one.guard.Unlock()
-			state.Replicas, _ = one.rows(tree, during)
-			out.Regions[one.name] = state
+	daemon.mu.Unlock()
+	for _, region := range regions {
+		if term, held := daemon.Duties.Held(RegionDuty + region.name); held && tree != nil {
+			region.mu.Lock()
+			observed := region.leadership
+			state := RegionState{Duty: term, Standing: region.table, ListError: region.listError, RollError: region.rollError}
+			region.mu.Unlock()
+			state.Replicas, _ = region.replicaRows(tree, observed)
+			out.Regions[region.name] = state
 		}
 	}
 	return out
 }
 
-// Status is the whole system as one control daemon finds it by asking the
-// others.
+// Status is the state of the whole system, as collected by one control daemon from the others.
 type Status struct {
 	Asked      string                   `json:"asked"`
 	Majority   bool                     `json:"majority"`
@@ -272,41 +274,41 @@
 	Document   json.RawMessage          `json:"document,omitempty"`
 	SeedsUnmet []string                 `json:"seeds_unmet,omitempty"`
 	Holders    map[string]permit.Record `json:"holders,omitempty"`
-	// Skews are how far each daemon's calendar stands from the asked one's.
+	// Skews are the differences between each daemon's wall clock and this daemon's.
 	Skews map[string]time.Duration `json:"skews,omitempty"`
-	// Sums are the acceptors' digests, by identity, range by range; Redundancy is what they
-	// say of losses that can be borne.
+	// Sums are the acceptors' digests by identity, one per key range; Redundancy is how many
+	// disk losses the core tolerates, derived from these.
 	Sums       map[string][]string `json:"sums,omitempty"`
 	Redundancy *Redundancy         `json:"redundancy,omitempty"`
 }
 
-// LocalReply carries a Local over the wire, as JSON: it holds interfaces.
+// LocalReply carries a Local as JSON, since gob can't encode the interface values in it.
 type LocalReply struct{ Body []byte }
 
 type localService struct{ daemon *Daemon }
 
-// Local describes the daemon.
+// Local reports the daemon's local state.
 func (service localService) Local(_ struct{}, reply *LocalReply) (err error) {
 	reply.Body, err = json.Marshal(service.daemon.Local())
 	return err
 }
 
-// Status asks every control daemon and the registers. It works against a sick
-// system and says what it could not ask.
+// Status queries every control daemon and reads the registers. It also works while parts of
+// the system are down, and lists what could not be reached.
 func (daemon *Daemon) Status() Status {
 	self := daemon.Local()
 	out := Status{Asked: self.Member.Name, Core: self.Core, Locals: map[string]Local{self.Member.Name: self}, Unreached: map[string]string{}, Skews: map[string]time.Duration{}}
-	addresses := map[string]string{} // by address: what it is
+	addresses := map[string]string{} // by address: a description of who should answer there
 	for _, member := range self.Core.Members {
-		at := daemon.Table.Locate(member.ID)
-		if at == "" {
-			at = member.Address
+		address := daemon.Table.Locate(member.ID)
+		if address == "" {
+			address = member.Address
 		}
-		addresses[at] = "acceptor " + member.ID
+		addresses[address] = "acceptor " + member.ID
 	}
-	for _, one := range self.Sessions {
-		if one.Member.Role == session.Control {
-			addresses[one.Member.Wire] = one.Member.Name
+	for _, entry := range self.Sessions {
+		if entry.Member.Role == session.Control {
+			addresses[entry.Member.Wire] = entry.Member.Name
 		}
 	}
 	for _, seed := range daemon.Live.Seeds() {
@@ -320,24 +322,24 @@
 		list = append(list, address)
 	}
 	slices.Sort(list)
-	type got struct {
+	type localResult struct {
 		local Local
 		err   error
 	}
-	loop.Gather(daemon.World, len(list), daemon.span(), func(index int) got {
+	loop.Gather(daemon.World, len(list), daemon.sessionTimeout(), func(index int) localResult {
 		var reply LocalReply
-		var one got
-		if one.err = daemon.Net.Call(list[index], "Local.Local", struct{}{}, &reply, daemon.span()*3/4); one.err == nil {
-			one.err = json.Unmarshal(reply.Body, &one.local)
+		var entry localResult
+		if entry.err = daemon.Net.Call(list[index], "Local.Local", struct{}{}, &reply, daemon.sessionTimeout()*3/4); entry.err == nil {
+			entry.err = json.Unmarshal(reply.Body, &entry.local)
 		}
-		return one
-	}, func(index int, one got) bool {
+		return entry
+	}, func(index int, entry localResult) bool {
 		address := list[index]
-		if one.err == nil {
-			out.Locals[one.local.Member.Name] = one.local
-			out.Skews[one.local.Member.Name] = one.local.Wall.Sub(daemon.World.Wall())
+		if entry.err == nil {
+			out.Locals[entry.local.Member.Name] = entry.local
+			out.Skews[entry.local.Member.Name] = entry.local.Wall.Sub(daemon.World.Wall())
 		} else {
-			out.Unreached[address] = addresses[address] + ": " + one.err.Error()
+			out.Unreached[address] = addresses[address] + ": " + entry.err.Error()
 			if slices.Contains(daemon.Live.Seeds(), address) {
 				out.SeedsUnmet = append(out.SeedsUnmet, address)
 			}
@@ -346,18 +348,18 @@
 	})
 	for _, address := range list {
 		answered := out.Unreached[address] != ""
-		for _, one := range out.Locals {
-			answered = answered || one.Member.Wire == address
+		for _, entry := range out.Locals {
+			answered = answered || entry.Member.Wire == address
 		}
 		if !answered {
-			out.Unreached[address] = addresses[address] + ": no answer in time"
+			out.Unreached[address] = addresses[address] + ": timed out"
 			if slices.Contains(daemon.Live.Seeds(), address) {
 				out.SeedsUnmet = append(out.SeedsUnmet, address)
 			}
 		}
 	}
 	slices.Sort(out.SeedsUnmet)
-	value, err := daemon.ReadWithin(permit.ConfigKey, orderSilence)
+	value, err := daemon.ReadWithin(permit.ConfigKey, orderQuorumTimeout)
 	if err != nil {
 		out.Trouble = err.Error()
 		out.Serial = self.Serial
@@ -365,7 +367,7 @@
 	}
 	out.Majority, out.Serial = true, value.Serial
 	out.Sums = daemon.Compare()
-	redundancy := redundancy(out.Core, out.Sums)
+	redundancy := computeRedundancy(out.Core, out.Sums)
 	redundancy.LackingFor = redundancy.lackingFor(out.Locals)
 	out.Redundancy = &redundancy
 	_ = daemon.Office.Learn(value)
@@ -380,9 +382,9 @@
 	return out
 }
 
-// effective gives every value that holds at a place, and where it came from.
-func effective(tree *settings.Tree, place string) (map[string]map[string]any, bool) {
-	leaves, known := tree.Effective(place)
+// effective gives every setting's value in a zone or region, and the level that set it.
+func effective(tree *settings.Tree, scope string) (map[string]map[string]any, bool) {
+	leaves, known := tree.Effective(scope)
 	if !known {
 		return nil, false
 	}
@@ -393,6 +395,7 @@
 	return out, true
 }
 
-func words(text string) []string {
-	return slices.DeleteFunc(strings.Split(text, ","), func(word string) bool { return word == "" })
+// splitList splits a comma-separated list, leaving out empty items.
+func splitList(text string) []string {
+	return slices.DeleteFunc(strings.Split(text, ","), func(item string) bool { return item == "" })
 }
--- a/controlplane/redundancy_test.go
+++ b/controlplane/redundancy_test.go
@@ -7,6 +7,7 @@
 	"swifttiller/register"
 )
 
+// coreOf makes a core of the acceptors.
 func coreOf(ids ...string) (core register.Core) {
 	core.Epoch = 1
 	for _, id := range ids {
@@ -15,11 +16,11 @@
 	return core
 }
 
-// TestRedundancy: an acceptor counts once it holds what a majority of its core holds, in
-// each range.
+// TestRedundancy checks that exactly the acceptors are counted as whole whose digests are those of
+// a majority of the core in every range, so that an outdated copy does not count as redundancy.
 func TestRedundancy(t *testing.T) {
 	three := coreOf("a", "b", "c")
-	for name, one := range map[string]struct {
+	for name, testCase := range map[string]struct {
 		core register.Core
 		sums map[string][]string
 		want Redundancy
@@ -34,12 +35,12 @@
 			Redundancy{Whole: 5, Wanted: 7, Losable: 1, Behind: []string{"f"}, Silent: []string{"g"}}},
 		"half of four": {coreOf("a", "b", "c", "d"), map[string][]string{"a": {"1"}, "b": {"1"}, "c": {"0"}, "d": {"0"}}, Redundancy{Wanted: 4, Behind: []string{"a", "b", "c", "d"}}},
 	} {
-		got := redundancy(one.core, one.sums)
-		if !reflect.DeepEqual(got, one.want) {
-			t.Errorf("%s: %+v, not %+v", name, got, one.want)
+		got := computeRedundancy(testCase.core, testCase.sums)
+		if !reflect.DeepEqual(got, testCase.want) {
+			t.Errorf("%s: got %+v, want %+v", name, got, testCase.want)
 		}
 		if got.IsWhole() != (len(got.lacking()) == 0) {
-			t.Errorf("%s: whole is %v, lacking %v", name, got.IsWhole(), got.lacking())
+			t.Errorf("%s: IsWhole is %v although %v are lacking", name, got.IsWhole(), got.lacking())
 		}
 	}
 }
--- a/controlplane/region.go
+++ b/controlplane/region.go
@@ -21,100 +21,101 @@
 	"swifttiller/workflow"
 )
 
-// tenure is one holding of a duty without a break: under which serial, none when zero, and
-// since when.
-type tenure struct {
-	duty  uint64
+// leadership is one uninterrupted period of leading a region: its term, zero while not the
+// leader, and its beginning.
+type leadership struct {
+	term  uint64
 	since time.Duration
 }
 
-// region is one region's tables and loops. They run while this daemon holds the
-// region's duty and are emptied when it does not.
+// region is the state and the loops of one region. The loops do their work while this daemon
+// leads the region; the state is cleared when it does not.
 //
-// Lock order: guard alone; nothing waits under it.
+// Locking: while mu is held, no other lock is taken and nothing waits.
 type region struct {
 	*Daemon
-	name  string
-	guard sync.Mutex
-	tenure
-	table   map[string]*watched
-	seeded  bool // the table has been filled, from the last standing or the platform
-	listAt  time.Duration
-	listErr string
-	// lostAt is when a replica that the list shows, and not as leaving, was last found dark;
-	// zero for never in this tenure.
-	lostAt  time.Duration
-	before  *standing.Standing
-	written time.Duration
-	// proved is when the last computation began that found before to be so, or
-	// wrote it, under the duty.
-	proved time.Duration
-	routes map[string]standing.Route // as last read
-	// idle are models about which there is no run, nor ever was one, nor can be by
-	// itself, as last read; nil before that.
-	idle   map[string]bool
-	runner *rollout.Runner
-	failed string
-	// computer and roller are the loops that compute the standing and turn the runs: the
-	// one is woken by what is written of a route, the other by a new standing.
-	computer, roller *loop.Waker
-	// ended are lives that are over, to be told soon.
-	ended []permit.Leaver
-	// evacuated are the zones that were, when the table was last read.
+	name string
+	mu   sync.Mutex
+	leadership
+	replicas   map[string]*watchedReplica
+	isFilled   bool // replicas was filled, from the last routing table or the platform's list
+	nextListAt time.Duration
+	listError  string
+	// lastDarkAt is when a listed replica that is not leaving was last found to fail its health
+	// checks for dark_ms; zero for never during this leadership.
+	lastDarkAt time.Duration
+	table      *standing.Standing // last read or written
+	writtenAt  time.Duration
+	// verifiedAt is when the last computation began that, during this leadership, wrote table
+	// or found it to be up to date.
+	verifiedAt time.Duration
+	routes     map[string]standing.Route // as last read
+	// idle are the models that, as last read, have and had no roll-out run and can't get one
+	// without an operator; nil before the first read.
+	idle      map[string]bool
+	runner    *rollout.Runner
+	rollError string
+	// computeWaker wakes the loop that computes the routing table, after a change of routes;
+	// rollWaker wakes the loop that advances the roll-outs, after a new routing table.
+	computeWaker, rollWaker *loop.Waker
+	// endedReplicas are replicas' incarnations that have ended, to be announced in a batch.
+	endedReplicas []permit.Leaver
+	// evacuated are the zones that were evacuated at the last computation.
 	evacuated map[string]bool
 }
 
 func newRegion(daemon *Daemon, name string) *region {
-	return &region{Daemon: daemon, name: name, table: map[string]*watched{}, computer: loop.NewWaker(daemon.World), roller: loop.NewWaker(daemon.World)}
+	return &region{Daemon: daemon, name: name, replicas: map[string]*watchedReplica{}, computeWaker: loop.NewWaker(daemon.World), rollWaker: loop.NewWaker(daemon.World)}
 }
 
+// tree is the current configuration; nil if there is none.
 func (region *region) tree() *settings.Tree {
 	_, _, tree := region.Office.Current()
 	return tree
 }
 
-// run starts the region's loops: list, probe, compute, roll out.
+// run starts the region's loops: list, probe, compute, and advance roll-outs.
 func (region *region) run() {
 	tick := func(tree *settings.Tree) time.Duration { return standing.Tick(tree.Span("permit_ms", "")) }
 	region.World.Go(func() {
-		// Much more often than the platform is asked, so that a new holder of the duty
-		// asks at once; list itself keeps the platform's span.
-		loop.Every(region.World, region.every(func(tree *settings.Tree) time.Duration {
-			return min(tree.Span("platform_ms", region.name)/2, tree.Span("dark_ms", region.name)/2, region.unlisted())
-		}), region.guarded(region.list))
+		// This is much more often than the platform is queried, so that a new leader queries it
+		// at once; list itself keeps to the platform's interval.
+		loop.Every(region.World, region.interval(func(tree *settings.Tree) time.Duration {
+			return min(tree.Span("platform_ms", region.name)/2, tree.Span("dark_ms", region.name)/2, region.untilNextList())
+		}), region.whileLeader(region.list))
 	})
 	region.World.Go(func() {
-		loop.Every(region.World, region.every(func(tree *settings.Tree) time.Duration { return tree.Span("probe_ms", region.name) }), region.guarded(region.probe))
+		loop.Every(region.World, region.interval(func(tree *settings.Tree) time.Duration { return tree.Span("probe_ms", region.name) }), region.whileLeader(region.probeAll))
 	})
 	region.World.Go(func() {
-		region.computer.Run(region.World, region.every(tick), region.guarded(region.compute))
+		region.computeWaker.Run(region.World, region.interval(tick), region.whileLeader(region.compute))
 	})
 	region.World.Go(func() {
-		region.roller.Run(region.World, region.every(func(tree *settings.Tree) time.Duration {
-			if region.hurries(tree) {
-				return min(tick(tree), max(tick(tree)/8, region.due()))
+		region.rollWaker.Run(region.World, region.interval(func(tree *settings.Tree) time.Duration {
+			if region.hasUrgentRollout(tree) {
+				return min(tick(tree), max(tick(tree)/8, region.nextRunDue()))
 			}
 			return 2 * tick(tree)
-		}), region.guarded(region.roll))
+		}), region.whileLeader(region.advanceRollouts))
 	})
 }
 
-// due is after which time a run of the region has something to do. The loop that turns
-// the runs alone asks it.
-func (region *region) due() time.Duration {
-	region.guard.Lock()
+// nextRunDue is the time until one of the region's runs has something to do. Only the loop that
+// advances the runs calls it.
+func (region *region) nextRunDue() time.Duration {
+	region.mu.Lock()
 	runner := region.runner
-	region.guard.Unlock()
+	region.mu.Unlock()
 	if runner == nil {
 		return loop.Forever
 	}
 	return runner.Due()
 }
 
-// hurries tells whether an order under a term is under way here.
-func (region *region) hurries(tree *settings.Tree) bool {
-	region.guard.Lock()
-	defer region.guard.Unlock()
+// hasUrgentRollout tells whether a timed roll-out is in progress in this region.
+func (region *region) hasUrgentRollout(tree *settings.Tree) bool {
+	region.mu.Lock()
+	defer region.mu.Unlock()
 	for model, route := range region.routes {
 		if placement, _ := tree.Placement(model, region.name); placement.Any() && (route.Trial != "" || route.Watched) {
 			return true
@@ -123,91 +124,93 @@
 	return false
 }
 
-// every gives a loop's span as the settings have it at the time, and a part of it right
-// after this daemon began anew: until a standing is written nobody keeps what data daemons
-// go by up to date.
-func (region *region) every(span func(tree *settings.Tree) time.Duration) func() time.Duration {
+// interval gives a loop's interval by the current settings, at most an eighth of dark_ms right
+// after this daemon restarted: until it writes a routing table, nobody maintains the one that
+// data daemons use.
+func (region *region) interval(interval func(tree *settings.Tree) time.Duration) func() time.Duration {
 	return func() time.Duration {
-		if region.isFresh() {
-			return min(span(region.tree()), region.tree().Span("dark_ms", region.name)/8)
+		if region.hasJustRestarted() {
+			return min(interval(region.tree()), region.tree().Span("dark_ms", region.name)/8)
 		}
-		return span(region.tree())
+		return interval(region.tree())
 	}
 }
 
-// isFresh tells whether this daemon has begun anew not long ago, may have had the duty
-// before, and has not written a standing under it yet.
-func (region *region) isFresh() bool {
-	if !region.Duties.IsBack || region.Table.Watched() > 3*region.span() {
+// hasJustRestarted tells whether this daemon restarted within the last 3 session timeouts, so
+// that it may have led the region before, and has not written a routing table in this term yet.
+func (region *region) hasJustRestarted() bool {
+	if !region.Duties.IsBack || region.Table.Watched() > 3*region.sessionTimeout() {
 		return false
 	}
-	region.guard.Lock()
-	defer region.guard.Unlock()
-	return region.before == nil || region.before.Duty != region.duty
+	region.mu.Lock()
+	defer region.mu.Unlock()
+	return region.table == nil || region.table.Duty != region.term
 }
 
-// guarded makes a step that runs only under the duty.
-func (region *region) guarded(step func(serial uint64, tree *settings.Tree)) func() bool {
+// whileLeader wraps a loop's step so that it runs only while this daemon leads the region. It
+// also resets the region's state when leadership is lost or the term changes.
+func (region *region) whileLeader(step func(term uint64, tree *settings.Tree)) func() bool {
 	return func() bool {
-		serial, held := region.Duties.Held(RegionDuty + region.name)
-		region.guard.Lock()
+		term, held := region.Duties.Held(RegionDuty + region.name)
+		region.mu.Lock()
 		if !held {
-			region.tenure, region.seeded, region.before = tenure{}, false, nil
-			region.table = map[string]*watched{}
+			region.leadership, region.isFilled, region.table = leadership{}, false, nil
+			region.replicas = map[string]*watchedReplica{}
 			region.runner = nil
-		} else if region.duty != serial {
-			region.tenure = tenure{serial, region.World.Now()}
-			region.seeded, region.before, region.idle = false, nil, nil
-			region.runner, region.listAt, region.lostAt = nil, 0, 0
+		} else if region.term != term {
+			region.leadership = leadership{term, region.World.Now()}
+			region.isFilled, region.table, region.idle = false, nil, nil
+			region.runner, region.nextListAt, region.lastDarkAt = nil, 0, 0
 		}
-		region.guard.Unlock()
+		region.mu.Unlock()
 		if tree := region.tree(); held && tree != nil {
-			step(serial, tree)
+			step(term, tree)
 		}
 		return !region.stopped.Load()
 	}
 }
 
-// rows gives the replicas' table for the pure functions; false where it is not the table of
-// the tenure any more, which was lost or began anew meanwhile: then the table was emptied.
-func (region *region) rows(tree *settings.Tree, during tenure) ([]standing.Replica, bool) {
+// replicaRows gives the replicas as input for computing the routing table and for the roll-outs. It
+// is false if the leadership is not the expected one any more: it was lost or its term changed, and
+// the region's state was reset.
+func (region *region) replicaRows(tree *settings.Tree, expected leadership) ([]standing.Replica, bool) {
 	now := region.World.Now()
-	dark := tree.Span("dark_ms", region.name)
-	tallies := region.tallies()
-	region.guard.Lock()
-	defer region.guard.Unlock()
-	if region.tenure != during || !region.seeded {
+	darkAfter := tree.Span("dark_ms", region.name)
+	outcomes := region.recentOutcomes()
+	region.mu.Lock()
+	defer region.mu.Unlock()
+	if region.leadership != expected || !region.isFilled {
 		return nil, false
 	}
-	dim, all := 0, 0 // engines' replicas that do not answer probes, and all of them
-	for _, one := range region.table {
-		if one.engine(tree) != nil && !one.leaving && !one.unlisted && !one.isOver {
-			all++
-			if !one.probed || now-one.answered >= dark {
-				dim++
+	silent, total := 0, 0 // replicas of engines that do not answer health checks, and all of them
+	for _, watched := range region.replicas {
+		if watched.engine(tree) != nil && !watched.leaving && !watched.unlisted && !watched.hasEnded {
+			total++
+			if !watched.probed || now-watched.answeredAt >= darkAfter {
+				silent++
 			}
 		}
 	}
-	// Probes wait behind requests, and the way to a region may be cut here and not
-	// there: where most do not answer, those that are listed stay in use, and data
-	// daemons go by what their own requests tell.
-	isDoubtful := 2*dim > all
+	// Health checks queue behind requests, and this daemon may be partitioned from a region
+	// that others can reach. So if more than half fail their checks, all that are listed stay
+	// in use, and data daemons rely on the outcomes of their own requests.
+	mayBePartitioned := 2*silent > total
 	var out []standing.Replica
-	for _, one := range region.table {
+	for _, watched := range region.replicas {
 		row := standing.Replica{
-			ID: one.ID, Address: one.Address, Zone: one.Zone, Region: region.name,
-			Leaving: one.leaving || one.unlisted || one.isOver, Alive: one.probed && now-one.answered < dark,
-			Boot: one.boot(tree), Held: one.vitals.Held, Load: one.vitals.Load, Cold: now < one.coldUntil,
+			ID: watched.ID, Address: watched.Address, Zone: watched.Zone, Region: region.name,
+			Leaving: watched.leaving || watched.unlisted || watched.hasEnded, Alive: watched.probed && now-watched.answeredAt < darkAfter,
+			Boot: watched.boot(tree), Held: watched.health.Held, Load: watched.health.Load, Cold: now < watched.coldUntil,
 		}
-		if one.Version != "" {
+		if watched.Version != "" {
 			row.Held = maps.Clone(row.Held)
 			if row.Held == nil {
 				row.Held = map[string]string{}
 			}
-			row.Held[one.Model+"/"+one.Version] = standing.Ready
+			row.Held[watched.Model+"/"+watched.Version] = standing.Ready
 		}
-		if one.engine(tree) != nil {
-			row.Alive = (row.Alive || isDoubtful && (one.probed || now-region.since > 2*dark)) && !one.isOut(tallies[one.ID], now)
+		if watched.engine(tree) != nil {
+			row.Alive = (row.Alive || mayBePartitioned && (watched.probed || now-region.since > 2*darkAfter)) && !watched.isExcluded(outcomes[watched.ID], now)
 		}
 		out = append(out, row)
 	}
@@ -215,54 +218,55 @@
 	return out, true
 }
 
-// daemons gives the data daemons' table.
-func (daemon *Daemon) daemons() (out []standing.Daemon, incarnations map[string]string) {
+// dataDaemons gives the live data daemons with their reports, and their incarnations by name.
+func (daemon *Daemon) dataDaemons() (out []standing.Daemon, incarnations map[string]string) {
 	incarnations = map[string]string{}
-	for _, one := range daemon.Table.Live(session.Data) {
-		out = append(out, standing.Daemon{Name: one.Member.Name, Zone: one.Member.Zone, Region: one.Member.Region, Report: one.Report})
-		incarnations[one.Member.Name] = one.Member.Name + "#" + one.Member.Incarnation
+	for _, daemonSession := range daemon.Table.Live(session.Data) {
+		out = append(out, standing.Daemon{Name: daemonSession.Member.Name, Zone: daemonSession.Member.Zone, Region: daemonSession.Member.Region, Report: daemonSession.Report})
+		incarnations[daemonSession.Member.Name] = daemonSession.Member.Name + "#" + daemonSession.Member.Incarnation
 	}
 	return out, incarnations
 }
 
-// restore fills the table with the names of the last standing, so that a new
-// holder of the duty does not take a region for empty while the platform lags.
-// In which life the replicas are, and what they hold where that is ordered, only probes
-// can say; until they do it is the life that was shown last. It is false, and nothing is filled, where the tenure is over.
-func (region *region) restore(last standing.Standing, during tenure) bool {
+// restore adds the replicas of the last routing table, so that a new leader does not take the
+// region for empty while the platform's list is late. Only health checks can tell a replica's
+// incarnation, and the versions that it loads on command; until then, the incarnation shown
+// last is assumed. It is false, and nothing is added, if the leadership is not the expected
+// one any more.
+func (region *region) restore(last standing.Standing, expected leadership) bool {
 	now := region.World.Now()
 	tree := region.tree()
-	region.guard.Lock()
-	defer region.guard.Unlock()
-	if region.tenure != during {
+	region.mu.Lock()
+	defer region.mu.Unlock()
+	if region.leadership != expected {
 		return false
 	}
-	for _, place := range last.Places {
-		// The list may have come first.
-		if have := region.table[place.ID]; have != nil && !have.probed && have.vitals.Boot == "" && have.Address == place.Address {
-			have.vitals.Boot = place.Boot
+	for _, endpoint := range last.Places {
+		// The platform's list may have been applied first.
+		if listed := region.replicas[endpoint.ID]; listed != nil && !listed.probed && listed.health.Boot == "" && listed.Address == endpoint.Address {
+			listed.health.Boot = endpoint.Boot
 		}
-		if region.table[place.ID] == nil {
-			one := &watched{Listed: listing.Listed{ID: place.ID, Address: place.Address, Zone: place.Zone}, answered: now, vitals: replica.Vitals{Boot: place.Boot}}
+		if region.replicas[endpoint.ID] == nil {
+			watched := &watchedReplica{Listed: listing.Listed{ID: endpoint.ID, Address: endpoint.Address, Zone: endpoint.Zone}, answeredAt: now, health: replica.Vitals{Boot: endpoint.Boot}}
 			for _, row := range last.Rows {
-				// Whatever version it holds it holds for all of its life.
-				if placement, _ := tree.Placement(row.Model, place.Zone); row.Replica == place.ID && placement.Any() {
-					one.Model, one.Version = row.Model, row.Version
+				// With any version allowed, a replica keeps its version for its whole lifetime.
+				if placement, _ := tree.Placement(row.Model, endpoint.Zone); row.Replica == endpoint.ID && placement.Any() {
+					watched.Model, watched.Version = row.Model, row.Version
 				}
 			}
-			region.table[place.ID] = one
+			region.replicas[endpoint.ID] = watched
 		}
 	}
-	region.seeded = region.seeded || len(last.Places) > 0
+	region.isFilled = region.isFilled || len(last.Places) > 0
 	return true
 }
 
-// compute makes the standing and writes it when it says something new.
-func (region *region) compute(serial uint64, tree *settings.Tree) {
+// compute computes the routing table and writes it if it has changed.
+func (region *region) compute(term uint64, tree *settings.Tree) {
 	now := region.World.Now()
-	region.guard.Lock()
-	before, seeded, written, during := region.before, region.seeded, region.written, region.tenure
-	region.guard.Unlock()
+	region.mu.Lock()
+	before, isFilled, writtenAt, observed := region.table, region.isFilled, region.writtenAt, region.leadership
+	region.mu.Unlock()
 	models := tree.Models(region.name)
 	keys := []string{permit.StandingPrefix + region.name}
 	for _, model := range models {
@@ -279,30 +283,31 @@
 				return
 			}
 		}
-		if !region.restore(last, during) {
+		if !region.restore(last, observed) {
 			return
 		}
-		before, written, seeded = &last, now, seeded || len(last.Places) > 0
+		before, writtenAt, isFilled = &last, now, isFilled || len(last.Places) > 0
 	}
-	// Until every replica was probed or is dark, the last standing stays.
-	if !seeded || region.unprobed(tree) {
+	// The last routing table is kept until each replica has answered a health check or has
+	// failed to for dark_ms.
+	if !isFilled || region.awaitsProbes(tree) {
 		return
 	}
-	_, whole, _ := region.Office.Current()
+	_, config, _ := region.Office.Current()
 	evacuated := map[string]bool{}
-	for _, zone := range whole.Evacuated {
+	for _, zone := range config.Evacuated {
 		evacuated[zone] = true
 	}
-	region.handedBack(tree, evacuated)
-	replicas, isMine := region.rows(tree, during)
-	if !isMine {
+	region.markReturnedCold(tree, evacuated)
+	replicas, isLeader := region.replicaRows(tree, observed)
+	if !isLeader {
 		return
 	}
 	input := standing.Input{
-		Region: region.name, Tree: tree, Duty: serial, Evacuated: evacuated, Replicas: replicas,
-		Gone: region.Table.Gone(), Routes: map[string]standing.Route{}, Before: before, Since: now - written,
+		Region: region.name, Tree: tree, Duty: term, Evacuated: evacuated, Replicas: replicas,
+		Gone: region.Table.Gone(), Routes: map[string]standing.Route{}, Before: before, Since: now - writtenAt,
 	}
-	input.Daemons, _ = region.daemons()
+	input.Daemons, _ = region.dataDaemons()
 	for _, model := range models {
 		if object, err := region.Objects.Open(values[rollout.ModelPrefix+model]); err == nil {
 			if route, known := object.Routes[region.name]; known {
@@ -316,139 +321,141 @@
 		idle[model] = placement.Any() && values[rollout.ModelPrefix+model].Serial == 0 && values[rollout.DelayedPrefix+model].Serial == 0 &&
 			values[workflow.Prefix+rollout.Key(model, region.name)].Serial == 0
 	}
-	region.guard.Lock()
+	region.mu.Lock()
 	region.routes, region.idle = input.Routes, idle
-	region.guard.Unlock()
+	region.mu.Unlock()
 	next := standing.Compute(input)
 	if before.Serial > 0 && standing.Same(*before, next) {
-		region.keep(serial, before, written, now)
+		region.recordTable(term, before, writtenAt, now)
 		return
 	}
 	data, err := permit.PackStanding(next)
 	if err != nil {
-		region.Log.Error("a standing can't be written", zap.Error(err))
+		region.Log.Error("encoding the routing table failed", zap.Error(err))
 		return
 	}
-	// Swapped against the very standing that this one was computed from: a
-	// paused holder that wakes writes nothing.
+	// Compare-and-swap against the routing table that this one was computed from, so that a
+	// deposed leader that resumes after a pause can't overwrite a newer one.
 	value, err := region.Swap(keys[0], before.Serial, data)
 	if err != nil {
 		var stale *register.Stale
 		if !errors.As(err, &stale) {
-			region.Log.Debug("a standing was not written", zap.String("region", region.name), zap.Error(err))
+			region.Log.Debug("writing the routing table failed", zap.String("region", region.name), zap.Error(err))
 		}
-		region.keep(serial, nil, 0, 0)
+		region.recordTable(term, nil, 0, 0)
 		return
 	}
 	next.Serial = value.Serial
-	if region.hurries(tree) {
-		region.roller.Wake()
+	if region.hasUrgentRollout(tree) {
+		region.rollWaker.Wake()
 	}
-	region.Log.Info("a standing was written", zap.String("region", region.name), zap.Uint64("serial", next.Serial), zap.String("changed", standing.Changed(*before, next)), zap.Strings("replicas", next.Shown()), zap.Duration("took", region.World.Now()-now))
-	region.keep(serial, &next, now, now)
-	region.tell(dropped(*before, next), next.Serial)
+	region.Log.Info("routing table written", zap.String("region", region.name), zap.Uint64("serial", next.Serial), zap.String("changed", standing.Changed(*before, next)), zap.Strings("replicas", next.Shown()), zap.Duration("took", region.World.Now()-now))
+	region.recordTable(term, &next, now, now)
+	region.notifyLeaving(removedReplicas(*before, next), next.Serial)
 }
 
-// dropped are the lives that were in the standing before and are not in the next one.
-func dropped(before, next standing.Standing) (out []permit.Leaver) {
-	stays := map[permit.Leaver]bool{}
-	for _, one := range next.Places {
-		stays[permit.Leaver{Replica: one.ID, Boot: one.Boot}] = true
-	}
-	for _, one := range before.Places {
-		if life := (permit.Leaver{Replica: one.ID, Boot: one.Boot}); !stays[life] && life.Boot != "" {
-			out = append(out, life)
+// removedReplicas are the replicas' incarnations that the previous routing table has and the next
+// one does not.
+func removedReplicas(before, next standing.Standing) (out []permit.Leaver) {
+	remaining := map[permit.Leaver]bool{}
+	for _, endpoint := range next.Places {
+		remaining[permit.Leaver{Replica: endpoint.ID, Boot: endpoint.Boot}] = true
+	}
+	for _, endpoint := range before.Places {
+		if incarnation := (permit.Leaver{Replica: endpoint.ID, Boot: endpoint.Boot}); !remaining[incarnation] && incarnation.Boot != "" {
+			out = append(out, incarnation)
 		}
 	}
 	return out
 }
 
-// handedBack takes replicas of zones that are evacuated no more for cold: what became
-// of them meanwhile nobody saw.
-func (region *region) handedBack(tree *settings.Tree, evacuated map[string]bool) {
+// markReturnedCold marks replicas as cold whose zone has just been put back into service:
+// nobody observed them during the evacuation.
+func (region *region) markReturnedCold(tree *settings.Tree, evacuated map[string]bool) {
 	now := region.World.Now()
-	region.guard.Lock()
-	defer region.guard.Unlock()
-	for _, one := range region.table {
-		if engine := one.engine(tree); engine != nil && region.evacuated[one.Zone] && !evacuated[one.Zone] {
-			one.coldUntil = max(one.coldUntil, now+engine.Cold)
+	region.mu.Lock()
+	defer region.mu.Unlock()
+	for _, watched := range region.replicas {
+		if engine := watched.engine(tree); engine != nil && region.evacuated[watched.Zone] && !evacuated[watched.Zone] {
+			watched.coldUntil = max(watched.coldUntil, now+engine.Cold)
 		}
 	}
 	region.evacuated = evacuated
 }
 
-// unprobed tells whether some replica may yet answer its first probe. Where most have
-// answered none yet, that is so until they are taken for doubtful (see rows): between
-// the two a new holder of the duty would show a region without replicas.
-func (region *region) unprobed(tree *settings.Tree) bool {
+// awaitsProbes tells whether a replica's first health check may still be answered. If more than
+// half have not answered any, it stays true until replicaRows assumes a partition: between the
+// two, a new leader would publish a region without replicas.
+func (region *region) awaitsProbes(tree *settings.Tree) bool {
 	now := region.World.Now()
-	region.guard.Lock()
-	defer region.guard.Unlock()
-	dark := tree.Span("dark_ms", region.name)
-	// Only right after taking the duty; later a newcomer holds up nobody.
-	if now-region.since > 2*dark {
+	region.mu.Lock()
+	defer region.mu.Unlock()
+	darkAfter := tree.Span("dark_ms", region.name)
+	// This applies only right after the election; later a new replica delays nothing.
+	if now-region.since > 2*darkAfter {
 		return false
 	}
 	waiting, silent := 0, 0
-	for _, one := range region.table {
+	for _, watched := range region.replicas {
 		switch {
-		case one.probed:
-		case now-one.answered < dark:
+		case watched.probed:
+		case now-watched.answeredAt < darkAfter:
 			waiting++
 		default:
 			silent++
 		}
 	}
-	return waiting > 0 || 2*silent > len(region.table)
+	return waiting > 0 || 2*silent > len(region.replicas)
 }
 
-func (region *region) keep(duty uint64, before *standing.Standing, written, proved time.Duration) {
-	region.guard.Lock()
-	defer region.guard.Unlock()
-	if region.duty == duty {
-		region.before, region.written, region.proved = before, written, proved
+// recordTable records the last routing table with its times, if the term is still the current one.
+func (region *region) recordTable(term uint64, table *standing.Standing, writtenAt, verifiedAt time.Duration) {
+	region.mu.Lock()
+	defer region.mu.Unlock()
+	if region.term == term {
+		region.table, region.writtenAt, region.verifiedAt = table, writtenAt, verifiedAt
 	}
 }
 
-// keeping is the standing that this daemon keeps up to date, if it does.
-func (region *region) keeping() (session.Keeping, bool) {
-	region.guard.Lock()
-	defer region.guard.Unlock()
-	if region.before == nil || region.before.Duty != region.duty {
+// maintained describes the routing table that this daemon maintains; false if it maintains none.
+func (region *region) maintained() (session.Keeping, bool) {
+	region.mu.Lock()
+	defer region.mu.Unlock()
+	if region.table == nil || region.table.Duty != region.term {
 		return session.Keeping{}, false
 	}
-	return session.Keeping{Duty: region.duty, Serial: region.before.Serial, Age: region.World.Now() - region.proved}, true
+	return session.Keeping{Duty: region.term, Serial: region.table.Serial, Age: region.World.Now() - region.verifiedAt}, true
 }
 
-// roll turns the region's runs.
-func (region *region) roll(serial uint64, tree *settings.Tree) {
-	region.guard.Lock()
+// advanceRollouts runs the next steps of the region's roll-outs.
+func (region *region) advanceRollouts(term uint64, tree *settings.Tree) {
+	region.mu.Lock()
 	if region.runner == nil {
 		region.runner = &rollout.Runner{World: region.World, Objects: region.Objects, Book: region.Book, Client: region.Replicas, Point: region.Point}
 	}
-	runner, routes, before, idle, during := region.runner, region.routes, region.before, region.idle, region.tenure
-	region.guard.Unlock()
-	if idle == nil || region.unprobed(tree) {
+	runner, routes, table, idle, observed := region.runner, region.routes, region.table, region.idle, region.leadership
+	region.mu.Unlock()
+	if idle == nil || region.awaitsProbes(tree) {
 		return
 	}
-	replicas, isMine := region.rows(tree, during)
-	if !isMine {
+	replicas, isLeader := region.replicaRows(tree, observed)
+	if !isLeader {
 		return
 	}
-	_, whole, _ := region.Office.Current()
-	scene := rollout.Scene{Region: region.name, Duty: serial, Tree: tree, Evacuated: map[string]bool{}, Replicas: replicas, Routes: routes, Standing: before, Watched: region.Table.Watched(), Idle: idle}
-	scene.Daemons, scene.Incarnations = region.daemons()
-	for _, zone := range whole.Evacuated {
+	_, config, _ := region.Office.Current()
+	scene := rollout.Scene{Region: region.name, Duty: term, Tree: tree, Evacuated: map[string]bool{}, Replicas: replicas, Routes: routes, Standing: table, Watched: region.Table.Watched(), Idle: idle}
+	scene.Daemons, scene.Incarnations = region.dataDaemons()
+	for _, zone := range config.Evacuated {
 		scene.Evacuated[zone] = true
 	}
 	err := runner.Turn(scene)
-	region.guard.Lock()
-	region.failed = ""
+	region.mu.Lock()
+	region.rollError = ""
 	if err != nil {
-		region.failed = err.Error()
+		region.rollError = err.Error()
 	}
-	region.guard.Unlock()
+	region.mu.Unlock()
 	if err != nil {
-		region.Log.Warn("roll-out turn", zap.String("region", region.name), zap.Error(err))
+		region.Log.Warn("advancing roll-outs failed", zap.String("region", region.name), zap.Error(err))
 	}
 }
