--- a/dataplane/choices.go
+++ b/dataplane/choices.go
@@ -6,10 +6,12 @@
 	"swifttiller/decide"
 )
 
-// ChoiceMessage is the log's message of one choice; its field choice holds a decide.Choice.
+// ChoiceMessage is the message of the log line for one replica selection. Its field "choice" holds
+// a decide.Choice.
 const ChoiceMessage = "choice"
 
-// choices is what logs the choices behind dispatches; nil where the settings do not ask.
+// choices returns the function that logs replica selections, or nil if the settings do not ask for
+// it.
 func (daemon *Daemon) choices() func(decide.Choice) {
 	if !daemon.Process.Choices {
 		return nil
--- a/dataplane/daemon.go
+++ b/dataplane/daemon.go
@@ -1,5 +1,5 @@
-// Package dataplane puts a data daemon together: a session, a permit, a decider
-// and an executor, and the callers' endpoint.
+// Package dataplane assembles a data daemon: session client, lease holder, decider, executor, rate
+// limiter and the HTTP endpoint for callers.
 package dataplane
 
 import (
@@ -21,18 +21,18 @@
 	"swifttiller/wire"
 )
 
-// Options of a daemon: its place, and the outside world.
+// Options configures a daemon: its identity and its connections to other processes.
 type Options struct {
 	World   loop.World
 	Net     wire.Net
 	Process settings.Process
-	// Live are the process's settings as they stand; nil when they never change.
+	// Live holds the current settings of the process; nil if they never change.
 	Live        *settings.Live
 	Incarnation string
 	Replicas    replica.Client
 	// Relayer, if set, is the client for routed requests.
 	Relayer execute.Relayer
-	// Probe, if set, asks a replica of a model with an engine how it does.
+	// Probe, if set, probes the health of a replica whose model has an engine.
 	Probe  func(target replica.Target, patience time.Duration) (replica.Vitals, error)
 	Log    *zap.Logger
 	Traced func(execute.Record)
@@ -41,31 +41,31 @@
 // Daemon is a data daemon.
 type Daemon struct {
 	Options
-	Client   *session.Client
-	Holder   *permit.Holder
-	Decider  *decide.Decider
-	Meter    *quota.Meter
-	Executor *execute.Executor
-	began    time.Duration
-	leaving  atomic.Bool
-	// wasMoving tells whether versions moved in the view before.
-	wasMoving atomic.Bool
-	attended  attended
-	limited   atomic.Pointer[limited]
-	inquirer  *loop.Waker
-}
-
-// New makes a daemon; it has no permit yet.
+	Client    *session.Client
+	Holder    *permit.Holder
+	Decider   *decide.Decider
+	Meter     *quota.Meter
+	Executor  *execute.Executor
+	startedAt time.Duration
+	leaving   atomic.Bool
+	// wasMoving is true if the previous view had versions that were being moved.
+	wasMoving    atomic.Bool
+	callers      callerWatch
+	cachedLimits atomic.Pointer[cachedLimits]
+	prober       *loop.Waker
+}
+
+// New makes a daemon. It holds no lease yet.
 func New(options Options) *Daemon {
 	if options.Live == nil {
 		options.Live = settings.NewLive(settings.LiveOptions{Process: options.Process})
 	}
-	daemon := &Daemon{Options: options, began: options.World.Now(), inquirer: loop.NewWaker(options.World)}
+	daemon := &Daemon{Options: options, startedAt: options.World.Now(), prober: loop.NewWaker(options.World)}
 	if daemon.Log == nil {
 		daemon.Log = zap.NewNop()
 	}
 	daemon.Client = &session.Client{
-		World: options.World, Net: options.Net, Seeds: options.Live.Seeds, Region: options.Process.Region, Zone: options.Process.Zone, Name: options.Process.Name, Span: daemon.span,
+		World: options.World, Net: options.Net, Seeds: options.Live.Seeds, Region: options.Process.Region, Zone: options.Process.Zone, Name: options.Process.Name, Span: daemon.sessionInterval,
 		Describe: func() session.Beat { return session.Beat{Member: daemon.Self(), Report: daemon.Decider.Report()} },
 	}
 	daemon.Meter = quota.NewMeter(quota.Options{World: options.World, Net: options.Net, Self: daemon.Self(), Limits: daemon.limits, Members: func() ([]session.Member, time.Duration) {
@@ -73,7 +73,7 @@
 		return view.Members, view.Expiry
 	}})
 	daemon.Decider = decide.New(decide.Options{
-		World: options.World, Net: options.Net, Self: daemon.Self(), Began: daemon.began, Quota: daemon.Meter,
+		World: options.World, Net: options.Net, Self: daemon.Self(), Began: daemon.startedAt, Quota: daemon.Meter,
 		Holder: func() *permit.View { return daemon.Holder.View() }, Traced: daemon.choices(),
 	})
 	daemon.Holder = permit.NewHolder(permit.HolderOptions{
@@ -81,10 +81,10 @@
 		Changed: func(view *permit.View) {
 			daemon.Decider.Wake()
 			if len(view.Unkept) > 0 {
-				daemon.inquirer.Wake()
+				daemon.prober.Wake()
 			}
 			if daemon.wasMoving.Swap(view.IsMoving) || view.IsMoving {
-				daemon.Client.Hurry() // a run waits for the word that this is seen
+				daemon.Client.Hurry() // a rollout step waits until this daemon has reported that it has seen the move
 			}
 		},
 	})
@@ -94,7 +94,7 @@
 	return daemon
 }
 
-func (daemon *Daemon) span() time.Duration {
+func (daemon *Daemon) sessionInterval() time.Duration {
 	var tree *settings.Tree
 	if daemon.Holder != nil {
 		tree = daemon.Holder.View().Tree
@@ -102,99 +102,100 @@
 	return tree.Span("session_ms", "")
 }
 
-// Leaving tells whether a planned stop has begun: callers are told to locate anew
+// Leaving reports whether a planned stop has begun. Callers are then told to locate another daemon
 // before their next request.
 func (daemon *Daemon) Leaving() bool { return daemon.leaving.Load() }
 
-// Self is this daemon as others know it.
+// Self returns the membership entry of this daemon.
 func (daemon *Daemon) Self() session.Member {
 	process := daemon.Process
 	return session.Member{
 		Name: process.Name, Incarnation: daemon.Incarnation, Role: session.Data, Region: process.Region, Zone: process.Zone,
-		Wire: process.Wire, HTTP: process.HTTP, Door: process.Door, Uptime: daemon.World.Now() - daemon.began, Leaving: daemon.leaving.Load(),
+		Wire: process.Wire, HTTP: process.HTTP, Door: process.Door, Uptime: daemon.World.Now() - daemon.startedAt, Leaving: daemon.leaving.Load(),
 	}
 }
 
 type (
-	permitService struct{ holder *permit.Holder }
+	leaseService  struct{ holder *permit.Holder }
 	ticketService struct{ decider *decide.Decider }
 	healthService struct{ decider *decide.Decider }
 )
 
-// Take applies an offered configuration.
-func (service permitService) Take(offer permit.Offer, taken *permit.Taken) error {
+// Take applies a configuration that the lease issuer offers.
+func (service leaseService) Take(offer permit.Offer, taken *permit.Taken) error {
 	return service.holder.Take(offer, taken)
 }
 
-// Heed takes the word that replicas are about to end.
-func (service permitService) Heed(notice permit.Notice, heeded *bool) error {
-	return service.holder.Heed(notice, heeded)
+// Heed accepts an announcement that replicas are about to stop.
+func (service leaseService) Heed(notice permit.Notice, acknowledged *bool) error {
+	return service.holder.Heed(notice, acknowledged)
 }
 
-// Settle answers a claim on a ticket.
+// Settle replies to a claim on a ticket.
 func (service ticketService) Settle(claim decide.Claim, claimed *decide.Claimed) error {
 	return service.decider.Settle(claim, claimed)
 }
 
-// Inherit takes what a colleague that stops leaves.
+// Inherit takes over the tickets of a peer that stops.
 func (service ticketService) Inherit(bequest decide.Bequest, taken *bool) error {
 	return service.decider.Inherit(bequest, taken)
 }
 
-// Inherits tells whether an incarnation's tickets are decided about here.
-func (service ticketService) Inherits(incarnation string, heir *string) error {
-	return service.decider.Inherits(incarnation, heir)
+// Inherits replies with this daemon's incarnation if it took over the tickets of the given one.
+func (service ticketService) Inherits(incarnation string, successor *string) error {
+	return service.decider.Inherits(incarnation, successor)
 }
 
-// Report takes in what a colleague of the region holds against replicas.
+// Report accepts the health reports on replicas of a peer in the region.
 func (service healthService) Report(reports decide.HealthReports, isTaken *bool) error {
 	service.decider.TakeReports(reports)
 	*isTaken = true
 	return nil
 }
 
-// Services registers what others call.
+// Services registers the RPC services that other daemons call.
 func (daemon *Daemon) Services() *rpc.Server {
 	server := rpc.NewServer()
-	for name, service := range map[string]any{"Permit": permitService{daemon.Holder}, "Ticket": ticketService{daemon.Decider}, "Health": healthService{daemon.Decider}, "Process": settings.Service{Live: daemon.Live}, "Quota": quota.Service{Meter: daemon.Meter}} {
+	for name, service := range map[string]any{"Permit": leaseService{daemon.Holder}, "Ticket": ticketService{daemon.Decider}, "Health": healthService{daemon.Decider}, "Process": settings.Service{Live: daemon.Live}, "Quota": quota.Service{Meter: daemon.Meter}} {
 		if err := server.RegisterName(name, service); err != nil {
-			panic(err) // only our own types come here
+			panic(err) // fails only if a service type of this package has no suitable methods
 		}
 	}
 	return server
 }
 
-// Run starts the daemon's loops.
+// Run starts the background loops of the daemon.
 func (daemon *Daemon) Run() {
 	daemon.World.Go(daemon.Client.Run)
 	daemon.World.Go(daemon.Holder.Run)
 	daemon.World.Go(daemon.Meter.Run)
-	if relay, isRelay := daemon.Relayer.(*replica.Relay); isRelay {
-		daemon.World.Go(func() { daemon.tend(relay) })
+	if client, ok := daemon.Relayer.(*replica.Relay); ok {
+		daemon.World.Go(func() { daemon.maintain(client) })
 	}
 	if daemon.Probe != nil {
-		daemon.World.Go(daemon.inquire)
+		daemon.World.Go(daemon.probeReplicas)
 	}
 	daemon.World.Go(daemon.logView)
 }
 
-// logView logs leases that begin or end, and each version of the configuration that it finds in force: with
-// the control daemons' lines on changes that have ended, it tells which daemon followed one late. It runs by
-// itself, as a log that is not written in time must not hold up the view.
+// logView logs when the lease becomes valid or invalid, and each configuration version that it
+// finds in force. Together with the log lines of the control daemons on finished changes this shows
+// which daemon applied a change late. It runs in its own loop so that slow log writes do not delay
+// the view.
 func (daemon *Daemon) logView() {
-	stood, before := false, uint64(0)
-	loop.Every(daemon.World, func() time.Duration { return daemon.span() / 6 }, func() bool {
+	wasValid, before := false, uint64(0)
+	loop.Every(daemon.World, func() time.Duration { return daemon.sessionInterval() / 6 }, func() bool {
 		view := daemon.Holder.View()
-		if stands := view.Stands(daemon.World.Now()); stands != stood {
-			stood = stands
+		if isValid := view.Stands(daemon.World.Now()); isValid != wasValid {
+			wasValid = isValid
 			reason := ""
-			if declined := daemon.Holder.Declined.Load(); declined != nil {
-				reason = *declined
+			if rejected := daemon.Holder.Declined.Load(); rejected != nil {
+				reason = *rejected
 			}
-			daemon.Log.Info("permit", zap.Bool("stands", stands), zap.Uint64("serial", view.Serial), zap.String("reason", reason))
+			daemon.Log.Info("permit", zap.Bool("stands", isValid), zap.Uint64("serial", view.Serial), zap.String("reason", reason))
 		}
 		if view.Tree != nil && view.Serial != before {
-			daemon.Log.Info("a configuration is in force", zap.Uint64("serial", view.Serial), zap.Uint64("label", view.Tree.Label()), zap.Uint64("before", before),
+			daemon.Log.Info("configuration version is in force", zap.Uint64("serial", view.Serial), zap.Uint64("label", view.Tree.Label()), zap.Uint64("before", before),
 				zap.Duration("lease_left", view.Expiry-daemon.World.Now()), zap.Bool("stopping", daemon.leaving.Load()))
 			before = view.Serial
 		}
@@ -202,51 +203,51 @@
 	})
 }
 
-// Enter allows and weighs a call, or declines it. The body is asked for only
-// once the headers have been allowed.
+// Enter admits a call and estimates its cost, or rejects it. The body is read only once the headers
+// have been accepted.
 func (daemon *Daemon) Enter(call *decide.Call, body func() []byte) ([]byte, *verdict.Mishap) {
-	if mishap := daemon.Decider.Allow(call); mishap != nil {
-		daemon.Executor.Note(call, mishap)
-		return nil, mishap
+	if failure := daemon.Decider.Allow(call); failure != nil {
+		daemon.Executor.Note(call, failure)
+		return nil, failure
 	}
-	text := body()
-	if mishap := daemon.Decider.Weigh(call, text); mishap != nil {
-		daemon.Decider.Settled(call, mishap)
-		daemon.Executor.Note(call, mishap)
-		return nil, mishap
+	content := body()
+	if failure := daemon.Decider.Weigh(call, content); failure != nil {
+		daemon.Decider.Settled(call, failure)
+		daemon.Executor.Note(call, failure)
+		return nil, failure
 	}
-	return text, nil
+	return content, nil
 }
 
-// Stop is a planned stop. The word goes out first, and the daemon serves on
-// until nobody can be sent here any more and nobody comes, for half of the grace at the
-// most; then it declines what comes and waits for what runs, at most for the grace. It
-// tells whether all was finished.
+// Stop runs a planned stop and reports whether all requests were finished. It first announces the
+// stop and keeps serving until no caller can be directed here any more and none arrives, for at
+// most half of the grace period. It then rejects new requests and waits for the running ones, for
+// at most the grace period in total.
 func (daemon *Daemon) Stop(grace time.Duration) bool {
-	began := daemon.World.Now()
+	startedAt := daemon.World.Now()
 	daemon.leaving.Store(true)
 	daemon.Client.Say(session.Beat{Member: daemon.Self(), Report: daemon.Decider.Report()})
-	// The word needs a beat, a share among control daemons and a renewal of the
-	// colleagues' permits to get into every locate.
-	length := daemon.Holder.View().Tree.Span("permit_ms", "")
-	word := daemon.span()/3 + length/permit.Renewals + length/10
-	loop.Sleep(daemon.World, min(word, grace/4))
-	// Some callers go by older words than that, or can't get a new one: they are served
-	// for as long as what they ask for has half of the grace to end in.
-	for daemon.World.Now()-began < grace/2 && daemon.Decider.Quiet() < daemon.DoorSpan() {
+	// To reach every locate reply, the announcement needs a heartbeat, an exchange among the
+	// control daemons, and a lease renewal of the peers.
+	leaseDuration := daemon.Holder.View().Tree.Span("permit_ms", "")
+	propagation := daemon.sessionInterval()/3 + leaseDuration/permit.Renewals + leaseDuration/10
+	loop.Sleep(daemon.World, min(propagation, grace/4))
+	// Some callers use older lists of daemons or cannot get a new one. They are served for as long
+	// as half of the grace period remains for their requests to finish.
+	for daemon.World.Now()-startedAt < grace/2 && daemon.Decider.Quiet() < daemon.DoorSpan() {
 		if !loop.Sleep(daemon.World, 20*time.Millisecond) {
 			break
 		}
 	}
 	daemon.Decider.Stop()
-	for daemon.Decider.Running() > 0 && daemon.World.Now()-began < grace {
+	for daemon.Decider.Running() > 0 && daemon.World.Now()-startedAt < grace {
 		if !loop.Sleep(daemon.World, 20*time.Millisecond) {
 			break
 		}
 	}
-	done := daemon.Decider.Running() == 0
-	// Callers keep their tickets over this daemon's end.
+	finished := daemon.Decider.Running() == 0
+	// Callers keep their tickets when this daemon is gone.
 	daemon.Decider.Bequeath()
 	daemon.Client.Say(session.Beat{Member: daemon.Self(), Over: true})
-	return done
+	return finished
 }
--- a/dataplane/http.go
+++ b/dataplane/http.go
@@ -21,44 +21,44 @@
 	"swifttiller/verdict"
 )
 
-// pipe hands events from the executor to the library that writes the answer.
+// pipe passes events from the executor to the HTTP library that writes the answer.
 //
-// Invariant: the reader ends with io.EOF only when the executor ended without a
-// mishap; any other end makes the library close the connection without the
-// body's closing chunk, so that a cut answer can't look whole.
+// Invariant: the reader ends with io.EOF only if the executor ended without a failure. After any
+// other end the library closes the connection without the last chunk of the body, so that a cut
+// answer cannot be mistaken for a whole one.
 type pipe struct {
 	execute.Leaver
 	*io.PipeWriter
-	reader *io.PipeReader
-	begun  atomic.Bool
-	over   atomic.Bool // the executor has ended
-	// turns gets one letter when the answer begins and one when the executor ends,
-	// with its mishap.
-	turns loop.Mailbox
+	reader  *io.PipeReader
+	started atomic.Bool
+	ended   atomic.Bool // the executor has returned
+	// signals gets one message when the answer begins and one when the executor returns, which
+	// holds its failure if it has one.
+	signals loop.Mailbox
 }
 
 func newPipe(world loop.World) *pipe {
 	reader, writer := io.Pipe()
-	return &pipe{PipeWriter: writer, reader: reader, turns: world.Mailbox()}
+	return &pipe{PipeWriter: writer, reader: reader, signals: world.Mailbox()}
 }
 
-// Event passes one event on.
+// Event writes one event to the answer.
 func (pipe *pipe) Event(event []byte) error {
-	if pipe.begun.CompareAndSwap(false, true) {
-		pipe.turns.Put(nil)
+	if pipe.started.CompareAndSwap(false, true) {
+		pipe.signals.Put(nil)
 	}
 	_, err := pipe.Write(event)
 	return err
 }
 
-func fail(ctx *fiber.Ctx, mishap *verdict.Mishap) error {
-	if mishap.ComeBack > 0 {
-		ctx.Set("Retry-After", strconv.Itoa(int((mishap.ComeBack+time.Second-1)/time.Second)))
+func fail(ctx *fiber.Ctx, failure *verdict.Mishap) error {
+	if failure.ComeBack > 0 {
+		ctx.Set("Retry-After", strconv.Itoa(int((failure.ComeBack+time.Second-1)/time.Second)))
 	}
-	return ctx.Status(mishap.Status).Type("json").Send(mishap.JSON())
+	return ctx.Status(failure.Status).Type("json").Send(failure.JSON())
 }
 
-// header copies a header: the library's bytes end with the handler.
+// header returns a copy of a header, as the library reuses its buffer after the handler returns.
 func header(ctx *fiber.Ctx, name string) string { return strings.Clone(ctx.Get(name)) }
 
 func reply(ctx *fiber.Ctx, value any) error {
@@ -69,32 +69,32 @@
 	return ctx.Type("json").Send(body)
 }
 
-// App makes the callers' endpoint.
+// App builds the HTTP server for callers.
 func (daemon *Daemon) App() *fiber.App {
 	app := fiber.New(fiber.Config{DisableStartupMessage: true, BodyLimit: 64 << 20, StreamRequestBody: true, ErrorHandler: func(ctx *fiber.Ctx, err error) error {
 		status := 500
-		var known *fiber.Error
-		if errors.As(err, &known) {
-			status = known.Code
+		var fiberErr *fiber.Error
+		if errors.As(err, &fiberErr) {
+			status = fiberErr.Code
 		}
 		return fail(ctx, verdict.Decline(status, "bad_request", err.Error(), 0))
 	}})
 	app.Use(func(ctx *fiber.Ctx) error {
 		err := ctx.Next()
 		if daemon.leaving.Load() {
-			// Callers leave before the end, each between two requests, so that
-			// none of them has to try again.
+			// Each caller moves to another daemon between two of its requests, before this one
+			// stops, so that none has to retry.
 			ctx.Context().SetConnectionClose()
 			ctx.Set("Swifttiller-Locate", "again")
 		}
 		return err
 	})
 	app.Get("/health", func(ctx *fiber.Ctx) error {
-		stands := daemon.Holder.View().Stands(daemon.World.Now()) && !daemon.leaving.Load()
-		if !stands {
+		isServing := daemon.Holder.View().Stands(daemon.World.Now()) && !daemon.leaving.Load()
+		if !isServing {
 			ctx.Status(503)
 		}
-		return reply(ctx, map[string]any{"name": daemon.Process.Name, "serving": stands})
+		return reply(ctx, map[string]any{"name": daemon.Process.Name, "serving": isServing})
 	})
 	app.Get("/v1/locate", daemon.locate)
 	app.Post("/v1/completions", daemon.complete)
@@ -104,15 +104,15 @@
 	app.Get("/v1/requests/:id", func(ctx *fiber.Ctx) error {
 		found := daemon.Executor.Find(strings.Clone(ctx.Params("id")))
 		if len(found) == 0 {
-			return fail(ctx, verdict.Decline(404, "unknown", "this daemon remembers no such request", 0))
+			return fail(ctx, verdict.Decline(404, "unknown", "this daemon has no record of this request", 0))
 		}
 		return reply(ctx, found)
 	})
 	return app
 }
 
-// located is what locate answers.
-type located struct {
+// locateReply is the body of an answer of /v1/locate.
+type locateReply struct {
 	Addresses []string `json:"addresses"`
 	Ticket    string   `json:"ticket"`
 	Expires   int64    `json:"expires_in_ms"`
@@ -121,16 +121,17 @@
 
 func (daemon *Daemon) locate(ctx *fiber.Ctx) error {
 	prefix := decide.Prefix([]byte(ctx.Query("prefix")))
-	members, ticket, life, mishap := daemon.Decider.Locate(strings.Clone(ctx.Query("model")), strings.Clone(ctx.Query("kind")), strings.Clone(ctx.Query("home")), strings.Clone(ctx.Query("zone")), prefix)
-	if mishap != nil {
-		return fail(ctx, mishap)
+	members, ticket, lifetime, failure := daemon.Decider.Locate(strings.Clone(ctx.Query("model")), strings.Clone(ctx.Query("kind")), strings.Clone(ctx.Query("home")), strings.Clone(ctx.Query("zone")), prefix)
+	if failure != nil {
+		return fail(ctx, failure)
 	}
-	// The ticket's clock is its daemon's, told a little late; promise less.
-	out := located{Ticket: ticket.Seal(), Expires: (life * 9 / 10).Milliseconds(), Serial: daemon.Holder.View().Serial}
+	// The ticket expires on the clock of the daemon that issued it, and the caller gets this
+	// duration somewhat later. Announce a tenth less.
+	located := locateReply{Ticket: ticket.Seal(), Expires: (lifetime * 9 / 10).Milliseconds(), Serial: daemon.Holder.View().Serial}
 	for _, member := range members {
-		out.Addresses = append(out.Addresses, member.HTTP)
+		located.Addresses = append(located.Addresses, member.HTTP)
 	}
-	return reply(ctx, out)
+	return reply(ctx, located)
 }
 
 func (daemon *Daemon) complete(ctx *fiber.Ctx) error {
@@ -145,49 +146,50 @@
 			call.Kind = "chat"
 		}
 	}
-	if patience, err := strconv.Atoi(ctx.Get("Swifttiller-Patience-Ms")); err == nil && patience > 0 {
-		call.Patience = time.Duration(patience) * time.Millisecond
+	if timeout, err := strconv.Atoi(ctx.Get("Swifttiller-Patience-Ms")); err == nil && timeout > 0 {
+		call.Patience = time.Duration(timeout) * time.Millisecond
 	}
-	read := false
-	body, mishap := daemon.Enter(call, func() []byte {
-		read = true
-		return append([]byte{}, ctx.Body()...) // the body is the library's
+	bodyRead := false
+	body, failure := daemon.Enter(call, func() []byte {
+		bodyRead = true
+		return append([]byte{}, ctx.Body()...) // the library reuses the buffer of the body
 	})
-	if mishap != nil {
-		if !read {
-			ctx.Context().SetConnectionClose() // what was not read stands in the way of the next request
+	if failure != nil {
+		if !bodyRead {
+			ctx.Context().SetConnectionClose() // the unread body would precede the next request on the connection
 		}
-		return fail(ctx, mishap)
+		return fail(ctx, failure)
 	}
 	pipe := newPipe(daemon.World)
-	if conn, isRaw := ctx.Context().Conn().(syscall.Conn); isRaw {
+	if conn, hasSocket := ctx.Context().Conn().(syscall.Conn); hasSocket {
 		if raw, err := conn.SyscallConn(); err == nil {
-			daemon.World.Go(func() { daemon.attend(pipe, raw) })
+			daemon.World.Go(func() { daemon.watchCaller(pipe, raw) })
 		}
 	}
 	daemon.World.Go(func() {
-		mishap := daemon.Executor.Serve(call, body, pipe)
-		pipe.over.Store(true)
-		if mishap != nil {
-			if pipe.begun.Load() {
-				// Visible to whoever reads events, and to whoever reads the body.
-				_ = pipe.Event(append(append([]byte("event: error\ndata: "), mishap.JSON()...), "\n\n"...))
+		failure := daemon.Executor.Serve(call, body, pipe)
+		pipe.ended.Store(true)
+		if failure != nil {
+			if pipe.started.Load() {
+				// The failure is visible both to callers that parse events and, through the missing
+				// end of the body, to all others.
+				_ = pipe.Event(append(append([]byte("event: error\ndata: "), failure.JSON()...), "\n\n"...))
 			}
-			pipe.turns.Put(mishap)
-			pipe.CloseWithError(mishap)
+			pipe.signals.Put(failure)
+			pipe.CloseWithError(failure)
 			return
 		}
-		pipe.turns.Put(nil)
+		pipe.signals.Put(nil)
 		pipe.Close()
 	})
-	// The first letter is of the beginning if there was one; then the stream tells
-	// how it ends.
-	first, _ := pipe.turns.Take(loop.Forever)
-	if mishap, isMishap := first.(*verdict.Mishap); isMishap {
-		return fail(ctx, mishap)
+	// The first message announces the beginning of the answer if there is one; the stream itself
+	// then shows how it ends.
+	signal, _ := pipe.signals.Take(loop.Forever)
+	if failure, isFailure := signal.(*verdict.Mishap); isFailure {
+		return fail(ctx, failure)
 	}
-	if !pipe.begun.Load() && !pipe.over.Load() {
-		return fail(ctx, &verdict.Mishap{Verdict: verdict.MayHaveRun, Code: "stopped", Status: 503, Message: "this daemon ended before the answer began"})
+	if !pipe.started.Load() && !pipe.ended.Load() {
+		return fail(ctx, &verdict.Mishap{Verdict: verdict.MayHaveRun, Code: "stopped", Status: 503, Message: "this daemon stopped before the answer began"})
 	}
 	ctx.Type("text/event-stream")
 	ctx.Set("Content-Type", "text/event-stream")
@@ -196,47 +198,46 @@
 	return nil
 }
 
-// attendShare is how often a caller's connection is looked at, as a share of
-// stall_ms.
-const attendShare = 50
+// callerChecksPerStall is how often the connection of a caller is checked within stall_ms.
+const callerChecksPerStall = 50
 
-// attend looks for the end of the caller's connection while its request runs: the
-// library tells of it only on writing, and a replica may read a prompt for long
-// before there is anything to write. What the caller sends on is left unread.
-func (daemon *Daemon) attend(pipe *pipe, raw syscall.RawConn) {
-	span := daemon.Holder.View().Tree.Span("stall_ms", daemon.Process.Zone) / attendShare
-	for !pipe.over.Load() && loop.Sleep(daemon.World, span) {
+// watchCaller aborts the request when the caller closes its connection. The HTTP library reports a
+// closed connection only on a write, and a replica may prefill a prompt for a long time before
+// there is anything to write. Bytes that the caller sends meanwhile are left unread.
+func (daemon *Daemon) watchCaller(pipe *pipe, conn syscall.RawConn) {
+	interval := daemon.Holder.View().Tree.Span("stall_ms", daemon.Process.Zone) / callerChecksPerStall
+	for !pipe.ended.Load() && loop.Sleep(daemon.World, interval) {
 		isGone := false
-		err := raw.Control(func(file uintptr) {
+		err := conn.Control(func(descriptor uintptr) {
 			var peeked [1]byte
-			count, _, err := unix.Recvfrom(int(file), peeked[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+			count, _, err := unix.Recvfrom(int(descriptor), peeked[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 			isGone = err == nil && count == 0 || err != nil && err != unix.EAGAIN && err != unix.EINTR
 		})
-		if (isGone || err != nil) && !pipe.over.Load() {
+		if (isGone || err != nil) && !pipe.ended.Load() {
 			pipe.Leave()
 			return
 		}
 	}
 }
 
-// Status is what this daemon knows of itself.
+// Status returns what this daemon knows about itself.
 func (daemon *Daemon) Status() map[string]any {
 	view := daemon.Holder.View()
-	rows := map[string]any{}
-	for region, one := range view.Standings {
-		rows[region] = one
+	tables := map[string]any{}
+	for region, table := range view.Standings {
+		tables[region] = table
 	}
-	declined := ""
+	rejected := ""
 	if reason := daemon.Holder.Declined.Load(); reason != nil {
-		declined = *reason
+		rejected = *reason
 	}
 	return map[string]any{
 		"member": daemon.Self(), "serial": view.Serial, "permit_left_ms": (view.Expiry - daemon.World.Now()).Milliseconds(),
-		"quota": daemon.Meter.Status(), "permit_declined": declined, "evacuated": slices.Sorted(maps.Keys(view.Evacuated)), "standings": rows, "members": view.Members, "report": daemon.Decider.Report(),
+		"quota": daemon.Meter.Status(), "permit_declined": rejected, "evacuated": slices.Sorted(maps.Keys(view.Evacuated)), "standings": tables, "members": view.Members, "report": daemon.Decider.Report(),
 	}
 }
 
-// Counters are the daemon's counters and gauges.
+// Counters returns the counters and gauges of the daemon.
 func (daemon *Daemon) Counters() map[string]any {
 	counts := daemon.Decider.Count()
 	view := daemon.Holder.View()
--- a/dataplane/inquire.go
+++ b/dataplane/inquire.go
@@ -8,43 +8,44 @@
 	"swifttiller/replica"
 )
 
-// inquireMost bounds how many replicas are asked at once; inquireSpan is how often it is
-// looked who is to be asked while some region's standing is kept by nobody.
+// maxProbes limits the replicas that are probed at once. unkeptProbeInterval is how often the
+// daemon checks which replicas to probe while the routing table of a region has no daemon that
+// maintains it.
 const (
-	inquireMost = 16
-	inquireSpan = 30 * time.Millisecond
+	maxProbes           = 16
+	unkeptProbeInterval = 30 * time.Millisecond
 )
 
-// inquire asks replicas how they do while nobody keeps their region's standing up to date, as
-// after a power cut of all daemons: until one has said itself that it is not cold, it gets
-// only this daemon's part of what a cold one bears.
-func (daemon *Daemon) inquire() {
-	daemon.inquirer.Run(daemon.World, func() time.Duration {
+// probeReplicas probes replicas while no daemon maintains the routing table of their region, as
+// after a power cut of all daemons. Until a replica itself has reported that it is not cold, it
+// gets only this daemon's share of the load that a cold replica can bear.
+func (daemon *Daemon) probeReplicas() {
+	daemon.prober.Run(daemon.World, func() time.Duration {
 		if len(daemon.Holder.View().Unkept) > 0 {
-			return inquireSpan
+			return unkeptProbeInterval
 		}
-		return daemon.span()
+		return daemon.sessionInterval()
 	}, func() bool {
-		list := daemon.Decider.Inquiries()
-		if len(list) == 0 {
+		inquiries := daemon.Decider.Inquiries()
+		if len(inquiries) == 0 {
 			return true
 		}
-		var guard sync.Mutex
-		next := func() (one decide.Inquiry, has bool) {
-			guard.Lock()
-			defer guard.Unlock()
-			if has = len(list) > 0; has {
-				one, list = list[0], list[1:]
+		var mu sync.Mutex
+		next := func() (inquiry decide.Inquiry, ok bool) {
+			mu.Lock()
+			defer mu.Unlock()
+			if ok = len(inquiries) > 0; ok {
+				inquiry, inquiries = inquiries[0], inquiries[1:]
 			}
-			return one, has
+			return inquiry, ok
 		}
-		patience := daemon.Holder.View().Tree.Span("dark_ms", daemon.Process.Region) / 2
-		for range min(inquireMost, len(list)) {
+		timeout := daemon.Holder.View().Tree.Span("dark_ms", daemon.Process.Region) / 2
+		for range min(maxProbes, len(inquiries)) {
 			daemon.World.Go(func() {
-				for one, has := next(); has; one, has = next() {
-					asked := daemon.World.Now()
-					vitals, err := daemon.Probe(replica.Target{ID: one.Replica, Address: one.Address, Path: one.Path}, patience)
-					daemon.Decider.Inquired(one, asked, err == nil && vitals.Boot == one.Boot && vitals.Cold <= 0 && !vitals.Declined)
+				for inquiry, ok := next(); ok; inquiry, ok = next() {
+					sentAt := daemon.World.Now()
+					health, err := daemon.Probe(replica.Target{ID: inquiry.Replica, Address: inquiry.Address, Path: inquiry.Path}, timeout)
+					daemon.Decider.Inquired(inquiry, sentAt, err == nil && health.Boot == inquiry.Boot && health.Cold <= 0 && !health.Declined)
 				}
 			})
 		}
--- a/dataplane/quota.go
+++ b/dataplane/quota.go
@@ -5,30 +5,31 @@
 	"swifttiller/settings"
 )
 
-// limited are the tenants' limits of a tree.
-type limited struct {
+// cachedLimits holds the tenants' rate limits that were computed from a settings tree.
+type cachedLimits struct {
 	tree   *settings.Tree
 	limits *quota.Limits
 }
 
-// limits are the tenants' limits in force.
+// limits returns the tenants' rate limits that are in force. They are computed again only when the
+// settings tree changes.
 func (daemon *Daemon) limits() *quota.Limits {
 	var tree *settings.Tree
 	if daemon.Holder != nil {
 		tree = daemon.Holder.View().Tree
 	}
-	have := daemon.limited.Load()
-	if have != nil && have.tree == tree {
-		return have.limits
+	cached := daemon.cachedLimits.Load()
+	if cached != nil && cached.tree == tree {
+		return cached.limits
 	}
 	terms := quota.Terms{Window: tree.Span("quota_window_ms", ""), Excess: tree.Limit("quota_excess", ""), Slack: tree.Limit("quota_slack", ""), Reserve: tree.Span("quota_reserve_ms", "")}
-	var list []quota.Limit
+	var tenantLimits []quota.Limit
 	if tree != nil {
-		for _, one := range tree.Tenants() {
-			list = append(list, quota.Limit{Tenant: one.Name, PerSecond: one.PerSecond, Burst: one.Burst})
+		for _, tenant := range tree.Tenants() {
+			tenantLimits = append(tenantLimits, quota.Limit{Tenant: tenant.Name, PerSecond: tenant.PerSecond, Burst: tenant.Burst})
 		}
 	}
-	next := &limited{tree, quota.Index(terms, list)}
-	daemon.limited.Store(next)
-	return next.limits
+	current := &cachedLimits{tree, quota.Index(terms, tenantLimits)}
+	daemon.cachedLimits.Store(current)
+	return current.limits
 }
--- a/dataplane/relay.go
+++ b/dataplane/relay.go
@@ -15,106 +15,110 @@
 	"swifttiller/verdict"
 )
 
-// attended are the callers' connections whose requests run, with what to tell when one
-// of them is gone. The library tells of it only on writing.
+// callerWatch holds the connections of callers whose requests are running, with the leaver to
+// notify when the caller disconnects. The HTTP library itself reports a closed connection only on a
+// write.
 //
-// Invariant: an entry stands exactly while its request runs.
-type attended struct {
-	guard sync.Mutex
+// Invariant: an entry exists exactly while its request runs.
+type callerWatch struct {
+	mu    sync.Mutex
 	table map[*execute.Leaver]syscall.RawConn
 }
 
-func (attended *attended) add(leaver *execute.Leaver, conn syscall.RawConn) {
-	attended.guard.Lock()
-	defer attended.guard.Unlock()
-	if attended.table == nil {
-		attended.table = map[*execute.Leaver]syscall.RawConn{}
+func (watch *callerWatch) add(leaver *execute.Leaver, conn syscall.RawConn) {
+	watch.mu.Lock()
+	defer watch.mu.Unlock()
+	if watch.table == nil {
+		watch.table = map[*execute.Leaver]syscall.RawConn{}
 	}
-	attended.table[leaver] = conn
+	watch.table[leaver] = conn
 }
 
-func (attended *attended) drop(leaver *execute.Leaver) {
-	attended.guard.Lock()
-	defer attended.guard.Unlock()
-	delete(attended.table, leaver)
+func (watch *callerWatch) remove(leaver *execute.Leaver) {
+	watch.mu.Lock()
+	defer watch.mu.Unlock()
+	delete(watch.table, leaver)
 }
 
-// look finds callers that went away.
-func (attended *attended) look() {
-	attended.guard.Lock()
-	table := make(map[*execute.Leaver]syscall.RawConn, len(attended.table))
-	for leaver, conn := range attended.table {
-		table[leaver] = conn
+// abortGone finds callers that have disconnected and aborts their requests.
+func (watch *callerWatch) abortGone() {
+	watch.mu.Lock()
+	callers := make(map[*execute.Leaver]syscall.RawConn, len(watch.table))
+	for leaver, conn := range watch.table {
+		callers[leaver] = conn
 	}
-	attended.guard.Unlock()
-	for leaver, conn := range table {
+	watch.mu.Unlock()
+	for leaver, conn := range callers {
 		if isGone(conn) {
 			leaver.Leave()
 		}
 	}
 }
 
-// isGone tells whether the other end has closed a connection.
+// isGone reports whether the other end has closed a connection. It peeks at the socket, so that no
+// bytes are consumed.
 func isGone(conn syscall.RawConn) bool {
 	isGone := false
-	err := conn.Control(func(file uintptr) {
+	err := conn.Control(func(descriptor uintptr) {
 		var peeked [1]byte
-		count, _, err := unix.Recvfrom(int(file), peeked[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		count, _, err := unix.Recvfrom(int(descriptor), peeked[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 		isGone = err == nil && count == 0 || err != nil && err != unix.EAGAIN && err != unix.EINTR
 	})
 	return isGone || err != nil
 }
 
-// Passage is a routed answer under way, whose caller is attended to.
-type Passage struct {
-	*execute.Passage
+// Response is the answer to a routed request as it is streamed to the caller, while the caller's
+// connection is watched.
+type Response struct {
+	*execute.Response
 	daemon *Daemon
 	leaver *execute.Leaver
 }
 
-// Close ends it.
-func (passage *Passage) Close() error {
-	passage.daemon.attended.drop(passage.leaver)
-	return passage.Passage.Close()
+// Close ends the response and stops watching the caller's connection.
+func (response *Response) Close() error {
+	response.daemon.callers.remove(response.leaver)
+	return response.Response.Close()
 }
 
-// Relay serves a directed request of the caller behind the connection. The passage has
-// to be closed.
-func (daemon *Daemon) Relay(ctx *fasthttp.RequestCtx, routed *decide.Routed, ask replica.Ask) (*Passage, *verdict.Mishap) {
+// Relay serves a routed request of the caller behind the connection. The returned response must be
+// closed.
+func (daemon *Daemon) Relay(ctx *fasthttp.RequestCtx, routed *decide.Routed, request replica.Ask) (*Response, *verdict.Mishap) {
 	leaver := &execute.Leaver{}
-	if conn, isRaw := ctx.Conn().(syscall.Conn); isRaw {
+	if conn, hasSocket := ctx.Conn().(syscall.Conn); hasSocket {
 		if raw, err := conn.SyscallConn(); err == nil {
-			daemon.attended.add(leaver, raw)
+			daemon.callers.add(leaver, raw)
 		}
 	}
-	passage, mishap := daemon.Executor.Relay(routed, ask, leaver)
-	if mishap != nil {
-		daemon.attended.drop(leaver)
-		return nil, mishap
+	response, failure := daemon.Executor.Relay(routed, request, leaver)
+	if failure != nil {
+		daemon.callers.remove(leaver)
+		return nil, failure
 	}
-	return &Passage{Passage: passage, daemon: daemon, leaver: leaver}, nil
+	return &Response{Response: response, daemon: daemon, leaver: leaver}, nil
 }
 
-// Serving tells whether callers may be sent here.
+// Serving reports whether callers may be sent to this daemon.
 func (daemon *Daemon) Serving() bool {
 	return daemon.Holder.View().Serves(daemon.World.Now()) && !daemon.leaving.Load()
 }
 
-// DoorSpan is how long a caller may go by what it was told of daemons.
+// DoorSpan is how long a caller may use a list of daemons that it was given.
 func (daemon *Daemon) DoorSpan() time.Duration { return time.Second }
 
-// tend looks after what routed requests leave behind.
-func (daemon *Daemon) tend(relay *replica.Relay) {
-	turn := 0
-	loop.Every(daemon.World, func() time.Duration { return attendSpan }, func() bool {
-		daemon.attended.look()
-		if turn++; turn%4 == 0 {
-			relay.Sweep()
+// maintain runs the periodic work for routed requests: it aborts those whose callers have
+// disconnected and closes old idle connections.
+func (daemon *Daemon) maintain(client *replica.Relay) {
+	rounds := 0
+	loop.Every(daemon.World, func() time.Duration { return callerCheckInterval }, func() bool {
+		daemon.callers.abortGone()
+		if rounds++; rounds%4 == 0 {
+			client.Sweep()
 			daemon.Decider.Sweep()
 		}
 		return true
 	})
 }
 
-// attendSpan is how often callers' connections are looked at.
-const attendSpan = 250 * time.Millisecond
+// callerCheckInterval is how often the connections of callers are checked.
+const callerCheckInterval = 250 * time.Millisecond
--- a/execute/execute.go
+++ b/execute/execute.go
@@ -1,5 +1,5 @@
-// Package execute obeys: it carries an allowed request to the replica that was
-// decided on, passes the answer on, and ends it plainly.
+// Package execute forwards an admitted request to the replica that package decide selected, streams
+// the answer back to the caller, and reports one outcome for the request.
 package execute
 
 import (
@@ -19,29 +19,30 @@
 	"swifttiller/verdict"
 )
 
-// Sink takes the events of an answer. An error from Event means that the caller
-// went away. It may notice that earlier: then Gone says so, and what was bound
-// last is run, once, so that a dispatch that waits for its replica ends.
+// Sink receives the events of an answer. An error from Event means that the caller has
+// disconnected. The sink may notice a disconnect earlier: Gone then returns true, and the abort
+// function that was bound last is run once, so that an attempt that waits for its replica ends.
 type Sink interface {
 	Event(event []byte) error
 	Gone() bool
 	Bind(abort func())
 }
 
-// Leaver is the part of a sink that keeps what to abort.
+// Leaver is the part of a sink that tracks whether the caller has disconnected and holds the
+// function that aborts the running attempt.
 //
-// Invariant: abort runs under guard and only while it is bound, so that after
-// Bind(nil) nothing of an ended dispatch is touched any more.
+// Invariant: abort runs with mu held and only while it is bound. After Bind(nil) the abort function
+// of an ended attempt is never called.
 type Leaver struct {
-	guard sync.Mutex
+	mu    sync.Mutex
 	gone  bool
 	abort func()
 }
 
-// Leave notes that the caller went away.
+// Leave records that the caller has disconnected and aborts the running attempt, if one is bound.
 func (leaver *Leaver) Leave() {
-	leaver.guard.Lock()
-	defer leaver.guard.Unlock()
+	leaver.mu.Lock()
+	defer leaver.mu.Unlock()
 	leaver.gone = true
 	if leaver.abort != nil {
 		leaver.abort()
@@ -49,17 +50,18 @@
 	}
 }
 
-// Gone tells whether the caller went away.
+// Gone reports whether the caller has disconnected.
 func (leaver *Leaver) Gone() bool {
-	leaver.guard.Lock()
-	defer leaver.guard.Unlock()
+	leaver.mu.Lock()
+	defer leaver.mu.Unlock()
 	return leaver.gone
 }
 
-// Bind says what to do when the caller goes away; nil for nothing.
+// Bind sets the function to run when the caller disconnects, or clears it if abort is nil. If the
+// caller is already gone, abort runs at once.
 func (leaver *Leaver) Bind(abort func()) {
-	leaver.guard.Lock()
-	defer leaver.guard.Unlock()
+	leaver.mu.Lock()
+	defer leaver.mu.Unlock()
 	leaver.abort = abort
 	if leaver.gone && abort != nil {
 		abort()
@@ -67,20 +69,20 @@
 	}
 }
 
-// Options of an executor.
+// Options configures an Executor.
 type Options struct {
 	World   loop.World
 	Decider *decide.Decider
 	Client  replica.Client
-	// Relayer, if set, takes routed requests.
+	// Relayer, if set, sends routed requests.
 	Relayer Relayer
 	Holder  func() *permit.View
 	Log     *zap.Logger
-	// Traced, if set, is given every ended request.
+	// Traced, if set, is called with the record of every finished request.
 	Traced func(Record)
 }
 
-// Record tells where one request went.
+// Record describes one finished request and the attempts that were made for it.
 type Record struct {
 	ID, Model, Kind, Home string
 	Began, Took, First    time.Duration
@@ -91,7 +93,7 @@
 	Code                  string
 }
 
-// Dispatch is one try at a replica.
+// Dispatch is one attempt at a replica.
 type Dispatch struct {
 	Replica, Version, Region string
 	Serial                   uint64
@@ -99,131 +101,133 @@
 	Verdict, Code            string
 }
 
-// Executor serves requests.
+// Executor runs requests at replicas and keeps a ring of records of the most recent ones.
 type Executor struct {
 	Options
-	guard   sync.Mutex
-	records []Record // a ring; next is where the oldest stands
-	next    int
+	mu      sync.Mutex
+	records []Record // ring buffer; once it is full, oldest is the index of the oldest record
+	oldest  int
 }
 
-// keptRecords is how many ended requests can be asked about.
-const keptRecords = 4096
+// maxRecords is the number of finished requests whose records are kept for lookup by id.
+const maxRecords = 4096
 
-// mostDispatches is how often one request is tried while nothing ran.
-const mostDispatches = 3
+// maxAttempts limits the attempts for one request, each of which is made only while no replica has
+// run it.
+const maxAttempts = 3
 
-// Serve runs an allowed call. Whatever it returns, the sink has got all events
-// that the caller shall get; a mishap after the first event means that the
-// answer is cut and must be seen to be.
+// Serve runs an admitted call. When it returns, the sink has received every event that the caller
+// is to get. A failure after the first event means that the answer was cut off, which must be made
+// visible to the caller.
 func (executor *Executor) Serve(call *decide.Call, body []byte, sink Sink) *verdict.Mishap {
 	record := Record{ID: call.ID, Model: call.Model, Kind: call.Kind, Home: call.Home, Began: executor.World.Now(), At: executor.World.Wall()}
-	mishap := executor.serve(call, body, sink, &record)
-	executor.Decider.Settled(call, mishap)
+	failure := executor.serve(call, body, sink, &record)
+	executor.Decider.Settled(call, failure)
 	record.Took = executor.World.Now() - record.Began
 	record.Verdict, record.Code = verdict.Ran.String(), "ok"
-	if mishap != nil {
-		record.Verdict, record.Code = mishap.Verdict.String(), mishap.Code
+	if failure != nil {
+		record.Verdict, record.Code = failure.Verdict.String(), failure.Code
 	}
-	executor.keep(record)
-	return mishap
+	executor.addRecord(record)
+	return failure
 }
 
 func (executor *Executor) serve(call *decide.Call, body []byte, sink Sink, record *Record) *verdict.Mishap {
 	avoid := map[string]bool{}
 	for {
-		selection, mishap := executor.Decider.Select(call, avoid)
-		if mishap != nil {
-			return mishap
+		selection, failure := executor.Decider.Select(call, avoid)
+		if failure != nil {
+			return failure
 		}
 		if sink.Gone() {
-			executor.Decider.Release(selection, left(verdict.NotRun, nil), 0)
-			return left(verdict.NotRun, nil)
+			executor.Decider.Release(selection, callerGone(verdict.NotRun, nil), 0)
+			return callerGone(verdict.NotRun, nil)
 		}
-		first, events, mishap := executor.dispatch(call, selection, body, sink)
-		executor.Decider.Release(selection, mishap, first)
+		first, events, failure := executor.attemptOn(call, selection, body, sink)
+		executor.Decider.Release(selection, failure, first)
 		record.Events += events
 		if events > 0 {
 			record.First = first
 		}
-		tried := Dispatch{Replica: selection.Replica, Version: selection.Version, Region: selection.Region, Serial: selection.Serial, Trial: selection.Trial, Spill: selection.Spill, Affine: selection.Affine, Verdict: verdict.Ran.String(), Code: "ok"}
-		if mishap != nil {
-			tried.Verdict, tried.Code = mishap.Verdict.String(), mishap.Code
+		attempt := Dispatch{Replica: selection.Replica, Version: selection.Version, Region: selection.Region, Serial: selection.Serial, Trial: selection.Trial, Spill: selection.Spill, Affine: selection.Affine, Verdict: verdict.Ran.String(), Code: "ok"}
+		if failure != nil {
+			attempt.Verdict, attempt.Code = failure.Verdict.String(), failure.Code
 		}
-		record.Dispatches = append(record.Dispatches, tried)
-		if mishap == nil || mishap.Verdict != verdict.NotRun || mishap.Code == "no_permit" || mishap.Code == "replica_rejected" || len(record.Dispatches) >= mostDispatches {
-			return mishap
+		record.Dispatches = append(record.Dispatches, attempt)
+		if failure == nil || failure.Verdict != verdict.NotRun || failure.Code == "no_permit" || failure.Code == "replica_rejected" || len(record.Dispatches) >= maxAttempts {
+			return failure
 		}
-		// Nothing reached a model: another replica may have it, within the
-		// budget. Being turned away by the gate, or meeting another life of the
-		// replica, costs no replica anything.
-		if mishap.Code != "moved_on" && mishap.Code != replica.AnewCode {
+		// No model has run the request, so another replica may get it, within the retry budget. A
+		// rejection by the gate, or by a replica that has restarted since it was selected, put no
+		// load on a replica and is not charged.
+		if failure.Code != "moved_on" && failure.Code != replica.AnewCode {
 			avoid[selection.Replica] = true
 			if !executor.Decider.Redispatch() {
-				return mishap
+				return failure
 			}
 		}
 	}
 }
 
-// dispatch makes one try.
-func (executor *Executor) dispatch(call *decide.Call, selection *decide.Selection, body []byte, sink Sink) (first time.Duration, events int, mishap *verdict.Mishap) {
-	named, ok := replica.Rename(body, replica.Name(call.Model, selection.Version))
+// attemptOn makes one attempt at the selected replica.
+func (executor *Executor) attemptOn(call *decide.Call, selection *decide.Selection, body []byte, sink Sink) (first time.Duration, events int, failure *verdict.Mishap) {
+	renamed, ok := replica.Rename(body, replica.Name(call.Model, selection.Version))
 	if !ok {
-		return 0, 0, verdict.Decline(400, "bad_request", "the body names no model", 0)
+		return 0, 0, verdict.Decline(400, "bad_request", "the request body has no model field", 0)
 	}
 	tree := executor.Holder().Tree
 	began := executor.World.Now()
-	stream, mishap := executor.Client.Dispatch(replica.Request{
-		Replica: selection.Replica, Address: selection.Address, Path: call.Path, Body: named, Model: call.Model, Version: selection.Version,
+	stream, failure := executor.Client.Dispatch(replica.Request{
+		Replica: selection.Replica, Address: selection.Address, Path: call.Path, Body: renamed, Model: call.Model, Version: selection.Version,
 		Kind: call.Kind, Home: call.Home, ID: call.ID,
 		Gate:     func() (uint64, *verdict.Mishap) { return executor.Decider.Gate(selection) },
 		Patience: tree.Span("request_ms", ""), Stall: tree.Span("stall_ms", ""), Bind: sink.Bind,
 		Boot: selection.Boot, Greet: tree.Span("dark_ms", "") / 2,
 	})
 	defer sink.Bind(nil)
-	if mishap != nil {
-		if mishap.Verdict != verdict.NotRun && sink.Gone() {
-			return 0, 0, left(mishap.Verdict, mishap.Cause)
+	if failure != nil {
+		if failure.Verdict != verdict.NotRun && sink.Gone() {
+			return 0, 0, callerGone(failure.Verdict, failure.Cause)
 		}
-		return 0, 0, mishap
+		return 0, 0, failure
 	}
 	defer stream.Close()
-	defer sink.Bind(nil) // before the connection is anybody else's
+	defer sink.Bind(nil) // runs before stream.Close returns the connection to the pool
 	for {
 		event, err := stream.Next()
 		switch {
 		case errors.Is(err, io.EOF):
 			return first, events, nil
 		case err != nil && sink.Gone():
-			return first, events, left(verdict.MayHaveRun, err)
+			return first, events, callerGone(verdict.MayHaveRun, err)
 		case err != nil:
-			return first, events, &verdict.Mishap{Verdict: verdict.MayHaveRun, Code: "cut", Message: "the replica's answer was cut", Status: 502, Cause: err}
+			return first, events, &verdict.Mishap{Verdict: verdict.MayHaveRun, Code: "cut", Message: "the replica's answer ended early", Status: 502, Cause: err}
 		}
 		if events == 0 {
 			first = executor.World.Now() - began
 			executor.Decider.First(selection)
 		}
-		if fault := unsound(event, events); fault != "" {
-			return first, events, &verdict.Mishap{Verdict: verdict.MayHaveRun, Code: fault, Message: "the replica's answer is no answer", Status: 502}
+		if code := invalidEvent(event, events); code != "" {
+			return first, events, &verdict.Mishap{Verdict: verdict.MayHaveRun, Code: code, Message: "the replica sent an invalid answer", Status: 502}
 		}
 		events++
 		if err := sink.Event(event); err != nil {
-			return first, events, left(verdict.MayHaveRun, err)
+			return first, events, callerGone(verdict.MayHaveRun, err)
 		}
 	}
 }
 
-// left is the mishap of a caller that went away.
-func left(what verdict.Verdict, cause error) *verdict.Mishap {
-	return &verdict.Mishap{Verdict: what, Code: "caller_gone", Message: "the caller went away", Status: 499, Cause: cause}
+// callerGone is the failure of a request whose caller disconnected.
+func callerGone(ran verdict.Verdict, cause error) *verdict.Mishap {
+	return &verdict.Mishap{Verdict: ran, Code: "caller_gone", Message: "the caller disconnected", Status: 499, Cause: cause}
 }
 
-// unsound tells what is wrong with an event: one that is not JSON, or an end with
-// nothing before it, is no answer, and is not passed on as one.
-func unsound(event []byte, before int) string {
+// invalidEvent returns the failure code of an invalid event, or "" if the event is valid. An event
+// whose data is not JSON, or a terminal event without any event before it, is not passed on to the
+// caller.
+func invalidEvent(event []byte, earlierEvents int) string {
 	if replica.Terminal(event) {
-		if before == 0 {
+		if earlierEvents == 0 {
 			return "replica_empty"
 		}
 		return ""
@@ -236,20 +240,20 @@
 	return ""
 }
 
-// Note keeps a request that was declined before it was served.
-func (executor *Executor) Note(call *decide.Call, mishap *verdict.Mishap) {
-	executor.keep(Record{ID: call.ID, Model: call.Model, Kind: call.Kind, Home: call.Home, Began: executor.World.Now(), At: executor.World.Wall(), Verdict: mishap.Verdict.String(), Code: mishap.Code})
+// Note records a request that was rejected before it was run.
+func (executor *Executor) Note(call *decide.Call, failure *verdict.Mishap) {
+	executor.addRecord(Record{ID: call.ID, Model: call.Model, Kind: call.Kind, Home: call.Home, Began: executor.World.Now(), At: executor.World.Wall(), Verdict: failure.Verdict.String(), Code: failure.Code})
 }
 
-func (executor *Executor) keep(record Record) {
-	executor.guard.Lock()
-	if len(executor.records) < keptRecords {
+func (executor *Executor) addRecord(record Record) {
+	executor.mu.Lock()
+	if len(executor.records) < maxRecords {
 		executor.records = append(executor.records, record)
 	} else {
-		executor.records[executor.next] = record
-		executor.next = (executor.next + 1) % keptRecords
+		executor.records[executor.oldest] = record
+		executor.oldest = (executor.oldest + 1) % maxRecords
 	}
-	executor.guard.Unlock()
+	executor.mu.Unlock()
 	if executor.Log != nil && executor.Log.Core().Enabled(zap.InfoLevel) {
 		fields := []zap.Field{zap.String("request", record.ID), zap.String("model", record.Model), zap.String("kind", record.Kind),
 			zap.String("verdict", record.Verdict), zap.String("code", record.Code), zap.Duration("took", record.Took), zap.Duration("first", record.First), zap.Int("events", record.Events)}
@@ -264,14 +268,14 @@
 	}
 }
 
-// Find gives what is remembered of a request id, oldest first.
+// Find returns the records kept for a request id, oldest first.
 func (executor *Executor) Find(id string) (found []Record) {
-	executor.guard.Lock()
-	defer executor.guard.Unlock()
+	executor.mu.Lock()
+	defer executor.mu.Unlock()
 	for index := range executor.records {
-		one := executor.records[(executor.next+index)%len(executor.records)]
-		if one.ID == id {
-			found = append(found, one)
+		record := executor.records[(executor.oldest+index)%len(executor.records)]
+		if record.ID == id {
+			found = append(found, record)
 		}
 	}
 	return found
--- a/execute/relay.go
+++ b/execute/relay.go
@@ -13,306 +13,311 @@
 	"swifttiller/verdict"
 )
 
-// Passage is the answer to a routed request on its way to the caller. It is read like
-// a file: io.EOF comes only after the whole answer, any other error means that it was
-// cut and must be seen to be. Closing it earlier ends the request at its replica.
+// Response is the answer to a routed request, as it is streamed to the caller. Read returns io.EOF
+// only after the whole answer; any other error means that the answer was cut off, which must be
+// made visible to the caller. Closing it early ends the request at its replica.
 //
-// Invariants: the head is that of the first replica, whichever others go on with the
-// answer; what Read gives of a stream of events are whole events, each once and in
+// Invariants: the head is that of the first replica that answered, whichever replicas continue the
+// answer. For an event stream, Read returns the bytes of whole events, each event once and in
 // order.
-type Passage struct {
+type Response struct {
 	replica.Head
 	Header *fasthttp.ResponseHeader
-	Length int // of the body; below zero when it is not known beforehand
+	Length int // body length; negative if it is not known in advance
 
 	answer    *replica.Answer
 	executor  *Executor
 	routed    *decide.Routed
-	ask       replica.Ask
+	request   replica.Ask
 	leaver    *Leaver
 	selection *decide.Selection
 	avoid     decide.Avoid
 	record    Record
-	// sent is how many replicas the request was sent to, missed how many could not be
+	// sent counts the replicas to which the request was sent, unreached those that could not be
 	// reached.
-	sent, missed int
-	// first is when the first piece came, heard when the last one did, on the world's
-	// clock.
-	first, heard time.Duration
-	pending      []byte
-	err          error // how it ended
+	sent, unreached int
+	// firstAt and lastAt are the times of the first and of the latest piece of the answer, on the
+	// clock of World.
+	firstAt, lastAt time.Duration
+	pending         []byte
+	err             error // io.EOF or the failure that ended the response
 }
 
-// Ratios and bounds of a routed dispatch.
+// Timeouts, factors and limits of an attempt for a routed request.
 const (
-	connectSpan = 150 * time.Millisecond
-	unheardSpan = 2 * time.Second
-	silentSpan  = 100 * time.Millisecond
-	mostMissed  = 4
-	// muteTimes is how many times overdue a request must be at a replica against which nothing
-	// but its silence speaks.
-	muteTimes = 2
-	// vouchedSpan is for how long a replica that was alive is taken to be so.
-	vouchedSpan = 100 * time.Millisecond
-	// declinedSpan is when a request is worth another try that a replica turned away.
-	declinedSpan = 75 * time.Millisecond
-	// gapTimes is how many of the longest timely pauses a resumable stream waits for its
-	// next event before another replica goes on with it.
-	gapTimes = 3
+	connectTimeout       = 150 * time.Millisecond
+	unackedTimeout       = 2 * time.Second
+	silenceCheckInterval = 100 * time.Millisecond
+	maxUnreached         = 4
+	// silentOverdueFactor is by what factor a request must exceed its overdue time at a replica
+	// that is silent but not otherwise suspected of failing.
+	silentOverdueFactor = 2
+	// aliveValidity is how long a replica is assumed to be alive after it was last seen alive.
+	aliveValidity = 100 * time.Millisecond
+	// rejectedRetryDelay is the delay after which a caller may retry a request that a replica
+	// rejected.
+	rejectedRetryDelay = 75 * time.Millisecond
+	// gapFactor is how many times the longest normal gap between events a resumable stream may stay
+	// silent before another replica continues it.
+	gapFactor = 3
 )
 
-// Relay sends a directed request to a replica and gives its answer, at others while
-// that is allowed. The leaver tells when the caller goes away.
-func (executor *Executor) Relay(routed *decide.Routed, ask replica.Ask, leaver *Leaver) (*Passage, *verdict.Mishap) {
-	passage := &Passage{executor: executor, routed: routed, ask: ask, leaver: leaver, avoid: decide.Avoid{}}
-	passage.record = Record{ID: routed.ID, Model: routed.Model, Kind: routed.Route.Name, Began: routed.Came, At: executor.World.Wall()}
-	if mishap := passage.dispatch(); mishap != nil {
-		passage.finish(mishap)
-		if mishap.Verdict == verdict.NotRun {
+// Relay sends a routed request to a replica and returns its answer, retrying at other replicas
+// while that is allowed. The leaver tells whether the caller has disconnected.
+func (executor *Executor) Relay(routed *decide.Routed, request replica.Ask, leaver *Leaver) (*Response, *verdict.Mishap) {
+	response := &Response{executor: executor, routed: routed, request: request, leaver: leaver, avoid: decide.Avoid{}}
+	response.record = Record{ID: routed.ID, Model: routed.Model, Kind: routed.Route.Name, Began: routed.Came, At: executor.World.Wall()}
+	if failure := response.send(); failure != nil {
+		response.finish(failure)
+		if failure.Verdict == verdict.NotRun {
 			executor.Decider.Unran(routed)
 		}
-		return nil, mishap
+		return nil, failure
 	}
-	return passage, nil
+	return response, nil
 }
 
-// dispatch sends the request, or the rest of it, until a replica has begun to answer.
-func (passage *Passage) dispatch() *verdict.Mishap {
-	executor, routed := passage.executor, passage.routed
-	// doubt is the last mishap after which the request has run or may have.
-	var doubt *verdict.Mishap
-	// ended is what the caller is told: that nothing ran only if no dispatch may have.
-	ended := func(mishap *verdict.Mishap) *verdict.Mishap {
-		if mishap.Verdict == verdict.NotRun && doubt != nil {
-			return doubt
+// send sends the request, or the rest of a resumed one, until a replica has begun to answer.
+func (response *Response) send() *verdict.Mishap {
+	executor, routed := response.executor, response.routed
+	// mayHaveRun is the latest failure after which the request ran or may have run.
+	var mayHaveRun *verdict.Mishap
+	// result is the failure that the caller gets: it says that nothing ran only if no attempt can
+	// have run the request.
+	result := func(failure *verdict.Mishap) *verdict.Mishap {
+		if failure.Verdict == verdict.NotRun && mayHaveRun != nil {
+			return mayHaveRun
 		}
-		if (mishap.Code == "replica_declined" || mishap.Code == replica.AnewCode) && mishap.ComeBack == 0 {
-			// The caller's own further try goes elsewhere.
-			again := *mishap
-			again.ComeBack = declinedSpan
-			return &again
+		if (failure.Code == "replica_declined" || failure.Code == replica.AnewCode) && failure.ComeBack == 0 {
+			// A retry by the caller will be routed to another replica.
+			withDelay := *failure
+			withDelay.ComeBack = rejectedRetryDelay
+			return &withDelay
 		}
-		return mishap
+		return failure
 	}
 	for {
-		selection, mishap := executor.Decider.Route(routed, passage.avoid)
-		if mishap != nil {
-			return ended(mishap)
+		selection, failure := executor.Decider.Route(routed, response.avoid)
+		if failure != nil {
+			return result(failure)
 		}
-		if passage.leaver.Gone() {
-			executor.Decider.Unseat(selection, left(verdict.NotRun, nil), 0)
-			return ended(left(verdict.NotRun, nil))
+		if response.leaver.Gone() {
+			executor.Decider.Unseat(selection, callerGone(verdict.NotRun, nil), 0)
+			return result(callerGone(verdict.NotRun, nil))
 		}
-		passage.selection = selection
+		response.selection = selection
 		now := executor.World.Now()
-		ask := &passage.ask
-		ask.Replica, ask.Address, ask.ID = selection.Replica, selection.Address, routed.ID
-		ask.Left, ask.Urgency, ask.Version = routed.Expiry-now, routed.Urgency(), ""
+		request := &response.request
+		request.Replica, request.Address, request.ID = selection.Replica, selection.Address, routed.ID
+		request.Left, request.Urgency, request.Version = routed.Expiry-now, routed.Urgency(), ""
 		if routed.Tenant != nil {
-			ask.Tenant = routed.Tenant.Name
+			request.Tenant = routed.Tenant.Name
 		}
-		ask.Once = !routed.Route.Repeatable()
-		ask.Bind, ask.Connect, ask.Unheard = passage.leaver.Bind, connectSpan, unheardSpan
+		request.Once = !routed.Route.Repeatable()
+		request.Bind, request.Connect, request.Unheard = response.leaver.Bind, connectTimeout, unackedTimeout
 		if selection.Spill {
-			ask.Connect *= 3
+			request.Connect *= 3
 		}
-		// What may not be sent again is lost where the replica has just gone; a new
-		// connection finds that out first, and costs little within the region.
-		// Where the way to another region is in doubt, so does it there.
-		ask.Anew = ask.Once && (selection.Doubted || !selection.Spill && now-selection.Vouched > vouchedSpan)
-		ask.Gate = func() *verdict.Mishap {
-			_, mishap := executor.Decider.Gate(selection)
-			return mishap
+		// A request that must not be sent twice is lost if the replica has just gone away. A new
+		// connection detects that before anything is sent, and costs little within the region. It
+		// is also used for another region if the network path there is in doubt.
+		request.Anew = request.Once && (selection.Doubted || !selection.Spill && now-selection.Vouched > aliveValidity)
+		request.Gate = func() *verdict.Mishap {
+			_, failure := executor.Decider.Gate(selection)
+			return failure
 		}
-		ask.Span, ask.Silent = silentSpan, passage.silent(now)
-		answer, mishap := executor.Relayer.Send(ask)
-		if mishap == nil {
-			passage.sent++
+		request.Span, request.Silent = silenceCheckInterval, response.silenceCheck(now)
+		answer, failure := executor.Relayer.Send(request)
+		if failure == nil {
+			response.sent++
 			var load *decide.Load
 			if answer.HasLoad {
 				load = &decide.Load{Running: answer.Running, Waiting: answer.Waiting, Slots: answer.Slots}
 			}
 			executor.Decider.Heard(selection, load)
-			if mishap := failed(); answer.Status >= 500 && passage.again(mishap) {
+			if failure := replicaFailed(); answer.Status >= 500 && response.takeRetry(failure) {
 				answer.Close()
-				passage.unseat(mishap)
-				passage.avoid[selection.Replica] = true
-				doubt = mishap
+				response.release(failure)
+				response.avoid[selection.Replica] = true
+				mayHaveRun = failure
 				continue
 			}
-			if passage.Head.Status == 0 {
-				passage.Head, passage.Header, passage.Length = answer.Head, answer.Header, answer.Length
+			if response.Head.Status == 0 {
+				response.Head, response.Header, response.Length = answer.Head, answer.Header, answer.Length
 			}
-			passage.answer = answer
+			response.answer = answer
 			return nil
 		}
-		if mishap.Verdict != verdict.NotRun {
-			doubt = mishap
+		if failure.Verdict != verdict.NotRun {
+			mayHaveRun = failure
 		}
-		passage.unseat(mishap)
-		if passage.leaver.Gone() {
-			return ended(left(mishap.Verdict, mishap.Cause))
+		response.release(failure)
+		if response.leaver.Gone() {
+			return result(callerGone(failure.Verdict, failure.Cause))
 		}
-		switch mishap.Code {
+		switch failure.Code {
 		case "moved_on":
-			continue // nothing left this daemon
+			continue // nothing was sent
 		case "no_permit":
-			return ended(mishap)
+			return result(failure)
 		case replica.AnewCode, "replica_unreached":
-			// Nothing ran and, but for one of a former life, nothing arrived. What did is one
-			// more arrival there, and the next one a repeat as any other.
-			passage.avoid[selection.Replica] = true
-			if passage.missed++; passage.missed >= mostMissed || mishap.Code == replica.AnewCode && !executor.Decider.Repeat(routed) {
-				return ended(mishap)
+			// Nothing ran, and nothing arrived except at a replica that has restarted. That request
+			// counts as one more arrival at the replica, and the next attempt as a retry like any
+			// other.
+			response.avoid[selection.Replica] = true
+			if response.unreached++; response.unreached >= maxUnreached || failure.Code == replica.AnewCode && !executor.Decider.Repeat(routed) {
+				return result(failure)
 			}
 			continue
 		}
-		passage.sent++
-		passage.avoid[selection.Replica] = true
-		if !passage.again(mishap) {
-			return ended(mishap)
+		response.sent++
+		response.avoid[selection.Replica] = true
+		if !response.takeRetry(failure) {
+			return result(failure)
 		}
 	}
 }
 
-// Relayer is the client of routed requests.
+// Relayer is the client that sends routed requests to replicas.
 type Relayer interface {
-	Send(ask *replica.Ask) (*replica.Answer, *verdict.Mishap)
+	Send(request *replica.Ask) (*replica.Answer, *verdict.Mishap)
 }
 
-// silent makes what is asked while a replica says nothing: whether to give up waiting.
-func (passage *Passage) silent(since time.Duration) func(bool) bool {
-	selection, route := passage.selection, passage.routed.Route
+// silenceCheck returns the function that is called while a replica sends nothing; it reports
+// whether to stop waiting for the replica.
+func (response *Response) silenceCheck(since time.Duration) func(bool) bool {
+	selection, route := response.selection, response.routed.Route
 	return func(hasBegun bool) bool {
-		now := passage.executor.World.Now()
-		suspicion := passage.executor.Decider.Suspect(selection)
+		now := response.executor.World.Now()
+		suspicion := response.executor.Decider.Suspect(selection)
 		if hasBegun {
-			return route.Resume && route.Gap > 0 && now-passage.heard > gapTimes*route.Gap && passage.mayGoOn()
+			return route.Resume && route.Gap > 0 && now-response.lastAt > gapFactor*route.Gap && response.mayRetry()
 		}
-		if !route.Repeatable() || !passage.mayGoOn() {
+		if !route.Repeatable() || !response.mayRetry() {
 			return false
 		}
-		overdue := passage.executor.Decider.Overdue(selection)
-		return now-since > overdue && (suspicion == decide.Failing || now-since > muteTimes*overdue)
+		overdue := response.executor.Decider.Overdue(selection)
+		return now-since > overdue && (suspicion == decide.Failing || now-since > silentOverdueFactor*overdue)
 	}
 }
 
-// mayGoOn tells whether another replica may be sent the request, budget aside.
-func (passage *Passage) mayGoOn() bool {
-	return passage.sent+1 < passage.routed.Route.Tries && passage.routed.Expiry-passage.executor.World.Now() > 2*connectSpan
+// mayRetry reports whether the request may be sent to another replica, not counting the retry
+// budget.
+func (response *Response) mayRetry() bool {
+	return response.sent+1 < response.routed.Route.Tries && response.routed.Expiry-response.executor.World.Now() > 2*connectTimeout
 }
 
-// again tells whether the request may be sent to another replica after the mishap,
-// and takes that from the budget of retries.
+// takeRetry reports whether the request may be sent to another replica after the failure, and takes
+// the retry from the retry budget.
 //
-// Invariant: one that may have run is sent again only on a route whose requests may
-// run more than once.
-func (passage *Passage) again(mishap *verdict.Mishap) bool {
-	route := passage.routed.Route
-	if mishap.Verdict != verdict.NotRun && !route.Repeatable() || passage.sent >= route.Tries ||
-		passage.routed.Expiry-passage.executor.World.Now() <= 0 || mishap.Code == "expired" {
+// Invariant: a request that may have run is sent again only on a route whose requests may run more
+// than once.
+func (response *Response) takeRetry(failure *verdict.Mishap) bool {
+	route := response.routed.Route
+	if failure.Verdict != verdict.NotRun && !route.Repeatable() || response.sent >= route.Tries ||
+		response.routed.Expiry-response.executor.World.Now() <= 0 || failure.Code == "expired" {
 		return false
 	}
-	return passage.executor.Decider.Repeat(passage.routed)
+	return response.executor.Decider.Repeat(response.routed)
 }
 
-// unseat hands the selection back.
-func (passage *Passage) unseat(mishap *verdict.Mishap) {
-	if passage.selection == nil {
+// release returns the selection to the decider and records the attempt.
+func (response *Response) release(failure *verdict.Mishap) {
+	if response.selection == nil {
 		return
 	}
 	first := time.Duration(0)
-	if passage.first > 0 {
-		first = max(1, passage.first-passage.routed.Came)
+	if response.firstAt > 0 {
+		first = max(1, response.firstAt-response.routed.Came)
 	}
-	selection := passage.selection
-	passage.selection = nil
-	tried := Dispatch{Replica: selection.Replica, Version: selection.Version, Region: selection.Region, Serial: selection.Serial, Trial: selection.Trial, Spill: selection.Spill, Verdict: verdict.Ran.String(), Code: "ok"}
-	if mishap != nil {
-		tried.Verdict, tried.Code = mishap.Verdict.String(), mishap.Code
+	selection := response.selection
+	response.selection = nil
+	attempt := Dispatch{Replica: selection.Replica, Version: selection.Version, Region: selection.Region, Serial: selection.Serial, Trial: selection.Trial, Spill: selection.Spill, Verdict: verdict.Ran.String(), Code: "ok"}
+	if failure != nil {
+		attempt.Verdict, attempt.Code = failure.Verdict.String(), failure.Code
 	}
-	passage.record.Dispatches = append(passage.record.Dispatches, tried)
-	passage.executor.Decider.Unseat(selection, mishap, first)
+	response.record.Dispatches = append(response.record.Dispatches, attempt)
+	response.executor.Decider.Unseat(selection, failure, first)
 }
 
-// Read gives the next bytes of the body.
-func (passage *Passage) Read(buffer []byte) (int, error) {
-	for len(passage.pending) == 0 {
-		if passage.err != nil {
-			return 0, passage.err
+// Read reads the next bytes of the body.
+func (response *Response) Read(buffer []byte) (int, error) {
+	for len(response.pending) == 0 {
+		if response.err != nil {
+			return 0, response.err
 		}
-		passage.next()
+		response.next()
 	}
-	count := copy(buffer, passage.pending)
-	passage.pending = passage.pending[count:]
+	count := copy(buffer, response.pending)
+	response.pending = response.pending[count:]
 	return count, nil
 }
 
-// next takes the next bytes from the replica, or goes on at another one.
-func (passage *Passage) next() {
-	piece, err := passage.answer.Next()
-	now := passage.executor.World.Now()
+// next reads the next piece from the replica, or continues the stream at another replica after a
+// failure.
+func (response *Response) next() {
+	piece, err := response.answer.Next()
+	now := response.executor.World.Now()
 	switch {
 	case err == nil:
-		if passage.first == 0 {
-			passage.first = now
-			passage.record.First = now - passage.routed.Came
+		if response.firstAt == 0 {
+			response.firstAt = now
+			response.record.First = now - response.routed.Came
 		}
-		passage.heard = now
-		passage.executor.Decider.Begun(passage.selection, passage.answer.Status < 500)
-		passage.executor.Decider.Flowed(passage.selection)
-		if passage.Events {
-			passage.record.Events++
+		response.lastAt = now
+		response.executor.Decider.Begun(response.selection, response.answer.Status < 500)
+		response.executor.Decider.Flowed(response.selection)
+		if response.Events {
+			response.record.Events++
 			if id := lastID(piece); id != "" {
-				passage.ask.After = id
+				response.request.After = id
 			}
 		}
-		passage.pending = piece
+		response.pending = piece
 	case errors.Is(err, io.EOF):
-		passage.err = io.EOF
-		passage.answer.Close()
-		if passage.answer.Status >= 500 {
-			// Passed on as it is, and yet a mishap of the replica's.
-			passage.unseat(failed())
+		response.err = io.EOF
+		response.answer.Close()
+		if response.answer.Status >= 500 {
+			// The answer is passed on unchanged, but still counts as a failure of the replica.
+			response.release(replicaFailed())
 		}
-		passage.finish(nil)
+		response.finish(nil)
 	default:
-		passage.answer.Close()
-		mishap := &verdict.Mishap{Verdict: verdict.MayHaveRun, Code: "cut", Message: "the replica's answer was cut", Status: 502, Cause: err}
-		if passage.leaver.Gone() {
-			mishap = left(verdict.MayHaveRun, err)
+		response.answer.Close()
+		failure := &verdict.Mishap{Verdict: verdict.MayHaveRun, Code: "cut", Message: "the replica's answer ended early", Status: 502, Cause: err}
+		if response.leaver.Gone() {
+			failure = callerGone(verdict.MayHaveRun, err)
 		}
-		selection := passage.selection
-		passage.unseat(mishap)
-		// A stream that may be resumed goes on elsewhere behind the last whole event.
-		if !passage.leaver.Gone() && passage.Events && passage.routed.Route.Resume && passage.Status < 300 && passage.again(mishap) {
-			passage.avoid[selection.Replica] = true
-			if passage.dispatch() == nil && passage.sound() {
+		selection := response.selection
+		response.release(failure)
+		// A resumable stream continues at another replica after the last whole event.
+		if !response.leaver.Gone() && response.Events && response.routed.Route.Resume && response.Status < 300 && response.takeRetry(failure) {
+			response.avoid[selection.Replica] = true
+			if response.send() == nil && response.isContinuable() {
 				return
 			}
 		}
-		passage.err = mishap
-		passage.finish(mishap)
+		response.err = failure
+		response.finish(failure)
 	}
 }
 
-// sound tells whether the answer that goes on with a stream may follow what was passed
-// on.
-func (passage *Passage) sound() bool {
-	if status := passage.answer.Status; status >= 200 && status < 300 {
+// isContinuable reports whether the new answer may continue the stream that was passed on so far.
+func (response *Response) isContinuable() bool {
+	if status := response.answer.Status; status >= 200 && status < 300 {
 		return true
 	}
-	passage.answer.Close()
-	passage.unseat(failed())
+	response.answer.Close()
+	response.release(replicaFailed())
 	return false
 }
 
-// failed is the mishap of a replica that answered that it failed.
-func failed() *verdict.Mishap {
-	return &verdict.Mishap{Verdict: verdict.Ran, Code: "replica_failed", Message: "the replica failed", Status: 502}
+// replicaFailed is the failure of a replica that answered with a server error.
+func replicaFailed() *verdict.Mishap {
+	return &verdict.Mishap{Verdict: verdict.Ran, Code: "replica_failed", Message: "the replica failed to serve the request", Status: 502}
 }
 
-// lastID is the id of the last event in the piece.
+// lastID returns the id of the last event in the piece, or "" if it has none.
 func lastID(piece []byte) string {
 	at := bytes.LastIndex(piece, []byte("\nid:"))
 	switch {
@@ -327,26 +332,26 @@
 	return string(bytes.TrimSpace(id))
 }
 
-// Close ends the passage; one that was not read to its end is given up.
-func (passage *Passage) Close() error {
-	if passage.err == nil {
-		passage.err = io.ErrClosedPipe
-		passage.answer.Close()
-		mishap := left(verdict.MayHaveRun, nil)
-		passage.unseat(mishap)
-		passage.finish(mishap)
+// Close ends the response. A response that was not read to its end is ended at its replica.
+func (response *Response) Close() error {
+	if response.err == nil {
+		response.err = io.ErrClosedPipe
+		response.answer.Close()
+		failure := callerGone(verdict.MayHaveRun, nil)
+		response.release(failure)
+		response.finish(failure)
 	}
 	return nil
 }
 
-// finish keeps the record.
-func (passage *Passage) finish(mishap *verdict.Mishap) {
-	passage.unseat(mishap)
-	record := &passage.record
-	record.Took = passage.executor.World.Now() - record.Began
+// finish releases the replica and stores the record of the request.
+func (response *Response) finish(failure *verdict.Mishap) {
+	response.release(failure)
+	record := &response.record
+	record.Took = response.executor.World.Now() - record.Began
 	record.Verdict, record.Code = verdict.Ran.String(), "ok"
-	if mishap != nil {
-		record.Verdict, record.Code = mishap.Verdict.String(), mishap.Code
+	if failure != nil {
+		record.Verdict, record.Code = failure.Verdict.String(), failure.Code
 	}
-	passage.executor.keep(*record)
+	response.executor.addRecord(*record)
 }
--- a/execute/relay_test.go
+++ b/execute/relay_test.go
@@ -20,16 +20,16 @@
 	"swifttiller/verdict"
 )
 
-// reply is what a scripted replica does with one dispatch.
-type reply struct {
-	mishap *verdict.Mishap
-	status int
-	events []string
-	err    error // behind the events; nil for a clean end
+// scriptedReply is how a scripted replica answers one attempt.
+type scriptedReply struct {
+	failure *verdict.Mishap
+	status  int
+	events  []string
+	err     error // returned after the events; nil for a clean end
 }
 
-// Next gives the events in their order.
-func (reply *reply) Next() ([]byte, error) {
+// Next returns the next event.
+func (reply *scriptedReply) Next() ([]byte, error) {
 	if len(reply.events) > 0 {
 		event := reply.events[0]
 		reply.events = reply.events[1:]
@@ -41,32 +41,33 @@
 	return nil, io.EOF
 }
 
-// Close has nothing to end.
-func (*reply) Close() {}
+// Close does nothing: there is no connection to end.
+func (*scriptedReply) Close() {}
 
-// scripted answers dispatches in their order, and notes behind which event each was to
-// go on, and that none went to a replica twice.
-type scripted struct {
-	replies  []*reply
+// scriptedRelayer answers attempts in order. It records the event id after which each attempt was
+// to resume, and how often each replica got the request.
+type scriptedRelayer struct {
+	replies  []*scriptedReply
 	after    []string
 	replicas map[string]int
-	// astray counts dispatches that were not told whose request it is, and its rank.
-	astray int
+	// misattributed counts attempts that carried another tenant or urgency than those of the
+	// request.
+	misattributed int
 }
 
-// Send gives the next reply.
-func (scripted *scripted) Send(ask *replica.Ask) (*replica.Answer, *verdict.Mishap) {
-	if mishap := ask.Gate(); mishap != nil {
-		return nil, mishap
+// Send returns the next scripted reply.
+func (relayer *scriptedRelayer) Send(request *replica.Ask) (*replica.Answer, *verdict.Mishap) {
+	if failure := request.Gate(); failure != nil {
+		return nil, failure
 	}
-	scripted.after = append(scripted.after, ask.After)
-	scripted.replicas[ask.Replica]++
-	if ask.Tenant != "whose" || ask.Urgency != 3 {
-		scripted.astray++
+	relayer.after = append(relayer.after, request.After)
+	relayer.replicas[request.Replica]++
+	if request.Tenant != "whose" || request.Urgency != 3 {
+		relayer.misattributed++
 	}
-	next := scripted.replies[min(len(scripted.after), len(scripted.replies))-1]
-	if next.mishap != nil {
-		return nil, next.mishap
+	next := relayer.replies[min(len(relayer.after), len(relayer.replies))-1]
+	if next.failure != nil {
+		return nil, next.failure
 	}
 	return &replica.Answer{Head: replica.Head{Status: next.status, Events: true}, Header: &fasthttp.ResponseHeader{}, Length: -1, Source: next}, nil
 }
@@ -78,11 +79,12 @@
 	return list
 }
 
-// answered stands for no mishap at all.
-const answered = verdict.Verdict(99)
+// succeeded stands for the absence of a failure.
+const succeeded = verdict.Verdict(99)
 
-// stage is a data daemon with so many replicas, and demand that pays for twenty repeats.
-func stage(t *testing.T, replicas int) (loop.World, *decide.Decider, func() *permit.View) {
+// newDaemon makes the decider of a data daemon with the given number of replicas, after 100
+// requests, whose retry budget allows 20 retries.
+func newDaemon(t *testing.T, replicas int) (loop.World, *decide.Decider, func() *permit.View) {
 	t.Helper()
 	tree, problems := settings.Parse([]byte(`{"whole":{"placements":{"m":{"version":"any","capacity":64}}},"engines":{"m":{"probe_path":"/vitals","berths":64}},
  "routes":[{"name":"r","host":"h.example","prefix":"/resumed/","kind":"streamed","timeout_ms":10000,"target_ms":1000,"tries":3,"resume":true,"shares":[{"model":"m","weight":1}]},
@@ -92,13 +94,13 @@
 	if len(problems) > 0 {
 		t.Fatal(problems)
 	}
-	place := standing.Standing{Region: "a"}
+	table := standing.Standing{Region: "a"}
 	for index := range replicas {
 		id := fmt.Sprint("i-", index)
-		place.Places = append(place.Places, standing.Place{ID: id, Address: id, Zone: "a-1", Region: "a", Boot: id, Capacity: 64, Whole: 64, Warm: 1})
-		place.Rows = append(place.Rows, standing.Row{Replica: id, Model: "m", Version: "v1"})
+		table.Places = append(table.Places, standing.Place{ID: id, Address: id, Zone: "a-1", Region: "a", Boot: id, Capacity: 64, Whole: 64, Warm: 1})
+		table.Rows = append(table.Rows, standing.Row{Replica: id, Model: "m", Version: "v1"})
 	}
-	view := &permit.View{Serial: 1, Tree: tree, Expiry: loop.Forever, Evacuated: map[string]bool{}, Standings: map[string]standing.Standing{"a": place}}
+	view := &permit.View{Serial: 1, Tree: tree, Expiry: loop.Forever, Evacuated: map[string]bool{}, Standings: map[string]standing.Standing{"a": table}}
 	world := loop.NewMachine()
 	holder := func() *permit.View { return view }
 	decider := decide.New(decide.Options{World: world, Holder: holder, Self: session.Member{Name: "x", Role: session.Data, Region: "a", Zone: "a-1"}})
@@ -108,100 +110,103 @@
 	return world, decider, holder
 }
 
-// TestPassages: what a caller is told of a routed request, by what its dispatches met.
+// TestPassages checks the outcome that the caller gets for a routed request, by what its attempts
+// met: in particular that "not run" is reported only if no attempt may have run the request, that a
+// resumed stream has each event once, and that no replica gets a request twice.
 func TestPassages(t *testing.T) {
 	cut := &verdict.Mishap{Verdict: verdict.MayHaveRun, Code: "replica_cut", Status: 502}
 	silent := &verdict.Mishap{Verdict: verdict.MayHaveRun, Code: "replica_silent", Status: 502}
 	unreached := &verdict.Mishap{Verdict: verdict.NotRun, Code: "replica_unreached", Status: 503}
-	declined := &verdict.Mishap{Verdict: verdict.NotRun, Code: "replica_declined", Status: 503}
-	broken := errors.New("cut")
-	for _, one := range []struct {
+	rejected := &verdict.Mishap{Verdict: verdict.NotRun, Code: "replica_declined", Status: 503}
+	errBroken := errors.New("cut")
+	for _, test := range []struct {
 		name       string
 		path       string
-		replies    []*reply
-		verdict    verdict.Verdict // of a mishap, unless status is that of an answer
+		replies    []*scriptedReply
+		verdict    verdict.Verdict // of the failure; succeeded if status is that of an answer
 		status     int
-		text       string
+		body       string
 		isCut      bool
-		dispatches []string // behind which event each was to go on
+		dispatches []string // the event id after which each attempt was to resume
 	}{
-		{"whole", "/resumed/", []*reply{{status: 200, events: events(1, 3)}}, answered, 200, "123", false, []string{""}},
-		{"cut, and nobody else can be reached", "/resumed/", []*reply{{mishap: cut}, {mishap: unreached}}, verdict.MayHaveRun, 502, "", false, []string{"", "", "", "", ""}},
-		{"silent, and turned away elsewhere", "/resumed/", []*reply{{mishap: silent}, {mishap: declined}}, verdict.MayHaveRun, 502, "", false, []string{"", "", ""}},
-		{"failed, and nobody else can be reached", "/resumed/", []*reply{{status: 500}, {mishap: unreached}}, verdict.Ran, 502, "", false, []string{"", "", "", "", ""}},
-		{"failed, and whole elsewhere", "/resumed/", []*reply{{status: 500}, {status: 200, events: events(1, 2)}}, answered, 200, "12", false, []string{"", ""}},
-		{"turned away everywhere", "/resumed/", []*reply{{mishap: declined}}, verdict.NotRun, 503, "", false, []string{"", "", ""}},
-		{"goes on elsewhere", "/resumed/", []*reply{{status: 200, events: events(1, 2), err: broken}, {status: 200, events: events(3, 5)}}, answered, 200, "12345", false, []string{"", "2"}},
-		{"goes on elsewhere and is cut there, thrice", "/resumed/", []*reply{{status: 200, events: events(1, 2), err: broken}, {status: 200, events: events(3, 3), err: broken}, {status: 200, events: events(4, 4), err: broken}}, answered, 200, "1234", true, []string{"", "2", "3"}},
-		{"fails where it was to go on", "/resumed/", []*reply{{status: 200, events: events(1, 2), err: broken}, {status: 404, events: events(9, 9)}}, answered, 200, "12", true, []string{"", "2"}},
-		{"cut and not to be repeated", "/once/", []*reply{{mishap: cut}}, verdict.MayHaveRun, 502, "", false, []string{""}},
-		{"broken off and not to be repeated", "/once/", []*reply{{status: 200, events: events(1, 2), err: broken}}, answered, 200, "12", true, []string{""}},
-		{"turned away, then whole, not to be repeated", "/once/", []*reply{{mishap: declined}, {status: 200, events: events(1, 1)}}, answered, 200, "1", false, []string{"", ""}},
-		{"failed and not to be repeated", "/once/", []*reply{{status: 500}}, answered, 500, "", false, []string{""}},
+		{"whole", "/resumed/", []*scriptedReply{{status: 200, events: events(1, 3)}}, succeeded, 200, "123", false, []string{""}},
+		{"cut, and nobody else can be reached", "/resumed/", []*scriptedReply{{failure: cut}, {failure: unreached}}, verdict.MayHaveRun, 502, "", false, []string{"", "", "", "", ""}},
+		{"silent, and turned away elsewhere", "/resumed/", []*scriptedReply{{failure: silent}, {failure: rejected}}, verdict.MayHaveRun, 502, "", false, []string{"", "", ""}},
+		{"failed, and nobody else can be reached", "/resumed/", []*scriptedReply{{status: 500}, {failure: unreached}}, verdict.Ran, 502, "", false, []string{"", "", "", "", ""}},
+		{"failed, and whole elsewhere", "/resumed/", []*scriptedReply{{status: 500}, {status: 200, events: events(1, 2)}}, succeeded, 200, "12", false, []string{"", ""}},
+		{"turned away everywhere", "/resumed/", []*scriptedReply{{failure: rejected}}, verdict.NotRun, 503, "", false, []string{"", "", ""}},
+		{"goes on elsewhere", "/resumed/", []*scriptedReply{{status: 200, events: events(1, 2), err: errBroken}, {status: 200, events: events(3, 5)}}, succeeded, 200, "12345", false, []string{"", "2"}},
+		{"goes on elsewhere and is cut there, thrice", "/resumed/", []*scriptedReply{{status: 200, events: events(1, 2), err: errBroken}, {status: 200, events: events(3, 3), err: errBroken}, {status: 200, events: events(4, 4), err: errBroken}}, succeeded, 200, "1234", true, []string{"", "2", "3"}},
+		{"fails where it was to go on", "/resumed/", []*scriptedReply{{status: 200, events: events(1, 2), err: errBroken}, {status: 404, events: events(9, 9)}}, succeeded, 200, "12", true, []string{"", "2"}},
+		{"cut and not to be repeated", "/once/", []*scriptedReply{{failure: cut}}, verdict.MayHaveRun, 502, "", false, []string{""}},
+		{"broken off and not to be repeated", "/once/", []*scriptedReply{{status: 200, events: events(1, 2), err: errBroken}}, succeeded, 200, "12", true, []string{""}},
+		{"turned away, then whole, not to be repeated", "/once/", []*scriptedReply{{failure: rejected}, {status: 200, events: events(1, 1)}}, succeeded, 200, "1", false, []string{"", ""}},
+		{"failed and not to be repeated", "/once/", []*scriptedReply{{status: 500}}, succeeded, 500, "", false, []string{""}},
 	} {
-		t.Run(one.name, func(t *testing.T) {
-			world, decider, holder := stage(t, 9)
-			script := &scripted{replies: one.replies, replicas: map[string]int{}}
+		t.Run(test.name, func(t *testing.T) {
+			world, decider, holder := newDaemon(t, 9)
+			script := &scriptedRelayer{replies: test.replies, replicas: map[string]int{}}
 			executor := &execute.Executor{Options: execute.Options{World: world, Decider: decider, Relayer: script, Holder: holder}}
-			routed := &decide.Routed{ID: "q", Host: "h.example", Key: "k", Path: one.path + "x", Expiry: world.Now() + time.Minute}
-			if mishap := decider.Direct(routed); mishap != nil {
-				t.Fatal(mishap.Code)
+			routed := &decide.Routed{ID: "q", Host: "h.example", Key: "k", Path: test.path + "x", Expiry: world.Now() + time.Minute}
+			if failure := decider.Direct(routed); failure != nil {
+				t.Fatal(failure.Code)
 			}
-			passage, mishap := executor.Relay(routed, replica.Ask{}, &execute.Leaver{})
+			response, failure := executor.Relay(routed, replica.Ask{}, &execute.Leaver{})
 			switch {
-			case mishap != nil && (one.verdict == answered || mishap.Verdict != one.verdict || mishap.Status != one.status):
-				t.Errorf("told %v %s %d", mishap.Verdict, mishap.Code, mishap.Status)
-			case mishap == nil && one.verdict != answered:
-				t.Errorf("answered %d", passage.Status)
-			case mishap == nil:
-				text, err := io.ReadAll(passage)
+			case failure != nil && (test.verdict == succeeded || failure.Verdict != test.verdict || failure.Status != test.status):
+				t.Errorf("caller got verdict %v, code %s, status %d", failure.Verdict, failure.Code, failure.Status)
+			case failure == nil && test.verdict != succeeded:
+				t.Errorf("got an answer with status %d, want a failure", response.Status)
+			case failure == nil:
+				body, err := io.ReadAll(response)
 				want := ""
-				for _, number := range one.text {
+				for _, number := range test.body {
 					want += fmt.Sprintf("id: %c\ndata: x\n\n", number)
 				}
-				if string(text) != want || (err != nil) != one.isCut || passage.Status != one.status {
-					t.Errorf("status %d, got %q, %v", passage.Status, text, err)
+				if string(body) != want || (err != nil) != test.isCut || response.Status != test.status {
+					t.Errorf("got status %d, body %q, error %v", response.Status, body, err)
 				}
-				_ = passage.Close()
+				_ = response.Close()
 			}
-			if fmt.Sprint(script.after) != fmt.Sprint(one.dispatches) {
-				t.Errorf("dispatched behind %q", script.after)
+			if fmt.Sprint(script.after) != fmt.Sprint(test.dispatches) {
+				t.Errorf("attempts resumed after events %q", script.after)
 			}
 			for id, count := range script.replicas {
 				if count > 1 {
-					t.Errorf("%s got it %d times", id, count)
+					t.Errorf("replica %s got the request %d times", id, count)
 				}
 			}
-			if script.astray > 0 {
-				t.Errorf("%d dispatches name another tenant or rank", script.astray)
+			if script.misattributed > 0 {
+				t.Errorf("%d attempts carry another tenant or urgency", script.misattributed)
 			}
 			if decider.Running() != 0 {
-				t.Errorf("%d still run", decider.Running())
+				t.Errorf("%d requests still count as running", decider.Running())
 			}
 		})
 	}
 }
 
-// TestArrivalsAtFormerLives: a request that a replica turns away, as it has begun another
-// life, arrived there all the same; what is sent on then draws on the budget of repeats.
+// TestArrivalsAtFormerLives checks that attempts which are rejected because the replica has
+// restarted since it was selected draw on the retry budget: each of them arrived at a replica and
+// is load there.
 func TestArrivalsAtFormerLives(t *testing.T) {
-	const asked, paid = 100, 20
-	world, decider, holder := stage(t, 1000)
-	anew := &verdict.Mishap{Verdict: verdict.NotRun, Code: replica.AnewCode, Status: 503}
-	script := &scripted{replies: []*reply{{mishap: anew}}, replicas: map[string]int{}}
+	const requests, budgeted = 100, 20
+	world, decider, holder := newDaemon(t, 1000)
+	restarted := &verdict.Mishap{Verdict: verdict.NotRun, Code: replica.AnewCode, Status: 503}
+	script := &scriptedRelayer{replies: []*scriptedReply{{failure: restarted}}, replicas: map[string]int{}}
 	executor := &execute.Executor{Options: execute.Options{World: world, Decider: decider, Relayer: script, Holder: holder}}
-	for index := range asked {
+	for index := range requests {
 		routed := &decide.Routed{ID: fmt.Sprint("q", index), Host: "h.example", Key: "k", Path: "/once/x", Expiry: world.Now() + time.Minute}
-		if mishap := decider.Direct(routed); mishap != nil {
-			t.Fatal(mishap.Code)
+		if failure := decider.Direct(routed); failure != nil {
+			t.Fatal(failure.Code)
 		}
-		_, mishap := executor.Relay(routed, replica.Ask{}, &execute.Leaver{})
-		if mishap == nil || mishap.Verdict != verdict.NotRun || mishap.ComeBack <= 0 {
-			t.Fatalf("told %+v", mishap)
+		_, failure := executor.Relay(routed, replica.Ask{}, &execute.Leaver{})
+		if failure == nil || failure.Verdict != verdict.NotRun || failure.ComeBack <= 0 {
+			t.Fatalf("caller got %+v", failure)
 		}
 	}
-	// A fifth of these and of those before.
-	if again := len(script.after) - asked; again > paid+asked/5 || again < paid {
-		t.Errorf("retries: %d of %d arrivals are repeats, for %d requests", again, len(script.after), 5*paid+asked)
+	// The budget is a fifth of these requests and of those before.
+	if retries := len(script.after) - requests; retries > budgeted+requests/5 || retries < budgeted {
+		t.Errorf("retries: %d of %d arrivals are repeats, for %d requests", retries, len(script.after), 5*budgeted+requests)
 	}
 }
