--- a/replica/relay.go
+++ b/replica/relay.go
@@ -19,268 +19,271 @@
 	"swifttiller/verdict"
 )
 
-// Field is one header of a message.
+// Field is one header field of a request.
 type Field struct{ Name, Value []byte }
 
-// Ask is a routed request on its way to a replica. What the caller sent is passed on
-// byte by byte.
+// Ask is a routed request that is sent to a replica. What the caller sent is forwarded byte for
+// byte.
 type Ask struct {
-	// Replica is the life of the replica that it is meant for; no other runs it.
+	// Replica is the id of the replica process that is to run the request; no other may run it.
 	Replica, Address string
 	ID               string
 	Method, Host     []byte
 	URI              []byte
 	Header           []Field
 	Body             []byte
-	// Left is how long the caller still waits; the replica stops its work then.
+	// Left is how long the caller still waits. The replica stops its work after that.
 	Left time.Duration
-	// Urgency is the rank, 0 first. After is the id of the last event that the caller
-	// has, empty from the beginning. Version, if set, is the only one that may run it.
+	// Urgency is the priority class, 0 being the most urgent. After is the id of the last event
+	// that the caller has received, empty if the answer is to start at its beginning. Version, if
+	// set, is the only model version that may run the request.
 	Urgency int
 	After   string
 	Version string
-	// Tenant is whose request it is, as the replica is told; empty for nobody's.
+	// Tenant is the name of the tenant that the replica is told; empty if the request has none.
 	Tenant string
-	// Once tells that it may not be sent again after a mishap.
+	// Once is true if the request must not be sent again after a failure.
 	Once bool
-	// Anew tells that it shall go on a new connection, as only that shows beforehand
+	// Anew is true if the request must use a new connection, as only connecting shows in advance
 	// whether the replica is there.
 	Anew bool
-	// Gate is asked at the last moment before bytes go out.
+	// Gate is called right before the first byte is sent, and may still reject the request.
 	Gate func() *verdict.Mishap
-	// Bind, if set, is told how to abort from outside; nil when nothing is under way.
+	// Bind, if set, is called with the function that aborts the request from outside, and with nil
+	// when nothing is running any more.
 	Bind func(abort func())
-	// Connect bounds how long a new connection may take, Unheard how long sent bytes
-	// may stay without the other machine's word of them.
+	// Connect is the timeout for a new connection, Unheard how long sent bytes may stay without a
+	// TCP acknowledgement.
 	Connect, Unheard time.Duration
-	// Silent, if set, is asked whenever the replica has said nothing for another Span,
-	// and whether the answer has begun; true gives the request up there.
+	// Silent, if set, is called each time the replica has sent nothing for another Span, with
+	// whether the answer has begun. If it returns true, the request is given up.
 	Silent func(hasBegun bool) bool
 	Span   time.Duration
 }
 
-// ErrSilent is how a request ends that was given up at a silent replica.
+// ErrSilent is the error of a request that was given up because its replica was silent.
 var ErrSilent = errors.New("the replica is silent")
 
-// Head is the beginning of a replica's answer, as a dialect reads it.
+// Head is the head of a replica's answer, as decoded by a Dialect.
 type Head struct {
 	Status int
-	// Foreign answers belong to another request, and are passed over.
+	// Foreign is true for an answer to another request, which is skipped.
 	Foreign bool
-	// NotRun is the replica's own word that it did not run the request; Elsewhere that
-	// another replica has its address by now.
+	// NotRun is true if the replica states that it did not run the request, Elsewhere if another
+	// replica now has its address.
 	NotRun, Elsewhere bool
-	// Unsound says why the answer is none that may be passed on; empty when it may.
+	// Unsound says why the answer is invalid and must not be passed on; empty if it is valid.
 	Unsound string
-	// Running, Waiting and Slots are the replica's load, if HasLoad.
+	// Running, Waiting and Slots are the load that the replica reports, if HasLoad.
 	HasLoad                 bool
 	Running, Waiting, Slots int
-	// Keep is how long the replica keeps the connection, zero when it does not say.
+	// Keep is how long the replica keeps the connection open; zero if it does not say.
 	Keep   time.Duration
-	Events bool // the body is a stream of events
+	Events bool // the body is an event stream
 }
 
-// Dialect puts routed requests into a protocol's words, and reads its answers. It
-// translates and decides nothing.
+// Dialect encodes routed requests in a protocol and decodes the answers. It only translates and
+// takes no decisions.
 type Dialect interface {
-	// Write fills in what goes to the replica.
-	Write(ask *Ask, into *fasthttp.Request)
-	// Read reads the head of an answer to the ask.
-	Read(ask *Ask, answer *fasthttp.Response) Head
-	// Probe asks a replica how it does; the error is Anew where another one answers at its
-	// address, so that its life is over.
-	Probe(target Target, patience time.Duration) (Vitals, error)
+	// Write fills in the HTTP request for the replica.
+	Write(request *Ask, httpRequest *fasthttp.Request)
+	// Read decodes the head of the answer to a request.
+	Read(request *Ask, httpResponse *fasthttp.Response) Head
+	// Probe checks the health of a replica. The error is Anew if another replica answers at its
+	// address, which means that this one has ended.
+	Probe(target Target, timeout time.Duration) (Vitals, error)
 }
 
-// Target is a replica to be probed.
+// Target is a replica that is to be probed.
 type Target struct {
 	ID, Address, Path string
 }
 
-// Relay sends routed requests to replicas over connections that are kept.
+// Relay sends routed requests to replicas over pooled connections.
 //
-// Invariants: a connection lies in idle only if every answer on it so far ended
-// cleanly and was read to its end. One that has carried a request whose answer did not
-// end so is closed, so that late bytes reach nobody.
+// Invariants: a connection is in idle only if every answer on it so far ended cleanly and was read
+// to its end. A connection whose request did not end like that is closed, so that its late bytes
+// reach nobody.
 type Relay struct {
 	World   loop.World
 	Dialect Dialect
-	guard   sync.Mutex
-	idle    map[string][]*line
-	// ages bound how old idle connections may get, by address, where replicas were seen
-	// to drop them; wary is until when all replicas are taken to, for requests that may
-	// be sent once only.
-	ages map[string]age
-	wary time.Duration
-	// Opened counts new connections.
+	mu      sync.Mutex
+	idle    map[string][]*connection
+	// idleLimits holds, by address, how long a connection may be idle where replicas were seen to
+	// drop idle ones. Until cautiousUntil, all replicas are assumed to drop idle connections, for
+	// requests that must be sent only once.
+	idleLimits    map[string]idleLimit
+	cautiousUntil time.Duration
+	// Opened counts the new connections.
 	Opened uint64
 }
 
-// Source is where an answer's bytes come from. Next gives what can be passed on, whole
-// events where it is a stream of them, valid until the next call; io.EOF comes only
-// after a clean end of the whole body, any other error means that it was cut. Close may
-// be called at any time, and ends the request at its replica if it is under way.
+// Source supplies the bytes of an answer. Next returns what can be passed on, whole events in the
+// case of an event stream, valid until the next call. It returns io.EOF only after a clean end of
+// the whole body; any other error means that the answer was cut off. Close may be called at any
+// time, and ends the request at its replica if it is still running.
 type Source interface {
 	Next() ([]byte, error)
 	Close()
 }
 
-// Answer is an answer under way.
+// Answer is an answer that is being received.
 type Answer struct {
 	Head
 	Header *fasthttp.ResponseHeader
-	// Length is that of the body, below zero when it is not told beforehand.
+	// Length is the length of the body, negative if it is not known in advance.
 	Length int
 	Source
 }
 
-// reading is an answer that is read off a connection.
-type reading struct {
-	events  bool
-	keep    time.Duration
-	relay   *Relay
-	line    *line
-	answer  *fasthttp.Response // its buffers stay in use until the end
-	ask     *Ask
-	expiry  time.Duration
-	body    io.Reader
-	buffer  []byte
-	held    []byte // the beginning of an event that is not whole yet
-	ended   bool
-	closing bool
-	closed  sync.Once
+// answerReader reads an answer from a connection.
+type answerReader struct {
+	events       bool
+	keep         time.Duration
+	relay        *Relay
+	conn         *connection
+	httpResponse *fasthttp.Response // kept because its buffers stay in use until the end
+	request      *Ask
+	deadline     time.Duration
+	body         io.Reader
+	buffer       []byte
+	partial      []byte // start of an event that is not complete yet
+	ended        bool
+	mustClose    bool
+	closed       sync.Once
 }
 
-// isDropped tells whether the other side ended a connection, and not this daemon.
-func isDropped(err error) bool {
+// isPeerClosed reports whether the error means that the peer closed the connection, rather than
+// this daemon.
+func isPeerClosed(err error) bool {
 	return errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE) || errors.Is(err, io.EOF)
 }
 
-// idleSince is when the connection was last used; zero for none.
-func (one *line) idleSince() time.Duration {
-	if one == nil {
+// lastUse returns when the connection was last used; zero for nil.
+func (conn *connection) lastUse() time.Duration {
+	if conn == nil {
 		return 0
 	}
-	return one.since
+	return conn.lastUsed
 }
 
-// age is how old an idle connection may get, which is forgotten at a time.
-type age struct{ most, until time.Duration }
+// idleLimit is how long a connection may be idle, and when this limit is forgotten.
+type idleLimit struct{ limit, forgetAt time.Duration }
 
-// Bounds of what is learned from an idle connection that was dropped without notice.
+// Limits of what is learned from an idle connection that the replica dropped without notice.
 const (
-	leastAge    = 50 * time.Millisecond
-	leastIdle   = 200 * time.Millisecond
-	wariestAge  = time.Second
-	droppedSpan = 20 * time.Second
-	warySpan    = 5 * time.Second
-	// droppedSoon is how fast what was sent on one is answered by a reset.
-	droppedSoon = 250 * time.Millisecond
+	minIdleLimit      = 50 * time.Millisecond
+	minLearnedIdle    = 200 * time.Millisecond
+	cautiousIdleLimit = time.Second
+	idleLimitLifetime = 20 * time.Second
+	cautiousPeriod    = 5 * time.Second
+	// resetWithin is within what time a dropped connection answers a request with a reset.
+	resetWithin = 250 * time.Millisecond
 )
 
-// isFresh tells whether the connection was used so short a while ago that the request
-// may go on it; who holds the guard calls it.
-func (relay *Relay) isFresh(ask *Ask, one *line, now time.Duration) bool {
-	bound := relay.ages[ask.Address]
-	most := one.until
-	if now < bound.until {
-		most = min(most, one.since+bound.most)
+// isReusable reports whether the connection was used recently enough to send the request on it. The
+// caller holds mu.
+func (relay *Relay) isReusable(request *Ask, conn *connection, now time.Duration) bool {
+	learned := relay.idleLimits[request.Address]
+	reuseUntil := conn.expiresAt
+	if now < learned.forgetAt {
+		reuseUntil = min(reuseUntil, conn.lastUsed+learned.limit)
 	}
-	if ask.Once && now < relay.wary {
-		most = min(most, one.since+wariestAge)
+	if request.Once && now < relay.cautiousUntil {
+		reuseUntil = min(reuseUntil, conn.lastUsed+cautiousIdleLimit)
 	}
-	return now < most
+	return now < reuseUntil
 }
 
-// dropped learns that a replica had dropped a connection after it was idle for so long.
-func (relay *Relay) dropped(address string, idle time.Duration) {
-	if idle < leastIdle {
-		return // something else ended it
+// noteDropped records that a replica dropped a connection that had been idle for the given time.
+func (relay *Relay) noteDropped(address string, idle time.Duration) {
+	if idle < minLearnedIdle {
+		return // idleness was not the cause
 	}
 	now := relay.World.Now()
-	relay.guard.Lock()
-	defer relay.guard.Unlock()
-	if relay.ages == nil {
-		relay.ages = map[string]age{}
+	relay.mu.Lock()
+	defer relay.mu.Unlock()
+	if relay.idleLimits == nil {
+		relay.idleLimits = map[string]idleLimit{}
 	}
-	most := max(leastAge, idle/2)
-	if before := relay.ages[address]; now < before.until {
-		most = min(most, before.most)
+	limit := max(minIdleLimit, idle/2)
+	if previous := relay.idleLimits[address]; now < previous.forgetAt {
+		limit = min(limit, previous.limit)
 	}
-	relay.ages[address] = age{most, now + droppedSpan}
-	relay.wary = now + warySpan
+	relay.idleLimits[address] = idleLimit{limit, now + idleLimitLifetime}
+	relay.cautiousUntil = now + cautiousPeriod
 }
 
-// idleRoutedMost bounds how many connections wait per replica.
-const idleRoutedMost = 32
+// maxIdleRouted limits the idle connections per replica.
+const maxIdleRouted = 32
 
-func (relay *Relay) take(ask *Ask) (*line, bool, error) {
+func (relay *Relay) acquire(request *Ask) (*connection, bool, error) {
 	now := relay.World.Now()
 	for {
-		relay.guard.Lock()
-		list := relay.idle[ask.Address]
-		if len(list) == 0 {
-			relay.guard.Unlock()
+		relay.mu.Lock()
+		idle := relay.idle[request.Address]
+		if len(idle) == 0 {
+			relay.mu.Unlock()
 			break
 		}
-		last := list[len(list)-1]
-		relay.idle[ask.Address] = list[:len(list)-1]
-		isFresh := relay.isFresh(ask, last, now)
-		relay.guard.Unlock()
-		if ask.Anew {
-			last.Close() // in its place
+		conn := idle[len(idle)-1]
+		relay.idle[request.Address] = idle[:len(idle)-1]
+		isReusable := relay.isReusable(request, conn, now)
+		relay.mu.Unlock()
+		if request.Anew {
+			conn.Close() // the new connection takes its place
 			break
 		}
-		if isFresh && last.boot == ask.Replica && last.alive() {
-			return last, true, nil
+		if isReusable && conn.boot == request.Replica && conn.isOpen() {
+			return conn, true, nil
 		}
-		last.Close()
+		conn.Close()
 	}
-	dialer := net.Dialer{Timeout: ask.Connect, KeepAlive: -1, Control: func(_, _ string, raw syscall.RawConn) error {
+	dialer := net.Dialer{Timeout: request.Connect, KeepAlive: -1, Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(descriptor uintptr) {
-			_ = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(ask.Unheard/time.Millisecond))
+			_ = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(request.Unheard/time.Millisecond))
 		})
 	}}
-	conn, err := dialer.Dial("tcp", ask.Address)
+	tcpConn, err := dialer.Dial("tcp", request.Address)
 	if err != nil {
 		return nil, false, err
 	}
-	relay.guard.Lock()
+	relay.mu.Lock()
 	relay.Opened++
-	relay.guard.Unlock()
-	return &line{Conn: conn, reader: bufio.NewReaderSize(conn, 4<<10), boot: ask.Replica}, false, nil
+	relay.mu.Unlock()
+	return &connection{Conn: tcpConn, reader: bufio.NewReaderSize(tcpConn, 4<<10), boot: request.Replica}, false, nil
 }
 
-func (relay *Relay) give(address string, one *line, keep time.Duration) {
+func (relay *Relay) putIdle(address string, conn *connection, keep time.Duration) {
 	now := relay.World.Now()
 	if keep <= 0 {
-		keep = idleSpan
+		keep = maxIdleTime
 	}
-	one.since, one.until = now, now+keep*3/4
-	relay.guard.Lock()
-	defer relay.guard.Unlock()
+	conn.lastUsed, conn.expiresAt = now, now+keep*3/4
+	relay.mu.Lock()
+	defer relay.mu.Unlock()
 	if relay.idle == nil {
-		relay.idle = map[string][]*line{}
+		relay.idle = map[string][]*connection{}
 	}
-	if len(relay.idle[address]) >= idleRoutedMost {
-		one.Close()
+	if len(relay.idle[address]) >= maxIdleRouted {
+		conn.Close()
 		return
 	}
-	relay.idle[address] = append(relay.idle[address], one)
+	relay.idle[address] = append(relay.idle[address], conn)
 }
 
 // Sweep closes connections that have been idle for too long.
 func (relay *Relay) Sweep() {
 	now := relay.World.Now()
-	relay.guard.Lock()
-	defer relay.guard.Unlock()
+	relay.mu.Lock()
+	defer relay.mu.Unlock()
 	for address, list := range relay.idle {
 		kept := list[:0]
-		for _, one := range list {
-			if now < one.until {
-				kept = append(kept, one)
+		for _, conn := range list {
+			if now < conn.expiresAt {
+				kept = append(kept, conn)
 			} else {
-				one.Close()
+				conn.Close()
 			}
 		}
 		if len(kept) == 0 {
@@ -291,191 +294,194 @@
 	}
 }
 
-var writers = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, 4<<10) }}
+var writerPool = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, 4<<10) }}
 
-// Send sends the request and waits for the head of its answer. A mishap of NotRun
-// means that no replica has run it, or will.
-func (relay *Relay) Send(ask *Ask) (*Answer, *verdict.Mishap) {
-	one, isOld, err := relay.take(ask)
-	idle := relay.World.Now() - one.idleSince()
+// Send sends the request and waits for the head of its answer. A failure with verdict NotRun means
+// that no replica has run the request or will run it.
+func (relay *Relay) Send(request *Ask) (*Answer, *verdict.Mishap) {
+	conn, reused, err := relay.acquire(request)
+	idle := relay.World.Now() - conn.lastUse()
 	if err != nil {
-		return nil, &verdict.Mishap{Verdict: verdict.NotRun, Code: "replica_unreached", Message: "the replica can't be reached", Status: 503, Cause: err}
+		return nil, &verdict.Mishap{Verdict: verdict.NotRun, Code: "replica_unreached", Message: "the replica cannot be reached", Status: 503, Cause: err}
 	}
-	if mishap := ask.Gate(); mishap != nil {
-		relay.give(ask.Address, one, 0)
-		return nil, mishap
+	if failure := request.Gate(); failure != nil {
+		relay.putIdle(request.Address, conn, 0)
+		return nil, failure
 	}
-	if ask.Bind != nil {
-		ask.Bind(func() { one.Close() })
+	if request.Bind != nil {
+		request.Bind(func() { conn.Close() })
 	}
-	request := fasthttp.AcquireRequest()
-	defer fasthttp.ReleaseRequest(request)
-	relay.Dialect.Write(ask, request)
-	_ = one.SetDeadline(time.Now().Add(ask.Left))
-	cut := func(code string, err error) (*Answer, *verdict.Mishap) {
-		if ask.Bind != nil {
-			ask.Bind(nil)
+	httpRequest := fasthttp.AcquireRequest()
+	defer fasthttp.ReleaseRequest(httpRequest)
+	relay.Dialect.Write(request, httpRequest)
+	_ = conn.SetDeadline(time.Now().Add(request.Left))
+	mayHaveRun := func(code string, err error) (*Answer, *verdict.Mishap) {
+		if request.Bind != nil {
+			request.Bind(nil)
 		}
-		one.Close()
+		conn.Close()
 		return nil, &verdict.Mishap{Verdict: verdict.MayHaveRun, Code: code, Message: "the replica may have run the request", Status: 502, Cause: err}
 	}
-	writer := writers.Get().(*bufio.Writer)
-	writer.Reset(one)
-	err = request.Write(writer)
+	writer := writerPool.Get().(*bufio.Writer)
+	writer.Reset(conn)
+	err = httpRequest.Write(writer)
 	if err == nil {
 		err = writer.Flush()
 	}
 	writer.Reset(nil)
-	writers.Put(writer)
+	writerPool.Put(writer)
 	if err != nil {
-		if isOld && isDropped(err) {
-			relay.dropped(ask.Address, idle)
+		if reused && isPeerClosed(err) {
+			relay.noteDropped(request.Address, idle)
 		}
-		return cut("replica_cut", err)
+		return mayHaveRun("replica_cut", err)
 	}
 	sent := relay.World.Now()
-	expiry := sent + ask.Left
-	for passed := 0; ; passed++ {
-		if err := relay.wait(ask, one, expiry, false); err != nil {
+	deadline := sent + request.Left
+	for skipped := 0; ; skipped++ {
+		if err := relay.waitReadable(request, conn, deadline, false); err != nil {
 			switch {
 			case errors.Is(err, ErrSilent):
-				return cut("replica_silent", err)
+				return mayHaveRun("replica_silent", err)
 			case isExpired(err):
-				return cut("expired", err)
+				return mayHaveRun("expired", err)
 			}
-			if isOld && isDropped(err) && passed == 0 && relay.World.Now()-sent < droppedSoon {
-				// No replica gives up a request that fast: the connection was gone.
-				relay.dropped(ask.Address, idle)
+			if reused && isPeerClosed(err) && skipped == 0 && relay.World.Now()-sent < resetWithin {
+				// No replica gives up a request that fast, so the connection had already been
+				// closed.
+				relay.noteDropped(request.Address, idle)
 			}
-			return cut("replica_cut", err)
+			return mayHaveRun("replica_cut", err)
 		}
-		answer := &fasthttp.Response{StreamBody: true}
-		if err := answer.ReadLimitBody(one.reader, 0); err != nil {
+		httpResponse := &fasthttp.Response{StreamBody: true}
+		if err := httpResponse.ReadLimitBody(conn.reader, 0); err != nil {
 			if isExpired(err) {
-				return cut("expired", err)
+				return mayHaveRun("expired", err)
 			}
-			return cut("replica_cut", err)
+			return mayHaveRun("replica_cut", err)
 		}
-		head := relay.Dialect.Read(ask, answer)
-		stream, hasBody := answer.BodyStream(), true
-		if stream == nil || answer.Header.ContentLength() == 0 {
+		head := relay.Dialect.Read(request, httpResponse)
+		stream, hasBody := httpResponse.BodyStream(), true
+		if stream == nil || httpResponse.Header.ContentLength() == 0 {
 			stream, hasBody = bytes.NewReader(nil), false
 		}
 		if head.Foreign {
-			// A second answer to an earlier request, in the place of this one's.
-			if _, err := io.Copy(io.Discard, stream); err != nil || passed >= 2 {
-				return cut("replica_garbled", err)
+			// A duplicate answer to an earlier request came before the answer to this one.
+			if _, err := io.Copy(io.Discard, stream); err != nil || skipped >= 2 {
+				return mayHaveRun("replica_garbled", err)
 			}
 			continue
 		}
-		body := &reading{events: head.Events, keep: head.Keep, relay: relay, line: one, answer: answer, ask: ask, expiry: expiry, body: stream, ended: !hasBody, closing: answer.ConnectionClose()}
-		out := &Answer{Head: head, Header: &answer.Header, Length: answer.Header.ContentLength(), Source: body}
+		body := &answerReader{events: head.Events, keep: head.Keep, relay: relay, conn: conn, httpResponse: httpResponse, request: request, deadline: deadline, body: stream, ended: !hasBody, mustClose: httpResponse.ConnectionClose()}
+		result := &Answer{Head: head, Header: &httpResponse.Header, Length: httpResponse.Header.ContentLength(), Source: body}
 		if head.Unsound != "" {
-			out.Close()
-			return nil, &verdict.Mishap{Verdict: verdict.MayHaveRun, Code: "replica_garbled", Message: "the replica's answer is no answer: " + head.Unsound, Status: 502}
+			result.Close()
+			return nil, &verdict.Mishap{Verdict: verdict.MayHaveRun, Code: "replica_garbled", Message: "the replica sent an invalid answer: " + head.Unsound, Status: 502}
 		}
 		if head.NotRun || head.Elsewhere {
 			if _, err := io.Copy(io.Discard, io.LimitReader(body.body, 64<<10)); err == nil {
 				body.ended = true
 			}
-			out.Close()
+			result.Close()
 			if head.Elsewhere {
 				return nil, Anew()
 			}
 			return nil, &verdict.Mishap{Verdict: verdict.NotRun, Code: "replica_declined", Message: fmt.Sprintf("the replica answered %d without running it", head.Status), Status: 503}
 		}
-		return out, nil
+		return result, nil
 	}
 }
 
-// wait waits for a byte to be there, asking now and then whether to go on.
-func (relay *Relay) wait(ask *Ask, one *line, expiry time.Duration, hasBegun bool) error {
-	for one.reader.Buffered() == 0 {
-		left := expiry - relay.World.Now()
-		if left <= 0 {
+// waitReadable waits until a byte can be read, and calls request.Silent after each Span without
+// one.
+func (relay *Relay) waitReadable(request *Ask, conn *connection, deadline time.Duration, hasBegun bool) error {
+	for conn.reader.Buffered() == 0 {
+		remaining := deadline - relay.World.Now()
+		if remaining <= 0 {
 			return os.ErrDeadlineExceeded
 		}
-		if ask.Silent != nil && ask.Span > 0 {
-			left = min(left, ask.Span)
+		if request.Silent != nil && request.Span > 0 {
+			remaining = min(remaining, request.Span)
 		}
-		_ = one.SetReadDeadline(time.Now().Add(left))
-		if _, err := one.reader.Peek(1); err == nil {
+		_ = conn.SetReadDeadline(time.Now().Add(remaining))
+		if _, err := conn.reader.Peek(1); err == nil {
 			break
 		} else if !isExpired(err) {
 			return err
 		}
-		if ask.Silent != nil && ask.Silent(hasBegun) {
+		if request.Silent != nil && request.Silent(hasBegun) {
 			return ErrSilent
 		}
 	}
-	_ = one.SetReadDeadline(time.Now().Add(expiry - relay.World.Now()))
+	_ = conn.SetReadDeadline(time.Now().Add(deadline - relay.World.Now()))
 	return nil
 }
 
-// isExpired tells whether the caller's own time ended a call.
+// isExpired reports whether an error means that the deadline set by this process has passed. A
+// timeout by the kernel (ETIMEDOUT) does not count.
 func isExpired(err error) bool {
-	var trouble net.Error
-	return errors.As(err, &trouble) && trouble.Timeout() && !errors.Is(err, syscall.ETIMEDOUT)
+	var netErr net.Error
+	return errors.As(err, &netErr) && netErr.Timeout() && !errors.Is(err, syscall.ETIMEDOUT)
 }
 
-// Next gives the next bytes to pass on. They are valid until the next call.
-func (reading *reading) Next() ([]byte, error) {
-	if reading.buffer == nil {
-		reading.buffer = make([]byte, 2<<10)
+// Next returns the next bytes to pass on. They are valid until the next call.
+func (reader *answerReader) Next() ([]byte, error) {
+	if reader.buffer == nil {
+		reader.buffer = make([]byte, 2<<10)
 	}
 	for {
-		if reading.ended {
-			if len(reading.held) > 0 {
-				return nil, ErrCut // the body ended within an event
+		if reader.ended {
+			if len(reader.partial) > 0 {
+				return nil, ErrCut // the body ended in the middle of an event
 			}
 			return nil, io.EOF
 		}
-		if err := reading.relay.wait(reading.ask, reading.line, reading.expiry, true); err != nil {
+		if err := reader.relay.waitReadable(reader.request, reader.conn, reader.deadline, true); err != nil {
 			if errors.Is(err, io.EOF) {
 				err = io.ErrUnexpectedEOF
 			}
 			return nil, fmt.Errorf("%w: %w", ErrCut, err)
 		}
-		count, err := reading.body.Read(reading.buffer)
+		count, err := reader.body.Read(reader.buffer)
 		if err == io.EOF {
-			reading.ended = true
+			reader.ended = true
 		} else if err != nil {
 			return nil, fmt.Errorf("%w: %v", ErrCut, err)
 		}
 		if count == 0 {
 			continue
 		}
-		if !reading.events {
-			return reading.buffer[:count], nil
+		if !reader.events {
+			return reader.buffer[:count], nil
 		}
-		whole := reading.buffer[:count]
-		if len(reading.held) > 0 {
-			whole = append(reading.held, whole...)
+		received := reader.buffer[:count]
+		if len(reader.partial) > 0 {
+			received = append(reader.partial, received...)
 		}
-		end := bytes.LastIndex(whole, []byte("\n\n"))
-		if at := bytes.LastIndex(whole, []byte("\r\n\r\n")); at >= 0 && at+2 > end {
+		end := bytes.LastIndex(received, []byte("\n\n"))
+		if at := bytes.LastIndex(received, []byte("\r\n\r\n")); at >= 0 && at+2 > end {
 			end = at + 2
 		}
 		if end < 0 {
-			reading.held = append([]byte{}, whole...)
+			reader.partial = append([]byte{}, received...)
 			continue
 		}
-		reading.held = append([]byte{}, whole[end+2:]...)
-		return whole[:end+2], nil
+		reader.partial = append([]byte{}, received[end+2:]...)
+		return received[:end+2], nil
 	}
 }
 
-// Close ends the answer. The connection is kept only after a clean end.
-func (reading *reading) Close() {
-	reading.closed.Do(func() {
-		if reading.ask.Bind != nil {
-			reading.ask.Bind(nil)
+// Close ends the answer. The connection is reused only after a clean end.
+func (reader *answerReader) Close() {
+	reader.closed.Do(func() {
+		if reader.request.Bind != nil {
+			reader.request.Bind(nil)
 		}
-		if reading.ended && !reading.closing && len(reading.held) == 0 && reading.line.reader.Buffered() == 0 {
-			_ = reading.line.SetDeadline(time.Time{})
-			reading.relay.give(reading.ask.Address, reading.line, reading.keep)
+		if reader.ended && !reader.mustClose && len(reader.partial) == 0 && reader.conn.reader.Buffered() == 0 {
+			_ = reader.conn.SetDeadline(time.Time{})
+			reader.relay.putIdle(reader.request.Address, reader.conn, reader.keep)
 			return
 		}
-		reading.line.Close()
+		reader.conn.Close()
 	})
 }
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -1,5 +1,5 @@
-// Package replica is the client of the outside world's replicas: streamed
-// completions, probes and orders, over HTTP/1.1 with JSON.
+// Package replica is the client for the replicas that run models: streamed completions, health
+// probes and orders over HTTP/1.1 with JSON.
 package replica
 
 import (
@@ -23,46 +23,46 @@
 	"swifttiller/verdict"
 )
 
-// Request is one dispatch.
+// Request is one attempt at a replica.
 type Request struct {
 	Replica, Address string
 	Path             string
 	Body             []byte
 	Model, Version   string
 	Kind, Home, ID   string
-	// Gate is asked at the last moment before bytes go out. It gives the serial
-	// of the configuration that the dispatch is made under.
+	// Gate is called right before the first byte is sent, and may still reject the attempt. It
+	// returns the version of the configuration under which the attempt is made.
 	Gate func() (uint64, *verdict.Mishap)
-	// Bind, if set, is told how to abort the dispatch from outside.
+	// Bind, if set, is called with the function that aborts the attempt from outside.
 	Bind func(abort func())
-	// Patience bounds the whole dispatch, Stall the silence within it.
+	// Patience is the timeout of the whole attempt, Stall that of each wait for bytes within it.
 	Patience, Stall time.Duration
-	// Boot is the life of the replica that the dispatch is meant for, and Greet how
-	// long a new connection may take to tell whose it is.
+	// Boot is the boot id of the replica process that the attempt is meant for, and Greet the
+	// timeout for learning the boot id behind a new connection.
 	Boot  string
 	Greet time.Duration
 }
 
-// AnewCode is the mishap of a dispatch whose replica has begun another life than
-// the one that it was meant for. Nothing was sent.
+// AnewCode is the code of the failure of an attempt whose replica has restarted, so that another
+// process than the intended one is reached. Nothing was sent.
 const AnewCode = "replica_anew"
 
-// Anew is that mishap.
+// Anew returns the failure with the code AnewCode.
 func Anew() *verdict.Mishap {
-	return verdict.Decline(503, AnewCode, "the replica has begun anew since it was last seen", 0)
+	return verdict.Decline(503, AnewCode, "the replica has restarted since it was last seen", 0)
 }
 
-// Stream is an answer under way. Next gives whole events; io.EOF comes only
-// after the terminal event and a clean end of the body. Any other error means
-// that the answer was cut. Close may be called at any time, once.
+// Stream is an answer that is being received. Next returns whole events, and io.EOF only after the
+// terminal event and a clean end of the body. Any other error means that the answer was cut off.
+// Close may be called at any time, once.
 type Stream interface {
 	Next() ([]byte, error)
 	Close()
 }
 
-// Order tells a replica which state a version shall be in. ID names the order:
-// a replica that has carried it out does nothing more. Fence is the serial of
-// the duty that gives it; a replica heeds none below the highest it has seen.
+// Order tells a replica which state a model version is to be in. ID identifies the order: a replica
+// that has carried it out ignores a repeated one. Fence is the fencing token, the term of the
+// leader that gives the order; a replica ignores orders with a token below the highest it has seen.
 type Order struct {
 	ID      string `json:"order"`
 	Fence   uint64 `json:"fence"`
@@ -71,316 +71,320 @@
 	State   string `json:"state"`
 }
 
-// States that an order can ask for.
+// States that an order can request.
 const (
 	Load    = "ready"
 	Standby = "standby"
 	Drop    = "gone"
 )
 
-// Vitals is a replica's answer to a probe. Load is below zero when it reports
-// none.
+// Vitals is the health that a replica reports in reply to a probe. Load is negative if the replica
+// reports none.
 type Vitals struct {
 	Boot    string
 	Leaving bool
 	Held    map[string]string
 	Load    float64
-	// Cold is how much longer the replica stays cold, if it says so.
+	// Cold is how much longer the replica stays cold, if it reports that.
 	Cold time.Duration
-	// Ill tells that it answered, and said that it is not well.
+	// Ill is true if the replica replied that it is unhealthy.
 	Ill bool
-	// Declined tells that it turned the probe away for want of a place, and said no more.
+	// Declined is true if the replica rejected the probe for lack of capacity and reported nothing
+	// else.
 	Declined bool
 }
 
-// Client is what the product knows of replicas.
+// Client is the interface through which the daemons use replicas.
 type Client interface {
 	Dispatch(request Request) (Stream, *verdict.Mishap)
-	Probe(address string, patience time.Duration) (Vitals, error)
-	// Order returns a RateLimited error when asked to come back later, and a
-	// Rejected one when asking again can't help.
-	Order(address string, order Order, patience time.Duration) error
+	Probe(address string, timeout time.Duration) (Vitals, error)
+	// Order returns a RateLimited error if it is to be retried later, and a Rejected error if a
+	// retry cannot help.
+	Order(address string, order Order, timeout time.Duration) error
 }
 
-// RateLimited says when to come back.
+// RateLimited is the error of a call that may be retried after ComeBack.
 type RateLimited struct{ ComeBack time.Duration }
 
-// Error is one line.
+// Error implements error.
 func (limited *RateLimited) Error() string {
-	return "asked to come back in " + limited.ComeBack.String()
+	return "rate limited; retry in " + limited.ComeBack.String()
 }
 
-// Rejected is a final answer.
+// Rejected is the error of a call that must not be retried.
 type Rejected struct{ Reason string }
 
-// Error is one line.
+// Error implements error.
 func (rejected *Rejected) Error() string { return "rejected: " + rejected.Reason }
 
-// Name is what a replica calls a version of a model.
+// Name returns the name under which replicas know a version of a model.
 func Name(model, version string) string { return model + "@" + version }
 
-// Rename puts the replica's name of the version in place of the body's model,
-// touching nothing else.
+// Rename replaces the value of the body's model field by the name and leaves every other byte
+// unchanged. It returns false if there is no such field.
 func Rename(body []byte, name string) ([]byte, bool) {
-	found := gjson.GetBytes(body, "model")
-	if !found.Exists() || found.Index == 0 {
+	model := gjson.GetBytes(body, "model")
+	if !model.Exists() || model.Index == 0 {
 		return nil, false
 	}
 	quoted, _ := json.Marshal(name)
-	out := make([]byte, 0, len(body)+len(quoted))
-	out = append(out, body[:found.Index]...)
-	out = append(out, quoted...)
-	return append(out, body[found.Index+len(found.Raw):]...), true
+	renamed := make([]byte, 0, len(body)+len(quoted))
+	renamed = append(renamed, body[:model.Index]...)
+	renamed = append(renamed, quoted...)
+	return append(renamed, body[model.Index+len(model.Raw):]...), true
 }
 
-// HTTP is the real client.
+// HTTP is the Client that talks to replicas over HTTP.
 //
-// Invariants: a connection lies in idle only if every answer on it so far ended
-// cleanly and was read to its end. It was told at its beginning which life of the
-// replica it leads to; as it ends with that life, a request on it goes to no other.
+// Invariants: a connection is in idle only if every answer on it so far ended cleanly and was read
+// to its end. Each connection learned from its first answer the boot id of the replica process
+// behind it. As the connection ends with that process, a request sent on it cannot reach another
+// one.
 type HTTP struct {
 	World loop.World
-	guard sync.Mutex
-	idle  map[string][]*line
+	mu    sync.Mutex
+	idle  map[string][]*connection
 }
 
-type line struct {
+type connection struct {
 	net.Conn
-	reader *bufio.Reader
-	since  time.Duration
-	until  time.Duration // of a relay's: when it is too old to be used
-	boot   string
+	reader    *bufio.Reader
+	lastUsed  time.Duration
+	expiresAt time.Duration // used by Relay: when the connection is too old for reuse
+	boot      string
 }
 
-// idleMost bounds how long and how many connections wait per replica.
+// maxIdle limits the idle connections per replica, and maxIdleTime how long each is kept.
 const (
-	idleMost = 64
-	idleSpan = 3 * time.Second
+	maxIdle     = 64
+	maxIdleTime = 3 * time.Second
 )
 
-func (client *HTTP) take(address string, patience time.Duration) (*line, bool, error) {
+func (client *HTTP) acquire(address string, timeout time.Duration) (*connection, bool, error) {
 	now := client.World.Now()
-	client.guard.Lock()
-	for list := client.idle[address]; len(list) > 0; list = client.idle[address] {
-		last := list[len(list)-1]
-		client.idle[address] = list[:len(list)-1]
-		if now-last.since < idleSpan {
-			client.guard.Unlock()
-			return last, true, nil
+	client.mu.Lock()
+	for idle := client.idle[address]; len(idle) > 0; idle = client.idle[address] {
+		conn := idle[len(idle)-1]
+		client.idle[address] = idle[:len(idle)-1]
+		if now-conn.lastUsed < maxIdleTime {
+			client.mu.Unlock()
+			return conn, true, nil
 		}
-		last.Close()
+		conn.Close()
 	}
-	client.guard.Unlock()
-	fresh, err := dial(address, patience)
+	client.mu.Unlock()
+	fresh, err := dial(address, timeout)
 	return fresh, false, err
 }
 
-// greet asks over a new connection whose it is.
-func (client *HTTP) greet(request Request, one *line) (*line, error) {
-	patience := min(request.Patience, request.Greet)
-	ask, answer := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
-	defer fasthttp.ReleaseRequest(ask)
-	defer fasthttp.ReleaseResponse(answer)
-	ask.SetRequestURI("http://" + request.Address + "/health")
-	_ = one.SetDeadline(time.Now().Add(patience))
-	writer := bufio.NewWriter(one)
-	err := ask.Write(writer)
+// identify asks the replica for its boot id over a new connection. If the replica closes the
+// connection after the answer, the returned connection is a fresh one that is assumed to lead to
+// the same process.
+func (client *HTTP) identify(request Request, conn *connection) (*connection, error) {
+	timeout := min(request.Patience, request.Greet)
+	httpRequest, httpResponse := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseRequest(httpRequest)
+	defer fasthttp.ReleaseResponse(httpResponse)
+	httpRequest.SetRequestURI("http://" + request.Address + "/health")
+	_ = conn.SetDeadline(time.Now().Add(timeout))
+	writer := bufio.NewWriter(conn)
+	err := httpRequest.Write(writer)
 	if err == nil {
 		err = writer.Flush()
 	}
 	if err == nil {
-		err = answer.ReadLimitBody(one.reader, 1<<20)
+		err = httpResponse.ReadLimitBody(conn.reader, 1<<20)
 	}
-	if err == nil && answer.StatusCode() != fasthttp.StatusOK {
-		err = fmt.Errorf("the probe was answered %d", answer.StatusCode())
+	if err == nil && httpResponse.StatusCode() != fasthttp.StatusOK {
+		err = fmt.Errorf("probe got status %d", httpResponse.StatusCode())
 	}
-	var vitals Vitals
+	var health Vitals
 	if err == nil {
-		vitals, err = ReadVitals(answer.Body())
-	}
-	if err == nil && answer.ConnectionClose() {
-		// One that keeps no connection open after a probe has told whose it is, a
-		// moment ago.
-		one.Close()
-		var fresh *line
-		if fresh, err = dial(request.Address, patience); err == nil {
-			one = fresh
+		health, err = ReadVitals(httpResponse.Body())
+	}
+	if err == nil && httpResponse.ConnectionClose() {
+		// This replica keeps no connection open after a probe. The process behind the fresh
+		// connection is the one that reported its boot id a moment ago.
+		conn.Close()
+		var fresh *connection
+		if fresh, err = dial(request.Address, timeout); err == nil {
+			conn = fresh
 		}
 	}
 	if err != nil {
-		one.Close()
+		conn.Close()
 		return nil, err
 	}
-	one.boot = vitals.Boot
-	return one, nil
+	conn.boot = health.Boot
+	return conn, nil
 }
 
-func dial(address string, patience time.Duration) (*line, error) {
-	conn, err := net.DialTimeout("tcp", address, min(patience, time.Second))
+func dial(address string, timeout time.Duration) (*connection, error) {
+	conn, err := net.DialTimeout("tcp", address, min(timeout, time.Second))
 	if err != nil {
 		return nil, err
 	}
-	return &line{Conn: conn, reader: bufio.NewReaderSize(conn, 16<<10)}, nil
+	return &connection{Conn: conn, reader: bufio.NewReaderSize(conn, 16<<10)}, nil
 }
 
-func (client *HTTP) give(address string, one *line) {
-	client.guard.Lock()
-	defer client.guard.Unlock()
+func (client *HTTP) putIdle(address string, conn *connection) {
+	client.mu.Lock()
+	defer client.mu.Unlock()
 	if client.idle == nil {
-		client.idle = map[string][]*line{}
+		client.idle = map[string][]*connection{}
 	}
-	if len(client.idle[address]) >= idleMost {
-		one.Close()
+	if len(client.idle[address]) >= maxIdle {
+		conn.Close()
 		return
 	}
-	one.since = client.World.Now()
-	_ = one.SetDeadline(time.Time{})
-	client.idle[address] = append(client.idle[address], one)
+	conn.lastUsed = client.World.Now()
+	_ = conn.SetDeadline(time.Time{})
+	client.idle[address] = append(client.idle[address], conn)
 }
 
-// alive tells whether an idle connection is still open with nothing on it, so
-// that a request is not written into a closed one and left in doubt. The kernel is
-// asked itself: a read with a deadline that is over by then would not look at all.
-func (one *line) alive() bool {
-	inner, hasSocket := one.Conn.(syscall.Conn)
-	if !hasSocket || one.reader.Buffered() > 0 {
+// isOpen reports whether an idle connection is still open and has no unread bytes, so that a
+// request is not written to a closed connection and its outcome left unknown. It asks the kernel
+// directly: a read with a deadline that has passed would not look at the socket at all.
+func (conn *connection) isOpen() bool {
+	inner, hasSocket := conn.Conn.(syscall.Conn)
+	if !hasSocket || conn.reader.Buffered() > 0 {
 		return false
 	}
 	socket, err := inner.SyscallConn()
 	if err != nil {
 		return false
 	}
-	isOpen := false
+	isQuiet := false
 	err = socket.Read(func(descriptor uintptr) bool {
 		_, _, err := unix.Recvfrom(int(descriptor), make([]byte, 1), unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		isOpen = err == unix.EAGAIN
+		isQuiet = err == unix.EAGAIN
 		return true
 	})
-	return err == nil && isOpen
+	return err == nil && isQuiet
 }
 
 // Dispatch sends a request and waits for the head of its answer.
 func (client *HTTP) Dispatch(request Request) (Stream, *verdict.Mishap) {
-	var one *line
-	for one == nil {
-		got, old, err := client.take(request.Address, request.Patience)
-		if err == nil && !old {
-			got, err = client.greet(request, got)
+	var conn *connection
+	for conn == nil {
+		candidate, reused, err := client.acquire(request.Address, request.Patience)
+		if err == nil && !reused {
+			candidate, err = client.identify(request, candidate)
 		}
 		if err != nil {
-			return nil, &verdict.Mishap{Verdict: verdict.NotRun, Code: "replica_unreached", Message: "the replica can't be reached", Status: 502, Cause: err}
+			return nil, &verdict.Mishap{Verdict: verdict.NotRun, Code: "replica_unreached", Message: "the replica cannot be reached", Status: 502, Cause: err}
 		}
-		if old && !got.alive() {
-			got.Close()
+		if reused && !candidate.isOpen() {
+			candidate.Close()
 			continue
 		}
-		one = got
+		conn = candidate
 	}
-	if one.boot != request.Boot {
-		client.give(request.Address, one)
+	if conn.boot != request.Boot {
+		client.putIdle(request.Address, conn)
 		return nil, Anew()
 	}
-	ask := fasthttp.AcquireRequest()
-	defer fasthttp.ReleaseRequest(ask)
-	ask.Header.SetMethod(fasthttp.MethodPost)
-	ask.SetRequestURI("http://" + request.Address + request.Path)
-	ask.Header.SetContentType("application/json")
-	ask.Header.Set("Swifttiller-Request-Id", request.ID)
-	ask.Header.Set("Swifttiller-Kind", request.Kind)
+	httpRequest := fasthttp.AcquireRequest()
+	defer fasthttp.ReleaseRequest(httpRequest)
+	httpRequest.Header.SetMethod(fasthttp.MethodPost)
+	httpRequest.SetRequestURI("http://" + request.Address + request.Path)
+	httpRequest.Header.SetContentType("application/json")
+	httpRequest.Header.Set("Swifttiller-Request-Id", request.ID)
+	httpRequest.Header.Set("Swifttiller-Kind", request.Kind)
 	if request.Home != "" {
-		ask.Header.Set("Swifttiller-Home", request.Home)
-	}
-	ask.SetBodyRaw(request.Body)
-	expiry := time.Now().Add(request.Patience)
-	_ = one.SetDeadline(earlier(expiry, request.Stall))
-	// Nothing of the request has left yet.
-	serial, mishap := request.Gate()
-	if mishap != nil {
-		one.Close()
-		return nil, mishap
-	}
-	ask.Header.Set("Swifttiller-Serial", strconv.FormatUint(serial, 10))
-	doubt := func(code string, err error) (Stream, *verdict.Mishap) {
-		one.Close()
+		httpRequest.Header.Set("Swifttiller-Home", request.Home)
+	}
+	httpRequest.SetBodyRaw(request.Body)
+	deadline := time.Now().Add(request.Patience)
+	_ = conn.SetDeadline(earlierDeadline(deadline, request.Stall))
+	// No byte of the request has been sent yet.
+	serial, failure := request.Gate()
+	if failure != nil {
+		conn.Close()
+		return nil, failure
+	}
+	httpRequest.Header.Set("Swifttiller-Serial", strconv.FormatUint(serial, 10))
+	mayHaveRun := func(code string, err error) (Stream, *verdict.Mishap) {
+		conn.Close()
 		return nil, &verdict.Mishap{Verdict: verdict.MayHaveRun, Code: code, Message: "the replica may have run the request", Status: 502, Cause: err}
 	}
 	if request.Bind != nil {
-		request.Bind(func() { one.Close() })
+		request.Bind(func() { conn.Close() })
 	}
-	writer := bufio.NewWriterSize(one, 32<<10)
-	if err := ask.Write(writer); err != nil {
-		return doubt("replica_cut", err)
+	writer := bufio.NewWriterSize(conn, 32<<10)
+	if err := httpRequest.Write(writer); err != nil {
+		return mayHaveRun("replica_cut", err)
 	}
 	if err := writer.Flush(); err != nil {
-		return doubt("replica_cut", err)
+		return mayHaveRun("replica_cut", err)
 	}
-	answer := &fasthttp.Response{StreamBody: true}
-	if err := answer.ReadLimitBody(one.reader, 0); err != nil {
-		return doubt("replica_cut", err)
+	httpResponse := &fasthttp.Response{StreamBody: true}
+	if err := httpResponse.ReadLimitBody(conn.reader, 0); err != nil {
+		return mayHaveRun("replica_cut", err)
 	}
-	if status := answer.StatusCode(); status != fasthttp.StatusOK {
-		body, _ := io.ReadAll(io.LimitReader(answer.BodyStream(), 64<<10))
-		one.Close()
-		return nil, Answered(status, string(answer.Header.Peek("Retry-After")), body)
+	if status := httpResponse.StatusCode(); status != fasthttp.StatusOK {
+		body, _ := io.ReadAll(io.LimitReader(httpResponse.BodyStream(), 64<<10))
+		conn.Close()
+		return nil, Answered(status, string(httpResponse.Header.Peek("Retry-After")), body)
 	}
-	return &stream{client: client, line: one, answer: answer, request: request, expiry: expiry}, nil
+	return &stream{client: client, conn: conn, answer: httpResponse, request: request, deadline: deadline}, nil
 }
 
-// Answered turns a replica's error answer into a mishap. 429 and 503 are the
-// replica's own word that it did not take the request.
+// Answered converts an error answer of a replica to a failure. With status 429 or 503 the replica
+// states that it did not accept the request.
 func Answered(status int, retryAfter string, body []byte) *verdict.Mishap {
-	mishap := &verdict.Mishap{Verdict: verdict.Ran, Code: "replica_failed", Status: 502, Message: fmt.Sprintf("the replica answered %d: %s", status, message(body))}
+	failure := &verdict.Mishap{Verdict: verdict.Ran, Code: "replica_failed", Status: 502, Message: fmt.Sprintf("the replica answered %d: %s", status, errorMessage(body))}
 	switch status {
 	case 429, 503:
-		mishap.Verdict, mishap.Code, mishap.Status = verdict.NotRun, "replica_declined", 503
+		failure.Verdict, failure.Code, failure.Status = verdict.NotRun, "replica_declined", 503
 		if seconds, err := strconv.Atoi(retryAfter); err == nil {
-			mishap.ComeBack = time.Duration(seconds) * time.Second
+			failure.ComeBack = time.Duration(seconds) * time.Second
 		} else if status == 429 {
-			mishap.ComeBack = time.Second
+			failure.ComeBack = time.Second
 		}
 	case 400, 404, 413, 422:
-		mishap.Verdict, mishap.Code, mishap.Status = verdict.NotRun, "replica_rejected", status
+		failure.Verdict, failure.Code, failure.Status = verdict.NotRun, "replica_rejected", status
 	}
-	return mishap
+	return failure
 }
 
-func message(body []byte) string {
+func errorMessage(body []byte) string {
 	if text := gjson.GetBytes(body, "error.message"); text.Exists() {
 		return text.String()
 	}
 	return string(body[:min(len(body), 200)])
 }
 
-func earlier(expiry time.Time, stall time.Duration) time.Time {
+func earlierDeadline(deadline time.Time, stall time.Duration) time.Time {
 	if stall <= 0 {
-		return expiry
+		return deadline
 	}
-	if at := time.Now().Add(stall); at.Before(expiry) {
-		return at
+	if stallDeadline := time.Now().Add(stall); stallDeadline.Before(deadline) {
+		return stallDeadline
 	}
-	return expiry
+	return deadline
 }
 
-// stream cuts the body into events.
+// stream splits the body of an answer into events.
 type stream struct {
-	client  *HTTP
-	line    *line
-	answer  *fasthttp.Response
-	request Request
-	expiry  time.Time
-	pending []byte
-	done    bool // the terminal event was seen
-	ended   bool // the body ended cleanly
-	guard   sync.Mutex
-	closed  bool
+	client   *HTTP
+	conn     *connection
+	answer   *fasthttp.Response
+	request  Request
+	deadline time.Time
+	pending  []byte
+	done     bool // the terminal event was read
+	ended    bool // the body ended cleanly
+	mu       sync.Mutex
+	closed   bool
 }
 
-// ErrCut is an answer that ended before its terminal event.
-var ErrCut = errors.New("the answer was cut")
+// ErrCut is the error of an answer that ended before its terminal event.
+var ErrCut = errors.New("the answer ended early")
 
-var terminal = []byte("data: [DONE]")
+var terminalPrefix = []byte("data: [DONE]")
 
-// Split takes one whole event off the front of the bytes.
+// Split removes one whole event from the front of pending. The event is nil if pending holds none.
 func Split(pending []byte) (event, rest []byte) {
 	end, width := bytes.Index(pending, []byte("\n\n")), 2
 	if crlf := bytes.Index(pending, []byte("\r\n\r\n")); crlf >= 0 && (end < 0 || crlf < end) {
@@ -392,14 +396,14 @@
 	return pending[:end+width], pending[end+width:]
 }
 
-// Terminal tells whether the event is the last of an answer.
-func Terminal(event []byte) bool { return bytes.HasPrefix(bytes.TrimSpace(event), terminal) }
+// Terminal reports whether the event is the terminal event of an answer.
+func Terminal(event []byte) bool { return bytes.HasPrefix(bytes.TrimSpace(event), terminalPrefix) }
 
 func (stream *stream) Next() ([]byte, error) {
 	buffer := make([]byte, 8<<10)
 	for {
 		if stream.done && len(stream.pending) > 0 {
-			return nil, io.EOF // what stands behind the end is nobody's; see Close
+			return nil, io.EOF // bytes after the terminal event belong to no answer; Close drops the connection
 		}
 		if event, rest := Split(stream.pending); event != nil {
 			stream.pending = rest
@@ -412,7 +416,7 @@
 			}
 			return nil, ErrCut
 		}
-		_ = stream.line.SetReadDeadline(earlier(stream.expiry, stream.request.Stall))
+		_ = stream.conn.SetReadDeadline(earlierDeadline(stream.deadline, stream.request.Stall))
 		count, err := stream.answer.BodyStream().Read(buffer)
 		stream.pending = append(stream.pending[:len(stream.pending):len(stream.pending)], buffer[:count]...)
 		if err == io.EOF {
@@ -424,79 +428,79 @@
 }
 
 func (stream *stream) Close() {
-	stream.guard.Lock()
-	defer stream.guard.Unlock()
+	stream.mu.Lock()
+	defer stream.mu.Unlock()
 	if stream.closed {
 		return
 	}
 	stream.closed = true
-	clean := stream.ended && stream.done && len(stream.pending) == 0 && !stream.answer.ConnectionClose()
-	if clean {
-		stream.client.give(stream.request.Address, stream.line)
+	isReusable := stream.ended && stream.done && len(stream.pending) == 0 && !stream.answer.ConnectionClose()
+	if isReusable {
+		stream.client.putIdle(stream.request.Address, stream.conn)
 		return
 	}
-	stream.line.Close()
+	stream.conn.Close()
 }
 
-// do makes a small call with a whole answer.
-func (client *HTTP) do(method, address, path string, body []byte, patience time.Duration) (int, string, []byte, error) {
-	ask, answer := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
-	defer fasthttp.ReleaseRequest(ask)
-	defer fasthttp.ReleaseResponse(answer)
-	ask.Header.SetMethod(method)
-	ask.SetRequestURI("http://" + address + path)
+// call makes a short request and returns status, Retry-After and body of the answer.
+func (client *HTTP) call(method, address, path string, body []byte, timeout time.Duration) (int, string, []byte, error) {
+	httpRequest, httpResponse := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseRequest(httpRequest)
+	defer fasthttp.ReleaseResponse(httpResponse)
+	httpRequest.Header.SetMethod(method)
+	httpRequest.SetRequestURI("http://" + address + path)
 	if body != nil {
-		ask.Header.SetContentType("application/json")
-		ask.SetBody(body)
+		httpRequest.Header.SetContentType("application/json")
+		httpRequest.SetBody(body)
 	}
-	if err := small.DoTimeout(ask, answer, patience); err != nil {
+	if err := shortCalls.DoTimeout(httpRequest, httpResponse, timeout); err != nil {
 		return 0, "", nil, err
 	}
-	return answer.StatusCode(), string(answer.Header.Peek("Retry-After")), bytes.Clone(answer.Body()), nil
+	return httpResponse.StatusCode(), string(httpResponse.Header.Peek("Retry-After")), bytes.Clone(httpResponse.Body()), nil
 }
 
-var small = &fasthttp.Client{MaxIdleConnDuration: 2 * time.Second, MaxConnsPerHost: 16, MaxResponseBodySize: 1 << 20}
+var shortCalls = &fasthttp.Client{MaxIdleConnDuration: 2 * time.Second, MaxConnsPerHost: 16, MaxResponseBodySize: 1 << 20}
 
-// Probe asks a replica how it does.
-func (client *HTTP) Probe(address string, patience time.Duration) (Vitals, error) {
-	status, _, body, err := client.do("GET", address, "/health", nil, patience)
+// Probe asks a replica for its health.
+func (client *HTTP) Probe(address string, timeout time.Duration) (Vitals, error) {
+	status, _, body, err := client.call("GET", address, "/health", nil, timeout)
 	if err != nil {
 		return Vitals{}, err
 	}
 	if status != 200 {
-		return Vitals{}, fmt.Errorf("the probe was answered %d", status)
+		return Vitals{}, fmt.Errorf("probe got status %d", status)
 	}
 	return ReadVitals(body)
 }
 
-// ReadVitals reads a probe's answer.
+// ReadVitals decodes the reply to a probe.
 func ReadVitals(body []byte) (Vitals, error) {
 	if !gjson.ValidBytes(body) {
-		return Vitals{}, errors.New("the probe's answer is not JSON")
+		return Vitals{}, errors.New("probe reply is not JSON")
 	}
 	root := gjson.ParseBytes(body)
-	vitals := Vitals{Boot: root.Get("boot").String(), Leaving: root.Get("leaving").Bool(), Held: map[string]string{}, Load: -1}
+	health := Vitals{Boot: root.Get("boot").String(), Leaving: root.Get("leaving").Bool(), Held: map[string]string{}, Load: -1}
 	if load := root.Get("load"); load.Type == gjson.Number {
-		vitals.Load = load.Num
+		health.Load = load.Num
 	}
-	root.Get("versions").ForEach(func(_, one gjson.Result) bool {
-		vitals.Held[one.Get("model").String()+"/"+one.Get("version").String()] = one.Get("state").String()
+	root.Get("versions").ForEach(func(_, version gjson.Result) bool {
+		health.Held[version.Get("model").String()+"/"+version.Get("version").String()] = version.Get("state").String()
 		return true
 	})
-	return vitals, nil
+	return health, nil
 }
 
-// Order gives an order.
-func (client *HTTP) Order(address string, order Order, patience time.Duration) error {
+// Order sends an order to a replica.
+func (client *HTTP) Order(address string, order Order, timeout time.Duration) error {
 	body, _ := json.Marshal(order)
-	status, after, text, err := client.do("POST", address, "/weights", body, patience)
+	status, retryAfter, reply, err := client.call("POST", address, "/weights", body, timeout)
 	if err != nil {
 		return err
 	}
-	return Ordered(status, after, text)
+	return Ordered(status, retryAfter, reply)
 }
 
-// Ordered reads an order's answer.
+// Ordered converts the answer to an order to an error, nil if the order was accepted.
 func Ordered(status int, retryAfter string, body []byte) error {
 	switch {
 	case status < 300:
@@ -505,7 +509,7 @@
 		seconds, _ := strconv.Atoi(retryAfter)
 		return &RateLimited{time.Duration(max(1, seconds)) * time.Second}
 	case status < 500:
-		return &Rejected{message(body)}
+		return &Rejected{errorMessage(body)}
 	}
-	return fmt.Errorf("the order was answered %d: %s", status, message(body))
+	return fmt.Errorf("order got status %d: %s", status, errorMessage(body))
 }
