--- a/dataplane/daemon.go
+++ b/dataplane/daemon.go
@@ -33,7 +33,7 @@
 	// Relayer, if set, is the client for routed requests.
 	Relayer execute.Relayer
 	// Probe, if set, probes the health of a replica whose model has an engine.
-	Probe  func(target replica.Target, patience time.Duration) (replica.Vitals, error)
+	Probe  func(target replica.Target, timeout time.Duration) (replica.Vitals, error)
 	Log    *zap.Logger
 	Traced func(execute.Record)
 }
@@ -207,13 +207,13 @@
 // have been accepted.
 func (daemon *Daemon) Enter(call *decide.Call, body func() []byte) ([]byte, *verdict.Mishap) {
 	if failure := daemon.Decider.Allow(call); failure != nil {
-		daemon.Executor.Note(call, failure)
+		daemon.Executor.RecordRejected(call, failure)
 		return nil, failure
 	}
 	content := body()
 	if failure := daemon.Decider.Weigh(call, content); failure != nil {
 		daemon.Decider.Settled(call, failure)
-		daemon.Executor.Note(call, failure)
+		daemon.Executor.RecordRejected(call, failure)
 		return nil, failure
 	}
 	return content, nil
--- a/execute/execute.go
+++ b/execute/execute.go
@@ -240,8 +240,8 @@
 	return ""
 }
 
-// Note records a request that was rejected before it was run.
-func (executor *Executor) Note(call *decide.Call, failure *verdict.Mishap) {
+// RecordRejected records a request that was rejected before it was run.
+func (executor *Executor) RecordRejected(call *decide.Call, failure *verdict.Mishap) {
 	executor.addRecord(Record{ID: call.ID, Model: call.Model, Kind: call.Kind, Home: call.Home, Began: executor.World.Now(), At: executor.World.Wall(), Verdict: failure.Verdict.String(), Code: failure.Code})
 }
 
