--- a/rollout/objects.go
+++ b/rollout/objects.go
@@ -62,12 +62,12 @@
 	// Name makes nonces unique.
 	Name string
 	// Changed, if set, is told after every write of a model's object from here.
-	Changed func()
-	made    atomic.Uint64
+	Changed    func()
+	nonceCount atomic.Uint64
 	// orders are when this daemon first saw an order, by its id, under guard, which
 	// nothing waits under.
-	guard  sync.Mutex
-	orders map[string]time.Duration
+	mutex        sync.Mutex
+	ordersSeenAt map[string]time.Duration
 }
 
 // Model reads a model's object.
@@ -76,8 +76,8 @@
 }
 
 // ModelWithin is Model that gives up after the span where no majority answers.
-func (objects *Objects) ModelWithin(model string, span time.Duration) (Model, error) {
-	value, err := objects.Keeper.ReadWithin(ModelPrefix+model, span)
+func (objects *Objects) ModelWithin(model string, timeout time.Duration) (Model, error) {
+	value, err := objects.Keeper.ReadWithin(ModelPrefix+model, timeout)
 	if err != nil {
 		return Model{}, err
 	}
@@ -89,7 +89,7 @@
 func (objects *Objects) Open(value register.Value) (Model, error) {
 	out, err := OpenModel(value)
 	if err == nil && out.Order != nil {
-		objects.seen(out.Order.ID)
+		objects.firstSeen(out.Order.ID)
 	}
 	return out, err
 }
@@ -107,13 +107,13 @@
 // and fence are given by the region's duty; operators give no region, and their
 // step is serialized with the others by the register alone.
 func (objects *Objects) Change(model, region string, fence uint64, revise func(*Model) error) (Model, error) {
-	return objects.changeWithin(objects.Keeper.Patience, model, region, fence, revise)
+	return objects.changeTimeout(objects.Keeper.Patience, model, region, fence, revise)
 }
 
-// changeWithin is Change that goes on for the silence while no majority answers.
-func (objects *Objects) changeWithin(silence time.Duration, model, region string, fence uint64, revise func(*Model) error) (Model, error) {
+// changeTimeout is Change that goes on for the silence while no majority answers.
+func (objects *Objects) changeTimeout(timeout time.Duration, model, region string, fence uint64, revise func(*Model) error) (Model, error) {
 	var out Model
-	_, err := objects.Keeper.ChangeWithin(ModelPrefix+model, silence, func(value register.Value) ([]byte, error) {
+	_, err := objects.Keeper.ChangeWithin(ModelPrefix+model, timeout, func(value register.Value) ([]byte, error) {
 		var err error
 		if out, err = OpenModel(value); err != nil {
 			return nil, err
@@ -182,18 +182,18 @@
 	return out, json.Unmarshal(value.Data, &out)
 }
 
-// errSame says that nothing needs to be written.
-var errSame = errors.New("same")
+// errUnchanged says that nothing needs to be written.
+var errUnchanged = errors.New("same")
 
 // mutate changes a version's desired state in a region.
 func (objects *Objects) mutate(model, version, region string, fence uint64, revise func(*Desired) error) (Desired, error) {
 	var out Desired
 	_, err := objects.Keeper.Change(versionKey(model, version), func(value register.Value) ([]byte, error) {
-		whole, err := openVersion(value)
+		object, err := openVersion(value)
 		if err != nil {
 			return nil, err
 		}
-		out = whole.Regions[region]
+		out = object.Regions[region]
 		if fence > 0 && out.Fence > fence {
 			return nil, workflow.ErrFenced
 		}
@@ -203,27 +203,27 @@
 		if err := revise(&out); err != nil {
 			return nil, err
 		}
-		whole.Regions[region] = out
-		return json.Marshal(whole)
+		object.Regions[region] = out
+		return json.Marshal(object)
 	})
-	if errors.Is(err, errSame) {
+	if errors.Is(err, errUnchanged) {
 		err = nil
 	}
 	return out, err
 }
 
 func (objects *Objects) nonce() string {
-	return fmt.Sprintf("%s/%d/%x", objects.Name, objects.made.Add(1), objects.World.Draw(1<<40))
+	return fmt.Sprintf("%s/%d/%x", objects.Name, objects.nonceCount.Add(1), objects.World.Draw(1<<40))
 }
 
 // Want sets a state at once and clears the nonce, which makes every delayed
 // order stale. It is an upsert: the same state and replicas again change nothing else.
 func (objects *Objects) Want(model, version, region string, fence uint64, state string, only []string) (Desired, error) {
 	return objects.mutate(model, version, region, fence, func(desired *Desired) error {
-		if desired.State == state && equal(desired.Only, only) && desired.Nonce == "" {
-			return errSame
+		if desired.State == state && equalStrings(desired.Only, only) && desired.Nonce == "" {
+			return errUnchanged
 		}
-		if desired.State != state || !equal(desired.Only, only) {
+		if desired.State != state || !equalStrings(desired.Only, only) {
 			desired.Order++
 			desired.Since = objects.World.Wall()
 		}
@@ -232,7 +232,7 @@
 	})
 }
 
-func equal(a, b []string) bool {
+func equalStrings(a, b []string) bool {
 	if len(a) != len(b) {
 		return false
 	}
@@ -264,9 +264,9 @@
 			return nil, err
 		}
 		kept := orders[:0]
-		for _, one := range orders {
-			if one.Version != version || one.Region != region {
-				kept = append(kept, one)
+		for _, delayed := range orders {
+			if delayed.Version != version || delayed.Region != region {
+				kept = append(kept, delayed)
 			}
 		}
 		return json.Marshal(append(kept, order))
@@ -295,7 +295,7 @@
 	_, err := objects.mutate(model, order.Version, order.Region, fence, func(desired *Desired) error {
 		fired = false
 		if desired.Nonce != order.Nonce {
-			return errSame // stale: a no-op
+			return errUnchanged // stale: a no-op
 		}
 		fired = true
 		desired.State, desired.Only, desired.Nonce = order.State, nil, ""
@@ -306,8 +306,8 @@
 	return fired, err
 }
 
-// Due fires the region's orders whose time has come and takes them off the list.
-func (objects *Objects) Due(model, region string, fence uint64, archive time.Duration) error {
+// FireDue fires the region's orders whose time has come and takes them off the list.
+func (objects *Objects) FireDue(model, region string, fence uint64, archive time.Duration) error {
 	value, err := objects.Keeper.Read(DelayedPrefix + model)
 	if err != nil {
 		return err
@@ -331,9 +331,9 @@
 				return nil, err
 			}
 			kept := []Delayed{}
-			for _, one := range orders {
-				if one.Nonce != order.Nonce {
-					kept = append(kept, one)
+			for _, delayed := range orders {
+				if delayed.Nonce != order.Nonce {
+					kept = append(kept, delayed)
 				}
 			}
 			return json.Marshal(kept)
@@ -362,11 +362,11 @@
 	}
 	out := map[string]Version{}
 	for key, value := range values {
-		one, err := openVersion(value)
+		object, err := openVersion(value)
 		if err != nil {
 			return nil, err
 		}
-		out[key[len(VersionPrefix+model+"/"):]] = one
+		out[key[len(VersionPrefix+model+"/"):]] = object
 	}
 	return out, nil
 }
@@ -375,13 +375,13 @@
 type Decline struct{ Reason string }
 
 // Error is one line.
-func (decline *Decline) Error() string { return decline.Reason }
+func (rejection *Decline) Error() string { return rejection.Reason }
 
 // Rollback points the routes of a model back to the version before, in one
 // step, in the regions given (all when empty), and bars automatic roll-outs
 // until a promote.
 func (objects *Objects) Rollback(model string, regions []string, standby time.Duration) (Model, error) {
-	return objects.point(model, regions, standby, true)
+	return objects.swapRoutes(model, regions, standby, true)
 }
 
 // Promote reverses a rollback and lets automatic roll-outs be. With stay, the
@@ -394,7 +394,7 @@
 			return nil
 		})
 	}
-	return objects.point(model, nil, standby, false)
+	return objects.swapRoutes(model, nil, standby, false)
 }
 
 func clearBans(model *Model) {
@@ -405,15 +405,15 @@
 	model.Failed = nil
 }
 
-// point swaps each region's pointer with the version before.
-func (objects *Objects) point(name string, regions []string, standby time.Duration, back bool) (Model, error) {
-	have, err := objects.Model(name)
+// swapRoutes swaps each region's pointer with the version before.
+func (objects *Objects) swapRoutes(name string, regions []string, standby time.Duration, isRollback bool) (Model, error) {
+	object, err := objects.Model(name)
 	if err != nil {
 		return Model{}, err
 	}
 	var moved []string
-	for _, region := range sorted(have.Routes) {
-		route := have.Routes[region]
+	for _, region := range sorted(object.Routes) {
+		route := object.Routes[region]
 		if len(regions) > 0 && !has(regions, region) {
 			continue
 		}
@@ -423,11 +423,11 @@
 		moved = append(moved, region)
 	}
 	if len(moved) == 0 {
-		return have, &Decline{fmt.Sprintf("no region has a version of %q to go back to", name)}
+		return object, &Decline{fmt.Sprintf("no region has a version of %q to go back to", name)}
 	}
 	serials := map[string]uint64{}
 	for _, region := range moved {
-		route := have.Routes[region]
+		route := object.Routes[region]
 		if route.Trial != "" {
 			serials[region], err = objects.NextSerial(region)
 			if err != nil {
@@ -439,11 +439,11 @@
 		if err != nil {
 			return Model{}, err
 		}
-		if back && route.Bears(route.Previous) {
-			return have, &Decline{fmt.Sprintf("version %s failed in region %s and is not gone back to; promote it if it shall be tried again", route.Previous, region)}
+		if isRollback && route.Bears(route.Previous) {
+			return object, &Decline{fmt.Sprintf("version %s failed in region %s and is not gone back to; promote it if it shall be tried again", route.Previous, region)}
 		}
 		if desired := version.Regions[region]; desired.State != RUNNING {
-			return have, &Decline{fmt.Sprintf("version %s is %s in region %s and no longer loaded; start a handover to it instead", route.Previous, desired.State, region)}
+			return object, &Decline{fmt.Sprintf("version %s is %s in region %s and no longer loaded; start a handover to it instead", route.Previous, desired.State, region)}
 		}
 		// The target is kept loaded before anything points to it.
 		if _, err := objects.Want(name, route.Previous, region, 0, RUNNING, nil); err != nil {
@@ -455,12 +455,12 @@
 	}
 	out, err := objects.Change(name, "", 0, func(model *Model) error {
 		for _, region := range moved {
-			route, was := model.Routes[region], have.Routes[region]
-			if route.Version != was.Version || route.Previous != was.Previous || route.Trial != was.Trial {
+			route, before := model.Routes[region], object.Routes[region]
+			if route.Version != before.Version || route.Previous != before.Previous || route.Trial != before.Trial {
 				return &Decline{"the routes changed at the same time; look at `handover status` and try again"}
 			}
 			if route.Trial != "" {
-				if back && !has(route.Banned, route.Trial) {
+				if isRollback && !has(route.Banned, route.Trial) {
 					route.Banned = append(route.Banned, route.Trial)
 				}
 			} else {
@@ -477,36 +477,36 @@
 				model.Routes[region] = route
 			}
 		}
-		model.RolledBack = back
-		if !back {
+		model.RolledBack = isRollback
+		if !isRollback {
 			clearBans(model)
 		}
-		model.Live = live(model)
+		model.Live = liveVersion(model)
 		return nil
 	})
 	if err != nil {
 		return out, err
 	}
 	for _, region := range moved {
-		if was := have.Routes[region]; was.Trial != "" {
-			if _, err := objects.Want(name, was.Trial, region, 0, ARCHIVED, nil); err != nil {
+		if before := object.Routes[region]; before.Trial != "" {
+			if _, err := objects.Want(name, before.Trial, region, 0, ARCHIVED, nil); err != nil {
 				return out, err
 			}
-		} else if err := objects.Schedule(name, was.Version, region, 0, STANDBY, standby); err != nil {
+		} else if err := objects.Schedule(name, before.Version, region, 0, STANDBY, standby); err != nil {
 			return out, err
 		}
 	}
 	return out, nil
 }
 
-// live is the version that every region points to, or the present one while
+// liveVersion is the version that every region points to, or the present one while
 // regions differ.
-func live(model *Model) string {
+func liveVersion(model *Model) string {
 	version := ""
 	for _, region := range sorted(model.Routes) {
-		if at := model.Routes[region].Version; version == "" {
-			version = at
-		} else if at != version {
+		if routed := model.Routes[region].Version; version == "" {
+			version = routed
+		} else if routed != version {
 			return model.Live
 		}
 	}
--- a/rollout/small.go
+++ b/rollout/small.go
@@ -8,6 +8,6 @@
 
 func sorted[V any](table map[string]V) []string { return slices.Sorted(maps.Keys(table)) }
 
-func has(list []string, one string) bool { return slices.Contains(list, one) }
+func has(list []string, element string) bool { return slices.Contains(list, element) }
 
 func unmarshal(data []byte, value any) error { return json.Unmarshal(data, value) }
--- a/rollout/term.go
+++ b/rollout/term.go
@@ -74,27 +74,27 @@
 // least.
 // Why so late: docs/notes/rollouts.md.
 const (
-	judgeShare = 0.75
-	lateShare  = 0.8
-	doneShare  = 0.95
-	drainShare = 0.1
-	overShare  = 0.5 // in drainShare's place once the term is over
+	judgeShare     = 0.75
+	judgeEndShare  = 0.8
+	drainEndShare  = 0.95
+	minDrainShare  = 0.1
+	lateDrainShare = 0.5 // in drainShare's place once the term is over
 	// most terms that a trial waits for answers.
-	mostTerms = 2
-	// marks are how often within the term a run records how much of it is over.
-	marks = 8
+	maxTrialDurations = 2
+	// progressMarks are how often within the term a run records how much of it is over.
+	progressMarks = 8
 )
 
-// joinSpan is for how long after its end an order that comes again is the same one.
-const joinSpan = 30 * time.Second
+// repeatWindow is for how long after its end an order that comes again is the same one.
+const repeatWindow = 30 * time.Second
 
-var errAgain = errors.New("the order is there already")
+var errRepeated = errors.New("the order is there already")
 
 // Begin takes an order, or joins the same one. All regions' routes name the trial from
 // that write on, so that no new replica is ever taken for one among equals. A Decline
 // tells that another order is under way.
-func (objects *Objects) Begin(model, version string, over time.Duration, regions []string) (Order, error) {
-	return objects.BeginWithin(Fence{}, model, version, over, regions)
+func (objects *Objects) Begin(model, version string, duration time.Duration, regions []string) (Order, error) {
+	return objects.BeginWithin(Fence{}, model, version, duration, regions)
 }
 
 // Fence bounds an operator's order.
@@ -110,16 +110,16 @@
 var ErrAbandoned = errors.New("rollout: the order was given up before it was written")
 
 // BeginWithin is Begin with a fence, which is looked at right before the write.
-func (objects *Objects) BeginWithin(fence Fence, model, version string, over time.Duration, regions []string) (Order, error) {
+func (objects *Objects) BeginWithin(fence Fence, model, version string, duration time.Duration, regions []string) (Order, error) {
 	if fence.Silence == 0 {
 		fence.Silence = objects.Keeper.Patience
 	}
-	have, err := objects.ModelWithin(model, fence.Silence)
+	object, err := objects.ModelWithin(model, fence.Silence)
 	if err != nil {
 		return Order{}, err
 	}
-	if is, err := have.again(version, over, regions, objects.World.Wall()); is || err != nil {
-		return *orEmpty(have.Order), err
+	if isRepeat, err := object.isRepeat(version, duration, regions, objects.World.Wall()); isRepeat || err != nil {
+		return *orEmpty(object.Order), err
 	}
 	serials := map[string]uint64{}
 	for _, region := range regions {
@@ -128,17 +128,17 @@
 		}
 	}
 	var order Order
-	_, err = objects.changeWithin(fence.Silence, model, "", 0, func(model *Model) error {
-		if is, err := model.again(version, over, regions, objects.World.Wall()); err != nil {
+	_, err = objects.changeTimeout(fence.Silence, model, "", 0, func(model *Model) error {
+		if isRepeat, err := model.isRepeat(version, duration, regions, objects.World.Wall()); err != nil {
 			return err
-		} else if is {
+		} else if isRepeat {
 			order = *model.Order
-			return errAgain
+			return errRepeated
 		}
 		if fence.IsAbandoned != nil && fence.IsAbandoned() {
 			return ErrAbandoned
 		}
-		order = Order{Number: orEmpty(model.Order).Number + 1, Version: version, Over: over, Regions: regions, Proved: true}
+		order = Order{Number: orEmpty(model.Order).Number + 1, Version: version, Over: duration, Regions: regions, Proved: true}
 		order.ID = fmt.Sprintf("term-%s-%d", version, order.Number)
 		for _, region := range regions {
 			order.Proved = order.Proved && model.Routes[region].Version == version && model.Failed[version] == ""
@@ -146,8 +146,8 @@
 		delete(model.Failed, version)
 		for _, region := range regions {
 			route := model.Routes[region]
-			isSame := func(one string) bool { return one == version }
-			route.Banned, route.Left = slices.DeleteFunc(route.Banned, isSame), slices.DeleteFunc(route.Left, isSame)
+			isOrdered := func(banned string) bool { return banned == version }
+			route.Banned, route.Left = slices.DeleteFunc(route.Banned, isOrdered), slices.DeleteFunc(route.Left, isOrdered)
 			route.Run, route.Trial, route.Watched, route.Serial = order.ID, version, false, serials[region]
 			if order.Proved {
 				route.Trial = ""
@@ -157,24 +157,24 @@
 		model.Order = &order
 		return nil
 	})
-	if errors.Is(err, errAgain) {
+	if errors.Is(err, errRepeated) {
 		err = nil
 	}
 	if err == nil {
-		objects.seen(order.ID)
+		objects.firstSeen(order.ID)
 	}
 	return order, err
 }
 
-// again tells whether the order is the newest one come again.
-func (model *Model) again(version string, over time.Duration, regions []string, now time.Time) (bool, error) {
+// isRepeat tells whether the order is the newest one come again.
+func (model *Model) isRepeat(version string, duration time.Duration, regions []string, now time.Time) (bool, error) {
 	order := model.Order
 	if order == nil {
 		return false, nil
 	}
-	isSame := order.Version == version && order.Over == over
+	isSame := order.Version == version && order.Over == duration
 	if order.State(regions) != Moving {
-		return isSame && now.Sub(order.Ended).Abs() < joinSpan, nil
+		return isSame && now.Sub(order.Ended).Abs() < repeatWindow, nil
 	}
 	if !isSame {
 		return false, &Decline{fmt.Sprintf("a roll-out of %s within %v is under way", order.Version, order.Over)}
@@ -189,31 +189,31 @@
 	return order
 }
 
-// seen is when this daemon first saw an order, on its own clock: a calendar may jump.
-func (objects *Objects) seen(id string) time.Duration {
-	objects.guard.Lock()
-	defer objects.guard.Unlock()
-	if objects.orders == nil {
-		objects.orders = map[string]time.Duration{}
+// firstSeen is when this daemon first saw an order, on its own clock: a calendar may jump.
+func (objects *Objects) firstSeen(id string) time.Duration {
+	objects.mutex.Lock()
+	defer objects.mutex.Unlock()
+	if objects.ordersSeenAt == nil {
+		objects.ordersSeenAt = map[string]time.Duration{}
 	}
-	at, known := objects.orders[id]
-	if !known {
+	at, isKnown := objects.ordersSeenAt[id]
+	if !isKnown {
 		at = objects.World.Now()
-		objects.orders[id] = at
+		objects.ordersSeenAt[id] = at
 	}
 	return at
 }
 
-// term turns the region's part of the model's order: it begins its run, and forgets
+// startTimed turns the region's part of the model's order: it begins its run, and forgets
 // what is barred once no replica of it is listed.
-func (runner *Runner) term(scene Scene, model string) (*workflow.Log, error) {
-	have, err := runner.Objects.Model(model)
+func (runner *Runner) startTimed(scene Scene, model string) (*workflow.Log, error) {
+	object, err := runner.Objects.Model(model)
 	if err != nil {
 		return nil, err
 	}
-	order := orEmpty(have.Order)
+	order := orEmpty(object.Order)
 	if order.Back != "" || order.Done[scene.Region] || !has(order.Regions, scene.Region) {
-		return nil, runner.forget(scene, model, have)
+		return nil, runner.forgetAbsent(scene, model, object)
 	}
 	key := Key(model, scene.Region)
 	contents := Contents{Model: model, Region: scene.Region, Version: order.Version, Over: order.Over, Proved: order.Proved}
@@ -222,7 +222,7 @@
 		return nil, err
 	}
 	if joined && run.State != workflow.Running {
-		return nil, runner.takeBack(scene, order.ID, contents, "its run is over: "+run.Reason, false)
+		return nil, runner.revertOrder(scene, order.ID, contents, "its run is over: "+run.Reason, false)
 	}
 	return runner.Book.Resume(key, scene.Duty)
 }
@@ -231,46 +231,46 @@
 // dark_ms: one that was left, whose replicas stop at once, and one that failed, whose
 // replicas may yet come up late.
 const (
-	leftSpans   = 4
-	bannedSpans = 50
+	leftForgetRatio   = 4
+	bannedForgetRatio = 50
 )
 
-// forget lifts what bars versions that no replica of the region is listed with.
-func (runner *Runner) forget(scene Scene, model string, have Model) error {
+// forgetAbsent lifts what bars versions that no replica of the region is listed with.
+func (runner *Runner) forgetAbsent(scene Scene, model string, object Model) error {
 	listed := map[string]bool{}
-	for _, one := range scene.placed(model) {
-		for _, version := range one.Versions(model) {
+	for _, replica := range scene.placedReplicas(model) {
+		for _, version := range replica.Versions(model) {
 			listed[version] = true
 		}
 	}
-	over := func(version string, spans time.Duration) bool {
+	isExpired := func(version string, ratio time.Duration) bool {
 		key := "absent " + Key(model, scene.Region) + "|" + version
 		if listed[version] {
-			delete(runner.began, key)
+			delete(runner.waitStart, key)
 			return false
 		}
-		return runner.spent(key) > spans*scene.Tree.Span("dark_ms", scene.Region)
+		return runner.waited(key) > ratio*scene.Tree.Span("dark_ms", scene.Region)
 	}
-	lift := func(list []string, spans time.Duration) (kept []string) {
-		for _, version := range list {
-			if !over(version, spans) {
+	retain := func(barred []string, ratio time.Duration) (kept []string) {
+		for _, version := range barred {
+			if !isExpired(version, ratio) {
 				kept = append(kept, version)
 			}
 		}
 		return kept
 	}
-	route := have.Routes[scene.Region]
-	left, banned := lift(route.Left, leftSpans), lift(route.Banned, bannedSpans)
+	route := object.Routes[scene.Region]
+	left, banned := retain(route.Left, leftForgetRatio), retain(route.Banned, bannedForgetRatio)
 	if len(left) == len(route.Left) && len(banned) == len(route.Banned) {
 		return nil
 	}
 	_, err := runner.Objects.Change(model, scene.Region, scene.Duty, func(model *Model) error {
-		at := model.Routes[scene.Region]
-		if at.Serial != route.Serial || at.Run != route.Run {
+		current := model.Routes[scene.Region]
+		if current.Serial != route.Serial || current.Run != route.Run {
 			return workflow.ErrWait // moved meanwhile; looked at anew
 		}
-		at.Left, at.Banned = left, banned
-		model.Routes[scene.Region] = at
+		current.Left, current.Banned = left, banned
+		model.Routes[scene.Region] = current
 		return nil
 	})
 	return err
@@ -279,77 +279,77 @@
 // elapsed is how much of the term is over, by this daemon's own clock: since it first
 // saw the order, or since it took the run, on top of what the run has recorded.
 func (runner *Runner) elapsed(log *workflow.Log, contents Contents) time.Duration {
-	key := waits(log, contents, "term")
-	base, known := runner.recorded[key]
-	if !known {
-		for at := 1; at <= marks; at++ {
-			var mark time.Duration
-			if log.Recorded(markName(at), &mark) {
-				base = max(base, mark)
+	key := waitKey(log, contents, "term")
+	base, isKnown := runner.recordedElapsed[key]
+	if !isKnown {
+		for number := 1; number <= progressMarks; number++ {
+			var recorded time.Duration
+			if log.Recorded(progressStep(number), &recorded) {
+				base = max(base, recorded)
 			}
 		}
-		runner.recorded[key] = base
+		runner.recordedElapsed[key] = base
 	}
-	return max(runner.World.Now()-runner.Objects.seen(log.Run().ID), base+runner.spent(key))
+	return max(runner.World.Now()-runner.Objects.firstSeen(log.Run().ID), base+runner.waited(key))
 }
 
-func markName(at int) string { return fmt.Sprintf("term-%d", at) }
+func progressStep(number int) string { return fmt.Sprintf("term-%d", number) }
 
-// mark records how much of the term is over, for whoever takes the run next.
-func (runner *Runner) mark(log *workflow.Log, contents Contents) error {
+// recordProgress records how much of the term is over, for whoever takes the run next.
+func (runner *Runner) recordProgress(log *workflow.Log, contents Contents) error {
 	elapsed := runner.elapsed(log, contents)
-	at := min(marks, int(marks*elapsed/contents.Over))
-	if at < 1 {
+	number := min(progressMarks, int(progressMarks*elapsed/contents.Over))
+	if number < 1 {
 		return nil
 	}
-	return log.Step(markName(at), func() (any, error) { return elapsed, nil }, nil)
+	return log.Step(progressStep(number), func() (any, error) { return elapsed, nil }, nil)
 }
 
-// part is a share of the term.
-func (contents Contents) part(share float64) time.Duration {
+// fraction is a share of the term.
+func (contents Contents) fraction(share float64) time.Duration {
 	return time.Duration(share * float64(contents.Over))
 }
 
-// within goes through the steps of a run under a term.
-func (runner *Runner) within(scene Scene, log *workflow.Log, contents Contents) error {
+// advanceTimed goes through the steps of a run under a term.
+func (runner *Runner) advanceTimed(scene Scene, log *workflow.Log, contents Contents) error {
 	var base map[string]standing.Outcome
 	if err := runner.step(log, "validate", func() (any, error) {
 		if placement, _ := scene.Tree.Placement(contents.Model, scene.Region); !placement.Any() {
 			return nil, &workflow.Terminal{Reason: fmt.Sprintf("model %q is not placed in region %s with any version", contents.Model, scene.Region)}
 		}
-		return answered(scene, contents), runner.own(scene, log, contents, nil)
+		return versionOutcomes(scene, contents), runner.changeOwned(scene, log, contents, nil)
 	}, &base); err != nil {
 		return err
 	}
 	if !log.Recorded("live", nil) {
-		have, err := runner.Objects.Model(contents.Model)
+		object, err := runner.Objects.Model(contents.Model)
 		if err == nil {
-			err = have.owned(scene.Region, log.Run().ID)
+			err = object.checkOwned(scene.Region, log.Run().ID)
 		}
 		if err != nil {
 			return err
 		}
 	}
-	if err := runner.mark(log, contents); err != nil {
+	if err := runner.recordProgress(log, contents); err != nil {
 		return err
 	}
 	// Every turn, whatever the step: what plainly fails goes back at once.
-	if err := runner.fails(scene, contents, base); err != nil && !log.Recorded("live", nil) {
+	if err := runner.checkFailures(scene, contents, base); err != nil && !log.Recorded("live", nil) {
 		return err
 	}
 	ending := Empty
 	if err := runner.step(log, "ready", func() (any, error) {
-		return runner.await(scene, log, contents)
+		return runner.awaitReplicas(scene, log, contents)
 	}, &ending); err != nil {
 		return err
 	}
 	if err := runner.step(log, "trial-judge", func() (any, error) {
-		return runner.judgeWithin(scene, log, contents, base, ending)
+		return runner.judgeTimedTrial(scene, log, contents, base, ending)
 	}, nil); err != nil {
 		return err
 	}
 	if err := runner.step(log, "pass", func() (any, error) {
-		return nil, runner.own(scene, log, contents, func(order *Order, _ *standing.Route) {
+		return nil, runner.changeOwned(scene, log, contents, func(order *Order, _ *standing.Route) {
 			if order.Passed == nil {
 				order.Passed = map[string]string{}
 			}
@@ -359,29 +359,29 @@
 		return err
 	}
 	if err := runner.step(log, "agree", func() (any, error) {
-		return nil, runner.agree(scene, contents)
+		return nil, runner.awaitAllRegions(scene, contents)
 	}, nil); err != nil {
 		return err
 	}
-	if err := runner.move(scene, log, contents, true, func(revise func(*standing.Route)) error {
-		return runner.own(scene, log, contents, func(_ *Order, route *standing.Route) { revise(route) })
+	if err := runner.moveRoute(scene, log, contents, true, func(revise func(*standing.Route)) error {
+		return runner.changeOwned(scene, log, contents, func(_ *Order, route *standing.Route) { revise(route) })
 	}); err != nil {
 		return err
 	}
 	if err := runner.step(log, "settle", func() (any, error) {
-		return nil, runner.settle(scene, log, contents)
+		return nil, runner.awaitDrained(scene, log, contents)
 	}, nil); err != nil {
 		return err
 	}
 	return runner.step(log, "live", func() (any, error) {
-		return nil, runner.own(scene, log, contents, func(order *Order, route *standing.Route) {
+		return nil, runner.changeOwned(scene, log, contents, func(order *Order, route *standing.Route) {
 			if order.Done == nil {
 				order.Done = map[string]bool{}
 			}
 			order.Done[scene.Region], order.Ended = true, runner.World.Wall()
 			route.Previous, route.Watched = "", false
-			for _, one := range scene.placed(contents.Model) {
-				for _, version := range one.Versions(contents.Model) {
+			for _, replica := range scene.placedReplicas(contents.Model) {
+				for _, version := range replica.Versions(contents.Model) {
 					if version != contents.Version && !has(route.Left, version) && !route.Bears(version) {
 						route.Left = append(route.Left, version)
 					}
@@ -391,11 +391,11 @@
 	}, nil)
 }
 
-// own changes the order and the region's route while they are this run's; with nothing
+// changeOwned changes the order and the region's route while they are this run's; with nothing
 // to revise, it only takes the region's fence.
-func (runner *Runner) own(scene Scene, log *workflow.Log, contents Contents, revise func(*Order, *standing.Route)) error {
+func (runner *Runner) changeOwned(scene Scene, log *workflow.Log, contents Contents, revise func(*Order, *standing.Route)) error {
 	_, err := runner.Objects.Change(contents.Model, scene.Region, scene.Duty, func(model *Model) error {
-		if err := model.owned(scene.Region, log.Run().ID); err != nil {
+		if err := model.checkOwned(scene.Region, log.Run().ID); err != nil {
 			return err
 		}
 		route := model.Routes[scene.Region]
@@ -403,7 +403,7 @@
 			revise(model.Order, &route)
 		}
 		model.Routes[scene.Region] = route
-		if model.Live = live(model); model.Live == "" {
+		if model.Live = liveVersion(model); model.Live == "" {
 			model.Live = route.Version
 		}
 		return nil
@@ -411,8 +411,8 @@
 	return err
 }
 
-// owned tells whether the run may go on with the region's route.
-func (model *Model) owned(region, id string) error {
+// checkOwned tells whether the run may go on with the region's route.
+func (model *Model) checkOwned(region, id string) error {
 	order := orEmpty(model.Order)
 	switch {
 	case order.ID != id:
@@ -425,129 +425,129 @@
 	return nil
 }
 
-// answered sums what the version's replicas answered, by daemon incarnation, region
+// versionOutcomes sums what the version's replicas answered, by daemon incarnation, region
 // and kind, of all regions: what fails in one is not tried on in another.
-func answered(scene Scene, contents Contents) map[string]standing.Outcome {
-	out := map[string]standing.Outcome{}
+func versionOutcomes(scene Scene, contents Contents) map[string]standing.Outcome {
+	outcomes := map[string]standing.Outcome{}
 	for _, daemon := range scene.Daemons {
-		for _, one := range daemon.Report.Total {
-			if one.Model == contents.Model && one.Version == contents.Version {
-				out[strings.Join([]string{scene.Incarnations[daemon.Name], one.Replica, one.Kind}, "|")] = one
+		for _, outcome := range daemon.Report.Total {
+			if outcome.Model == contents.Model && outcome.Version == contents.Version {
+				outcomes[strings.Join([]string{scene.Incarnations[daemon.Name], outcome.Replica, outcome.Kind}, "|")] = outcome
 			}
 		}
 	}
-	return out
+	return outcomes
 }
 
-// evidence is what the version was answered since the base, and what all others were,
+// outcomesByKind is what the version was answered since the base, and what all others were,
 // by kind; the empty kind sums them.
-func evidence(scene Scene, contents Contents, base map[string]standing.Outcome) (mine, other map[string]standing.Outcome) {
-	mine, other = map[string]standing.Outcome{}, map[string]standing.Outcome{}
-	add := func(table map[string]standing.Outcome, one standing.Outcome) {
-		for _, kind := range []string{one.Kind, ""} {
+func outcomesByKind(scene Scene, contents Contents, base map[string]standing.Outcome) (candidate, others map[string]standing.Outcome) {
+	candidate, others = map[string]standing.Outcome{}, map[string]standing.Outcome{}
+	add := func(table map[string]standing.Outcome, outcome standing.Outcome) {
+		for _, kind := range []string{outcome.Kind, ""} {
 			sum := table[kind]
-			sum.Add(one)
+			sum.Add(outcome)
 			table[kind] = sum
 		}
 	}
-	for key, one := range answered(scene, contents) {
+	for key, outcome := range versionOutcomes(scene, contents) {
 		before := base[key]
-		one.OK -= before.OK
-		one.Mishaps -= before.Mishaps
-		one.Slow -= before.Slow
-		one.Late = max(0, one.Late-before.Late)
-		add(mine, one)
+		outcome.OK -= before.OK
+		outcome.Mishaps -= before.Mishaps
+		outcome.Slow -= before.Slow
+		outcome.Late = max(0, outcome.Late-before.Late)
+		add(candidate, outcome)
 	}
 	for _, daemon := range scene.Daemons {
-		for _, one := range daemon.Report.Total {
-			if one.Model == contents.Model && one.Version != contents.Version {
-				add(other, one)
+		for _, outcome := range daemon.Report.Total {
+			if outcome.Model == contents.Model && outcome.Version != contents.Version {
+				add(others, outcome)
 			}
 		}
 	}
-	return mine, other
+	return candidate, others
 }
 
-// fails ends the run when the version's failures are plain in any region.
-func (runner *Runner) fails(scene Scene, contents Contents, base map[string]standing.Outcome) error {
-	mine, other := evidence(scene, contents, base)
-	for _, kind := range sorted(mine) {
-		one := mine[kind]
-		if standing.PlainVersion(one, other[kind]) || standing.Worse(one, other[kind]) || standing.Slower(one, other[kind]) {
-			return &Plainly{fmt.Sprintf("version %s fails on kind %q: of %d, %d failed, %d came late and %d slowly", contents.Version, kind, one.OK+one.Mishaps, one.Mishaps, one.Late, one.Slow)}
+// checkFailures ends the run when the version's failures are plain in any region.
+func (runner *Runner) checkFailures(scene Scene, contents Contents, base map[string]standing.Outcome) error {
+	candidate, others := outcomesByKind(scene, contents, base)
+	for _, kind := range sorted(candidate) {
+		outcome := candidate[kind]
+		if standing.PlainVersion(outcome, others[kind]) || standing.Worse(outcome, others[kind]) || standing.Slower(outcome, others[kind]) {
+			return &VersionFailure{fmt.Sprintf("version %s fails on kind %q: of %d, %d failed, %d came late and %d slowly", contents.Version, kind, outcome.OK+outcome.Mishaps, outcome.Mishaps, outcome.Late, outcome.Slow)}
 		}
 	}
 	// What the last seconds show counts by itself: a version may turn bad.
 	if standing.TrialFails(contents.Model, standing.Route{Version: settings.AnyVersion, Trial: contents.Version}, standing.Gather(scene.Daemons)) {
-		return &Plainly{fmt.Sprintf("version %s has turned bad", contents.Version)}
+		return &VersionFailure{fmt.Sprintf("version %s has turned bad", contents.Version)}
 	}
 	return nil
 }
 
-// await waits for replicas of the version, which start by themselves.
-func (runner *Runner) await(scene Scene, log *workflow.Log, contents Contents) (any, error) {
-	for _, one := range scene.placed(contents.Model) {
-		if one.Alive && !one.Leaving && has(one.Versions(contents.Model), contents.Version) {
+// awaitReplicas waits for replicas of the version, which start by themselves.
+func (runner *Runner) awaitReplicas(scene Scene, log *workflow.Log, contents Contents) (any, error) {
+	for _, replica := range scene.placedReplicas(contents.Model) {
+		if replica.Alive && !replica.Leaving && has(replica.Versions(contents.Model), contents.Version) {
 			return Ready, nil
 		}
 	}
-	if elapsed := runner.elapsed(log, contents); elapsed < contents.part(judgeShare) {
-		return nil, runner.wait(contents.part(judgeShare) - elapsed)
+	if elapsed := runner.elapsed(log, contents); elapsed < contents.fraction(judgeShare) {
+		return nil, runner.wait(contents.fraction(judgeShare) - elapsed)
 	}
 	return Empty, nil
 }
 
-// thinShare is up to which part of all answers a kind need not be seen in a trial.
-const thinShare = 0.01
+// rareKindShare is up to which part of all answers a kind need not be seen in a trial.
+const rareKindShare = 0.01
 
-// judgeWithin ends the trial once most of the term is over and every kind that comes
+// judgeTimedTrial ends the trial once most of the term is over and every kind that comes
 // often enough was answered.
-func (runner *Runner) judgeWithin(scene Scene, log *workflow.Log, contents Contents, base map[string]standing.Outcome, ending string) (any, error) {
+func (runner *Runner) judgeTimedTrial(scene Scene, log *workflow.Log, contents Contents, base map[string]standing.Outcome, ending string) (any, error) {
 	if contents.Proved || ending == Empty {
 		return Judgement{true, "nothing was tried"}, nil
 	}
 	elapsed := runner.elapsed(log, contents)
-	if elapsed < contents.part(judgeShare) {
-		return nil, runner.wait(contents.part(judgeShare) - elapsed)
+	if elapsed < contents.fraction(judgeShare) {
+		return nil, runner.wait(contents.fraction(judgeShare) - elapsed)
 	}
-	if !scene.knows() {
+	if !scene.knowsAllDaemons() {
 		return nil, workflow.ErrWait
 	}
-	mine, other := evidence(scene, contents, base)
-	for _, kind := range sorted(mine) {
-		if one := mine[kind]; one.OK+one.Mishaps < standing.PlainMishaps && standing.Doubtful(one, other[kind]) {
-			return nil, &Plainly{fmt.Sprintf("version %s had too few requests of kind %q, and did not stand the few: %d failed, %d were answered", contents.Version, kind, one.Mishaps+one.Late, one.OK)}
+	candidate, others := outcomesByKind(scene, contents, base)
+	for _, kind := range sorted(candidate) {
+		if outcome := candidate[kind]; outcome.OK+outcome.Mishaps < standing.PlainMishaps && standing.Doubtful(outcome, others[kind]) {
+			return nil, &VersionFailure{fmt.Sprintf("version %s had too few requests of kind %q, and did not stand the few: %d failed, %d were answered", contents.Version, kind, outcome.Mishaps+outcome.Late, outcome.OK)}
 		}
 	}
-	all := mine[""].OK + mine[""].Mishaps
+	total := candidate[""].OK + candidate[""].Mishaps
 	// Half of what a trial without a term wants of each kind: the term is short.
-	short := all < int(scene.Tree.Limit("trial_samples", scene.Region)/2) || standing.Unclear(mine[""], other[""])
-	for _, kind := range sorted(other) {
-		one := other[kind]
-		short = short || float64(one.OK) > thinShare*float64(other[""].OK) && mine[kind].OK+mine[kind].Mishaps == 0
+	tooFew := total < int(scene.Tree.Limit("trial_samples", scene.Region)/2) || standing.Unclear(candidate[""], others[""])
+	for _, kind := range sorted(others) {
+		outcome := others[kind]
+		tooFew = tooFew || float64(outcome.OK) > rareKindShare*float64(others[""].OK) && candidate[kind].OK+candidate[kind].Mishaps == 0
 	}
 	switch {
-	case !short:
+	case !tooFew:
 		return Judgement{true, "enough answers of every kind"}, nil
-	case elapsed < contents.part(lateShare):
-		return nil, runner.wait(contents.part(lateShare) - elapsed)
-	case standing.Suspect(mine[""], other[""]):
-		return nil, &Plainly{fmt.Sprintf("version %s failed too often for what it was tried: of %d, %d failed and %d came late", contents.Version, all, mine[""].Mishaps, mine[""].Late)}
-	case all > 0:
+	case elapsed < contents.fraction(judgeEndShare):
+		return nil, runner.wait(contents.fraction(judgeEndShare) - elapsed)
+	case standing.Suspect(candidate[""], others[""]):
+		return nil, &VersionFailure{fmt.Sprintf("version %s failed too often for what it was tried: of %d, %d failed and %d came late", contents.Version, total, candidate[""].Mishaps, candidate[""].Late)}
+	case total > 0:
 		return Judgement{true, "few answers; what there was did not fail"}, nil
-	case !asked(scene, contents.Model):
+	case !hasDemand(scene, contents.Model):
 		return Judgement{true, "nobody asks for the model"}, nil
-	case elapsed < mostTerms*contents.Over:
+	case elapsed < maxTrialDurations*contents.Over:
 		return nil, workflow.ErrWait // unproved; it keeps its small share
 	}
 	return nil, &workflow.Terminal{Reason: fmt.Sprintf("version %s was never tried", contents.Version)}
 }
 
-// knows tells whether all data daemons that there are have been heard.
-func (scene Scene) knows() bool { return scene.Watched > scene.Tree.Span("session_ms", "") }
+// knowsAllDaemons tells whether all data daemons that there are have been heard.
+func (scene Scene) knowsAllDaemons() bool { return scene.Watched > scene.Tree.Span("session_ms", "") }
 
-// asked tells whether anybody asks for the model.
-func asked(scene Scene, model string) bool {
+// hasDemand tells whether anybody asks for the model.
+func hasDemand(scene Scene, model string) bool {
 	for _, daemon := range scene.Daemons {
 		if daemon.Report.Demand[model] >= 0.5 {
 			return true
@@ -556,24 +556,24 @@
 	return false
 }
 
-// soon is when to look again at what takes others a moment.
-func soon(scene Scene) time.Duration { return standing.Tick(scene.Tree.Span("permit_ms", "")) / 2 }
+// pollDelay is when to look again at what takes others a moment.
+func pollDelay(scene Scene) time.Duration { return standing.Tick(scene.Tree.Span("permit_ms", "")) / 2 }
 
-// agree waits until every region's trial has passed. Where no region has replicas of the
+// awaitAllRegions waits until every region's trial has passed. Where no region has replicas of the
 // version there is nothing to move to.
-func (runner *Runner) agree(scene Scene, contents Contents) error {
-	have, err := runner.Objects.Model(contents.Model)
+func (runner *Runner) awaitAllRegions(scene Scene, contents Contents) error {
+	object, err := runner.Objects.Model(contents.Model)
 	if err != nil {
 		return err
 	}
 	isReady := false
-	for _, region := range have.Order.Regions {
+	for _, region := range object.Order.Regions {
 		if placement, _ := scene.Tree.Placement(contents.Model, region); !placement.Any() {
 			continue
 		}
-		switch have.Order.Passed[region] {
+		switch object.Order.Passed[region] {
 		case "":
-			return runner.wait(soon(scene))
+			return runner.wait(pollDelay(scene))
 		case Ready:
 			isReady = true
 		}
@@ -584,39 +584,39 @@
 	return nil
 }
 
-// settle waits, after the move, until every data daemon goes by it and nothing runs on
+// awaitDrained waits, after the move, until every data daemon goes by it and nothing runs on
 // the replicas that are to stop.
-func (runner *Runner) settle(scene Scene, log *workflow.Log, contents Contents) error {
-	key := waits(log, contents, "shown")
-	if _, known := runner.shown[key]; !known && shows(scene, contents) {
-		runner.shown[key] = scene.Standing.Serial
-	}
-	serial, isTaken := runner.shown[key]
-	if isTaken {
-		all := scene.knows()
+func (runner *Runner) awaitDrained(scene Scene, log *workflow.Log, contents Contents) error {
+	key := waitKey(log, contents, "shown")
+	if _, isKnown := runner.movedSerial[key]; !isKnown && tableMoved(scene, contents) {
+		runner.movedSerial[key] = scene.Standing.Serial
+	}
+	serial, isApplied := runner.movedSerial[key]
+	if isApplied {
+		isEverywhere := scene.knowsAllDaemons()
 		for _, daemon := range scene.Daemons {
-			all = all && daemon.Report.Standing[scene.Region] >= serial
+			isEverywhere = isEverywhere && daemon.Report.Standing[scene.Region] >= serial
 		}
-		permit := scene.Tree.Span("permit_ms", "")
-		isTaken = all || runner.spent(key) > permit+permit/4 // older permits have ended
+		lease := scene.Tree.Span("permit_ms", "")
+		isApplied = isEverywhere || runner.waited(key) > lease+lease/4 // older permits have ended
 	}
-	if !isTaken {
-		return runner.wait(soon(scene))
+	if !isApplied {
+		return runner.wait(pollDelay(scene))
 	}
-	ends, elapsed := runner.spent(waits(log, contents, "drain")), runner.elapsed(log, contents)
-	patience := contents.part(drainShare)
+	drained, elapsed := runner.waited(waitKey(log, contents, "drain")), runner.elapsed(log, contents)
+	minDrain := contents.fraction(minDrainShare)
 	if elapsed > contents.Over {
-		patience = contents.part(overShare) // missed; no answer is broken off for it
+		minDrain = contents.fraction(lateDrainShare) // missed; no answer is broken off for it
 	}
-	isLate := elapsed > contents.part(doneShare) && ends > patience
-	if !isLate && (!scene.knows() || running(scene, contents)) {
-		return runner.wait(soon(scene))
+	isLate := elapsed > contents.fraction(drainEndShare) && drained > minDrain
+	if !isLate && (!scene.knowsAllDaemons() || hasOldStreams(scene, contents)) {
+		return runner.wait(pollDelay(scene))
 	}
 	return nil
 }
 
-// shows tells whether the region's standing has moved.
-func shows(scene Scene, contents Contents) bool {
+// tableMoved tells whether the region's standing has moved.
+func tableMoved(scene Scene, contents Contents) bool {
 	if scene.Standing == nil {
 		return false
 	}
@@ -628,11 +628,11 @@
 	return true
 }
 
-// running tells whether anything runs on the region's replicas of other versions.
-func running(scene Scene, contents Contents) bool {
+// hasOldStreams tells whether anything runs on the region's replicas of other versions.
+func hasOldStreams(scene Scene, contents Contents) bool {
 	for _, daemon := range scene.Daemons {
 		for held, count := range daemon.Report.Streams {
-			if held.Model == contents.Model && held.Version != contents.Version && count > 0 && inRegion(scene, held.Replica) {
+			if held.Model == contents.Model && held.Version != contents.Version && count > 0 && isInRegion(scene, held.Replica) {
 				return true
 			}
 		}
@@ -640,29 +640,29 @@
 	return false
 }
 
-// takeBack ends the order in all regions by one write; an upsert.
-func (runner *Runner) takeBack(scene Scene, id string, contents Contents, reason string, plainly bool) error {
-	have, err := runner.Objects.Model(contents.Model)
+// revertOrder ends the order in all regions by one write; an upsert.
+func (runner *Runner) revertOrder(scene Scene, id string, contents Contents, reason string, isVersionFailure bool) error {
+	object, err := runner.Objects.Model(contents.Model)
 	if err != nil {
 		return err
 	}
-	over := func(order *Order) bool { return order.ID != id || order.Back != "" }
-	if over(orEmpty(have.Order)) {
+	isOver := func(order *Order) bool { return order.ID != id || order.Back != "" }
+	if isOver(orEmpty(object.Order)) {
 		return nil
 	}
-	runner.point("back")
+	runner.failpoint("back")
 	serials := map[string]uint64{}
-	for _, region := range have.Order.Regions {
+	for _, region := range object.Order.Regions {
 		if serials[region], err = runner.Objects.NextSerial(region); err != nil {
 			return err
 		}
 	}
 	_, err = runner.Objects.Change(contents.Model, scene.Region, scene.Duty, func(model *Model) error {
-		if over(orEmpty(model.Order)) {
+		if isOver(orEmpty(model.Order)) {
 			return workflow.ErrWait // taken back, or over, meanwhile; looked at anew
 		}
 		model.Order.Back, model.Order.Ended = reason, runner.World.Wall()
-		if plainly {
+		if isVersionFailure {
 			if model.Failed == nil {
 				model.Failed = map[string]string{}
 			}
@@ -680,7 +680,7 @@
 			route.Serial = serials[region]
 			model.Routes[region] = route
 		}
-		model.Live = live(model)
+		model.Live = liveVersion(model)
 		return nil
 	})
 	return err
--- a/verdict/verdict.go
+++ b/verdict/verdict.go
@@ -53,19 +53,19 @@
 }
 
 // Error is one line for logs.
-func (mishap *Mishap) Error() string {
-	if mishap.Cause != nil {
-		return fmt.Sprintf("%s (%s): %s: %v", mishap.Code, mishap.Verdict, mishap.Message, mishap.Cause)
+func (failure *Mishap) Error() string {
+	if failure.Cause != nil {
+		return fmt.Sprintf("%s (%s): %s: %v", failure.Code, failure.Verdict, failure.Message, failure.Cause)
 	}
-	return fmt.Sprintf("%s (%s): %s", mishap.Code, mishap.Verdict, mishap.Message)
+	return fmt.Sprintf("%s (%s): %s", failure.Code, failure.Verdict, failure.Message)
 }
 
 // Unwrap gives the cause.
-func (mishap *Mishap) Unwrap() error { return mishap.Cause }
+func (failure *Mishap) Unwrap() error { return failure.Cause }
 
 // JSON is the body that callers get.
-func (mishap *Mishap) JSON() []byte {
-	body, _ := json.Marshal(mishap)
+func (failure *Mishap) JSON() []byte {
+	body, _ := json.Marshal(failure)
 	return body
 }
 
--- a/workflow/workflow.go
+++ b/workflow/workflow.go
@@ -75,11 +75,11 @@
 	Ended  time.Time `json:"ended"`
 }
 
-// KeptPast is how many retired runs a shelf remembers, and MostBytes how long a
+// MaxPastRuns is how many retired runs a shelf remembers, and MostBytes how long a
 // step's result may be.
 const (
-	KeptPast  = 32
-	MostBytes = 64 << 10
+	MaxPastRuns    = 32
+	MaxResultBytes = 64 << 10
 )
 
 // The kinds of errors that a step may give. Any other error is transient: the
@@ -87,15 +87,17 @@
 type (
 	// Terminal ends the run; trying again can't help.
 	Terminal struct{ Reason string }
-	// Limited makes the run sleep, durably, before the step is tried again.
-	Limited struct{ ComeBack time.Duration }
+	// RateLimited makes the run sleep, durably, before the step is tried again.
+	RateLimited struct{ RetryAfter time.Duration }
 )
 
 // Error is one line.
 func (terminal *Terminal) Error() string { return terminal.Reason }
 
 // Error is one line.
-func (limited *Limited) Error() string { return "rate limited for " + limited.ComeBack.String() }
+func (rateLimited *RateLimited) Error() string {
+	return "rate limited for " + rateLimited.RetryAfter.String()
+}
 
 var (
 	// ErrWait: the step is not done yet; look again at the next turn.
@@ -122,66 +124,66 @@
 }
 
 // Read gives a shelf.
-func (book *Book) Read(key string) (Shelf, uint64, error) {
-	value, err := book.Keeper.Read(Prefix + key)
+func (journal *Book) Read(key string) (Shelf, uint64, error) {
+	value, err := journal.Keeper.Read(Prefix + key)
 	if err != nil {
 		return Shelf{}, 0, err
 	}
-	shelf, err := open(value)
-	return shelf, value.Serial, err
+	store, err := openStore(value)
+	return store, value.Serial, err
 }
 
-func open(value register.Value) (shelf Shelf, err error) {
+func openStore(value register.Value) (store Shelf, err error) {
 	if value.Serial > 0 {
-		err = json.Unmarshal(value.Data, &shelf)
+		err = json.Unmarshal(value.Data, &store)
 	}
-	return shelf, err
+	return store, err
 }
 
 // Start begins the run, or joins or reports the one that has the id already.
-func (book *Book) Start(key, id string, contents any) (run Run, joined bool, err error) {
+func (journal *Book) Start(key, id string, contents any) (run Run, joined bool, err error) {
 	body, err := json.Marshal(contents)
 	if err != nil {
 		return Run{}, false, err
 	}
-	mark := digest(body)
-	_, err = book.Keeper.Change(Prefix+key, func(value register.Value) ([]byte, error) {
+	contentsDigest := digest(body)
+	_, err = journal.Keeper.Change(Prefix+key, func(value register.Value) ([]byte, error) {
 		joined = false
-		shelf, err := open(value)
+		store, err := openStore(value)
 		if err != nil {
 			return nil, err
 		}
-		if have := shelf.Run; have != nil && have.ID == id {
-			joined, run = true, *have
+		if current := store.Run; current != nil && current.ID == id {
+			joined, run = true, *current
 			return nil, errJoined
 		}
-		for _, past := range shelf.Past {
+		for _, past := range store.Past {
 			if past.ID == id {
 				joined, run = true, Run{ID: id, Digest: past.Digest, State: past.State, Reason: past.Reason, Ended: past.Ended}
 				return nil, errJoined
 			}
 		}
-		if slices.Contains(shelf.Used, digest([]byte(id))[:12]) {
+		if slices.Contains(store.Used, digest([]byte(id))[:12]) {
 			return nil, ErrUsed
 		}
-		if have := shelf.Run; have != nil {
-			if have.State == Running {
+		if current := store.Run; current != nil {
+			if current.State == Running {
 				return nil, ErrBusy
 			}
-			shelf.Past = append(shelf.Past, Past{have.ID, have.Digest, have.State, have.Reason, have.Ended})
-			for len(shelf.Past) > KeptPast {
-				shelf.Used = append(shelf.Used, digest([]byte(shelf.Past[0].ID))[:12])
-				shelf.Past = shelf.Past[1:]
+			store.Past = append(store.Past, Past{current.ID, current.Digest, current.State, current.Reason, current.Ended})
+			for len(store.Past) > MaxPastRuns {
+				store.Used = append(store.Used, digest([]byte(store.Past[0].ID))[:12])
+				store.Past = store.Past[1:]
 			}
 		}
-		run = Run{ID: id, Digest: mark, Contents: body, State: Running, Began: book.World.Wall()}
-		shelf.Run = &run
-		return json.Marshal(shelf)
+		run = Run{ID: id, Digest: contentsDigest, Contents: body, State: Running, Began: journal.World.Wall()}
+		store.Run = &run
+		return json.Marshal(store)
 	})
 	if errors.Is(err, errJoined) {
 		err = nil
 	}
-	if err == nil && joined && run.Digest != mark {
+	if err == nil && joined && run.Digest != contentsDigest {
 		err = ErrOther
 	}
 	return run, joined, err
@@ -191,39 +193,39 @@
 
 // Log is a run in the hands of its runner.
 type Log struct {
-	book   *Book
-	key    string
-	shelf  Shelf
-	serial uint64
-	fence  uint64
+	journal  *Book
+	key      string
+	store    Shelf
+	revision uint64
+	fence    uint64
 }
 
 // Resume takes the run on the shelf for the duty's serial, by writing that into
 // it; nil when nothing is under way. An older runner can't write any more.
-func (book *Book) Resume(key string, fence uint64) (*Log, error) {
-	log := &Log{book: book, key: key, fence: fence}
-	shelf, serial, err := book.Read(key)
-	if err != nil || shelf.Run == nil || shelf.Run.State != Running {
+func (journal *Book) Resume(key string, fence uint64) (*Log, error) {
+	log := &Log{journal: journal, key: key, fence: fence}
+	store, revision, err := journal.Read(key)
+	if err != nil || store.Run == nil || store.Run.State != Running {
 		return nil, err
 	}
-	log.shelf, log.serial = shelf, serial
-	if shelf.Run.Fence > fence {
+	log.store, log.revision = store, revision
+	if store.Run.Fence > fence {
 		return nil, ErrFenced
 	}
-	if shelf.Run.Fence == fence {
+	if store.Run.Fence == fence {
 		return log, nil
 	}
 	return log, log.write(func(run *Run) { run.Fence = fence })
 }
 
 // Run shows the run.
-func (log *Log) Run() Run { return *log.shelf.Run }
+func (log *Log) Run() Run { return *log.store.Run }
 
 // write changes the run on the register; only the holder of its fence and of
 // its last serial can.
 func (log *Log) write(change func(run *Run)) error {
-	next := log.shelf
-	run := *log.shelf.Run
+	next := log.store
+	run := *log.store.Run
 	run.Steps = append([]Step{}, run.Steps...)
 	change(&run)
 	next.Run = &run
@@ -231,20 +233,20 @@
 	if err != nil {
 		return err
 	}
-	value, err := log.book.Keeper.Swap(Prefix+log.key, log.serial, data)
+	value, err := log.journal.Keeper.Swap(Prefix+log.key, log.revision, data)
 	var stale *register.Stale
 	if errors.As(err, &stale) {
 		return ErrFenced
 	} else if err != nil {
 		return err
 	}
-	log.shelf, log.serial = next, value.Serial
+	log.store, log.revision = next, value.Serial
 	return nil
 }
 
 // Recorded tells whether the step is done, and reads its result.
 func (log *Log) Recorded(name string, result any) bool {
-	for _, step := range log.shelf.Run.Steps {
+	for _, step := range log.store.Run.Steps {
 		if step.Name == name {
 			if result != nil && len(step.Result) > 0 {
 				return json.Unmarshal(step.Result, result) == nil
@@ -262,40 +264,40 @@
 	if log.Recorded(name, result) {
 		return nil
 	}
-	now := log.book.World.Wall()
-	if now.Before(log.shelf.Run.Wake) {
+	now := log.journal.World.Wall()
+	if now.Before(log.store.Run.Wake) {
 		return ErrWait
 	}
-	got, err := do()
+	output, err := do()
 	var terminal *Terminal
-	var limited *Limited
+	var rateLimited *RateLimited
 	switch {
 	case errors.Is(err, ErrWait), errors.Is(err, ErrFenced), errors.As(err, &terminal):
 		return err
-	case errors.As(err, &limited):
-		if failed := log.write(func(run *Run) { run.At, run.Wake, run.Last = name, now.Add(limited.ComeBack), err.Error() }); failed != nil {
-			return failed
+	case errors.As(err, &rateLimited):
+		if writeErr := log.write(func(run *Run) { run.At, run.Wake, run.Last = name, now.Add(rateLimited.RetryAfter), err.Error() }); writeErr != nil {
+			return writeErr
 		}
 		return ErrWait
 	case err != nil:
 		// Transient: tried again after a pause that grows, and outlives us.
-		if failed := log.write(func(run *Run) {
+		if writeErr := log.write(func(run *Run) {
 			if run.At != name {
 				run.At, run.Mishaps = name, 0
 			}
 			run.Mishaps++
 			run.Last = err.Error()
 			run.Wake = now.Add(min(10*time.Second, 200*time.Millisecond<<min(run.Mishaps, 6)))
-		}); failed != nil {
-			return failed
+		}); writeErr != nil {
+			return writeErr
 		}
 		return ErrWait
 	}
-	body, err := json.Marshal(got)
+	body, err := json.Marshal(output)
 	if err != nil {
 		return err
 	}
-	if len(body) > MostBytes {
+	if len(body) > MaxResultBytes {
 		return &Terminal{fmt.Sprintf("the result of step %s is too long (%d bytes)", name, len(body))}
 	}
 	if err := log.write(func(run *Run) {
@@ -313,6 +315,6 @@
 // Finish ends the run.
 func (log *Log) Finish(state, reason string) error {
 	return log.write(func(run *Run) {
-		run.State, run.Reason, run.Ended, run.At, run.Wake = state, reason, log.book.World.Wall(), "", time.Time{}
+		run.State, run.Reason, run.Ended, run.At, run.Wake = state, reason, log.journal.World.Wall(), "", time.Time{}
 	})
 }
--- a/workflow/workflow_test.go
+++ b/workflow/workflow_test.go
@@ -13,11 +13,11 @@
 
 // TestIDsNeverRunAgain: however many runs have come since.
 func TestIDsNeverRunAgain(t *testing.T) {
-	park := fleet.NewPark(3, fleet.Sahayogi())
-	defer park.Close()
-	const runs = 3 * workflow.KeptPast
+	cluster := fleet.NewPark(3, fleet.Sahayogi())
+	defer cluster.Close()
+	const runs = 3 * workflow.MaxPastRuns
 	for number := 0; number < runs; number++ {
-		park.Must("c1", func(daemon *controlplane.Daemon) error {
+		cluster.Must("c1", func(daemon *controlplane.Daemon) error {
 			if _, _, err := daemon.Book.Start("shelf", fmt.Sprint("id", number), "same"); err != nil {
 				return err
 			}
@@ -28,9 +28,9 @@
 			return log.Finish(workflow.Done, "")
 		})
 	}
-	joined, used := 0, 0
+	joined, usedOnly := 0, 0
 	for number := 0; number < runs; number++ {
-		err := park.Do("c2", 5*time.Second, func(daemon *controlplane.Daemon) error {
+		err := cluster.Do("c2", 5*time.Second, func(daemon *controlplane.Daemon) error {
 			run, isJoined, err := daemon.Book.Start("shelf", fmt.Sprint("id", number), "same")
 			if err == nil && (!isJoined || run.State != workflow.Done) {
 				return fmt.Errorf("id%d began again", number)
@@ -41,12 +41,12 @@
 		case err == nil:
 			joined++
 		case errors.Is(err, workflow.ErrUsed):
-			used++
+			usedOnly++
 		default:
 			t.Fatal(err)
 		}
 	}
-	if joined != workflow.KeptPast+1 || used != runs-joined {
-		t.Errorf("%d are reported, %d are known to be used", joined, used)
+	if joined != workflow.MaxPastRuns+1 || usedOnly != runs-joined {
+		t.Errorf("%d are reported, %d are known to be used", joined, usedOnly)
 	}
 }
