--- a/rollout/objects.go
+++ b/rollout/objects.go
@@ -1,6 +1,6 @@
-// Package rollout runs DESIGN's roll-out: one durable run per model and region,
-// the keyed objects that it works through, and the loop that brings replicas to
-// the wanted state.
+// Package rollout implements roll-outs: one durable run per model and region, the
+// register objects that the runs work on, and the loop that reconciles replicas with
+// the desired state. The design is described in DESIGN.
 package rollout
 
 import (
@@ -17,8 +17,8 @@
 	"swifttiller/workflow"
 )
 
-// Keys of the registers of the objects. Each object's calls are serialized by
-// its register's compare-and-set.
+// Key prefixes of the registers that hold the objects. Writes to an object are
+// serialized by its register's compare-and-set.
 const (
 	ModelPrefix   = "model/"
 	VersionPrefix = "version/"
@@ -33,39 +33,39 @@
 	ARCHIVED = "ARCHIVED"
 )
 
-// Model is the per-model serializer's object: the route rows and the pointer to
-// the live version.
+// Model is the object of one model: its routes in all regions and the version that is
+// live.
 //
-// Invariant: only Serializer.Change writes it; Fences never fall, and a write
-// for a region by a duty with a lower serial than the region's fence is
-// declined.
+// Invariants: it is written by Objects.Change only. Fences never decrease, and a write
+// for a region by a leader whose term is lower than the region's fence is rejected.
 type Model struct {
 	Routes     map[string]standing.Route `json:"routes"`
 	Live       string                    `json:"live"`
 	RolledBack bool                      `json:"isRolledBack"`
 	Fences     map[string]uint64         `json:"fences"`
-	// Failed names, by version, the run whose trial or watch failed plainly. No
-	// region goes on with that run, and no automatic one takes the version up,
-	// until a promote.
+	// Failed maps a version to the run whose trial or watch failed clearly. No region
+	// continues that run, and no automatic run starts with the version, until an
+	// operator promotes the model.
 	Failed map[string]string `json:"failed,omitempty"`
-	// Order is the newest roll-out under a term, where the placement holds any version.
+	// Order is the newest timed roll-out, if the placement allows any version.
 	Order *Order `json:"order,omitempty"`
-	// Wanted is, by region, the placement's version that was last acted on, so
-	// that automatic roll-outs follow changes and do not fight operators.
+	// Wanted is, by region, the version in the placement that was last acted on. It
+	// lets automatic roll-outs follow changes of the placement without undoing what an
+	// operator did.
 	Wanted map[string]string `json:"wanted"`
 }
 
-// Objects gives access to the keyed objects.
+// Objects reads and writes the register objects of roll-outs.
 type Objects struct {
 	World  loop.World
 	Keeper *register.Keeper
-	// Name makes nonces unique.
+	// Name is part of each nonce and makes it unique across daemons.
 	Name string
-	// Changed, if set, is told after every write of a model's object from here.
+	// Changed, if set, is called after every write of a model's object by this daemon.
 	Changed    func()
 	nonceCount atomic.Uint64
-	// orders are when this daemon first saw an order, by its id, under guard, which
-	// nothing waits under.
+	// ordersSeenAt maps the ID of each order to the time when this daemon first saw it.
+	// It is protected by mutex, which is never held while waiting.
 	mutex        sync.Mutex
 	ordersSeenAt map[string]time.Duration
 }
@@ -75,7 +75,7 @@
 	return objects.ModelWithin(model, objects.Keeper.Patience)
 }
 
-// ModelWithin is Model that gives up after the span where no majority answers.
+// ModelWithin is like Model, but gives up after the timeout if no quorum replies.
 func (objects *Objects) ModelWithin(model string, timeout time.Duration) (Model, error) {
 	value, err := objects.Keeper.ReadWithin(ModelPrefix+model, timeout)
 	if err != nil {
@@ -84,58 +84,59 @@
 	return objects.Open(value)
 }
 
-// Open reads a model's object from its register's value. It notes when an order was
-// first seen.
+// Open decodes a model's object from the value of its register, and records when its
+// order was first seen.
 func (objects *Objects) Open(value register.Value) (Model, error) {
-	out, err := OpenModel(value)
-	if err == nil && out.Order != nil {
-		objects.firstSeen(out.Order.ID)
+	object, err := OpenModel(value)
+	if err == nil && object.Order != nil {
+		objects.firstSeen(object.Order.ID)
 	}
-	return out, err
+	return object, err
 }
 
-// OpenModel reads a model's object from its register's value.
+// OpenModel decodes a model's object from the value of its register.
 func OpenModel(value register.Value) (Model, error) {
-	out := Model{Routes: map[string]standing.Route{}, Fences: map[string]uint64{}, Wanted: map[string]string{}}
+	object := Model{Routes: map[string]standing.Route{}, Fences: map[string]uint64{}, Wanted: map[string]string{}}
 	if value.Serial == 0 {
-		return out, nil
+		return object, nil
 	}
-	return out, json.Unmarshal(value.Data, &out)
+	return object, json.Unmarshal(value.Data, &object)
 }
 
-// Change is the per-model serializer: the only writer of route rows. A region
-// and fence are given by the region's duty; operators give no region, and their
-// step is serialized with the others by the register alone.
+// Change revises a model's object; routes are written here only. A region's leader
+// passes its region and its term as the fence. Operators pass no region: their writes
+// are serialized by the register's compare-and-set alone.
 func (objects *Objects) Change(model, region string, fence uint64, revise func(*Model) error) (Model, error) {
-	return objects.changeTimeout(objects.Keeper.Patience, model, region, fence, revise)
+	return objects.changeWithTimeout(objects.Keeper.Patience, model, region, fence, revise)
 }
 
-// changeTimeout is Change that goes on for the silence while no majority answers.
-func (objects *Objects) changeTimeout(timeout time.Duration, model, region string, fence uint64, revise func(*Model) error) (Model, error) {
-	var out Model
+// changeWithTimeout is like Change, but gives up after the timeout if no quorum
+// replies.
+func (objects *Objects) changeWithTimeout(timeout time.Duration, model, region string, fence uint64, revise func(*Model) error) (Model, error) {
+	var object Model
 	_, err := objects.Keeper.ChangeWithin(ModelPrefix+model, timeout, func(value register.Value) ([]byte, error) {
 		var err error
-		if out, err = OpenModel(value); err != nil {
+		if object, err = OpenModel(value); err != nil {
 			return nil, err
 		}
 		if region != "" {
-			if out.Fences[region] > fence {
+			if object.Fences[region] > fence {
 				return nil, workflow.ErrFenced
 			}
-			out.Fences[region] = fence
+			object.Fences[region] = fence
 		}
-		if err := revise(&out); err != nil {
+		if err := revise(&object); err != nil {
 			return nil, err
 		}
-		return json.Marshal(out)
+		return json.Marshal(object)
 	})
 	if err == nil && objects.Changed != nil {
 		objects.Changed()
 	}
-	return out, err
+	return object, err
 }
 
-// NextSerial is the per-region object: serials that only rise.
+// NextSerial returns the region's next serial. Serials of a region only increase.
 func (objects *Objects) NextSerial(region string) (uint64, error) {
 	value, err := objects.Keeper.Change(SerialPrefix+region, func(value register.Value) ([]byte, error) {
 		return json.Marshal(value.Serial + 1)
@@ -143,22 +144,23 @@
 	return value.Serial, err
 }
 
-// Desired is the wanted state of a version in a region.
+// Desired is the desired state of a version in a region.
 //
-// Invariant: Nonce is that of the newest schedule, or of the last change; a
-// delayed order with any other nonce does nothing.
+// Invariant: Nonce is that of the newest scheduled change, or empty if the state was
+// set after it. A delayed order with any other nonce has no effect.
 type Desired struct {
 	State string `json:"state"`
-	// Only names the replicas that hold it while on trial; empty means all.
+	// Only names the replicas that load the version during a trial; empty means all.
 	Only  []string  `json:"only,omitempty"`
 	Nonce string    `json:"nonce,omitempty"`
 	Since time.Time `json:"since"`
-	// Order rises with every change; it names the orders that replicas get.
+	// Order increases with every change and is part of the IDs of the orders sent to
+	// replicas.
 	Order uint64 `json:"order"`
 	Fence uint64 `json:"fence"`
 }
 
-// Version is the per-version object, by region.
+// Version is the object of one version of a model, by region.
 type Version struct {
 	Regions map[string]Desired `json:"regions"`
 }
@@ -175,49 +177,51 @@
 }
 
 func openVersion(value register.Value) (Version, error) {
-	out := Version{Regions: map[string]Desired{}}
+	object := Version{Regions: map[string]Desired{}}
 	if value.Serial == 0 {
-		return out, nil
+		return object, nil
 	}
-	return out, json.Unmarshal(value.Data, &out)
+	return object, json.Unmarshal(value.Data, &object)
 }
 
-// errUnchanged says that nothing needs to be written.
+// errUnchanged is returned by a revision that has nothing to write.
 var errUnchanged = errors.New("same")
 
-// mutate changes a version's desired state in a region.
+// mutate revises the desired state of a version in a region. A fence of 0 is not
+// checked.
 func (objects *Objects) mutate(model, version, region string, fence uint64, revise func(*Desired) error) (Desired, error) {
-	var out Desired
+	var desired Desired
 	_, err := objects.Keeper.Change(versionKey(model, version), func(value register.Value) ([]byte, error) {
 		object, err := openVersion(value)
 		if err != nil {
 			return nil, err
 		}
-		out = object.Regions[region]
-		if fence > 0 && out.Fence > fence {
+		desired = object.Regions[region]
+		if fence > 0 && desired.Fence > fence {
 			return nil, workflow.ErrFenced
 		}
 		if fence > 0 {
-			out.Fence = fence
+			desired.Fence = fence
 		}
-		if err := revise(&out); err != nil {
+		if err := revise(&desired); err != nil {
 			return nil, err
 		}
-		object.Regions[region] = out
+		object.Regions[region] = desired
 		return json.Marshal(object)
 	})
 	if errors.Is(err, errUnchanged) {
 		err = nil
 	}
-	return out, err
+	return desired, err
 }
 
 func (objects *Objects) nonce() string {
 	return fmt.Sprintf("%s/%d/%x", objects.Name, objects.nonceCount.Add(1), objects.World.Draw(1<<40))
 }
 
-// Want sets a state at once and clears the nonce, which makes every delayed
-// order stale. It is an upsert: the same state and replicas again change nothing else.
+// Want sets a desired state immediately and clears the nonce, which invalidates every
+// delayed order. It is an upsert: setting the same state and replicas again changes
+// nothing else.
 func (objects *Objects) Want(model, version, region string, fence uint64, state string, only []string) (Desired, error) {
 	return objects.mutate(model, version, region, fence, func(desired *Desired) error {
 		if desired.State == state && equalStrings(desired.Only, only) && desired.Nonce == "" {
@@ -244,7 +248,7 @@
 	return true
 }
 
-// Delayed is an order for later.
+// Delayed is a change of a desired state that is to take effect later.
 type Delayed struct {
 	Version string    `json:"version"`
 	Region  string    `json:"region"`
@@ -253,9 +257,10 @@
 	Nonce   string    `json:"nonce"`
 }
 
-// Schedule plans a change: a fresh nonce goes into the version's object, over
-// any older one, and the delayed order carries it. The order is written first:
-// one whose nonce never got into the object does nothing.
+// Schedule plans a change of a desired state after the delay. It replaces any earlier
+// plan by writing a fresh nonce into the version's object. The delayed order, which
+// carries the nonce, is written first: if the nonce is then never written to the
+// object, the order has no effect.
 func (objects *Objects) Schedule(model, version, region string, fence uint64, state string, delay time.Duration) error {
 	order := Delayed{Version: version, Region: region, State: state, At: objects.World.Wall().Add(delay), Nonce: objects.nonce()}
 	_, err := objects.Keeper.Change(DelayedPrefix+model, func(value register.Value) ([]byte, error) {
@@ -288,25 +293,26 @@
 	return orders, err
 }
 
-// Fire carries out a delayed order if its nonce is still the newest, and tells
-// whether it was.
+// Fire applies a delayed order if its nonce is still the newest, and reports whether it
+// did.
 func (objects *Objects) Fire(model string, order Delayed, fence uint64) (bool, error) {
-	fired := false
+	isFired := false
 	_, err := objects.mutate(model, order.Version, order.Region, fence, func(desired *Desired) error {
-		fired = false
+		isFired = false
 		if desired.Nonce != order.Nonce {
-			return errUnchanged // stale: a no-op
+			return errUnchanged // the order is stale and has no effect
 		}
-		fired = true
+		isFired = true
 		desired.State, desired.Only, desired.Nonce = order.State, nil, ""
 		desired.Since = objects.World.Wall()
 		desired.Order++
 		return nil
 	})
-	return fired, err
+	return isFired, err
 }
 
-// FireDue fires the region's orders whose time has come and takes them off the list.
+// FireDue applies the region's delayed orders that are due and removes them from the
+// list.
 func (objects *Objects) FireDue(model, region string, fence uint64, archive time.Duration) error {
 	value, err := objects.Keeper.Read(DelayedPrefix + model)
 	if err != nil {
@@ -321,7 +327,7 @@
 		if order.Region != region || now.Before(order.At) {
 			continue
 		}
-		fired, err := objects.Fire(model, order, fence)
+		isFired, err := objects.Fire(model, order, fence)
 		if err != nil {
 			return err
 		}
@@ -340,8 +346,9 @@
 		}); err != nil {
 			return err
 		}
-		if fired && order.State == STANDBY {
-			// Standby is bounded: idle for long enough, a version is archived.
+		if isFired && order.State == STANDBY {
+			// The time in standby is bounded: a version that stays idle for that long
+			// is archived.
 			if err := objects.Schedule(model, order.Version, region, fence, ARCHIVED, archive); err != nil {
 				return err
 			}
@@ -350,7 +357,7 @@
 	return nil
 }
 
-// Versions lists a model's versions by name.
+// Versions returns the objects of all versions of a model, by version.
 func (objects *Objects) Versions(model string) (map[string]Version, error) {
 	keys, err := objects.Keeper.List(VersionPrefix + model + "/")
 	if err != nil || len(keys) == 0 {
@@ -360,32 +367,32 @@
 	if err != nil {
 		return nil, err
 	}
-	out := map[string]Version{}
+	versions := map[string]Version{}
 	for key, value := range values {
 		object, err := openVersion(value)
 		if err != nil {
 			return nil, err
 		}
-		out[key[len(VersionPrefix+model+"/"):]] = object
+		versions[key[len(VersionPrefix+model+"/"):]] = object
 	}
-	return out, nil
+	return versions, nil
 }
 
-// Decline is an operator's step that does not hold.
+// Decline is the error for an operator's step that is rejected in the present state.
 type Decline struct{ Reason string }
 
-// Error is one line.
+// Error returns the reason of the rejection.
 func (rejection *Decline) Error() string { return rejection.Reason }
 
-// Rollback points the routes of a model back to the version before, in one
-// step, in the regions given (all when empty), and bars automatic roll-outs
-// until a promote.
+// Rollback points a model's routes back to the previous version in one write, in the
+// given regions, or in all if none are given. Automatic roll-outs are disabled until a
+// promote.
 func (objects *Objects) Rollback(model string, regions []string, standby time.Duration) (Model, error) {
 	return objects.swapRoutes(model, regions, standby, true)
 }
 
-// Promote reverses a rollback and lets automatic roll-outs be. With stay, the
-// routes are left where they are.
+// Promote reverses a rollback and enables automatic roll-outs again. With stay, the
+// routes are left as they are.
 func (objects *Objects) Promote(model string, stay bool, standby time.Duration) (Model, error) {
 	if stay {
 		return objects.Change(model, "", 0, func(model *Model) error {
@@ -405,7 +412,8 @@
 	model.Failed = nil
 }
 
-// swapRoutes swaps each region's pointer with the version before.
+// swapRoutes exchanges the current and the previous version of each region's route. In
+// a region with a trial, it ends the trial instead.
 func (objects *Objects) swapRoutes(name string, regions []string, standby time.Duration, isRollback bool) (Model, error) {
 	object, err := objects.Model(name)
 	if err != nil {
@@ -423,7 +431,7 @@
 		moved = append(moved, region)
 	}
 	if len(moved) == 0 {
-		return object, &Decline{fmt.Sprintf("no region has a version of %q to go back to", name)}
+		return object, &Decline{fmt.Sprintf("no region has a previous version of %q to roll back to", name)}
 	}
 	serials := map[string]uint64{}
 	for _, region := range moved {
@@ -440,12 +448,12 @@
 			return Model{}, err
 		}
 		if isRollback && route.Bears(route.Previous) {
-			return object, &Decline{fmt.Sprintf("version %s failed in region %s and is not gone back to; promote it if it shall be tried again", route.Previous, region)}
+			return object, &Decline{fmt.Sprintf("version %s failed in region %s and cannot be rolled back to; promote it to allow another try", route.Previous, region)}
 		}
 		if desired := version.Regions[region]; desired.State != RUNNING {
-			return object, &Decline{fmt.Sprintf("version %s is %s in region %s and no longer loaded; start a handover to it instead", route.Previous, desired.State, region)}
+			return object, &Decline{fmt.Sprintf("version %s is %s in region %s and is not loaded; start a handover to it instead", route.Previous, desired.State, region)}
 		}
-		// The target is kept loaded before anything points to it.
+		// The target version is kept loaded before any route points to it.
 		if _, err := objects.Want(name, route.Previous, region, 0, RUNNING, nil); err != nil {
 			return Model{}, err
 		}
@@ -453,11 +461,11 @@
 			return Model{}, err
 		}
 	}
-	out, err := objects.Change(name, "", 0, func(model *Model) error {
+	changed, err := objects.Change(name, "", 0, func(model *Model) error {
 		for _, region := range moved {
 			route, before := model.Routes[region], object.Routes[region]
 			if route.Version != before.Version || route.Previous != before.Previous || route.Trial != before.Trial {
-				return &Decline{"the routes changed at the same time; look at `handover status` and try again"}
+				return &Decline{"the routes were changed concurrently; check `handover status` and try again"}
 			}
 			if route.Trial != "" {
 				if isRollback && !has(route.Banned, route.Trial) {
@@ -470,7 +478,7 @@
 			route.Trial, route.TrialReplicas, route.Run, route.Serial = "", nil, "", serials[region]
 			model.Routes[region] = route
 		}
-		// Runs that have not come as far lose their claim too.
+		// Runs that have not reached their trial or move lose their claim too.
 		for region, route := range model.Routes {
 			if len(regions) == 0 || has(regions, region) {
 				route.Run, route.TrialReplicas = "", nil
@@ -485,22 +493,22 @@
 		return nil
 	})
 	if err != nil {
-		return out, err
+		return changed, err
 	}
 	for _, region := range moved {
 		if before := object.Routes[region]; before.Trial != "" {
 			if _, err := objects.Want(name, before.Trial, region, 0, ARCHIVED, nil); err != nil {
-				return out, err
+				return changed, err
 			}
 		} else if err := objects.Schedule(name, before.Version, region, 0, STANDBY, standby); err != nil {
-			return out, err
+			return changed, err
 		}
 	}
-	return out, nil
+	return changed, nil
 }
 
-// liveVersion is the version that every region points to, or the present one while
-// regions differ.
+// liveVersion returns the version that the routes of all regions point to, or the
+// present live version while they differ.
 func liveVersion(model *Model) string {
 	version := ""
 	for _, region := range sorted(model.Routes) {
--- a/rollout/run.go
+++ b/rollout/run.go
@@ -16,33 +16,36 @@
 	"swifttiller/workflow"
 )
 
-// Contents is what a run is about.
+// Contents is the input of a roll-out run; it is stored with the run.
 type Contents struct {
 	Model     string `json:"model"`
 	Region    string `json:"region"`
 	Version   string `json:"version"`
 	Automatic bool   `json:"automatic"`
-	// Wanted is set for automatic runs: the placement's version acted on.
+	// Wanted is set for automatic runs only: the placement's version that started the
+	// run.
 	Wanted string `json:"wanted,omitempty"`
-	// Over is the term of an order that has one, and Proved says that it asks for the
-	// version that the last one brought.
+	// Over is the duration of a timed roll-out and zero for all others. Proved says
+	// that the timed roll-out orders the version that the routes already point to, so
+	// it needs no trial.
 	Over   time.Duration `json:"over,omitempty"`
 	Proved bool          `json:"proved,omitempty"`
 }
 
-// VersionFailure ends a run because its version's failures are plain.
+// VersionFailure ends a run because the failures of its version are statistically
+// clear. The version is then rolled back in all regions, not only in the run's own.
 type VersionFailure struct{ Reason string }
 
-// Error is one line.
+// Error returns the reason of the failure.
 func (failure *VersionFailure) Error() string { return failure.Reason }
 
-// Unwrap makes it terminal.
+// Unwrap makes the failure a terminal error of the run.
 func (failure *VersionFailure) Unwrap() error { return &workflow.Terminal{Reason: failure.Reason} }
 
-// Key is a run's shelf.
+// Key returns the key of the run store of a model in a region.
 func Key(model, region string) string { return model + "/" + region }
 
-// Scene is what a runner sees of its region at one turn.
+// Scene is the state of a region that a runner works on in one pass.
 type Scene struct {
 	Region    string
 	Duty      uint64
@@ -50,63 +53,71 @@
 	Evacuated map[string]bool
 	Replicas  []standing.Replica
 	Daemons   []standing.Daemon
-	// Incarnations of the daemons, so that a restarted one's counts are new.
+	// Incarnations maps each daemon's name to its current incarnation, so that the
+	// counters of a restarted daemon are told apart from those before the restart.
 	Incarnations map[string]string
-	// Routes are the region's, as last read.
+	// Routes holds the region's route of each model, as last read.
 	Routes map[string]standing.Route
-	// Standing is the region's as last written; nil when it is not known.
+	// Standing is the region's routing table as last written, or nil if it is unknown.
 	Standing *standing.Standing
-	// Watched is for how long this daemon has listened to the others' sessions; what
-	// Daemons does not show after one session bound is not there.
+	// Watched is how long this daemon has been receiving the other daemons' sessions.
+	// Once it exceeds the session timeout, a data daemon that is missing from Daemons
+	// does not exist.
 	Watched time.Duration
-	// Idle are models about which there is no run, nor ever was one, nor can be by
-	// itself: nothing is read for them.
+	// Idle holds the models that have no run, never had one, and for which none can
+	// start without an operator. Their registers are not read.
 	Idle map[string]bool
 }
 
-// Runner turns a region's runs and brings its replicas to the wanted state.
+// Runner advances the roll-out runs of a region and reconciles its replicas with the
+// desired state.
 type Runner struct {
 	World   loop.World
 	Objects *Objects
 	Book    *workflow.Book
 	Client  replica.Client
-	// Point, if set, is told of each step's passing, for faults in tests.
+	// Point is a failpoint: if set, it is called with the name of each step before the
+	// step runs, so that tests can inject faults.
 	Point func(name string)
 
 	openRuns    map[string]*workflow.Log
-	orderSentAt map[string]time.Duration // when an order was last sent
-	// waitStart is when this runner first waited for what the key names, on its own
-	// clock. Spans of a run go by it: a calendar may jump, and the next holder's may
-	// stand elsewhere. A new holder waits a span anew.
+	orderSentAt map[string]time.Duration // by replica and version: when the last order was sent
+	// waitStart holds, by wait key, when this runner started to wait, on its own
+	// monotonic clock. All durations within a run are measured this way, because the
+	// wall clock may jump and may differ between leaders. A new leader therefore starts
+	// each wait over.
 	waitStart map[string]time.Duration
-	// guardedRoutes is, by model, the route that guard looks at.
+	// guardedRoutes holds, by model, the route that guardRoute is checking.
 	guardedRoutes map[string]guardedRoute
-	// recordedElapsed is how much of a run's term was over when this runner took it, and shown
-	// the standing that first showed the run's move.
+	// recordedElapsed is, by wait key, how much of a timed run's duration had passed,
+	// according to the run's records, when this runner took it over. movedSerial is the
+	// serial of the first routing table that shows the run's new route.
 	recordedElapsed map[string]time.Duration
 	movedSerial     map[string]uint64
-	// retryAfter is after which time the last turn left something to do.
+	// retryAfter is the delay after which the next pass has something to do.
 	retryAfter time.Duration
 }
 
-// Due is after which time a run under a term has something to do that was left by the
-// last turn; whoever turns the runs asks it.
+// Due returns the delay after which a timed run needs the next call of Turn. It is set
+// by the last call of Turn.
 func (runner *Runner) Due() time.Duration { return runner.retryAfter }
 
-// wait is ErrWait, for no longer than the span.
+// wait returns workflow.ErrWait and asks for the next pass after the given delay at the
+// latest.
 func (runner *Runner) wait(span time.Duration) error {
 	runner.retryAfter = min(runner.retryAfter, span)
 	return workflow.ErrWait
 }
 
-// guardedRoute is a route that no run is on, and the counts that came before it and say
-// nothing of it.
+// guardedRoute is a route without an active run. base holds the outcome counts from
+// before the check started, which are not held against the version.
 type guardedRoute struct {
 	serial uint64
 	base   map[string]standing.Outcome
 }
 
-// waited is for how long this runner has waited for what the key names.
+// waited returns how long this runner has waited under the key. The first call with a
+// key starts the wait.
 func (runner *Runner) waited(key string) time.Duration {
 	now := runner.World.Now()
 	start, isKnown := runner.waitStart[key]
@@ -117,7 +128,7 @@
 	return now - start
 }
 
-// waitKey names a run's waiting at a step.
+// waitKey returns the key of a run's wait at a step.
 func waitKey(log *workflow.Log, contents Contents, step string) string {
 	return Key(contents.Model, contents.Region) + "|" + log.Run().ID + "|" + step
 }
@@ -128,7 +139,8 @@
 	}
 }
 
-// Turn does what can be done now for every model of the region.
+// Turn makes one pass over all models of the region and does whatever can be done
+// without waiting. It returns the last error.
 func (runner *Runner) Turn(scene Scene) error {
 	if runner.openRuns == nil {
 		runner.openRuns, runner.orderSentAt, runner.waitStart, runner.guardedRoutes = map[string]*workflow.Log{}, map[string]time.Duration{}, map[string]time.Duration{}, map[string]guardedRoute{}
@@ -175,7 +187,7 @@
 			err = nil
 			if contents, readErr := readContents(log); readErr == nil && contents.Over > 0 {
 				err = runner.revertOrder(scene, log.Run().ID, contents, terminal.Reason, isVersionFailure)
-			} else if readErr == nil { // else it never began
+			} else if readErr == nil { // otherwise the run never started
 				err = runner.undoRun(scene, runEffects{log.Run().ID, log.Recorded("route", nil), log.Recorded("trial-order", nil) || log.Recorded("order", nil)}, contents, isVersionFailure)
 			}
 			if err == nil {
@@ -183,7 +195,7 @@
 			}
 		}
 		if !errors.Is(err, workflow.ErrWait) {
-			delete(runner.openRuns, key) // finished, or to be read anew
+			delete(runner.openRuns, key) // finished, or must be read again
 			isOver := func(waitName string) bool {
 				return log.Run().State != workflow.Running && strings.HasPrefix(waitName, key+"|"+log.Run().ID+"|")
 			}
@@ -195,7 +207,7 @@
 			return err
 		}
 	} else if placement.Any() {
-		return nil // no version is ordered, guarded or brought about here
+		return nil // with any version placed, the control plane neither loads, guards nor reconciles versions
 	} else if isRolledBack, err := runner.guardRoute(scene, model); err != nil || isRolledBack {
 		return err
 	} else if err := runner.startAutomatic(scene, model); err != nil {
@@ -210,10 +222,11 @@
 	return runner.reconcile(scene, model)
 }
 
-// startAutomatic starts a run when the tree names another version than it did.
+// startAutomatic starts a run when the configuration places a version other than the
+// one that was last acted on.
 func (runner *Runner) startAutomatic(scene Scene, model string) error {
-	placement, placed := scene.Tree.Placement(model, scene.Region)
-	if !placed || !scene.Tree.Automatic(model, scene.Region) {
+	placement, isPlaced := scene.Tree.Placement(model, scene.Region)
+	if !isPlaced || !scene.Tree.Automatic(model, scene.Region) {
 		return nil
 	}
 	object, err := runner.Objects.Model(model)
@@ -244,7 +257,7 @@
 	return version
 }
 
-// advance goes through the steps, past those that are recorded.
+// advance executes the steps of a run that have not been recorded yet.
 func (runner *Runner) advance(scene Scene, log *workflow.Log) error {
 	contents, err := readContents(log)
 	if err != nil {
@@ -256,18 +269,18 @@
 	if placement, _ := scene.Tree.Placement(contents.Model, scene.Region); placement.Any() {
 		return &workflow.Terminal{Reason: "the placement holds any version, of which none is loaded by order; a roll-out there needs a term"}
 	}
-	var base struct{ Old string }
+	var validated struct{ Old string }
 	if err := runner.step(log, "validate", func() (any, error) {
 		old, err := runner.validate(scene, log, contents)
 		return struct{ Old string }{old}, err
-	}, &base); err != nil {
+	}, &validated); err != nil {
 		return err
 	}
-	if base.Old == contents.Version {
-		return nil // there already
+	if validated.Old == contents.Version {
+		return nil // the route already points to the version
 	}
-	if base.Old != "" {
-		if err := runner.runTrial(scene, log, contents, base.Old); err != nil {
+	if validated.Old != "" {
+		if err := runner.runTrial(scene, log, contents, validated.Old); err != nil {
 			return err
 		}
 	}
@@ -281,13 +294,13 @@
 	}, nil); err != nil {
 		return err
 	}
-	if err := runner.moveRoute(scene, log, contents, base.Old != "", func(revise func(*standing.Route)) error {
+	if err := runner.moveRoute(scene, log, contents, validated.Old != "", func(revise func(*standing.Route)) error {
 		return runner.changeRoute(scene, log, contents, func(_ *Model, route *standing.Route) { revise(route) })
 	}); err != nil {
 		return err
 	}
-	if base.Old != "" {
-		if err := runner.watchVersion(scene, log, contents, base.Old); err != nil {
+	if validated.Old != "" {
+		if err := runner.watchVersion(scene, log, contents, validated.Old); err != nil {
 			return err
 		}
 	}
@@ -299,15 +312,16 @@
 	}, nil); err != nil {
 		return err
 	}
-	if base.Old == "" {
+	if validated.Old == "" {
 		return nil
 	}
 	return runner.step(log, "standby", func() (any, error) {
-		return nil, runner.Objects.Schedule(contents.Model, base.Old, scene.Region, scene.Duty, STANDBY, scene.Tree.Span("standby_ms", scene.Region))
+		return nil, runner.Objects.Schedule(contents.Model, validated.Old, scene.Region, scene.Duty, STANDBY, scene.Tree.Span("standby_ms", scene.Region))
 	}, nil)
 }
 
-// step is the log's, past a point of the same name.
+// step calls the failpoint of the step's name, and then executes the step unless it is
+// already recorded.
 func (runner *Runner) step(log *workflow.Log, name string, do func() (any, error), result any) error {
 	return log.Step(name, func() (any, error) {
 		runner.failpoint(name)
@@ -315,8 +329,9 @@
 	}, result)
 }
 
-// moveRoute leads the region's route to the run's version, under a serial that is recorded
-// before; change revises the route while it is the run's.
+// moveRoute points the region's route to the run's version. The new route's serial is
+// recorded in a step of its own first, so that a retry writes the same one. The change
+// callback applies the given revision to the route if the run still owns it.
 func (runner *Runner) moveRoute(scene Scene, log *workflow.Log, contents Contents, isWatched bool, change func(revise func(*standing.Route)) error) error {
 	var serial uint64
 	if err := runner.step(log, "serial", func() (any, error) { return runner.Objects.NextSerial(scene.Region) }, &serial); err != nil {
@@ -337,15 +352,16 @@
 	return contents, unmarshal(log.Run().Contents, &contents)
 }
 
-// validate checks the record and claims the region's route for this run.
+// validate checks that the run may proceed and claims the region's route for it. It
+// returns the version that the route points to now.
 func (runner *Runner) validate(scene Scene, log *workflow.Log, contents Contents) (string, error) {
-	if _, placed := scene.Tree.Placement(contents.Model, scene.Region); !placed {
+	if _, isPlaced := scene.Tree.Placement(contents.Model, scene.Region); !isPlaced {
 		return "", &workflow.Terminal{Reason: fmt.Sprintf("model %q is not placed in region %s", contents.Model, scene.Region)}
 	}
-	old := ""
+	oldVersion := ""
 	_, err := runner.Objects.Change(contents.Model, scene.Region, scene.Duty, func(model *Model) error {
 		route := model.Routes[scene.Region]
-		old = route.Version
+		oldVersion = route.Version
 		if contents.Automatic {
 			if model.RolledBack {
 				return &workflow.Terminal{Reason: "the model was rolled back; automatic roll-outs wait for a promote"}
@@ -359,10 +375,10 @@
 		model.Routes[scene.Region] = route
 		return nil
 	})
-	return old, err
+	return oldVersion, err
 }
 
-// changeRoute writes the region's row, while this run still has the claim to it.
+// changeRoute revises the region's route, provided that the run still owns it.
 func (runner *Runner) changeRoute(scene Scene, log *workflow.Log, contents Contents, revise func(*Model, *standing.Route)) error {
 	_, err := runner.Objects.Change(contents.Model, scene.Region, scene.Duty, func(model *Model) error {
 		route := model.Routes[scene.Region]
@@ -371,7 +387,7 @@
 		}
 		revise(model, &route)
 		model.Routes[scene.Region] = route
-		// The live pointer is of all routes, this one included.
+		// Live depends on all routes, so it is computed after this one is set.
 		if model.Live = liveVersion(model); model.Live == "" {
 			model.Live = route.Version
 		}
@@ -380,8 +396,9 @@
 	return err
 }
 
-// orderLoad wants the version loaded and orders it at once; what is missed, or
-// comes later, the reconciling loop orders.
+// orderLoad sets the version's desired state to RUNNING and sends load orders to the
+// replicas at once. Replicas that miss their order, or are listed later, get it from
+// reconcile.
 func (runner *Runner) orderLoad(scene Scene, contents Contents, only []string) (any, error) {
 	desired, err := runner.Objects.Want(contents.Model, contents.Version, scene.Region, scene.Duty, RUNNING, only)
 	if err != nil {
@@ -414,7 +431,8 @@
 	return ordered, nil
 }
 
-// sendOrder gives one order; its name is the same however often it is given.
+// sendOrder sends an order to one replica. The order's ID is the same on every retry,
+// so that the replica can detect duplicates.
 func (runner *Runner) sendOrder(scene Scene, model, version string, instance standing.Replica, desired Desired, state string) error {
 	order := replica.Order{ID: fmt.Sprintf("%s/%s/%s/%d/%s", model, version, scene.Region, desired.Order, state), Fence: scene.Duty, Model: model, Version: version, State: state}
 	runner.failpoint("send")
@@ -422,7 +440,8 @@
 	return runner.Client.Order(instance.Address, order, scene.Tree.Span("probe_ms", scene.Region)*2)
 }
 
-// awaitLoaded waits until enough of the replicas hold the version.
+// awaitLoaded waits until a sufficient share of the replicas has loaded the version.
+// With only, it waits for all replicas named there. It fails after load_ms.
 func (runner *Runner) awaitLoaded(scene Scene, log *workflow.Log, contents Contents, startStep string, only []string) (any, error) {
 	var loaded, expected []string
 	for _, instance := range scene.placedReplicas(contents.Model) {
@@ -447,8 +466,8 @@
 	return nil, workflow.ErrWait
 }
 
-// runTrial puts the version on few replicas at their normal load and judges it by
-// kind of request against the old one.
+// runTrial loads the version on a few replicas, sends them their normal load, and
+// compares the version with the old one by kind of request.
 func (runner *Runner) runTrial(scene Scene, log *workflow.Log, contents Contents, old string) error {
 	var selected []string
 	if err := runner.step(log, "trial-select", func() (any, error) {
@@ -486,8 +505,8 @@
 	}, nil)
 }
 
-// selectTrialReplicas picks the replicas; one region of a model tries at a time, so
-// that the small share is one of the whole.
+// selectTrialReplicas picks the replicas for the trial. A model is on trial in one
+// region at a time, so that its trial replicas stay a small share of all its replicas.
 func (runner *Runner) selectTrialReplicas(scene Scene, log *workflow.Log, contents Contents) ([]string, error) {
 	count := int(scene.Tree.Limit("trial_replicas", scene.Region))
 	var eligible []string
@@ -511,7 +530,8 @@
 		if err := checkClaim(model, route, log, contents); err != nil {
 			return err
 		}
-		// Named before any traffic goes there, and so claimed.
+		// Recording the replicas before they get any traffic claims the trial for this
+		// region.
 		route.TrialReplicas = selected
 		model.Routes[scene.Region] = route
 		return nil
@@ -519,8 +539,8 @@
 	return selected, err
 }
 
-// outcomeTotals sums the daemons' counts of the two versions in the region, by daemon
-// incarnation, version and kind.
+// outcomeTotals returns the outcome counts that the daemons report for the two versions
+// in this region, by daemon incarnation, version and kind.
 func outcomeTotals(scene Scene, contents Contents, old string) map[string]standing.Outcome {
 	sums := map[string]standing.Outcome{}
 	for _, daemon := range scene.Daemons {
@@ -533,7 +553,8 @@
 	return sums
 }
 
-// outcomesSince gives what came on top of the base, by version and kind.
+// outcomesSince returns, by kind, the outcomes counted since base: those of the run's
+// version and those of the old version.
 func outcomesSince(scene Scene, contents Contents, old string, base map[string]standing.Outcome) (candidate, others map[string]standing.Outcome) {
 	candidate, others = map[string]standing.Outcome{}, map[string]standing.Outcome{}
 	now := outcomeTotals(scene, contents, old)
@@ -553,15 +574,16 @@
 	return candidate, others
 }
 
-// clearlyFails finds a kind on which the version's failures are plain.
+// clearlyFails returns the first kind of request on which the version's failures are
+// statistically clear.
 func clearlyFails(scene Scene, contents Contents, old string, candidate, others map[string]standing.Outcome) (string, bool) {
 	for _, kind := range sorted(candidate) {
 		if standing.PlainVersion(candidate[kind], others[kind]) {
 			return kind, true
 		}
 	}
-	// What the last seconds show counts by itself: a version may fail only
-	// once load has risen.
+	// The outcomes of the last seconds are also checked on their own, because a version
+	// may start to fail only after the load has risen.
 	recent := map[string]standing.Outcome{}
 	recentOld := map[string]standing.Outcome{}
 	for key, outcome := range standing.Gather(scene.Daemons) {
@@ -595,7 +617,7 @@
 	return false
 }
 
-// placedReplicas lists the replicas in the zones that hold the model.
+// placedReplicas returns the replicas in the zones where the model is placed.
 func (scene Scene) placedReplicas(model string) (list []standing.Replica) {
 	for _, instance := range scene.Replicas {
 		if _, isPlaced := scene.Tree.Placement(model, instance.Zone); isPlaced {
@@ -605,7 +627,7 @@
 	return list
 }
 
-// Judgement is a trial's outcome.
+// Judgement is the result of a trial.
 type Judgement struct {
 	Good   bool
 	Reason string
@@ -634,8 +656,9 @@
 		return nil, workflow.ErrWait
 	}
 	if sparseKind != "" {
-		// Too few to be plain, but nothing speaks for it either: a version that
-		// ends its replica gets few requests and answers none.
+		// There are too few requests for a clear failure, but no evidence in favor of
+		// the version either: a version that crashes its replica gets few requests and
+		// answers none.
 		for _, kind := range sorted(candidate) {
 			if standing.Doubtful(candidate[kind], others[kind]) {
 				return nil, &VersionFailure{fmt.Sprintf("version %s had too few requests of kind %q, and did not stand the few: %d failed, %d were answered", contents.Version, kind, candidate[kind].Mishaps+candidate[kind].Late, candidate[kind].OK)}
@@ -649,7 +672,8 @@
 	return Judgement{true, reason}, nil
 }
 
-// verifyClaim ends the run when an operator has taken the route from it.
+// verifyClaim returns a terminal error if the run no longer owns the region's route,
+// for example because an operator has changed it.
 func (runner *Runner) verifyClaim(scene Scene, log *workflow.Log, contents Contents) error {
 	object, err := runner.Objects.Model(contents.Model)
 	if err != nil {
@@ -658,7 +682,7 @@
 	return checkClaim(&object, object.Routes[scene.Region], log, contents)
 }
 
-// checkClaim tells whether the run may still go on.
+// checkClaim returns a terminal error if the run may not continue.
 func checkClaim(model *Model, route standing.Route, log *workflow.Log, contents Contents) error {
 	if model.Failed[contents.Version] == log.Run().ID {
 		return &workflow.Terminal{Reason: fmt.Sprintf("version %s failed in another region", contents.Version)}
@@ -669,8 +693,8 @@
 	return nil
 }
 
-// watchVersion keeps an eye on the version after the move and takes it back when its
-// failures become plain.
+// watchVersion monitors the version for watch_ms after the route has moved, and fails
+// the run if the version's failures become clear.
 func (runner *Runner) watchVersion(scene Scene, log *workflow.Log, contents Contents, old string) error {
 	var base map[string]standing.Outcome
 	if err := log.Step("watch-base", func() (any, error) { return outcomeTotals(scene, contents, old), nil }, &base); err != nil {
@@ -691,11 +715,12 @@
 	}, nil)
 }
 
-// guardRoute keeps an eye on a version whose run is over for as long as the one before it
-// is loaded, so that going back is a pointer change. A kind of request may come to a
-// region only once the watch is over, and the version may fail on just that. It goes
-// by all counts since the daemons began, so that a kind which the version has answered
-// for long is not given up for a few broken streams. It tells whether it went back.
+// guardRoute keeps checking a version after its run has ended, for as long as the
+// previous version is still loaded and rolling back takes only a pointer change. Some
+// kinds of requests may reach a region only after the watch has ended, and the version
+// may fail on exactly these. It considers all outcomes counted since the daemons
+// started, so that a version that has long answered a kind is not rolled back because
+// of a few broken streams. It reports whether it rolled back.
 func (runner *Runner) guardRoute(scene Scene, model string) (bool, error) {
 	route, known := scene.Routes[model]
 	if !known || route.Run != "" || route.Previous == "" || route.Bears(route.Previous) || route.Trial != "" {
@@ -715,8 +740,8 @@
 	if !isKnown || guarded.serial != route.Serial {
 		guarded = guardedRoute{serial: route.Serial}
 		if isKnown && failing(nil) != "" {
-			// It failed before this route pointed to it; an operator wants it all the
-			// same, and it has to fail anew.
+			// The version had already failed before this route pointed to it, and an
+			// operator chose it nevertheless. Only new failures count.
 			guarded.base = outcomeTotals(scene, contents, route.Previous)
 		}
 		runner.guardedRoutes[model] = guarded
@@ -736,27 +761,27 @@
 	return true, runner.undoRun(scene, runEffects{runID: store.Run.ID, movedRoute: true}, contents, true)
 }
 
-// runEffects is what a run has done: whether it moved the route, and whether it ordered its
-// version.
+// runEffects is what a run has changed so far: whether it moved the route, and whether
+// it ordered replicas to load its version.
 type runEffects struct {
 	runID                   string
 	movedRoute, orderedLoad bool
 }
 
-// undoRun takes back what a run that failed has done, as far as the route is
-// still its own. Where the version's failures are plain it is taken back in
-// every region at once: what fails in one is not tried on the others' users.
-// Every part is an upsert.
+// undoRun reverts what a failed run has changed, as far as the run still owns the
+// route. If the version's failures are clear, the version is rolled back in all regions
+// at once, so that the users of other regions are not exposed to it. Each part is an
+// upsert, so a retry is safe.
 func (runner *Runner) undoRun(scene Scene, effects runEffects, contents Contents, isVersionFailure bool) error {
 	object, err := runner.Objects.Model(contents.Model)
 	if err != nil {
 		return err
 	}
 	if object.Routes[scene.Region].Run != effects.runID && !isVersionFailure {
-		return nil // the route has gone its own way
+		return nil // another run or an operator has taken the route
 	}
 	serials := map[string]uint64{}
-	fallback := map[string]string{} // what each region goes back to
+	fallback := map[string]string{} // the version that each region rolls back to
 	for _, region := range sorted(object.Routes) {
 		route := object.Routes[region]
 		isAffected := region == scene.Region || isVersionFailure && (route.Trial == contents.Version || route.Version == contents.Version)
@@ -777,7 +802,7 @@
 		}
 	}
 	for _, region := range sorted(fallback) {
-		// Kept loaded before anything points to it.
+		// The fallback version is kept loaded before any route points to it.
 		if _, err := runner.Objects.Want(contents.Model, fallback[region], region, 0, RUNNING, nil); err != nil {
 			return err
 		}
@@ -827,9 +852,9 @@
 	return nil
 }
 
-// reconcile works out, replica by replica, what differs from the wanted state
-// and orders that. A version is unloaded only once no stream runs on it, or
-// unload_wait_ms after it was given up.
+// reconcile compares the state of each replica with the desired state and orders what
+// differs. A version is unloaded once no stream runs on it, or unload_wait_ms after it
+// stopped being desired there.
 func (runner *Runner) reconcile(scene Scene, model string) error {
 	versions, err := runner.Objects.Versions(model)
 	if err != nil {
@@ -862,10 +887,10 @@
 				continue
 			}
 			if last, sent := runner.orderSentAt[instance.ID+"|"+model+"/"+version]; sent && now-last < 4*scene.Tree.Span("probe_ms", scene.Region) {
-				continue // its effect may not show in the probes yet
+				continue // the probes may not show the effect of the last order yet
 			}
 			delete(runner.waitStart, unloadKey)
-			_ = runner.sendOrder(scene, model, version, instance, desired, target) // tried again while it differs
+			_ = runner.sendOrder(scene, model, version, instance, desired, target) // retried for as long as the state differs
 		}
 	}
 	return nil
--- a/rollout/term.go
+++ b/rollout/term.go
@@ -12,30 +12,31 @@
 	"swifttiller/workflow"
 )
 
-// Order is a model's newest roll-out under a term, of a placement that holds any
-// version: replicas of the version start next to the old ones, nothing is ordered from
-// them, and the traffic is to move to them before the term.
+// Order is a model's newest timed roll-out, in a placement that allows any version.
+// Replicas of the new version start next to the old ones without being ordered to load
+// it, and the traffic moves to them before the roll-out's duration ends.
 //
-// Invariants: Number rises with every order, and the runs of all Regions have ID. Once
-// Back is set or all regions are Done, nothing of it changes any more. No region's route
-// moves before every region has Passed.
+// Invariants: Number increases with every order, and the runs of all Regions have its
+// ID. After Back is set, or all regions are Done, nothing in it changes any more. No
+// region's route moves before every region has Passed.
 type Order struct {
 	Number  uint64        `json:"number"`
 	ID      string        `json:"id"`
 	Version string        `json:"version"`
-	Over    time.Duration `json:"over"` // the term, counted from the order
-	// Proved orders ask for the version that the last one brought; it has no trial.
+	Over    time.Duration `json:"over"` // the duration, counted from when the order was accepted
+	// Proved says that the order names the version that the routes already point to and
+	// that has not failed, so it needs no trial.
 	Proved  bool     `json:"proved,omitempty"`
 	Regions []string `json:"regions"`
-	// Passed tells by region how its trial ended, Ready or Empty.
+	// Passed says by region how its trial ended: Ready or Empty.
 	Passed map[string]string `json:"passed,omitempty"`
 	Done   map[string]bool   `json:"done,omitempty"`
-	// Back is why it was taken back, empty when it was not.
+	// Back is the reason why the order was rolled back, or empty if it was not.
 	Back  string    `json:"back,omitempty"`
 	Ended time.Time `json:"ended"`
 }
 
-// How a region's trial ended: it holds, or there were no replicas of the version.
+// Results of a region's trial: the version passed, or had no replicas to try.
 const (
 	Ready = "ready"
 	Empty = "empty"
@@ -48,8 +49,9 @@
 	GoneBack = "back"
 )
 
-// State is the order's over the regions that still place the model: back as soon as
-// one region's trial failed, done once all regions are.
+// State returns the state of the order over the regions where the model is still
+// placed: GoneBack as soon as the trial of one region fails, Moved once all regions are
+// done.
 func (order *Order) State(placed []string) string {
 	if order.Back != "" {
 		return GoneBack
@@ -64,52 +66,56 @@
 		}
 	}
 	if !isAny {
-		return GoneBack // the model is placed nowhere that it was ordered for
+		return GoneBack // the model is no longer placed in any of the order's regions
 	}
 	return Moved
 }
 
-// Parts of the term. The trial lasts until judgeShare; what has had too few answers by
-// then goes on until lateShare; what runs on the old replicas may end until doneShare, and for drainShare at the
-// least.
-// Why so late: docs/notes/rollouts.md.
+// Shares of the duration of a timed roll-out. The trial lasts until judgeShare, and
+// until judgeEndShare if there have been too few answers by then. Streams on the old
+// replicas may continue until drainEndShare, and for at least minDrainShare after all
+// daemons use the new route. docs/notes/rollouts.md explains why these are so late.
 const (
 	judgeShare     = 0.75
 	judgeEndShare  = 0.8
 	drainEndShare  = 0.95
 	minDrainShare  = 0.1
-	lateDrainShare = 0.5 // in drainShare's place once the term is over
-	// most terms that a trial waits for answers.
+	lateDrainShare = 0.5 // replaces minDrainShare once the duration is over
+	// maxTrialDurations is how many times the roll-out's duration a trial waits for
+	// answers at most.
 	maxTrialDurations = 2
-	// progressMarks are how often within the term a run records how much of it is over.
+	// progressMarks is how many times during the roll-out a run records the elapsed
+	// time.
 	progressMarks = 8
 )
 
-// repeatWindow is for how long after its end an order that comes again is the same one.
+// repeatWindow is how long after the end of an order the same order counts as a repeat
+// rather than a new one.
 const repeatWindow = 30 * time.Second
 
 var errRepeated = errors.New("the order is there already")
 
-// Begin takes an order, or joins the same one. All regions' routes name the trial from
-// that write on, so that no new replica is ever taken for one among equals. A Decline
-// tells that another order is under way.
+// Begin accepts an order, or joins one that is the same. From that write on, the routes
+// of all regions name the trial version, so that a new replica is never treated as one
+// of the established version. It returns a Decline if another order is in progress.
 func (objects *Objects) Begin(model, version string, duration time.Duration, regions []string) (Order, error) {
 	return objects.BeginWithin(Fence{}, model, version, duration, regions)
 }
 
-// Fence bounds an operator's order.
+// Fence limits the writing of an operator's order.
 type Fence struct {
-	// Silence is for how long it goes on while no majority of the core answers; zero is
-	// the keeper's patience.
+	// Silence is the timeout while no quorum of the core replies; 0 stands for the
+	// default timeout of the register client.
 	Silence time.Duration
-	// IsAbandoned, if set, tells that nothing may be written for it any more.
+	// IsAbandoned, if set, reports that the order must no longer be written.
 	IsAbandoned func() bool
 }
 
-// ErrAbandoned: an order's fence said, before it was written, that it shall not be.
-var ErrAbandoned = errors.New("rollout: the order was given up before it was written")
+// ErrAbandoned is returned if the fence's IsAbandoned reported true before the order
+// was written.
+var ErrAbandoned = errors.New("rollout: the order was abandoned before it was written")
 
-// BeginWithin is Begin with a fence, which is looked at right before the write.
+// BeginWithin is like Begin, with a fence that is checked right before the write.
 func (objects *Objects) BeginWithin(fence Fence, model, version string, duration time.Duration, regions []string) (Order, error) {
 	if fence.Silence == 0 {
 		fence.Silence = objects.Keeper.Patience
@@ -128,7 +134,7 @@
 		}
 	}
 	var order Order
-	_, err = objects.changeTimeout(fence.Silence, model, "", 0, func(model *Model) error {
+	_, err = objects.changeWithTimeout(fence.Silence, model, "", 0, func(model *Model) error {
 		if isRepeat, err := model.isRepeat(version, duration, regions, objects.World.Wall()); err != nil {
 			return err
 		} else if isRepeat {
@@ -146,8 +152,8 @@
 		delete(model.Failed, version)
 		for _, region := range regions {
 			route := model.Routes[region]
-			isOrdered := func(banned string) bool { return banned == version }
-			route.Banned, route.Left = slices.DeleteFunc(route.Banned, isOrdered), slices.DeleteFunc(route.Left, isOrdered)
+			isVersion := func(listed string) bool { return listed == version }
+			route.Banned, route.Left = slices.DeleteFunc(route.Banned, isVersion), slices.DeleteFunc(route.Left, isVersion)
 			route.Run, route.Trial, route.Watched, route.Serial = order.ID, version, false, serials[region]
 			if order.Proved {
 				route.Trial = ""
@@ -166,7 +172,8 @@
 	return order, err
 }
 
-// isRepeat tells whether the order is the newest one come again.
+// isRepeat reports whether the order repeats the newest one. It returns a Decline if a
+// different one is in progress.
 func (model *Model) isRepeat(version string, duration time.Duration, regions []string, now time.Time) (bool, error) {
 	order := model.Order
 	if order == nil {
@@ -177,7 +184,7 @@
 		return isSame && now.Sub(order.Ended).Abs() < repeatWindow, nil
 	}
 	if !isSame {
-		return false, &Decline{fmt.Sprintf("a roll-out of %s within %v is under way", order.Version, order.Over)}
+		return false, &Decline{fmt.Sprintf("a roll-out of %s within %v is already in progress", order.Version, order.Over)}
 	}
 	return true, nil
 }
@@ -189,7 +196,8 @@
 	return order
 }
 
-// firstSeen is when this daemon first saw an order, on its own clock: a calendar may jump.
+// firstSeen returns when this daemon first saw an order. It uses the monotonic clock,
+// because the wall clock may jump.
 func (objects *Objects) firstSeen(id string) time.Duration {
 	objects.mutex.Lock()
 	defer objects.mutex.Unlock()
@@ -204,8 +212,9 @@
 	return at
 }
 
-// startTimed turns the region's part of the model's order: it begins its run, and forgets
-// what is barred once no replica of it is listed.
+// startTimed starts or resumes the region's run of the model's order. If there is
+// nothing to run, it lifts the bars on versions that no replica is listed with any
+// more.
 func (runner *Runner) startTimed(scene Scene, model string) (*workflow.Log, error) {
 	object, err := runner.Objects.Model(model)
 	if err != nil {
@@ -227,15 +236,16 @@
 	return runner.Book.Resume(key, scene.Duty)
 }
 
-// Spans after which a version that is listed no more is forgotten, as ratios of
-// dark_ms: one that was left, whose replicas stop at once, and one that failed, whose
-// replicas may yet come up late.
+// Multiples of dark_ms after which the bar on a version that is no longer listed is
+// lifted: for a version that traffic has left, whose replicas stop at once, and for one
+// that failed, whose replicas may still start late.
 const (
 	leftForgetRatio   = 4
 	bannedForgetRatio = 50
 )
 
-// forgetAbsent lifts what bars versions that no replica of the region is listed with.
+// forgetAbsent lifts the bars on versions that no replica of the region has been listed
+// with for long enough.
 func (runner *Runner) forgetAbsent(scene Scene, model string, object Model) error {
 	listed := map[string]bool{}
 	for _, replica := range scene.placedReplicas(model) {
@@ -267,7 +277,7 @@
 	_, err := runner.Objects.Change(model, scene.Region, scene.Duty, func(model *Model) error {
 		current := model.Routes[scene.Region]
 		if current.Serial != route.Serial || current.Run != route.Run {
-			return workflow.ErrWait // moved meanwhile; looked at anew
+			return workflow.ErrWait // the route changed in the meantime; the next pass reads it again
 		}
 		current.Left, current.Banned = left, banned
 		model.Routes[scene.Region] = current
@@ -276,8 +286,9 @@
 	return err
 }
 
-// elapsed is how much of the term is over, by this daemon's own clock: since it first
-// saw the order, or since it took the run, on top of what the run has recorded.
+// elapsed returns how much of the roll-out's duration has passed by this daemon's
+// monotonic clock: either since it first saw the order, or since it took over the run
+// plus the time that the run has recorded, whichever is greater.
 func (runner *Runner) elapsed(log *workflow.Log, contents Contents) time.Duration {
 	key := waitKey(log, contents, "term")
 	base, isKnown := runner.recordedElapsed[key]
@@ -295,7 +306,7 @@
 
 func progressStep(number int) string { return fmt.Sprintf("term-%d", number) }
 
-// recordProgress records how much of the term is over, for whoever takes the run next.
+// recordProgress records the elapsed time for the next leader that takes over the run.
 func (runner *Runner) recordProgress(log *workflow.Log, contents Contents) error {
 	elapsed := runner.elapsed(log, contents)
 	number := min(progressMarks, int(progressMarks*elapsed/contents.Over))
@@ -305,12 +316,12 @@
 	return log.Step(progressStep(number), func() (any, error) { return elapsed, nil }, nil)
 }
 
-// fraction is a share of the term.
+// fraction returns a share of the roll-out's duration.
 func (contents Contents) fraction(share float64) time.Duration {
 	return time.Duration(share * float64(contents.Over))
 }
 
-// advanceTimed goes through the steps of a run under a term.
+// advanceTimed executes the remaining steps of a timed roll-out.
 func (runner *Runner) advanceTimed(scene Scene, log *workflow.Log, contents Contents) error {
 	var base map[string]standing.Outcome
 	if err := runner.step(log, "validate", func() (any, error) {
@@ -333,7 +344,8 @@
 	if err := runner.recordProgress(log, contents); err != nil {
 		return err
 	}
-	// Every turn, whatever the step: what plainly fails goes back at once.
+	// Checked in every pass, whatever the step, so that a version that clearly fails is
+	// rolled back immediately.
 	if err := runner.checkFailures(scene, contents, base); err != nil && !log.Recorded("live", nil) {
 		return err
 	}
@@ -391,8 +403,8 @@
 	}, nil)
 }
 
-// changeOwned changes the order and the region's route while they are this run's; with nothing
-// to revise, it only takes the region's fence.
+// changeOwned revises the order and the region's route while both belong to this run.
+// Without a revision it only raises the region's fence.
 func (runner *Runner) changeOwned(scene Scene, log *workflow.Log, contents Contents, revise func(*Order, *standing.Route)) error {
 	_, err := runner.Objects.Change(contents.Model, scene.Region, scene.Duty, func(model *Model) error {
 		if err := model.checkOwned(scene.Region, log.Run().ID); err != nil {
@@ -411,7 +423,8 @@
 	return err
 }
 
-// checkOwned tells whether the run may go on with the region's route.
+// checkOwned returns a terminal error if the run no longer owns the order or the
+// region's route.
 func (model *Model) checkOwned(region, id string) error {
 	order := orEmpty(model.Order)
 	switch {
@@ -425,8 +438,9 @@
 	return nil
 }
 
-// versionOutcomes sums what the version's replicas answered, by daemon incarnation, region
-// and kind, of all regions: what fails in one is not tried on in another.
+// versionOutcomes returns the outcomes of the version's requests by daemon incarnation,
+// region and kind. It covers all regions: a version that fails in one must not be tried
+// in another.
 func versionOutcomes(scene Scene, contents Contents) map[string]standing.Outcome {
 	outcomes := map[string]standing.Outcome{}
 	for _, daemon := range scene.Daemons {
@@ -439,8 +453,8 @@
 	return outcomes
 }
 
-// outcomesByKind is what the version was answered since the base, and what all others were,
-// by kind; the empty kind sums them.
+// outcomesByKind returns, by kind, the outcomes of the version since base and those of
+// all other versions. The empty kind holds the sum over all kinds.
 func outcomesByKind(scene Scene, contents Contents, base map[string]standing.Outcome) (candidate, others map[string]standing.Outcome) {
 	candidate, others = map[string]standing.Outcome{}, map[string]standing.Outcome{}
 	add := func(table map[string]standing.Outcome, outcome standing.Outcome) {
@@ -468,7 +482,7 @@
 	return candidate, others
 }
 
-// checkFailures ends the run when the version's failures are plain in any region.
+// checkFailures returns a VersionFailure if the version clearly fails in any region.
 func (runner *Runner) checkFailures(scene Scene, contents Contents, base map[string]standing.Outcome) error {
 	candidate, others := outcomesByKind(scene, contents, base)
 	for _, kind := range sorted(candidate) {
@@ -477,14 +491,16 @@
 			return &VersionFailure{fmt.Sprintf("version %s fails on kind %q: of %d, %d failed, %d came late and %d slowly", contents.Version, kind, outcome.OK+outcome.Mishaps, outcome.Mishaps, outcome.Late, outcome.Slow)}
 		}
 	}
-	// What the last seconds show counts by itself: a version may turn bad.
+	// The outcomes of the last seconds are also checked on their own, because a version
+	// may turn bad later.
 	if standing.TrialFails(contents.Model, standing.Route{Version: settings.AnyVersion, Trial: contents.Version}, standing.Gather(scene.Daemons)) {
 		return &VersionFailure{fmt.Sprintf("version %s has turned bad", contents.Version)}
 	}
 	return nil
 }
 
-// awaitReplicas waits for replicas of the version, which start by themselves.
+// awaitReplicas waits for replicas of the version, which start without an order. It
+// returns Empty if there are none by the end of the trial.
 func (runner *Runner) awaitReplicas(scene Scene, log *workflow.Log, contents Contents) (any, error) {
 	for _, replica := range scene.placedReplicas(contents.Model) {
 		if replica.Alive && !replica.Leaving && has(replica.Versions(contents.Model), contents.Version) {
@@ -497,11 +513,12 @@
 	return Empty, nil
 }
 
-// rareKindShare is up to which part of all answers a kind need not be seen in a trial.
+// rareKindShare is the share of all answers up to which a kind may be missing from a
+// trial.
 const rareKindShare = 0.01
 
-// judgeTimedTrial ends the trial once most of the term is over and every kind that comes
-// often enough was answered.
+// judgeTimedTrial ends the trial once most of the duration has passed and every kind
+// that is not rare has been answered.
 func (runner *Runner) judgeTimedTrial(scene Scene, log *workflow.Log, contents Contents, base map[string]standing.Outcome, ending string) (any, error) {
 	if contents.Proved || ending == Empty {
 		return Judgement{true, "nothing was tried"}, nil
@@ -520,7 +537,8 @@
 		}
 	}
 	total := candidate[""].OK + candidate[""].Mishaps
-	// Half of what a trial without a term wants of each kind: the term is short.
+	// Half of the samples that a trial without a time limit needs of each kind, because
+	// a timed one is short.
 	tooFew := total < int(scene.Tree.Limit("trial_samples", scene.Region)/2) || standing.Unclear(candidate[""], others[""])
 	for _, kind := range sorted(others) {
 		outcome := others[kind]
@@ -538,15 +556,15 @@
 	case !hasDemand(scene, contents.Model):
 		return Judgement{true, "nobody asks for the model"}, nil
 	case elapsed < maxTrialDurations*contents.Over:
-		return nil, workflow.ErrWait // unproved; it keeps its small share
+		return nil, workflow.ErrWait // not tried yet; the version keeps its small share of the traffic
 	}
 	return nil, &workflow.Terminal{Reason: fmt.Sprintf("version %s was never tried", contents.Version)}
 }
 
-// knowsAllDaemons tells whether all data daemons that there are have been heard.
+// knowsAllDaemons reports whether every running data daemon has been heard from.
 func (scene Scene) knowsAllDaemons() bool { return scene.Watched > scene.Tree.Span("session_ms", "") }
 
-// hasDemand tells whether anybody asks for the model.
+// hasDemand reports whether there are requests for the model.
 func hasDemand(scene Scene, model string) bool {
 	for _, daemon := range scene.Daemons {
 		if daemon.Report.Demand[model] >= 0.5 {
@@ -556,11 +574,12 @@
 	return false
 }
 
-// pollDelay is when to look again at what takes others a moment.
+// pollDelay returns when to check again for something that other daemons need a moment
+// for.
 func pollDelay(scene Scene) time.Duration { return standing.Tick(scene.Tree.Span("permit_ms", "")) / 2 }
 
-// awaitAllRegions waits until every region's trial has passed. Where no region has replicas of the
-// version there is nothing to move to.
+// awaitAllRegions waits until the trials of all regions have passed. If no region has
+// replicas of the version, there is nothing to move to and the run fails.
 func (runner *Runner) awaitAllRegions(scene Scene, contents Contents) error {
 	object, err := runner.Objects.Model(contents.Model)
 	if err != nil {
@@ -584,8 +603,8 @@
 	return nil
 }
 
-// awaitDrained waits, after the move, until every data daemon goes by it and nothing runs on
-// the replicas that are to stop.
+// awaitDrained waits, after the move, until every data daemon uses the new route and
+// nothing runs on the replicas that are about to stop.
 func (runner *Runner) awaitDrained(scene Scene, log *workflow.Log, contents Contents) error {
 	key := waitKey(log, contents, "shown")
 	if _, isKnown := runner.movedSerial[key]; !isKnown && tableMoved(scene, contents) {
@@ -598,7 +617,7 @@
 			isEverywhere = isEverywhere && daemon.Report.Standing[scene.Region] >= serial
 		}
 		lease := scene.Tree.Span("permit_ms", "")
-		isApplied = isEverywhere || runner.waited(key) > lease+lease/4 // older permits have ended
+		isApplied = isEverywhere || runner.waited(key) > lease+lease/4 // all leases on older routing tables have expired
 	}
 	if !isApplied {
 		return runner.wait(pollDelay(scene))
@@ -606,7 +625,7 @@
 	drained, elapsed := runner.waited(waitKey(log, contents, "drain")), runner.elapsed(log, contents)
 	minDrain := contents.fraction(minDrainShare)
 	if elapsed > contents.Over {
-		minDrain = contents.fraction(lateDrainShare) // missed; no answer is broken off for it
+		minDrain = contents.fraction(lateDrainShare) // the time limit was missed; no answer is cut off because of it
 	}
 	isLate := elapsed > contents.fraction(drainEndShare) && drained > minDrain
 	if !isLate && (!scene.knowsAllDaemons() || hasOldStreams(scene, contents)) {
@@ -615,7 +634,7 @@
 	return nil
 }
 
-// tableMoved tells whether the region's standing has moved.
+// tableMoved reports whether the region's routing table shows the new route.
 func tableMoved(scene Scene, contents Contents) bool {
 	if scene.Standing == nil {
 		return false
@@ -628,7 +647,8 @@
 	return true
 }
 
-// hasOldStreams tells whether anything runs on the region's replicas of other versions.
+// hasOldStreams reports whether a stream is running on replicas of other versions in
+// the region.
 func hasOldStreams(scene Scene, contents Contents) bool {
 	for _, daemon := range scene.Daemons {
 		for held, count := range daemon.Report.Streams {
@@ -640,7 +660,8 @@
 	return false
 }
 
-// revertOrder ends the order in all regions by one write; an upsert.
+// revertOrder rolls the order back in all regions with one write. It is an upsert, so a
+// retry is safe.
 func (runner *Runner) revertOrder(scene Scene, id string, contents Contents, reason string, isVersionFailure bool) error {
 	object, err := runner.Objects.Model(contents.Model)
 	if err != nil {
@@ -659,7 +680,7 @@
 	}
 	_, err = runner.Objects.Change(contents.Model, scene.Region, scene.Duty, func(model *Model) error {
 		if isOver(orEmpty(model.Order)) {
-			return workflow.ErrWait // taken back, or over, meanwhile; looked at anew
+			return workflow.ErrWait // rolled back or superseded in the meantime; the next pass reads it again
 		}
 		model.Order.Back, model.Order.Ended = reason, runner.World.Wall()
 		if isVersionFailure {
--- a/verdict/verdict.go
+++ b/verdict/verdict.go
@@ -1,4 +1,4 @@
-// Package verdict says of a request whether it may have run.
+// Package verdict describes whether a request may have been executed.
 package verdict
 
 import (
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// Verdict is what is known of a request's run.
+// Verdict is what is known about the execution of a request.
 //
-// Invariant: a verdict only ever gets less certain towards NotRun. Once a byte
-// of a request may have reached a replica, nothing turns it back to NotRun but
-// the replica's own word.
+// Invariant: a verdict only moves away from NotRun. Once a byte of a request may have
+// reached a replica, only the replica's own reply that it did not run the request
+// returns the verdict to NotRun.
 type Verdict int
 
-// The verdicts, from harmless to final.
+// The verdicts: the request did not run, may have run, or ran.
 const (
 	NotRun Verdict = iota
 	MayHaveRun
@@ -23,13 +23,13 @@
 
 var names = [...]string{"not_run", "may_have_run", "ran"}
 
-// String is the word that callers see.
+// String returns the verdict's name as callers see it.
 func (verdict Verdict) String() string { return names[verdict] }
 
-// MarshalText writes the word.
+// MarshalText encodes the verdict as its name.
 func (verdict Verdict) MarshalText() ([]byte, error) { return []byte(verdict.String()), nil }
 
-// UnmarshalText reads the word.
+// UnmarshalText decodes the name of a verdict.
 func (verdict *Verdict) UnmarshalText(text []byte) error {
 	for index, name := range names {
 		if name == string(text) {
@@ -37,7 +37,7 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("no verdict %q", text)
+	return fmt.Errorf("unknown verdict %q", text)
 }
 
 // Mishap is the error that a request ends with.
@@ -45,14 +45,14 @@
 	Verdict Verdict `json:"verdict"`
 	Code    string  `json:"code"`
 	Message string  `json:"message"`
-	// ComeBack, when above zero, is when a retry can help.
+	// ComeBack, if above zero, is the delay after which a retry may succeed.
 	ComeBack time.Duration `json:"-"`
-	// Status is the HTTP status that fits.
+	// Status is the HTTP status of the response.
 	Status int   `json:"-"`
 	Cause  error `json:"-"`
 }
 
-// Error is one line for logs.
+// Error returns one line for logs.
 func (failure *Mishap) Error() string {
 	if failure.Cause != nil {
 		return fmt.Sprintf("%s (%s): %s: %v", failure.Code, failure.Verdict, failure.Message, failure.Cause)
@@ -60,16 +60,16 @@
 	return fmt.Sprintf("%s (%s): %s", failure.Code, failure.Verdict, failure.Message)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (failure *Mishap) Unwrap() error { return failure.Cause }
 
-// JSON is the body that callers get.
+// JSON returns the body of the error response.
 func (failure *Mishap) JSON() []byte {
 	body, _ := json.Marshal(failure)
 	return body
 }
 
-// Decline is a refusal that promises not run.
+// Decline returns the error for a request that is rejected and certainly did not run.
 func Decline(status int, code, message string, comeBack time.Duration) *Mishap {
 	return &Mishap{Verdict: NotRun, Code: code, Message: message, ComeBack: comeBack, Status: status}
 }
--- a/workflow/workflow.go
+++ b/workflow/workflow.go
@@ -1,6 +1,6 @@
-// Package workflow keeps durable runs on the registers: a run has an id that its
-// starter supplies, its steps are recorded once each by name, and whoever holds
-// the duty resumes it past its last recorded step.
+// Package workflow runs durable workflows on the registers. A run has an ID that the
+// caller supplies. Each of its steps is recorded once by name, and the current leader
+// resumes the run after its last recorded step.
 package workflow
 
 import (
@@ -16,7 +16,7 @@
 	"swifttiller/register"
 )
 
-// Prefix of the registers of runs.
+// Prefix is the key prefix of the registers that hold runs.
 const Prefix = "run/"
 
 // States of a run.
@@ -35,18 +35,19 @@
 
 // Run is a durable run.
 //
-// Invariants: a name stands in Steps at most once, in the order in which the
-// steps were done; Fence never falls, and only the duty with that serial writes;
-// after State has left running nothing changes any more.
+// Invariants: Steps holds each name at most once, in the order of execution. Fence
+// never decreases, and only the leader whose term it is may write. After State has
+// changed from running, nothing changes any more.
 type Run struct {
 	ID       string          `json:"id"`
 	Digest   string          `json:"digest"`
 	Contents json.RawMessage `json:"contents"`
 	Fence    uint64          `json:"fence"`
 	Steps    []Step          `json:"steps"`
-	// Wake is a durable sleep: nothing is done before it.
+	// Wake is the end of a durable sleep: no step is executed before it.
 	Wake time.Time `json:"wake"`
-	// At names the step under way and its transient mishaps so far.
+	// At names the step in progress, Mishaps counts its transient errors so far, and
+	// Last is the newest of them.
 	At      string    `json:"at,omitempty"`
 	Mishaps int       `json:"mishaps,omitempty"`
 	Last    string    `json:"last,omitempty"`
@@ -56,17 +57,18 @@
 	Ended   time.Time `json:"ended"`
 }
 
-// Shelf is what a run's register holds: the present run and short notes on
-// those before, bounded.
+// Shelf is the run store of one key, held in one register: the current run and a
+// limited number of short records of earlier ones.
 type Shelf struct {
 	Run  *Run   `json:"run"`
 	Past []Past `json:"past,omitempty"`
-	// Used are marks of all ids older than those: an id never runs again, however
-	// old it is. Twelve bytes a run, for good.
+	// Used holds hashes of the IDs of all runs older than those in Past, so that an ID
+	// is never run again, however old it is. Each takes twelve bytes and is kept
+	// forever.
 	Used []string `json:"used,omitempty"`
 }
 
-// Past is what is kept of a retired run.
+// Past is what is kept of an earlier run.
 type Past struct {
 	ID     string    `json:"id"`
 	Digest string    `json:"digest"`
@@ -75,44 +77,44 @@
 	Ended  time.Time `json:"ended"`
 }
 
-// MaxPastRuns is how many retired runs a shelf remembers, and MostBytes how long a
-// step's result may be.
+// MaxPastRuns is how many earlier runs a run store keeps in full, and MaxResultBytes
+// the maximum length of a step's encoded result.
 const (
 	MaxPastRuns    = 32
 	MaxResultBytes = 64 << 10
 )
 
-// The kinds of errors that a step may give. Any other error is transient: the
-// step is tried again.
+// Errors that a step may return. ErrWait and ErrFenced are passed on as they are; any
+// other error is transient, and the step is retried after a backoff.
 type (
-	// Terminal ends the run; trying again can't help.
+	// Terminal ends the run, because a retry cannot succeed.
 	Terminal struct{ Reason string }
-	// RateLimited makes the run sleep, durably, before the step is tried again.
+	// RateLimited makes the run sleep, durably, before the step is retried.
 	RateLimited struct{ RetryAfter time.Duration }
 )
 
-// Error is one line.
+// Error returns the reason why the run ended.
 func (terminal *Terminal) Error() string { return terminal.Reason }
 
-// Error is one line.
+// Error returns the message with the delay before the retry.
 func (rateLimited *RateLimited) Error() string {
 	return "rate limited for " + rateLimited.RetryAfter.String()
 }
 
 var (
-	// ErrWait: the step is not done yet; look again at the next turn.
+	// ErrWait is returned by a step that is not finished yet; the next pass tries it again.
 	ErrWait = errors.New("not yet")
-	// ErrFenced: another runner has the run; this one must let go.
-	ErrFenced = errors.New("journal: the run has passed to another runner")
-	// ErrBusy: another run stands on the shelf.
-	ErrBusy = errors.New("journal: another run is under way")
-	// ErrOther: the id was used with other contents.
-	// ErrUsed: the id was used so long ago that only that is known.
-	ErrUsed  = errors.New("journal: this id was used long ago, and an id never runs again; give another")
-	ErrOther = errors.New("journal: this id was used before with other contents")
+	// ErrFenced means that another runner has taken over the run, and this one must stop.
+	ErrFenced = errors.New("workflow: another runner has taken over the run")
+	// ErrBusy means that the run store holds another run that has not ended.
+	ErrBusy = errors.New("workflow: another run is in progress")
+	// ErrUsed means that the ID was used so long ago that nothing else is known of its run.
+	ErrUsed = errors.New("workflow: this id was used long ago and cannot run again; use another id")
+	// ErrOther means that the ID was used with different contents.
+	ErrOther = errors.New("workflow: this id was used before with different contents")
 )
 
-// Book opens shelves.
+// Book is the journal of runs: it opens the run stores.
 type Book struct {
 	World  loop.World
 	Keeper *register.Keeper
@@ -123,7 +125,7 @@
 	return hex.EncodeToString(sum[:8])
 }
 
-// Read gives a shelf.
+// Read returns the run store of a key and the revision of its register.
 func (journal *Book) Read(key string) (Shelf, uint64, error) {
 	value, err := journal.Keeper.Read(Prefix + key)
 	if err != nil {
@@ -140,7 +142,8 @@
 	return store, err
 }
 
-// Start begins the run, or joins or reports the one that has the id already.
+// Start starts a run. If the ID was used before with the same contents, it returns that
+// run and joined is true.
 func (journal *Book) Start(key, id string, contents any) (run Run, joined bool, err error) {
 	body, err := json.Marshal(contents)
 	if err != nil {
@@ -191,7 +194,7 @@
 
 var errJoined = errors.New("joined")
 
-// Log is a run in the hands of its runner.
+// Log is a run that is being executed by its runner.
 type Log struct {
 	journal  *Book
 	key      string
@@ -200,8 +203,9 @@
 	fence    uint64
 }
 
-// Resume takes the run on the shelf for the duty's serial, by writing that into
-// it; nil when nothing is under way. An older runner can't write any more.
+// Resume takes over the run in progress by writing the leader's term into it as the
+// fence, which prevents older runners from writing. It returns nil if no run is in
+// progress.
 func (journal *Book) Resume(key string, fence uint64) (*Log, error) {
 	log := &Log{journal: journal, key: key, fence: fence}
 	store, revision, err := journal.Read(key)
@@ -218,11 +222,11 @@
 	return log, log.write(func(run *Run) { run.Fence = fence })
 }
 
-// Run shows the run.
+// Run returns the run.
 func (log *Log) Run() Run { return *log.store.Run }
 
-// write changes the run on the register; only the holder of its fence and of
-// its last serial can.
+// write changes the run in its register. It succeeds only if nothing else has written
+// to the register since this runner's last read or write.
 func (log *Log) write(change func(run *Run)) error {
 	next := log.store
 	run := *log.store.Run
@@ -244,7 +248,7 @@
 	return nil
 }
 
-// Recorded tells whether the step is done, and reads its result.
+// Recorded reports whether the step is recorded, and decodes its result.
 func (log *Log) Recorded(name string, result any) bool {
 	for _, step := range log.store.Run.Steps {
 		if step.Name == name {
@@ -257,10 +261,10 @@
 	return false
 }
 
-// Step does the named step unless it is recorded, and records its result. A
-// step that has been recorded is never done again; one that was cut short is,
-// so each must be an upsert.
-func (log *Log) Step(name string, do func() (any, error), result any) error {
+// Step executes the named step unless it is recorded, and records its result. A
+// recorded step is never executed again, but an interrupted one is, so each step must
+// be an upsert.
+func (log *Log) Step(name string, action func() (any, error), result any) error {
 	if log.Recorded(name, result) {
 		return nil
 	}
@@ -268,7 +272,7 @@
 	if now.Before(log.store.Run.Wake) {
 		return ErrWait
 	}
-	output, err := do()
+	output, err := action()
 	var terminal *Terminal
 	var rateLimited *RateLimited
 	switch {
@@ -280,7 +284,8 @@
 		}
 		return ErrWait
 	case err != nil:
-		// Transient: tried again after a pause that grows, and outlives us.
+		// A transient error: the step is retried after an increasing backoff, which is
+		// recorded and therefore survives this process.
 		if writeErr := log.write(func(run *Run) {
 			if run.At != name {
 				run.At, run.Mishaps = name, 0
--- a/workflow/workflow_test.go
+++ b/workflow/workflow_test.go
@@ -11,7 +11,9 @@
 	"swifttiller/workflow"
 )
 
-// TestIDsNeverRunAgain: however many runs have come since.
+// TestIDsNeverRunAgain guards against running an ID twice. A run store keeps only the
+// newest MaxPastRuns runs in full; the IDs of older ones must still be recognized,
+// however many runs have come since.
 func TestIDsNeverRunAgain(t *testing.T) {
 	cluster := fleet.NewPark(3, fleet.Sahayogi())
 	defer cluster.Close()
@@ -33,7 +35,7 @@
 		err := cluster.Do("c2", 5*time.Second, func(daemon *controlplane.Daemon) error {
 			run, isJoined, err := daemon.Book.Start("shelf", fmt.Sprint("id", number), "same")
 			if err == nil && (!isJoined || run.State != workflow.Done) {
-				return fmt.Errorf("id%d began again", number)
+				return fmt.Errorf("id%d was run again", number)
 			}
 			return err
 		})
@@ -47,6 +49,6 @@
 		}
 	}
 	if joined != workflow.MaxPastRuns+1 || usedOnly != runs-joined {
-		t.Errorf("%d are reported, %d are known to be used", joined, usedOnly)
+		t.Errorf("%d runs were joined and %d IDs rejected as used", joined, usedOnly)
 	}
 }
