--- a/rollout/run.go
+++ b/rollout/run.go
@@ -104,8 +104,8 @@
 
 // wait returns workflow.ErrWait and asks for the next pass after the given delay at the
 // latest.
-func (runner *Runner) wait(span time.Duration) error {
-	runner.retryAfter = min(runner.retryAfter, span)
+func (runner *Runner) wait(delay time.Duration) error {
+	runner.retryAfter = min(runner.retryAfter, delay)
 	return workflow.ErrWait
 }
 
@@ -159,6 +159,10 @@
 	return lastErr
 }
 
+// runModel resumes and advances the model's run, if it has one, and undoes what the run
+// changed if it fails. Without a run, it may roll back a version that fails, or start
+// an automatic run. Then it reconciles the model's replicas, unless the placement allows
+// any version.
 func (runner *Runner) runModel(scene Scene, model string) error {
 	key := Key(model, scene.Region)
 	placement, _ := scene.Tree.Placement(model, scene.Region)
@@ -196,12 +200,12 @@
 		}
 		if !errors.Is(err, workflow.ErrWait) {
 			delete(runner.openRuns, key) // finished, or must be read again
-			isOver := func(waitName string) bool {
-				return log.Run().State != workflow.Running && strings.HasPrefix(waitName, key+"|"+log.Run().ID+"|")
+			isOver := func(name string) bool {
+				return log.Run().State != workflow.Running && strings.HasPrefix(name, key+"|"+log.Run().ID+"|")
 			}
-			maps.DeleteFunc(runner.waitStart, func(waitName string, _ time.Duration) bool { return isOver(waitName) })
-			maps.DeleteFunc(runner.recordedElapsed, func(waitName string, _ time.Duration) bool { return isOver(waitName) })
-			maps.DeleteFunc(runner.movedSerial, func(waitName string, _ uint64) bool { return isOver(waitName) })
+			maps.DeleteFunc(runner.waitStart, func(name string, _ time.Duration) bool { return isOver(name) })
+			maps.DeleteFunc(runner.recordedElapsed, func(name string, _ time.Duration) bool { return isOver(name) })
+			maps.DeleteFunc(runner.movedSerial, func(name string, _ uint64) bool { return isOver(name) })
 		}
 		if err != nil && !errors.Is(err, workflow.ErrWait) {
 			return err
@@ -320,12 +324,12 @@
 	}, nil)
 }
 
-// step calls the failpoint of the step's name, and then executes the step unless it is
-// already recorded.
-func (runner *Runner) step(log *workflow.Log, name string, do func() (any, error), result any) error {
+// step executes a step of the run unless it is already recorded, after calling the
+// failpoint of the same name.
+func (runner *Runner) step(log *workflow.Log, name string, action func() (any, error), result any) error {
 	return log.Step(name, func() (any, error) {
 		runner.failpoint(name)
-		return do()
+		return action()
 	}, result)
 }
 
@@ -633,6 +637,9 @@
 	Reason string
 }
 
+// judgeTrial fails the run if the version clearly fails. Otherwise the trial passes
+// after trial_ms, once every kind that the old version gets has trial_samples requests,
+// or after trial_most_ms at the latest if the few requests do not speak against it.
 func (runner *Runner) judgeTrial(scene Scene, log *workflow.Log, contents Contents, old string, base map[string]standing.Outcome) (any, error) {
 	candidate, others := outcomesSince(scene, contents, old, base)
 	if kind, fails := clearlyFails(scene, contents, old, candidate, others); fails {
@@ -722,8 +729,8 @@
 // started, so that a version that has long answered a kind is not rolled back because
 // of a few broken streams. It reports whether it rolled back.
 func (runner *Runner) guardRoute(scene Scene, model string) (bool, error) {
-	route, known := scene.Routes[model]
-	if !known || route.Run != "" || route.Previous == "" || route.Bears(route.Previous) || route.Trial != "" {
+	route, hasRoute := scene.Routes[model]
+	if !hasRoute || route.Run != "" || route.Previous == "" || route.Bears(route.Previous) || route.Trial != "" {
 		return false, nil
 	}
 	contents := Contents{Model: model, Region: scene.Region, Version: route.Version}
--- a/rollout/term.go
+++ b/rollout/term.go
@@ -622,12 +622,12 @@
 	if !isApplied {
 		return runner.wait(pollDelay(scene))
 	}
-	drained, elapsed := runner.waited(waitKey(log, contents, "drain")), runner.elapsed(log, contents)
+	drainTime, elapsed := runner.waited(waitKey(log, contents, "drain")), runner.elapsed(log, contents)
 	minDrain := contents.fraction(minDrainShare)
 	if elapsed > contents.Over {
 		minDrain = contents.fraction(lateDrainShare) // the time limit was missed; no answer is cut off because of it
 	}
-	isLate := elapsed > contents.fraction(drainEndShare) && drained > minDrain
+	isLate := elapsed > contents.fraction(drainEndShare) && drainTime > minDrain
 	if !isLate && (!scene.knowsAllDaemons() || hasOldStreams(scene, contents)) {
 		return runner.wait(pollDelay(scene))
 	}
--- a/workflow/workflow.go
+++ b/workflow/workflow.go
@@ -143,7 +143,8 @@
 }
 
 // Start starts a run. If the ID was used before with the same contents, it returns that
-// run and joined is true.
+// run and joined is true. Otherwise it returns ErrOther, ErrUsed or ErrBusy if the run
+// may not start.
 func (journal *Book) Start(key, id string, contents any) (run Run, joined bool, err error) {
 	body, err := json.Marshal(contents)
 	if err != nil {
