--- a/workflow/workflow.go
+++ b/workflow/workflow.go
@@ -1,6 +1,6 @@
-// Package workflow keeps durable runs on the registers: a run has an id that its
-// starter supplies, its steps are recorded once each by name, and whoever holds
-// the duty resumes it past its last recorded step.
+// Package workflow runs durable workflows on the registers. A run has an ID that the
+// caller supplies. Each of its steps is recorded once by name, and the current leader
+// resumes the run after its last recorded step.
 package workflow
 
 import (
@@ -16,7 +16,7 @@
 	"swifttiller/register"
 )
 
-// Prefix of the registers of runs.
+// Prefix is the key prefix of the registers that hold runs.
 const Prefix = "run/"
 
 // States of a run.
@@ -35,18 +35,19 @@
 
 // Run is a durable run.
 //
-// Invariants: a name stands in Steps at most once, in the order in which the
-// steps were done; Fence never falls, and only the duty with that serial writes;
-// after State has left running nothing changes any more.
+// Invariants: Steps holds each name at most once, in the order of execution. Fence
+// never decreases, and only the leader whose term it is may write. After State has
+// changed from running, nothing changes any more.
 type Run struct {
 	ID       string          `json:"id"`
 	Digest   string          `json:"digest"`
 	Contents json.RawMessage `json:"contents"`
 	Fence    uint64          `json:"fence"`
 	Steps    []Step          `json:"steps"`
-	// Wake is a durable sleep: nothing is done before it.
+	// Wake is the end of a durable sleep: no step is executed before it.
 	Wake time.Time `json:"wake"`
-	// At names the step under way and its transient mishaps so far.
+	// At names the step in progress, Mishaps counts its transient errors so far, and
+	// Last is the newest of them.
 	At      string    `json:"at,omitempty"`
 	Mishaps int       `json:"mishaps,omitempty"`
 	Last    string    `json:"last,omitempty"`
@@ -56,17 +57,18 @@
 	Ended   time.Time `json:"ended"`
 }
 
-// Shelf is what a run's register holds: the present run and short notes on
-// those before, bounded.
+// Shelf is the run store of one key, held in one register: the current run and a
+// limited number of short records of earlier ones.
 type Shelf struct {
 	Run  *Run   `json:"run"`
 	Past []Past `json:"past,omitempty"`
-	// Used are marks of all ids older than those: an id never runs again, however
-	// old it is. Twelve bytes a run, for good.
+	// Used holds hashes of the IDs of all runs older than those in Past, so that an ID
+	// is never run again, however old it is. Each takes twelve bytes and is kept
+	// forever.
 	Used []string `json:"used,omitempty"`
 }
 
-// Past is what is kept of a retired run.
+// Past is what is kept of an earlier run.
 type Past struct {
 	ID     string    `json:"id"`
 	Digest string    `json:"digest"`
@@ -75,42 +77,44 @@
 	Ended  time.Time `json:"ended"`
 }
 
-// KeptPast is how many retired runs a shelf remembers, and MostBytes how long a
-// step's result may be.
+// MaxPastRuns is how many earlier runs a run store keeps in full, and MaxResultBytes
+// the maximum length of a step's encoded result.
 const (
-	KeptPast  = 32
-	MostBytes = 64 << 10
+	MaxPastRuns    = 32
+	MaxResultBytes = 64 << 10
 )
 
-// The kinds of errors that a step may give. Any other error is transient: the
-// step is tried again.
+// Errors that a step may return. ErrWait and ErrFenced are passed on as they are; any
+// other error is transient, and the step is retried after a backoff.
 type (
-	// Terminal ends the run; trying again can't help.
+	// Terminal ends the run, because a retry cannot succeed.
 	Terminal struct{ Reason string }
-	// Limited makes the run sleep, durably, before the step is tried again.
-	Limited struct{ ComeBack time.Duration }
+	// RateLimited makes the run sleep, durably, before the step is retried.
+	RateLimited struct{ RetryAfter time.Duration }
 )
 
-// Error is one line.
+// Error returns the reason why the run ended.
 func (terminal *Terminal) Error() string { return terminal.Reason }
 
-// Error is one line.
-func (limited *Limited) Error() string { return "rate limited for " + limited.ComeBack.String() }
+// Error returns the message with the delay before the retry.
+func (rateLimited *RateLimited) Error() string {
+	return "rate limited for " + rateLimited.RetryAfter.String()
+}
 
 var (
-	// ErrWait: the step is not done yet; look again at the next turn.
+	// ErrWait is returned by a step that is not finished yet; the next pass tries it again.
 	ErrWait = errors.New("not yet")
-	// ErrFenced: another runner has the run; this one must let go.
-	ErrFenced = errors.New("journal: the run has passed to another runner")
-	// ErrBusy: another run stands on the shelf.
-	ErrBusy = errors.New("journal: another run is under way")
-	// ErrOther: the id was used with other contents.
-	// ErrUsed: the id was used so long ago that only that is known.
-	ErrUsed  = errors.New("journal: this id was used long ago, and an id never runs again; give another")
-	ErrOther = errors.New("journal: this id was used before with other contents")
+	// ErrFenced means that another runner has taken over the run, and this one must stop.
+	ErrFenced = errors.New("workflow: another runner has taken over the run")
+	// ErrBusy means that the run store holds another run that has not ended.
+	ErrBusy = errors.New("workflow: another run is in progress")
+	// ErrUsed means that the ID was used so long ago that nothing else is known of its run.
+	ErrUsed = errors.New("workflow: this id was used long ago and cannot run again; use another id")
+	// ErrOther means that the ID was used with different contents.
+	ErrOther = errors.New("workflow: this id was used before with different contents")
 )
 
-// Book opens shelves.
+// Book is the journal of runs: it opens the run stores.
 type Book struct {
 	World  loop.World
 	Keeper *register.Keeper
@@ -121,67 +125,69 @@
 	return hex.EncodeToString(sum[:8])
 }
 
-// Read gives a shelf.
-func (book *Book) Read(key string) (Shelf, uint64, error) {
-	value, err := book.Keeper.Read(Prefix + key)
+// Read returns the run store of a key and the revision of its register.
+func (journal *Book) Read(key string) (Shelf, uint64, error) {
+	value, err := journal.Keeper.Read(Prefix + key)
 	if err != nil {
 		return Shelf{}, 0, err
 	}
-	shelf, err := open(value)
-	return shelf, value.Serial, err
+	store, err := openStore(value)
+	return store, value.Serial, err
 }
 
-func open(value register.Value) (shelf Shelf, err error) {
+func openStore(value register.Value) (store Shelf, err error) {
 	if value.Serial > 0 {
-		err = json.Unmarshal(value.Data, &shelf)
+		err = json.Unmarshal(value.Data, &store)
 	}
-	return shelf, err
+	return store, err
 }
 
-// Start begins the run, or joins or reports the one that has the id already.
-func (book *Book) Start(key, id string, contents any) (run Run, joined bool, err error) {
+// Start starts a run. If the ID was used before with the same contents, it returns that
+// run and joined is true. Otherwise it returns ErrOther, ErrUsed or ErrBusy if the run
+// may not start.
+func (journal *Book) Start(key, id string, contents any) (run Run, joined bool, err error) {
 	body, err := json.Marshal(contents)
 	if err != nil {
 		return Run{}, false, err
 	}
-	mark := digest(body)
-	_, err = book.Keeper.Change(Prefix+key, func(value register.Value) ([]byte, error) {
+	contentsDigest := digest(body)
+	_, err = journal.Keeper.Change(Prefix+key, func(value register.Value) ([]byte, error) {
 		joined = false
-		shelf, err := open(value)
+		store, err := openStore(value)
 		if err != nil {
 			return nil, err
 		}
-		if have := shelf.Run; have != nil && have.ID == id {
-			joined, run = true, *have
+		if current := store.Run; current != nil && current.ID == id {
+			joined, run = true, *current
 			return nil, errJoined
 		}
-		for _, past := range shelf.Past {
+		for _, past := range store.Past {
 			if past.ID == id {
 				joined, run = true, Run{ID: id, Digest: past.Digest, State: past.State, Reason: past.Reason, Ended: past.Ended}
 				return nil, errJoined
 			}
 		}
-		if slices.Contains(shelf.Used, digest([]byte(id))[:12]) {
+		if slices.Contains(store.Used, digest([]byte(id))[:12]) {
 			return nil, ErrUsed
 		}
-		if have := shelf.Run; have != nil {
-			if have.State == Running {
+		if current := store.Run; current != nil {
+			if current.State == Running {
 				return nil, ErrBusy
 			}
-			shelf.Past = append(shelf.Past, Past{have.ID, have.Digest, have.State, have.Reason, have.Ended})
-			for len(shelf.Past) > KeptPast {
-				shelf.Used = append(shelf.Used, digest([]byte(shelf.Past[0].ID))[:12])
-				shelf.Past = shelf.Past[1:]
+			store.Past = append(store.Past, Past{current.ID, current.Digest, current.State, current.Reason, current.Ended})
+			for len(store.Past) > MaxPastRuns {
+				store.Used = append(store.Used, digest([]byte(store.Past[0].ID))[:12])
+				store.Past = store.Past[1:]
 			}
 		}
-		run = Run{ID: id, Digest: mark, Contents: body, State: Running, Began: book.World.Wall()}
-		shelf.Run = &run
-		return json.Marshal(shelf)
+		run = Run{ID: id, Digest: contentsDigest, Contents: body, State: Running, Began: journal.World.Wall()}
+		store.Run = &run
+		return json.Marshal(store)
 	})
 	if errors.Is(err, errJoined) {
 		err = nil
 	}
-	if err == nil && joined && run.Digest != mark {
+	if err == nil && joined && run.Digest != contentsDigest {
 		err = ErrOther
 	}
 	return run, joined, err
@@ -189,41 +195,42 @@
 
 var errJoined = errors.New("joined")
 
-// Log is a run in the hands of its runner.
+// Log is a run that is being executed by its runner.
 type Log struct {
-	book   *Book
-	key    string
-	shelf  Shelf
-	serial uint64
-	fence  uint64
+	journal  *Book
+	key      string
+	store    Shelf
+	revision uint64
+	fence    uint64
 }
 
-// Resume takes the run on the shelf for the duty's serial, by writing that into
-// it; nil when nothing is under way. An older runner can't write any more.
-func (book *Book) Resume(key string, fence uint64) (*Log, error) {
-	log := &Log{book: book, key: key, fence: fence}
-	shelf, serial, err := book.Read(key)
-	if err != nil || shelf.Run == nil || shelf.Run.State != Running {
+// Resume takes over the run in progress by writing the leader's term into it as the
+// fence, which prevents older runners from writing. It returns nil if no run is in
+// progress.
+func (journal *Book) Resume(key string, fence uint64) (*Log, error) {
+	log := &Log{journal: journal, key: key, fence: fence}
+	store, revision, err := journal.Read(key)
+	if err != nil || store.Run == nil || store.Run.State != Running {
 		return nil, err
 	}
-	log.shelf, log.serial = shelf, serial
-	if shelf.Run.Fence > fence {
+	log.store, log.revision = store, revision
+	if store.Run.Fence > fence {
 		return nil, ErrFenced
 	}
-	if shelf.Run.Fence == fence {
+	if store.Run.Fence == fence {
 		return log, nil
 	}
 	return log, log.write(func(run *Run) { run.Fence = fence })
 }
 
-// Run shows the run.
-func (log *Log) Run() Run { return *log.shelf.Run }
+// Run returns the run.
+func (log *Log) Run() Run { return *log.store.Run }
 
-// write changes the run on the register; only the holder of its fence and of
-// its last serial can.
+// write changes the run in its register. It succeeds only if nothing else has written
+// to the register since this runner's last read or write.
 func (log *Log) write(change func(run *Run)) error {
-	next := log.shelf
-	run := *log.shelf.Run
+	next := log.store
+	run := *log.store.Run
 	run.Steps = append([]Step{}, run.Steps...)
 	change(&run)
 	next.Run = &run
@@ -231,20 +238,20 @@
 	if err != nil {
 		return err
 	}
-	value, err := log.book.Keeper.Swap(Prefix+log.key, log.serial, data)
+	value, err := log.journal.Keeper.Swap(Prefix+log.key, log.revision, data)
 	var stale *register.Stale
 	if errors.As(err, &stale) {
 		return ErrFenced
 	} else if err != nil {
 		return err
 	}
-	log.shelf, log.serial = next, value.Serial
+	log.store, log.revision = next, value.Serial
 	return nil
 }
 
-// Recorded tells whether the step is done, and reads its result.
+// Recorded reports whether the step is recorded, and decodes its result.
 func (log *Log) Recorded(name string, result any) bool {
-	for _, step := range log.shelf.Run.Steps {
+	for _, step := range log.store.Run.Steps {
 		if step.Name == name {
 			if result != nil && len(step.Result) > 0 {
 				return json.Unmarshal(step.Result, result) == nil
@@ -255,47 +262,48 @@
 	return false
 }
 
-// Step does the named step unless it is recorded, and records its result. A
-// step that has been recorded is never done again; one that was cut short is,
-// so each must be an upsert.
-func (log *Log) Step(name string, do func() (any, error), result any) error {
+// Step executes the named step unless it is recorded, and records its result. A
+// recorded step is never executed again, but an interrupted one is, so each step must
+// be an upsert.
+func (log *Log) Step(name string, action func() (any, error), result any) error {
 	if log.Recorded(name, result) {
 		return nil
 	}
-	now := log.book.World.Wall()
-	if now.Before(log.shelf.Run.Wake) {
+	now := log.journal.World.Wall()
+	if now.Before(log.store.Run.Wake) {
 		return ErrWait
 	}
-	got, err := do()
+	output, err := action()
 	var terminal *Terminal
-	var limited *Limited
+	var rateLimited *RateLimited
 	switch {
 	case errors.Is(err, ErrWait), errors.Is(err, ErrFenced), errors.As(err, &terminal):
 		return err
-	case errors.As(err, &limited):
-		if failed := log.write(func(run *Run) { run.At, run.Wake, run.Last = name, now.Add(limited.ComeBack), err.Error() }); failed != nil {
-			return failed
+	case errors.As(err, &rateLimited):
+		if writeErr := log.write(func(run *Run) { run.At, run.Wake, run.Last = name, now.Add(rateLimited.RetryAfter), err.Error() }); writeErr != nil {
+			return writeErr
 		}
 		return ErrWait
 	case err != nil:
-		// Transient: tried again after a pause that grows, and outlives us.
-		if failed := log.write(func(run *Run) {
+		// A transient error: the step is retried after an increasing backoff, which is
+		// recorded and therefore survives this process.
+		if writeErr := log.write(func(run *Run) {
 			if run.At != name {
 				run.At, run.Mishaps = name, 0
 			}
 			run.Mishaps++
 			run.Last = err.Error()
 			run.Wake = now.Add(min(10*time.Second, 200*time.Millisecond<<min(run.Mishaps, 6)))
-		}); failed != nil {
-			return failed
+		}); writeErr != nil {
+			return writeErr
 		}
 		return ErrWait
 	}
-	body, err := json.Marshal(got)
+	body, err := json.Marshal(output)
 	if err != nil {
 		return err
 	}
-	if len(body) > MostBytes {
+	if len(body) > MaxResultBytes {
 		return &Terminal{fmt.Sprintf("the result of step %s is too long (%d bytes)", name, len(body))}
 	}
 	if err := log.write(func(run *Run) {
@@ -313,6 +321,6 @@
 // Finish ends the run.
 func (log *Log) Finish(state, reason string) error {
 	return log.write(func(run *Run) {
-		run.State, run.Reason, run.Ended, run.At, run.Wake = state, reason, log.book.World.Wall(), "", time.Time{}
+		run.State, run.Reason, run.Ended, run.At, run.Wake = state, reason, log.journal.World.Wall(), "", time.Time{}
 	})
 }
