--- a/duty/duty.go
+++ b/duty/duty.go
@@ -51,9 +51,9 @@
 	Wanted func() []string
 }
 
-type hold struct {
-	serial uint64
-	seen   time.Duration // when a majority last confirmed it
+type leadership struct {
+	term        uint64
+	confirmedAt time.Duration // when a majority last confirmed it
 }
 
 // Keeper runs for vacant duties and knows which it has.
@@ -62,77 +62,77 @@
 // holder no longer than a session ago, by this daemon's clock.
 type Keeper struct {
 	Options
-	guard sync.Mutex
-	held  map[string]hold
-	stop  bool
+	mu         sync.Mutex
+	held       map[string]leadership
+	isResigned bool
 	// Changes counts hands changed, as the doctor's sign of flapping.
-	Changes map[string]int
-	last    map[string]Duty
-	// changed is when last was first read so.
-	changed map[string]time.Duration
+	Changes  map[string]int
+	lastRead map[string]Duty
+	// changedAt is when last was first read so.
+	changedAt map[string]time.Duration
 }
 
 // Held gives the duty's serial if this daemon holds it now.
-func (keeper *Keeper) Held(name string) (uint64, bool) {
-	keeper.guard.Lock()
-	defer keeper.guard.Unlock()
-	one, ok := keeper.held[name]
-	if !ok || keeper.World.Now()-one.seen > keeper.Span() {
+func (elector *Keeper) Held(name string) (uint64, bool) {
+	elector.mu.Lock()
+	defer elector.mu.Unlock()
+	own, ok := elector.held[name]
+	if !ok || elector.World.Now()-own.confirmedAt > elector.Span() {
 		return 0, false
 	}
-	return one.serial, true
+	return own.term, true
 }
 
 // Holds gives all that this daemon holds now, by their serials.
-func (keeper *Keeper) Holds() map[string]uint64 {
-	keeper.guard.Lock()
-	defer keeper.guard.Unlock()
+func (elector *Keeper) Holds() map[string]uint64 {
+	elector.mu.Lock()
+	defer elector.mu.Unlock()
 	out := map[string]uint64{}
-	for name, one := range keeper.held {
-		if keeper.World.Now()-one.seen <= keeper.Span() {
-			out[name] = one.serial
+	for name, own := range elector.held {
+		if elector.World.Now()-own.confirmedAt <= elector.Span() {
+			out[name] = own.term
 		}
 	}
 	return out
 }
 
 // Last gives a duty as last read.
-func (keeper *Keeper) Last(name string) (Duty, bool) {
-	keeper.guard.Lock()
-	defer keeper.guard.Unlock()
-	duty, known := keeper.last[name]
-	return duty, known
+func (elector *Keeper) Last(name string) (Duty, bool) {
+	elector.mu.Lock()
+	defer elector.mu.Unlock()
+	duty, isKnown := elector.lastRead[name]
+	return duty, isKnown
 }
 
 // Seen gives the duties as last read, and how often each changed hands here.
-func (keeper *Keeper) Seen() (map[string]Duty, map[string]int) {
-	keeper.guard.Lock()
-	defer keeper.guard.Unlock()
+func (elector *Keeper) Seen() (map[string]Duty, map[string]int) {
+	elector.mu.Lock()
+	defer elector.mu.Unlock()
 	duties, changes := map[string]Duty{}, map[string]int{}
-	for name, duty := range keeper.last {
+	for name, duty := range elector.lastRead {
 		duties[name] = duty
-		changes[name] = keeper.Changes[name]
+		changes[name] = elector.Changes[name]
 	}
 	return duties, changes
 }
 
 // Run watches the duties and runs for those that fall vacant. One that has begun anew
 // looks more often: what was its own before it may have at once.
-func (keeper *Keeper) Run() {
-	loop.Every(keeper.World, func() time.Duration {
-		if keeper.IsBack && keeper.Watched() < 3*keeper.Span()/2 {
-			return keeper.Span() / 16
+func (elector *Keeper) Run() {
+	loop.Every(elector.World, func() time.Duration {
+		if elector.IsBack && elector.Watched() < 3*elector.Span()/2 {
+			return elector.Span() / 16
 		}
-		return keeper.Span() / 4
+		return elector.Span() / 4
 	}, func() bool {
-		keeper.Turn()
+		elector.Turn()
 		return true
 	})
 }
 
 // Turn looks once at every duty.
-func (keeper *Keeper) Turn() {
-	names := keeper.Wanted()
+func (elector *Keeper) Turn() {
+	names := elector.Wanted()
 	keys := make([]string, len(names))
 	for index, name := range names {
 		keys[index] = Prefix + name
@@ -140,126 +140,126 @@
 	if len(keys) == 0 {
 		return
 	}
-	now := keeper.World.Now()
-	values, err := keeper.Keeper.ReadMany(keys...)
+	now := elector.World.Now()
+	values, err := elector.Keeper.ReadMany(keys...)
 	if err != nil {
 		return // what is held expires by itself
 	}
-	before := map[string]Duty{}
-	var own []string
+	reclaimable := map[string]Duty{}
+	var ownNames []string
 	for index, name := range names {
 		var duty Duty
 		if value := values[keys[index]]; value.Serial > 0 {
 			_ = json.Unmarshal(value.Data, &duty)
 		}
-		keeper.note(name, duty, now)
+		elector.record(name, duty, now)
 		switch {
-		case !keeper.vacant(name, duty):
-		case duty.Holder == keeper.Name:
-			before[name], own = duty, append(own, name)
+		case !elector.isVacant(name, duty):
+		case duty.Holder == elector.Name:
+			reclaimable[name], ownNames = duty, append(ownNames, name)
 		default:
-			keeper.stand(name, duty)
+			elector.campaign(name, duty)
 		}
 	}
 	// What was this daemon's before it began anew nobody else runs for as soon: at once,
 	// and all together, as each takes two rounds.
-	loop.Gather(keeper.World, len(own), loop.Forever, func(index int) bool {
-		keeper.stand(own[index], before[own[index]])
+	loop.Gather(elector.World, len(ownNames), loop.Forever, func(index int) bool {
+		elector.campaign(ownNames[index], reclaimable[ownNames[index]])
 		return true
 	}, func(int, bool) bool { return false })
 }
 
-// note takes what the register says into the tables.
-func (keeper *Keeper) note(name string, duty Duty, asked time.Duration) {
-	keeper.guard.Lock()
-	defer keeper.guard.Unlock()
-	if keeper.held == nil {
-		keeper.held, keeper.last, keeper.Changes, keeper.changed = map[string]hold{}, map[string]Duty{}, map[string]int{}, map[string]time.Duration{}
+// record takes what the register says into the tables.
+func (elector *Keeper) record(name string, duty Duty, readAt time.Duration) {
+	elector.mu.Lock()
+	defer elector.mu.Unlock()
+	if elector.held == nil {
+		elector.held, elector.lastRead, elector.Changes, elector.changedAt = map[string]leadership{}, map[string]Duty{}, map[string]int{}, map[string]time.Duration{}
 	}
-	before, known := keeper.last[name]
-	if known && before.Serial != duty.Serial {
-		keeper.Changes[name]++
+	previous, isKnown := elector.lastRead[name]
+	if isKnown && previous.Serial != duty.Serial {
+		elector.Changes[name]++
 	}
-	if !known || before != duty {
-		keeper.changed[name] = keeper.World.Now()
+	if !isKnown || previous != duty {
+		elector.changedAt[name] = elector.World.Now()
 	}
-	keeper.last[name] = duty
-	if duty.Holder == keeper.Name && duty.Incarnation == keeper.Incarnation && !keeper.stop {
-		keeper.held[name] = hold{duty.Serial, asked}
+	elector.lastRead[name] = duty
+	if duty.Holder == elector.Name && duty.Incarnation == elector.Incarnation && !elector.isResigned {
+		elector.held[name] = leadership{duty.Serial, readAt}
 	} else {
-		delete(keeper.held, name)
+		delete(elector.held, name)
 	}
 }
 
-// vacant tells whether the duty, as just read, is nobody's. A holder that is alive and
+// isVacant tells whether the duty, as just read, is nobody's. A holder that is alive and
 // for all that does not claim it can't reach a majority, and so can't do it; a new one
 // is given time to say its word.
-func (keeper *Keeper) vacant(name string, duty Duty) bool {
-	keeper.guard.Lock()
-	stopped, since := keeper.stop, keeper.World.Now()-keeper.changed[name]
-	keeper.guard.Unlock()
-	if stopped || duty.Holder == keeper.Name && duty.Incarnation == keeper.Incarnation {
+func (elector *Keeper) isVacant(name string, duty Duty) bool {
+	elector.mu.Lock()
+	isResigned, unchanged := elector.isResigned, elector.World.Now()-elector.changedAt[name]
+	elector.mu.Unlock()
+	if isResigned || duty.Holder == elector.Name && duty.Incarnation == elector.Incarnation {
 		return false
 	}
 	// The holder was this daemon, before it began anew: nobody else needs to be known.
-	if duty.Holder == keeper.Name {
+	if duty.Holder == elector.Name {
 		return true
 	}
 	// A daemon that has just started does not know the members yet and could
 	// neither judge who is gone nor do the duty well.
-	if keeper.Watched() < keeper.Span() {
+	if elector.Watched() < elector.Span() {
 		return false
 	}
-	if duty.Holder == "" || keeper.Reborn(duty.Holder, duty.Incarnation) {
+	if duty.Holder == "" || elector.Reborn(duty.Holder, duty.Incarnation) {
 		return true
 	}
-	if keeper.Watched() <= 2*keeper.Span() {
+	if elector.Watched() <= 2*elector.Span() {
 		return false
 	}
-	return !keeper.Alive(duty.Holder, duty.Incarnation) || since > 2*keeper.Span() && !keeper.Claims(name, duty)
+	return !elector.Alive(duty.Holder, duty.Incarnation) || unchanged > 2*elector.Span() && !elector.Claims(name, duty)
 }
 
-var errTaken = errors.New("taken")
+var errChanged = errors.New("taken")
 
-// stand runs for a duty that was seen in the given state.
-func (keeper *Keeper) stand(name string, seen Duty) {
+// campaign runs for a duty that was seen in the given state.
+func (elector *Keeper) campaign(name string, observed Duty) {
 	// A draw keeps all from running at once; the registers decide in any case.
-	if seen.Holder != keeper.Name {
-		loop.Sleep(keeper.World, time.Duration(keeper.World.Draw(int64(keeper.Span()/10))))
+	if observed.Holder != elector.Name {
+		loop.Sleep(elector.World, time.Duration(elector.World.Draw(int64(elector.Span()/10))))
 	}
-	asked := keeper.World.Now()
-	next := Duty{Holder: keeper.Name, Incarnation: keeper.Incarnation, Serial: seen.Serial + 1}
-	_, err := keeper.Keeper.Change(Prefix+name, func(value register.Value) ([]byte, error) {
+	startedAt := elector.World.Now()
+	next := Duty{Holder: elector.Name, Incarnation: elector.Incarnation, Serial: observed.Serial + 1}
+	_, err := elector.Keeper.Change(Prefix+name, func(value register.Value) ([]byte, error) {
 		var duty Duty
 		if value.Serial > 0 {
 			_ = json.Unmarshal(value.Data, &duty)
 		}
-		if duty != seen {
-			return nil, errTaken
+		if duty != observed {
+			return nil, errChanged
 		}
 		return json.Marshal(next)
 	})
 	if err == nil {
-		keeper.note(name, next, asked)
+		elector.record(name, next, startedAt)
 	}
 }
 
 // Resign lets go of every duty, for a planned stop.
-func (keeper *Keeper) Resign() {
-	keeper.guard.Lock()
-	keeper.stop = true
-	held := keeper.held
-	keeper.held = map[string]hold{}
-	keeper.guard.Unlock()
+func (elector *Keeper) Resign() {
+	elector.mu.Lock()
+	elector.isResigned = true
+	held := elector.held
+	elector.held = map[string]leadership{}
+	elector.mu.Unlock()
 	for _, name := range slices.Sorted(maps.Keys(held)) {
-		one := held[name]
-		_, _ = keeper.Keeper.Change(Prefix+name, func(value register.Value) ([]byte, error) {
+		own := held[name]
+		_, _ = elector.Keeper.Change(Prefix+name, func(value register.Value) ([]byte, error) {
 			var duty Duty
 			_ = json.Unmarshal(value.Data, &duty)
-			if duty.Serial != one.serial {
-				return nil, errTaken
+			if duty.Serial != own.term {
+				return nil, errChanged
 			}
-			return json.Marshal(Duty{Serial: one.serial})
+			return json.Marshal(Duty{Serial: own.term})
 		})
 	}
 }
--- a/register/acceptor.go
+++ b/register/acceptor.go
@@ -31,10 +31,10 @@
 
 // record is one change of the state in the log.
 type record struct {
-	Key    string
-	Cell   Cell
-	Whole  *state `json:",omitempty"`
-	before Cell   // the cell that this one replaces; not written
+	Key      string
+	Cell     Cell
+	Whole    *state `json:",omitempty"`
+	previous Cell   // the cell that this one replaces; not written
 	// snapshots is how many were taken before it; not written.
 	snapshots uint64
 }
@@ -43,10 +43,10 @@
 // the data as they are. Each record stands by itself, and gob would describe its types in
 // each anew: that is dear to read, and a start after a power cut reads hundreds of records
 // before anybody serves.
-func (one record) pack() []byte {
-	data := one.Cell.Value.Data
-	one.Cell.Value.Data = nil
-	head, err := json.Marshal(one)
+func (entry record) pack() []byte {
+	data := entry.Cell.Value.Data
+	entry.Cell.Value.Data = nil
+	head, err := json.Marshal(entry)
 	if err != nil {
 		panic(err) // only our own types come here
 	}
@@ -54,16 +54,16 @@
 }
 
 // unpack reads what pack wrote, or what was written before records had lines of JSON.
-func (one *record) unpack(data []byte) error {
+func (entry *record) unpack(data []byte) error {
 	if len(data) > 0 && data[0] != '{' {
-		return decode(data, one)
+		return decode(data, entry)
 	}
 	head, tail, _ := bytes.Cut(data, []byte("\n"))
-	if err := json.Unmarshal(head, one); err != nil {
+	if err := json.Unmarshal(head, entry); err != nil {
 		return err
 	}
 	if len(tail) > 0 {
-		one.Cell.Value.Data = tail
+		entry.Cell.Value.Data = tail
 	}
 	return nil
 }
@@ -77,71 +77,71 @@
 // with the newest cell of it that does; so what a Query shows always lasts, and
 // a disk that is slow, full or sick holds up no reader.
 type Acceptor struct {
-	guard   sync.Mutex
-	state   state
-	store   *disk.Store
-	pending map[string]*pending
-	whole   int // records of the whole state that may not last yet
+	mu            sync.Mutex
+	state         state
+	store         *disk.Store
+	pending       map[string]*pendingKey
+	pendingStates int // records of the whole state that may not last yet
 	// snapshots counts those taken; durable is the number of the last one that lasts, and with
 	// it each record from before it. failed are records that the disk did not keep, by key and
 	// since the last snapshot or before it, as counts: a disk may stay full for long.
-	snapshots, durable uint64
-	failed             map[failure]*lapsed
-	sums               map[string]summed // of long values, by key
+	snapshots, durableSnapshot uint64
+	failedRecords              map[failedKey]*failedGroup
+	sumCache                   map[string]cachedSum // of long values, by key
 	// Moved, if set, is told of a core that this acceptor has learned.
 	Moved func(Core)
 	// Name is its daemon's, for whoever makes a core.
 	Name string
 }
 
-// failure names failed records that the same snapshot makes durable: of a key, or of the
+// failedKey names failed records that the same snapshot makes durable: of a key, or of the
 // whole state where it is none, and whether they came before the last snapshot.
-type failure struct {
+type failedKey struct {
 	key       string
 	isCovered bool
 }
 
-// lapsed are such records: how many, and the newest of them.
-type lapsed struct {
-	records int
-	newest  *record
+// failedGroup are such records: how many, and the newest of them.
+type failedGroup struct {
+	count  int
+	newest *record
 }
 
-// summed is the sum of the value that was accepted under the ballot, which names one
+// cachedSum is the sum of the value that was accepted under the ballot, which names one
 // value for good.
-type summed struct {
+type cachedSum struct {
 	accepted Ballot
 	sum      Sum
 }
 
 // sum gives the sum of a cell's value; who holds the guard calls it.
 func (acceptor *Acceptor) sum(key string, cell Cell) Sum {
-	have := acceptor.sums[key]
-	if have.accepted != cell.Accepted {
-		if acceptor.sums == nil {
-			acceptor.sums = map[string]summed{}
+	cached := acceptor.sumCache[key]
+	if cached.accepted != cell.Accepted {
+		if acceptor.sumCache == nil {
+			acceptor.sumCache = map[string]cachedSum{}
 		}
-		have = summed{cell.Accepted, cell.Value.sum()}
-		acceptor.sums[key] = have
+		cached = cachedSum{cell.Accepted, cell.Value.sum()}
+		acceptor.sumCache[key] = cached
 	}
-	return have.sum
+	return cached.sum
 }
 
-// pending is a key with records that may not last yet.
-type pending struct {
-	lasting Cell
+// pendingKey is a key with records that may not last yet.
+type pendingKey struct {
+	durable Cell
 	records int
-	// overtaken by a record of the whole state, after which only the disk's order
+	// isSuperseded by a record of the whole state, after which only the disk's order
 	// tells what lasts.
-	overtaken bool
+	isSuperseded bool
 }
 
 // OpenAcceptor brings the acceptor back from its disk, or makes one with a new
 // identity when the disk is new. A new one belongs to no core and votes on
 // nothing.
 func OpenAcceptor(options disk.Options, id string) (*Acceptor, error) {
-	acceptor := &Acceptor{state: state{ID: id, Cells: map[string]Cell{}}, pending: map[string]*pending{}}
-	options.Snapshot, options.Folded = acceptor.snapshot, acceptor.folded
+	acceptor := &Acceptor{state: state{ID: id, Cells: map[string]Cell{}}, pending: map[string]*pendingKey{}}
+	options.Snapshot, options.Folded = acceptor.snapshot, acceptor.snapshotWritten
 	store, value, records, fresh, err := disk.Open(options)
 	if err != nil {
 		return nil, err
@@ -157,17 +157,17 @@
 		acceptor.state.Cells = map[string]Cell{}
 	}
 	for _, data := range records {
-		var one record
-		if err := one.unpack(data); err != nil {
+		var entry record
+		if err := entry.unpack(data); err != nil {
 			return nil, &disk.Corrupt{File: "log", Reason: err.Error()}
 		}
-		if one.Whole != nil {
-			acceptor.state = *one.Whole
+		if entry.Whole != nil {
+			acceptor.state = *entry.Whole
 			if acceptor.state.Cells == nil {
 				acceptor.state.Cells = map[string]Cell{}
 			}
 		} else {
-			acceptor.state.Cells[one.Key] = one.Cell
+			acceptor.state.Cells[entry.Key] = entry.Cell
 		}
 	}
 	return acceptor, nil
@@ -185,51 +185,51 @@
 
 // ID is the acceptor's identity.
 func (acceptor *Acceptor) ID() string {
-	acceptor.guard.Lock()
-	defer acceptor.guard.Unlock()
+	acceptor.mu.Lock()
+	defer acceptor.mu.Unlock()
 	return acceptor.state.ID
 }
 
-// change runs the step on the state under the lock, enqueues the record that it
+// applyOne runs the step on the state under the lock, enqueues the record that it
 // gives, and waits for everything enqueued so far to last, so that no answer
 // shows what a crash could still take away.
-func (acceptor *Acceptor) change(step func(state *state) *record) error {
-	return acceptor.changes(func(state *state) []*record {
-		if one := step(state); one != nil {
-			return []*record{one}
+func (acceptor *Acceptor) applyOne(step func(state *state) *record) error {
+	return acceptor.apply(func(state *state) []*record {
+		if entry := step(state); entry != nil {
+			return []*record{entry}
 		}
 		return nil
 	})
 }
 
-// begin notes a record that may not last yet.
-func (acceptor *Acceptor) begin(one *record) {
-	if one.Whole != nil {
-		acceptor.whole++
-		for _, line := range acceptor.pending {
-			line.overtaken = true
+// addPending notes a record that may not last yet.
+func (acceptor *Acceptor) addPending(entry *record) {
+	if entry.Whole != nil {
+		acceptor.pendingStates++
+		for _, writes := range acceptor.pending {
+			writes.isSuperseded = true
 		}
 		return
 	}
-	line := acceptor.pending[one.Key]
-	if line == nil {
-		line = &pending{lasting: one.before}
-		acceptor.pending[one.Key] = line
+	writes := acceptor.pending[entry.Key]
+	if writes == nil {
+		writes = &pendingKey{durable: entry.previous}
+		acceptor.pending[entry.Key] = writes
 	}
-	line.records++
+	writes.records++
 }
 
-// lasts notes that a record lasts. Waiters may be woken out of order.
-func (acceptor *Acceptor) lasts(one *record) {
-	if one.Whole != nil {
-		acceptor.whole--
+// markDurable notes that a record lasts. Waiters may be woken out of order.
+func (acceptor *Acceptor) markDurable(entry *record) {
+	if entry.Whole != nil {
+		acceptor.pendingStates--
 		return
 	}
-	line := acceptor.pending[one.Key]
-	if line.records--; line.records == 0 {
-		delete(acceptor.pending, one.Key)
-	} else if line.lasting.Accepted.Less(one.Cell.Accepted) || line.lasting.Promised.Less(one.Cell.Promised) {
-		line.lasting = one.Cell
+	writes := acceptor.pending[entry.Key]
+	if writes.records--; writes.records == 0 {
+		delete(acceptor.pending, entry.Key)
+	} else if writes.durable.Accepted.Less(entry.Cell.Accepted) || writes.durable.Promised.Less(entry.Cell.Promised) {
+		writes.durable = entry.Cell
 	}
 }
 
@@ -237,77 +237,77 @@
 // already; as each is a whole cell or state, writing them again after it ends
 // at the same state.
 func (acceptor *Acceptor) snapshot() []byte {
-	acceptor.guard.Lock()
-	defer acceptor.guard.Unlock()
+	acceptor.mu.Lock()
+	defer acceptor.mu.Unlock()
 	acceptor.snapshots++
-	for at, one := range acceptor.failed {
-		if !at.isCovered {
-			delete(acceptor.failed, at)
-			acceptor.lapse(failure{at.key, true}, one.newest, one.records)
+	for key, group := range acceptor.failedRecords {
+		if !key.isCovered {
+			delete(acceptor.failedRecords, key)
+			acceptor.addFailed(failedKey{key.key, true}, group.newest, group.count)
 		}
 	}
 	return encode(&acceptor.state)
 }
 
-// lapse counts records that the disk did not keep; who holds the guard calls it.
-func (acceptor *Acceptor) lapse(at failure, newest *record, records int) {
-	if acceptor.failed == nil {
-		acceptor.failed = map[failure]*lapsed{}
+// addFailed counts records that the disk did not keep; who holds the guard calls it.
+func (acceptor *Acceptor) addFailed(key failedKey, newest *record, count int) {
+	if acceptor.failedRecords == nil {
+		acceptor.failedRecords = map[failedKey]*failedGroup{}
 	}
-	one := acceptor.failed[at]
-	if one == nil {
-		one = &lapsed{}
-		acceptor.failed[at] = one
+	group := acceptor.failedRecords[key]
+	if group == nil {
+		group = &failedGroup{}
+		acceptor.failedRecords[key] = group
 	}
-	one.records += records
-	if one.newest == nil || one.newest.Cell.Accepted.Less(newest.Cell.Accepted) || one.newest.Cell.Promised.Less(newest.Cell.Promised) {
-		one.newest = newest
+	group.count += count
+	if group.newest == nil || group.newest.Cell.Accepted.Less(newest.Cell.Accepted) || group.newest.Cell.Promised.Less(newest.Cell.Promised) {
+		group.newest = newest
 	}
 }
 
-// folded notes that the last snapshot lasts. A vote that failed for the disk was told as
+// snapshotWritten notes that the last snapshot lasts. A vote that failed for the disk was told as
 // failed; that what it wrote lasts after all is as if the answer had been lost.
-func (acceptor *Acceptor) folded() {
-	acceptor.guard.Lock()
-	defer acceptor.guard.Unlock()
-	acceptor.durable = acceptor.snapshots
-	for at, one := range acceptor.failed {
-		if !at.isCovered {
+func (acceptor *Acceptor) snapshotWritten() {
+	acceptor.mu.Lock()
+	defer acceptor.mu.Unlock()
+	acceptor.durableSnapshot = acceptor.snapshots
+	for key, group := range acceptor.failedRecords {
+		if !key.isCovered {
 			continue
 		}
-		delete(acceptor.failed, at)
-		for range one.records {
-			acceptor.lasts(one.newest)
+		delete(acceptor.failedRecords, key)
+		for range group.count {
+			acceptor.markDurable(group.newest)
 		}
 	}
 }
 
-// settled notes what became of records on the disk.
-func (acceptor *Acceptor) settled(records []*record, err error) {
-	acceptor.guard.Lock()
-	defer acceptor.guard.Unlock()
-	for _, one := range records {
-		if err == nil || one.snapshots < acceptor.durable {
-			acceptor.lasts(one)
+// recordsWritten notes what became of records on the disk.
+func (acceptor *Acceptor) recordsWritten(records []*record, err error) {
+	acceptor.mu.Lock()
+	defer acceptor.mu.Unlock()
+	for _, entry := range records {
+		if err == nil || entry.snapshots < acceptor.durableSnapshot {
+			acceptor.markDurable(entry)
 		} else {
-			acceptor.lapse(failure{one.Key, one.snapshots < acceptor.snapshots}, one, 1)
+			acceptor.addFailed(failedKey{entry.Key, entry.snapshots < acceptor.snapshots}, entry, 1)
 		}
 	}
 }
 
 // Standing of a vote.
 const (
-	Voted     = iota // the vote is given and lasts
-	Outvoted         // a higher ballot was promised
-	Elsewhere        // not of this epoch, or sealed, or no member
-	Sick             // the disk does not keep
-	Lacking          // the value of the sum is not held
+	Granted      = iota // the vote is given and lasts
+	Rejected            // a higher ballot was promised
+	WrongEpoch          // not of this epoch, or sealed, or no member
+	DiskFailed          // the disk does not keep
+	ValueMissing        // the value of the sum is not held
 )
 
-// Ask is a request for a vote. Epoch binds it to one core. Have is the ballot whose
+// VoteRequest is a request for a vote. Epoch binds it to one core. Have is the ballot whose
 // value the asker holds already, and Sum that value's if it is long. An Accept with a sum
 // has no value: it is the one that the acceptor holds under whatever ballot.
-type Ask struct {
+type VoteRequest struct {
 	Epoch  uint64
 	Key    string
 	Ballot Ballot
@@ -331,94 +331,94 @@
 	Mishap string
 }
 
-func (acceptor *Acceptor) elsewhere(state *state, epoch uint64, vote *Vote) bool {
+func (acceptor *Acceptor) rejectEpoch(state *state, epoch uint64, vote *Vote) bool {
 	vote.ID = state.ID
 	if state.Core.Epoch == epoch && epoch > 0 && !state.Sealed && state.Core.Has(state.ID) {
 		return false
 	}
-	vote.Kind, vote.Core, vote.Sealed, vote.Next = Elsewhere, state.Core, state.Sealed, state.Next
+	vote.Kind, vote.Core, vote.Sealed, vote.Next = WrongEpoch, state.Core, state.Sealed, state.Next
 	return true
 }
 
-func (vote *Vote) settle(err error) {
+func (vote *Vote) setDiskError(err error) {
 	if err != nil {
-		*vote = Vote{ID: vote.ID, Kind: Sick, Mishap: err.Error()}
+		*vote = Vote{ID: vote.ID, Kind: DiskFailed, Mishap: err.Error()}
 	}
 }
 
 // Prepare promises to decline lower ballots and gives what was accepted.
-func (acceptor *Acceptor) Prepare(ask Ask, vote *Vote) error {
-	vote.settle(acceptor.change(func(state *state) *record { return acceptor.prepare(state, ask, vote) }))
+func (acceptor *Acceptor) Prepare(request VoteRequest, vote *Vote) error {
+	vote.setDiskError(acceptor.applyOne(func(state *state) *record { return acceptor.prepare(state, request, vote) }))
 	return nil
 }
 
-func (acceptor *Acceptor) prepare(state *state, ask Ask, vote *Vote) *record {
-	if acceptor.elsewhere(state, ask.Epoch, vote) {
+func (acceptor *Acceptor) prepare(state *state, request VoteRequest, vote *Vote) *record {
+	if acceptor.rejectEpoch(state, request.Epoch, vote) {
 		return nil
 	}
-	cell := state.Cells[ask.Key]
-	if !cell.Promised.Less(ask.Ballot) {
-		vote.Kind, vote.Cell.Promised = Outvoted, cell.Promised
+	cell := state.Cells[request.Key]
+	if !cell.Promised.Less(request.Ballot) {
+		vote.Kind, vote.Cell.Promised = Rejected, cell.Promised
 		return nil
 	}
 	vote.Cell.Accepted = cell.Accepted
 	switch {
-	case cell.Accepted == ask.Have:
-	case ask.Sum != Sum{} && cell.Value.isLong() && acceptor.sum(ask.Key, cell) == ask.Sum:
+	case cell.Accepted == request.Have:
+	case request.Sum != Sum{} && cell.Value.isLong() && acceptor.sum(request.Key, cell) == request.Sum:
 		vote.IsHeld = true
 	default:
 		vote.Cell.Value = cell.Value
 	}
-	before := cell
-	cell.Promised = ask.Ballot
-	state.Cells[ask.Key] = cell
-	return &record{Key: ask.Key, Cell: cell, before: before}
+	previous := cell
+	cell.Promised = request.Ballot
+	state.Cells[request.Key] = cell
+	return &record{Key: request.Key, Cell: cell, previous: previous}
 }
 
 // Accept takes a value, unless a higher ballot was promised.
-func (acceptor *Acceptor) Accept(ask Ask, vote *Vote) error {
-	vote.settle(acceptor.change(func(state *state) *record { return acceptor.accept(state, ask, vote) }))
+func (acceptor *Acceptor) Accept(request VoteRequest, vote *Vote) error {
+	vote.setDiskError(acceptor.applyOne(func(state *state) *record { return acceptor.accept(state, request, vote) }))
 	return nil
 }
 
-func (acceptor *Acceptor) accept(state *state, ask Ask, vote *Vote) *record {
-	if acceptor.elsewhere(state, ask.Epoch, vote) {
+func (acceptor *Acceptor) accept(state *state, request VoteRequest, vote *Vote) *record {
+	if acceptor.rejectEpoch(state, request.Epoch, vote) {
 		return nil
 	}
-	cell := state.Cells[ask.Key]
-	if ask.Ballot.Less(cell.Promised) {
-		vote.Kind, vote.Cell.Promised = Outvoted, cell.Promised
+	cell := state.Cells[request.Key]
+	if request.Ballot.Less(cell.Promised) {
+		vote.Kind, vote.Cell.Promised = Rejected, cell.Promised
 		return nil
 	}
-	before := cell
-	if (ask.Sum != Sum{}) {
-		if !cell.Value.isLong() || acceptor.sum(ask.Key, cell) != ask.Sum {
-			vote.Kind = Lacking
+	previous := cell
+	if (request.Sum != Sum{}) {
+		if !cell.Value.isLong() || acceptor.sum(request.Key, cell) != request.Sum {
+			vote.Kind = ValueMissing
 			return nil
 		}
-		ask.Value = cell.Value
+		request.Value = cell.Value
 	}
-	cell = Cell{Promised: ask.Ballot, Accepted: ask.Ballot, Value: ask.Value}
-	state.Cells[ask.Key] = cell
-	return &record{Key: ask.Key, Cell: cell, before: before}
+	cell = Cell{Promised: request.Ballot, Accepted: request.Ballot, Value: request.Value}
+	state.Cells[request.Key] = cell
+	return &record{Key: request.Key, Cell: cell, previous: previous}
 }
 
-// Look asks for cells by key, without a promise, and for the names under a prefix.
-type Look struct {
+// Query asks for cells by key, without a promise, and for the names under a prefix.
+type Query struct {
 	Epoch uint64
 	Keys  Keys
 	// Marks are, in the order of the keys, those of the ballots whose values the asker
 	// holds already; zero for nothing.
-	Marks  []Mark
+	Marks  []BallotHash
 	Prefix string
 	// Brief asks for the sums of long values in their place.
 	Brief bool
 }
 
-// Seen answers a Look. A key that was asked for and is not in it is held as the asker
+// QueryReply answers a Look. A key that was asked for and is not in it is held as the asker
 // has it. A key in Long has the sum there in place of its value, of which the cell has
 // the serial alone. Names are those under the prefix that were ever written.
-type Seen struct {
+type QueryReply struct {
 	Vote
 	Cells map[string]Cell
 	Names Keys
@@ -428,58 +428,58 @@
 // Query shows what is held. What it shows lasts: of a key with records in line
 // for the disk it shows the newest cell that does, as if it had come before them.
 // It waits for the disk only while a change of the core is in line.
-func (acceptor *Acceptor) Query(look Look, seen *Seen) error {
-	isShown := false
+func (acceptor *Acceptor) Query(query Query, reply *QueryReply) error {
+	isReadable := false
 	step := func(state *state) *record {
-		if acceptor.elsewhere(state, look.Epoch, &seen.Vote) {
+		if acceptor.rejectEpoch(state, query.Epoch, &reply.Vote) {
 			return nil
 		}
-		seen.Cells = map[string]Cell{}
-		show := func(key string) {
+		reply.Cells = map[string]Cell{}
+		addCell := func(key string) {
 			cell := state.Cells[key]
-			if line := acceptor.pending[key]; line != nil && isShown {
-				cell = line.lasting
+			if writes := acceptor.pending[key]; writes != nil && isReadable {
+				cell = writes.durable
 			}
-			seen.Cells[key] = cell
+			reply.Cells[key] = cell
 		}
-		for index, key := range look.Keys {
-			show(key)
-			cell := seen.Cells[key]
+		for index, key := range query.Keys {
+			addCell(key)
+			cell := reply.Cells[key]
 			switch {
-			case index < len(look.Marks) && cell.Accepted.mark() == look.Marks[index]:
-				delete(seen.Cells, key)
-			case look.Brief && cell.Value.isLong():
-				if seen.Long == nil {
-					seen.Long = map[string]Sum{}
+			case index < len(query.Marks) && cell.Accepted.hash() == query.Marks[index]:
+				delete(reply.Cells, key)
+			case query.Brief && cell.Value.isLong():
+				if reply.Long == nil {
+					reply.Long = map[string]Sum{}
 				}
-				seen.Long[key] = acceptor.sum(key, cell)
-				seen.Cells[key] = Cell{Accepted: cell.Accepted, Value: Value{Serial: cell.Value.Serial}}
+				reply.Long[key] = acceptor.sum(key, cell)
+				reply.Cells[key] = Cell{Accepted: cell.Accepted, Value: Value{Serial: cell.Value.Serial}}
 			}
 		}
-		if look.Prefix != "" {
+		if query.Prefix != "" {
 			for key, cell := range state.Cells {
-				if strings.HasPrefix(key, look.Prefix) && cell.Value.Serial > 0 {
-					seen.Names = append(seen.Names, key)
+				if strings.HasPrefix(key, query.Prefix) && cell.Value.Serial > 0 {
+					reply.Names = append(reply.Names, key)
 				}
 			}
-			sort.Strings(seen.Names)
+			sort.Strings(reply.Names)
 		}
 		return nil
 	}
-	acceptor.guard.Lock()
-	isShown = acceptor.whole == 0
-	for _, line := range acceptor.pending {
-		isShown = isShown && !line.overtaken
+	acceptor.mu.Lock()
+	isReadable = acceptor.pendingStates == 0
+	for _, writes := range acceptor.pending {
+		isReadable = isReadable && !writes.isSuperseded
 	}
-	if isShown {
+	if isReadable {
 		step(&acceptor.state)
 	}
-	acceptor.guard.Unlock()
-	if isShown {
+	acceptor.mu.Unlock()
+	if isReadable {
 		return nil
 	}
-	if err := acceptor.change(step); err != nil {
-		*seen = Seen{Vote: Vote{ID: seen.ID, Kind: Sick, Mishap: err.Error()}}
+	if err := acceptor.applyOne(step); err != nil {
+		*reply = QueryReply{Vote: Vote{ID: reply.ID, Kind: DiskFailed, Mishap: err.Error()}}
 	}
 	return nil
 }
@@ -497,16 +497,16 @@
 
 // Cells are copies of all that the acceptor holds, for checks of its invariants.
 func (acceptor *Acceptor) Cells() map[string]Cell {
-	acceptor.guard.Lock()
-	defer acceptor.guard.Unlock()
+	acceptor.mu.Lock()
+	defer acceptor.mu.Unlock()
 	return maps.Clone(acceptor.state.Cells)
 }
 
 // Describe tells of the acceptor. It never waits for the disk.
-func (acceptor *Acceptor) Describe(_ struct{}, about *About) error {
-	acceptor.guard.Lock()
-	defer acceptor.guard.Unlock()
+func (acceptor *Acceptor) Describe(_ struct{}, status *About) error {
+	acceptor.mu.Lock()
+	defer acceptor.mu.Unlock()
 	state := &acceptor.state
-	*about = About{ID: state.ID, Name: acceptor.Name, Core: state.Core, Sealed: state.Sealed, Next: state.Next, Keys: len(state.Cells), Disk: acceptor.store.Vitals()}
+	*status = About{ID: state.ID, Name: acceptor.Name, Core: state.Core, Sealed: state.Sealed, Next: state.Next, Keys: len(state.Cells), Disk: acceptor.store.Vitals()}
 	return nil
 }
--- a/register/fuzz_test.go
+++ b/register/fuzz_test.go
@@ -14,16 +14,16 @@
 	f.Add([]byte("{"))
 	f.Add([]byte("\x03\xff\x81"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		var one record
-		if one.unpack(data) != nil {
+		var decoded record
+		if decoded.unpack(data) != nil {
 			return
 		}
 		var again record
-		if err := again.unpack(one.pack()); err != nil {
+		if err := again.unpack(decoded.pack()); err != nil {
 			t.Fatal("what was packed can't be read:", err)
 		}
-		if again.Key != one.Key || again.Cell.Accepted != one.Cell.Accepted || !bytes.Equal(again.Cell.Value.Data, one.Cell.Value.Data) {
-			t.Errorf("%+v became %+v", one, again)
+		if again.Key != decoded.Key || again.Cell.Accepted != decoded.Cell.Accepted || !bytes.Equal(again.Cell.Value.Data, decoded.Cell.Value.Data) {
+			t.Errorf("%+v became %+v", decoded, again)
 		}
 	})
 }
--- a/register/keeper.go
+++ b/register/keeper.go
@@ -30,26 +30,26 @@
 // Invariant: core.Epoch never falls.
 type Keeper struct {
 	Options
-	guard  sync.Mutex
-	core   Core
-	former Core // the one known before, which may hold an unfinished change
-	round  uint64
-	change uint64
-	rounds Rounds
-	kept   kept
-	// wishes wait for the next round of reads; isReading is true exactly while a task
+	mu          sync.Mutex
+	core        Core
+	previous    Core // the one known before, which may hold an unfinished change
+	lastRound   uint64
+	changeCount uint64
+	counters    Rounds
+	cache       valueCache
+	// queuedReads wait for the next round of reads; isReading is true exactly while a task
 	// makes rounds, which ends only when nobody waits.
-	wishes    []*wish
-	isReading bool
-	inquiries uint64
-	// paces are how soon acceptors answer reads, smoothed.
-	paces map[string]time.Duration
+	queuedReads []*readRequest
+	isReading   bool
+	readRounds  uint64
+	// latencies are how soon acceptors answer reads, smoothed.
+	latencies map[string]time.Duration
 	// completing are who waits for the completion of a key after the one under way; a
 	// key is in it exactly while a task completes it.
 	completing map[string][]loop.Mailbox
 	// fetching are who waits for a long value that is on its way; one is in it exactly
 	// while a task fetches it.
-	fetching map[fetched][]loop.Mailbox
+	fetching map[fetchKey][]loop.Mailbox
 }
 
 // Rounds counts what a keeper did: reads and writes that went through, and
@@ -57,10 +57,10 @@
 type Rounds struct{ Reads, Writes, Conflicts uint64 }
 
 // Rounded gives the counts.
-func (keeper *Keeper) Rounded() Rounds {
-	keeper.guard.Lock()
-	defer keeper.guard.Unlock()
-	return keeper.rounds
+func (client *Keeper) Rounded() Rounds {
+	client.mu.Lock()
+	defer client.mu.Unlock()
+	return client.counters
 }
 
 // The ways in which an operation ends without a value.
@@ -86,130 +86,130 @@
 }
 
 // Core is the newest core that this keeper knows of.
-func (keeper *Keeper) Core() Core {
-	keeper.guard.Lock()
-	defer keeper.guard.Unlock()
-	return keeper.core
+func (client *Keeper) Core() Core {
+	client.mu.Lock()
+	defer client.mu.Unlock()
+	return client.core
 }
 
 // Learn takes notice of a core; older ones change nothing.
-func (keeper *Keeper) Learn(core Core) {
-	keeper.guard.Lock()
-	defer keeper.guard.Unlock()
-	if core.Epoch > keeper.core.Epoch {
-		keeper.former, keeper.core = keeper.core, core
+func (client *Keeper) Learn(core Core) {
+	client.mu.Lock()
+	defer client.mu.Unlock()
+	if core.Epoch > client.core.Epoch {
+		client.previous, client.core = client.core, core
 	}
 }
 
-func (keeper *Keeper) address(member Member) string {
-	if keeper.Locate != nil {
-		if address := keeper.Locate(member.ID); address != "" {
+func (client *Keeper) address(member Member) string {
+	if client.Locate != nil {
+		if address := client.Locate(member.ID); address != "" {
 			return address
 		}
 	}
 	return member.Address
 }
 
-func (keeper *Keeper) ballot(core Core, above Ballot) Ballot {
-	keeper.guard.Lock()
-	defer keeper.guard.Unlock()
-	keeper.round = max(keeper.round, above.Round) + 1
-	return Ballot{Epoch: core.Epoch, Round: keeper.round, Proposer: keeper.Self}
+func (client *Keeper) ballot(core Core, above Ballot) Ballot {
+	client.mu.Lock()
+	defer client.mu.Unlock()
+	client.lastRound = max(client.lastRound, above.Round) + 1
+	return Ballot{Epoch: core.Epoch, Round: client.lastRound, Proposer: client.Self}
 }
 
 // The answers tell whose they are.
 func (vote *Vote) identity() string   { return vote.ID }
 func (about *About) identity() string { return about.ID }
 
-// errStranger: another acceptor answers at the member's address.
-var errStranger = errors.New("register: another acceptor answers there")
+// errWrongAcceptor: another acceptor answers at the member's address.
+var errWrongAcceptor = errors.New("register: another acceptor answers there")
 
-// stranger tells whether an answer must not count as the member's. An address is
+// isWrongAcceptor tells whether an answer must not count as the member's. An address is
 // used again by whoever comes after an acceptor, so two members may lead to one
 // process, and its one vote would count twice. Where to turn to it may tell.
-func stranger(answer any, member Member) bool {
-	one, tells := answer.(interface{ identity() string })
-	if !tells || one.identity() == member.ID {
+func isWrongAcceptor(reply any, member Member) bool {
+	identified, hasIdentity := reply.(interface{ identity() string })
+	if !hasIdentity || identified.identity() == member.ID {
 		return false
 	}
-	switch one := answer.(type) {
+	switch identified := reply.(type) {
 	case *Vote:
-		return one.Kind != Elsewhere
-	case *Seen:
-		return one.Kind != Elsewhere
+		return identified.Kind != WrongEpoch
+	case *QueryReply:
+		return identified.Kind != WrongEpoch
 	}
 	return true
 }
 
-// ask calls the method at every member of the core and shows each answer.
-func ask[A any](keeper *Keeper, core Core, method string, args any, patience time.Duration, enough func(answer *A, err error) bool) {
-	askTwice(keeper, core, method, args, func(*A) any { return nil }, patience, enough)
+// broadcast calls the method at every member of the core and shows each answer.
+func broadcast[A any](client *Keeper, core Core, method string, args any, timeout time.Duration, isEnough func(answer *A, err error) bool) {
+	broadcastRetry(client, core, method, args, func(*A) any { return nil }, timeout, isEnough)
 }
 
-// askTwice is ask where an answer may show that a member has to be asked once more.
-func askTwice[A any](keeper *Keeper, core Core, method string, args any, more func(answer *A) any, patience time.Duration, enough func(answer *A, err error) bool) {
+// broadcastRetry is ask where an answer may show that a member has to be asked once more.
+func broadcastRetry[A any](client *Keeper, core Core, method string, args any, followUp func(reply *A) any, timeout time.Duration, isEnough func(reply *A, err error) bool) {
 	type result struct {
-		answer *A
-		err    error
+		reply *A
+		err   error
 	}
-	loop.Gather(keeper.World, len(core.Members), patience, func(index int) result {
-		began := keeper.World.Now()
+	loop.Gather(client.World, len(core.Members), timeout, func(index int) result {
+		began := client.World.Now()
 		for args := args; ; {
-			answer := new(A)
-			err := keeper.Net.Call(keeper.address(core.Members[index]), "Register."+method, args, answer, patience-(keeper.World.Now()-began))
-			if err == nil && stranger(answer, core.Members[index]) {
-				err = errStranger
+			reply := new(A)
+			err := client.Net.Call(client.address(core.Members[index]), "Register."+method, args, reply, timeout-(client.World.Now()-began))
+			if err == nil && isWrongAcceptor(reply, core.Members[index]) {
+				err = errWrongAcceptor
 			}
 			if err != nil {
-				return result{answer, err}
+				return result{reply, err}
 			}
-			if args = more(answer); args == nil {
-				return result{answer, nil}
+			if args = followUp(reply); args == nil {
+				return result{reply, nil}
 			}
 		}
-	}, func(_ int, got result) bool { return enough(got.answer, got.err) })
+	}, func(_ int, result result) bool { return isEnough(result.reply, result.err) })
 }
 
-// elsewhere follows a vote that points to another epoch.
-func (keeper *Keeper) elsewhere(core Core, vote *Vote) {
-	keeper.Learn(vote.Core)
+// followEpoch follows a vote that points to another epoch.
+func (client *Keeper) followEpoch(core Core, vote *Vote) {
+	client.Learn(vote.Core)
 	if vote.Core.Epoch == core.Epoch && vote.Sealed {
-		keeper.Learn(vote.Next)
+		client.Learn(vote.Next)
 	}
 }
 
 // Read reads one key.
-func (keeper *Keeper) Read(key string) (Value, error) {
-	values, err := keeper.ReadMany(key)
+func (client *Keeper) Read(key string) (Value, error) {
+	values, err := client.ReadMany(key)
 	return values[key], err
 }
 
 // ReadWithin is Read that gives up after the span where no majority answers.
-func (keeper *Keeper) ReadWithin(key string, span time.Duration) (Value, error) {
-	values, err := keeper.ReadManyWithin(span, key)
+func (client *Keeper) ReadWithin(key string, timeout time.Duration) (Value, error) {
+	values, err := client.ReadManyWithin(timeout, key)
 	return values[key], err
 }
 
-// pause backs off, seeded and growing.
-func (keeper *Keeper) pause(try int) {
-	span := keeper.Patience / 100 * time.Duration(1<<min(try, 4))
-	loop.Sleep(keeper.World, span/2+time.Duration(keeper.World.Draw(int64(span))))
+// backoff backs off, seeded and growing.
+func (client *Keeper) backoff(attempt int) {
+	span := client.Patience / 100 * time.Duration(1<<min(attempt, 4))
+	loop.Sleep(client.World, span/2+time.Duration(client.World.Draw(int64(span))))
 }
 
-// again backs off and tells whether time is left.
-func (keeper *Keeper) again(expiry time.Duration, try int) bool {
-	keeper.pause(try)
-	return keeper.World.Now() < expiry && !keeper.World.Ended()
+// retryBefore backs off and tells whether time is left.
+func (client *Keeper) retryBefore(deadline time.Duration, attempt int) bool {
+	client.backoff(attempt)
+	return client.World.Now() < deadline && !client.World.Ended()
 }
 
-// errKeep is how a revision says that the value shall stay as it is.
-var errKeep = errors.New("keep")
+// errUnchanged is how a revision says that the value shall stay as it is.
+var errUnchanged = errors.New("keep")
 
 // Swap writes the data if the register's serial is the expected one.
-func (keeper *Keeper) Swap(key string, expect uint64, data []byte) (Value, error) {
-	return keeper.Change(key, func(value Value) ([]byte, error) {
-		if value.Serial != expect {
-			return nil, &Stale{Key: key, Have: value.Serial, Want: expect}
+func (client *Keeper) Swap(key string, expected uint64, data []byte) (Value, error) {
+	return client.Change(key, func(value Value) ([]byte, error) {
+		if value.Serial != expected {
+			return nil, &Stale{Key: key, Have: value.Serial, Want: expected}
 		}
 		return data, nil
 	})
@@ -219,30 +219,30 @@
 // function may run several times and must depend on its argument alone. Its
 // error declines the change; then the value is as read, and nothing of this
 // change was or will be written. ErrUncertain alone leaves that open.
-func (keeper *Keeper) Change(key string, revise func(Value) ([]byte, error)) (Value, error) {
-	return keeper.ChangeWithin(key, keeper.Patience, revise)
+func (client *Keeper) Change(key string, revise func(Value) ([]byte, error)) (Value, error) {
+	return client.ChangeWithin(key, client.Patience, revise)
 }
 
 // ChangeWithin is Change that goes on only for the span given while no majority of the core
 // answers: whoever waits for it may then turn to another daemon, which has a majority.
 // The function may decline a change that has come to be unwanted: it runs right before each
 // write.
-func (keeper *Keeper) ChangeWithin(key string, silence time.Duration, revise func(Value) ([]byte, error)) (Value, error) {
-	began := keeper.World.Now()
-	change := &change{key: key, mark: keeper.mark(), revise: revise, silence: silence, expiry: began + keeper.Patience, quietUntil: began + silence}
-	for try := 0; ; try++ {
-		core := keeper.Core()
+func (client *Keeper) ChangeWithin(key string, silenceTimeout time.Duration, revise func(Value) ([]byte, error)) (Value, error) {
+	began := client.World.Now()
+	change := &change{key: key, id: client.newChangeID(), revise: revise, silenceTimeout: silenceTimeout, deadline: began + client.Patience, silenceDeadline: began + silenceTimeout}
+	for attempt := 0; ; attempt++ {
+		core := client.Core()
 		if core.Epoch == 0 {
 			return Value{}, ErrNoCore
 		}
-		if value, err, settled := keeper.attempt(core, change); settled {
+		if value, err, isDone := client.attempt(core, change); isDone {
 			return value, err
 		}
-		keeper.guard.Lock()
-		keeper.rounds.Conflicts++
-		keeper.guard.Unlock()
-		if !keeper.again(min(change.expiry, change.quietUntil), try) {
-			if change.sent > 0 {
+		client.mu.Lock()
+		client.counters.Conflicts++
+		client.mu.Unlock()
+		if !client.retryBefore(min(change.deadline, change.silenceDeadline), attempt) {
+			if change.sentSerial > 0 {
 				return Value{}, ErrUncertain
 			}
 			return Value{}, ErrNoMajority
@@ -253,173 +253,173 @@
 // change is one change of a register under way.
 type change struct {
 	key    string
-	mark   string // names it in the trails of values
+	id     string // names it in the trails of values
 	revise func(Value) ([]byte, error)
-	// expiry ends it; quietUntil ends it unless a majority answers before then, which puts
+	// deadline ends it; quietUntil ends it unless a majority answers before then, which puts
 	// it off by silence.
-	expiry, quietUntil, silence time.Duration
-	// sent is the serial under which it may have been accepted somewhere; above is the
+	deadline, silenceDeadline, silenceTimeout time.Duration
+	// sentSerial is the serial under which it may have been accepted somewhere; above is the
 	// highest ballot that outvoted it.
-	sent  uint64
-	above Ballot
+	sentSerial    uint64
+	highestBallot Ballot
 }
 
-// round gives how long a round may take from now.
-func (change *change) round(keeper *Keeper) time.Duration {
-	now := keeper.World.Now()
-	return min(keeper.Patience/4, change.expiry-now, change.quietUntil-now)
+// roundTimeout gives how long a round may take from now.
+func (change *change) roundTimeout(client *Keeper) time.Duration {
+	now := client.World.Now()
+	return min(client.Patience/4, change.deadline-now, change.silenceDeadline-now)
 }
 
-// heard takes notice of how many members answered a round.
-func (change *change) heard(keeper *Keeper, core Core, answers int) {
-	if answers >= core.Majority() {
-		change.quietUntil = keeper.World.Now() + change.silence
+// countReplies takes notice of how many members answered a round.
+func (change *change) countReplies(client *Keeper, core Core, replies int) {
+	if replies >= core.Majority() {
+		change.silenceDeadline = client.World.Now() + change.silenceTimeout
 	}
 }
 
 // attempt makes the two rounds once; settled is false when another try is due.
-func (keeper *Keeper) attempt(core Core, change *change) (value Value, err error, settled bool) {
-	ballot := keeper.ballot(core, change.above)
-	var best Cell
-	promises, answers := 0, 0
-	have, sum := keeper.have(change.key)
-	var astray *Vote
-	ask(keeper, core, "Prepare", Ask{Epoch: core.Epoch, Key: change.key, Ballot: ballot, Have: have.Accepted, Sum: sum}, change.round(keeper), func(vote *Vote, err error) bool {
+func (client *Keeper) attempt(core Core, change *change) (value Value, err error, isDone bool) {
+	ballot := client.ballot(core, change.highestBallot)
+	var newest Cell
+	promises, replies := 0, 0
+	cached, sum := client.cached(change.key)
+	var epochVote *Vote
+	broadcast(client, core, "Prepare", VoteRequest{Epoch: core.Epoch, Key: change.key, Ballot: ballot, Have: cached.Accepted, Sum: sum}, change.roundTimeout(client), func(vote *Vote, err error) bool {
 		if err != nil {
 			return false
 		}
-		answers++
+		replies++
 		switch vote.Kind {
-		case Voted:
+		case Granted:
 			promises++
-			if vote.Cell.Accepted == have.Accepted || vote.IsHeld {
-				vote.Cell.Value = have.Value
+			if vote.Cell.Accepted == cached.Accepted || vote.IsHeld {
+				vote.Cell.Value = cached.Value
 			}
-			if best.Accepted.Less(vote.Cell.Accepted) {
-				best = vote.Cell
+			if newest.Accepted.Less(vote.Cell.Accepted) {
+				newest = vote.Cell
 			}
-		case Outvoted:
-			if change.above.Less(vote.Cell.Promised) {
-				change.above = vote.Cell.Promised
+		case Rejected:
+			if change.highestBallot.Less(vote.Cell.Promised) {
+				change.highestBallot = vote.Cell.Promised
 			}
-		case Elsewhere:
-			astray = vote
+		case WrongEpoch:
+			epochVote = vote
 		}
 		return promises == core.Majority()
 	})
-	change.heard(keeper, core, answers)
+	change.countReplies(client, core, replies)
 	if promises >= core.Majority() {
-		return keeper.propose(core, change, ballot, best.Value)
+		return client.propose(core, change, ballot, newest.Value)
 	}
-	if astray != nil {
-		keeper.elsewhere(core, astray)
-		keeper.carry()
+	if epochVote != nil {
+		client.followEpoch(core, epochVote)
+		client.finishPendingChange()
 	}
 	return Value{}, nil, false
 }
 
-// mark names a change in the trails of values.
-func (keeper *Keeper) mark() string {
-	keeper.guard.Lock()
-	defer keeper.guard.Unlock()
-	keeper.change++
-	return fmt.Sprintf("%s/%d", keeper.Self, keeper.change)
+// newChangeID names a change in the trails of values.
+func (client *Keeper) newChangeID() string {
+	client.mu.Lock()
+	defer client.mu.Unlock()
+	client.changeCount++
+	return fmt.Sprintf("%s/%d", client.Self, client.changeCount)
 }
 
 // propose is the second round; settled is false when another try is due.
-func (keeper *Keeper) propose(core Core, change *change, ballot Ballot, have Value) (Value, error, bool) {
+func (client *Keeper) propose(core Core, change *change, ballot Ballot, current Value) (Value, error, bool) {
 	key := change.key
-	next := have
-	var declined error
-	mine := false
-	for _, passed := range have.Trail {
-		mine = mine || passed == change.mark
+	next := current
+	var rejection error
+	isApplied := false
+	for _, id := range current.Trail {
+		isApplied = isApplied || id == change.id
 	}
-	if change.sent > 0 && !mine && have.Serial >= change.sent+Trailing {
+	if change.sentSerial > 0 && !isApplied && current.Serial >= change.sentSerial+TrailLength {
 		return Value{}, ErrUncertain, true
 	}
-	if !mine {
-		data, err := change.revise(have)
+	if !isApplied {
+		data, err := change.revise(current)
 		if err != nil {
-			declined = err
+			rejection = err
 		} else {
-			trail := append([]string{change.mark}, have.Trail...)
-			next = Value{Serial: have.Serial + 1, Data: data, Trail: trail[:min(len(trail), Trailing)]}
-			change.sent = next.Serial
+			trail := append([]string{change.id}, current.Trail...)
+			next = Value{Serial: current.Serial + 1, Data: data, Trail: trail[:min(len(trail), TrailLength)]}
+			change.sentSerial = next.Serial
 		}
 	}
 	// The value as it is, too, is only known to be decided once a majority
 	// accepted it under this ballot; an empty register needs no such round.
-	if declined != nil && have.Serial == 0 {
-		return have, declined, true
+	if rejection != nil && current.Serial == 0 {
+		return current, rejection, true
 	}
-	accepts, answers := 0, 0
-	whole := Ask{Epoch: core.Epoch, Key: key, Ballot: ballot, Value: next}
-	brief := whole
-	if next.Serial == have.Serial && next.isLong() {
+	accepts, replies := 0, 0
+	full := VoteRequest{Epoch: core.Epoch, Key: key, Ballot: ballot, Value: next}
+	brief := full
+	if next.Serial == current.Serial && next.isLong() {
 		// Most hold it already, as it stays what it was.
 		brief.Value, brief.Sum = Value{}, next.sum()
 	}
-	askTwice(keeper, core, "Accept", brief, func(vote *Vote) any {
-		if vote.Kind == Lacking {
-			return whole
+	broadcastRetry(client, core, "Accept", brief, func(vote *Vote) any {
+		if vote.Kind == ValueMissing {
+			return full
 		}
 		return nil
-	}, change.round(keeper), func(vote *Vote, err error) bool {
+	}, change.roundTimeout(client), func(vote *Vote, err error) bool {
 		if err != nil {
 			return false
 		}
-		answers++
+		replies++
 		switch vote.Kind {
-		case Voted:
+		case Granted:
 			accepts++
-		case Outvoted:
-			if change.above.Less(vote.Cell.Promised) {
-				change.above = vote.Cell.Promised
+		case Rejected:
+			if change.highestBallot.Less(vote.Cell.Promised) {
+				change.highestBallot = vote.Cell.Promised
 			}
-		case Elsewhere:
-			keeper.elsewhere(core, vote)
+		case WrongEpoch:
+			client.followEpoch(core, vote)
 		}
 		return accepts == core.Majority()
 	})
-	change.heard(keeper, core, answers)
+	change.countReplies(client, core, replies)
 	if accepts < core.Majority() {
 		return Value{}, nil, false
 	}
-	keeper.guard.Lock()
-	keeper.rounds.Writes++
-	keeper.kept.see(key, Cell{Accepted: ballot, Value: next})
-	keeper.guard.Unlock()
-	if errors.Is(declined, errKeep) {
-		declined = nil
+	client.mu.Lock()
+	client.counters.Writes++
+	client.cache.add(key, Cell{Accepted: ballot, Value: next})
+	client.mu.Unlock()
+	if errors.Is(rejection, errUnchanged) {
+		rejection = nil
 	}
-	return next, declined, true
+	return next, rejection, true
 }
 
 // List gives the keys under a prefix that any of a majority holds.
-func (keeper *Keeper) List(prefix string) ([]string, error) {
-	expiry := keeper.World.Now() + keeper.Patience
-	for try := 0; ; try++ {
-		core := keeper.Core()
+func (client *Keeper) List(prefix string) ([]string, error) {
+	deadline := client.World.Now() + client.Patience
+	for attempt := 0; ; attempt++ {
+		core := client.Core()
 		if core.Epoch == 0 {
 			return nil, ErrNoCore
 		}
-		heard, found := 0, map[string]bool{}
-		var astray *Vote
-		ask(keeper, core, "Query", Look{Epoch: core.Epoch, Prefix: prefix}, keeper.Patience/4, func(seen *Seen, err error) bool {
-			if err == nil && seen.Kind == Elsewhere {
-				astray = &seen.Vote
+		replies, found := 0, map[string]bool{}
+		var epochVote *Vote
+		broadcast(client, core, "Query", Query{Epoch: core.Epoch, Prefix: prefix}, client.Patience/4, func(reply *QueryReply, err error) bool {
+			if err == nil && reply.Kind == WrongEpoch {
+				epochVote = &reply.Vote
 			}
-			if err != nil || seen.Kind != Voted {
+			if err != nil || reply.Kind != Granted {
 				return false
 			}
-			heard++
-			for _, key := range seen.Names {
+			replies++
+			for _, key := range reply.Names {
 				found[key] = true
 			}
-			return heard == core.Majority()
+			return replies == core.Majority()
 		})
-		if heard >= core.Majority() {
+		if replies >= core.Majority() {
 			keys := make([]string, 0, len(found))
 			for key := range found {
 				keys = append(keys, key)
@@ -427,11 +427,11 @@
 			sort.Strings(keys)
 			return keys, nil
 		}
-		if astray != nil {
-			keeper.elsewhere(core, astray)
-			keeper.carry()
+		if epochVote != nil {
+			client.followEpoch(core, epochVote)
+			client.finishPendingChange()
 		}
-		if !keeper.again(expiry, try) {
+		if !client.retryBefore(deadline, attempt) {
 			return nil, ErrNoMajority
 		}
 	}
--- a/register/keys.go
+++ b/register/keys.go
@@ -12,38 +12,38 @@
 // GobEncode gives them as they travel.
 func (keys Keys) GobEncode() ([]byte, error) {
 	var out []byte
-	before := ""
+	previous := ""
 	for _, key := range keys {
-		same := 0
-		for same < min(len(key), len(before)) && key[same] == before[same] {
-			same++
+		shared := 0
+		for shared < min(len(key), len(previous)) && key[shared] == previous[shared] {
+			shared++
 		}
-		out = binary.AppendUvarint(out, uint64(same))
-		out = binary.AppendUvarint(out, uint64(len(key)-same))
-		out = append(out, key[same:]...)
-		before = key
+		out = binary.AppendUvarint(out, uint64(shared))
+		out = binary.AppendUvarint(out, uint64(len(key)-shared))
+		out = append(out, key[shared:]...)
+		previous = key
 	}
 	return out, nil
 }
 
-var errKeys = errors.New("register: keys that came can't be read")
+var errMalformedKeys = errors.New("register: keys that came can't be read")
 
 // GobDecode reads them.
 func (keys *Keys) GobDecode(data []byte) error {
 	*keys = nil
-	before := ""
+	previous := ""
 	for len(data) > 0 {
-		same, read := binary.Uvarint(data)
-		if read <= 0 || same > uint64(len(before)) {
-			return errKeys
+		shared, read := binary.Uvarint(data)
+		if read <= 0 || shared > uint64(len(previous)) {
+			return errMalformedKeys
 		}
 		data = data[read:]
 		rest, read := binary.Uvarint(data)
 		if read <= 0 || rest > uint64(len(data)-read) {
-			return errKeys
+			return errMalformedKeys
 		}
-		before = before[:same] + string(data[read:read+int(rest)])
-		*keys, data = append(*keys, before), data[read+int(rest):]
+		previous = previous[:shared] + string(data[read:read+int(rest)])
+		*keys, data = append(*keys, previous), data[read+int(rest):]
 	}
 	return nil
 }
--- a/register/names_bench_test.go
+++ b/register/names_bench_test.go
@@ -10,34 +10,34 @@
 	"swifttiller/sim"
 )
 
-// forgotten is what the register of a holder that is gone for good keeps: an empty record.
-const forgotten = `{"incarnation":"","wire":""}`
+// emptyRecord is what the register of a holder that is gone for good keeps: an empty record.
+const emptyRecord = `{"incarnation":"","wire":""}`
 
-// namesOf opens an acceptor that holds so many registers of names that never come again, and
+// withRegisters opens an acceptor that holds so many registers of names that never come again, and
 // runs the work on it.
-func namesOf(b *testing.B, count int, work func(node *sim.Node, acceptor *register.Acceptor, core register.Core)) {
+func withRegisters(b *testing.B, count int, work func(node *sim.Node, acceptor *register.Acceptor, core register.Core)) {
 	b.Helper()
-	bench := newBench(1)
-	defer bench.Close()
-	bench.logBytes = 4 << 20
-	core := bench.core("a")
-	bench.Kill("a")
-	bench.Start("a", func(node *sim.Node) {
+	cluster := newTestCluster(1)
+	defer cluster.Close()
+	cluster.logBytes = 4 << 20
+	core := cluster.core("a")
+	cluster.Kill("a")
+	cluster.Start("a", func(node *sim.Node) {
 		options := disk.Options{World: node, Folder: node.Disk, LogBytes: 4 << 20}
 		acceptor, err := register.OpenAcceptor(options, "unused")
 		if err != nil {
 			panic(err)
 		}
 		for index := range count {
-			ask := register.Ask{Epoch: core.Epoch, Key: fmt.Sprintf("holder/machine-%d.zone-%d", index, index%34), Ballot: register.Ballot{Epoch: core.Epoch, Round: 1, Proposer: "control-7.18f2a6c0"}, Value: register.Value{Serial: 4, Data: []byte(forgotten)}}
+			ask := register.VoteRequest{Epoch: core.Epoch, Key: fmt.Sprintf("holder/machine-%d.zone-%d", index, index%34), Ballot: register.Ballot{Epoch: core.Epoch, Round: 1, Proposer: "control-7.18f2a6c0"}, Value: register.Value{Serial: 4, Data: []byte(emptyRecord)}}
 			var vote register.Vote
-			if err := acceptor.Accept(ask, &vote); err != nil || vote.Kind != register.Voted {
+			if err := acceptor.Accept(ask, &vote); err != nil || vote.Kind != register.Granted {
 				panic(fmt.Sprint(err, vote))
 			}
 		}
 		work(node, acceptor, core)
 	})
-	bench.Run(time.Hour)
+	cluster.Run(time.Hour)
 }
 
 // BenchmarkForgottenNames is what registers cost whose names never come again: a digest of all,
@@ -45,27 +45,27 @@
 func BenchmarkForgottenNames(b *testing.B) {
 	for _, count := range []int{1000, 10000, 100000} {
 		b.Run(fmt.Sprint(count, "/digest"), func(b *testing.B) {
-			namesOf(b, count, func(_ *sim.Node, acceptor *register.Acceptor, core register.Core) {
+			withRegisters(b, count, func(_ *sim.Node, acceptor *register.Acceptor, core register.Core) {
 				for b.Loop() {
 					var digests register.Digests
-					if err := acceptor.Digest(register.Look{Epoch: core.Epoch}, &digests); err != nil {
+					if err := acceptor.Digest(register.Query{Epoch: core.Epoch}, &digests); err != nil {
 						b.Error(err)
 					}
 				}
 			})
 		})
 		b.Run(fmt.Sprint(count, "/list"), func(b *testing.B) {
-			namesOf(b, count, func(_ *sim.Node, acceptor *register.Acceptor, core register.Core) {
+			withRegisters(b, count, func(_ *sim.Node, acceptor *register.Acceptor, core register.Core) {
 				for b.Loop() {
-					var seen register.Seen
-					if err := acceptor.Query(register.Look{Epoch: core.Epoch, Prefix: "holder/"}, &seen); err != nil || len(seen.Names) != count {
+					var seen register.QueryReply
+					if err := acceptor.Query(register.Query{Epoch: core.Epoch, Prefix: "holder/"}, &seen); err != nil || len(seen.Names) != count {
 						b.Error(err, len(seen.Names))
 					}
 				}
 			})
 		})
 		b.Run(fmt.Sprint(count, "/start"), func(b *testing.B) {
-			namesOf(b, count, func(node *sim.Node, _ *register.Acceptor, _ register.Core) {
+			withRegisters(b, count, func(node *sim.Node, _ *register.Acceptor, _ register.Core) {
 				size := 0
 				for _, name := range []string{"slot-0", "slot-1", "log-0", "log-1"} {
 					if content, err := node.Disk.Read(name); err == nil {
--- a/register/read.go
+++ b/register/read.go
@@ -13,115 +13,115 @@
 // What a keeper remembers of values, and for how long it waits for the acceptors
 // that it asked before it asks the others too.
 const (
-	// keptBytes bounds the values that a keeper keeps, so that acceptors need not
+	// cacheBytes bounds the values that a keeper keeps, so that acceptors need not
 	// send them again.
-	keptBytes = 16 << 20
-	leastStay = 20 * time.Millisecond
-	mostStay  = 150 * time.Millisecond
-	// surveyed is how many rounds pass between two that ask all, which show whether
+	cacheBytes    = 16 << 20
+	minHedgeDelay = 20 * time.Millisecond
+	maxHedgeDelay = 150 * time.Millisecond
+	// surveyInterval is how many rounds pass between two that ask all, which show whether
 	// an acceptor that was slow is still so.
-	surveyed = 32
+	surveyInterval = 32
 )
 
-// kept are values last seen, by key, with the ballots that they were accepted under.
+// valueCache are values last seen, by key, with the ballots that they were accepted under.
 //
 // Invariant: a ballot names one value for good, as a proposer uses each of its
 // ballots once and an incarnation never comes again. So a value kept here under the
 // ballot that an acceptor names is what that acceptor holds.
-type kept struct {
+type valueCache struct {
 	cells map[string]Cell
 	sums  map[string]Sum // of those that are long
 	order []string       // of their coming
 	bytes int
 }
 
-func (kept *kept) see(key string, cell Cell) {
-	have, known := kept.cells[key]
-	if cell.Accepted == (Ballot{}) || !have.Accepted.Less(cell.Accepted) {
+func (cache *valueCache) add(key string, cell Cell) {
+	cached, isCached := cache.cells[key]
+	if cell.Accepted == (Ballot{}) || !cached.Accepted.Less(cell.Accepted) {
 		return
 	}
-	if kept.cells == nil {
-		kept.cells, kept.sums = map[string]Cell{}, map[string]Sum{}
+	if cache.cells == nil {
+		cache.cells, cache.sums = map[string]Cell{}, map[string]Sum{}
 	}
-	delete(kept.sums, key)
+	delete(cache.sums, key)
 	if cell.Value.isLong() {
-		kept.sums[key] = cell.Value.sum()
+		cache.sums[key] = cell.Value.sum()
 	}
-	if !known {
-		kept.order = append(kept.order, key)
+	if !isCached {
+		cache.order = append(cache.order, key)
 	}
-	kept.cells[key] = Cell{Accepted: cell.Accepted, Value: cell.Value}
-	kept.bytes += len(cell.Value.Data) - len(have.Value.Data)
-	for kept.bytes > keptBytes && len(kept.order) > 1 {
-		oldest := kept.order[0]
-		kept.order = kept.order[1:]
-		kept.bytes -= len(kept.cells[oldest].Value.Data)
-		delete(kept.cells, oldest)
-		delete(kept.sums, oldest)
+	cache.cells[key] = Cell{Accepted: cell.Accepted, Value: cell.Value}
+	cache.bytes += len(cell.Value.Data) - len(cached.Value.Data)
+	for cache.bytes > cacheBytes && len(cache.order) > 1 {
+		oldest := cache.order[0]
+		cache.order = cache.order[1:]
+		cache.bytes -= len(cache.cells[oldest].Value.Data)
+		delete(cache.cells, oldest)
+		delete(cache.sums, oldest)
 	}
 }
 
-// see takes a cell with its value into what is kept.
-func (keeper *Keeper) see(key string, cell Cell) {
-	keeper.guard.Lock()
-	defer keeper.guard.Unlock()
-	keeper.kept.see(key, cell)
+// addToCache takes a cell with its value into what is kept.
+func (client *Keeper) addToCache(key string, cell Cell) {
+	client.mu.Lock()
+	defer client.mu.Unlock()
+	client.cache.add(key, cell)
 }
 
-// have gives the cell that is kept of a key, and its value's sum if that is long.
-func (keeper *Keeper) have(key string) (Cell, Sum) {
-	keeper.guard.Lock()
-	defer keeper.guard.Unlock()
-	return keeper.kept.cells[key], keeper.kept.sums[key]
+// cached gives the cell that is kept of a key, and its value's sum if that is long.
+func (client *Keeper) cached(key string) (Cell, Sum) {
+	client.mu.Lock()
+	defer client.mu.Unlock()
+	return client.cache.cells[key], client.cache.sums[key]
 }
 
-// wish is one ask for keys that waits for a round. It is answered by a round that
+// readRequest is one ask for keys that waits for a round. It is answered by a round that
 // began after it came, and by no other.
-type wish struct {
-	keys   []string
-	expiry time.Duration
-	box    loop.Mailbox
+type readRequest struct {
+	keys     []string
+	deadline time.Duration
+	replies  loop.Mailbox
 }
 
-// found is what a round tells: the values that are decided, and the keys whose
+// readResult is what a round tells: the values that are decided, and the keys whose
 // copies differ at so many acceptors that none is.
-type found struct {
-	values map[string]Value
-	open   map[string]bool
-	// written are those of open that were last accepted in the present core.
-	written map[string]bool
-	err     error
+type readResult struct {
+	values    map[string]Value
+	undecided map[string]bool
+	// beingWritten are those of open that were last accepted in the present core.
+	beingWritten map[string]bool
+	err          error
 }
 
 // ReadMany reads several keys; in the quiet case in one round without a sync.
 // Asks that come within a gap of a round's beginning wait for the next one, which
 // reads the keys of them all. A key whose copies differ is completed first, in two rounds of
 // its own. What it gives must not be changed: others may be given the same.
-func (keeper *Keeper) ReadMany(keys ...string) (map[string]Value, error) {
-	return keeper.ReadManyWithin(keeper.Patience, keys...)
+func (client *Keeper) ReadMany(keys ...string) (map[string]Value, error) {
+	return client.ReadManyWithin(client.Patience, keys...)
 }
 
 // ReadManyWithin is ReadMany that gives up after the patience where no majority answers.
-func (keeper *Keeper) ReadManyWithin(patience time.Duration, keys ...string) (map[string]Value, error) {
-	answer, err := keeper.ask(keys, patience)
+func (client *Keeper) ReadManyWithin(timeout time.Duration, keys ...string) (map[string]Value, error) {
+	result, err := client.requestRead(keys, timeout)
 	if err != nil {
 		return nil, err
 	}
-	values, open := answer.of(keys)
+	values, undecided := result.lookup(keys)
 	// Most often somebody is just writing what differs. A change by each that reads it
 	// would outvote the writer, and those of the others; so it comes only where nobody
 	// seems to end it.
-	for try := 0; try < leftAlone && answer.isWritten(open); try++ {
-		keeper.pause(1)
-		if answer, err = keeper.ask(open, patience); err != nil {
+	for attempt := 0; attempt < writerWaitTries && result.areBeingWritten(undecided); attempt++ {
+		client.backoff(1)
+		if result, err = client.requestRead(undecided, timeout); err != nil {
 			return nil, err
 		}
 		var more map[string]Value
-		more, open = answer.of(open)
+		more, undecided = result.lookup(undecided)
 		maps.Copy(values, more)
 	}
-	for _, key := range open {
-		if values[key], err = keeper.complete(key); err != nil {
+	for _, key := range undecided {
+		if values[key], err = client.complete(key); err != nil {
 			return nil, err
 		}
 	}
@@ -131,372 +131,372 @@
 // ReadSettled reads several keys in one round, and leaves out those that are being
 // written: whose copies differ, so that only a change that keeps the value could tell
 // what it is. They are listed as open.
-func (keeper *Keeper) ReadSettled(keys ...string) (values map[string]Value, open []string, err error) {
-	answer, err := keeper.ask(keys, keeper.Patience)
+func (client *Keeper) ReadSettled(keys ...string) (values map[string]Value, undecided []string, err error) {
+	result, err := client.requestRead(keys, client.Patience)
 	if err != nil {
 		return nil, nil, err
 	}
-	values, open = answer.of(keys)
-	return values, open, nil
+	values, undecided = result.lookup(keys)
+	return values, undecided, nil
 }
 
-// ask has several keys read in a round with whatever else is to be read.
-func (keeper *Keeper) ask(keys []string, patience time.Duration) (found, error) {
-	one := &wish{keys: keys, expiry: keeper.World.Now() + patience, box: keeper.World.Mailbox()}
-	keeper.guard.Lock()
-	keeper.wishes = append(keeper.wishes, one)
-	begins := !keeper.isReading
-	keeper.isReading = true
-	keeper.guard.Unlock()
-	if begins {
-		keeper.World.Go(keeper.read)
-	}
-	wait := patience
-	if patience == keeper.Patience {
-		wait += patience / 4 // a last round may end
-	}
-	got, ok := one.box.Take(wait)
+// requestRead has several keys read in a round with whatever else is to be read.
+func (client *Keeper) requestRead(keys []string, timeout time.Duration) (readResult, error) {
+	request := &readRequest{keys: keys, deadline: client.World.Now() + timeout, replies: client.World.Mailbox()}
+	client.mu.Lock()
+	client.queuedReads = append(client.queuedReads, request)
+	isFirst := !client.isReading
+	client.isReading = true
+	client.mu.Unlock()
+	if isFirst {
+		client.World.Go(client.runReads)
+	}
+	wait := timeout
+	if timeout == client.Patience {
+		wait += timeout / 4 // a last round may end
+	}
+	message, ok := request.replies.Take(wait)
 	if !ok {
-		return found{}, ErrNoMajority
+		return readResult{}, ErrNoMajority
 	}
-	answer := got.(found)
-	return answer, answer.err
+	result := message.(readResult)
+	return result, result.err
 }
 
-// of gives the values of keys, and those whose copies differ.
-func (found found) of(keys []string) (values map[string]Value, open []string) {
+// lookup gives the values of keys, and those whose copies differ.
+func (result readResult) lookup(keys []string) (values map[string]Value, undecided []string) {
 	values = make(map[string]Value, len(keys))
 	for _, key := range keys {
-		if found.open[key] {
-			open = append(open, key)
+		if result.undecided[key] {
+			undecided = append(undecided, key)
 		} else {
-			values[key] = found.values[key]
+			values[key] = result.values[key]
 		}
 	}
-	return values, open
+	return values, undecided
 }
 
-// isWritten tells whether somebody seems to be writing each of the keys that are open, in
+// areBeingWritten tells whether somebody seems to be writing each of the keys that are open, in
 // the present core. What a former one left open nobody ends but who reads it.
-func (found found) isWritten(open []string) bool {
-	for _, key := range open {
-		if !found.written[key] {
+func (result readResult) areBeingWritten(undecided []string) bool {
+	for _, key := range undecided {
+		if !result.beingWritten[key] {
 			return false
 		}
 	}
-	return len(open) > 0
+	return len(undecided) > 0
 }
 
-// leftAlone is how often what seems to be written is read again before it is completed.
-const leftAlone = 3
+// writerWaitTries is how often what seems to be written is read again before it is completed.
+const writerWaitTries = 3
 
 // complete makes the newest value of a key whose copies differ decided. Of many
 // that ask for it at a time one does it for those that came before it began.
-func (keeper *Keeper) complete(key string) (Value, error) {
-	box := keeper.World.Mailbox()
-	keeper.guard.Lock()
-	if keeper.completing == nil {
-		keeper.completing = map[string][]loop.Mailbox{}
-	}
-	_, isUnderWay := keeper.completing[key]
-	keeper.completing[key] = append(keeper.completing[key], box)
-	keeper.guard.Unlock()
+func (client *Keeper) complete(key string) (Value, error) {
+	replies := client.World.Mailbox()
+	client.mu.Lock()
+	if client.completing == nil {
+		client.completing = map[string][]loop.Mailbox{}
+	}
+	_, isUnderWay := client.completing[key]
+	client.completing[key] = append(client.completing[key], replies)
+	client.mu.Unlock()
 	if !isUnderWay {
-		keeper.World.Go(func() {
+		client.World.Go(func() {
 			for {
-				keeper.guard.Lock()
-				waiting := keeper.completing[key]
+				client.mu.Lock()
+				waiting := client.completing[key]
 				if len(waiting) == 0 {
-					delete(keeper.completing, key)
-					keeper.guard.Unlock()
+					delete(client.completing, key)
+					client.mu.Unlock()
 					return
 				}
-				keeper.completing[key] = nil
-				keeper.guard.Unlock()
-				value, err := keeper.Change(key, func(Value) ([]byte, error) { return nil, errKeep })
-				if errors.Is(err, errKeep) {
+				client.completing[key] = nil
+				client.mu.Unlock()
+				value, err := client.Change(key, func(Value) ([]byte, error) { return nil, errUnchanged })
+				if errors.Is(err, errUnchanged) {
 					err = nil
 				}
-				for _, one := range waiting {
-					one.Put(completed{value, err})
+				for _, waiter := range waiting {
+					waiter.Put(completion{value, err})
 				}
 			}
 		})
 	}
-	got, ok := box.Take(2*keeper.Patience + keeper.Patience/2)
+	message, ok := replies.Take(2*client.Patience + client.Patience/2)
 	if !ok {
 		return Value{}, ErrNoMajority
 	}
-	answer := got.(completed)
-	return answer.value, answer.err
+	result := message.(completion)
+	return result.value, result.err
 }
 
-type completed struct {
+type completion struct {
 	value Value
 	err   error
 }
 
-// read makes rounds as long as somebody waits for one.
-func (keeper *Keeper) read() {
+// runReads makes rounds as long as somebody waits for one.
+func (client *Keeper) runReads() {
 	for {
-		keeper.guard.Lock()
-		wishes := keeper.wishes
-		keeper.wishes = nil
-		if len(wishes) == 0 {
-			keeper.isReading = false
-			keeper.guard.Unlock()
+		client.mu.Lock()
+		requests := client.queuedReads
+		client.queuedReads = nil
+		if len(requests) == 0 {
+			client.isReading = false
+			client.mu.Unlock()
 			return
 		}
-		keeper.guard.Unlock()
-		core := keeper.Core()
+		client.mu.Unlock()
+		core := client.Core()
 		if core.Epoch == 0 {
-			for _, one := range wishes {
-				one.box.Put(found{err: ErrNoCore})
+			for _, request := range requests {
+				request.replies.Put(readResult{err: ErrNoCore})
 			}
 			continue
 		}
 		var keys []string
-		for _, one := range wishes {
-			keys = append(keys, one.keys...)
+		for _, request := range requests {
+			keys = append(keys, request.keys...)
 		}
 		slices.Sort(keys)
 		// The next round need not wait for this one's end: a far majority would make all
 		// that ask meanwhile wait twice. It only does not follow at once.
-		keeper.World.Go(func() { keeper.satisfy(core, slices.Compact(keys), wishes) })
-		loop.Sleep(keeper.World, keeper.gap(core))
+		client.World.Go(func() { client.serveReads(core, slices.Compact(keys), requests) })
+		loop.Sleep(client.World, client.readInterval(core))
 	}
 }
 
-// gap is how much later than one round of reading the next one may begin: as much as the
+// readInterval is how much later than one round of reading the next one may begin: as much as the
 // nearest majority takes to answer, within bounds, as whoever asks waits for it.
-func (keeper *Keeper) gap(core Core) time.Duration {
-	_, stay := keeper.nearest(core)
-	return max(leastGap, min(stay/stayed, mostGap))
+func (client *Keeper) readInterval(core Core) time.Duration {
+	_, hedgeDelay := client.nearest(core)
+	return max(minReadInterval, min(hedgeDelay/hedgeFactor, maxReadInterval))
 }
 
 const (
-	leastGap = 20 * time.Millisecond
-	mostGap  = 50 * time.Millisecond
-	// stayed is how many times as long as the slowest of the nearest majority takes the
+	minReadInterval = 20 * time.Millisecond
+	maxReadInterval = 50 * time.Millisecond
+	// hedgeFactor is how many times as long as the slowest of the nearest majority takes the
 	// others are waited for.
-	stayed = 3
+	hedgeFactor = 3
 )
 
-// satisfy makes a round for the wishes; those that it does not satisfy go into a later
+// serveReads makes a round for the wishes; those that it does not satisfy go into a later
 // one, while they have patience.
-func (keeper *Keeper) satisfy(core Core, keys []string, wishes []*wish) {
-	answer, astray := keeper.inquire(core, keys)
-	if answer.err == nil {
-		for _, one := range wishes {
-			one.box.Put(answer)
+func (client *Keeper) serveReads(core Core, keys []string, requests []*readRequest) {
+	result, epochVote := client.readRound(core, keys)
+	if result.err == nil {
+		for _, request := range requests {
+			request.replies.Put(result)
 		}
 		return
 	}
-	if astray != nil {
-		keeper.elsewhere(core, astray)
-		keeper.carry()
+	if epochVote != nil {
+		client.followEpoch(core, epochVote)
+		client.finishPendingChange()
 	}
-	keeper.pause(1)
-	var left []*wish
-	for _, one := range wishes {
-		if keeper.World.Now() < one.expiry && !keeper.World.Ended() {
-			left = append(left, one)
+	client.backoff(1)
+	var left []*readRequest
+	for _, request := range requests {
+		if client.World.Now() < request.deadline && !client.World.Ended() {
+			left = append(left, request)
 		} else {
-			one.box.Put(answer)
+			request.replies.Put(result)
 		}
 	}
-	keeper.guard.Lock()
-	keeper.wishes = append(left, keeper.wishes...)
-	begins := !keeper.isReading && len(left) > 0
-	keeper.isReading = keeper.isReading || begins
-	keeper.guard.Unlock()
-	if begins {
-		keeper.read()
+	client.mu.Lock()
+	client.queuedReads = append(left, client.queuedReads...)
+	isFirst := !client.isReading && len(left) > 0
+	client.isReading = client.isReading || isFirst
+	client.mu.Unlock()
+	if isFirst {
+		client.runReads()
 	}
 }
 
 // nearest orders the acceptors by how soon they answer, this daemon's own first, and
 // tells for how long to wait for the first majority of them.
-func (keeper *Keeper) nearest(core Core) (order []int, stay time.Duration) {
-	keeper.guard.Lock()
-	defer keeper.guard.Unlock()
-	pace := func(index int) time.Duration {
-		if id := core.Members[index].ID; id != keeper.Own {
-			return keeper.paces[id] + 1
+func (client *Keeper) nearest(core Core) (order []int, hedgeDelay time.Duration) {
+	client.mu.Lock()
+	defer client.mu.Unlock()
+	latency := func(index int) time.Duration {
+		if id := core.Members[index].ID; id != client.Own {
+			return client.latencies[id] + 1
 		}
 		return 0
 	}
 	for index := range core.Members {
 		order = append(order, index)
 	}
-	sort.SliceStable(order, func(a, b int) bool { return pace(order[a]) < pace(order[b]) })
-	stay = stayed * pace(order[core.Majority()-1])
-	return order, max(leastStay, min(stay, mostStay))
+	sort.SliceStable(order, func(a, b int) bool { return latency(order[a]) < latency(order[b]) })
+	hedgeDelay = hedgeFactor * latency(order[core.Majority()-1])
+	return order, max(minHedgeDelay, min(hedgeDelay, maxHedgeDelay))
 }
 
-// paced takes notice of how soon an acceptor answered, or that it did not.
-func (keeper *Keeper) paced(id string, took time.Duration, isAnswered bool) {
-	keeper.guard.Lock()
-	defer keeper.guard.Unlock()
-	if keeper.paces == nil {
-		keeper.paces = map[string]time.Duration{}
-	}
-	before, known := keeper.paces[id]
+// recordLatency takes notice of how soon an acceptor answered, or that it did not.
+func (client *Keeper) recordLatency(id string, latency time.Duration, hasReplied bool) {
+	client.mu.Lock()
+	defer client.mu.Unlock()
+	if client.latencies == nil {
+		client.latencies = map[string]time.Duration{}
+	}
+	previous, isKnown := client.latencies[id]
 	switch {
-	case !isAnswered:
-		keeper.paces[id] = max(before, took, mostStay)
-	case !known:
-		keeper.paces[id] = took
+	case !hasReplied:
+		client.latencies[id] = max(previous, latency, maxHedgeDelay)
+	case !isKnown:
+		client.latencies[id] = latency
 	default:
-		keeper.paces[id] = (3*before + took) / 4
+		client.latencies[id] = (3*previous + latency) / 4
 	}
 }
 
-// fetched names a long value on its way.
-type fetched struct {
+// fetchKey names a long value on its way.
+type fetchKey struct {
 	key string
 	sum Sum
 }
 
-// landed is a long value that came, or did not.
-type landed struct {
-	value Value
-	came  bool
+// fetchResult is a long value that came, or did not.
+type fetchResult struct {
+	value   Value
+	isFound bool
 }
 
 // fetch gets a long value from one of the members that hold it under the ballot, the
 // nearest first. Of many that ask for it at a time one does it for all.
-func (keeper *Keeper) fetch(core Core, what fetched, accepted Ballot, holders []Member) (Value, bool) {
-	box := keeper.World.Mailbox()
-	keeper.guard.Lock()
-	if keeper.kept.sums[what.key] == what.sum {
-		value := keeper.kept.cells[what.key].Value
-		keeper.guard.Unlock()
+func (client *Keeper) fetch(core Core, key fetchKey, accepted Ballot, holders []Member) (Value, bool) {
+	replies := client.World.Mailbox()
+	client.mu.Lock()
+	if client.cache.sums[key.key] == key.sum {
+		value := client.cache.cells[key.key].Value
+		client.mu.Unlock()
 		return value, true
 	}
-	if keeper.fetching == nil {
-		keeper.fetching = map[fetched][]loop.Mailbox{}
+	if client.fetching == nil {
+		client.fetching = map[fetchKey][]loop.Mailbox{}
 	}
-	_, isUnderWay := keeper.fetching[what]
-	keeper.fetching[what] = append(keeper.fetching[what], box)
-	keeper.guard.Unlock()
-	patience := keeper.Patience / 8
+	_, isUnderWay := client.fetching[key]
+	client.fetching[key] = append(client.fetching[key], replies)
+	client.mu.Unlock()
+	timeout := client.Patience / 8
 	if !isUnderWay {
-		keeper.World.Go(func() {
-			var out landed
+		client.World.Go(func() {
+			var result fetchResult
 			for _, member := range holders {
-				seen := new(Seen)
-				err := keeper.Net.Call(keeper.address(member), "Register.Query", Look{Epoch: core.Epoch, Keys: []string{what.key}}, seen, patience)
-				if err != nil || stranger(seen, member) || seen.Kind != Voted {
+				reply := new(QueryReply)
+				err := client.Net.Call(client.address(member), "Register.Query", Query{Epoch: core.Epoch, Keys: []string{key.key}}, reply, timeout)
+				if err != nil || isWrongAcceptor(reply, member) || reply.Kind != Granted {
 					continue
 				}
-				if out.value = seen.Cells[what.key].Value; out.value.isLong() && out.value.sum() == what.sum {
-					out.came = true
+				if result.value = reply.Cells[key.key].Value; result.value.isLong() && result.value.sum() == key.sum {
+					result.isFound = true
 					break
 				}
 			}
-			keeper.guard.Lock()
-			waiting := keeper.fetching[what]
-			delete(keeper.fetching, what)
-			if out.came {
-				keeper.kept.see(what.key, Cell{Accepted: accepted, Value: out.value})
+			client.mu.Lock()
+			waiting := client.fetching[key]
+			delete(client.fetching, key)
+			if result.isFound {
+				client.cache.add(key.key, Cell{Accepted: accepted, Value: result.value})
 			}
-			keeper.guard.Unlock()
-			for _, one := range waiting {
-				one.Put(out)
+			client.mu.Unlock()
+			for _, waiter := range waiting {
+				waiter.Put(result)
 			}
 		})
 	}
-	got, ok := box.Take(time.Duration(len(holders)+1) * patience)
+	message, ok := replies.Take(time.Duration(len(holders)+1) * timeout)
 	if !ok {
 		return Value{}, false
 	}
-	return got.(landed).value, got.(landed).came
+	return message.(fetchResult).value, message.(fetchResult).isFound
 }
 
-// sighted is what a round has heard of one ballot of a key.
-type sighted struct {
+// candidate is what a round has heard of one ballot of a key.
+type candidate struct {
 	cell    Cell
 	isBrief bool // the value is left out, and sum is its sum
 	sum     Sum
 	holders []Member // in the order of asking
 }
 
-// whole fills in the value of what was sighted; false when it could not be had.
-func (keeper *Keeper) whole(core Core, key string, one *sighted) bool {
-	if one.isBrief {
-		value, came := keeper.fetch(core, fetched{key, one.sum}, one.cell.Accepted, one.holders)
-		if !came {
+// loadValue fills in the value of what was sighted; false when it could not be had.
+func (client *Keeper) loadValue(core Core, key string, candidate *candidate) bool {
+	if candidate.isBrief {
+		value, isFound := client.fetch(core, fetchKey{key, candidate.sum}, candidate.cell.Accepted, candidate.holders)
+		if !isFound {
 			return false
 		}
-		one.cell.Value, one.isBrief = value, false
+		candidate.cell.Value, candidate.isBrief = value, false
 	}
 	return true
 }
 
-// inquire is one round: it asks the nearest majority, and the others once an answer
+// readRound is one round: it asks the nearest majority, and the others once an answer
 // stays out or copies differ. A value is decided if a majority holds it under the same
 // ballot: whatever was decided before the round began is held by one of every
 // majority, under that ballot or a higher one. Long values come from this daemon's own
 // acceptor, or from one of those that hold them.
-func (keeper *Keeper) inquire(core Core, keys []string) (found, *Vote) {
-	look := Look{Epoch: core.Epoch, Keys: keys, Marks: make([]Mark, len(keys))}
-	known := make([]Cell, len(keys))
+func (client *Keeper) readRound(core Core, keys []string) (readResult, *Vote) {
+	query := Query{Epoch: core.Epoch, Keys: keys, Marks: make([]BallotHash, len(keys))}
+	cached := make([]Cell, len(keys))
 	for index, key := range keys {
-		known[index], _ = keeper.have(key)
-		look.Marks[index] = known[index].Accepted.mark()
+		cached[index], _ = client.cached(key)
+		query.Marks[index] = cached[index].Accepted.hash()
 	}
-	order, stay := keeper.nearest(core)
-	type letter struct {
+	order, hedgeDelay := client.nearest(core)
+	type memberReply struct {
 		member Member
-		seen   *Seen
+		reply  *QueryReply
 		err    error
 	}
-	box := keeper.World.Mailbox()
-	patience := keeper.Patience / 4
-	began := keeper.World.Now()
+	replies := client.World.Mailbox()
+	timeout := client.Patience / 4
+	began := client.World.Now()
 	started, ended := 0, 0
-	isOut := map[string]bool{}
+	isAwaited := map[string]bool{}
 	start := func(count int) {
 		for ; started < min(count, len(order)); started++ {
 			member := core.Members[order[started]]
-			isOut[member.ID] = true
-			left := patience - (keeper.World.Now() - began)
-			keeper.World.Go(func() {
-				asked, seen := keeper.World.Now(), new(Seen)
-				look := look
-				look.Brief = member.ID != keeper.Own
-				err := keeper.Net.Call(keeper.address(member), "Register.Query", look, seen, left)
-				if err == nil && stranger(seen, member) {
-					err = errStranger
+			isAwaited[member.ID] = true
+			remaining := timeout - (client.World.Now() - began)
+			client.World.Go(func() {
+				sentAt, reply := client.World.Now(), new(QueryReply)
+				query := query
+				query.Brief = member.ID != client.Own
+				err := client.Net.Call(client.address(member), "Register.Query", query, reply, remaining)
+				if err == nil && isWrongAcceptor(reply, member) {
+					err = errWrongAcceptor
 				}
-				keeper.paced(member.ID, keeper.World.Now()-asked, err == nil)
-				box.Put(letter{member, seen, err})
+				client.recordLatency(member.ID, client.World.Now()-sentAt, err == nil)
+				replies.Put(memberReply{member, reply, err})
 			})
 		}
 	}
-	keeper.guard.Lock()
-	keeper.inquiries++
-	isSurvey := keeper.inquiries%surveyed == 0
-	keeper.guard.Unlock()
+	client.mu.Lock()
+	client.readRounds++
+	isSurvey := client.readRounds%surveyInterval == 0
+	client.mu.Unlock()
 	start(core.Majority())
 	if isSurvey {
 		start(len(order))
 	}
-	heard := 0
-	cells := make([]map[Ballot]*sighted, len(keys))
+	granted := 0
+	cells := make([]map[Ballot]*candidate, len(keys))
 	for index := range keys {
-		cells[index] = map[Ballot]*sighted{}
+		cells[index] = map[Ballot]*candidate{}
 	}
-	var astray *Vote
-	open := func() map[string]bool {
+	var epochVote *Vote
+	findUndecided := func() map[string]bool {
 		out := map[string]bool{}
 		for index, key := range keys {
 			isDecided := false
-			for ballot, one := range cells[index] {
-				// What was accepted in a former core alone is completed in this one first.
-				isOf := ballot.Epoch == core.Epoch || one.cell.Value.Serial == 0
-				isDecided = isDecided || len(one.holders) >= core.Majority() && isOf
+			for ballot, candidate := range cells[index] {
+				// What was accepted in a former core alone is completed in this candidate first.
+				isCurrent := ballot.Epoch == core.Epoch || candidate.cell.Value.Serial == 0
+				isDecided = isDecided || len(candidate.holders) >= core.Majority() && isCurrent
 			}
 			if !isDecided {
 				out[key] = true
@@ -504,95 +504,95 @@
 		}
 		return out
 	}
-	until := began + stay // when those that stay out are given up, or all are
+	hedgeAt := began + hedgeDelay // when those that stay out are given up, or all are
 	for ended < started {
-		wait := patience - (keeper.World.Now() - began)
-		if started < len(order) || heard >= core.Majority() {
-			wait = min(wait, until-keeper.World.Now())
+		wait := timeout - (client.World.Now() - began)
+		if started < len(order) || granted >= core.Majority() {
+			wait = min(wait, hedgeAt-client.World.Now())
 		}
-		got, ok := box.Take(wait)
+		message, ok := replies.Take(wait)
 		if !ok {
-			if started == len(order) || keeper.World.Ended() {
+			if started == len(order) || client.World.Ended() {
 				break
 			}
 			for _, member := range core.Members {
-				if isOut[member.ID] {
-					keeper.paced(member.ID, keeper.World.Now()-began, false)
+				if isAwaited[member.ID] {
+					client.recordLatency(member.ID, client.World.Now()-began, false)
 				}
 			}
 			start(len(order))
 			continue
 		}
-		one := got.(letter)
+		answer := message.(memberReply)
 		ended++
-		delete(isOut, one.member.ID)
-		if one.err == nil && one.seen.Kind == Voted {
-			heard++
+		delete(isAwaited, answer.member.ID)
+		if answer.err == nil && answer.reply.Kind == Granted {
+			granted++
 			for index, key := range keys {
-				cell, isSent := one.seen.Cells[key]
+				cell, isSent := answer.reply.Cells[key]
 				if !isSent {
-					cell = known[index] // the same as what was named
+					cell = cached[index] // the same as what was named
 				}
-				sum, isBrief := one.seen.Long[key]
-				have := cells[index][cell.Accepted]
-				if have == nil {
-					have = &sighted{cell: cell, isBrief: isBrief, sum: sum}
-					cells[index][cell.Accepted] = have
-				} else if have.isBrief && !isBrief {
-					have.cell, have.isBrief = cell, false
+				sum, isBrief := answer.reply.Long[key]
+				seen := cells[index][cell.Accepted]
+				if seen == nil {
+					seen = &candidate{cell: cell, isBrief: isBrief, sum: sum}
+					cells[index][cell.Accepted] = seen
+				} else if seen.isBrief && !isBrief {
+					seen.cell, seen.isBrief = cell, false
 				}
-				have.holders = append(have.holders, one.member)
+				seen.holders = append(seen.holders, answer.member)
 			}
 		} else {
-			if one.err == nil && one.seen.Kind == Elsewhere {
-				astray = &one.seen.Vote
+			if answer.err == nil && answer.reply.Kind == WrongEpoch {
+				epochVote = &answer.reply.Vote
 			}
 			start(started + 1)
 		}
-		if heard >= core.Majority() {
-			if len(open()) == 0 {
+		if granted >= core.Majority() {
+			if len(findUndecided()) == 0 {
 				break
 			}
 			if started < len(order) {
 				start(len(order))
 			}
-			until = keeper.World.Now() + stay
+			hedgeAt = client.World.Now() + hedgeDelay
 		}
 	}
-	if heard < core.Majority() {
-		return found{err: ErrNoMajority}, astray
+	if granted < core.Majority() {
+		return readResult{err: ErrNoMajority}, epochVote
 	}
-	answer := found{values: map[string]Value{}, open: open(), written: map[string]bool{}}
-	keeper.guard.Lock()
-	keeper.rounds.Reads++
+	result := readResult{values: map[string]Value{}, undecided: findUndecided(), beingWritten: map[string]bool{}}
+	client.mu.Lock()
+	client.counters.Reads++
 	for index, key := range keys {
-		for ballot, one := range cells[index] {
-			if answer.open[key] && ballot.Epoch == core.Epoch {
-				answer.written[key] = true
+		for ballot, candidate := range cells[index] {
+			if result.undecided[key] && ballot.Epoch == core.Epoch {
+				result.beingWritten[key] = true
 			}
-			if !one.isBrief {
-				keeper.kept.see(key, one.cell)
+			if !candidate.isBrief {
+				client.cache.add(key, candidate.cell)
 			}
 		}
 	}
-	keeper.guard.Unlock()
+	client.mu.Unlock()
 	for index, key := range keys {
-		var newest *sighted
-		for ballot, one := range cells[index] {
+		var newest *candidate
+		for ballot, candidate := range cells[index] {
 			if newest == nil || newest.cell.Accepted.Less(ballot) {
-				newest = one
+				newest = candidate
 			}
-			if len(one.holders) < core.Majority() {
+			if len(candidate.holders) < core.Majority() {
 				continue
 			}
-			if !keeper.whole(core, key, one) {
-				return found{err: ErrNoMajority}, nil
+			if !client.loadValue(core, key, candidate) {
+				return readResult{err: ErrNoMajority}, nil
 			}
-			answer.values[key] = one.cell.Value
+			result.values[key] = candidate.cell.Value
 		}
-		if answer.open[key] {
-			keeper.whole(core, key, newest) // whoever completes it need not be told it by all
+		if result.undecided[key] {
+			client.loadValue(core, key, newest) // whoever completes it need not be told it by all
 		}
 	}
-	return answer, nil
+	return result, nil
 }
--- a/register/read_test.go
+++ b/register/read_test.go
@@ -15,14 +15,14 @@
 	"swifttiller/register"
 )
 
-// throng lets writers change two keys while many readers at each machine read both
+// sharedReadHistory lets writers change two keys while many readers at each machine read both
 // with one ask, most of it at the same time, so that rounds are shared and most
 // values are known already. It gives each key's history.
-func throng(seed uint64, fault func(bench *bench)) (map[string][]operation, int, uint64) {
-	bench := newBench(seed)
-	defer bench.Close()
+func sharedReadHistory(seed uint64, fault func(cluster *testCluster)) (map[string][]operation, int, uint64) {
+	cluster := newTestCluster(seed)
+	defer cluster.Close()
 	names := []string{"a", "b", "c"}
-	bench.core(names...)
+	cluster.core(names...)
 	keys := []string{"k", "l"}
 	pad := "" // long values travel by other ways than short ones
 	if seed%2 == 1 {
@@ -32,22 +32,22 @@
 	keyOf := map[*operation]string{}
 	reads := 0
 	for _, name := range names {
-		keeper, node := bench.keepers[name], bench.Node(name)
+		client, node := cluster.clients[name], cluster.Node(name)
 		for _, key := range keys {
 			node.Go(func() {
 				for turn := 0; turn < 4; turn++ {
-					one := &operation{begin: node.Now(), write: true, value: name + strconv.Itoa(turn) + pad, uncertain: true}
-					entries = append(entries, one)
-					keyOf[one] = key
-					_, err := keeper.Change(key, func(value register.Value) ([]byte, error) {
-						one.before = string(value.Data)
-						return []byte(one.value), nil
+					op := &operation{begin: node.Now(), write: true, value: name + strconv.Itoa(turn) + pad, uncertain: true}
+					entries = append(entries, op)
+					keyOf[op] = key
+					_, err := client.Change(key, func(value register.Value) ([]byte, error) {
+						op.previous = string(value.Data)
+						return []byte(op.value), nil
 					})
-					one.end = node.Now()
+					op.end = node.Now()
 					if err == nil {
-						one.uncertain = false
+						op.uncertain = false
 					} else if !errors.Is(err, register.ErrUncertain) {
-						one.value = "never"
+						op.value = "never"
 					}
 					loop.Sleep(node, time.Duration(node.Draw(int64(60*time.Millisecond))))
 				}
@@ -57,13 +57,13 @@
 			node.Go(func() {
 				for turn := 0; turn < 4; turn++ {
 					begin := node.Now()
-					values, err := keeper.ReadMany(keys...)
+					values, err := client.ReadMany(keys...)
 					if err == nil {
 						reads++
 						for _, key := range keys {
-							one := &operation{begin: begin, end: node.Now(), value: string(values[key].Data)}
-							entries = append(entries, one)
-							keyOf[one] = key
+							op := &operation{begin: begin, end: node.Now(), value: string(values[key].Data)}
+							entries = append(entries, op)
+							keyOf[op] = key
 						}
 					}
 					loop.Sleep(node, time.Duration(node.Draw(int64(20*time.Millisecond))))
@@ -71,17 +71,17 @@
 			})
 		}
 	}
-	fault(bench)
-	bench.Run(60 * time.Second)
+	fault(cluster)
+	cluster.Run(60 * time.Second)
 	history := map[string][]operation{}
-	for _, one := range entries {
-		if one.value != "never" {
-			history[keyOf[one]] = append(history[keyOf[one]], *one)
+	for _, op := range entries {
+		if op.value != "never" {
+			history[keyOf[op]] = append(history[keyOf[op]], *op)
 		}
 	}
 	rounds := uint64(0)
 	for _, name := range names {
-		rounds += bench.keepers[name].Rounded().Reads
+		rounds += cluster.clients[name].Rounded().Reads
 	}
 	return history, reads, rounds
 }
@@ -89,27 +89,27 @@
 func TestSharedReadsAreLinear(t *testing.T) {
 	Convey("reads that share rounds and know most values keep one history per key", t, func() {
 		reads, rounds := 0, uint64(0)
-		for seed := uint64(1); seed <= uint64(few(25, 5)); seed++ {
-			histories, asked, made := throng(seed, func(bench *bench) {
-				bench.Run(time.Duration(bench.Draw(int64(100 * time.Millisecond))))
+		for seed := uint64(1); seed <= uint64(iterations(25, 5)); seed++ {
+			histories, readCount, roundCount := sharedReadHistory(seed, func(cluster *testCluster) {
+				cluster.Run(time.Duration(cluster.Draw(int64(100 * time.Millisecond))))
 				switch seed % 5 {
 				case 0:
-					bench.Cut("a", "b", true)
+					cluster.Cut("a", "b", true)
 				case 1:
-					bench.Freeze("b", 3*time.Second)
+					cluster.Freeze("b", 3*time.Second)
 				case 2:
-					bench.Split([]string{"a"}, []string{"b", "c"}, true)
-					bench.Run(time.Second)
-					bench.Split([]string{"a"}, []string{"b", "c"}, false)
+					cluster.Split([]string{"a"}, []string{"b", "c"}, true)
+					cluster.Run(time.Second)
+					cluster.Split([]string{"a"}, []string{"b", "c"}, false)
 				case 3:
-					bench.Unruly.Late, bench.Unruly.Repeated, bench.Unruly.Lost, bench.Unruly.Latest = 0.05, 0.05, 0.02, 400*time.Millisecond
+					cluster.Unruly.Late, cluster.Unruly.Repeated, cluster.Unruly.Lost, cluster.Unruly.Latest = 0.05, 0.05, 0.02, 400*time.Millisecond
 				}
 			})
-			reads += asked
-			rounds += made
+			reads += readCount
+			rounds += roundCount
 			for key, history := range histories {
 				So(len(history), ShouldBeGreaterThan, 8)
-				if !linear(history) {
+				if !isLinearizable(history) {
 					t.Fatalf("seed %d, key %s: not linear: %+v", seed, key, history)
 				}
 			}
@@ -120,72 +120,72 @@
 
 func TestKnownValuesAreNotSentAgain(t *testing.T) {
 	Convey("a value that was read once costs a few bytes to read again, and a new one comes whole", t, func() {
-		bench := newBench(1)
-		defer bench.Close()
-		bench.core("a", "b", "c")
+		cluster := newTestCluster(1)
+		defer cluster.Close()
+		cluster.core("a", "b", "c")
 		big := make([]byte, 50000)
 		write := func(at string, first byte) {
 			big[0] = first
 			err := errors.New("not done")
-			bench.do(at, 5*time.Second, func(keeper *register.Keeper) {
-				_, err = keeper.Change("k", func(register.Value) ([]byte, error) { return append([]byte{}, big...), nil })
+			cluster.runOn(at, 5*time.Second, func(client *register.Keeper) {
+				_, err = client.Change("k", func(register.Value) ([]byte, error) { return append([]byte{}, big...), nil })
 			})
 			So(err, ShouldBeNil)
 		}
 		read := func(at string) (value register.Value, bytes int) {
-			before := bench.Bytes["Register.Query"]
+			before := cluster.Bytes["Register.Query"]
 			err := errors.New("not done")
-			bench.do(at, 5*time.Second, func(keeper *register.Keeper) { value, err = keeper.Read("k") })
+			cluster.runOn(at, 5*time.Second, func(client *register.Keeper) { value, err = client.Read("k") })
 			So(err, ShouldBeNil)
-			return value, bench.Bytes["Register.Query"] - before
+			return value, cluster.Bytes["Register.Query"] - before
 		}
 		write("a", 1)
-		bench.Run(100 * time.Millisecond)
-		first, whole := read("b")
-		So(whole, ShouldBeGreaterThan, 50000)
-		again, few := read("b")
-		So(few, ShouldBeLessThan, 600)
+		cluster.Run(100 * time.Millisecond)
+		first, fullBytes := read("b")
+		So(fullBytes, ShouldBeGreaterThan, 50000)
+		again, cachedBytes := read("b")
+		So(cachedBytes, ShouldBeLessThan, 600)
 		So(again, ShouldResemble, first)
 		write("c", 2)
-		bench.Run(100 * time.Millisecond)
-		next, whole := read("b")
-		So(whole, ShouldBeGreaterThan, 50000)
+		cluster.Run(100 * time.Millisecond)
+		next, fullBytes := read("b")
+		So(fullBytes, ShouldBeGreaterThan, 50000)
 		So(next.Serial, ShouldEqual, first.Serial+1)
 		So(next.Data[0], ShouldEqual, byte(2))
 		// The writer holds what it wrote, and its next change brings it nothing.
-		before := bench.Bytes["Register.Prepare"]
+		before := cluster.Bytes["Register.Prepare"]
 		write("c", 3)
-		So(bench.Bytes["Register.Prepare"]-before, ShouldBeLessThan, 1000)
+		So(cluster.Bytes["Register.Prepare"]-before, ShouldBeLessThan, 1000)
 	})
 }
 
 func TestReadsWithOneAcceptorOut(t *testing.T) {
-	for what, out := range map[string]func(bench *bench, name string){
-		"dark":   func(bench *bench, name string) { bench.Split([]string{"a", "c"}, []string{name}, true) },
-		"dead":   func(bench *bench, name string) { bench.Kill(name) },
-		"frozen": func(bench *bench, name string) { bench.Freeze(name, time.Hour) },
+	for state, stop := range map[string]func(cluster *testCluster, name string){
+		"dark":   func(cluster *testCluster, name string) { cluster.Split([]string{"a", "c"}, []string{name}, true) },
+		"dead":   func(cluster *testCluster, name string) { cluster.Kill(name) },
+		"frozen": func(cluster *testCluster, name string) { cluster.Freeze(name, time.Hour) },
 	} {
-		Convey("a read with one acceptor "+what+" takes no longer than 200 ms, the next ones go round it", t, func() {
+		Convey("a read with one acceptor "+state+" takes no longer than 200 ms, the next ones go round it", t, func() {
 			for seed := uint64(1); seed <= 5; seed++ {
-				bench := newBench(seed)
-				bench.core("a", "b", "c")
-				bench.write("a", 1, "k")
-				bench.Run(time.Second)
+				cluster := newTestCluster(seed)
+				cluster.core("a", "b", "c")
+				cluster.write("a", 1, "k")
+				cluster.Run(time.Second)
 				worst := func(turns int) (span time.Duration) {
 					for turn := 0; turn < turns; turn++ {
-						began := bench.Now()
+						began := cluster.Now()
 						err := errors.New("not done")
-						bench.do("a", 5*time.Second, func(keeper *register.Keeper) { _, err = keeper.Read("k") })
+						cluster.runOn("a", 5*time.Second, func(client *register.Keeper) { _, err = client.Read("k") })
 						So(err, ShouldBeNil)
-						span = max(span, bench.Now()-began)
+						span = max(span, cluster.Now()-began)
 					}
 					return span
 				}
 				So(worst(20), ShouldBeLessThan, 30*time.Millisecond)
-				out(bench, "b")
+				stop(cluster, "b")
 				So(worst(1), ShouldBeLessThan, 200*time.Millisecond)
 				So(worst(20), ShouldBeLessThan, 30*time.Millisecond)
-				bench.Close()
+				cluster.Close()
 			}
 		})
 	}
@@ -193,16 +193,16 @@
 
 func TestQuietReadsAskAMajority(t *testing.T) {
 	Convey("reads ask two of three acceptors, and many at a time share rounds", t, func() {
-		bench := newBench(1)
-		defer bench.Close()
-		bench.core("a", "b", "c")
-		bench.write("a", 1, "k")
+		cluster := newTestCluster(1)
+		defer cluster.Close()
+		cluster.core("a", "b", "c")
+		cluster.write("a", 1, "k")
 		cost := func(readers int) (queries int) {
-			before, done := bench.Messages["Register.Query"], 0
+			before, done := cluster.Messages["Register.Query"], 0
 			for index := 0; index < readers; index++ {
-				bench.Node("a").Go(func() {
+				cluster.Node("a").Go(func() {
 					for turn := 0; turn < 10; turn++ {
-						_, err := bench.keepers["a"].ReadMany("k", fmt.Sprint("own", index))
+						_, err := cluster.clients["a"].ReadMany("k", fmt.Sprint("own", index))
 						if err != nil {
 							panic(err)
 						}
@@ -210,13 +210,13 @@
 					done++
 				})
 			}
-			bench.Run(5 * time.Second)
+			cluster.Run(5 * time.Second)
 			So(done, ShouldEqual, readers)
-			return bench.Messages["Register.Query"] - before
+			return cluster.Messages["Register.Query"] - before
 		}
-		one, many := cost(1), cost(100)
-		So(one, ShouldBeLessThanOrEqualTo, 22)
-		So(many, ShouldBeLessThanOrEqualTo, 2*one)
+		single, many := cost(1), cost(100)
+		So(single, ShouldBeLessThanOrEqualTo, 22)
+		So(many, ShouldBeLessThanOrEqualTo, 2*single)
 	})
 }
 
@@ -227,25 +227,25 @@
 	const far, gap = 55 * time.Millisecond, 40 * time.Millisecond
 	names := []string{"a", "b", "c", "d", "e", "f"}
 	worst, slowest, failed := time.Duration(0), time.Duration(0), 0
-	for seed := uint64(1); seed <= uint64(few(12, 3)); seed++ {
-		bench := newBench(seed)
-		bench.core(names...)
+	for seed := uint64(1); seed <= uint64(iterations(12, 3)); seed++ {
+		cluster := newTestCluster(seed)
+		cluster.core(names...)
 		for from := range names {
 			for to := range names {
 				if from%3 != to%3 {
-					bench.Delay(names[from], names[to], far)
+					cluster.Delay(names[from], names[to], far)
 				}
 			}
 		}
-		until := bench.Now() + 8*time.Second
+		until := cluster.Now() + 8*time.Second
 		for _, name := range names {
-			keeper, node := bench.keepers[name], bench.Node(name)
+			client, node := cluster.clients[name], cluster.Node(name)
 			node.Go(func() {
 				for node.Now() < until {
 					loop.Sleep(node, gap/2+time.Duration(node.Draw(int64(gap))))
 					node.Go(func() {
 						began := node.Now()
-						if _, err := keeper.ReadMany("key"); err != nil {
+						if _, err := client.ReadMany("key"); err != nil {
 							failed++
 						}
 						worst = max(worst, node.Now()-began)
@@ -253,17 +253,17 @@
 				}
 			})
 		}
-		for turn := 0; bench.Now() < until; turn++ {
-			began := bench.Now()
-			if !bench.do(names[turn%len(names)], 5*time.Second, func(keeper *register.Keeper) {
-				if _, err := keeper.Swap("key", uint64(turn), []byte("v")); err != nil {
+		for turn := 0; cluster.Now() < until; turn++ {
+			began := cluster.Now()
+			if !cluster.runOn(names[turn%len(names)], 5*time.Second, func(client *register.Keeper) {
+				if _, err := client.Swap("key", uint64(turn), []byte("v")); err != nil {
 					failed++
 				}
 			}) {
 				t.Fatal("a write does not end")
 			}
-			slowest = max(slowest, bench.Now()-began)
-			bench.Run(700 * time.Millisecond)
+			slowest = max(slowest, cluster.Now()-began)
+			cluster.Run(700 * time.Millisecond)
 		}
 	}
 	t.Logf("the slowest read took %v, the slowest write %v, %d failed", worst, slowest, failed)
@@ -276,21 +276,21 @@
 // value; who asked is told to send it whole.
 func TestSumsNameOneValue(t *testing.T) {
 	Convey("a sum of another value changes nothing", t, func() {
-		bench := newBench(11)
-		defer bench.Close()
-		core := bench.core("a", "b", "c")
-		held := []byte(strings.Repeat("held ", 200))
-		bench.do("a", 10*time.Second, func(keeper *register.Keeper) { _, _ = keeper.Swap("k", 0, held) })
-		bench.Run(time.Second)
+		cluster := newTestCluster(11)
+		defer cluster.Close()
+		core := cluster.core("a", "b", "c")
+		data := []byte(strings.Repeat("held ", 200))
+		cluster.runOn("a", 10*time.Second, func(client *register.Keeper) { _, _ = client.Swap("k", 0, data) })
+		cluster.Run(time.Second)
 		var vote register.Vote
-		ask := register.Ask{Epoch: core.Epoch, Key: "k", Ballot: register.Ballot{Epoch: core.Epoch, Round: 99, Proposer: "p"}, Sum: register.Sum{1}}
-		bench.do("b", time.Second, func(*register.Keeper) { _ = bench.acceptors["b"].Accept(ask, &vote) })
-		if vote.Kind != register.Lacking {
+		request := register.VoteRequest{Epoch: core.Epoch, Key: "k", Ballot: register.Ballot{Epoch: core.Epoch, Round: 99, Proposer: "p"}, Sum: register.Sum{1}}
+		cluster.runOn("b", time.Second, func(*register.Keeper) { _ = cluster.acceptors["b"].Accept(request, &vote) })
+		if vote.Kind != register.ValueMissing {
 			t.Errorf("not linear: a value was taken by the sum of another: %d", vote.Kind)
 		}
-		value, err := bench.read("c", "k")
+		value, err := cluster.read("c", "k")
 		So(err, ShouldBeNil)
-		So(string(value.Data), ShouldEqual, string(held))
+		So(string(value.Data), ShouldEqual, string(data))
 	})
 }
 
@@ -300,20 +300,20 @@
 	if err != nil || len(text) > 70 {
 		t.Errorf("%d bytes, %v", len(text), err)
 	}
-	var back register.Keys
-	if err := back.GobDecode(text); err != nil || !slices.Equal(back, keys) {
-		t.Errorf("%q, %v", back, err)
+	var decoded register.Keys
+	if err := decoded.GobDecode(text); err != nil || !slices.Equal(decoded, keys) {
+		t.Errorf("%q, %v", decoded, err)
 	}
 	// Whatever is cut or spoiled is told, and nothing ends the process.
 	for at := range text {
-		_ = back.GobDecode(text[:at])
-		for _, one := range []byte{0, 9, 127, 255} {
+		_ = decoded.GobDecode(text[:at])
+		for _, corrupt := range []byte{0, 9, 127, 255} {
 			spoiled := slices.Clone(text)
-			spoiled[at] = one
-			_ = back.GobDecode(spoiled)
+			spoiled[at] = corrupt
+			_ = decoded.GobDecode(spoiled)
 		}
 	}
-	if back.GobDecode([]byte{1, 1, 'a'}) == nil || back.GobDecode([]byte{0, 9, 'a'}) == nil {
+	if decoded.GobDecode([]byte{1, 1, 'a'}) == nil || decoded.GobDecode([]byte{0, 9, 'a'}) == nil {
 		t.Error("what can't be read is taken")
 	}
 }
--- a/register/record_test.go
+++ b/register/record_test.go
@@ -18,20 +18,20 @@
 func TestLogsAreReadCheaply(t *testing.T) {
 	Convey("an acceptor with hundreds of records in its log is back at little cost for each", t, func() {
 		const records = 400
-		bench := newBench(1)
-		defer bench.Close()
-		bench.logBytes = 1 << 20
-		bench.core("a")
-		bench.write("a", records/2, "k") // a promise and a vote each
-		bench.Kill("a")
+		cluster := newTestCluster(1)
+		defer cluster.Close()
+		cluster.logBytes = 1 << 20
+		cluster.core("a")
+		cluster.write("a", records/2, "k") // a promise and a vote each
+		cluster.Kill("a")
 		var before, after runtime.MemStats
-		bench.Start("a", func(node *sim.Node) {
+		cluster.Start("a", func(node *sim.Node) {
 			runtime.ReadMemStats(&before)
-			_, bench.troubles["a"] = register.OpenAcceptor(disk.Options{World: node, Folder: node.Disk, LogBytes: 1 << 20}, "unused")
+			_, cluster.openErrors["a"] = register.OpenAcceptor(disk.Options{World: node, Folder: node.Disk, LogBytes: 1 << 20}, "unused")
 			runtime.ReadMemStats(&after)
 		})
-		bench.Run(time.Millisecond)
-		So(bench.troubles["a"], ShouldBeNil)
+		cluster.Run(time.Millisecond)
+		So(cluster.openErrors["a"], ShouldBeNil)
 		each := float64(after.Mallocs-before.Mallocs) / records
 		t.Logf("%.0f allocations a record", each)
 		So(each, ShouldBeBetween, 5, 100)
@@ -40,13 +40,13 @@
 
 func TestLogsFromBeforeAreRead(t *testing.T) {
 	Convey("records from before they were JSON are read as well", t, func() {
-		bench := newBench(1)
-		defer bench.Close()
-		bench.logBytes = 1 << 20
-		core := bench.core("a")
-		bench.write("a", 1, "k")
-		bench.Kill("a")
-		bench.Start("a", func(node *sim.Node) {
+		cluster := newTestCluster(1)
+		defer cluster.Close()
+		cluster.logBytes = 1 << 20
+		core := cluster.core("a")
+		cluster.write("a", 1, "k")
+		cluster.Kill("a")
+		cluster.Start("a", func(node *sim.Node) {
 			store, _, _, _, err := disk.Open(disk.Options{World: node, Folder: node.Disk, LogBytes: 1 << 20})
 			if err != nil {
 				panic(err)
@@ -63,13 +63,13 @@
 				panic(err)
 			}
 		})
-		bench.Run(100 * time.Millisecond)
-		bench.Kill("a")
-		bench.start("a", core)
-		So(bench.troubles["a"], ShouldBeNil)
+		cluster.Run(100 * time.Millisecond)
+		cluster.Kill("a")
+		cluster.start("a", core)
+		So(cluster.openErrors["a"], ShouldBeNil)
 		read := ""
-		bench.do("a", 5*time.Second, func(keeper *register.Keeper) {
-			values, err := keeper.ReadMany("k", "l")
+		cluster.runOn("a", 5*time.Second, func(client *register.Keeper) {
+			values, err := client.ReadMany("k", "l")
 			read = fmt.Sprintf("%s %s %v", values["k"].Data, values["l"].Data, err)
 		})
 		So(read, ShouldEqual, "v old <nil>")
--- a/register/transfer.go
+++ b/register/transfer.go
@@ -7,93 +7,93 @@
 	"slices"
 )
 
-// SealAsk closes an epoch at an acceptor in favour of the next core. Have are the marks of
+// SealRequest closes an epoch at an acceptor in favour of the next core. Have are the marks of
 // the copies that the asker has already.
-type SealAsk struct {
+type SealRequest struct {
 	Epoch uint64
 	Next  Core
-	Have  map[Mark]bool
+	Have  map[BallotHash]bool
 }
 
-// Sealed answers with everything that the acceptor holds and the asker does not have. Absent
+// SealReply answers with everything that the acceptor holds and the asker does not have. Absent
 // are the marks of what it has and the acceptor does not hold.
-type Sealed struct {
+type SealReply struct {
 	Vote
 	Cells  map[string]Cell
-	Absent map[Mark]bool
+	Absent map[BallotHash]bool
 }
 
 // Seal declines ballots of the epoch for good and gives up what is held. An
 // acceptor that has moved on to the very next core holds all that a sealed
 // majority gave up, and maybe more; it counts as sealed too.
-func (acceptor *Acceptor) Seal(ask SealAsk, sealed *Sealed) error {
-	err := acceptor.change(func(state *state) *record {
-		vote := &sealed.Vote
+func (acceptor *Acceptor) Seal(request SealRequest, reply *SealReply) error {
+	err := acceptor.applyOne(func(state *state) *record {
+		vote := &reply.Vote
 		vote.ID, vote.Core, vote.Sealed, vote.Next = state.ID, state.Core, state.Sealed, state.Next
-		movedOn := state.Core.Epoch == ask.Epoch+1
-		if !movedOn && (state.Core.Epoch != ask.Epoch || !state.Core.Has(state.ID)) {
-			vote.Kind = Elsewhere
+		isNextEpoch := state.Core.Epoch == request.Epoch+1
+		if !isNextEpoch && (state.Core.Epoch != request.Epoch || !state.Core.Has(state.ID)) {
+			vote.Kind = WrongEpoch
 			return nil
 		}
-		var one *record
-		if !state.Sealed && !movedOn {
-			state.Sealed, state.Next = true, ask.Next
-			one = &record{Whole: state}
+		var entry *record
+		if !state.Sealed && !isNextEpoch {
+			state.Sealed, state.Next = true, request.Next
+			entry = &record{Whole: state}
 		}
 		vote.Sealed, vote.Next = state.Sealed, state.Next
-		sealed.Cells, sealed.Absent = map[string]Cell{}, maps.Clone(ask.Have)
+		reply.Cells, reply.Absent = map[string]Cell{}, maps.Clone(request.Have)
 		for key, cell := range state.Cells {
-			if mark := copied(key, cell.Accepted); ask.Have[mark] {
-				delete(sealed.Absent, mark)
+			if mark := copyHash(key, cell.Accepted); request.Have[mark] {
+				delete(reply.Absent, mark)
 			} else {
-				sealed.Cells[key] = cell
+				reply.Cells[key] = cell
 			}
 		}
-		return one
+		return entry
 	})
 	if err != nil {
-		*sealed = Sealed{Vote: Vote{ID: sealed.ID, Kind: Sick, Mishap: err.Error()}}
+		*reply = SealReply{Vote: Vote{ID: reply.ID, Kind: DiskFailed, Mishap: err.Error()}}
 	}
 	return nil
 }
 
-// Move brings an acceptor into a core with all that was decided before it, of which what
+// InstallRequest brings an acceptor into a core with all that was decided before it, of which what
 // it was seen to hold when it was sealed is left out.
-type Move struct {
+type InstallRequest struct {
 	Core  Core
 	Cells map[string]Cell
 }
 
 // Install takes part in a new core. It is an upsert: what is held already is
 // kept where it is newer.
-func (acceptor *Acceptor) Install(move Move, vote *Vote) error {
-	var moved bool
-	vote.settle(acceptor.change(func(state *state) *record {
+func (acceptor *Acceptor) Install(request InstallRequest, vote *Vote) error {
+	var isInstalled bool
+	vote.setDiskError(acceptor.applyOne(func(state *state) *record {
 		vote.ID, vote.Core, vote.Sealed, vote.Next = state.ID, state.Core, state.Sealed, state.Next
-		isSame := state.Core.Epoch == move.Core.Epoch
-		if !move.Core.Has(state.ID) || state.Core.Epoch > move.Core.Epoch || isSame && !state.Core.alike(move.Core) {
-			vote.Kind = Elsewhere
+		isSame := state.Core.Epoch == request.Core.Epoch
+		if !request.Core.Has(state.ID) || state.Core.Epoch > request.Core.Epoch || isSame && !state.Core.hasSameMembers(request.Core) {
+			vote.Kind = WrongEpoch
 			return nil
 		}
 		if isSame {
 			return nil
 		}
-		for key, cell := range move.Cells {
-			mine := state.Cells[key]
-			if mine.Accepted.Less(cell.Accepted) {
-				mine.Accepted, mine.Value = cell.Accepted, cell.Value
+		for key, cell := range request.Cells {
+			local := state.Cells[key]
+			if local.Accepted.Less(cell.Accepted) {
+				local.Accepted, local.Value = cell.Accepted, cell.Value
 			}
-			if mine.Promised.Less(cell.Accepted) {
-				mine.Promised = cell.Accepted
+			if local.Promised.Less(cell.Accepted) {
+				local.Promised = cell.Accepted
 			}
-			state.Cells[key] = mine
+			state.Cells[key] = local
 		}
-		state.Core, state.Sealed, state.Next = move.Core, false, Core{}
-		vote.Core, vote.Sealed, moved = move.Core, false, true
+		state.Core, state.Sealed, state.Next = request.Core, false, Core{}
+		vote.Core, vote.Sealed, isInstalled = request.Core, false, true
 		return &record{Whole: state}
 	}))
-	if moved && vote.Kind == Voted && acceptor.Moved != nil {
-		acceptor.Moved(move.Core)
+	if isInstalled && vote.Kind == Granted && acceptor.Moved != nil {
+		acceptor.Moved(request.Core)
 	}
 	return nil
 }
@@ -111,54 +111,54 @@
 }
 
 // Digest sums up what was accepted, range by range.
-func (acceptor *Acceptor) Digest(look Look, digests *Digests) error {
-	err := acceptor.change(func(state *state) *record {
-		if acceptor.elsewhere(state, look.Epoch, &digests.Vote) {
+func (acceptor *Acceptor) Digest(query Query, digests *Digests) error {
+	err := acceptor.applyOne(func(state *state) *record {
+		if acceptor.rejectEpoch(state, query.Epoch, &digests.Vote) {
 			return nil
 		}
 		for _, key := range slices.Sorted(maps.Keys(state.Cells)) {
 			cell := state.Cells[key]
-			at := Bucket(key)
-			digests.Sums[at] = sha256.Sum256(fmt.Appendf(digests.Sums[at][:], "%q %d %d %q", key, cell.Accepted.Epoch, cell.Accepted.Round, cell.Accepted.Proposer))
+			bucket := Bucket(key)
+			digests.Sums[bucket] = sha256.Sum256(fmt.Appendf(digests.Sums[bucket][:], "%q %d %d %q", key, cell.Accepted.Epoch, cell.Accepted.Round, cell.Accepted.Proposer))
 		}
 		return nil
 	})
 	if err != nil {
-		*digests = Digests{Vote: Vote{ID: digests.ID, Kind: Sick, Mishap: err.Error()}}
+		*digests = Digests{Vote: Vote{ID: digests.ID, Kind: DiskFailed, Mishap: err.Error()}}
 	}
 	return nil
 }
 
-// Range asks for the accepted cells of one range. Have are the marks of the asker's own
+// FetchRequest asks for the accepted cells of one range. Have are the marks of the asker's own
 // copies, by key; those that are the same are left out of the answer.
-type Range struct {
+type FetchRequest struct {
 	Epoch  uint64
 	Bucket int
-	Have   map[Mark]bool
+	Have   map[BallotHash]bool
 }
 
-// copied marks a copy of a key that was accepted under the ballot.
-func copied(key string, accepted Ballot) Mark {
+// copyHash marks a copy of a key that was accepted under the ballot.
+func copyHash(key string, accepted Ballot) BallotHash {
 	accepted.Proposer += "/" + key
-	return accepted.mark()
+	return accepted.hash()
 }
 
 // Fetch gives the cells of a range.
-func (acceptor *Acceptor) Fetch(ask Range, seen *Seen) error {
-	err := acceptor.change(func(state *state) *record {
-		if acceptor.elsewhere(state, ask.Epoch, &seen.Vote) {
+func (acceptor *Acceptor) Fetch(request FetchRequest, reply *QueryReply) error {
+	err := acceptor.applyOne(func(state *state) *record {
+		if acceptor.rejectEpoch(state, request.Epoch, &reply.Vote) {
 			return nil
 		}
-		seen.Cells = map[string]Cell{}
+		reply.Cells = map[string]Cell{}
 		for key, cell := range state.Cells {
-			if Bucket(key) == ask.Bucket && !ask.Have[copied(key, cell.Accepted)] {
-				seen.Cells[key] = cell
+			if Bucket(key) == request.Bucket && !request.Have[copyHash(key, cell.Accepted)] {
+				reply.Cells[key] = cell
 			}
 		}
 		return nil
 	})
 	if err != nil {
-		*seen = Seen{Vote: Vote{ID: seen.ID, Kind: Sick, Mishap: err.Error()}}
+		*reply = QueryReply{Vote: Vote{ID: reply.ID, Kind: DiskFailed, Mishap: err.Error()}}
 	}
 	return nil
 }
--- a/register/value.go
+++ b/register/value.go
@@ -28,13 +28,13 @@
 	return ballot.Proposer < other.Proposer
 }
 
-// Mark stands for a ballot where an acceptor is told which values the asker has: a proposer's
+// BallotHash stands for a ballot where an acceptor is told which values the asker has: a proposer's
 // name alone is longer. It is taken of SHA-256, so no two ballots share one but by a chance of
 // one in 2^64.
-type Mark uint64
+type BallotHash uint64
 
-// mark gives the ballot's mark; zero where nothing was accepted.
-func (ballot Ballot) mark() Mark {
+// hash gives the ballot's mark; zero where nothing was accepted.
+func (ballot Ballot) hash() BallotHash {
 	if ballot == (Ballot{}) {
 		return 0
 	}
@@ -42,7 +42,7 @@
 	text = binary.BigEndian.AppendUint64(text, ballot.Epoch)
 	text = binary.BigEndian.AppendUint64(text, ballot.Round)
 	sum := sha256.Sum256(append(text, ballot.Proposer...))
-	return Mark(binary.BigEndian.Uint64(sum[:]))
+	return BallotHash(binary.BigEndian.Uint64(sum[:]))
 }
 
 // Value is what a register holds.
@@ -56,14 +56,14 @@
 	Trail  []string
 }
 
-// Trailing is how many changes a trail names.
-const Trailing = 8
+// TrailLength is how many changes a trail names.
+const TrailLength = 8
 
-// long is from how many bytes on a value goes to who asks for it by name: others are
+// longValueBytes is from how many bytes on a value goes to who asks for it by name: others are
 // told its sum.
-const long = 512
+const longValueBytes = 512
 
-func (value Value) isLong() bool { return len(value.Data) >= long }
+func (value Value) isLong() bool { return len(value.Data) >= longValueBytes }
 
 // Sum is a digest of a whole value, its serial and its trail included. Values of one sum
 // are the same, whatever ballots they were accepted under.
@@ -104,8 +104,8 @@
 	return false
 }
 
-// alike tells whether the same acceptors vote in both.
-func (core Core) alike(other Core) bool {
+// hasSameMembers tells whether the same acceptors vote in both.
+func (core Core) hasSameMembers(other Core) bool {
 	same := len(core.Members) == len(other.Members)
 	for _, member := range core.Members {
 		same = same && other.Has(member.ID)
