--- a/register/acceptor.go
+++ b/register/acceptor.go
@@ -1,7 +1,7 @@
-// Package register keeps keyed compare-and-set registers on the core: each key
-// is decided by itself, in two rounds at a majority, after the published
-// single-decree protocol (Paxos, in the register form that CASPaxos gives it).
-// There is no log and no leader; any control daemon proposes.
+// Package register implements replicated compare-and-set registers on the acceptors of the core.
+// Each key is decided independently by a majority in two rounds, with the published single-decree
+// Paxos protocol in its register form, CASPaxos. There is no replicated log and no leader; any
+// control daemon may propose.
 package register
 
 import (
@@ -16,11 +16,11 @@
 	"swifttiller/disk"
 )
 
-// state is everything that an acceptor must not forget.
+// state is everything that an acceptor must not lose in a crash.
 //
-// Invariant: Core.Epoch never falls. Sealed, once true for an epoch, stays so
-// until Core is replaced by the next one; while sealed no vote is given. Next is
-// the core that the seal was made for.
+// Invariant: Core.Epoch never decreases. Sealed, once true for an epoch, stays true until Core is
+// replaced by the next core; a sealed acceptor grants no votes. Next is the core that the epoch
+// was sealed for.
 type state struct {
 	ID     string
 	Core   Core
@@ -29,31 +29,32 @@
 	Cells  map[string]Cell
 }
 
-// record is one change of the state in the log.
+// record is one state change in the log: a single cell, or the whole state.
 type record struct {
 	Key      string
 	Cell     Cell
 	Whole    *state `json:",omitempty"`
-	previous Cell   // the cell that this one replaces; not written
-	// snapshots is how many were taken before it; not written.
+	previous Cell // the cell that this record replaces; not written to the log
+	// snapshots is the number of snapshots taken before this record; not written to the log.
 	snapshots uint64
 }
 
-// pack is the record as it stands in the log: a line of JSON without the cell's data, and
-// the data as they are. Each record stands by itself, and gob would describe its types in
-// each anew: that is dear to read, and a start after a power cut reads hundreds of records
-// before anybody serves.
+// pack encodes a record for the log as a line of JSON without the cell's data, followed by the raw
+// data. Records must be decodable one by one, and gob would repeat its type descriptions in each
+// of them. That makes decoding slow, and a restart after a power failure decodes hundreds of
+// records before the control plane can serve.
 func (entry record) pack() []byte {
 	data := entry.Cell.Value.Data
 	entry.Cell.Value.Data = nil
 	head, err := json.Marshal(entry)
 	if err != nil {
-		panic(err) // only our own types come here
+		panic(err) // only types of this package are encoded, which can't fail
 	}
 	return append(append(head, '\n'), data...)
 }
 
-// unpack reads what pack wrote, or what was written before records had lines of JSON.
+// unpack decodes what pack encoded. It also reads the older format, in which a record is plain
+// gob.
 func (entry *record) unpack(data []byte) error {
 	if len(data) > 0 && data[0] != '{' {
 		return decode(data, entry)
@@ -68,53 +69,55 @@
 	return nil
 }
 
-// Acceptor is one vote of the core.
+// Acceptor is one voting replica of the core.
 //
-// Lock order: guard before the store's own. Replies wait for the disk outside
-// guard, so a slow disk holds up no table.
+// Lock order: mu before the store's own lock. Replies wait for the disk outside of mu, so a slow
+// disk blocks no access to the state.
 //
-// Invariant: pending has a key exactly while some record of it may not last yet,
-// with the newest cell of it that does; so what a Query shows always lasts, and
-// a disk that is slow, full or sick holds up no reader.
+// Invariant: pending contains a key exactly while some record of that key may not be durable yet,
+// together with the newest durable cell of the key. So a Query returns durable state only, and a
+// slow, full or failing disk blocks no reader.
 type Acceptor struct {
 	mu            sync.Mutex
 	state         state
 	store         *disk.Store
 	pending       map[string]*pendingKey
-	pendingStates int // records of the whole state that may not last yet
-	// snapshots counts those taken; durable is the number of the last one that lasts, and with
-	// it each record from before it. failed are records that the disk did not keep, by key and
-	// since the last snapshot or before it, as counts: a disk may stay full for long.
+	pendingStates int // records of the whole state that may not be durable yet
+	// snapshots counts the snapshots taken. durableSnapshot is the number of the last durable one,
+	// which makes every earlier record durable too. failedRecords are the records that the disk
+	// failed to write, grouped by key and by whether a snapshot has covered them; they are kept as
+	// counts because a disk may stay full for a long time.
 	snapshots, durableSnapshot uint64
 	failedRecords              map[failedKey]*failedGroup
-	sumCache                   map[string]cachedSum // of long values, by key
-	// Moved, if set, is told of a core that this acceptor has learned.
+	sumCache                   map[string]cachedSum // digests of long values, by key
+	// Moved, if set, is called with each core that this acceptor joins.
 	Moved func(Core)
-	// Name is its daemon's, for whoever makes a core.
+	// Name is the name of the acceptor's daemon, which Init records in the core.
 	Name string
 }
 
-// failedKey names failed records that the same snapshot makes durable: of a key, or of the
-// whole state where it is none, and whether they came before the last snapshot.
+// failedKey identifies failed records that become durable with the same snapshot: the records of
+// one key, or of the whole state if key is empty, and whether a snapshot has been taken since they
+// were enqueued.
 type failedKey struct {
 	key       string
 	isCovered bool
 }
 
-// failedGroup are such records: how many, and the newest of them.
+// failedGroup is the number of failed records of one failedKey, and the newest of them.
 type failedGroup struct {
 	count  int
 	newest *record
 }
 
-// cachedSum is the sum of the value that was accepted under the ballot, which names one
-// value for good.
+// cachedSum is the digest of the value that was accepted under a ballot. A ballot identifies one
+// value permanently.
 type cachedSum struct {
 	accepted Ballot
 	sum      Sum
 }
 
-// sum gives the sum of a cell's value; who holds the guard calls it.
+// sum returns the digest of a cell's value. The caller holds mu.
 func (acceptor *Acceptor) sum(key string, cell Cell) Sum {
 	cached := acceptor.sumCache[key]
 	if cached.accepted != cell.Accepted {
@@ -127,18 +130,17 @@
 	return cached.sum
 }
 
-// pendingKey is a key with records that may not last yet.
+// pendingKey tracks a key with records that may not be durable yet.
 type pendingKey struct {
 	durable Cell
 	records int
-	// isSuperseded by a record of the whole state, after which only the disk's order
-	// tells what lasts.
+	// isSuperseded is set once a record of the whole state follows. From then on, only the order
+	// of writes on the disk determines what is durable.
 	isSuperseded bool
 }
 
-// OpenAcceptor brings the acceptor back from its disk, or makes one with a new
-// identity when the disk is new. A new one belongs to no core and votes on
-// nothing.
+// OpenAcceptor restores an acceptor from its disk, or creates one with the given identity if the
+// disk is new. A new acceptor belongs to no core and grants no votes.
 func OpenAcceptor(options disk.Options, id string) (*Acceptor, error) {
 	acceptor := &Acceptor{state: state{ID: id, Cells: map[string]Cell{}}, pending: map[string]*pendingKey{}}
 	options.Snapshot, options.Folded = acceptor.snapshot, acceptor.snapshotWritten
@@ -176,23 +178,23 @@
 func encode(value any) []byte {
 	var body bytes.Buffer
 	if err := gob.NewEncoder(&body).Encode(value); err != nil {
-		panic(err) // only our own types come here
+		panic(err) // only types of this package are encoded, which can't fail
 	}
 	return body.Bytes()
 }
 
 func decode(data []byte, value any) error { return gob.NewDecoder(bytes.NewReader(data)).Decode(value) }
 
-// ID is the acceptor's identity.
+// ID returns the acceptor's identity.
 func (acceptor *Acceptor) ID() string {
 	acceptor.mu.Lock()
 	defer acceptor.mu.Unlock()
 	return acceptor.state.ID
 }
 
-// applyOne runs the step on the state under the lock, enqueues the record that it
-// gives, and waits for everything enqueued so far to last, so that no answer
-// shows what a crash could still take away.
+// applyOne runs the step on the state under the lock, enqueues the record that it returns, and
+// waits until everything enqueued so far is durable, so that no reply reveals state that a crash
+// could still undo.
 func (acceptor *Acceptor) applyOne(step func(state *state) *record) error {
 	return acceptor.apply(func(state *state) []*record {
 		if entry := step(state); entry != nil {
@@ -202,7 +204,7 @@
 	})
 }
 
-// addPending notes a record that may not last yet.
+// addPending registers a record that may not be durable yet.
 func (acceptor *Acceptor) addPending(entry *record) {
 	if entry.Whole != nil {
 		acceptor.pendingStates++
@@ -219,7 +221,7 @@
 	writes.records++
 }
 
-// markDurable notes that a record lasts. Waiters may be woken out of order.
+// markDurable registers that a record is durable. Waiting writers may wake up out of order.
 func (acceptor *Acceptor) markDurable(entry *record) {
 	if entry.Whole != nil {
 		acceptor.pendingStates--
@@ -233,9 +235,9 @@
 	}
 }
 
-// snapshot is the whole state for a slot. Records still in line are in it
-// already; as each is a whole cell or state, writing them again after it ends
-// at the same state.
+// snapshot encodes the whole state for a slot of the store. Records that are still queued are
+// contained in it already; since each one holds a whole cell or state, writing them again
+// afterwards results in the same state.
 func (acceptor *Acceptor) snapshot() []byte {
 	acceptor.mu.Lock()
 	defer acceptor.mu.Unlock()
@@ -249,7 +251,7 @@
 	return encode(&acceptor.state)
 }
 
-// addFailed counts records that the disk did not keep; who holds the guard calls it.
+// addFailed counts records that the disk failed to write. The caller holds mu.
 func (acceptor *Acceptor) addFailed(key failedKey, newest *record, count int) {
 	if acceptor.failedRecords == nil {
 		acceptor.failedRecords = map[failedKey]*failedGroup{}
@@ -265,8 +267,9 @@
 	}
 }
 
-// snapshotWritten notes that the last snapshot lasts. A vote that failed for the disk was told as
-// failed; that what it wrote lasts after all is as if the answer had been lost.
+// snapshotWritten registers that the last snapshot is durable. A vote whose disk write failed was
+// reported as failed; if the snapshot makes it durable after all, that is equivalent to a lost
+// reply.
 func (acceptor *Acceptor) snapshotWritten() {
 	acceptor.mu.Lock()
 	defer acceptor.mu.Unlock()
@@ -282,7 +285,7 @@
 	}
 }
 
-// recordsWritten notes what became of records on the disk.
+// recordsWritten registers the outcome of writing records to the disk.
 func (acceptor *Acceptor) recordsWritten(records []*record, err error) {
 	acceptor.mu.Lock()
 	defer acceptor.mu.Unlock()
@@ -295,18 +298,18 @@
 	}
 }
 
-// Standing of a vote.
+// Kinds of replies to a vote request.
 const (
-	Granted      = iota // the vote is given and lasts
-	Rejected            // a higher ballot was promised
-	WrongEpoch          // not of this epoch, or sealed, or no member
-	DiskFailed          // the disk does not keep
-	ValueMissing        // the value of the sum is not held
+	Granted      = iota // the vote is granted and durable
+	Rejected // a higher ballot was promised
+	WrongEpoch // the acceptor is in another epoch, sealed, or not a member
+	DiskFailed // the disk write failed
+	ValueMissing // the acceptor does not hold the value with the requested digest
 )
 
-// VoteRequest is a request for a vote. Epoch binds it to one core. Have is the ballot whose
-// value the asker holds already, and Sum that value's if it is long. An Accept with a sum
-// has no value: it is the one that the acceptor holds under whatever ballot.
+// VoteRequest asks for a vote on one key. Epoch binds it to one core. Have is the ballot whose
+// value the proposer has cached, and Sum is the digest of that value if it is long. An Accept with
+// a Sum carries no value: it proposes the value that the acceptor holds, under whatever ballot.
 type VoteRequest struct {
 	Epoch  uint64
 	Key    string
@@ -316,10 +319,10 @@
 	Sum    Sum
 }
 
-// Vote answers an Ask. A given vote names no core, as it is the asked one; the cell
-// has what was promised only where that outvotes the ask, and what was accepted only in an
-// answer to Prepare, its value only if the asker does not hold it: IsHeld tells that it does,
-// under another ballot.
+// Vote is the reply to a VoteRequest. A granted vote omits the core, since it is the requested
+// one. Cell.Promised is set only where a higher promise rejects the request, and Cell.Accepted
+// only in a reply to Prepare. The value is left out if the proposer has it cached; IsHeld reports
+// that it has, under another ballot.
 type Vote struct {
 	ID     string
 	Kind   int
@@ -346,7 +349,7 @@
 	}
 }
 
-// Prepare promises to decline lower ballots and gives what was accepted.
+// Prepare promises to reject lower ballots, and returns the last accepted value.
 func (acceptor *Acceptor) Prepare(request VoteRequest, vote *Vote) error {
 	vote.setDiskError(acceptor.applyOne(func(state *state) *record { return acceptor.prepare(state, request, vote) }))
 	return nil
@@ -375,7 +378,7 @@
 	return &record{Key: request.Key, Cell: cell, previous: previous}
 }
 
-// Accept takes a value, unless a higher ballot was promised.
+// Accept accepts a value unless a higher ballot was promised.
 func (acceptor *Acceptor) Accept(request VoteRequest, vote *Vote) error {
 	vote.setDiskError(acceptor.applyOne(func(state *state) *record { return acceptor.accept(state, request, vote) }))
 	return nil
@@ -403,21 +406,21 @@
 	return &record{Key: request.Key, Cell: cell, previous: previous}
 }
 
-// Query asks for cells by key, without a promise, and for the names under a prefix.
+// Query asks for cells by key, without a promise, and for the names of keys with a prefix.
 type Query struct {
 	Epoch uint64
 	Keys  Keys
-	// Marks are, in the order of the keys, those of the ballots whose values the asker
-	// holds already; zero for nothing.
+	// Marks are the hashes of the ballots whose values the client has cached, in the order of
+	// Keys; zero for none.
 	Marks  []BallotHash
 	Prefix string
-	// Brief asks for the sums of long values in their place.
+	// Brief asks for the digests of long values instead of the values.
 	Brief bool
 }
 
-// QueryReply answers a Look. A key that was asked for and is not in it is held as the asker
-// has it. A key in Long has the sum there in place of its value, of which the cell has
-// the serial alone. Names are those under the prefix that were ever written.
+// QueryReply is the reply to a Query. A requested key that is missing from Cells is held exactly
+// as the client has it cached. For a key in Long, the digest there replaces the value, of which
+// the cell has only the serial. Names are the keys with the prefix that were ever written.
 type QueryReply struct {
 	Vote
 	Cells map[string]Cell
@@ -425,9 +428,9 @@
 	Long  map[string]Sum
 }
 
-// Query shows what is held. What it shows lasts: of a key with records in line
-// for the disk it shows the newest cell that does, as if it had come before them.
-// It waits for the disk only while a change of the core is in line.
+// Query returns the acceptor's durable cells. For a key with queued disk writes it returns the
+// newest durable cell, as if the query had arrived before those writes. It waits for the disk only
+// while a change of the core is queued.
 func (acceptor *Acceptor) Query(query Query, reply *QueryReply) error {
 	isReadable := false
 	step := func(state *state) *record {
@@ -484,7 +487,7 @@
 	return nil
 }
 
-// About is what anyone may ask of an acceptor, sick or not.
+// About describes an acceptor, also one whose disk has failed.
 type About struct {
 	ID     string
 	Name   string
@@ -495,14 +498,14 @@
 	Disk   disk.Vitals
 }
 
-// Cells are copies of all that the acceptor holds, for checks of its invariants.
+// Cells returns a copy of all cells, for checks of the acceptor's invariants.
 func (acceptor *Acceptor) Cells() map[string]Cell {
 	acceptor.mu.Lock()
 	defer acceptor.mu.Unlock()
 	return maps.Clone(acceptor.state.Cells)
 }
 
-// Describe tells of the acceptor. It never waits for the disk.
+// Describe returns a description of the acceptor. It never waits for the disk.
 func (acceptor *Acceptor) Describe(_ struct{}, status *About) error {
 	acceptor.mu.Lock()
 	defer acceptor.mu.Unlock()
--- a/register/keeper.go
+++ b/register/keeper.go
@@ -11,88 +11,88 @@
 	"swifttiller/wire"
 )
 
-// Options of a keeper. Self must be unique among proposers: it holds the
-// process's incarnation.
+// Options configure a register client. Self must be unique among proposers, so it contains the
+// incarnation of the process.
 type Options struct {
 	World loop.World
 	Net   wire.Net
 	Self  string
-	// Patience bounds one operation; a round gets a quarter of it.
+	// Patience is the timeout of one operation; a single round gets a quarter of it.
 	Patience time.Duration
-	// Locate gives an acceptor's present address, or an empty string.
+	// Locate returns the current address of an acceptor, or an empty string if it is unknown.
 	Locate func(id string) string
 	// Own is the identity of this daemon's own acceptor, if it has one.
 	Own string
 }
 
-// Keeper proposes changes and reads. It is the only way to the registers.
+// Keeper is a register client: it proposes changes and reads registers. All access to the
+// registers goes through it.
 //
-// Invariant: core.Epoch never falls.
+// Invariant: core.Epoch never decreases.
 type Keeper struct {
 	Options
 	mu          sync.Mutex
 	core        Core
-	previous    Core // the one known before, which may hold an unfinished change
+	previous    Core // the core known before, which may contain an unfinished change
 	lastRound   uint64
 	changeCount uint64
 	counters    Rounds
 	cache       valueCache
-	// queuedReads wait for the next round of reads; isReading is true exactly while a task
-	// makes rounds, which ends only when nobody waits.
+	// queuedReads wait for the next read round. isReading is true exactly while a task runs read
+	// rounds; the task ends only when no reads are queued.
 	queuedReads []*readRequest
 	isReading   bool
 	readRounds  uint64
-	// latencies are how soon acceptors answer reads, smoothed.
+	// latencies are the smoothed reply times of the acceptors to reads.
 	latencies map[string]time.Duration
-	// completing are who waits for the completion of a key after the one under way; a
-	// key is in it exactly while a task completes it.
+	// completing contains, for each key that a task is completing, the callers that wait for the
+	// completion after the current one.
 	completing map[string][]loop.Mailbox
-	// fetching are who waits for a long value that is on its way; one is in it exactly
-	// while a task fetches it.
+	// fetching contains, for each long value that a task is fetching, the callers that wait for
+	// it.
 	fetching map[fetchKey][]loop.Mailbox
 }
 
-// Rounds counts what a keeper did: reads and writes that went through, and
-// tries that had to be repeated.
+// Rounds counts completed reads and writes, and attempts that had to be retried.
 type Rounds struct{ Reads, Writes, Conflicts uint64 }
 
-// Rounded gives the counts.
+// Rounded returns the counters.
 func (client *Keeper) Rounded() Rounds {
 	client.mu.Lock()
 	defer client.mu.Unlock()
 	return client.counters
 }
 
-// The ways in which an operation ends without a value.
+// Errors of operations that end without a value.
 var (
-	// ErrNoMajority: nothing was written.
+	// ErrNoMajority means that no majority replied and nothing was written.
 	ErrNoMajority = errors.New("register: no majority of the core answers")
-	// ErrUncertain: the write may or may not have been decided; read to find out.
+	// ErrUncertain means that the write may or may not have been decided; a read finds out.
 	ErrUncertain = errors.New("register: the outcome is unknown")
-	// ErrNoCore: this daemon knows of no core.
+	// ErrNoCore means that this daemon knows of no core.
 	ErrNoCore = errors.New("register: no core is known; make one with `controlplane init`")
 )
 
-// Stale is the answer to an expectation that does not hold.
+// Stale is the error of a Swap whose expected serial is not the current one.
 type Stale struct {
 	Key  string
 	Have uint64
 	Want uint64
 }
 
-// Error is one line.
+// Error returns the message in one line.
 func (stale *Stale) Error() string {
 	return fmt.Sprintf("register %s: expected serial %d, but the current serial is %d", stale.Key, stale.Want, stale.Have)
 }
 
-// Core is the newest core that this keeper knows of.
+// Core returns the newest core that this client knows.
 func (client *Keeper) Core() Core {
 	client.mu.Lock()
 	defer client.mu.Unlock()
 	return client.core
 }
 
-// Learn takes notice of a core; older ones change nothing.
+// Learn records a core if its epoch is newer than that of the known core.
 func (client *Keeper) Learn(core Core) {
 	client.mu.Lock()
 	defer client.mu.Unlock()
@@ -117,16 +117,17 @@
 	return Ballot{Epoch: core.Epoch, Round: client.lastRound, Proposer: client.Self}
 }
 
-// The answers tell whose they are.
+// The replies identify the acceptor that sent them.
 func (vote *Vote) identity() string   { return vote.ID }
 func (about *About) identity() string { return about.ID }
 
-// errWrongAcceptor: another acceptor answers at the member's address.
+// errWrongAcceptor means that another acceptor replied at the member's address.
 var errWrongAcceptor = errors.New("register: another acceptor answers there")
 
-// isWrongAcceptor tells whether an answer must not count as the member's. An address is
-// used again by whoever comes after an acceptor, so two members may lead to one
-// process, and its one vote would count twice. Where to turn to it may tell.
+// isWrongAcceptor reports whether a reply must not be counted for the member. Another acceptor may
+// reuse the address of a lost one, so the addresses of two members may lead to the same process,
+// whose single vote would then count twice. Its WrongEpoch replies are still valid, as they only
+// point to another core.
 func isWrongAcceptor(reply any, member Member) bool {
 	identified, hasIdentity := reply.(interface{ identity() string })
 	if !hasIdentity || identified.identity() == member.ID {
@@ -141,12 +142,14 @@
 	return true
 }
 
-// broadcast calls the method at every member of the core and shows each answer.
+// broadcast calls the method at every member of the core in parallel and passes each reply to
+// isEnough, until that returns true or the timeout expires.
 func broadcast[A any](client *Keeper, core Core, method string, args any, timeout time.Duration, isEnough func(answer *A, err error) bool) {
 	broadcastRetry(client, core, method, args, func(*A) any { return nil }, timeout, isEnough)
 }
 
-// broadcastRetry is ask where an answer may show that a member has to be asked once more.
+// broadcastRetry is broadcast with follow-up calls: while followUp returns new arguments for a
+// member's reply, that member is called again with them.
 func broadcastRetry[A any](client *Keeper, core Core, method string, args any, followUp func(reply *A) any, timeout time.Duration, isEnough func(reply *A, err error) bool) {
 	type result struct {
 		reply *A
@@ -170,7 +173,7 @@
 	}, func(_ int, result result) bool { return isEnough(result.reply, result.err) })
 }
 
-// followEpoch follows a vote that points to another epoch.
+// followEpoch learns the core that a WrongEpoch reply points to.
 func (client *Keeper) followEpoch(core Core, vote *Vote) {
 	client.Learn(vote.Core)
 	if vote.Core.Epoch == core.Epoch && vote.Sealed {
@@ -184,28 +187,28 @@
 	return values[key], err
 }
 
-// ReadWithin is Read that gives up after the span where no majority answers.
+// ReadWithin is Read with a timeout of its own, after which it gives up if no majority replies.
 func (client *Keeper) ReadWithin(key string, timeout time.Duration) (Value, error) {
 	values, err := client.ReadManyWithin(timeout, key)
 	return values[key], err
 }
 
-// backoff backs off, seeded and growing.
+// backoff sleeps for an exponentially growing time with jitter from the world's seeded source.
 func (client *Keeper) backoff(attempt int) {
 	span := client.Patience / 100 * time.Duration(1<<min(attempt, 4))
 	loop.Sleep(client.World, span/2+time.Duration(client.World.Draw(int64(span))))
 }
 
-// retryBefore backs off and tells whether time is left.
+// retryBefore backs off and reports whether there is time left for another attempt.
 func (client *Keeper) retryBefore(deadline time.Duration, attempt int) bool {
 	client.backoff(attempt)
 	return client.World.Now() < deadline && !client.World.Ended()
 }
 
-// errUnchanged is how a revision says that the value shall stay as it is.
+// errUnchanged is returned by a revise function to keep the value as it is.
 var errUnchanged = errors.New("keep")
 
-// Swap writes the data if the register's serial is the expected one.
+// Swap writes the data if the register's current serial is the expected one.
 func (client *Keeper) Swap(key string, expected uint64, data []byte) (Value, error) {
 	return client.Change(key, func(value Value) ([]byte, error) {
 		if value.Serial != expected {
@@ -215,18 +218,17 @@
 	})
 }
 
-// Change revises the register's value by the function, in two rounds. The
-// function may run several times and must depend on its argument alone. Its
-// error declines the change; then the value is as read, and nothing of this
-// change was or will be written. ErrUncertain alone leaves that open.
+// Change replaces the register's value by what revise returns for it, in two rounds. revise may be
+// called several times and must depend on its argument alone. If it returns an error, the change
+// is rejected: Change returns the current value and the error, and nothing of this change was or
+// will be written. Only ErrUncertain leaves open whether it was.
 func (client *Keeper) Change(key string, revise func(Value) ([]byte, error)) (Value, error) {
 	return client.ChangeWithin(key, client.Patience, revise)
 }
 
-// ChangeWithin is Change that goes on only for the span given while no majority of the core
-// answers: whoever waits for it may then turn to another daemon, which has a majority.
-// The function may decline a change that has come to be unwanted: it runs right before each
-// write.
+// ChangeWithin is Change with a separate timeout for the time in which no majority of the core
+// replies, so that the caller can turn to another daemon that reaches a majority. revise may
+// reject a change that is no longer wanted, since it is called right before each write.
 func (client *Keeper) ChangeWithin(key string, silenceTimeout time.Duration, revise func(Value) ([]byte, error)) (Value, error) {
 	began := client.World.Now()
 	change := &change{key: key, id: client.newChangeID(), revise: revise, silenceTimeout: silenceTimeout, deadline: began + client.Patience, silenceDeadline: began + silenceTimeout}
@@ -250,34 +252,35 @@
 	}
 }
 
-// change is one change of a register under way.
+// change is the state of one change in progress.
 type change struct {
 	key    string
-	id     string // names it in the trails of values
+	id     string // identifies the change in the trails of values
 	revise func(Value) ([]byte, error)
-	// deadline ends it; quietUntil ends it unless a majority answers before then, which puts
-	// it off by silence.
+	// The change ends at deadline. It also ends at silenceDeadline, which each reply of a majority
+	// postpones to silenceTimeout from then.
 	deadline, silenceDeadline, silenceTimeout time.Duration
-	// sentSerial is the serial under which it may have been accepted somewhere; above is the
-	// highest ballot that outvoted it.
+	// sentSerial is the serial under which the value may have been accepted by some acceptor.
+	// highestBallot is the highest ballot that the change was rejected for.
 	sentSerial    uint64
 	highestBallot Ballot
 }
 
-// roundTimeout gives how long a round may take from now.
+// roundTimeout returns how long a round that starts now may take.
 func (change *change) roundTimeout(client *Keeper) time.Duration {
 	now := client.World.Now()
 	return min(client.Patience/4, change.deadline-now, change.silenceDeadline-now)
 }
 
-// countReplies takes notice of how many members answered a round.
+// countReplies postpones silenceDeadline if a majority of the members replied to a round.
 func (change *change) countReplies(client *Keeper, core Core, replies int) {
 	if replies >= core.Majority() {
 		change.silenceDeadline = client.World.Now() + change.silenceTimeout
 	}
 }
 
-// attempt makes the two rounds once; settled is false when another try is due.
+// attempt runs the prepare round and, if a majority promises, the accept round. isDone is false
+// when another attempt is needed.
 func (client *Keeper) attempt(core Core, change *change) (value Value, err error, isDone bool) {
 	ballot := client.ballot(core, change.highestBallot)
 	var newest Cell
@@ -318,7 +321,7 @@
 	return Value{}, nil, false
 }
 
-// newChangeID names a change in the trails of values.
+// newChangeID returns a unique identifier for the trails of values.
 func (client *Keeper) newChangeID() string {
 	client.mu.Lock()
 	defer client.mu.Unlock()
@@ -326,7 +329,7 @@
 	return fmt.Sprintf("%s/%d", client.Self, client.changeCount)
 }
 
-// propose is the second round; settled is false when another try is due.
+// propose runs the accept round. isDone is false when another attempt is needed.
 func (client *Keeper) propose(core Core, change *change, ballot Ballot, current Value) (Value, error, bool) {
 	key := change.key
 	next := current
@@ -348,8 +351,8 @@
 			change.sentSerial = next.Serial
 		}
 	}
-	// The value as it is, too, is only known to be decided once a majority
-	// accepted it under this ballot; an empty register needs no such round.
+	// Even an unchanged value is known to be decided only after a majority accepted it under this
+	// ballot. An empty register does not need that round.
 	if rejection != nil && current.Serial == 0 {
 		return current, rejection, true
 	}
@@ -357,7 +360,7 @@
 	full := VoteRequest{Epoch: core.Epoch, Key: key, Ballot: ballot, Value: next}
 	brief := full
 	if next.Serial == current.Serial && next.isLong() {
-		// Most hold it already, as it stays what it was.
+		// Most acceptors hold the unchanged value already, so its digest is enough.
 		brief.Value, brief.Sum = Value{}, next.sum()
 	}
 	broadcastRetry(client, core, "Accept", brief, func(vote *Vote) any {
@@ -396,7 +399,7 @@
 	return next, rejection, true
 }
 
-// List gives the keys under a prefix that any of a majority holds.
+// List returns the keys with the prefix that any acceptor of a majority holds.
 func (client *Keeper) List(prefix string) ([]string, error) {
 	deadline := client.World.Now() + client.Patience
 	for attempt := 0; ; attempt++ {
