--- a/register/acceptor.go
+++ b/register/acceptor.go
@@ -34,7 +34,7 @@
 	Key      string
 	Cell     Cell
 	Whole    *state `json:",omitempty"`
-	previous Cell // the cell that this record replaces; not written to the log
+	previous Cell   // the cell that this record replaces; not written to the log
 	// snapshots is the number of snapshots taken before this record; not written to the log.
 	snapshots uint64
 }
@@ -301,10 +301,10 @@
 // Kinds of replies to a vote request.
 const (
 	Granted      = iota // the vote is granted and durable
-	Rejected // a higher ballot was promised
-	WrongEpoch // the acceptor is in another epoch, sealed, or not a member
-	DiskFailed // the disk write failed
-	ValueMissing // the acceptor does not hold the value with the requested digest
+	Rejected            // a higher ballot was promised
+	WrongEpoch          // the acceptor is in another epoch, sealed, or not a member
+	DiskFailed          // the disk write failed
+	ValueMissing        // the acceptor does not hold the value with the requested digest
 )
 
 // VoteRequest asks for a vote on one key. Epoch binds it to one core. Have is the ballot whose
--- a/register/core.go
+++ b/register/core.go
@@ -9,14 +9,14 @@
 	"swifttiller/loop"
 )
 
-// coreKey is the register that decides, within an epoch, the next core.
+// coreKey is the register in which each epoch decides the next core.
 const coreKey = "core"
 
-// ErrCoreChange is the answer when another change of the core was decided first.
+// ErrCoreChange is returned when a competing change of the core was decided first.
 var ErrCoreChange = errors.New("register: another change of the core was decided first; look at `members` and try again")
 
-// ChangeCore decides the next core in the present epoch and carries it through.
-// The revision gets the present core and gives the next one's members.
+// ChangeCore decides the next core in the current epoch and installs it. revise receives the
+// current core and returns the members of the next one.
 func (client *Keeper) ChangeCore(revise func(Core) ([]Member, error)) (Core, error) {
 	present := client.Core()
 	if present.Epoch == 0 {
@@ -32,8 +32,8 @@
 	if err != nil {
 		return Core{}, err
 	}
-	// Once the epoch's value is decided it stays: whoever comes second carries
-	// the first one's through and says so.
+	// The first decided value of an epoch is final: a proposer that comes second finishes the
+	// first one's change and returns ErrCoreChange.
 	value, err := client.Change(coreKey, func(value Value) ([]byte, error) {
 		var decided Core
 		if value.Serial > 0 {
@@ -60,9 +60,9 @@
 	return next, client.finishCoreChange(present, next)
 }
 
-// finishCoreChange carries a decided change through: seal a majority of the old core,
-// install what it gave up at a majority of the new one. Every part is an
-// upsert, so any control daemon may do it, again or at the same time.
+// finishCoreChange completes a decided change: it seals a majority of the old core and installs
+// the sealed state at a majority of the new one. Every step is idempotent, so any control daemon
+// may run it, repeatedly or concurrently.
 func (client *Keeper) finishCoreChange(old, next Core) error {
 	if client.isInstalled(next) {
 		client.Learn(next)
@@ -87,22 +87,23 @@
 		return installed == len(next.Members)
 	})
 	if installed < next.Majority() {
-		return fmt.Errorf("core %d is decided but a majority of it did not take it over yet: %w", next.Epoch, ErrNoMajority)
+		return fmt.Errorf("core %d is decided but not yet installed at a majority of its members: %w", next.Epoch, ErrNoMajority)
 	}
 	client.Learn(next)
 	return nil
 }
 
-// sealedState is what sealed acceptors gave up.
+// sealedState is the merged state of the sealed acceptors.
 //
-// Invariant: a sealed acceptor's copies only ever give way to newer ones, so what it was seen
-// to hold need not be brought to it.
+// Invariant: a copy at a sealed acceptor is only ever replaced by a newer one, so what a sealed
+// acceptor was seen to hold need not be sent to it again.
 type sealedState struct {
 	merged map[string]Cell
-	heldBy map[string]map[string]Ballot // by acceptor and key: what a sealed one holds
+	heldBy map[string]map[string]Ballot // the accepted ballots of each sealed acceptor, by acceptor and key
 }
 
-// add takes a sealed acceptor's answer, which was told by their marks what is had already.
+// add merges the reply of a sealed acceptor. known and accepted are the keys and ballots of the
+// copies that the seal request listed as already known.
 func (sealed *sealedState) add(reply *SealReply, known map[BallotHash]string, accepted map[string]Ballot) {
 	held := map[string]Ballot{}
 	for mark, key := range known {
@@ -119,7 +120,7 @@
 	sealed.heldBy[reply.ID] = held
 }
 
-// missingAt are the cells that the acceptor was not seen to hold.
+// missingAt returns the cells that the acceptor was not seen to hold.
 func (sealed *sealedState) missingAt(id string) map[string]Cell {
 	out := map[string]Cell{}
 	for key, cell := range sealed.merged {
@@ -130,8 +131,9 @@
 	return out
 }
 
-// seal seals a majority of the old core. This daemon's own acceptor comes first, if it is of
-// that core and its disk does not keep it waiting: the others then give up what it lacks.
+// seal seals a majority of the old core. This daemon's own acceptor goes first, if it is a member
+// of that core and replies within an eighth of the timeout; the others then send only what it
+// lacks.
 func (client *Keeper) seal(old, next Core) (sealedState, error) {
 	sealed := sealedState{merged: map[string]Cell{}, heldBy: map[string]map[string]Ballot{}}
 	request := SealRequest{Epoch: old.Epoch, Next: next, Have: map[BallotHash]bool{}}
@@ -156,12 +158,12 @@
 		})
 	}
 	if len(sealed.heldBy) < old.Majority() {
-		return sealed, fmt.Errorf("core %d can't be sealed: %w", old.Epoch, ErrNoMajority)
+		return sealed, fmt.Errorf("can't seal a majority of core %d: %w", old.Epoch, ErrNoMajority)
 	}
 	return sealed, nil
 }
 
-// isInstalled tells whether a majority of the core has taken over already.
+// isInstalled reports whether a majority of the core has installed it already.
 func (client *Keeper) isInstalled(next Core) bool {
 	installed := 0
 	broadcast(client, next, "Describe", struct{}{}, client.Patience/4, func(status *About, err error) bool {
@@ -173,26 +175,26 @@
 	return installed >= next.Majority()
 }
 
-// finishPendingChange looks for a change of the core that was decided but not finished, at
-// the members of the core that this keeper knows, and finishes it. Most often the
-// one who decided it is about to: it gets a moment, as two who carry the same
-// change through bring every copy twice.
+// finishPendingChange looks for a change of the core that was decided but not finished, at the
+// members of the known core, and finishes it. Usually the client that decided the change is about
+// to finish it. It gets a short time to do so, since two clients that finish the same change send
+// every copy twice.
 func (client *Keeper) finishPendingChange() {
 	if old, next := client.findPendingChange(); next.Epoch == 0 || client.Core().Epoch > next.Epoch {
 		return
 	} else if loop.Sleep(client.World, client.Patience/pendingChangeWait); client.isInstalled(next) {
 		client.Learn(next)
 	} else if client.Core().Epoch <= next.Epoch {
-		_ = client.finishCoreChange(old, next) // the caller's next try shows how it went
+		_ = client.finishCoreChange(old, next) // the caller's next attempt shows whether this succeeded
 	}
 }
 
-// pendingChangeWait is the share of an operation's patience that whoever decided a change of
-// the core gets to finish it before others do.
+// pendingChangeWait is the divisor of the operation timeout that gives the time for which others
+// leave a decided change to the client that decided it.
 const pendingChangeWait = 20
 
-// findPendingChange asks the members of the cores that this keeper knows for a sealed epoch, and
-// the core that it was sealed for; it learns of newer cores on the way.
+// findPendingChange looks for a sealed epoch at the members of the current and the previous known
+// core, and returns its core and the core that it was sealed for. It also learns newer cores.
 func (client *Keeper) findPendingChange() (old, next Core) {
 	client.mu.Lock()
 	core, previous := client.core, client.previous
@@ -212,22 +214,21 @@
 	return old, next
 }
 
-// Init makes a first core of the acceptors at the addresses. All must answer
-// and be new, or belong to the very core that this makes, as after an Init that
-// was cut short.
+// Init creates the first core from the acceptors at the addresses. All of them must reply, and
+// must be new or belong to the very core that this call creates, as after an interrupted Init.
 func (client *Keeper) Init(addresses []string) (Core, error) {
 	core := Core{Epoch: 1}
 	existing := Core{}
 	for _, address := range addresses {
 		var status About
 		if err := client.Net.Call(address, "Register.Describe", struct{}{}, &status, client.Patience/4); err != nil {
-			return Core{}, fmt.Errorf("every seed must answer to make a core: %w", err)
+			return Core{}, fmt.Errorf("every seed must reply to create a core: %w", err)
 		}
 		if status.ID == "" {
-			return Core{}, fmt.Errorf("the daemon at %s has no disk and can't be in a core", address)
+			return Core{}, fmt.Errorf("the daemon at %s has no disk and can't be a member of a core", address)
 		}
 		if core.Has(status.ID) {
-			return Core{}, fmt.Errorf("the address %s is the same acceptor as another one", address)
+			return Core{}, fmt.Errorf("the address %s leads to the same acceptor as another address", address)
 		}
 		core.Members = append(core.Members, Member{ID: status.ID, Address: address, Name: status.Name})
 		if status.Core.Epoch > 0 {
@@ -237,25 +238,25 @@
 	sort.Slice(core.Members, func(a, b int) bool { return core.Members[a].ID < core.Members[b].ID })
 	if existing.Epoch > 0 {
 		if existing.Epoch != 1 || !existing.hasSameMembers(core) {
-			return Core{}, fmt.Errorf("there is a core already (epoch %d); use `core add` and `core remove`", existing.Epoch)
+			return Core{}, fmt.Errorf("a core exists already (epoch %d); use `core add` and `core remove`", existing.Epoch)
 		}
 		core = existing
 	}
 	for _, member := range core.Members {
 		var vote Vote
 		if err := client.Net.Call(member.Address, "Register.Install", InstallRequest{Core: core}, &vote, client.Patience/2); err != nil {
-			return Core{}, fmt.Errorf("the core is made in part; run init again: %w", err)
+			return Core{}, fmt.Errorf("the core is only partly installed; run init again: %w", err)
 		}
 		if vote.Kind != Granted {
-			return Core{}, fmt.Errorf("the acceptor at %s declined (%s); run init again", member.Address, vote.Mishap)
+			return Core{}, fmt.Errorf("the acceptor at %s rejected the core (%s); run init again", member.Address, vote.Mishap)
 		}
 	}
 	client.Learn(core)
 	return core, nil
 }
 
-// Repair compares this acceptor's copies with its colleagues', range by range,
-// and mends them from the newer. It gives how many cells it mended.
+// Repair compares this acceptor's copies with those of its peers, bucket by bucket, and replaces
+// older ones by newer ones. It returns the number of repaired cells.
 func (client *Keeper) Repair(acceptor *Acceptor) (repaired int, err error) {
 	var status About
 	_ = acceptor.Describe(struct{}{}, &status)
@@ -290,7 +291,7 @@
 			if err := acceptor.Fetch(request, &local); err != nil {
 				return repaired, err
 			}
-			// Of many copies most often one differs, which is just being written.
+			// Usually only one of many copies differs, because it is just being written.
 			request.Have = make(map[BallotHash]bool, len(local.Cells))
 			for key, cell := range local.Cells {
 				request.Have[copyHash(key, cell.Accepted)] = true
@@ -312,13 +313,14 @@
 				if !local.Cells[key].Accepted.Less(cell.Accepted) {
 					continue
 				}
-				// The same as the colleague's accept message, come late.
+				// This is equivalent to a delayed accept message for the peer's value.
 				var vote Vote
 				if err := acceptor.Accept(VoteRequest{Epoch: core.Epoch, Key: key, Ballot: cell.Accepted, Value: cell.Value}, &vote); err != nil {
 					return repaired, err
 				}
 				if vote.Kind == Rejected {
-					// A promise made since stands above it: complete the register.
+					// A higher ballot was promised since: decide the register's value under a new
+					// one.
 					if _, err := client.Change(key, func(Value) ([]byte, error) { return nil, errUnchanged }); err != nil {
 						continue
 					}
@@ -330,8 +332,8 @@
 	return repaired, nil
 }
 
-// Compare gives every acceptor's digests, by identity, for whoever wants to see
-// whether copies differ. Acceptors that do not answer are left out.
+// Compare returns the digests of every acceptor, by identity, to show whether copies differ.
+// Acceptors that do not reply are left out.
 func (client *Keeper) Compare() map[string][]string {
 	core := client.Core()
 	out := map[string][]string{}
@@ -346,8 +348,8 @@
 	return out
 }
 
-// catchUp takes this acceptor into a core that names it and that it missed. The
-// first core began with nothing, so one of it that never took part lacks nothing.
+// catchUp joins this acceptor to a core that lists it as a member but whose installation it
+// missed. The first core started empty, so a member of it that never joined lacks nothing.
 func (client *Keeper) catchUp(acceptor *Acceptor, core Core) (int, error) {
 	if core.Epoch == 1 {
 		var vote Vote
@@ -380,8 +382,9 @@
 	return len(merged), nil
 }
 
-// InStep tells which acceptors of the core hold its epoch, could vote in it now and
-// answer under their own identity, and how many answer as themselves at all.
+// InStep reports which acceptors of the core have installed its epoch, are able to vote in it now,
+// and reply under their own identity. It also returns how many acceptors reply under their own
+// identity at all.
 func (client *Keeper) InStep(core Core) (inStep map[string]bool, replies int) {
 	inStep = map[string]bool{}
 	broadcast(client, core, "Describe", struct{}{}, client.Patience/4, func(status *About, err error) bool {
@@ -396,8 +399,8 @@
 	return inStep, replies
 }
 
-// Discover asks the daemons at the addresses for their core and learns it. While no
-// core is known, the first word of one is enough.
+// Discover asks the daemons at the addresses for their core and learns it. If no core is known
+// yet, it stops at the first reply that has one.
 func (client *Keeper) Discover(addresses []string) {
 	hasNoCore := client.Core().Epoch == 0
 	loop.Gather(client.World, len(addresses), client.Patience/4, func(index int) Core {
--- a/register/keeper.go
+++ b/register/keeper.go
@@ -70,7 +70,7 @@
 	// ErrUncertain means that the write may or may not have been decided; a read finds out.
 	ErrUncertain = errors.New("register: the outcome is unknown")
 	// ErrNoCore means that this daemon knows of no core.
-	ErrNoCore = errors.New("register: no core is known; make one with `controlplane init`")
+	ErrNoCore = errors.New("register: no core is known; create one with `controlplane init`")
 )
 
 // Stale is the error of a Swap whose expected serial is not the current one.
@@ -122,7 +122,7 @@
 func (about *About) identity() string { return about.ID }
 
 // errWrongAcceptor means that another acceptor replied at the member's address.
-var errWrongAcceptor = errors.New("register: another acceptor answers there")
+var errWrongAcceptor = errors.New("register: another acceptor replies at the address of a member")
 
 // isWrongAcceptor reports whether a reply must not be counted for the member. Another acceptor may
 // reuse the address of a lost one, so the addresses of two members may lead to the same process,
--- a/register/keys.go
+++ b/register/keys.go
@@ -5,11 +5,11 @@
 	"errors"
 )
 
-// Keys are names of registers. On the wire each is told by how much of the one before it
-// begins with, and by the rest, as most differ in their ends alone.
+// Keys are names of registers. Each key is encoded as the length of the prefix that it shares with
+// the key before it, and the remaining suffix, since most keys differ only at their ends.
 type Keys []string
 
-// GobEncode gives them as they travel.
+// GobEncode encodes the keys with shared prefixes.
 func (keys Keys) GobEncode() ([]byte, error) {
 	var out []byte
 	previous := ""
@@ -26,9 +26,9 @@
 	return out, nil
 }
 
-var errMalformedKeys = errors.New("register: keys that came can't be read")
+var errMalformedKeys = errors.New("register: malformed encoding of keys")
 
-// GobDecode reads them.
+// GobDecode decodes what GobEncode encoded.
 func (keys *Keys) GobDecode(data []byte) error {
 	*keys = nil
 	previous := ""
--- a/register/many.go
+++ b/register/many.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// VoteRequests are asks for votes on several keys at once.
+// VoteRequests are requests for votes on several keys.
 type VoteRequests struct{ Asks []VoteRequest }
 
-// Votes are the answers, in the order of the asks.
+// Votes are the votes on several keys, in the order of the requests.
 type Votes struct {
 	ID    string
 	Votes []Vote
@@ -16,7 +16,7 @@
 
 func (votes *Votes) identity() string { return votes.ID }
 
-// apply is change for a step that gives several records, which last together.
+// apply is applyOne for a step that returns several records, which become durable together.
 func (acceptor *Acceptor) apply(step func(state *state) []*record) error {
 	acceptor.mu.Lock()
 	records := step(&acceptor.state)
@@ -30,13 +30,14 @@
 		wait = acceptor.store.Enqueue(nil)
 	}
 	acceptor.mu.Unlock()
-	// The store keeps them in the order of their coming.
+	// The store writes records in the order in which they are enqueued, so waiting for the last
+	// one is enough.
 	err := wait()
 	acceptor.recordsWritten(records, err)
 	return err
 }
 
-// voteAll gives the votes on all asks, which wait for the disk once.
+// voteAll votes on all requests and waits for the disk once.
 func (acceptor *Acceptor) voteAll(requests VoteRequests, votes *Votes, vote func(state *state, request VoteRequest, vote *Vote) *record) {
 	votes.Votes = make([]Vote, len(requests.Asks))
 	err := acceptor.apply(func(state *state) (records []*record) {
@@ -65,10 +66,10 @@
 	return nil
 }
 
-// WriteAll writes the data of each key, whatever its register holds, in two rounds for all of
-// them: many records that are written one by one cost every acceptor two calls each. Those
-// that get no majority, as others write them too, are tried again, together. It tells what
-// became of each key as soon as that is known, by nil or what Change would give.
+// WriteAll writes the data of each key, whatever its register holds, in two rounds for all keys
+// together; writing many records one by one costs every acceptor two calls per record. Keys that
+// get no majority because of competing writers are retried together. As soon as the outcome of a
+// key is known, done is called with nil or the error that Change would return.
 func (client *Keeper) WriteAll(data map[string][]byte, done func(key string, err error)) {
 	deadline := client.World.Now() + client.Patience
 	remaining := slices.Sorted(maps.Keys(data))
@@ -103,7 +104,7 @@
 		client.counters.Conflicts += uint64(len(remaining))
 		client.mu.Unlock()
 		if !batch.hasMajorityReplied {
-			attempt = 0 // nobody outvotes it: those who are not there yet may be soon
+			attempt = 0 // not outvoted but without a majority: acceptors that are missing may reply soon
 		}
 		if !client.retryBefore(deadline, attempt) {
 			break
@@ -114,20 +115,22 @@
 	}
 }
 
-// batch is one try to write several keys, under one ballot: each key has ballots of its own.
+// batch is one attempt to write several keys under one ballot. A ballot can be shared because
+// ballots of different keys are unrelated.
 type batch struct {
 	*Keeper
 	core   Core
 	ballot Ballot
-	// highestBallot is the highest ballot that outvoted it; astray points to another epoch.
+	// highestBallot is the highest ballot that the batch was rejected for. epochVote is a reply
+	// that points to another epoch.
 	highestBallot Ballot
 	epochVote     *Vote
-	// hasMajorityReplied tells that a majority answered.
+	// hasMajorityReplied reports that a majority replied.
 	hasMajorityReplied bool
 }
 
-// write makes the two rounds, and gives the keys whose data were decided. Of the others
-// nothing is known once something was sent, as after any round that got no majority.
+// write runs both rounds and returns the keys whose data was decided. Once an accept request was
+// sent, the outcome of the other keys is unknown, as after any accept round without a majority.
 func (batch *batch) write(keys []string, data map[string][]byte) (written map[string]bool, isSent bool) {
 	written = map[string]bool{}
 	id := batch.newChangeID()
@@ -170,8 +173,9 @@
 	return written, true
 }
 
-// collectVotes asks for votes until each ask has a majority, or as many members have answered and
-// some have; it shows each vote that counts, and tells which asks have a majority.
+// collectVotes broadcasts vote requests until each request has a majority of votes, or a majority
+// of the members replied and some requests have a majority. It passes each vote that counts to
+// counted, and returns which requests have a majority.
 func (batch *batch) collectVotes(method string, requests VoteRequests, counted func(index int, vote *Vote)) []bool {
 	majority := batch.core.Majority()
 	counts, isMajority := make([]int, len(requests.Asks)), make([]bool, len(requests.Asks))
--- a/register/read.go
+++ b/register/read.go
@@ -10,28 +10,28 @@
 	"swifttiller/loop"
 )
 
-// What a keeper remembers of values, and for how long it waits for the acceptors
-// that it asked before it asks the others too.
+// Limits of the value cache, and of the time after which a read round asks the remaining acceptors
+// as well.
 const (
-	// cacheBytes bounds the values that a keeper keeps, so that acceptors need not
-	// send them again.
+	// cacheBytes bounds the values that a client caches so that acceptors need not send them
+	// again.
 	cacheBytes    = 16 << 20
 	minHedgeDelay = 20 * time.Millisecond
 	maxHedgeDelay = 150 * time.Millisecond
-	// surveyInterval is how many rounds pass between two that ask all, which show whether
-	// an acceptor that was slow is still so.
+	// surveyInterval is the number of read rounds between two that ask all acceptors, which show
+	// whether an acceptor that was slow still is.
 	surveyInterval = 32
 )
 
-// valueCache are values last seen, by key, with the ballots that they were accepted under.
+// valueCache contains the last seen values by key, with the ballots that they were accepted under.
 //
-// Invariant: a ballot names one value for good, as a proposer uses each of its
-// ballots once and an incarnation never comes again. So a value kept here under the
-// ballot that an acceptor names is what that acceptor holds.
+// Invariant: a ballot identifies one value permanently, since a proposer uses each of its ballots
+// once and an incarnation is never reused. So a value that is cached under the ballot that an
+// acceptor reports is the value that the acceptor holds.
 type valueCache struct {
 	cells map[string]Cell
-	sums  map[string]Sum // of those that are long
-	order []string       // of their coming
+	sums  map[string]Sum // digests of the long values
+	order []string       // keys in the order of insertion
 	bytes int
 }
 
@@ -61,56 +61,57 @@
 	}
 }
 
-// addToCache takes a cell with its value into what is kept.
+// addToCache adds a cell with its value to the cache.
 func (client *Keeper) addToCache(key string, cell Cell) {
 	client.mu.Lock()
 	defer client.mu.Unlock()
 	client.cache.add(key, cell)
 }
 
-// cached gives the cell that is kept of a key, and its value's sum if that is long.
+// cached returns the cached cell of a key, and the digest of its value if that is long.
 func (client *Keeper) cached(key string) (Cell, Sum) {
 	client.mu.Lock()
 	defer client.mu.Unlock()
 	return client.cache.cells[key], client.cache.sums[key]
 }
 
-// readRequest is one ask for keys that waits for a round. It is answered by a round that
-// began after it came, and by no other.
+// readRequest is a request for keys that waits for a read round. Only a round that started after
+// the request was queued may answer it.
 type readRequest struct {
 	keys     []string
 	deadline time.Duration
 	replies  loop.Mailbox
 }
 
-// readResult is what a round tells: the values that are decided, and the keys whose
-// copies differ at so many acceptors that none is.
+// readResult is the result of a round: the decided values, and the undecided keys, whose copies
+// differ so that no ballot has a majority.
 type readResult struct {
 	values    map[string]Value
 	undecided map[string]bool
-	// beingWritten are those of open that were last accepted in the present core.
+	// beingWritten contains the undecided keys that some acceptor accepted in the current core.
 	beingWritten map[string]bool
 	err          error
 }
 
-// ReadMany reads several keys; in the quiet case in one round without a sync.
-// Asks that come within a gap of a round's beginning wait for the next one, which
-// reads the keys of them all. A key whose copies differ is completed first, in two rounds of
-// its own. What it gives must not be changed: others may be given the same.
+// ReadMany reads several keys, in a single round without a disk sync if nobody writes them.
+// Requests that arrive shortly after a round started are combined in the next round. A key whose
+// copies differ is completed first, in two rounds of its own. Callers must not modify the result,
+// since it may be shared with other callers.
 func (client *Keeper) ReadMany(keys ...string) (map[string]Value, error) {
 	return client.ReadManyWithin(client.Patience, keys...)
 }
 
-// ReadManyWithin is ReadMany that gives up after the patience where no majority answers.
+// ReadManyWithin is ReadMany with a timeout of its own, after which it gives up if no majority
+// replies.
 func (client *Keeper) ReadManyWithin(timeout time.Duration, keys ...string) (map[string]Value, error) {
 	result, err := client.requestRead(keys, timeout)
 	if err != nil {
 		return nil, err
 	}
 	values, undecided := result.lookup(keys)
-	// Most often somebody is just writing what differs. A change by each that reads it
-	// would outvote the writer, and those of the others; so it comes only where nobody
-	// seems to end it.
+	// Copies usually differ because a writer is just writing them. If every reader completed the
+	// key with a change of its own, the changes would outvote the writer and each other. So a
+	// reader completes the key only if no writer seems to finish it.
 	for attempt := 0; attempt < writerWaitTries && result.areBeingWritten(undecided); attempt++ {
 		client.backoff(1)
 		if result, err = client.requestRead(undecided, timeout); err != nil {
@@ -128,9 +129,8 @@
 	return values, nil
 }
 
-// ReadSettled reads several keys in one round, and leaves out those that are being
-// written: whose copies differ, so that only a change that keeps the value could tell
-// what it is. They are listed as open.
+// ReadSettled reads several keys in one round. Keys that are being written, whose copies differ so
+// that only a change that keeps the value would reveal it, are left out and returned as undecided.
 func (client *Keeper) ReadSettled(keys ...string) (values map[string]Value, undecided []string, err error) {
 	result, err := client.requestRead(keys, client.Patience)
 	if err != nil {
@@ -140,7 +140,8 @@
 	return values, undecided, nil
 }
 
-// requestRead has several keys read in a round with whatever else is to be read.
+// requestRead queues a read of several keys and waits for the round that answers it together with
+// the other queued reads.
 func (client *Keeper) requestRead(keys []string, timeout time.Duration) (readResult, error) {
 	request := &readRequest{keys: keys, deadline: client.World.Now() + timeout, replies: client.World.Mailbox()}
 	client.mu.Lock()
@@ -153,7 +154,7 @@
 	}
 	wait := timeout
 	if timeout == client.Patience {
-		wait += timeout / 4 // a last round may end
+		wait += timeout / 4 // time for a round that has started already
 	}
 	message, ok := request.replies.Take(wait)
 	if !ok {
@@ -163,7 +164,7 @@
 	return result, result.err
 }
 
-// lookup gives the values of keys, and those whose copies differ.
+// lookup returns the values of the keys, and those keys whose copies differ.
 func (result readResult) lookup(keys []string) (values map[string]Value, undecided []string) {
 	values = make(map[string]Value, len(keys))
 	for _, key := range keys {
@@ -176,8 +177,8 @@
 	return values, undecided
 }
 
-// areBeingWritten tells whether somebody seems to be writing each of the keys that are open, in
-// the present core. What a former one left open nobody ends but who reads it.
+// areBeingWritten reports whether each of the undecided keys seems to be written in the current
+// core. Nobody finishes a key that was left undecided in a former core except its readers.
 func (result readResult) areBeingWritten(undecided []string) bool {
 	for _, key := range undecided {
 		if !result.beingWritten[key] {
@@ -187,11 +188,12 @@
 	return len(undecided) > 0
 }
 
-// writerWaitTries is how often what seems to be written is read again before it is completed.
+// writerWaitTries is how often a key that seems to be written is read again before the reader
+// completes it.
 const writerWaitTries = 3
 
-// complete makes the newest value of a key whose copies differ decided. Of many
-// that ask for it at a time one does it for those that came before it began.
+// complete makes sure that the newest value of a key whose copies differ is decided. Concurrent
+// calls for a key share one completion, if it starts after they arrived.
 func (client *Keeper) complete(key string) (Value, error) {
 	replies := client.World.Mailbox()
 	client.mu.Lock()
@@ -236,7 +238,7 @@
 	err   error
 }
 
-// runReads makes rounds as long as somebody waits for one.
+// runReads runs read rounds while requests are queued.
 func (client *Keeper) runReads() {
 	for {
 		client.mu.Lock()
@@ -260,15 +262,15 @@
 			keys = append(keys, request.keys...)
 		}
 		slices.Sort(keys)
-		// The next round need not wait for this one's end: a far majority would make all
-		// that ask meanwhile wait twice. It only does not follow at once.
+		// The next round does not wait for this one to end: with a distant majority, all requests
+		// that arrive meanwhile would wait for two rounds. It is only delayed by readInterval.
 		client.World.Go(func() { client.serveReads(core, slices.Compact(keys), requests) })
 		loop.Sleep(client.World, client.readInterval(core))
 	}
 }
 
-// readInterval is how much later than one round of reading the next one may begin: as much as the
-// nearest majority takes to answer, within bounds, as whoever asks waits for it.
+// readInterval returns the time between the starts of two read rounds: the time that the nearest
+// majority takes to reply, within bounds, since callers wait for it.
 func (client *Keeper) readInterval(core Core) time.Duration {
 	_, hedgeDelay := client.nearest(core)
 	return max(minReadInterval, min(hedgeDelay/hedgeFactor, maxReadInterval))
@@ -277,13 +279,13 @@
 const (
 	minReadInterval = 20 * time.Millisecond
 	maxReadInterval = 50 * time.Millisecond
-	// hedgeFactor is how many times as long as the slowest of the nearest majority takes the
-	// others are waited for.
+	// hedgeFactor times the latency of the slowest of the nearest majority is the time that a
+	// round waits before it asks the other acceptors.
 	hedgeFactor = 3
 )
 
-// serveReads makes a round for the wishes; those that it does not satisfy go into a later
-// one, while they have patience.
+// serveReads runs one round for the requests. Requests that it can't answer are queued for a later
+// round until their deadlines.
 func (client *Keeper) serveReads(core Core, keys []string, requests []*readRequest) {
 	result, epochVote := client.readRound(core, keys)
 	if result.err == nil {
@@ -315,8 +317,8 @@
 	}
 }
 
-// nearest orders the acceptors by how soon they answer, this daemon's own first, and
-// tells for how long to wait for the first majority of them.
+// nearest returns the acceptors in the order of their latencies, this daemon's own first, and how
+// long to wait for the first majority of them.
 func (client *Keeper) nearest(core Core) (order []int, hedgeDelay time.Duration) {
 	client.mu.Lock()
 	defer client.mu.Unlock()
@@ -334,7 +336,7 @@
 	return order, max(minHedgeDelay, min(hedgeDelay, maxHedgeDelay))
 }
 
-// recordLatency takes notice of how soon an acceptor answered, or that it did not.
+// recordLatency updates an acceptor's latency after a reply or a missing reply.
 func (client *Keeper) recordLatency(id string, latency time.Duration, hasReplied bool) {
 	client.mu.Lock()
 	defer client.mu.Unlock()
@@ -352,20 +354,20 @@
 	}
 }
 
-// fetchKey names a long value on its way.
+// fetchKey identifies a long value that is being fetched.
 type fetchKey struct {
 	key string
 	sum Sum
 }
 
-// fetchResult is a long value that came, or did not.
+// fetchResult is a fetched long value, if it was found.
 type fetchResult struct {
 	value   Value
 	isFound bool
 }
 
-// fetch gets a long value from one of the members that hold it under the ballot, the
-// nearest first. Of many that ask for it at a time one does it for all.
+// fetch returns a long value from one of the members that hold it under the ballot, the nearest
+// first. Concurrent calls for the same value share one fetch.
 func (client *Keeper) fetch(core Core, key fetchKey, accepted Ballot, holders []Member) (Value, bool) {
 	replies := client.World.Mailbox()
 	client.mu.Lock()
@@ -414,15 +416,16 @@
 	return message.(fetchResult).value, message.(fetchResult).isFound
 }
 
-// candidate is what a round has heard of one ballot of a key.
+// candidate is what a round has learned about one ballot of a key.
 type candidate struct {
 	cell    Cell
-	isBrief bool // the value is left out, and sum is its sum
+	isBrief bool // the value is left out, and sum is its digest
 	sum     Sum
-	holders []Member // in the order of asking
+	holders []Member // in the order in which they replied
 }
 
-// loadValue fills in the value of what was sighted; false when it could not be had.
+// loadValue fetches the candidate's value if it is left out. It returns false if no holder sent
+// the value.
 func (client *Keeper) loadValue(core Core, key string, candidate *candidate) bool {
 	if candidate.isBrief {
 		value, isFound := client.fetch(core, fetchKey{key, candidate.sum}, candidate.cell.Accepted, candidate.holders)
@@ -434,11 +437,11 @@
 	return true
 }
 
-// readRound is one round: it asks the nearest majority, and the others once an answer
-// stays out or copies differ. A value is decided if a majority holds it under the same
-// ballot: whatever was decided before the round began is held by one of every
-// majority, under that ballot or a higher one. Long values come from this daemon's own
-// acceptor, or from one of those that hold them.
+// readRound runs one round. It queries the nearest majority, and the other acceptors as soon as a
+// reply is missing or copies differ. A value is decided if a majority holds it under the same
+// ballot: whatever was decided before the round started is held by at least one member of every
+// majority, under that ballot or a higher one. Long values come from this daemon's own acceptor or
+// from one of the acceptors that hold them.
 func (client *Keeper) readRound(core Core, keys []string) (readResult, *Vote) {
 	query := Query{Epoch: core.Epoch, Keys: keys, Marks: make([]BallotHash, len(keys))}
 	cached := make([]Cell, len(keys))
@@ -494,7 +497,8 @@
 		for index, key := range keys {
 			isDecided := false
 			for ballot, candidate := range cells[index] {
-				// What was accepted in a former core alone is completed in this candidate first.
+				// A value that was accepted only in a former core must be completed in this core
+				// first.
 				isCurrent := ballot.Epoch == core.Epoch || candidate.cell.Value.Serial == 0
 				isDecided = isDecided || len(candidate.holders) >= core.Majority() && isCurrent
 			}
@@ -504,7 +508,7 @@
 		}
 		return out
 	}
-	hedgeAt := began + hedgeDelay // when those that stay out are given up, or all are
+	hedgeAt := began + hedgeDelay // when to ask the remaining acceptors or, if all were asked, to stop waiting
 	for ended < started {
 		wait := timeout - (client.World.Now() - began)
 		if started < len(order) || granted >= core.Majority() {
@@ -531,7 +535,7 @@
 			for index, key := range keys {
 				cell, isSent := answer.reply.Cells[key]
 				if !isSent {
-					cell = cached[index] // the same as what was named
+					cell = cached[index] // the value cached under the ballot that was listed in the query
 				}
 				sum, isBrief := answer.reply.Long[key]
 				seen := cells[index][cell.Accepted]
@@ -591,7 +595,7 @@
 			result.values[key] = candidate.cell.Value
 		}
 		if result.undecided[key] {
-			client.loadValue(core, key, newest) // whoever completes it need not be told it by all
+			client.loadValue(core, key, newest) // caches the value, so that not every acceptor sends it to the client that completes the key
 		}
 	}
 	return result, nil
--- a/register/transfer.go
+++ b/register/transfer.go
@@ -7,25 +7,25 @@
 	"slices"
 )
 
-// SealRequest closes an epoch at an acceptor in favour of the next core. Have are the marks of
-// the copies that the asker has already.
+// SealRequest closes an epoch at an acceptor in favor of the next core. Have are the hashes of the
+// copies that the client has already.
 type SealRequest struct {
 	Epoch uint64
 	Next  Core
 	Have  map[BallotHash]bool
 }
 
-// SealReply answers with everything that the acceptor holds and the asker does not have. Absent
-// are the marks of what it has and the acceptor does not hold.
+// SealReply contains every cell of the acceptor that the client does not have. Absent are the
+// hashes of the client's copies that the acceptor does not hold.
 type SealReply struct {
 	Vote
 	Cells  map[string]Cell
 	Absent map[BallotHash]bool
 }
 
-// Seal declines ballots of the epoch for good and gives up what is held. An
-// acceptor that has moved on to the very next core holds all that a sealed
-// majority gave up, and maybe more; it counts as sealed too.
+// Seal makes the acceptor reject all ballots of the epoch from now on, and returns its cells. An
+// acceptor that has installed the very next core holds at least everything that a sealed majority
+// returned, so it counts as sealed too.
 func (acceptor *Acceptor) Seal(request SealRequest, reply *SealReply) error {
 	err := acceptor.applyOne(func(state *state) *record {
 		vote := &reply.Vote
@@ -57,15 +57,15 @@
 	return nil
 }
 
-// InstallRequest brings an acceptor into a core with all that was decided before it, of which what
-// it was seen to hold when it was sealed is left out.
+// InstallRequest installs a core at an acceptor, with everything that was decided before it,
+// except for the cells that the acceptor was seen to hold when it was sealed.
 type InstallRequest struct {
 	Core  Core
 	Cells map[string]Cell
 }
 
-// Install takes part in a new core. It is an upsert: what is held already is
-// kept where it is newer.
+// Install joins the acceptor to a new core. It is idempotent: cells of the acceptor that are newer
+// than those of the request are kept.
 func (acceptor *Acceptor) Install(request InstallRequest, vote *Vote) error {
 	var isInstalled bool
 	vote.setDiskError(acceptor.applyOne(func(state *state) *record {
@@ -98,19 +98,19 @@
 	return nil
 }
 
-// Buckets is into how many ranges the keys are dealt for digests.
+// Buckets is the number of ranges that keys are hashed into for digests.
 const Buckets = 16
 
-// Bucket is the range of a key.
+// Bucket returns the range of a key.
 func Bucket(key string) int { return int(sha256.Sum256([]byte(key))[0]) % Buckets }
 
-// Digests answers with one digest per range.
+// Digests contains one digest per range.
 type Digests struct {
 	Vote
 	Sums [Buckets][32]byte
 }
 
-// Digest sums up what was accepted, range by range.
+// Digest returns a digest of the accepted ballots of each range.
 func (acceptor *Acceptor) Digest(query Query, digests *Digests) error {
 	err := acceptor.applyOne(func(state *state) *record {
 		if acceptor.rejectEpoch(state, query.Epoch, &digests.Vote) {
@@ -129,21 +129,21 @@
 	return nil
 }
 
-// FetchRequest asks for the accepted cells of one range. Have are the marks of the asker's own
-// copies, by key; those that are the same are left out of the answer.
+// FetchRequest asks for the accepted cells of one range. Have are the hashes of the client's own
+// copies; copies that are the same are left out of the reply.
 type FetchRequest struct {
 	Epoch  uint64
 	Bucket int
 	Have   map[BallotHash]bool
 }
 
-// copyHash marks a copy of a key that was accepted under the ballot.
+// copyHash identifies a copy of a key that was accepted under the ballot.
 func copyHash(key string, accepted Ballot) BallotHash {
 	accepted.Proposer += "/" + key
 	return accepted.hash()
 }
 
-// Fetch gives the cells of a range.
+// Fetch returns the cells of a range.
 func (acceptor *Acceptor) Fetch(request FetchRequest, reply *QueryReply) error {
 	err := acceptor.applyOne(func(state *state) *record {
 		if acceptor.rejectEpoch(state, request.Epoch, &reply.Vote) {
--- a/register/value.go
+++ b/register/value.go
@@ -6,10 +6,10 @@
 	"fmt"
 )
 
-// Ballot orders proposals; the proposer's name makes it unique.
+// Ballot orders proposals. The name of the proposer makes it unique.
 //
-// Invariant: a ballot of an epoch stands above all of the epochs before. What an
-// acceptor took in an older core, and nobody decided, so never wins against what a
+// Invariant: a ballot of an epoch is higher than all ballots of earlier epochs. So a value that an
+// acceptor accepted in an older core, and that was never decided, can't win against a value that a
 // newer core decided.
 type Ballot struct {
 	Epoch    uint64
@@ -17,7 +17,7 @@
 	Proposer string
 }
 
-// Less is the order of ballots.
+// Less reports whether ballot is lower than other.
 func (ballot Ballot) Less(other Ballot) bool {
 	if ballot.Epoch != other.Epoch {
 		return ballot.Epoch < other.Epoch
@@ -28,12 +28,12 @@
 	return ballot.Proposer < other.Proposer
 }
 
-// BallotHash stands for a ballot where an acceptor is told which values the asker has: a proposer's
-// name alone is longer. It is taken of SHA-256, so no two ballots share one but by a chance of
-// one in 2^64.
+// BallotHash represents a ballot where a client tells acceptors which values it has cached; the
+// name of a proposer alone is longer. It is truncated from SHA-256, so two ballots have the same
+// hash only with a probability of one in 2^64.
 type BallotHash uint64
 
-// hash gives the ballot's mark; zero where nothing was accepted.
+// hash returns the ballot's hash, or zero if nothing was accepted.
 func (ballot Ballot) hash() BallotHash {
 	if ballot == (Ballot{}) {
 		return 0
@@ -45,27 +45,27 @@
 	return BallotHash(binary.BigEndian.Uint64(sum[:]))
 }
 
-// Value is what a register holds.
+// Value is the content of a register.
 //
-// Invariant: Serial rises by one with every decided change. Trail names the
-// last few changes, newest first, so that a writer that lost sight of its own
-// write finds out whether it lies beneath the value that it reads.
+// Invariant: Serial is the version of the register and increases by one with every decided change.
+// Trail contains the identifiers of the last few changes, newest first, so that a writer that lost
+// track of its own write can find out whether the value that it reads is based on it.
 type Value struct {
 	Serial uint64
 	Data   []byte
 	Trail  []string
 }
 
-// TrailLength is how many changes a trail names.
+// TrailLength is the maximum number of changes in a trail.
 const TrailLength = 8
 
-// longValueBytes is from how many bytes on a value goes to who asks for it by name: others are
-// told its sum.
+// longValueBytes is the size from which a value is sent only to clients that request it
+// explicitly. Others get its digest.
 const longValueBytes = 512
 
 func (value Value) isLong() bool { return len(value.Data) >= longValueBytes }
 
-// Sum is a digest of a whole value, its serial and its trail included. Values of one sum
+// Sum is a digest of a whole value, including its serial and trail. Values with the same digest
 // are the same, whatever ballots they were accepted under.
 type Sum [16]byte
 
@@ -77,8 +77,8 @@
 	return sum
 }
 
-// Member is an acceptor of the core: an identity made with its disk, where it was
-// last known to answer, and the name of its daemon, if that was known.
+// Member is an acceptor of the core: the identity that was created with its disk, its last known
+// address, and the name of its daemon if known.
 type Member struct {
 	ID      string `json:"id"`
 	Address string `json:"address"`
@@ -91,10 +91,10 @@
 	Members []Member `json:"members"`
 }
 
-// Majority is how many acceptors decide.
+// Majority returns the number of acceptors that decide.
 func (core Core) Majority() int { return len(core.Members)/2 + 1 }
 
-// Has tells whether the identity votes in this core.
+// Has reports whether the acceptor with this identity is a member of the core.
 func (core Core) Has(id string) bool {
 	for _, member := range core.Members {
 		if member.ID == id {
@@ -104,7 +104,7 @@
 	return false
 }
 
-// hasSameMembers tells whether the same acceptors vote in both.
+// hasSameMembers reports whether both cores have the same acceptors.
 func (core Core) hasSameMembers(other Core) bool {
 	same := len(core.Members) == len(other.Members)
 	for _, member := range core.Members {
@@ -113,11 +113,11 @@
 	return same
 }
 
-// Cell is what an acceptor holds of a key.
+// Cell is an acceptor's state of one key.
 //
-// Invariant: Accepted is never above Promised, and neither ever falls. Copies that
-// agree at a majority of a core are a decided value only if Accepted is of that
-// core's epoch: what was installed from the core before may be one of several.
+// Invariant: Accepted is never higher than Promised, and neither ever decreases. Equal copies at a
+// majority of a core are a decided value only if Accepted belongs to that core's epoch, since what
+// was installed from the previous core may be one of several competing values.
 type Cell struct {
 	Promised Ballot
 	Accepted Ballot
