--- a/duty/duty.go
+++ b/duty/duty.go
@@ -1,5 +1,5 @@
-// Package duty gives duties that one daemon does to one daemon: whenever a duty
-// falls vacant, a round of ballots on its register decides who has it next.
+// Package duty elects a leader among the daemons for each task that only one daemon may do.
+// Whenever a leadership is vacant, a compare-and-set on its register decides who gets it next.
 package duty
 
 import (
@@ -14,40 +14,40 @@
 	"swifttiller/register"
 )
 
-// Prefix of the registers of duties.
+// Prefix is the key prefix of the registers of leaderships.
 const Prefix = "duty/"
 
-// Duty is what a duty's register holds.
+// Duty is the content of a leadership's register.
 //
-// Invariant: Serial rises by one with every change of hands and never falls;
-// it fences every write that the duty makes.
+// Invariant: Serial is the term. It increases by one with every change of the leader and never
+// decreases, and it fences every write that the leader makes.
 type Duty struct {
 	Holder      string `json:"holder"`
 	Incarnation string `json:"incarnation"`
 	Serial      uint64 `json:"serial"`
 }
 
-// Options of a keeper of duties.
+// Options configure an elector.
 type Options struct {
 	World       loop.World
 	Keeper      *register.Keeper
 	Name        string
 	Incarnation string
-	// Span is a session's bound.
+	// Span returns the session timeout.
 	Span func() time.Duration
-	// Alive tells whether the daemon of that incarnation is a member, and is
-	// asked only once the membership has been watched for long enough.
+	// Alive reports whether the daemon of that incarnation is a member. It is called only after
+	// the membership has been watched for long enough.
 	Alive func(name, incarnation string) bool
-	// Claims tells whether the daemon, a member, says itself that it holds the duty.
+	// Claims reports whether the daemon, a member, announces itself that it holds the leadership.
 	Claims func(name string, duty Duty) bool
-	// Reborn tells whether another incarnation of the name is a member.
+	// Reborn reports whether another incarnation of the daemon is a member.
 	Reborn func(name, incarnation string) bool
-	// Watched tells for how long the membership has been watched.
+	// Watched returns for how long the membership has been watched.
 	Watched func() time.Duration
-	// IsBack tells that the daemon was in a core before it began.
+	// IsBack reports that the daemon was a member of a core before it restarted.
 	IsBack bool
-	// Wanted lists the duties that there shall be, those first that this daemon
-	// should rather have.
+	// Wanted returns the names of all leaderships, those first that this daemon should preferably
+	// hold.
 	Wanted func() []string
 }
 
@@ -56,23 +56,23 @@
 	confirmedAt time.Duration // when a majority last confirmed it
 }
 
-// Keeper runs for vacant duties and knows which it has.
+// Keeper campaigns for vacant leaderships and knows which ones this daemon holds.
 //
-// Invariant: held has a duty only if the register named this incarnation as its
-// holder no longer than a session ago, by this daemon's clock.
+// Invariant: held contains a leadership only if, no longer than a session timeout ago by this
+// daemon's clock, the register named this incarnation as its leader.
 type Keeper struct {
 	Options
 	mu         sync.Mutex
 	held       map[string]leadership
 	isResigned bool
-	// Changes counts hands changed, as the doctor's sign of flapping.
+	// Changes counts the changes of the leader, by which the doctor recognizes flapping.
 	Changes  map[string]int
 	lastRead map[string]Duty
-	// changedAt is when last was first read so.
+	// changedAt is when the content in lastRead was first read.
 	changedAt map[string]time.Duration
 }
 
-// Held gives the duty's serial if this daemon holds it now.
+// Held returns the term of the leadership if this daemon holds it now.
 func (elector *Keeper) Held(name string) (uint64, bool) {
 	elector.mu.Lock()
 	defer elector.mu.Unlock()
@@ -83,7 +83,7 @@
 	return own.term, true
 }
 
-// Holds gives all that this daemon holds now, by their serials.
+// Holds returns the terms of all leaderships that this daemon holds now.
 func (elector *Keeper) Holds() map[string]uint64 {
 	elector.mu.Lock()
 	defer elector.mu.Unlock()
@@ -96,7 +96,7 @@
 	return out
 }
 
-// Last gives a duty as last read.
+// Last returns a leadership as last read.
 func (elector *Keeper) Last(name string) (Duty, bool) {
 	elector.mu.Lock()
 	defer elector.mu.Unlock()
@@ -104,7 +104,8 @@
 	return duty, isKnown
 }
 
-// Seen gives the duties as last read, and how often each changed hands here.
+// Seen returns all leaderships as last read, and how often this daemon saw the leader of each
+// change.
 func (elector *Keeper) Seen() (map[string]Duty, map[string]int) {
 	elector.mu.Lock()
 	defer elector.mu.Unlock()
@@ -116,8 +117,8 @@
 	return duties, changes
 }
 
-// Run watches the duties and runs for those that fall vacant. One that has begun anew
-// looks more often: what was its own before it may have at once.
+// Run watches the leaderships and campaigns for vacant ones. A restarted daemon checks more often
+// at first, as it can take back at once what it held before the restart.
 func (elector *Keeper) Run() {
 	loop.Every(elector.World, func() time.Duration {
 		if elector.IsBack && elector.Watched() < 3*elector.Span()/2 {
@@ -130,7 +131,7 @@
 	})
 }
 
-// Turn looks once at every duty.
+// Turn checks every leadership once.
 func (elector *Keeper) Turn() {
 	names := elector.Wanted()
 	keys := make([]string, len(names))
@@ -143,7 +144,7 @@
 	now := elector.World.Now()
 	values, err := elector.Keeper.ReadMany(keys...)
 	if err != nil {
-		return // what is held expires by itself
+		return // leaderships that this daemon holds expire by themselves
 	}
 	reclaimable := map[string]Duty{}
 	var ownNames []string
@@ -161,15 +162,15 @@
 			elector.campaign(name, duty)
 		}
 	}
-	// What was this daemon's before it began anew nobody else runs for as soon: at once,
-	// and all together, as each takes two rounds.
+	// Other daemons don't campaign as early for what this daemon held before its restart. So it
+	// campaigns for all of that at once and in parallel, since each campaign takes two rounds.
 	loop.Gather(elector.World, len(ownNames), loop.Forever, func(index int) bool {
 		elector.campaign(ownNames[index], reclaimable[ownNames[index]])
 		return true
 	}, func(int, bool) bool { return false })
 }
 
-// record takes what the register says into the tables.
+// record updates the local state from the register's content.
 func (elector *Keeper) record(name string, duty Duty, readAt time.Duration) {
 	elector.mu.Lock()
 	defer elector.mu.Unlock()
@@ -191,9 +192,9 @@
 	}
 }
 
-// isVacant tells whether the duty, as just read, is nobody's. A holder that is alive and
-// for all that does not claim it can't reach a majority, and so can't do it; a new one
-// is given time to say its word.
+// isVacant reports whether the leadership, as just read, is vacant. A leader that is alive but
+// does not claim its leadership can't reach a majority and so can't act as leader; a new leader is
+// given time to announce its claim.
 func (elector *Keeper) isVacant(name string, duty Duty) bool {
 	elector.mu.Lock()
 	isResigned, unchanged := elector.isResigned, elector.World.Now()-elector.changedAt[name]
@@ -201,12 +202,12 @@
 	if isResigned || duty.Holder == elector.Name && duty.Incarnation == elector.Incarnation {
 		return false
 	}
-	// The holder was this daemon, before it began anew: nobody else needs to be known.
+	// The leader was this daemon before its restart; no knowledge of other members is needed.
 	if duty.Holder == elector.Name {
 		return true
 	}
-	// A daemon that has just started does not know the members yet and could
-	// neither judge who is gone nor do the duty well.
+	// A daemon that has just started does not know the members yet. It could neither judge whether
+	// the leader is gone nor act well as leader.
 	if elector.Watched() < elector.Span() {
 		return false
 	}
@@ -221,9 +222,10 @@
 
 var errChanged = errors.New("taken")
 
-// campaign runs for a duty that was seen in the given state.
+// campaign tries to take over a leadership whose register was observed with the given content.
 func (elector *Keeper) campaign(name string, observed Duty) {
-	// A draw keeps all from running at once; the registers decide in any case.
+	// A random delay keeps the daemons from campaigning all at once; the register decides in any
+	// case.
 	if observed.Holder != elector.Name {
 		loop.Sleep(elector.World, time.Duration(elector.World.Draw(int64(elector.Span()/10))))
 	}
@@ -244,7 +246,7 @@
 	}
 }
 
-// Resign lets go of every duty, for a planned stop.
+// Resign gives up every leadership, for a planned shutdown.
 func (elector *Keeper) Resign() {
 	elector.mu.Lock()
 	elector.isResigned = true
