--- a/register/epoch_test.go
+++ b/register/epoch_test.go
@@ -9,14 +9,15 @@
 	"swifttiller/register"
 )
 
-// member of a core, as the acceptor that runs there now.
+// member returns the core member for the acceptor that runs on the node now.
 func (cluster *testCluster) member(name string) register.Member {
 	var about register.About
 	_ = cluster.acceptors[name].Describe(struct{}{}, &about)
 	return register.Member{ID: about.ID, Address: name}
 }
 
-// replaceMember puts one acceptor in the place of another, or adds it if there is none.
+// replaceMember replaces one acceptor of the core by another, or only adds it if no member is to
+// be replaced.
 func (cluster *testCluster) replaceMember(name string, out, in register.Member) (err error) {
 	cluster.runOn(name, 20*time.Second, func(client *register.Keeper) {
 		_, err = client.ChangeCore(func(core register.Core) ([]register.Member, error) {
@@ -38,7 +39,7 @@
 }
 
 func TestCoreChangeForgetsNothingThatWasSeen(t *testing.T) {
-	Convey("what a newer core has shown isn't undone by what an acceptor took in an older one", t, func() {
+	Convey("a value read in a newer core isn't undone by a value that an acceptor accepted in an older core", t, func() {
 		for seed := uint64(1); seed <= 5; seed++ {
 			cluster := newTestCluster(seed)
 			core := cluster.core("a", "b", "c")
@@ -55,7 +56,7 @@
 				})
 				So(vote.Kind, ShouldEqual, register.Granted)
 			}
-			// Two writers, neither of which got a majority to accept.
+			// Two writers propose values, and neither gets a majority to accept.
 			vote("b", false, 50, "")
 			vote("c", false, 50, "")
 			vote("b", true, 50, "lower")
@@ -65,7 +66,7 @@
 			a, c, x := cluster.member("a"), cluster.member("c"), cluster.member("x")
 			cluster.Kill("a")
 			So(cluster.replaceMember("b", a, x), ShouldBeNil)
-			cluster.Kill("c") // with what it promised
+			cluster.Kill("c") // and its promises with it
 			first, err := cluster.read("b", "k")
 			So(err, ShouldBeNil)
 			So(string(first.Data), ShouldEqual, "lower")
@@ -76,13 +77,13 @@
 					check, err := cluster.read(name, "k")
 					So(err, ShouldBeNil)
 					if string(check.Data) != "lower" {
-						t.Errorf("fallback: seed %d: %s reads %q where %q was shown", seed, name, check.Data, first.Data)
+						t.Errorf("fallback: seed %d: %s reads %q after %q was read before", seed, name, check.Data, first.Data)
 					}
 				}
 			}
 			check("x", "b", "a")
-			// With x the two copies alike are a majority under whatever ballot; without it
-			// the higher ballot tells.
+			// With x, the two equal copies are a majority under any ballot. Without x, the higher
+			// ballot decides.
 			cluster.Kill("x")
 			check("b", "a")
 			cluster.Close()
@@ -91,7 +92,7 @@
 }
 
 func TestAnAddressVotesOnce(t *testing.T) {
-	Convey("an acceptor at the address of a lost one does not vote in its place as well", t, func() {
+	Convey("an acceptor at the address of a lost one does not vote for the lost one too", t, func() {
 		cluster := newTestCluster(7)
 		defer cluster.Close()
 		core := cluster.core("a", "b", "c")
@@ -105,23 +106,23 @@
 		cluster.Kill("c")
 		_, err := cluster.read("b", "k") // two of four are no majority
 		if err != register.ErrNoMajority {
-			t.Errorf("fallback: two of four were counted as a majority: %v", err)
+			t.Errorf("fallback: two of four acceptors were counted as a majority of a read: %v", err)
 		}
 		var wrote error
 		ended := cluster.runOn("b", 30*time.Second, func(client *register.Keeper) { _, wrote = client.Swap("k", 0, []byte("v")) })
 		if !ended || wrote == nil {
-			t.Errorf("fallback: two of four took a change: ended %v, %v", ended, wrote)
+			t.Errorf("fallback: two of four acceptors were counted as a majority of a change: ended %v, error %v", ended, wrote)
 		}
 		keys, err := []string(nil), error(nil)
 		cluster.runOn("b", 30*time.Second, func(client *register.Keeper) { keys, err = client.List("") })
 		if err != register.ErrNoMajority {
-			t.Errorf("fallback: two of four were counted as a majority of a listing: %v %v", keys, err)
+			t.Errorf("fallback: two of four acceptors were counted as a majority of a listing: keys %v, error %v", keys, err)
 		}
 	})
 }
 
 func TestInitMakesOneCore(t *testing.T) {
-	Convey("all who make the first core at once make the same one", t, func() {
+	Convey("concurrent creations of the first core result in the same core", t, func() {
 		for seed := uint64(1); seed <= 10; seed++ {
 			cluster := newTestCluster(seed)
 			names := []string{"a", "b", "c"}
@@ -139,7 +140,7 @@
 			cluster.Close()
 		}
 	})
-	Convey("an acceptor of the first core that missed its making takes part once it hears of it", t, func() {
+	Convey("a member of the first core that missed the installation joins once it learns of the core", t, func() {
 		cluster := newTestCluster(3)
 		defer cluster.Close()
 		for _, name := range []string{"a", "b", "c"} {
--- a/register/fuzz_test.go
+++ b/register/fuzz_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// FuzzRecord: a record of the log is read as it was written, or an error says that it can't
-// be read; nothing panics.
+// FuzzRecord checks that a log record decodes to what was encoded, or fails with an error, and
+// that decoding never panics.
 func FuzzRecord(f *testing.F) {
 	ballot := Ballot{Epoch: 2, Round: 7, Proposer: "c1.4"}
 	f.Add(record{Key: "config", Cell: Cell{Promised: ballot, Accepted: ballot, Value: Value{Serial: 3, Data: []byte("{}\n\x00"), Trail: []string{"c1.4/9"}}}}.pack())
@@ -20,15 +20,16 @@
 		}
 		var again record
 		if err := again.unpack(decoded.pack()); err != nil {
-			t.Fatal("what was packed can't be read:", err)
+			t.Fatal("an encoded record can't be decoded:", err)
 		}
 		if again.Key != decoded.Key || again.Cell.Accepted != decoded.Cell.Accepted || !bytes.Equal(again.Cell.Value.Data, decoded.Cell.Value.Data) {
-			t.Errorf("%+v became %+v", decoded, again)
+			t.Errorf("record %+v became %+v after a round trip", decoded, again)
 		}
 	})
 }
 
-// FuzzKeys: names of registers as they travel are read, or an error says that they can't be.
+// FuzzKeys checks that an encoded list of keys decodes and survives another round trip, or fails
+// with an error.
 func FuzzKeys(f *testing.F) {
 	whole, _ := Keys{"holder/a", "holder/ab", "", "config"}.GobEncode()
 	f.Add(whole)
@@ -50,7 +51,7 @@
 		}
 		for at := range keys {
 			if keys[at] != again[at] {
-				t.Errorf("%q became %q", keys[at], again[at])
+				t.Errorf("key %q became %q after a round trip", keys[at], again[at])
 			}
 		}
 	})
--- a/register/many_test.go
+++ b/register/many_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestManyAreWrittenTogether(t *testing.T) {
-	Convey("writers of the same many keys, of which one's machine ends meanwhile, leave each with the data and with all the changes that were told to be written", t, func() {
+	Convey("after two concurrent writers of the same keys and a crash, every key has the data and all changes that were reported as written", t, func() {
 		for seed := uint64(1); seed <= uint64(iterations(20, 4)); seed++ {
 			cluster := newTestCluster(seed)
 			core := cluster.core("a", "b", "c")
--- a/register/names_bench_test.go
+++ b/register/names_bench_test.go
@@ -10,11 +10,11 @@
 	"swifttiller/sim"
 )
 
-// emptyRecord is what the register of a holder that is gone for good keeps: an empty record.
+// emptyRecord is what the register of a permanently removed lease holder contains.
 const emptyRecord = `{"incarnation":"","wire":""}`
 
-// withRegisters opens an acceptor that holds so many registers of names that never come again, and
-// runs the work on it.
+// withRegisters opens an acceptor that holds count registers of names that are never used again,
+// and runs the work on it.
 func withRegisters(b *testing.B, count int, work func(node *sim.Node, acceptor *register.Acceptor, core register.Core)) {
 	b.Helper()
 	cluster := newTestCluster(1)
@@ -40,8 +40,8 @@
 	cluster.Run(time.Hour)
 }
 
-// BenchmarkForgottenNames is what registers cost whose names never come again: a digest of all,
-// a list of their names, a start from the disk.
+// BenchmarkForgottenNames measures the cost of registers whose names are never used again: a
+// digest of all of them, a list of their names, and a start from the disk.
 func BenchmarkForgottenNames(b *testing.B) {
 	for _, count := range []int{1000, 10000, 100000} {
 		b.Run(fmt.Sprint(count, "/digest"), func(b *testing.B) {
--- a/register/read_test.go
+++ b/register/read_test.go
@@ -15,16 +15,16 @@
 	"swifttiller/register"
 )
 
-// sharedReadHistory lets writers change two keys while many readers at each machine read both
-// with one ask, most of it at the same time, so that rounds are shared and most
-// values are known already. It gives each key's history.
+// sharedReadHistory lets writers change two keys while several readers on each machine read both
+// keys in one request, mostly concurrently, so that rounds are shared and most values are cached.
+// It returns the history of each key, the number of reads and the number of read rounds.
 func sharedReadHistory(seed uint64, fault func(cluster *testCluster)) (map[string][]operation, int, uint64) {
 	cluster := newTestCluster(seed)
 	defer cluster.Close()
 	names := []string{"a", "b", "c"}
 	cluster.core(names...)
 	keys := []string{"k", "l"}
-	pad := "" // long values travel by other ways than short ones
+	pad := "" // long values are sent differently from short ones
 	if seed%2 == 1 {
 		pad = strings.Repeat(".", 600)
 	}
@@ -87,7 +87,7 @@
 }
 
 func TestSharedReadsAreLinear(t *testing.T) {
-	Convey("reads that share rounds and know most values keep one history per key", t, func() {
+	Convey("the history of each key is linearizable when reads share rounds and use cached values", t, func() {
 		reads, rounds := 0, uint64(0)
 		for seed := uint64(1); seed <= uint64(iterations(25, 5)); seed++ {
 			histories, readCount, roundCount := sharedReadHistory(seed, func(cluster *testCluster) {
@@ -114,12 +114,12 @@
 				}
 			}
 		}
-		So(rounds, ShouldBeLessThan, uint64(reads)) // else nothing was shared
+		So(rounds, ShouldBeLessThan, uint64(reads)) // otherwise no rounds were shared
 	})
 }
 
 func TestKnownValuesAreNotSentAgain(t *testing.T) {
-	Convey("a value that was read once costs a few bytes to read again, and a new one comes whole", t, func() {
+	Convey("reading a cached value again costs few bytes, and a new value is sent whole", t, func() {
 		cluster := newTestCluster(1)
 		defer cluster.Close()
 		cluster.core("a", "b", "c")
@@ -152,7 +152,7 @@
 		So(fullBytes, ShouldBeGreaterThan, 50000)
 		So(next.Serial, ShouldEqual, first.Serial+1)
 		So(next.Data[0], ShouldEqual, byte(2))
-		// The writer holds what it wrote, and its next change brings it nothing.
+		// The writer has its own value cached, so the acceptors don't send it for the next change.
 		before := cluster.Bytes["Register.Prepare"]
 		write("c", 3)
 		So(cluster.Bytes["Register.Prepare"]-before, ShouldBeLessThan, 1000)
@@ -165,7 +165,7 @@
 		"dead":   func(cluster *testCluster, name string) { cluster.Kill(name) },
 		"frozen": func(cluster *testCluster, name string) { cluster.Freeze(name, time.Hour) },
 	} {
-		Convey("a read with one acceptor "+state+" takes no longer than 200 ms, the next ones go round it", t, func() {
+		Convey("the first read with one acceptor "+state+" takes no longer than 200 ms, and later reads avoid it", t, func() {
 			for seed := uint64(1); seed <= 5; seed++ {
 				cluster := newTestCluster(seed)
 				cluster.core("a", "b", "c")
@@ -192,7 +192,7 @@
 }
 
 func TestQuietReadsAskAMajority(t *testing.T) {
-	Convey("reads ask two of three acceptors, and many at a time share rounds", t, func() {
+	Convey("reads query two of three acceptors, and concurrent reads share rounds", t, func() {
 		cluster := newTestCluster(1)
 		defer cluster.Close()
 		cluster.core("a", "b", "c")
@@ -220,9 +220,9 @@
 	})
 }
 
-// TestReadersLetTheWriterEnd: while a key is written, many daemons far apart read it. They
-// wait for the writer to end; each completing the key by a change of its own would outvote
-// the others, and the writer, for seconds.
+// TestReadersLetTheWriterEnd guards against readers that outvote a writer. While a key is written,
+// many distant daemons read it and must wait for the writer to finish. If each of them completed
+// the key by a change of its own, they would outvote each other and the writer for seconds.
 func TestReadersLetTheWriterEnd(t *testing.T) {
 	const far, gap = 55 * time.Millisecond, 40 * time.Millisecond
 	names := []string{"a", "b", "c", "d", "e", "f"}
@@ -260,7 +260,7 @@
 					failed++
 				}
 			}) {
-				t.Fatal("a write does not end")
+				t.Fatal("a write did not finish within 5 s")
 			}
 			slowest = max(slowest, cluster.Now()-began)
 			cluster.Run(700 * time.Millisecond)
@@ -268,14 +268,15 @@
 	}
 	t.Logf("the slowest read took %v, the slowest write %v, %d failed", worst, slowest, failed)
 	if worst > 900*time.Millisecond || slowest > 700*time.Millisecond || failed > 0 {
-		t.Error("outvoted: too slow, or some failed")
+		t.Error("outvoted: reads or writes failed or took too long")
 	}
 }
 
-// TestSumsNameOneValue: an acceptor takes a change by its sum only if it holds that very
-// value; who asked is told to send it whole.
+// TestSumsNameOneValue guards against accepting a wrong value: an acceptor may accept a change by
+// its digest only if it holds the value with that digest. Otherwise it asks the proposer for the
+// whole value.
 func TestSumsNameOneValue(t *testing.T) {
-	Convey("a sum of another value changes nothing", t, func() {
+	Convey("an accept request with the digest of another value changes nothing", t, func() {
 		cluster := newTestCluster(11)
 		defer cluster.Close()
 		core := cluster.core("a", "b", "c")
@@ -286,7 +287,7 @@
 		request := register.VoteRequest{Epoch: core.Epoch, Key: "k", Ballot: register.Ballot{Epoch: core.Epoch, Round: 99, Proposer: "p"}, Sum: register.Sum{1}}
 		cluster.runOn("b", time.Second, func(*register.Keeper) { _ = cluster.acceptors["b"].Accept(request, &vote) })
 		if vote.Kind != register.ValueMissing {
-			t.Errorf("not linear: a value was taken by the sum of another: %d", vote.Kind)
+			t.Errorf("not linear: a value was accepted by the digest of another value: vote kind %d", vote.Kind)
 		}
 		value, err := cluster.read("c", "k")
 		So(err, ShouldBeNil)
@@ -298,13 +299,13 @@
 	keys := register.Keys{"config", "holder/counter-some-hall-1", "holder/counter-some-hall-12", "holder/counter-some-hall-2", "", "standing/some", "standing/some"}
 	text, err := keys.GobEncode()
 	if err != nil || len(text) > 70 {
-		t.Errorf("%d bytes, %v", len(text), err)
+		t.Errorf("the encoding has %d bytes, error %v", len(text), err)
 	}
 	var decoded register.Keys
 	if err := decoded.GobDecode(text); err != nil || !slices.Equal(decoded, keys) {
-		t.Errorf("%q, %v", decoded, err)
+		t.Errorf("decoded %q, error %v", decoded, err)
 	}
-	// Whatever is cut or spoiled is told, and nothing ends the process.
+	// Truncated or corrupt input is rejected without a panic.
 	for at := range text {
 		_ = decoded.GobDecode(text[:at])
 		for _, corrupt := range []byte{0, 9, 127, 255} {
@@ -314,6 +315,6 @@
 		}
 	}
 	if decoded.GobDecode([]byte{1, 1, 'a'}) == nil || decoded.GobDecode([]byte{0, 9, 'a'}) == nil {
-		t.Error("what can't be read is taken")
+		t.Error("malformed input was decoded without an error")
 	}
 }
--- a/register/record_test.go
+++ b/register/record_test.go
@@ -16,13 +16,13 @@
 )
 
 func TestLogsAreReadCheaply(t *testing.T) {
-	Convey("an acceptor with hundreds of records in its log is back at little cost for each", t, func() {
+	Convey("an acceptor with hundreds of log records restarts with few allocations per record", t, func() {
 		const records = 400
 		cluster := newTestCluster(1)
 		defer cluster.Close()
 		cluster.logBytes = 1 << 20
 		cluster.core("a")
-		cluster.write("a", records/2, "k") // a promise and a vote each
+		cluster.write("a", records/2, "k") // one promise and one accepted value for each write
 		cluster.Kill("a")
 		var before, after runtime.MemStats
 		cluster.Start("a", func(node *sim.Node) {
@@ -33,13 +33,13 @@
 		cluster.Run(time.Millisecond)
 		So(cluster.openErrors["a"], ShouldBeNil)
 		each := float64(after.Mallocs-before.Mallocs) / records
-		t.Logf("%.0f allocations a record", each)
+		t.Logf("%.0f allocations per record", each)
 		So(each, ShouldBeBetween, 5, 100)
 	})
 }
 
 func TestLogsFromBeforeAreRead(t *testing.T) {
-	Convey("records from before they were JSON are read as well", t, func() {
+	Convey("log records in the older gob format can be read", t, func() {
 		cluster := newTestCluster(1)
 		defer cluster.Close()
 		cluster.logBytes = 1 << 20
--- a/register/register_test.go
+++ b/register/register_test.go
@@ -18,7 +18,7 @@
 
 const operationTimeout = 2 * time.Second
 
-// iterations is many, or less under the race detector.
+// iterations returns full, or short with -short, which runs under the race detector use.
 func iterations(full, short int) int {
 	if testing.Short() {
 		return short
@@ -26,7 +26,7 @@
 	return full
 }
 
-// testCluster is a few simulated control machines that hold nothing but registers.
+// testCluster is a set of simulated control machines that run nothing but registers.
 type testCluster struct {
 	*sim.Sim
 	clients      map[string]*register.Keeper
@@ -61,7 +61,7 @@
 	cluster.Run(100 * time.Millisecond)
 }
 
-// runOn runs a task on a node to its end, or for at most the span.
+// runOn runs a task on a node until it ends or the timeout expires, and reports whether it ended.
 func (cluster *testCluster) runOn(name string, timeout time.Duration, run func(client *register.Keeper)) bool {
 	done := false
 	cluster.Node(name).Go(func() { run(cluster.clients[name]); done = true })
@@ -89,7 +89,7 @@
 	return core
 }
 
-// write swaps a key, from empty, so many times.
+// write swaps an empty key count times.
 func (cluster *testCluster) write(name string, count int, key string) {
 	var err error
 	done := cluster.runOn(name, 30*time.Second, func(client *register.Keeper) {
@@ -101,18 +101,17 @@
 	So(err, ShouldBeNil)
 }
 
-// operation is one entry of a history, as its caller saw it.
+// operation is one entry of a history, as its caller observed it.
 type operation struct {
 	begin, end time.Duration
 	write      bool
-	value      string // read, or written
+	value      string // the value read or written
 	previous   string // for a write: the value that it replaced
 	uncertain  bool
 }
 
-// isLinearizable looks for an order of the operations that a single register could have
-// shown. Uncertain writes may have happened at any time after their beginning,
-// or never.
+// isLinearizable searches for an order of the operations that a single register could have
+// produced. Uncertain writes may have taken effect at any time after their beginning, or never.
 func isLinearizable(history []operation) bool {
 	done := make([]bool, len(history))
 	deadEnds := map[string]bool{}
@@ -167,7 +166,7 @@
 }
 
 func TestHistoryCheckerCanFail(t *testing.T) {
-	Convey("a stale read after a finished write is no linear history", t, func() {
+	Convey("a history with a stale read after a finished write is rejected by the checker", t, func() {
 		good := []operation{{begin: 0, end: 1, write: true, value: "a"}, {begin: 2, end: 3, value: "a"}}
 		So(isLinearizable(good), ShouldBeTrue)
 		good[1].value = ""
@@ -177,7 +176,8 @@
 	})
 }
 
-// contendedHistory lets three machines change and read one register while the fault runs.
+// contendedHistory lets three machines change and read one register during the fault, and returns
+// the history.
 func contendedHistory(seed uint64, fault func(cluster *testCluster, core register.Core)) []operation {
 	cluster := newTestCluster(seed)
 	defer cluster.Close()
@@ -189,7 +189,7 @@
 		client, node := cluster.clients[name], cluster.Node(name)
 		run = func() {
 			for turn := 0; turn < 8; turn++ {
-				// Until its end is seen, a write may have happened.
+				// A write may have taken effect until its outcome is known.
 				op := &operation{begin: node.Now(), uncertain: true}
 				var err error
 				if turn%3 == 2 {
@@ -212,7 +212,7 @@
 						entries = append(entries, op)
 					}
 				} else if !errors.Is(err, register.ErrUncertain) {
-					op.value = "never" // nothing was written, and never will be
+					op.value = "never" // nothing was written, and nothing will be
 				}
 				loop.Sleep(node, time.Duration(node.Draw(int64(30*time.Millisecond))))
 			}
@@ -227,7 +227,7 @@
 			history = append(history, *op)
 		}
 	}
-	// What lasts after all faults is read once more.
+	// The final value after all faults is read as well.
 	for _, name := range names {
 		if cluster.Node(name).Up() {
 			cluster.runOn(name, 10*time.Second, func(client *register.Keeper) {
@@ -242,7 +242,7 @@
 }
 
 func TestRegisterIsLinear(t *testing.T) {
-	Convey("contending writers under cuts, freezes and kills keep one history", t, func() {
+	Convey("the history of contending writers is linearizable under network cuts, freezes and crashes", t, func() {
 		for seed := uint64(1); seed <= uint64(iterations(25, 5)); seed++ {
 			history := contendedHistory(seed, func(cluster *testCluster, core register.Core) {
 				cluster.Run(time.Duration(cluster.Draw(int64(200 * time.Millisecond))))
@@ -270,7 +270,7 @@
 }
 
 func TestCrashAtEveryDiskStep(t *testing.T) {
-	Convey("a crash at each numbered disk point loses nothing that was acknowledged", t, func() {
+	Convey("a crash at any disk operation loses no acknowledged write", t, func() {
 		for _, point := range []string{"disk.write", "disk.sync", "disk.synced", "disk.folder"} {
 			for at := 1; at <= iterations(24, 4); at++ {
 				cluster := newTestCluster(uint64(at))
@@ -298,7 +298,7 @@
 					cluster.start("b", core)
 					So(cluster.openErrors["b"], ShouldBeNil)
 				}
-				// Without a, b and c are the majority that must know.
+				// Without a, the majority consists of b and c, which must have the value.
 				cluster.Kill("a")
 				var value register.Value
 				var err error
@@ -311,7 +311,7 @@
 }
 
 func TestSpoiledDiskIsNotEmptiness(t *testing.T) {
-	Convey("a bad byte in a slot or in the middle of the log stops the acceptor with a message", t, func() {
+	Convey("a corrupt byte in a slot or in the middle of the log fails the start with an error", t, func() {
 		for _, fault := range []struct {
 			name       string
 			at, writes int
@@ -326,7 +326,7 @@
 			So(errors.As(cluster.openErrors["b"], &corrupt), ShouldBeTrue)
 		}
 	})
-	Convey("a full disk stops the vote, not the core", t, func() {
+	Convey("a full disk costs the acceptor its vote, but the core goes on", t, func() {
 		cluster := newTestCluster(4)
 		cluster.core("a", "b", "c")
 		cluster.Node("b").Disk.Full = true
@@ -339,9 +339,9 @@
 		cluster.runOn("b", time.Second, func(*register.Keeper) {
 			_ = cluster.acceptors["b"].Prepare(register.VoteRequest{Epoch: 1, Key: "k", Ballot: register.Ballot{Round: 99}}, &vote)
 		})
-		So(vote.Kind, ShouldEqual, register.DiskFailed) // nothing counts until the whole was written anew
+		So(vote.Kind, ShouldEqual, register.DiskFailed) // no votes until the whole state is written again
 	})
-	Convey("a disk that takes writes again is voted on again, with all that was promised, also after a start", t, func() {
+	Convey("an acceptor votes again once its disk accepts writes, and keeps all its promises, also after a restart", t, func() {
 		for _, fault := range []func(disk *sim.Disk, is bool){func(disk *sim.Disk, is bool) { disk.Full = is }, func(disk *sim.Disk, is bool) { disk.Sick = is }} {
 			cluster := newTestCluster(5)
 			core := cluster.core("a", "b", "c")
@@ -361,7 +361,8 @@
 			var about register.About
 			So(cluster.acceptors["b"].Describe(struct{}{}, &about), ShouldBeNil)
 			So(about.Disk.Broken, ShouldEqual, "")
-			// What it shows lasts, and is not behind what it holds.
+			// A query returns durable state only, and that includes everything that the acceptor
+			// holds.
 			var seen register.QueryReply
 			cluster.runOn("b", time.Second, func(*register.Keeper) {
 				_ = cluster.acceptors["b"].Query(register.Query{Epoch: 1, Keys: register.Keys{"k"}}, &seen)
@@ -373,7 +374,7 @@
 			cluster.Run(time.Second)
 			So(cluster.openErrors["b"], ShouldBeNil)
 			So(prepare(95).Kind, ShouldEqual, register.Rejected) // 99 was promised before
-			// With c gone, a and b are the majority.
+			// Without c, the majority consists of a and b.
 			cluster.Kill("c")
 			var value register.Value
 			var err error
@@ -396,7 +397,7 @@
 			return members, nil
 		}
 	}
-	Convey("an acceptor that lost its disk has no vote until admitted", t, func() {
+	Convey("an acceptor that lost its disk has no vote until it is admitted to the core", t, func() {
 		cluster := newTestCluster(5)
 		core := cluster.core("a", "b", "c")
 		cluster.runOn("a", 9*time.Second, func(client *register.Keeper) { _, _ = client.Swap("k", 0, []byte("v")) })
@@ -408,7 +409,7 @@
 		cluster.runOn("a", 9*time.Second, func(client *register.Keeper) { _, err = client.Read("k") })
 		So(err, ShouldEqual, register.ErrNoMajority)
 		cluster.start("b", core)
-		Convey("and after admission, at any crash of the one who changes, its vote and memory count", func() {
+		Convey("after its admission its vote and its state count, wherever the daemon that changes the core crashes", func() {
 			var newcomer register.About
 			_ = cluster.acceptors["c"].Describe(struct{}{}, &newcomer)
 			for at := 1; at <= 12; at++ {
@@ -448,7 +449,7 @@
 					_, err = client.ChangeCore(swapIn(gone, register.Member{ID: newcomer.ID, Address: "c"}))
 				})
 				So(cluster.clients["b"].Core().Has(newcomer.ID), ShouldBeTrue)
-				_ = err // the first change may have won; the core is what counts
+				_ = err // the first change may have won; only the resulting core matters
 				cluster.Kill("a")
 				var value register.Value
 				cluster.runOn("c", 20*time.Second, func(client *register.Keeper) { value, err = client.Read("k") })
@@ -457,7 +458,7 @@
 			}
 		})
 	})
-	Convey("of two changes at once one wins, and the whole core may be replaced", t, func() {
+	Convey("one of two concurrent changes wins, and a change may replace the whole core", t, func() {
 		for seed := uint64(1); seed <= 8; seed++ {
 			cluster := newTestCluster(seed)
 			core := cluster.core("a", "b", "c")
@@ -494,7 +495,7 @@
 }
 
 func TestRepairByDigests(t *testing.T) {
-	Convey("a copy that missed writes is mended range by range, and a same one costs only digests", t, func() {
+	Convey("a copy that missed writes is repaired bucket by bucket, and an equal copy costs only a comparison of digests", t, func() {
 		cluster := newTestCluster(9)
 		cluster.core("a", "b", "c")
 		cluster.Split([]string{"c"}, []string{"a", "b"}, true)
