--- a/register/core.go
+++ b/register/core.go
@@ -18,16 +18,16 @@
 // ChangeCore decides the next core in the current epoch and installs it. revise receives the
 // current core and returns the members of the next one.
 func (client *Keeper) ChangeCore(revise func(Core) ([]Member, error)) (Core, error) {
-	present := client.Core()
-	if present.Epoch == 0 {
+	current := client.Core()
+	if current.Epoch == 0 {
 		return Core{}, ErrNoCore
 	}
-	members, err := revise(present)
+	members, err := revise(current)
 	if err != nil {
 		return Core{}, err
 	}
 	sort.Slice(members, func(a, b int) bool { return members[a].ID < members[b].ID })
-	next := Core{Epoch: present.Epoch + 1, Members: members}
+	next := Core{Epoch: current.Epoch + 1, Members: members}
 	data, err := json.Marshal(next)
 	if err != nil {
 		return Core{}, err
@@ -41,15 +41,15 @@
 				return nil, err
 			}
 		}
-		if decided.Epoch > present.Epoch {
+		if decided.Epoch > current.Epoch {
 			return nil, ErrCoreChange
 		}
 		return data, nil
 	})
 	if errors.Is(err, ErrCoreChange) {
 		var decided Core
-		if json.Unmarshal(value.Data, &decided) == nil && decided.Epoch == present.Epoch+1 {
-			if finishErr := client.finishCoreChange(present, decided); finishErr != nil {
+		if json.Unmarshal(value.Data, &decided) == nil && decided.Epoch == current.Epoch+1 {
+			if finishErr := client.finishCoreChange(current, decided); finishErr != nil {
 				return Core{}, finishErr
 			}
 		}
@@ -57,7 +57,7 @@
 	} else if err != nil {
 		return Core{}, err
 	}
-	return next, client.finishCoreChange(present, next)
+	return next, client.finishCoreChange(current, next)
 }
 
 // finishCoreChange completes a decided change: it seals a majority of the old core and installs
@@ -75,8 +75,8 @@
 	installed := 0
 	loop.Gather(client.World, len(next.Members), client.Patience/2, func(index int) *Vote {
 		member, vote := next.Members[index], new(Vote)
-		move := InstallRequest{Core: next, Cells: sealed.missingAt(member.ID)}
-		if client.Net.Call(client.address(member), "Register.Install", move, vote, client.Patience/2) != nil || isWrongAcceptor(vote, member) {
+		request := InstallRequest{Core: next, Cells: sealed.missingAt(member.ID)}
+		if client.Net.Call(client.address(member), "Register.Install", request, vote, client.Patience/2) != nil || isWrongAcceptor(vote, member) {
 			vote.Kind = DiskFailed
 		}
 		return vote
@@ -106,8 +106,8 @@
 // copies that the seal request listed as already known.
 func (sealed *sealedState) add(reply *SealReply, known map[BallotHash]string, accepted map[string]Ballot) {
 	held := map[string]Ballot{}
-	for mark, key := range known {
-		if !reply.Absent[mark] {
+	for hash, key := range known {
+		if !reply.Absent[hash] {
 			held[key] = accepted[key]
 		}
 	}
@@ -145,8 +145,8 @@
 		}
 		sealed.add(reply, nil, nil)
 		for key, cell := range reply.Cells {
-			mark := copyHash(key, cell.Accepted)
-			request.Have[mark], known[mark], accepted[key] = true, key, cell.Accepted
+			hash := copyHash(key, cell.Accepted)
+			request.Have[hash], known[hash], accepted[key] = true, key, cell.Accepted
 		}
 	}
 	if len(sealed.heldBy) < old.Majority() {
@@ -164,15 +164,15 @@
 }
 
 // isInstalled reports whether a majority of the core has installed it already.
-func (client *Keeper) isInstalled(next Core) bool {
+func (client *Keeper) isInstalled(core Core) bool {
 	installed := 0
-	broadcast(client, next, "Describe", struct{}{}, client.Patience/4, func(status *About, err error) bool {
-		if err == nil && status.Core.Epoch >= next.Epoch {
+	broadcast(client, core, "Describe", struct{}{}, client.Patience/4, func(status *About, err error) bool {
+		if err == nil && status.Core.Epoch >= core.Epoch {
 			installed++
 		}
-		return installed == next.Majority()
+		return installed == core.Majority()
 	})
-	return installed >= next.Majority()
+	return installed >= core.Majority()
 }
 
 // finishPendingChange looks for a change of the core that was decided but not finished, at the
--- a/register/epoch_test.go
+++ b/register/epoch_test.go
@@ -72,20 +72,20 @@
 			So(string(first.Data), ShouldEqual, "lower")
 			cluster.start("a", core)
 			So(cluster.replaceMember("b", c, a), ShouldBeNil)
-			check := func(names ...string) {
+			verify := func(names ...string) {
 				for _, name := range names {
-					check, err := cluster.read(name, "k")
+					verify, err := cluster.read(name, "k")
 					So(err, ShouldBeNil)
-					if string(check.Data) != "lower" {
-						t.Errorf("fallback: seed %d: %s reads %q after %q was read before", seed, name, check.Data, first.Data)
+					if string(verify.Data) != "lower" {
+						t.Errorf("fallback: seed %d: %s reads %q after %q was read before", seed, name, verify.Data, first.Data)
 					}
 				}
 			}
-			check("x", "b", "a")
+			verify("x", "b", "a")
 			// With x, the two equal copies are a majority under any ballot. Without x, the higher
 			// ballot decides.
 			cluster.Kill("x")
-			check("b", "a")
+			verify("b", "a")
 			cluster.Close()
 		}
 	})
@@ -108,10 +108,10 @@
 		if err != register.ErrNoMajority {
 			t.Errorf("fallback: two of four acceptors were counted as a majority of a read: %v", err)
 		}
-		var wrote error
-		ended := cluster.runOn("b", 30*time.Second, func(client *register.Keeper) { _, wrote = client.Swap("k", 0, []byte("v")) })
-		if !ended || wrote == nil {
-			t.Errorf("fallback: two of four acceptors were counted as a majority of a change: ended %v, error %v", ended, wrote)
+		var writeErr error
+		ended := cluster.runOn("b", 30*time.Second, func(client *register.Keeper) { _, writeErr = client.Swap("k", 0, []byte("v")) })
+		if !ended || writeErr == nil {
+			t.Errorf("fallback: two of four acceptors were counted as a majority of a change: ended %v, error %v", ended, writeErr)
 		}
 		keys, err := []string(nil), error(nil)
 		cluster.runOn("b", 30*time.Second, func(client *register.Keeper) { keys, err = client.List("") })
--- a/register/fuzz_test.go
+++ b/register/fuzz_test.go
@@ -18,12 +18,12 @@
 		if decoded.unpack(data) != nil {
 			return
 		}
-		var again record
-		if err := again.unpack(decoded.pack()); err != nil {
+		var roundTrip record
+		if err := roundTrip.unpack(decoded.pack()); err != nil {
 			t.Fatal("an encoded record can't be decoded:", err)
 		}
-		if again.Key != decoded.Key || again.Cell.Accepted != decoded.Cell.Accepted || !bytes.Equal(again.Cell.Value.Data, decoded.Cell.Value.Data) {
-			t.Errorf("record %+v became %+v after a round trip", decoded, again)
+		if roundTrip.Key != decoded.Key || roundTrip.Cell.Accepted != decoded.Cell.Accepted || !bytes.Equal(roundTrip.Cell.Value.Data, decoded.Cell.Value.Data) {
+			t.Errorf("record %+v became %+v after a round trip", decoded, roundTrip)
 		}
 	})
 }
@@ -45,13 +45,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var again Keys
-		if err := again.GobDecode(packed); err != nil || len(again) != len(keys) {
-			t.Fatal(len(again), len(keys), err)
+		var roundTrip Keys
+		if err := roundTrip.GobDecode(packed); err != nil || len(roundTrip) != len(keys) {
+			t.Fatal(len(roundTrip), len(keys), err)
 		}
 		for at := range keys {
-			if keys[at] != again[at] {
-				t.Errorf("key %q became %q after a round trip", keys[at], again[at])
+			if keys[at] != roundTrip[at] {
+				t.Errorf("key %q became %q after a round trip", keys[at], roundTrip[at])
 			}
 		}
 	})
--- a/register/keeper.go
+++ b/register/keeper.go
@@ -156,10 +156,10 @@
 		err   error
 	}
 	loop.Gather(client.World, len(core.Members), timeout, func(index int) result {
-		began := client.World.Now()
+		startedAt := client.World.Now()
 		for args := args; ; {
 			reply := new(A)
-			err := client.Net.Call(client.address(core.Members[index]), "Register."+method, args, reply, timeout-(client.World.Now()-began))
+			err := client.Net.Call(client.address(core.Members[index]), "Register."+method, args, reply, timeout-(client.World.Now()-startedAt))
 			if err == nil && isWrongAcceptor(reply, core.Members[index]) {
 				err = errWrongAcceptor
 			}
@@ -230,8 +230,8 @@
 // replies, so that the caller can turn to another daemon that reaches a majority. revise may
 // reject a change that is no longer wanted, since it is called right before each write.
 func (client *Keeper) ChangeWithin(key string, silenceTimeout time.Duration, revise func(Value) ([]byte, error)) (Value, error) {
-	began := client.World.Now()
-	change := &change{key: key, id: client.newChangeID(), revise: revise, silenceTimeout: silenceTimeout, deadline: began + client.Patience, silenceDeadline: began + silenceTimeout}
+	startedAt := client.World.Now()
+	change := &change{key: key, id: client.newChangeID(), revise: revise, silenceTimeout: silenceTimeout, deadline: startedAt + client.Patience, silenceDeadline: startedAt + silenceTimeout}
 	for attempt := 0; ; attempt++ {
 		core := client.Core()
 		if core.Epoch == 0 {
--- a/register/names_bench_test.go
+++ b/register/names_bench_test.go
@@ -29,9 +29,9 @@
 			panic(err)
 		}
 		for index := range count {
-			ask := register.VoteRequest{Epoch: core.Epoch, Key: fmt.Sprintf("holder/machine-%d.zone-%d", index, index%34), Ballot: register.Ballot{Epoch: core.Epoch, Round: 1, Proposer: "control-7.18f2a6c0"}, Value: register.Value{Serial: 4, Data: []byte(emptyRecord)}}
+			request := register.VoteRequest{Epoch: core.Epoch, Key: fmt.Sprintf("holder/machine-%d.zone-%d", index, index%34), Ballot: register.Ballot{Epoch: core.Epoch, Round: 1, Proposer: "control-7.18f2a6c0"}, Value: register.Value{Serial: 4, Data: []byte(emptyRecord)}}
 			var vote register.Vote
-			if err := acceptor.Accept(ask, &vote); err != nil || vote.Kind != register.Granted {
+			if err := acceptor.Accept(request, &vote); err != nil || vote.Kind != register.Granted {
 				panic(fmt.Sprint(err, vote))
 			}
 		}
--- a/register/read.go
+++ b/register/read.go
@@ -117,9 +117,9 @@
 		if result, err = client.requestRead(undecided, timeout); err != nil {
 			return nil, err
 		}
-		var more map[string]Value
-		more, undecided = result.lookup(undecided)
-		maps.Copy(values, more)
+		var settled map[string]Value
+		settled, undecided = result.lookup(undecided)
+		maps.Copy(values, settled)
 	}
 	for _, key := range undecided {
 		if values[key], err = client.complete(key); err != nil {
@@ -200,10 +200,10 @@
 	if client.completing == nil {
 		client.completing = map[string][]loop.Mailbox{}
 	}
-	_, isUnderWay := client.completing[key]
+	_, isRunning := client.completing[key]
 	client.completing[key] = append(client.completing[key], replies)
 	client.mu.Unlock()
-	if !isUnderWay {
+	if !isRunning {
 		client.World.Go(func() {
 			for {
 				client.mu.Lock()
@@ -299,17 +299,17 @@
 		client.finishPendingChange()
 	}
 	client.backoff(1)
-	var left []*readRequest
+	var remaining []*readRequest
 	for _, request := range requests {
 		if client.World.Now() < request.deadline && !client.World.Ended() {
-			left = append(left, request)
+			remaining = append(remaining, request)
 		} else {
 			request.replies.Put(result)
 		}
 	}
 	client.mu.Lock()
-	client.queuedReads = append(left, client.queuedReads...)
-	isFirst := !client.isReading && len(left) > 0
+	client.queuedReads = append(remaining, client.queuedReads...)
+	isFirst := !client.isReading && len(remaining) > 0
 	client.isReading = client.isReading || isFirst
 	client.mu.Unlock()
 	if isFirst {
@@ -379,11 +379,11 @@
 	if client.fetching == nil {
 		client.fetching = map[fetchKey][]loop.Mailbox{}
 	}
-	_, isUnderWay := client.fetching[key]
+	_, isRunning := client.fetching[key]
 	client.fetching[key] = append(client.fetching[key], replies)
 	client.mu.Unlock()
 	timeout := client.Patience / 8
-	if !isUnderWay {
+	if !isRunning {
 		client.World.Go(func() {
 			var result fetchResult
 			for _, member := range holders {
@@ -457,14 +457,14 @@
 	}
 	replies := client.World.Mailbox()
 	timeout := client.Patience / 4
-	began := client.World.Now()
-	started, ended := 0, 0
+	startedAt := client.World.Now()
+	started, received := 0, 0
 	isAwaited := map[string]bool{}
 	start := func(count int) {
 		for ; started < min(count, len(order)); started++ {
 			member := core.Members[order[started]]
 			isAwaited[member.ID] = true
-			remaining := timeout - (client.World.Now() - began)
+			remaining := timeout - (client.World.Now() - startedAt)
 			client.World.Go(func() {
 				sentAt, reply := client.World.Now(), new(QueryReply)
 				query := query
@@ -508,9 +508,10 @@
 		}
 		return out
 	}
-	hedgeAt := began + hedgeDelay // when to ask the remaining acceptors or, if all were asked, to stop waiting
-	for ended < started {
-		wait := timeout - (client.World.Now() - began)
+	// when to ask the remaining acceptors or, if all were asked, to stop waiting
+	hedgeAt := startedAt + hedgeDelay
+	for received < started {
+		wait := timeout - (client.World.Now() - startedAt)
 		if started < len(order) || granted >= core.Majority() {
 			wait = min(wait, hedgeAt-client.World.Now())
 		}
@@ -521,14 +522,14 @@
 			}
 			for _, member := range core.Members {
 				if isAwaited[member.ID] {
-					client.recordLatency(member.ID, client.World.Now()-began, false)
+					client.recordLatency(member.ID, client.World.Now()-startedAt, false)
 				}
 			}
 			start(len(order))
 			continue
 		}
 		answer := message.(memberReply)
-		ended++
+		received++
 		delete(isAwaited, answer.member.ID)
 		if answer.err == nil && answer.reply.Kind == Granted {
 			granted++
@@ -595,7 +596,9 @@
 			result.values[key] = candidate.cell.Value
 		}
 		if result.undecided[key] {
-			client.loadValue(core, key, newest) // caches the value, so that not every acceptor sends it to the client that completes the key
+			// caches the value, so that not every acceptor sends it to the client that completes
+			// the key
+			client.loadValue(core, key, newest)
 		}
 	}
 	return result, nil
--- a/register/read_test.go
+++ b/register/read_test.go
@@ -24,9 +24,9 @@
 	names := []string{"a", "b", "c"}
 	cluster.core(names...)
 	keys := []string{"k", "l"}
-	pad := "" // long values are sent differently from short ones
+	padding := "" // long values are sent differently from short ones
 	if seed%2 == 1 {
-		pad = strings.Repeat(".", 600)
+		padding = strings.Repeat(".", 600)
 	}
 	var entries []*operation
 	keyOf := map[*operation]string{}
@@ -36,7 +36,7 @@
 		for _, key := range keys {
 			node.Go(func() {
 				for turn := 0; turn < 4; turn++ {
-					op := &operation{begin: node.Now(), write: true, value: name + strconv.Itoa(turn) + pad, uncertain: true}
+					op := &operation{begin: node.Now(), write: true, value: name + strconv.Itoa(turn) + padding, uncertain: true}
 					entries = append(entries, op)
 					keyOf[op] = key
 					_, err := client.Change(key, func(value register.Value) ([]byte, error) {
@@ -171,20 +171,20 @@
 				cluster.core("a", "b", "c")
 				cluster.write("a", 1, "k")
 				cluster.Run(time.Second)
-				worst := func(turns int) (span time.Duration) {
+				slowest := func(turns int) (span time.Duration) {
 					for turn := 0; turn < turns; turn++ {
-						began := cluster.Now()
+						startedAt := cluster.Now()
 						err := errors.New("not done")
 						cluster.runOn("a", 5*time.Second, func(client *register.Keeper) { _, err = client.Read("k") })
 						So(err, ShouldBeNil)
-						span = max(span, cluster.Now()-began)
+						span = max(span, cluster.Now()-startedAt)
 					}
 					return span
 				}
-				So(worst(20), ShouldBeLessThan, 30*time.Millisecond)
+				So(slowest(20), ShouldBeLessThan, 30*time.Millisecond)
 				stop(cluster, "b")
-				So(worst(1), ShouldBeLessThan, 200*time.Millisecond)
-				So(worst(20), ShouldBeLessThan, 30*time.Millisecond)
+				So(slowest(1), ShouldBeLessThan, 200*time.Millisecond)
+				So(slowest(20), ShouldBeLessThan, 30*time.Millisecond)
 				cluster.Close()
 			}
 		})
--- a/register/register_test.go
+++ b/register/register_test.go
@@ -272,14 +272,14 @@
 func TestCrashAtEveryDiskStep(t *testing.T) {
 	Convey("a crash at any disk operation loses no acknowledged write", t, func() {
 		for _, point := range []string{"disk.write", "disk.sync", "disk.synced", "disk.folder"} {
-			for at := 1; at <= iterations(24, 4); at++ {
-				cluster := newTestCluster(uint64(at))
+			for step := 1; step <= iterations(24, 4); step++ {
+				cluster := newTestCluster(uint64(step))
 				defer cluster.Close()
 				core := cluster.core("a", "b", "c")
-				passed := 0
+				reached := 0
 				cluster.Hook(point, func(node *sim.Node, _ int) {
 					if node.Name == "b" {
-						if passed++; passed == at {
+						if reached++; reached == step {
 							node.Halt()
 						}
 					}
@@ -412,24 +412,24 @@
 		Convey("after its admission its vote and its state count, wherever the daemon that changes the core crashes", func() {
 			var newcomer register.About
 			_ = cluster.acceptors["c"].Describe(struct{}{}, &newcomer)
-			for at := 1; at <= 12; at++ {
-				cluster := newTestCluster(uint64(50 + at))
+			for crashStep := 1; crashStep <= 12; crashStep++ {
+				cluster := newTestCluster(uint64(50 + crashStep))
 				core := cluster.core("a", "b", "c")
 				cluster.runOn("b", 9*time.Second, func(client *register.Keeper) { _, _ = client.Swap("k", 0, []byte("v")) })
 				cluster.Kill("c")
 				cluster.Node("c").Disk.Lose()
 				cluster.start("c", core)
 				_ = cluster.acceptors["c"].Describe(struct{}{}, &newcomer)
-				var gone register.Member
+				var lost register.Member
 				for _, member := range core.Members {
 					if member.Address == "c" {
-						gone = member
+						lost = member
 					}
 				}
 				steps := 0
 				crash := func(node *sim.Node, _ int) {
 					if node.Name == "a" {
-						if steps++; steps == at {
+						if steps++; steps == crashStep {
 							node.Halt()
 						}
 					}
@@ -437,7 +437,7 @@
 				cluster.Hook("disk.write", crash)
 				cluster.Hook("disk.synced", crash)
 				cluster.runOn("a", 9*time.Second, func(client *register.Keeper) {
-					_, _ = client.ChangeCore(swapIn(gone, register.Member{ID: newcomer.ID, Address: "c"}))
+					_, _ = client.ChangeCore(swapIn(lost, register.Member{ID: newcomer.ID, Address: "c"}))
 				})
 				cluster.Hook("disk.write", nil)
 				cluster.Hook("disk.synced", nil)
@@ -446,7 +446,7 @@
 				}
 				var err error
 				cluster.runOn("b", 20*time.Second, func(client *register.Keeper) {
-					_, err = client.ChangeCore(swapIn(gone, register.Member{ID: newcomer.ID, Address: "c"}))
+					_, err = client.ChangeCore(swapIn(lost, register.Member{ID: newcomer.ID, Address: "c"}))
 				})
 				So(cluster.clients["b"].Core().Has(newcomer.ID), ShouldBeTrue)
 				_ = err // the first change may have won; only the resulting core matters
@@ -466,20 +466,20 @@
 				cluster.start(name, core)
 			}
 			cluster.runOn("a", 9*time.Second, func(client *register.Keeper) { _, _ = client.Swap("k", 0, []byte("v")) })
-			var all []register.Member
+			var replacements []register.Member
 			for _, name := range []string{"d", "e", "f"} {
 				var about register.About
 				_ = cluster.acceptors[name].Describe(struct{}{}, &about)
-				all = append(all, register.Member{ID: about.ID, Address: name})
+				replacements = append(replacements, register.Member{ID: about.ID, Address: name})
 			}
 			won := 0
 			cluster.Node("a").Go(func() {
-				if _, err := cluster.clients["a"].ChangeCore(func(register.Core) ([]register.Member, error) { return all, nil }); err == nil {
+				if _, err := cluster.clients["a"].ChangeCore(func(register.Core) ([]register.Member, error) { return replacements, nil }); err == nil {
 					won++
 				}
 			})
 			cluster.runOn("b", 20*time.Second, func(client *register.Keeper) {
-				if _, err := client.ChangeCore(swapIn(core.Members[0], all[0])); err == nil {
+				if _, err := client.ChangeCore(swapIn(core.Members[0], replacements[0])); err == nil {
 					won++
 				}
 			})
--- a/register/transfer.go
+++ b/register/transfer.go
@@ -43,8 +43,8 @@
 		vote.Sealed, vote.Next = state.Sealed, state.Next
 		reply.Cells, reply.Absent = map[string]Cell{}, maps.Clone(request.Have)
 		for key, cell := range state.Cells {
-			if mark := copyHash(key, cell.Accepted); request.Have[mark] {
-				delete(reply.Absent, mark)
+			if hash := copyHash(key, cell.Accepted); request.Have[hash] {
+				delete(reply.Absent, hash)
 			} else {
 				reply.Cells[key] = cell
 			}
