--- a/duty/duty.go
+++ b/duty/duty.go
@@ -27,7 +27,7 @@
 	Serial      uint64 `json:"serial"`
 }
 
-// Options configure an elector.
+// Options configures an elector.
 type Options struct {
 	World       loop.World
 	Keeper      *register.Keeper
@@ -104,8 +104,8 @@
 	return duty, isKnown
 }
 
-// Seen returns all leaderships as last read, and how often this daemon saw the leader of each
-// change.
+// Seen returns all leaderships as last read, and how often this daemon saw each of them change its
+// leader.
 func (elector *Keeper) Seen() (map[string]Duty, map[string]int) {
 	elector.mu.Lock()
 	defer elector.mu.Unlock()
--- a/register/epoch_test.go
+++ b/register/epoch_test.go
@@ -74,10 +74,10 @@
 			So(cluster.replaceMember("b", c, a), ShouldBeNil)
 			verify := func(names ...string) {
 				for _, name := range names {
-					verify, err := cluster.read(name, "k")
+					value, err := cluster.read(name, "k")
 					So(err, ShouldBeNil)
-					if string(verify.Data) != "lower" {
-						t.Errorf("fallback: seed %d: %s reads %q after %q was read before", seed, name, verify.Data, first.Data)
+					if string(value.Data) != "lower" {
+						t.Errorf("fallback: seed %d: %s reads %q after %q was read before", seed, name, value.Data, first.Data)
 					}
 				}
 			}
--- a/register/keeper.go
+++ b/register/keeper.go
@@ -11,7 +11,7 @@
 	"swifttiller/wire"
 )
 
-// Options configure a register client. Self must be unique among proposers, so it contains the
+// Options configures a register client. Self must be unique among proposers, so it contains the
 // incarnation of the process.
 type Options struct {
 	World loop.World
--- a/register/register_test.go
+++ b/register/register_test.go
@@ -89,7 +89,7 @@
 	return core
 }
 
-// write swaps an empty key count times.
+// write swaps a key count times, starting with serial 0.
 func (cluster *testCluster) write(name string, count int, key string) {
 	var err error
 	done := cluster.runOn(name, 30*time.Second, func(client *register.Keeper) {
