--- a/duty/duty.go
+++ b/duty/duty.go
@@ -1,5 +1,5 @@
-// Package duty gives duties that one daemon does to one daemon: whenever a duty
-// falls vacant, a round of ballots on its register decides who has it next.
+// Package duty elects a leader among the daemons for each task that only one daemon may do.
+// Whenever a leadership is vacant, a compare-and-set on its register decides who gets it next.
 package duty
 
 import (
@@ -14,125 +14,126 @@
 	"swifttiller/register"
 )
 
-// Prefix of the registers of duties.
+// Prefix is the key prefix of the registers of leaderships.
 const Prefix = "duty/"
 
-// Duty is what a duty's register holds.
+// Duty is the content of a leadership's register.
 //
-// Invariant: Serial rises by one with every change of hands and never falls;
-// it fences every write that the duty makes.
+// Invariant: Serial is the term. It increases by one with every change of the leader and never
+// decreases, and it fences every write that the leader makes.
 type Duty struct {
 	Holder      string `json:"holder"`
 	Incarnation string `json:"incarnation"`
 	Serial      uint64 `json:"serial"`
 }
 
-// Options of a keeper of duties.
+// Options configures an elector.
 type Options struct {
 	World       loop.World
 	Keeper      *register.Keeper
 	Name        string
 	Incarnation string
-	// Span is a session's bound.
+	// Span returns the session timeout.
 	Span func() time.Duration
-	// Alive tells whether the daemon of that incarnation is a member, and is
-	// asked only once the membership has been watched for long enough.
+	// Alive reports whether the daemon of that incarnation is a member. It is called only after
+	// the membership has been watched for long enough.
 	Alive func(name, incarnation string) bool
-	// Claims tells whether the daemon, a member, says itself that it holds the duty.
+	// Claims reports whether the daemon, a member, announces itself that it holds the leadership.
 	Claims func(name string, duty Duty) bool
-	// Reborn tells whether another incarnation of the name is a member.
+	// Reborn reports whether another incarnation of the daemon is a member.
 	Reborn func(name, incarnation string) bool
-	// Watched tells for how long the membership has been watched.
+	// Watched returns for how long the membership has been watched.
 	Watched func() time.Duration
-	// IsBack tells that the daemon was in a core before it began.
+	// IsBack reports that the daemon was a member of a core before it restarted.
 	IsBack bool
-	// Wanted lists the duties that there shall be, those first that this daemon
-	// should rather have.
+	// Wanted returns the names of all leaderships, those first that this daemon should preferably
+	// hold.
 	Wanted func() []string
 }
 
-type hold struct {
-	serial uint64
-	seen   time.Duration // when a majority last confirmed it
+type leadership struct {
+	term        uint64
+	confirmedAt time.Duration // when a majority last confirmed it
 }
 
-// Keeper runs for vacant duties and knows which it has.
+// Keeper campaigns for vacant leaderships and knows which ones this daemon holds.
 //
-// Invariant: held has a duty only if the register named this incarnation as its
-// holder no longer than a session ago, by this daemon's clock.
+// Invariant: held contains a leadership only if, no longer than a session timeout ago by this
+// daemon's clock, the register named this incarnation as its leader.
 type Keeper struct {
 	Options
-	guard sync.Mutex
-	held  map[string]hold
-	stop  bool
-	// Changes counts hands changed, as the doctor's sign of flapping.
-	Changes map[string]int
-	last    map[string]Duty
-	// changed is when last was first read so.
-	changed map[string]time.Duration
+	mu         sync.Mutex
+	held       map[string]leadership
+	isResigned bool
+	// Changes counts the changes of the leader, by which the doctor recognizes flapping.
+	Changes  map[string]int
+	lastRead map[string]Duty
+	// changedAt is when the content in lastRead was first read.
+	changedAt map[string]time.Duration
 }
 
-// Held gives the duty's serial if this daemon holds it now.
-func (keeper *Keeper) Held(name string) (uint64, bool) {
-	keeper.guard.Lock()
-	defer keeper.guard.Unlock()
-	one, ok := keeper.held[name]
-	if !ok || keeper.World.Now()-one.seen > keeper.Span() {
+// Held returns the term of the leadership if this daemon holds it now.
+func (elector *Keeper) Held(name string) (uint64, bool) {
+	elector.mu.Lock()
+	defer elector.mu.Unlock()
+	own, ok := elector.held[name]
+	if !ok || elector.World.Now()-own.confirmedAt > elector.Span() {
 		return 0, false
 	}
-	return one.serial, true
+	return own.term, true
 }
 
-// Holds gives all that this daemon holds now, by their serials.
-func (keeper *Keeper) Holds() map[string]uint64 {
-	keeper.guard.Lock()
-	defer keeper.guard.Unlock()
+// Holds returns the terms of all leaderships that this daemon holds now.
+func (elector *Keeper) Holds() map[string]uint64 {
+	elector.mu.Lock()
+	defer elector.mu.Unlock()
 	out := map[string]uint64{}
-	for name, one := range keeper.held {
-		if keeper.World.Now()-one.seen <= keeper.Span() {
-			out[name] = one.serial
+	for name, own := range elector.held {
+		if elector.World.Now()-own.confirmedAt <= elector.Span() {
+			out[name] = own.term
 		}
 	}
 	return out
 }
 
-// Last gives a duty as last read.
-func (keeper *Keeper) Last(name string) (Duty, bool) {
-	keeper.guard.Lock()
-	defer keeper.guard.Unlock()
-	duty, known := keeper.last[name]
-	return duty, known
+// Last returns a leadership as last read.
+func (elector *Keeper) Last(name string) (Duty, bool) {
+	elector.mu.Lock()
+	defer elector.mu.Unlock()
+	duty, isKnown := elector.lastRead[name]
+	return duty, isKnown
 }
 
-// Seen gives the duties as last read, and how often each changed hands here.
-func (keeper *Keeper) Seen() (map[string]Duty, map[string]int) {
-	keeper.guard.Lock()
-	defer keeper.guard.Unlock()
+// Seen returns all leaderships as last read, and how often this daemon saw each of them change its
+// leader.
+func (elector *Keeper) Seen() (map[string]Duty, map[string]int) {
+	elector.mu.Lock()
+	defer elector.mu.Unlock()
 	duties, changes := map[string]Duty{}, map[string]int{}
-	for name, duty := range keeper.last {
+	for name, duty := range elector.lastRead {
 		duties[name] = duty
-		changes[name] = keeper.Changes[name]
+		changes[name] = elector.Changes[name]
 	}
 	return duties, changes
 }
 
-// Run watches the duties and runs for those that fall vacant. One that has begun anew
-// looks more often: what was its own before it may have at once.
-func (keeper *Keeper) Run() {
-	loop.Every(keeper.World, func() time.Duration {
-		if keeper.IsBack && keeper.Watched() < 3*keeper.Span()/2 {
-			return keeper.Span() / 16
+// Run watches the leaderships and campaigns for vacant ones. A restarted daemon checks more often
+// at first, as it can take back at once what it held before the restart.
+func (elector *Keeper) Run() {
+	loop.Every(elector.World, func() time.Duration {
+		if elector.IsBack && elector.Watched() < 3*elector.Span()/2 {
+			return elector.Span() / 16
 		}
-		return keeper.Span() / 4
+		return elector.Span() / 4
 	}, func() bool {
-		keeper.Turn()
+		elector.Turn()
 		return true
 	})
 }
 
-// Turn looks once at every duty.
-func (keeper *Keeper) Turn() {
-	names := keeper.Wanted()
+// Turn checks every leadership once.
+func (elector *Keeper) Turn() {
+	names := elector.Wanted()
 	keys := make([]string, len(names))
 	for index, name := range names {
 		keys[index] = Prefix + name
@@ -140,126 +141,127 @@
 	if len(keys) == 0 {
 		return
 	}
-	now := keeper.World.Now()
-	values, err := keeper.Keeper.ReadMany(keys...)
+	now := elector.World.Now()
+	values, err := elector.Keeper.ReadMany(keys...)
 	if err != nil {
-		return // what is held expires by itself
+		return // leaderships that this daemon holds expire by themselves
 	}
-	before := map[string]Duty{}
-	var own []string
+	reclaimable := map[string]Duty{}
+	var ownNames []string
 	for index, name := range names {
 		var duty Duty
 		if value := values[keys[index]]; value.Serial > 0 {
 			_ = json.Unmarshal(value.Data, &duty)
 		}
-		keeper.note(name, duty, now)
+		elector.record(name, duty, now)
 		switch {
-		case !keeper.vacant(name, duty):
-		case duty.Holder == keeper.Name:
-			before[name], own = duty, append(own, name)
+		case !elector.isVacant(name, duty):
+		case duty.Holder == elector.Name:
+			reclaimable[name], ownNames = duty, append(ownNames, name)
 		default:
-			keeper.stand(name, duty)
+			elector.campaign(name, duty)
 		}
 	}
-	// What was this daemon's before it began anew nobody else runs for as soon: at once,
-	// and all together, as each takes two rounds.
-	loop.Gather(keeper.World, len(own), loop.Forever, func(index int) bool {
-		keeper.stand(own[index], before[own[index]])
+	// Other daemons don't campaign as early for what this daemon held before its restart. So it
+	// campaigns for all of that at once and in parallel, since each campaign takes two rounds.
+	loop.Gather(elector.World, len(ownNames), loop.Forever, func(index int) bool {
+		elector.campaign(ownNames[index], reclaimable[ownNames[index]])
 		return true
 	}, func(int, bool) bool { return false })
 }
 
-// note takes what the register says into the tables.
-func (keeper *Keeper) note(name string, duty Duty, asked time.Duration) {
-	keeper.guard.Lock()
-	defer keeper.guard.Unlock()
-	if keeper.held == nil {
-		keeper.held, keeper.last, keeper.Changes, keeper.changed = map[string]hold{}, map[string]Duty{}, map[string]int{}, map[string]time.Duration{}
+// record updates the local state from the register's content.
+func (elector *Keeper) record(name string, duty Duty, readAt time.Duration) {
+	elector.mu.Lock()
+	defer elector.mu.Unlock()
+	if elector.held == nil {
+		elector.held, elector.lastRead, elector.Changes, elector.changedAt = map[string]leadership{}, map[string]Duty{}, map[string]int{}, map[string]time.Duration{}
 	}
-	before, known := keeper.last[name]
-	if known && before.Serial != duty.Serial {
-		keeper.Changes[name]++
+	previous, isKnown := elector.lastRead[name]
+	if isKnown && previous.Serial != duty.Serial {
+		elector.Changes[name]++
 	}
-	if !known || before != duty {
-		keeper.changed[name] = keeper.World.Now()
+	if !isKnown || previous != duty {
+		elector.changedAt[name] = elector.World.Now()
 	}
-	keeper.last[name] = duty
-	if duty.Holder == keeper.Name && duty.Incarnation == keeper.Incarnation && !keeper.stop {
-		keeper.held[name] = hold{duty.Serial, asked}
+	elector.lastRead[name] = duty
+	if duty.Holder == elector.Name && duty.Incarnation == elector.Incarnation && !elector.isResigned {
+		elector.held[name] = leadership{duty.Serial, readAt}
 	} else {
-		delete(keeper.held, name)
+		delete(elector.held, name)
 	}
 }
 
-// vacant tells whether the duty, as just read, is nobody's. A holder that is alive and
-// for all that does not claim it can't reach a majority, and so can't do it; a new one
-// is given time to say its word.
-func (keeper *Keeper) vacant(name string, duty Duty) bool {
-	keeper.guard.Lock()
-	stopped, since := keeper.stop, keeper.World.Now()-keeper.changed[name]
-	keeper.guard.Unlock()
-	if stopped || duty.Holder == keeper.Name && duty.Incarnation == keeper.Incarnation {
+// isVacant reports whether the leadership, as just read, is vacant. A leader that is alive but
+// does not claim its leadership can't reach a majority and so can't act as leader; a new leader is
+// given time to announce its claim.
+func (elector *Keeper) isVacant(name string, duty Duty) bool {
+	elector.mu.Lock()
+	isResigned, unchanged := elector.isResigned, elector.World.Now()-elector.changedAt[name]
+	elector.mu.Unlock()
+	if isResigned || duty.Holder == elector.Name && duty.Incarnation == elector.Incarnation {
 		return false
 	}
-	// The holder was this daemon, before it began anew: nobody else needs to be known.
-	if duty.Holder == keeper.Name {
+	// The leader was this daemon before its restart; no knowledge of other members is needed.
+	if duty.Holder == elector.Name {
 		return true
 	}
-	// A daemon that has just started does not know the members yet and could
-	// neither judge who is gone nor do the duty well.
-	if keeper.Watched() < keeper.Span() {
+	// A daemon that has just started does not know the members yet. It could neither judge whether
+	// the leader is gone nor act well as leader.
+	if elector.Watched() < elector.Span() {
 		return false
 	}
-	if duty.Holder == "" || keeper.Reborn(duty.Holder, duty.Incarnation) {
+	if duty.Holder == "" || elector.Reborn(duty.Holder, duty.Incarnation) {
 		return true
 	}
-	if keeper.Watched() <= 2*keeper.Span() {
+	if elector.Watched() <= 2*elector.Span() {
 		return false
 	}
-	return !keeper.Alive(duty.Holder, duty.Incarnation) || since > 2*keeper.Span() && !keeper.Claims(name, duty)
+	return !elector.Alive(duty.Holder, duty.Incarnation) || unchanged > 2*elector.Span() && !elector.Claims(name, duty)
 }
 
-var errTaken = errors.New("taken")
+var errChanged = errors.New("taken")
 
-// stand runs for a duty that was seen in the given state.
-func (keeper *Keeper) stand(name string, seen Duty) {
-	// A draw keeps all from running at once; the registers decide in any case.
-	if seen.Holder != keeper.Name {
-		loop.Sleep(keeper.World, time.Duration(keeper.World.Draw(int64(keeper.Span()/10))))
+// campaign tries to take over a leadership whose register was observed with the given content.
+func (elector *Keeper) campaign(name string, observed Duty) {
+	// A random delay keeps the daemons from campaigning all at once; the register decides in any
+	// case.
+	if observed.Holder != elector.Name {
+		loop.Sleep(elector.World, time.Duration(elector.World.Draw(int64(elector.Span()/10))))
 	}
-	asked := keeper.World.Now()
-	next := Duty{Holder: keeper.Name, Incarnation: keeper.Incarnation, Serial: seen.Serial + 1}
-	_, err := keeper.Keeper.Change(Prefix+name, func(value register.Value) ([]byte, error) {
+	startedAt := elector.World.Now()
+	next := Duty{Holder: elector.Name, Incarnation: elector.Incarnation, Serial: observed.Serial + 1}
+	_, err := elector.Keeper.Change(Prefix+name, func(value register.Value) ([]byte, error) {
 		var duty Duty
 		if value.Serial > 0 {
 			_ = json.Unmarshal(value.Data, &duty)
 		}
-		if duty != seen {
-			return nil, errTaken
+		if duty != observed {
+			return nil, errChanged
 		}
 		return json.Marshal(next)
 	})
 	if err == nil {
-		keeper.note(name, next, asked)
+		elector.record(name, next, startedAt)
 	}
 }
 
-// Resign lets go of every duty, for a planned stop.
-func (keeper *Keeper) Resign() {
-	keeper.guard.Lock()
-	keeper.stop = true
-	held := keeper.held
-	keeper.held = map[string]hold{}
-	keeper.guard.Unlock()
+// Resign gives up every leadership, for a planned shutdown.
+func (elector *Keeper) Resign() {
+	elector.mu.Lock()
+	elector.isResigned = true
+	held := elector.held
+	elector.held = map[string]leadership{}
+	elector.mu.Unlock()
 	for _, name := range slices.Sorted(maps.Keys(held)) {
-		one := held[name]
-		_, _ = keeper.Keeper.Change(Prefix+name, func(value register.Value) ([]byte, error) {
+		own := held[name]
+		_, _ = elector.Keeper.Change(Prefix+name, func(value register.Value) ([]byte, error) {
 			var duty Duty
 			_ = json.Unmarshal(value.Data, &duty)
-			if duty.Serial != one.serial {
-				return nil, errTaken
+			if duty.Serial != own.term {
+				return nil, errChanged
 			}
-			return json.Marshal(Duty{Serial: one.serial})
+			return json.Marshal(Duty{Serial: own.term})
 		})
 	}
 }
--- a/register/fuzz_test.go
+++ b/register/fuzz_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// FuzzRecord: a record of the log is read as it was written, or an error says that it can't
-// be read; nothing panics.
+// FuzzRecord checks that a log record decodes to what was encoded, or fails with an error, and
+// that decoding never panics.
 func FuzzRecord(f *testing.F) {
 	ballot := Ballot{Epoch: 2, Round: 7, Proposer: "c1.4"}
 	f.Add(record{Key: "config", Cell: Cell{Promised: ballot, Accepted: ballot, Value: Value{Serial: 3, Data: []byte("{}\n\x00"), Trail: []string{"c1.4/9"}}}}.pack())
@@ -14,21 +14,22 @@
 	f.Add([]byte("{"))
 	f.Add([]byte("\x03\xff\x81"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		var one record
-		if one.unpack(data) != nil {
+		var decoded record
+		if decoded.unpack(data) != nil {
 			return
 		}
-		var again record
-		if err := again.unpack(one.pack()); err != nil {
-			t.Fatal("what was packed can't be read:", err)
+		var roundTrip record
+		if err := roundTrip.unpack(decoded.pack()); err != nil {
+			t.Fatal("an encoded record can't be decoded:", err)
 		}
-		if again.Key != one.Key || again.Cell.Accepted != one.Cell.Accepted || !bytes.Equal(again.Cell.Value.Data, one.Cell.Value.Data) {
-			t.Errorf("%+v became %+v", one, again)
+		if roundTrip.Key != decoded.Key || roundTrip.Cell.Accepted != decoded.Cell.Accepted || !bytes.Equal(roundTrip.Cell.Value.Data, decoded.Cell.Value.Data) {
+			t.Errorf("record %+v became %+v after a round trip", decoded, roundTrip)
 		}
 	})
 }
 
-// FuzzKeys: names of registers as they travel are read, or an error says that they can't be.
+// FuzzKeys checks that an encoded list of keys decodes and survives another round trip, or fails
+// with an error.
 func FuzzKeys(f *testing.F) {
 	whole, _ := Keys{"holder/a", "holder/ab", "", "config"}.GobEncode()
 	f.Add(whole)
@@ -44,13 +45,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var again Keys
-		if err := again.GobDecode(packed); err != nil || len(again) != len(keys) {
-			t.Fatal(len(again), len(keys), err)
+		var roundTrip Keys
+		if err := roundTrip.GobDecode(packed); err != nil || len(roundTrip) != len(keys) {
+			t.Fatal(len(roundTrip), len(keys), err)
 		}
 		for at := range keys {
-			if keys[at] != again[at] {
-				t.Errorf("%q became %q", keys[at], again[at])
+			if keys[at] != roundTrip[at] {
+				t.Errorf("key %q became %q after a round trip", keys[at], roundTrip[at])
 			}
 		}
 	})
