--- a/loop/box.go
+++ b/loop/box.go
@@ -5,64 +5,64 @@
 	"time"
 )
 
-// box is the real mailbox: a guarded list and a signal. This is the one select
-// that product tasks wait in.
+// mailbox is the Mailbox of a Machine: a list under a mutex and a signal channel. Product
+// tasks wait only in the select of its Take.
 //
-// Invariant: whenever letters is not empty and somebody waits, the signal is
-// full or a taker is awake and will refill it.
-type box struct {
-	machine *Machine
-	signal  chan struct{}
-	guard   sync.Mutex
-	letters []any
+// Invariant: whenever messages is not empty and a task waits, the signal is
+// full or a woken taker will refill it.
+type mailbox struct {
+	machine  *Machine
+	signal   chan struct{}
+	guard    sync.Mutex
+	messages []any
 }
 
-func (box *box) Put(letter any) {
-	box.guard.Lock()
-	box.letters = append(box.letters, letter)
-	box.guard.Unlock()
-	box.ring()
+func (mailbox *mailbox) Put(message any) {
+	mailbox.guard.Lock()
+	mailbox.messages = append(mailbox.messages, message)
+	mailbox.guard.Unlock()
+	mailbox.notify()
 }
 
-func (box *box) ring() {
+func (mailbox *mailbox) notify() {
 	select {
-	case box.signal <- struct{}{}:
+	case mailbox.signal <- struct{}{}:
 	default:
 	}
 }
 
-func (box *box) pop() (any, bool) {
-	box.guard.Lock()
-	defer box.guard.Unlock()
-	if len(box.letters) == 0 {
+func (mailbox *mailbox) pop() (any, bool) {
+	mailbox.guard.Lock()
+	defer mailbox.guard.Unlock()
+	if len(mailbox.messages) == 0 {
 		return nil, false
 	}
-	letter := box.letters[0]
-	box.letters = box.letters[1:]
-	if len(box.letters) > 0 {
-		box.ring()
+	message := mailbox.messages[0]
+	mailbox.messages = mailbox.messages[1:]
+	if len(mailbox.messages) > 0 {
+		mailbox.notify()
 	}
-	return letter, true
+	return message, true
 }
 
-func (box *box) Take(patience time.Duration) (any, bool) {
-	if letter, ok := box.pop(); ok {
-		return letter, true
+func (mailbox *mailbox) Take(timeout time.Duration) (any, bool) {
+	if message, ok := mailbox.pop(); ok {
+		return message, true
 	}
-	if patience <= 0 {
+	if timeout <= 0 {
 		return nil, false
 	}
-	wakeup := time.NewTimer(patience)
-	defer wakeup.Stop()
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	for {
 		select {
-		case <-box.signal:
-			if letter, ok := box.pop(); ok {
-				return letter, true
+		case <-mailbox.signal:
+			if message, ok := mailbox.pop(); ok {
+				return message, true
 			}
-		case <-wakeup.C:
-			return box.pop()
-		case <-box.machine.end:
+		case <-timer.C:
+			return mailbox.pop()
+		case <-mailbox.machine.end:
 			return nil, false
 		}
 	}
--- a/loop/loop.go
+++ b/loop/loop.go
@@ -1,6 +1,6 @@
-// Package loop owns time, tasks and waiting. Every select loop of the product
-// is one of the few here: the product's code calls a World, and the same code
-// runs under the machine's clock (Machine) or under virtual time (package sim).
+// Package loop provides time, tasks and waiting. All select loops of the product
+// are in this package: other code calls a World, and so the same code
+// runs on the machine's clock (Machine) or in virtual time (package sim).
 package loop
 
 import (
@@ -15,135 +15,137 @@
 	"golang.org/x/sys/unix"
 )
 
-// World is what a daemon needs of its surroundings to wait and to start tasks.
+// World is the runtime of a daemon: clocks, tasks, waiting and random numbers.
 //
 // Invariant: no lock is held across a call that can wait (Mailbox.Take, Sleep,
 // Gather, wire calls, disk syncs). The simulation relies on it, and so does the
-// rule that a slow disk costs only its own vote.
+// rule that a slow disk delays only the replies of its own acceptor.
 type World interface {
-	// Now runs through machine sleep and never jumps.
+	// Now is a monotonic clock that also counts time during which the machine is suspended.
 	Now() time.Duration
-	// Wall is the calendar clock; only durable sleeps use it.
+	// Wall is the wall clock; only durable sleeps use it.
 	Wall() time.Time
-	// Go starts a task in the world's group.
+	// Go starts a task in the world's task group.
 	Go(task func())
-	// Mailbox makes a place to wait at.
+	// Mailbox returns a new, empty mailbox.
 	Mailbox() Mailbox
-	// Draw gives a number from the world's own seeded source.
+	// Draw returns a random number from 0 up to, but not including, below, from the
+	// world's own seeded source.
 	Draw(below int64) int64
-	// Ended tells whether the world has been asked to end.
+	// Ended reports whether the world has been asked to end.
 	Ended() bool
 }
 
-// Mailbox is an unbounded queue with one waiting primitive.
+// Mailbox is an unbounded queue. Its Take is the only primitive for waiting.
 type Mailbox interface {
-	Put(letter any)
-	// Take waits for at most the patience; false means that it ran out or
-	// that the world ended.
-	Take(patience time.Duration) (any, bool)
+	Put(message any)
+	// Take removes the first message, waiting for it for at most the timeout. It returns
+	// false if the timeout has passed or the world has ended.
+	Take(timeout time.Duration) (any, bool)
 }
 
-// Forever is longer than any daemon lives.
+// Forever is a timeout longer than the lifetime of any daemon.
 const Forever = time.Duration(1<<62 - 1)
 
-// Sleep waits and tells whether the world still stands.
-func Sleep(world World, span time.Duration) bool {
-	if span > 0 {
-		world.Mailbox().Take(span)
+// Sleep waits for the duration and reports whether the world is still running.
+func Sleep(world World, duration time.Duration) bool {
+	if duration > 0 {
+		world.Mailbox().Take(duration)
 	}
 	return !world.Ended()
 }
 
-// Every runs the step now and after every span until the world ends or the
-// step answers false. The span is asked for each time, as settings change while a
-// process lives, and drawn anew, within a tenth, so that herds of daemons do not
-// march in step.
-func Every(world World, span func() time.Duration, step func() bool) {
+// Every runs the step now and after every interval until the world ends or the
+// step returns false. The interval is read anew each time, as settings may change while
+// the process runs, and gets a random jitter of up to a tenth in both directions, so
+// that daemons do not synchronize.
+func Every(world World, interval func() time.Duration, step func() bool) {
 	for !world.Ended() {
-		if !step() || !Sleep(world, drawn(world, span())) {
+		if !step() || !Sleep(world, jittered(world, interval())) {
 			return
 		}
 	}
 }
 
-func drawn(world World, span time.Duration) time.Duration {
-	return span - span/10 + time.Duration(world.Draw(int64(span)/5+1))
+func jittered(world World, interval time.Duration) time.Duration {
+	return interval - interval/10 + time.Duration(world.Draw(int64(interval)/5+1))
 }
 
-// Waker is a loop that can also be woken between its wakeups.
+// Waker is a periodic loop that can also be woken before its interval is over.
 type Waker struct {
-	box   Mailbox
-	armed atomic.Bool
+	mailbox Mailbox
+	armed   atomic.Bool
 }
 
-// NewWaker makes a waker in the world.
-func NewWaker(world World) *Waker { return &Waker{box: world.Mailbox()} }
+// NewWaker returns a Waker that waits in the world.
+func NewWaker(world World) *Waker { return &Waker{mailbox: world.Mailbox()} }
 
-// Wake makes the loop run its step soon; many wakes before it does are one.
+// Wake makes the loop run its step soon. Several wakes before the step runs count as one.
 func (waker *Waker) Wake() {
 	if waker.armed.CompareAndSwap(false, true) {
-		waker.box.Put(nil)
+		waker.mailbox.Put(nil)
 	}
 }
 
-// Run is Every, with wakes heeded.
-func (waker *Waker) Run(world World, span func() time.Duration, step func() bool) {
+// Run is like Every, but also runs the step after each Wake.
+func (waker *Waker) Run(world World, interval func() time.Duration, step func() bool) {
 	for !world.Ended() {
 		waker.armed.Store(false)
 		if !step() {
 			return
 		}
-		waker.box.Take(drawn(world, span()))
+		waker.mailbox.Take(jittered(world, interval()))
 	}
 }
 
-// Gather starts the ask for each of count and hands the answers to enough, in
-// the order in which they come, until enough answers true, all have answered,
-// the patience runs out or the world ends. Late answers are dropped. It tells whether
-// enough or all have answered: else nothing follows from what did not come.
-func Gather[T any](world World, count int, patience time.Duration, ask func(index int) T, enough func(index int, answer T) bool) (isComplete bool) {
-	type letter struct {
+// Gather runs call concurrently for each index below count and passes the answers to
+// enough in order of arrival, until enough returns true, all answers have arrived,
+// the timeout has passed or the world ends. Later answers are dropped. It reports whether
+// enough returned true or all answers arrived; if not, a missing answer means nothing.
+func Gather[T any](world World, count int, timeout time.Duration, call func(index int) T, enough func(index int, answer T) bool) (isComplete bool) {
+	type result struct {
 		index  int
 		answer T
 	}
-	box := world.Mailbox()
+	mailbox := world.Mailbox()
 	for index := 0; index < count; index++ {
-		world.Go(func() { box.Put(letter{index, ask(index)}) })
+		world.Go(func() { mailbox.Put(result{index, call(index)}) })
 	}
-	expiry := world.Now() + patience
-	for left := count; left > 0; left-- {
-		got, ok := box.Take(expiry - world.Now())
+	deadline := world.Now() + timeout
+	for remaining := count; remaining > 0; remaining-- {
+		message, ok := mailbox.Take(deadline - world.Now())
 		if !ok {
 			return false
 		}
-		if one := got.(letter); enough(one.index, one.answer) {
+		if received := message.(result); enough(received.index, received.answer) {
 			return true
 		}
 	}
 	return true
 }
 
-// Machine is the world of a real process. Its tasks run in one conc group.
+// Machine is the World of a real process. Its tasks run in one conc group.
 //
-// Invariant: no task's panic is outlived by the others; Panicked does not return.
+// Invariant: a panic in one task ends all others too; Panicked does not return.
 type Machine struct {
-	// Panicked ends the process for a task's panic, and says where it came from.
-	Panicked func(trouble any, stack []byte)
+	// Panicked ends the process after a panic of a task and reports its value and stack.
+	Panicked func(recovered any, stack []byte)
 
 	group conc.WaitGroup
 	end   chan struct{}
 	ended atomic.Bool
 }
 
-// NewMachine makes the world of this process.
+// NewMachine returns a World for this process. A panic of a task prints its stack and
+// exits with status 2.
 func NewMachine() *Machine {
-	return &Machine{end: make(chan struct{}), Panicked: func(trouble any, stack []byte) {
-		fmt.Fprintf(os.Stderr, "panic: %v\n%s", trouble, stack)
+	return &Machine{end: make(chan struct{}), Panicked: func(recovered any, stack []byte) {
+		fmt.Fprintf(os.Stderr, "panic: %v\n%s", recovered, stack)
 		os.Exit(2)
 	}}
 }
 
-// Now reads the clock that counts machine sleep as well.
+// Now reads CLOCK_BOOTTIME, which also counts time during which the machine is suspended.
 func (machine *Machine) Now() time.Duration {
 	var spec unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &spec) != nil {
@@ -152,53 +154,54 @@
 	return time.Duration(spec.Nano())
 }
 
-// Wall is the calendar clock.
+// Wall returns the time of the wall clock.
 func (machine *Machine) Wall() time.Time { return time.Now() }
 
 // Go starts a task in the group.
 func (machine *Machine) Go(task func()) {
 	machine.group.Go(func() {
-		// The group would keep the panic until it is waited for.
+		// The group would hold the panic back until its Wait is called.
 		defer func() {
-			if trouble := recover(); trouble != nil {
-				machine.Panicked(trouble, debug.Stack())
+			if recovered := recover(); recovered != nil {
+				machine.Panicked(recovered, debug.Stack())
 			}
 		}()
 		task()
 	})
 }
 
-// Draw draws from the process's source.
-func (machine *Machine) Draw(below int64) int64 {
-	if below <= 1 {
+// Draw returns a random number below the limit, or 0 if the limit is 1 or less.
+func (machine *Machine) Draw(limit int64) int64 {
+	if limit <= 1 {
 		return 0
 	}
-	return rand.Int64N(below)
+	return rand.Int64N(limit)
 }
 
-// Ended tells whether End was called.
+// Ended reports whether End was called.
 func (machine *Machine) Ended() bool { return machine.ended.Load() }
 
-// End makes every wait return.
+// End makes all waiting Takes return.
 func (machine *Machine) End() {
 	if machine.ended.CompareAndSwap(false, true) {
 		close(machine.end)
 	}
 }
 
-// Wait waits until all tasks have returned or the patience runs out.
-func (machine *Machine) Wait(patience time.Duration) bool {
+// Wait waits until all tasks have returned, for at most the timeout, and reports whether
+// they have.
+func (machine *Machine) Wait(timeout time.Duration) bool {
 	done := make(chan struct{})
 	go func() { machine.group.Wait(); close(done) }()
 	select {
 	case <-done:
 		return true
-	case <-time.After(patience):
+	case <-time.After(timeout):
 		return false
 	}
 }
 
-// Mailbox makes a mailbox over a channel.
+// Mailbox returns a new mailbox that wakes its takers through a channel.
 func (machine *Machine) Mailbox() Mailbox {
-	return &box{machine: machine, signal: make(chan struct{}, 1)}
+	return &mailbox{machine: machine, signal: make(chan struct{}, 1)}
 }
--- a/loop/loop_test.go
+++ b/loop/loop_test.go
@@ -11,9 +11,9 @@
 	"swifttiller/loop"
 )
 
-// TestAPanicEndsTheProcess: a group keeps a task's panic to itself until it is waited
-// for, and a daemon whose one loop has ended must not go on with the others, holding
-// a duty that it does not do. The test starts itself as the process.
+// TestAPanicEndsTheProcess guards against a daemon that keeps running, and stays leader,
+// after one of its loops has panicked: the task group holds a panic back until its Wait
+// is called. The test runs its own binary as the process.
 func TestAPanicEndsTheProcess(t *testing.T) {
 	if os.Getenv("LOOP_PANICS") != "" {
 		machine := loop.NewMachine()
@@ -26,9 +26,9 @@
 	command.Env = append(os.Environ(), "LOOP_PANICS=1")
 	out, err := command.CombinedOutput()
 	if err == nil || strings.Contains(string(out), "all the same") {
-		t.Errorf("the process went on: %v %s", err, out)
+		t.Errorf("the process kept running after a panic in a task: %v %s", err, out)
 	}
 	if !strings.Contains(string(out), "a table is not as it should be") || !strings.Contains(string(out), "loop_test.go") {
-		t.Errorf("it does not say why it ended: %s", out)
+		t.Errorf("the output does not have the panic message and its stack: %s", out)
 	}
 }
--- a/wire/count.go
+++ b/wire/count.go
@@ -10,31 +10,31 @@
 	"sync"
 )
 
-// Calls are the calls of one method to one address, as the caller counts them.
+// Calls has the caller's counts of the calls of one method to one address.
 type Calls struct {
 	Address string `json:"address"`
 	Method  string `json:"method"`
-	// Calls are those sent, Answers those that were answered.
+	// Calls counts the requests sent, Answers the responses received.
 	Calls   uint64 `json:"calls"`
 	Answers uint64 `json:"answers"`
-	// Sent and Received are bytes on the connection, headers of net/rpc included; those
-	// of TCP and IP are not.
+	// Sent and Received count bytes on the connection, including the headers of net/rpc
+	// but not those of TCP and IP.
 	Sent     uint64 `json:"sent"`
 	Received uint64 `json:"received"`
 }
 
-// Counter counts calls and their bytes where they are made. Each call is counted once,
-// at its caller. The zero value is ready; a nil one counts nothing.
+// Counter counts calls and their bytes on the caller's side, so each call is counted
+// once. The zero value is ready to use; the snapshot of a nil Counter is empty.
 //
-// Invariant: no count ever falls.
+// Invariant: counts never decrease.
 type Counter struct {
 	guard sync.Mutex
-	rows  map[place]*Calls
+	rows  map[callKey]*Calls
 }
 
-type place struct{ address, method string }
+type callKey struct{ address, method string }
 
-// Snapshot gives all rows, in the order of addresses and methods.
+// Snapshot returns a copy of all rows, sorted by address and method.
 func (counter *Counter) Snapshot() []Calls {
 	if counter == nil {
 		return nil
@@ -51,73 +51,74 @@
 	return out
 }
 
-func (counter *Counter) add(address, method string, change func(row *Calls)) {
+func (counter *Counter) add(address, method string, update func(row *Calls)) {
 	counter.guard.Lock()
 	defer counter.guard.Unlock()
 	if counter.rows == nil {
-		counter.rows = map[place]*Calls{}
+		counter.rows = map[callKey]*Calls{}
 	}
-	at := place{address, method}
-	if counter.rows[at] == nil {
-		counter.rows[at] = &Calls{Address: address, Method: method}
+	key := callKey{address, method}
+	if counter.rows[key] == nil {
+		counter.rows[key] = &Calls{Address: address, Method: method}
 	}
-	change(counter.rows[at])
+	update(counter.rows[key])
 }
 
-// counted is net/rpc's own codec, with counts of what goes through it.
+// countingCodec is a client codec in the format of net/rpc's default gob codec that also
+// counts calls and bytes.
 //
-// Invariant: sent is the writer's alone and received the reader's alone; the library
-// writes one request at a time and reads in one task.
-type counted struct {
-	line     io.ReadWriteCloser
-	counter  *Counter
-	address  string
-	out      *bufio.Writer
-	encoder  *gob.Encoder
-	decoder  *gob.Decoder
-	sent     uint64
-	received *tally
-	begun    uint64 // received when the answer at hand began
-	method   string // of the answer at hand
+// Invariant: sent is accessed only by the writing goroutine and received only by the
+// reading one; net/rpc writes one request at a time and reads in a single goroutine.
+type countingCodec struct {
+	conn          io.ReadWriteCloser
+	counter       *Counter
+	address       string
+	out           *bufio.Writer
+	encoder       *gob.Encoder
+	decoder       *gob.Decoder
+	sent          uint64
+	received      *countingReader
+	responseStart uint64 // value of received.count at the start of the current response
+	method        string // method of the current response
 }
 
-// tally counts what is taken out of a buffer. As it reads single bytes, gob takes no
-// more than it needs.
-type tally struct {
+// countingReader counts the bytes that are read from a buffer. As it is an io.ByteReader,
+// gob reads no further than the end of the message that it decodes.
+type countingReader struct {
 	*bufio.Reader
 	count uint64
 }
 
-func (tally *tally) Read(out []byte) (int, error) {
-	count, err := tally.Reader.Read(out)
-	tally.count += uint64(count)
+func (reader *countingReader) Read(out []byte) (int, error) {
+	count, err := reader.Reader.Read(out)
+	reader.count += uint64(count)
 	return count, err
 }
 
-func (tally *tally) ReadByte() (byte, error) {
-	one, err := tally.Reader.ReadByte()
+func (reader *countingReader) ReadByte() (byte, error) {
+	value, err := reader.Reader.ReadByte()
 	if err == nil {
-		tally.count++
+		reader.count++
 	}
-	return one, err
+	return value, err
 }
 
-func newCounted(line io.ReadWriteCloser, counter *Counter, address string) rpc.ClientCodec {
-	codec := &counted{line: line, counter: counter, address: address, received: &tally{Reader: bufio.NewReader(line)}}
+func newCountingCodec(conn io.ReadWriteCloser, counter *Counter, address string) rpc.ClientCodec {
+	codec := &countingCodec{conn: conn, counter: counter, address: address, received: &countingReader{Reader: bufio.NewReader(conn)}}
 	codec.out = bufio.NewWriter(codec)
 	codec.encoder, codec.decoder = gob.NewEncoder(codec.out), gob.NewDecoder(codec.received)
 	return codec
 }
 
-// Write counts what goes out.
-func (codec *counted) Write(text []byte) (int, error) {
-	count, err := codec.line.Write(text)
+// Write writes to the connection and counts the bytes written.
+func (codec *countingCodec) Write(text []byte) (int, error) {
+	count, err := codec.conn.Write(text)
 	codec.sent += uint64(count)
 	return count, err
 }
 
-// WriteRequest sends a call.
-func (codec *counted) WriteRequest(request *rpc.Request, body any) error {
+// WriteRequest sends a request and counts it.
+func (codec *countingCodec) WriteRequest(request *rpc.Request, body any) error {
 	before := codec.sent
 	err := codec.encoder.Encode(request)
 	if err == nil {
@@ -131,21 +132,21 @@
 	return err
 }
 
-// ReadResponseHeader reads the beginning of an answer.
-func (codec *counted) ReadResponseHeader(response *rpc.Response) error {
-	codec.begun = codec.received.count
+// ReadResponseHeader reads the header of a response.
+func (codec *countingCodec) ReadResponseHeader(response *rpc.Response) error {
+	codec.responseStart = codec.received.count
 	err := codec.decoder.Decode(response)
 	codec.method = response.ServiceMethod
 	return err
 }
 
-// ReadResponseBody reads the rest of it.
-func (codec *counted) ReadResponseBody(body any) error {
+// ReadResponseBody reads the body of the response and counts the response.
+func (codec *countingCodec) ReadResponseBody(body any) error {
 	err := codec.decoder.Decode(body)
-	received := codec.received.count - codec.begun
+	received := codec.received.count - codec.responseStart
 	codec.counter.add(codec.address, codec.method, func(row *Calls) { row.Answers, row.Received = row.Answers+1, row.Received+received })
 	return err
 }
 
 // Close closes the connection.
-func (codec *counted) Close() error { return codec.line.Close() }
+func (codec *countingCodec) Close() error { return codec.conn.Close() }
--- a/wire/pack.go
+++ b/wire/pack.go
@@ -9,56 +9,56 @@
 	"sync"
 )
 
-// packers are writers without a base that are free; each has over half a megabyte.
-var packers = sync.Pool{New: func() any {
-	writer, _ := flate.NewWriter(nil, flate.BestSpeed) // the level is a known one
+// writers pools idle flate writers without a dictionary; each takes over half a megabyte.
+var writers = sync.Pool{New: func() any {
+	writer, _ := flate.NewWriter(nil, flate.BestSpeed) // fails only for an invalid level
 	return writer
 }}
 
-// mostUnpacked bounds what is unpacked, in bytes: the largest document that is read of
-// an operator, twice, and some more.
-const mostUnpacked = 80 << 20
+// maxUnpackedBytes limits the size of decompressed data: twice the largest document that
+// is accepted from an operator, and some margin.
+const maxUnpackedBytes = 80 << 20
 
-// Pack makes text small. What the reader has already, base, may be nil; the more of the
-// text stands in the last 32 KiB of it, the smaller the text gets.
+// Pack compresses text with flate. The base, which may be nil, is a dictionary that the
+// reader already has; the more of the text occurs in its last 32 KiB, the smaller the result.
 func Pack(text, base []byte) []byte {
 	var out bytes.Buffer
 	var writer *flate.Writer
 	if base == nil {
-		writer = packers.Get().(*flate.Writer) // the fastest, which goes by no base
+		writer = writers.Get().(*flate.Writer) // BestSpeed, which supports no dictionary
 		writer.Reset(&out)
-		defer packers.Put(writer)
+		defer writers.Put(writer)
 	} else {
-		writer, _ = flate.NewWriterDict(&out, flate.DefaultCompression, base) // the level is a known one
+		writer, _ = flate.NewWriterDict(&out, flate.DefaultCompression, base) // fails only for an invalid level
 	}
-	_, _ = writer.Write(text) // a buffer takes all
+	_, _ = writer.Write(text) // writing to a bytes.Buffer does not fail
 	_ = writer.Close()
 	return out.Bytes()
 }
 
-// Unpack gives the text back, from the same base.
+// Unpack decompresses what Pack returned; the base must be the same.
 func Unpack(packed, base []byte) ([]byte, error) {
 	reader := flate.NewReaderDict(bytes.NewReader(packed), base)
-	text, err := io.ReadAll(io.LimitReader(reader, mostUnpacked+1))
+	text, err := io.ReadAll(io.LimitReader(reader, maxUnpackedBytes+1))
 	switch {
 	case err != nil:
-		return nil, fmt.Errorf("what came packed can't be read: %w", err)
-	case len(text) > mostUnpacked:
-		return nil, fmt.Errorf("what came packed has more than %d bytes", mostUnpacked)
+		return nil, fmt.Errorf("decompress: %w", err)
+	case len(text) > maxUnpackedBytes:
+		return nil, fmt.Errorf("decompressed data exceeds %d bytes", maxUnpackedBytes)
 	}
 	return text, nil
 }
 
-// PackValue makes a value small that gob can write.
+// PackValue encodes a value with gob and compresses it. It panics if gob cannot encode the value.
 func PackValue(value any) []byte {
 	var text bytes.Buffer
 	if err := gob.NewEncoder(&text).Encode(value); err != nil {
-		panic(err) // only our own types come here
+		panic(err) // only types of this module are encoded
 	}
 	return Pack(text.Bytes(), nil)
 }
 
-// UnpackValue gives the value back.
+// UnpackValue decodes what PackValue returned into value, which must be a pointer.
 func UnpackValue(packed []byte, value any) error {
 	text, err := Unpack(packed, nil)
 	if err != nil {
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire carries calls between the system's own processes: net/rpc over
-// TCP, every call with an expiry.
+// Package wire carries RPC calls between the system's own processes: net/rpc over
+// TCP, with a deadline on every call.
 package wire
 
 import (
@@ -13,14 +13,14 @@
 	"swifttiller/loop"
 )
 
-// Net calls a method of the process at an address. The reply may be read only
-// when the error is nil.
+// Net calls an RPC method of the process at an address. The reply is valid only
+// if the returned error is nil.
 type Net interface {
-	Call(address, method string, args, reply any, patience time.Duration) error
+	Call(address, method string, args, reply any, timeout time.Duration) error
 }
 
-// Mishap tells how a call went wrong. Sent is false only when the callee can't
-// have seen the call.
+// Mishap is the error of a failed call. Sent is false only if the callee cannot
+// have received the call.
 type Mishap struct {
 	Address string
 	Method  string
@@ -28,196 +28,201 @@
 	Cause   error
 }
 
-// Error is one line for logs.
-func (mishap *Mishap) Error() string {
-	return fmt.Sprintf("call %s at %s: %v", mishap.Method, mishap.Address, mishap.Cause)
+// Error returns a one-line description with method, address and cause.
+func (callError *Mishap) Error() string {
+	return fmt.Sprintf("call %s at %s: %v", callError.Method, callError.Address, callError.Cause)
 }
 
-// Unwrap gives the cause.
-func (mishap *Mishap) Unwrap() error { return mishap.Cause }
+// Unwrap returns the cause.
+func (callError *Mishap) Unwrap() error { return callError.Cause }
 
-// Unsent tells whether the error proves that the callee saw nothing.
+// Unsent reports whether the error proves that the callee did not receive the call.
 func Unsent(err error) bool {
-	var mishap *Mishap
-	return errors.As(err, &mishap) && !mishap.Sent
+	var callError *Mishap
+	return errors.As(err, &callError) && !callError.Sent
 }
 
-// ErrExpired is the cause when the patience ran out.
+// ErrExpired is the cause of a call that got no reply within its timeout.
 var ErrExpired = errors.New("expired")
 
-// TCP is the real net.
+// TCP is the Net that uses real TCP connections, one per address, shared by all calls.
 //
-// Invariant: a client in lines has had no call expire on it; one that has is
-// forgotten, so that a frozen machine's old connection is not used again once it
-// wakes, and closed soon after.
+// Invariant: no call has timed out on a client that is in clients. A client on which one
+// has is removed and closed soon after, so that the old connection to a frozen machine
+// is not used again when the machine resumes.
 type TCP struct {
 	World loop.World
-	// Counter, if set, counts the calls made.
+	// Counter, if set, counts the calls and their bytes.
 	Counter *Counter
-	// Dial opens a connection; net.DialTimeout if not set.
-	Dial  func(network, address string, patience time.Duration) (net.Conn, error)
-	guard sync.Mutex
-	lines map[string]*rpc.Client
-	// opening has, by address, the line that began to open last.
-	opening map[string]*opening
+	// Dial opens a connection. The default is net.DialTimeout.
+	Dial    func(network, address string, timeout time.Duration) (net.Conn, error)
+	guard   sync.Mutex
+	clients map[string]*rpc.Client
+	// pending maps an address to the dial in progress that was started last.
+	pending map[string]*pendingDial
 }
 
-// opening is a line on its way: since when, and who waits for it besides who began it.
-type opening struct {
+// pendingDial is a dial in progress: its start time and the mailboxes of all calls that
+// wait for its result.
+type pendingDial struct {
 	since   time.Duration
 	waiters []loop.Mailbox
 }
 
-// dialParts is which part of a call's patience is spent on waiting for a line to open.
-const dialParts = 2
+// dialTimeoutDivisor sets the share of a call's timeout that is spent on waiting for a
+// connection: the timeout is divided by it.
+const dialTimeoutDivisor = 2
 
-// dialPatience is for how long a line may go on opening when the call that wanted it has
-// given up: where machines are far apart, that alone takes longer than some calls may.
-// It is below the second after which a lost opening packet is sent again.
-const dialPatience = 900 * time.Millisecond
+// minDialTimeout is the minimum time that a dial is given, even if the call that started it
+// has timed out: between distant machines, the TCP handshake alone takes longer than the
+// timeout of some calls. It is less than the one second after which TCP retransmits a lost SYN.
+const minDialTimeout = 900 * time.Millisecond
 
-// joinSpan is for how long calls wait for a line that another call has begun to open: many
-// that come at once would each open their own, and all but one be closed. Those that come
-// later begin anew, as an opening packet may have been lost.
-const joinSpan = 50 * time.Millisecond
+// dialShareWindow is how long after its start a dial is shared by further calls. Without
+// sharing, concurrent calls would each open a connection, and all but one would be closed.
+// Later calls start a new dial, as the SYN of the first may have been lost.
+const dialShareWindow = 50 * time.Millisecond
 
-// errOpening is the cause when a line did not open in the part of the patience for it.
-var errOpening = errors.New("the connection is still opening")
+// errConnecting is the cause if no connection was established within the call's share of
+// time for dialing.
+var errConnecting = errors.New("the connection is not established yet")
 
-func (tcp *TCP) line(address string, patience time.Duration) (*rpc.Client, error) {
+func (tcp *TCP) client(address string, timeout time.Duration) (*rpc.Client, error) {
 	tcp.guard.Lock()
-	line := tcp.lines[address]
+	client := tcp.clients[address]
 	tcp.guard.Unlock()
-	if line != nil {
-		return line, nil
+	if client != nil {
+		return client, nil
 	}
-	// An opening packet that is lost, as the machine is just starting, is sent again
-	// only after a second or more. The caller had better try again, or elsewhere.
-	part := patience / dialParts
-	box := tcp.World.Mailbox()
+	// TCP retransmits a lost SYN, as when the machine is just starting, only after a
+	// second or more. It is better that the caller retries, or tries another address.
+	dialWait := timeout / dialTimeoutDivisor
+	mailbox := tcp.World.Mailbox()
 	tcp.guard.Lock()
-	one := tcp.opening[address]
-	isFirst := one == nil || tcp.World.Now()-one.since > joinSpan
+	dial := tcp.pending[address]
+	isFirst := dial == nil || tcp.World.Now()-dial.since > dialShareWindow
 	if isFirst {
-		if tcp.opening == nil {
-			tcp.opening = map[string]*opening{}
+		if tcp.pending == nil {
+			tcp.pending = map[string]*pendingDial{}
 		}
-		one = &opening{since: tcp.World.Now()}
-		tcp.opening[address] = one
+		dial = &pendingDial{since: tcp.World.Now()}
+		tcp.pending[address] = dial
 	}
-	one.waiters = append(one.waiters, box)
+	dial.waiters = append(dial.waiters, mailbox)
 	tcp.guard.Unlock()
 	if isFirst {
 		go func() {
-			line, err := tcp.open(address, max(part, dialPatience))
+			client, err := tcp.connect(address, max(dialWait, minDialTimeout))
 			tcp.guard.Lock()
-			waiters := one.waiters
-			if tcp.opening[address] == one {
-				delete(tcp.opening, address)
+			waiters := dial.waiters
+			if tcp.pending[address] == dial {
+				delete(tcp.pending, address)
 			}
 			tcp.guard.Unlock()
-			for _, box := range waiters {
-				box.Put(opened{line, err})
+			for _, mailbox := range waiters {
+				mailbox.Put(dialResult{client, err})
 			}
 		}()
 	}
-	got, ok := box.Take(part)
+	message, ok := mailbox.Take(dialWait)
 	if !ok {
-		return nil, errOpening
+		return nil, errConnecting
 	}
-	came := got.(opened)
-	return came.line, came.err
+	result := message.(dialResult)
+	return result.client, result.err
 }
 
-type opened struct {
-	line *rpc.Client
-	err  error
+type dialResult struct {
+	client *rpc.Client
+	err    error
 }
 
-// open opens a line and keeps it for all calls to the address, unless there is one.
-func (tcp *TCP) open(address string, patience time.Duration) (*rpc.Client, error) {
+// connect dials the address and stores the client for all calls to it. If another client
+// has been stored meanwhile, it closes the new connection and returns the stored client.
+func (tcp *TCP) connect(address string, timeout time.Duration) (*rpc.Client, error) {
 	dial := tcp.Dial
 	if dial == nil {
 		dial = net.DialTimeout
 	}
-	conn, err := dial("tcp", address, patience)
+	conn, err := dial("tcp", address, timeout)
 	if err != nil {
 		return nil, err
 	}
-	var line *rpc.Client
+	var client *rpc.Client
 	if tcp.Counter != nil {
-		line = rpc.NewClientWithCodec(newCounted(conn, tcp.Counter, address))
+		client = rpc.NewClientWithCodec(newCountingCodec(conn, tcp.Counter, address))
 	} else {
-		line = rpc.NewClient(conn)
+		client = rpc.NewClient(conn)
 	}
 	tcp.guard.Lock()
 	defer tcp.guard.Unlock()
-	if other := tcp.lines[address]; other != nil {
-		line.Close()
-		return other, nil
+	if existing := tcp.clients[address]; existing != nil {
+		client.Close()
+		return existing, nil
 	}
-	if tcp.lines == nil {
-		tcp.lines = map[string]*rpc.Client{}
+	if tcp.clients == nil {
+		tcp.clients = map[string]*rpc.Client{}
 	}
-	tcp.lines[address] = line
-	return line, nil
+	tcp.clients[address] = client
+	return client, nil
 }
 
-// retire takes a line on which a call expired out of use. Calls that others wait for on
-// it may yet end; they would all be lost for one slow one, and made anew, which slows a
-// narrow way further. It is closed after as long as the expired one was waited for.
-func (tcp *TCP) retire(address string, line *rpc.Client, patience time.Duration) {
+// retire removes a client on which a call timed out, and closes it after another timeout
+// of that call. Other calls that are in flight on the connection may still complete until
+// then. Closing it at once would fail them all for one slow call, and their retries would
+// load a slow network path further.
+func (tcp *TCP) retire(address string, client *rpc.Client, timeout time.Duration) {
 	tcp.guard.Lock()
-	if tcp.lines[address] == line {
-		delete(tcp.lines, address)
+	if tcp.clients[address] == client {
+		delete(tcp.clients, address)
 	}
 	tcp.guard.Unlock()
 	tcp.World.Go(func() {
-		loop.Sleep(tcp.World, patience)
-		line.Close()
+		loop.Sleep(tcp.World, timeout)
+		client.Close()
 	})
 }
 
-func (tcp *TCP) forget(address string, line *rpc.Client) {
+func (tcp *TCP) drop(address string, client *rpc.Client) {
 	tcp.guard.Lock()
-	if tcp.lines[address] == line {
-		delete(tcp.lines, address)
+	if tcp.clients[address] == client {
+		delete(tcp.clients, address)
 	}
 	tcp.guard.Unlock()
-	line.Close()
+	client.Close()
 }
 
-// Call makes the call and waits for at most the patience.
-func (tcp *TCP) Call(address, method string, args, reply any, patience time.Duration) error {
-	expiry := tcp.World.Now() + patience
-	for try := 0; ; try++ {
-		line, err := tcp.line(address, expiry-tcp.World.Now())
+// Call calls the method and waits for the reply for at most the timeout.
+func (tcp *TCP) Call(address, method string, args, reply any, timeout time.Duration) error {
+	deadline := tcp.World.Now() + timeout
+	for attempt := 0; ; attempt++ {
+		client, err := tcp.client(address, deadline-tcp.World.Now())
 		if err != nil {
 			return &Mishap{Address: address, Method: method, Cause: err}
 		}
-		box := tcp.World.Mailbox()
-		// The library writes a call before it gives way, and one that does not read
-		// would hold up the writer for good. What is closed when the patience runs
-		// out ends that too.
-		go func() { box.Put(line.Call(method, args, reply)) }()
-		ended, ok := box.Take(expiry - tcp.World.Now())
+		mailbox := tcp.World.Mailbox()
+		// net/rpc writes the request synchronously, so a callee that does not read
+		// would block the writer forever. Closing the client after the timeout also
+		// unblocks the writer.
+		go func() { mailbox.Put(client.Call(method, args, reply)) }()
+		outcome, ok := mailbox.Take(deadline - tcp.World.Now())
 		if !ok {
-			tcp.retire(address, line, patience)
+			tcp.retire(address, client, timeout)
 			return &Mishap{Address: address, Method: method, Sent: true, Cause: ErrExpired}
 		}
-		if ended == nil {
+		if outcome == nil {
 			return nil
 		}
-		trouble := ended.(error)
+		callErr := outcome.(error)
 		var remote rpc.ServerError
-		if errors.As(trouble, &remote) {
-			return &Mishap{Address: address, Method: method, Sent: true, Cause: trouble}
+		if errors.As(callErr, &remote) {
+			return &Mishap{Address: address, Method: method, Sent: true, Cause: callErr}
 		}
-		tcp.forget(address, line)
-		if errors.Is(trouble, rpc.ErrShutdown) && try == 0 {
-			continue // the line was already closed: nothing was sent
+		tcp.drop(address, client)
+		if errors.Is(callErr, rpc.ErrShutdown) && attempt == 0 {
+			continue // the client was already closed, so nothing was sent
 		}
-		return &Mishap{Address: address, Method: method, Sent: true, Cause: trouble}
+		return &Mishap{Address: address, Method: method, Sent: true, Cause: callErr}
 	}
 }
 
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -16,16 +16,16 @@
 	"swifttiller/wire"
 )
 
-// Note is a service that counts what gets to it whole.
+// Note is an RPC service that counts the calls that reach it complete.
 type Note struct {
 	runs  atomic.Int64
 	wrong atomic.Int64
 }
 
-// Text is long enough to be cut in many places.
+// Text is the argument of Note.Take, long enough to be cut at many offsets.
 type Text struct{ Body []byte }
 
-// Take counts.
+// Take counts the call, and whether its argument differs from body.
 func (note *Note) Take(text Text, length *int) error {
 	note.runs.Add(1)
 	if !bytes.Equal(text.Body, body) {
@@ -37,14 +37,15 @@
 
 var body = bytes.Repeat([]byte("abcdefgh"), 64)
 
-// cutter passes connections on, and cuts each after so many bytes of one way.
-type cutter struct {
-	guard       sync.Mutex
-	there, back int64 // below zero: never
-	target      string
+// truncatingProxy forwards connections to target and closes each after a number of bytes
+// in one direction.
+type truncatingProxy struct {
+	guard              sync.Mutex
+	toServer, toClient int64 // bytes until the connection is closed; negative: unlimited
+	target             string
 }
 
-func (cutter *cutter) run(listener net.Listener) {
+func (proxy *truncatingProxy) run(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
 		if err != nil {
@@ -52,33 +53,33 @@
 		}
 		go func() {
 			defer conn.Close()
-			onward, err := net.Dial("tcp", cutter.target)
+			upstream, err := net.Dial("tcp", proxy.target)
 			if err != nil {
 				return
 			}
-			defer onward.Close()
-			cutter.guard.Lock()
-			bounds := [2]int64{cutter.there, cutter.back}
-			cutter.guard.Unlock()
-			pass := func(way int, to io.Writer, from io.Reader) {
-				if bounds[way] >= 0 {
-					from = io.LimitReader(from, bounds[way])
+			defer upstream.Close()
+			proxy.guard.Lock()
+			limits := [2]int64{proxy.toServer, proxy.toClient}
+			proxy.guard.Unlock()
+			forward := func(direction int, to io.Writer, from io.Reader) {
+				if limits[direction] >= 0 {
+					from = io.LimitReader(from, limits[direction])
 				}
 				_, _ = io.Copy(to, from)
 				conn.Close()
-				onward.Close()
+				upstream.Close()
 			}
 			var both sync.WaitGroup
-			both.Go(func() { pass(0, onward, conn) })
-			both.Go(func() { pass(1, conn, onward) })
+			both.Go(func() { forward(0, upstream, conn) })
+			both.Go(func() { forward(1, conn, upstream) })
 			both.Wait()
 		}()
 	}
 }
 
-// TestCallsCutAtEveryPlace: of a call that is cut in its middle nothing is served,
-// one whose answer is cut was served once, and the caller is never told that nothing
-// was seen when something may have been.
+// TestCallsCutAtEveryPlace closes the connection at many offsets of the request and of the
+// response. A truncated request must not run, a call whose response is truncated must
+// have run once, and Unsent must be false for both.
 func TestCallsCutAtEveryPlace(t *testing.T) {
 	Convey("over real connections", t, func() {
 		world := loop.NewMachine()
@@ -92,12 +93,12 @@
 		outer, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		defer outer.Close()
-		cutter := &cutter{there: -1, back: -1, target: inner.Addr().String()}
-		go cutter.run(outer)
-		call := func(there, back int64) (ran int64, length int, err error) {
-			cutter.guard.Lock()
-			cutter.there, cutter.back = there, back
-			cutter.guard.Unlock()
+		proxy := &truncatingProxy{toServer: -1, toClient: -1, target: inner.Addr().String()}
+		go proxy.run(outer)
+		call := func(toServer, toClient int64) (ran int64, length int, err error) {
+			proxy.guard.Lock()
+			proxy.toServer, proxy.toClient = toServer, toClient
+			proxy.guard.Unlock()
 			caller := &wire.TCP{World: world}
 			before := note.runs.Load()
 			err = caller.Call(outer.Addr().String(), "Note.Take", Text{Body: body}, &length, time.Minute)
@@ -108,15 +109,15 @@
 		So(ran, ShouldEqual, 1)
 		So(length, ShouldEqual, len(body))
 		cuts := 0
-		for place := int64(0); place < int64(len(body))+28; place += 7 {
-			ran, _, err := call(place, -1)
+		for limit := int64(0); limit < int64(len(body))+28; limit += 7 {
+			ran, _, err := call(limit, -1)
 			So(err, ShouldNotBeNil)
 			So(wire.Unsent(err), ShouldBeFalse)
 			So(ran, ShouldEqual, 0)
 			cuts++
 		}
-		for place := int64(1); place < 20; place++ {
-			ran, _, err := call(-1, place)
+		for limit := int64(1); limit < 20; limit++ {
+			ran, _, err := call(-1, limit)
 			So(err, ShouldNotBeNil)
 			So(wire.Unsent(err), ShouldBeFalse)
 			So(ran, ShouldEqual, 1)
@@ -130,8 +131,8 @@
 	})
 }
 
-// noting is a server of notes that is to be served, and where it listens.
-func noting() (world *loop.Machine, server *rpc.Server, listener net.Listener) {
+// newNoteServer returns an RPC server with a Note, not yet serving, and its listener.
+func newNoteServer() (world *loop.Machine, server *rpc.Server, listener net.Listener) {
 	server = rpc.NewServer()
 	So(server.Register(&Note{}), ShouldBeNil)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -139,30 +140,31 @@
 	return loop.NewMachine(), server, listener
 }
 
-// TestLinesThatOpenLate: where a connection takes longer to open than a call may wait for
-// it, a later call goes over the one that opened meanwhile; otherwise none ever could.
+// TestLinesThatOpenLate guards against calls that can never succeed as connecting takes
+// longer than their timeout: a dial goes on after its call has timed out, and a later call
+// uses the connection.
 func TestLinesThatOpenLate(t *testing.T) {
 	Convey("over a connection that opens after the call gave up", t, func() {
-		world, server, listener := noting()
+		world, server, listener := newNoteServer()
 		defer listener.Close()
 		go wire.Serve(world, listener, server)
 		var dials atomic.Int64
-		var allowed atomic.Int64 // how long the first may take to open
+		var allowed atomic.Int64 // the timeout that the first dial got
 		isOpen := make(chan struct{})
-		caller := &wire.TCP{World: world, Dial: func(network, address string, patience time.Duration) (net.Conn, error) {
+		caller := &wire.TCP{World: world, Dial: func(network, address string, timeout time.Duration) (net.Conn, error) {
 			if dials.Add(1) > 1 {
 				return nil, io.EOF
 			}
-			allowed.Store(int64(patience))
+			allowed.Store(int64(timeout))
 			select {
 			case <-isOpen:
 				return net.Dial(network, address)
-			case <-time.After(patience):
+			case <-time.After(timeout):
 				return nil, io.EOF
 			}
 		}}
-		call := func(patience time.Duration) (length int, err error) {
-			err = caller.Call(listener.Addr().String(), "Note.Take", Text{Body: body}, &length, patience)
+		call := func(timeout time.Duration) (length int, err error) {
+			err = caller.Call(listener.Addr().String(), "Note.Take", Text{Body: body}, &length, timeout)
 			return length, err
 		}
 		_, err := call(10 * time.Millisecond)
@@ -178,75 +180,75 @@
 	})
 }
 
-// TestCountedCalls: counts are of every byte that went over the connection, by method,
-// and a line without a counter says the same.
+// TestCountedCalls checks that the counts by method add up to the bytes that the server's
+// connections saw in each direction, and that a client without a counter works alike.
 func TestCountedCalls(t *testing.T) {
 	Convey("over a real connection", t, func() {
-		world, server, listener := noting()
+		world, server, listener := newNoteServer()
 		defer listener.Close()
-		measured := &measured{Listener: listener}
-		go wire.Serve(world, measured, server)
-		at := listener.Addr().String()
+		counted := &countingListener{Listener: listener}
+		go wire.Serve(world, counted, server)
+		address := listener.Addr().String()
 		counter := &wire.Counter{}
 		counting := &wire.TCP{World: world, Counter: counter}
 		var calls sync.WaitGroup
 		for turn := 0; turn < 20; turn++ {
 			calls.Go(func() {
 				var length int
-				if err := counting.Call(at, "Note.Take", Text{Body: body}, &length, time.Minute); err != nil || length != len(body) {
-					t.Errorf("%d %v", length, err)
+				if err := counting.Call(address, "Note.Take", Text{Body: body}, &length, time.Minute); err != nil || length != len(body) {
+					t.Errorf("call returned length %d, error %v", length, err)
 				}
 			})
 		}
 		calls.Wait()
 		var none int
-		So(counting.Call(at, "Note.None", Text{Body: body}, &none, time.Minute), ShouldNotBeNil)
+		So(counting.Call(address, "Note.None", Text{Body: body}, &none, time.Minute), ShouldNotBeNil)
 		rows := counter.Snapshot()
 		So(len(rows), ShouldEqual, 2)
 		So(rows[0].Method, ShouldEqual, "Note.None")
 		So(rows[1].Calls, ShouldEqual, 20)
 		So(rows[1].Answers, ShouldEqual, 20)
 		So(rows[1].Sent, ShouldBeGreaterThan, 20*len(body))
-		So(int64(rows[0].Sent+rows[1].Sent), ShouldEqual, measured.in.Load())
-		So(int64(rows[0].Received+rows[1].Received), ShouldEqual, measured.out.Load())
-		counted := measured.in.Load()
+		So(int64(rows[0].Sent+rows[1].Sent), ShouldEqual, counted.in.Load())
+		So(int64(rows[0].Received+rows[1].Received), ShouldEqual, counted.out.Load())
+		bytesBefore := counted.in.Load()
 		var length int
-		So((&wire.TCP{World: world}).Call(at, "Note.Take", Text{Body: body}, &length, time.Minute), ShouldBeNil)
-		So(measured.in.Load(), ShouldBeGreaterThan, counted)
+		So((&wire.TCP{World: world}).Call(address, "Note.Take", Text{Body: body}, &length, time.Minute), ShouldBeNil)
+		So(counted.in.Load(), ShouldBeGreaterThan, bytesBefore)
 		So(len((*wire.Counter)(nil).Snapshot()), ShouldEqual, 0)
 	})
 }
 
-// measured counts what goes over its connections.
-type measured struct {
+// countingListener counts the bytes that its connections read and write.
+type countingListener struct {
 	net.Listener
 	in, out atomic.Int64
 }
 
-func (measured *measured) Accept() (net.Conn, error) {
-	conn, err := measured.Listener.Accept()
-	return &measuredConn{conn, measured}, err
+func (listener *countingListener) Accept() (net.Conn, error) {
+	conn, err := listener.Listener.Accept()
+	return &countingConn{conn, listener}, err
 }
 
-type measuredConn struct {
+type countingConn struct {
 	net.Conn
-	measured *measured
+	listener *countingListener
 }
 
-func (conn *measuredConn) Read(out []byte) (int, error) {
+func (conn *countingConn) Read(out []byte) (int, error) {
 	count, err := conn.Conn.Read(out)
-	conn.measured.in.Add(int64(count))
+	conn.listener.in.Add(int64(count))
 	return count, err
 }
 
-func (conn *measuredConn) Write(text []byte) (int, error) {
-	conn.measured.out.Add(int64(len(text))) // before the caller can have read it
+func (conn *countingConn) Write(text []byte) (int, error) {
+	conn.listener.out.Add(int64(len(text))) // counted before the caller can read the bytes
 	return conn.Conn.Write(text)
 }
 
-// TestACallToOneThatDoesNotReadExpires: a frozen machine's kernel takes a little and
-// then nothing; a long call must not wait for it beyond its patience, nor hold up
-// others.
+// TestACallToOneThatDoesNotReadExpires calls a callee that never reads: the kernel of a
+// frozen machine accepts data until its buffers are full, and then the writer blocks. A
+// long request must still end at its timeout, and must not block other calls.
 func TestACallToOneThatDoesNotReadExpires(t *testing.T) {
 	frozen, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -261,30 +263,30 @@
 			var length int
 			err := caller.Call(frozen.Addr().String(), "Note.Take", Text{Body: make([]byte, 32<<20)}, &length, 2*time.Second)
 			if err == nil {
-				t.Error("a call that nobody read was answered")
+				t.Error("a call to a callee that does not read succeeded")
 			}
 			if !wire.Unsent(err) {
 				written.Add(1)
 			}
 		})
 	}
-	calls.Wait() // for good, if a call hangs
+	calls.Wait() // blocks forever if a call hangs
 	if written.Load() == 0 {
-		t.Error("vacuous: no call got as far as being written")
+		t.Error("vacuous: no call was sent before its timeout")
 	}
 }
 
 func TestCallsShareOpenings(t *testing.T) {
 	Convey("many calls at once to an address that no line leads to open few lines", t, func() {
 		const calls = 20
-		world, server, listener := noting()
+		world, server, listener := newNoteServer()
 		defer listener.Close()
 		go wire.Serve(world, listener, server)
 		var dials, begun atomic.Int64
-		areAll := make(chan struct{})
+		allBegun := make(chan struct{})
 		caller := &wire.TCP{World: world, Dial: func(network, address string, _ time.Duration) (net.Conn, error) {
 			dials.Add(1)
-			<-areAll // no line opens before all calls have begun
+			<-allBegun // no connection is established before all calls have begun
 			return net.Dial(network, address)
 		}}
 		var group sync.WaitGroup
@@ -292,7 +294,7 @@
 		for range calls {
 			group.Go(func() {
 				if begun.Add(1) == calls {
-					close(areAll)
+					close(allBegun)
 				}
 				length := 0
 				if caller.Call(listener.Addr().String(), "Note.Take", Text{Body: body}, &length, 10*time.Second) == nil && length == len(body) {
