--- a/disk/disk.go
+++ b/disk/disk.go
@@ -1,6 +1,6 @@
-// Package disk keeps one value safe over crashes: two slots that are written in
-// turn, with a short log between. Everything is checksummed, and nothing counts
-// before the file and its folder are synced.
+// Package disk stores one value durably across crashes: two snapshot slots that are
+// written alternately, each followed by a short write-ahead log. All data has checksums,
+// and nothing counts as durable before the file and its folder are synced.
 package disk
 
 import (
@@ -19,17 +19,18 @@
 	"swifttiller/loop"
 )
 
-// Folder is the data folder. Real folders and simulated ones are alike.
+// Folder is the data folder, either a real one or one of the simulation.
 type Folder interface {
-	// Read gives a whole file; fs.ErrNotExist in the chain when there is none.
+	// Read returns the contents of a file. If there is none, the error wraps fs.ErrNotExist.
 	Read(name string) ([]byte, error)
-	// Open opens for appending, or empties the file first.
-	Open(name string, emptied bool) (File, error)
-	// Sync makes the names in the folder last.
+	// Open opens a file for appending, creating it if needed. If truncate is true, it
+	// truncates the file first.
+	Open(name string, truncate bool) (File, error)
+	// Sync makes the folder's entries durable.
 	Sync() error
 }
 
-// File is an open file that grows.
+// File is a file opened for appending.
 type File interface {
 	io.Writer
 	Sync() error
@@ -37,18 +38,18 @@
 	Close() error
 }
 
-// Real is a folder of the machine.
+// Real is the path of a folder in the machine's file system.
 type Real string
 
-// Read gives a whole file.
+// Read returns the contents of a file.
 func (real Real) Read(name string) ([]byte, error) {
 	return os.ReadFile(filepath.Join(string(real), name))
 }
 
-// Open opens for appending.
-func (real Real) Open(name string, emptied bool) (File, error) {
+// Open opens a file for appending, creating or truncating it as needed.
+func (real Real) Open(name string, truncate bool) (File, error) {
 	flags := os.O_CREATE | os.O_WRONLY | os.O_APPEND
-	if emptied {
+	if truncate {
 		flags |= os.O_TRUNC
 	}
 	return os.OpenFile(filepath.Join(string(real), name), flags, 0o600)
@@ -64,24 +65,24 @@
 	return folder.Sync()
 }
 
-// Corrupt says that what lies on the disk is not what was synced there. It is
-// never mended by forgetting: the operator decides.
+// Corrupt is the error that the data on the disk differs from what was synced to it.
+// The store never repairs this by discarding data: the operator decides.
 type Corrupt struct {
 	File   string
 	Reason string
 }
 
-// Error is one line for the operator.
+// Error returns a one-line message that tells the operator what to do.
 func (corrupt *Corrupt) Error() string {
-	return fmt.Sprintf("disk: %s: %s; this disk's memory can't be trusted: move the data folder away, start anew, and let the core admit the new acceptor", corrupt.File, corrupt.Reason)
+	return fmt.Sprintf("disk: %s: %s; the data on this disk can't be trusted: move the data folder away, restart with an empty one, and let the core admit the new acceptor", corrupt.File, corrupt.Reason)
 }
 
-// ErrBroken is every answer after a write or sync has failed, until a whole copy was written
-// anew.
-var ErrBroken = errors.New("disk: a write or sync failed; nothing is assumed to have lasted until the whole has been written anew")
+// ErrBroken is the error of every append after a write or sync has failed, until a full
+// snapshot has been written.
+var ErrBroken = errors.New("disk: a write or sync failed; no record counts as durable until a full snapshot has been written")
 
-// mendGap is how long tries to write the whole anew are apart.
-const mendGap = 500 * time.Millisecond
+// rewriteInterval is the minimum time between attempts to write a full snapshot after a failure.
+const rewriteInterval = 500 * time.Millisecond
 
 const (
 	slotMagic   = 0x53574c54
@@ -89,48 +90,49 @@
 	headSize    = 4 + 8 + 8 + 4 + 4
 )
 
-// Options say where a store lies and when its log is folded into a slot.
+// Options configure where a store keeps its files and when its log is compacted into a
+// snapshot slot.
 type Options struct {
 	World  loop.World
 	Folder Folder
-	// LogBytes is how long the log may grow.
+	// LogBytes is the log size in bytes above which the next write compacts the log first.
 	LogBytes int
-	// Snapshot gives the whole value, with every record enqueued so far in it.
-	// Records must be such that replaying any of them onto it in order ends at
-	// the same value.
+	// Snapshot returns the whole value, including every record enqueued so far.
+	// Records must be idempotent: replaying any of them, in order, onto the snapshot
+	// must result in the same value.
 	Snapshot func() []byte
-	// Folded, if set, is told that what Snapshot gave last has become durable. The writing
-	// task calls it, before any later record is written.
+	// Folded, if set, is called when the latest result of Snapshot has become durable. The
+	// writing task calls it before it writes any later record.
 	Folded func()
 }
 
-// Store is the two slots and the logs between.
+// Store consists of two snapshot slots and their logs.
 //
 // Invariants:
-//   - slots of generation g lie in slot g%2; log g%2 holds the records that
-//     follow it, each stamped g and numbered from 0 without a gap; record 0 is
-//     the log's own opening.
-//   - a log g is only opened after slot g has been synced, so a log newer than
-//     every good slot means that a slot went bad.
-//   - synced is never above queued; Append returns only once its record is
-//     synced. After broken is set nothing is written to that log any more: what
-//     it holds behind the last good record was never answered for. The first
-//     write after it is the whole value, into the other slot, with a new log.
+//   - the snapshot of generation g is in slot g%2; log g%2 has the records that
+//     follow it, each with generation g and numbered from 0 without a gap; record 0 is
+//     the log's own header.
+//   - log g is created only after slot g has been synced, so a log newer than
+//     every valid slot means that a slot is corrupt.
+//   - the wait that Enqueue returns ends without error only once the record is
+//     synced. After broken is set, nothing more is written to that log: what
+//     follows its last valid record was never acknowledged. The first
+//     write after that is the whole value, into the other slot, with a new log.
 type Store struct {
 	Options
-	guard      sync.Mutex
-	generation uint64 // this and the next three: the writing task's alone
-	log        File
-	length     int
-	number     uint64
-	waiting    [][]byte
-	waiters    []loop.Mailbox
-	writing    bool
-	broken     error
-	tried      time.Duration // when it was last tried to mend what is broken
-	lastSync   time.Duration
-	syncs      atomic.Uint64
-	torn       bool
+	guard       sync.Mutex
+	generation  uint64 // this and the next three fields are accessed only by the writing task
+	log         File
+	logLength   int
+	nextNumber  uint64
+	queued      [][]byte
+	waiters     []loop.Mailbox
+	writing     bool
+	broken      error
+	lastRewrite time.Duration // time of the failure or of the last rewrite after it
+	lastSync    time.Duration
+	syncs       atomic.Uint64
+	tornTail    bool
 }
 
 func frame(magic uint32, generation, number uint64, payload []byte) []byte {
@@ -144,7 +146,8 @@
 	return append(out, payload...)
 }
 
-// unframe reads one frame; false when it is not whole or not right.
+// unframe decodes the frame at the start of data; ok is false if it is incomplete or its
+// checksum is wrong.
 func unframe(magic uint32, data []byte) (generation, number uint64, payload []byte, size int, ok bool) {
 	if len(data) < headSize || binary.BigEndian.Uint32(data) != magic {
 		return
@@ -164,13 +167,13 @@
 func slotName(generation uint64) string { return fmt.Sprintf("slot-%d", generation%2) }
 func logName(generation uint64) string  { return fmt.Sprintf("log-%d", generation%2) }
 
-// Open finds what the folder holds: the newest slot's value and the records
-// after it, or fresh true when the folder was never used.
+// Open recovers the store from its folder: the value of the newest slot and the records
+// after it. The result fresh is true if the folder has never been used.
 func Open(options Options) (store *Store, value []byte, records [][]byte, fresh bool, err error) {
 	store = &Store{Options: options}
-	var seen bool
+	var inUse bool
 	var slots [2][]byte
-	var best uint64
+	var newest uint64
 	for side := uint64(0); side < 2; side++ {
 		data, err := options.Folder.Read(slotName(side))
 		if errors.Is(err, os.ErrNotExist) {
@@ -179,15 +182,15 @@
 			return nil, nil, nil, false, err
 		}
 		if len(data) > 0 {
-			seen = true
+			inUse = true
 		}
 		generation, _, payload, _, ok := unframe(slotMagic, data)
 		if !ok || generation%2 != side {
 			continue
 		}
 		slots[side] = payload
-		if generation > best {
-			best = generation
+		if generation > newest {
+			newest = generation
 		}
 	}
 	var logs [2][]byte
@@ -198,118 +201,120 @@
 		}
 		logs[side] = data
 		if generation, _, _, _, ok := unframe(recordMagic, data); ok {
-			seen = true
-			if generation > best {
-				return nil, nil, nil, false, &Corrupt{slotName(generation), fmt.Sprintf("the log continues generation %d, but its slot is bad", generation)}
+			inUse = true
+			if generation > newest {
+				return nil, nil, nil, false, &Corrupt{slotName(generation), fmt.Sprintf("the log follows the snapshot of generation %d, but that slot is corrupt", generation)}
 			}
 		}
 	}
-	if best == 0 {
-		// A torn very first slot, with no log, never held anything.
-		if seen && (len(logs[0]) > 0 || len(logs[1]) > 0) {
-			return nil, nil, nil, false, &Corrupt{"slot-0, slot-1", "both slots are bad"}
+	if newest == 0 {
+		// A torn first slot without a log is left by a crash during the first snapshot; no
+		// data was ever acknowledged.
+		if inUse && (len(logs[0]) > 0 || len(logs[1]) > 0) {
+			return nil, nil, nil, false, &Corrupt{"slot-0, slot-1", "both slots are corrupt"}
 		}
 		return store, nil, nil, true, nil
 	}
-	store.generation = best
-	records, keep, err := replay(best, logs[best%2])
+	store.generation = newest
+	records, goodLength, err := replay(newest, logs[newest%2])
 	if err != nil {
 		return nil, nil, nil, false, err
 	}
-	store.number = uint64(len(records)) + 1
-	store.log, err = options.Folder.Open(logName(best), keep == 0)
+	store.nextNumber = uint64(len(records)) + 1
+	store.log, err = options.Folder.Open(logName(newest), goodLength == 0)
 	if err != nil {
 		return nil, nil, nil, false, err
 	}
-	if keep == 0 {
-		err = store.begin()
-	} else if store.length = keep; keep < len(logs[best%2]) {
-		store.torn = true
-		if err = store.log.Truncate(int64(keep)); err == nil {
+	if goodLength == 0 {
+		err = store.writeLogHeader()
+	} else if store.logLength = goodLength; goodLength < len(logs[newest%2]) {
+		store.tornTail = true
+		if err = store.log.Truncate(int64(goodLength)); err == nil {
 			err = store.log.Sync()
 		}
 	}
-	return store, slots[best%2], records, false, err
+	return store, slots[newest%2], records, false, err
 }
 
-// replay reads the log of a generation: its records and how many bytes of it
-// are good. A tail that was never finished is cut; a bad place with a good
-// record behind it is corruption.
-func replay(generation uint64, data []byte) (records [][]byte, keep int, err error) {
-	if got, _, _, _, ok := unframe(recordMagic, data); !ok || got != generation {
-		// Of an older generation, or its opening was never finished.
-		for at := 1; ok == false && at+headSize <= len(data); at++ {
-			if got, _, _, _, good := unframe(recordMagic, data[at:]); good && got == generation {
-				return nil, 0, &Corrupt{logName(generation), "the opening is bad, with records behind it"}
+// replay reads the log of a generation and returns its records and how many bytes of it
+// are valid. A torn tail is dropped; an invalid frame with a valid record after it is
+// corruption.
+func replay(generation uint64, data []byte) (records [][]byte, goodLength int, err error) {
+	if recordGeneration, _, _, _, ok := unframe(recordMagic, data); !ok || recordGeneration != generation {
+		// The log is of an older generation, or its header was not written completely.
+		for offset := 1; ok == false && offset+headSize <= len(data); offset++ {
+			if recordGeneration, _, _, _, isGood := unframe(recordMagic, data[offset:]); isGood && recordGeneration == generation {
+				return nil, 0, &Corrupt{logName(generation), "the log header is corrupt, with valid records after it"}
 			}
 		}
 		return nil, 0, nil
 	}
-	for number := uint64(0); keep < len(data); number++ {
-		got, have, payload, size, ok := unframe(recordMagic, data[keep:])
-		if !ok || got != generation || have != number {
-			for at := keep + 1; at+headSize <= len(data); at++ {
-				if got, have, _, _, good := unframe(recordMagic, data[at:]); good && got == generation && have >= number {
-					return nil, 0, &Corrupt{logName(generation), fmt.Sprintf("bad bytes at %d, with good records behind them", keep)}
+	for number := uint64(0); goodLength < len(data); number++ {
+		recordGeneration, recordNumber, payload, size, ok := unframe(recordMagic, data[goodLength:])
+		if !ok || recordGeneration != generation || recordNumber != number {
+			for offset := goodLength + 1; offset+headSize <= len(data); offset++ {
+				if recordGeneration, recordNumber, _, _, isGood := unframe(recordMagic, data[offset:]); isGood && recordGeneration == generation && recordNumber >= number {
+					return nil, 0, &Corrupt{logName(generation), fmt.Sprintf("corrupt bytes at offset %d, with valid records after them", goodLength)}
 				}
 			}
-			return records, keep, nil
+			return records, goodLength, nil
 		}
 		if number > 0 {
 			records = append(records, bytes.Clone(payload))
 		}
-		keep += size
+		goodLength += size
 	}
-	return records, keep, nil
+	return records, goodLength, nil
 }
 
-// begin writes the log's opening.
-func (store *Store) begin() error {
-	opening := frame(recordMagic, store.generation, 0, nil)
-	if _, err := store.log.Write(opening); err != nil {
+// writeLogHeader writes and syncs record 0 of the log, then syncs the folder.
+func (store *Store) writeLogHeader() error {
+	header := frame(recordMagic, store.generation, 0, nil)
+	if _, err := store.log.Write(header); err != nil {
 		return err
 	}
 	store.syncs.Add(2)
 	if err := store.log.Sync(); err != nil {
 		return err
 	}
-	store.number, store.length = 1, len(opening)
+	store.nextNumber, store.logLength = 1, len(header)
 	return store.Folder.Sync()
 }
 
-// Enqueue puts a record in line and gives the wait for it to last. It never
-// waits itself, so it may be called under a table's lock: the order of records
-// is then the order of the table's changes.
+// Enqueue queues a record for writing and returns a function that waits until it is
+// durable. Enqueue itself never waits, so it may be called under the lock of a table: the
+// records are then in the order of the table's changes. A nil record writes nothing and is
+// a barrier: its wait ends once all records before it are durable.
 func (store *Store) Enqueue(record []byte) (wait func() error) {
-	box := store.World.Mailbox()
+	mailbox := store.World.Mailbox()
 	store.guard.Lock()
 	defer store.guard.Unlock()
-	if store.broken != nil && store.World.Now()-store.tried < mendGap {
+	if store.broken != nil && store.World.Now()-store.lastRewrite < rewriteInterval {
 		err := store.broken
 		return func() error { return err }
 	}
-	store.waiting = append(store.waiting, record)
-	store.waiters = append(store.waiters, box)
+	store.queued = append(store.queued, record)
+	store.waiters = append(store.waiters, mailbox)
 	if !store.writing {
 		store.writing = true
-		store.World.Go(store.drain)
+		store.World.Go(store.writeQueued)
 	}
 	return func() error {
-		got, ok := box.Take(loop.Forever)
+		result, ok := mailbox.Take(loop.Forever)
 		if !ok {
 			return ErrBroken
 		}
-		err, _ := got.(error)
+		err, _ := result.(error)
 		return err
 	}
 }
 
-// drain writes what is in line, batch by batch.
-func (store *Store) drain() {
+// writeQueued writes the queued records, batch by batch, until the queue is empty.
+func (store *Store) writeQueued() {
 	for {
 		store.guard.Lock()
-		batch, waiters := store.waiting, store.waiters
-		store.waiting, store.waiters = nil, nil
+		batch, waiters := store.queued, store.waiters
+		store.queued, store.waiters = nil, nil
 		if len(batch) == 0 {
 			store.writing = false
 			store.guard.Unlock()
@@ -317,33 +322,33 @@
 		}
 		err := store.broken
 		store.guard.Unlock()
-		began := store.World.Now()
+		start := store.World.Now()
 		if err != nil {
-			err = store.mend(err)
+			err = store.rewrite(err)
 		}
 		if err == nil {
 			err = store.write(batch)
 		}
 		store.guard.Lock()
-		store.lastSync = store.World.Now() - began
+		store.lastSync = store.World.Now() - start
 		if err != nil && store.broken == nil {
-			store.broken, store.tried = fmt.Errorf("%w (%v)", ErrBroken, err), store.World.Now()
+			store.broken, store.lastRewrite = fmt.Errorf("%w (%v)", ErrBroken, err), store.World.Now()
 		}
 		err = store.broken
 		store.guard.Unlock()
-		for _, box := range waiters {
-			box.Put(err)
+		for _, mailbox := range waiters {
+			mailbox.Put(err)
 		}
 	}
 }
 
-// mend tries to write the whole anew; what was broken is returned where that fails too, or
-// where it was tried a short while ago.
-func (store *Store) mend(broken error) error {
+// rewrite tries to write a full snapshot after a failure. It returns the given error if
+// that fails too, or if the last attempt was less than rewriteInterval ago.
+func (store *Store) rewrite(broken error) error {
 	store.guard.Lock()
-	isDue := store.World.Now()-store.tried >= mendGap
+	isDue := store.World.Now()-store.lastRewrite >= rewriteInterval
 	if isDue {
-		store.tried = store.World.Now()
+		store.lastRewrite = store.World.Now()
 	}
 	store.guard.Unlock()
 	if !isDue || store.Fold() != nil {
@@ -355,33 +360,34 @@
 	return nil
 }
 
-// write makes a batch last. A batch of nothing but barriers writes nothing.
+// write appends a batch to the log and syncs it. A batch with only barriers, which are
+// nil records, writes nothing.
 func (store *Store) write(batch [][]byte) error {
-	if store.length > store.LogBytes {
+	if store.logLength > store.LogBytes {
 		if err := store.Fold(); err != nil {
 			return err
 		}
 	}
-	var all []byte
+	var frames []byte
 	for _, record := range batch {
 		if record != nil {
-			all = append(all, frame(recordMagic, store.generation, store.number, record)...)
-			store.number++
+			frames = append(frames, frame(recordMagic, store.generation, store.nextNumber, record)...)
+			store.nextNumber++
 		}
 	}
-	if len(all) == 0 {
+	if len(frames) == 0 {
 		return nil
 	}
-	store.length += len(all)
-	if _, err := store.log.Write(all); err != nil {
+	store.logLength += len(frames)
+	if _, err := store.log.Write(frames); err != nil {
 		return err
 	}
 	store.syncs.Add(1)
 	return store.log.Sync()
 }
 
-// Fold writes the whole value into the other slot and begins a new log. Only
-// the writing task calls it, and whoever has just opened a fresh store.
+// Fold writes the whole value into the other slot and starts a new log. Only the writing
+// task may call it, or the caller of Open before it uses the fresh store.
 func (store *Store) Fold() error {
 	next, old := store.generation+1, store.log
 	value := store.Snapshot()
@@ -408,7 +414,7 @@
 	if old != nil {
 		old.Close()
 	}
-	if err := store.begin(); err != nil {
+	if err := store.writeLogHeader(); err != nil {
 		return err
 	}
 	if store.Folded != nil {
@@ -417,20 +423,20 @@
 	return nil
 }
 
-// Vitals is what the doctor asks of a store.
+// Vitals is the health of a store, as the doctor command reports it.
 type Vitals struct {
 	Broken   string
 	LastSync time.Duration
-	// Syncs are those asked of the disk since the store was opened, folders' included.
+	// Syncs counts the syncs requested since the store was opened, including those of the folder.
 	Syncs    uint64
 	TornTail bool
 }
 
-// Vitals tells how the store does.
+// Vitals returns the present health of the store.
 func (store *Store) Vitals() Vitals {
 	store.guard.Lock()
 	defer store.guard.Unlock()
-	vitals := Vitals{LastSync: store.lastSync, Syncs: store.syncs.Load(), TornTail: store.torn}
+	vitals := Vitals{LastSync: store.lastSync, Syncs: store.syncs.Load(), TornTail: store.tornTail}
 	if store.broken != nil {
 		vitals.Broken = store.broken.Error()
 	}
--- a/disk/lock.go
+++ b/disk/lock.go
@@ -7,7 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Lock keeps a second process out of the folder while the file stays open.
+// Lock takes an exclusive lock on the folder without waiting. Other processes cannot take
+// it as long as the returned file is open; the error of a second Lock is EWOULDBLOCK.
 func Lock(folder string) (*os.File, error) {
 	file, err := os.OpenFile(filepath.Join(folder, "in-use"), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
