--- a/disk/disk.go
+++ b/disk/disk.go
@@ -42,22 +42,22 @@
 type Real string
 
 // Read returns the contents of a file.
-func (real Real) Read(name string) ([]byte, error) {
-	return os.ReadFile(filepath.Join(string(real), name))
+func (root Real) Read(name string) ([]byte, error) {
+	return os.ReadFile(filepath.Join(string(root), name))
 }
 
 // Open opens a file for appending, creating or truncating it as needed.
-func (real Real) Open(name string, truncate bool) (File, error) {
+func (root Real) Open(name string, truncate bool) (File, error) {
 	flags := os.O_CREATE | os.O_WRONLY | os.O_APPEND
 	if truncate {
 		flags |= os.O_TRUNC
 	}
-	return os.OpenFile(filepath.Join(string(real), name), flags, 0o600)
+	return os.OpenFile(filepath.Join(string(root), name), flags, 0o600)
 }
 
 // Sync syncs the folder itself.
-func (real Real) Sync() error {
-	folder, err := os.Open(string(real))
+func (root Real) Sync() error {
+	folder, err := os.Open(string(root))
 	if err != nil {
 		return err
 	}
@@ -174,8 +174,8 @@
 	var inUse bool
 	var slots [2][]byte
 	var newest uint64
-	for side := uint64(0); side < 2; side++ {
-		data, err := options.Folder.Read(slotName(side))
+	for index := uint64(0); index < 2; index++ {
+		data, err := options.Folder.Read(slotName(index))
 		if errors.Is(err, os.ErrNotExist) {
 			continue
 		} else if err != nil {
@@ -185,21 +185,21 @@
 			inUse = true
 		}
 		generation, _, payload, _, ok := unframe(slotMagic, data)
-		if !ok || generation%2 != side {
+		if !ok || generation%2 != index {
 			continue
 		}
-		slots[side] = payload
+		slots[index] = payload
 		if generation > newest {
 			newest = generation
 		}
 	}
 	var logs [2][]byte
-	for side := uint64(0); side < 2; side++ {
-		data, err := options.Folder.Read(logName(side))
+	for index := uint64(0); index < 2; index++ {
+		data, err := options.Folder.Read(logName(index))
 		if err != nil && !errors.Is(err, os.ErrNotExist) {
 			return nil, nil, nil, false, err
 		}
-		logs[side] = data
+		logs[index] = data
 		if generation, _, _, _, ok := unframe(recordMagic, data); ok {
 			inUse = true
 			if generation > newest {
@@ -389,7 +389,7 @@
 // Fold writes the whole value into the other slot and starts a new log. Only the writing
 // task may call it, or the caller of Open before it uses the fresh store.
 func (store *Store) Fold() error {
-	next, old := store.generation+1, store.log
+	next, oldLog := store.generation+1, store.log
 	value := store.Snapshot()
 	slot, err := store.Folder.Open(slotName(next), true)
 	if err != nil {
@@ -411,8 +411,8 @@
 		return err
 	}
 	store.generation, store.log = next, log
-	if old != nil {
-		old.Close()
+	if oldLog != nil {
+		oldLog.Close()
 	}
 	if err := store.writeLogHeader(); err != nil {
 		return err
@@ -436,9 +436,9 @@
 func (store *Store) Vitals() Vitals {
 	store.guard.Lock()
 	defer store.guard.Unlock()
-	vitals := Vitals{LastSync: store.lastSync, Syncs: store.syncs.Load(), TornTail: store.tornTail}
+	health := Vitals{LastSync: store.lastSync, Syncs: store.syncs.Load(), TornTail: store.tornTail}
 	if store.broken != nil {
-		vitals.Broken = store.broken.Error()
+		health.Broken = store.broken.Error()
 	}
-	return vitals
+	return health
 }
--- a/wire/count.go
+++ b/wire/count.go
@@ -89,8 +89,8 @@
 	count uint64
 }
 
-func (reader *countingReader) Read(out []byte) (int, error) {
-	count, err := reader.Reader.Read(out)
+func (reader *countingReader) Read(buffer []byte) (int, error) {
+	count, err := reader.Reader.Read(buffer)
 	reader.count += uint64(count)
 	return count, err
 }
@@ -111,8 +111,8 @@
 }
 
 // Write writes to the connection and counts the bytes written.
-func (codec *countingCodec) Write(text []byte) (int, error) {
-	count, err := codec.conn.Write(text)
+func (codec *countingCodec) Write(data []byte) (int, error) {
+	count, err := codec.conn.Write(data)
 	codec.sent += uint64(count)
 	return count, err
 }
--- a/wire/pack.go
+++ b/wire/pack.go
@@ -19,9 +19,9 @@
 // is accepted from an operator, and some margin.
 const maxUnpackedBytes = 80 << 20
 
-// Pack compresses text with flate. The base, which may be nil, is a dictionary that the
-// reader already has; the more of the text occurs in its last 32 KiB, the smaller the result.
-func Pack(text, base []byte) []byte {
+// Pack compresses data with flate. The base, which may be nil, is a dictionary that the
+// reader already has; the more of the data occurs in its last 32 KiB, the smaller the result.
+func Pack(data, base []byte) []byte {
 	var out bytes.Buffer
 	var writer *flate.Writer
 	if base == nil {
@@ -31,7 +31,7 @@
 	} else {
 		writer, _ = flate.NewWriterDict(&out, flate.DefaultCompression, base) // fails only for an invalid level
 	}
-	_, _ = writer.Write(text) // writing to a bytes.Buffer does not fail
+	_, _ = writer.Write(data) // writing to a bytes.Buffer does not fail
 	_ = writer.Close()
 	return out.Bytes()
 }
@@ -39,30 +39,30 @@
 // Unpack decompresses what Pack returned; the base must be the same.
 func Unpack(packed, base []byte) ([]byte, error) {
 	reader := flate.NewReaderDict(bytes.NewReader(packed), base)
-	text, err := io.ReadAll(io.LimitReader(reader, maxUnpackedBytes+1))
+	data, err := io.ReadAll(io.LimitReader(reader, maxUnpackedBytes+1))
 	switch {
 	case err != nil:
 		return nil, fmt.Errorf("decompress: %w", err)
-	case len(text) > maxUnpackedBytes:
+	case len(data) > maxUnpackedBytes:
 		return nil, fmt.Errorf("decompressed data exceeds %d bytes", maxUnpackedBytes)
 	}
-	return text, nil
+	return data, nil
 }
 
 // PackValue encodes a value with gob and compresses it. It panics if gob cannot encode the value.
 func PackValue(value any) []byte {
-	var text bytes.Buffer
-	if err := gob.NewEncoder(&text).Encode(value); err != nil {
+	var encoded bytes.Buffer
+	if err := gob.NewEncoder(&encoded).Encode(value); err != nil {
 		panic(err) // only types of this module are encoded
 	}
-	return Pack(text.Bytes(), nil)
+	return Pack(encoded.Bytes(), nil)
 }
 
 // UnpackValue decodes what PackValue returned into value, which must be a pointer.
 func UnpackValue(packed []byte, value any) error {
-	text, err := Unpack(packed, nil)
+	encoded, err := Unpack(packed, nil)
 	if err != nil {
 		return err
 	}
-	return gob.NewDecoder(bytes.NewReader(text)).Decode(value)
+	return gob.NewDecoder(bytes.NewReader(encoded)).Decode(value)
 }
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -149,13 +149,13 @@
 		defer listener.Close()
 		go wire.Serve(world, listener, server)
 		var dials atomic.Int64
-		var allowed atomic.Int64 // the timeout that the first dial got
+		var dialTimeout atomic.Int64 // the timeout that the first dial got
 		isOpen := make(chan struct{})
 		caller := &wire.TCP{World: world, Dial: func(network, address string, timeout time.Duration) (net.Conn, error) {
 			if dials.Add(1) > 1 {
 				return nil, io.EOF
 			}
-			allowed.Store(int64(timeout))
+			dialTimeout.Store(int64(timeout))
 			select {
 			case <-isOpen:
 				return net.Dial(network, address)
@@ -170,10 +170,10 @@
 		_, err := call(10 * time.Millisecond)
 		So(err, ShouldNotBeNil)
 		So(wire.Unsent(err), ShouldBeTrue)
-		So(time.Duration(allowed.Load()), ShouldBeBetween, 300*time.Millisecond, time.Second)
+		So(time.Duration(dialTimeout.Load()), ShouldBeBetween, 300*time.Millisecond, time.Second)
 		close(isOpen)
 		length := 0
-		for began := time.Now(); length == 0 && time.Since(began) < 10*time.Second; {
+		for start := time.Now(); length == 0 && time.Since(start) < 10*time.Second; {
 			length, _ = call(10 * time.Second)
 		}
 		So(length, ShouldEqual, len(body))
@@ -235,15 +235,15 @@
 	listener *countingListener
 }
 
-func (conn *countingConn) Read(out []byte) (int, error) {
-	count, err := conn.Conn.Read(out)
+func (conn *countingConn) Read(buffer []byte) (int, error) {
+	count, err := conn.Conn.Read(buffer)
 	conn.listener.in.Add(int64(count))
 	return count, err
 }
 
-func (conn *countingConn) Write(text []byte) (int, error) {
-	conn.listener.out.Add(int64(len(text))) // counted before the caller can read the bytes
-	return conn.Conn.Write(text)
+func (conn *countingConn) Write(data []byte) (int, error) {
+	conn.listener.out.Add(int64(len(data))) // counted before the caller can read the bytes
+	return conn.Conn.Write(data)
 }
 
 // TestACallToOneThatDoesNotReadExpires calls a callee that never reads: the kernel of a
