--- a/docs/words_test.go
+++ b/docs/words_test.go
@@ -29,13 +29,12 @@
 	"cmd/controlplane": 2,
 	"controlplane":     6,
 	"decide":           31,
-	"disk":             3,
+	"disk":             2,
 	"doctor":           33,
 	"duty":             2,
 	"execute":          1,
 	"fleet":            501,
 	"listing":          2,
-	"loop":             6,
 	"permit":           26,
 	"platform":         22,
 	"quota":            3,
@@ -46,7 +45,7 @@
 	"sim":              4,
 	"standing":         9,
 	"verdict":          2,
-	"wire":             14,
+	"wire":             1,
 	"workflow":         3,
 }
 
