--- a/serve/command.go
+++ b/serve/command.go
@@ -89,21 +89,21 @@
 	}
 	process.retrace = daemon.Retrace
 	daemon.Run()
-	if process.file != "" {
-		process.World.Go(func() { Watch(process.World, process.file, process.read, process.Reload) })
+	if process.settingsFile != "" {
+		process.World.Go(func() { Watch(process.World, process.settingsFile, process.initialStamp, process.Reload) })
 	}
-	told := process.Wait()
-	if !process.stop(daemon, told, closing) {
+	received := process.Wait()
+	if !process.stop(daemon, received, closing) {
 		return subcommands.ExitFailure
 	}
 	return subcommands.ExitSuccess
 }
 
 // stop ends the daemon in order, within its grace, and tells whether all that was under way has ended.
-func (process *Process) stop(daemon Daemon, told os.Signal, closing func()) (finished bool) {
+func (process *Process) stop(daemon Daemon, received os.Signal, closing func()) (finished bool) {
 	grace := time.Duration(process.Live.Now().Grace) * time.Second
 	began := process.World.Now()
-	process.Log.Info("stopping", zap.Stringer("signal", told), zap.Duration("grace", grace), zap.Int("running", daemon.running()))
+	process.Log.Info("stopping", zap.Stringer("signal", received), zap.Duration("grace", grace), zap.Int("running", daemon.running()))
 	finished = daemon.Stop(grace)
 	closing()
 	process.World.End()
--- a/serve/serve.go
+++ b/serve/serve.go
@@ -30,26 +30,26 @@
 // Process is a running process: its settings, world, net and log.
 type Process struct {
 	*settings.Process
-	Live    *settings.Live
-	level   zap.AtomicLevel
-	retrace func(path string) error
-	signals *signals
-	file    string // that the settings come from, if any
-	read    Stamp  // of the file as it was first read
-	World   *loop.Machine
-	Net     *wire.TCP
-	Log     *zap.Logger
+	Live         *settings.Live
+	level        zap.AtomicLevel
+	retrace      func(path string) error
+	signals      *signals
+	settingsFile string // that the settings come from, if any
+	initialStamp Stamp  // of the file as it was first read
+	World        *loop.Machine
+	Net          *wire.TCP
+	Log          *zap.Logger
 	// Incarnation names this life of the process.
 	Incarnation string
 }
 
 // Incarnation names one life of a process; it never comes again.
 func Incarnation() string {
-	mark := make([]byte, 4)
-	for index := range mark {
-		mark[index] = byte(rand.UintN(256))
+	suffix := make([]byte, 4)
+	for index := range suffix {
+		suffix[index] = byte(rand.UintN(256))
 	}
-	return fmt.Sprintf("%x-%s", time.Now().UnixMilli(), hex.EncodeToString(mark))
+	return fmt.Sprintf("%x-%s", time.Now().UnixMilli(), hex.EncodeToString(suffix))
 }
 
 // Logger writes JSON lines to standard error, at a level that can be changed.
@@ -109,12 +109,12 @@
 		return nil, 2
 	}
 	log := Logger(level).With(zap.String("daemon", process.Name), zap.String("incarnation", incarnation))
-	out := &Process{Process: process, World: world, Net: &wire.TCP{World: world}, Log: log, Incarnation: incarnation, level: level, signals: caught, file: file, read: stamp}
+	out := &Process{Process: process, World: world, Net: &wire.TCP{World: world}, Log: log, Incarnation: incarnation, level: level, signals: caught, settingsFile: file, initialStamp: stamp}
 	if process.Count {
 		out.Net.Counter = new(wire.Counter)
 	}
-	world.Panicked = func(trouble any, stack []byte) {
-		log.Fatal("a task panicked", zap.Any("trouble", trouble), zap.ByteString("stack", stack))
+	world.Panicked = func(value any, stack []byte) {
+		log.Fatal("a task panicked", zap.Any("trouble", value), zap.ByteString("stack", stack))
 	}
 	out.Live = settings.NewLive(settings.LiveOptions{
 		Process: *process, Apply: out.apply,
@@ -156,21 +156,21 @@
 		return nil, err
 	}
 	opened := []net.Listener{listener}
-	fronts := map[string]net.Listener{}
+	httpListeners := map[string]net.Listener{}
 	for address := range apps {
-		front, err := net.Listen("tcp", address)
+		httpListener, err := net.Listen("tcp", address)
 		if err != nil {
-			for _, one := range opened {
-				one.Close()
+			for _, openListener := range opened {
+				openListener.Close()
 			}
 			return nil, err
 		}
-		opened, fronts[address] = append(opened, front), front
+		opened, httpListeners[address] = append(opened, httpListener), httpListener
 	}
 	process.World.Go(func() { wire.Serve(process.World, listener, server) })
 	for address, app := range apps {
 		process.World.Go(func() {
-			if err := app.Listener(fronts[address]); err != nil && !process.World.Ended() {
+			if err := app.Listener(httpListeners[address]); err != nil && !process.World.Ended() {
 				process.Log.Error("the HTTP listener ended", zap.String("at", address), zap.Error(err))
 			}
 		})
@@ -187,14 +187,14 @@
 
 // Wait waits for the word to stop.
 func Wait() {
-	told, done := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
-	defer done()
-	<-told.Done()
+	stopContext, release := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+	defer release()
+	<-stopContext.Done()
 }
 
 // Wait waits for the signal to stop and gives it. Signals to reread the settings are obeyed from now on,
 // also while the process stops.
-func (process *Process) Wait() (told os.Signal) {
+func (process *Process) Wait() (received os.Signal) {
 	process.signals.onReload(process.World, process.Reload)
 	return <-process.signals.stop
 }
--- a/serve/signal_test.go
+++ b/serve/signal_test.go
@@ -29,16 +29,16 @@
 	defer signal.Stop(process.signals.stop)
 	defer signal.Stop(process.signals.reload)
 	// What the runtime hands over last shows that it has handed over what came before.
-	marks := make(chan os.Signal, 1)
-	signal.Notify(marks, syscall.SIGUSR1)
-	defer signal.Stop(marks)
-	send := func(one syscall.Signal) {
-		for _, each := range []syscall.Signal{one, syscall.SIGUSR1} {
+	barrier := make(chan os.Signal, 1)
+	signal.Notify(barrier, syscall.SIGUSR1)
+	defer signal.Stop(barrier)
+	send := func(sent syscall.Signal) {
+		for _, each := range []syscall.Signal{sent, syscall.SIGUSR1} {
 			if err := syscall.Kill(os.Getpid(), each); err != nil {
 				t.Fatal(err)
 			}
 		}
-		<-marks
+		<-barrier
 	}
 	ended := make(chan struct{})
 	go func() {
--- a/serve/signals.go
+++ b/serve/signals.go
@@ -34,17 +34,17 @@
 	arrived := world.Mailbox()
 	// It outlives the world, as it has nothing to wait for but the next signal.
 	go func() {
-		for one := range caught.reload {
-			arrived.Put(one)
+		for received := range caught.reload {
+			arrived.Put(received)
 		}
 	}()
 	world.Go(func() {
 		for !world.Ended() {
-			_, isSignal := arrived.Take(loop.Forever)
-			for more := isSignal; more; {
+			_, ok := arrived.Take(loop.Forever)
+			for more := ok; more; {
 				_, more = arrived.Take(0)
 			}
-			if isSignal {
+			if ok {
 				reload()
 			}
 		}
--- a/serve/stopping_test.go
+++ b/serve/stopping_test.go
@@ -109,9 +109,9 @@
 
 func (child *child) send(t *testing.T, signals ...syscall.Signal) {
 	t.Helper()
-	for _, one := range signals {
-		if err := child.Process.Signal(one); err != nil {
-			t.Fatalf("%v: %v", one, err)
+	for _, toSend := range signals {
+		if err := child.Process.Signal(toSend); err != nil {
+			t.Fatalf("%v: %v", toSend, err)
 		}
 	}
 }
--- a/serve/watch.go
+++ b/serve/watch.go
@@ -17,12 +17,12 @@
 
 // StampOf is the file's stamp now.
 func StampOf(path string) (stamp Stamp) {
-	about, err := os.Stat(path)
+	info, err := os.Stat(path)
 	if err != nil {
 		return Stamp{}
 	}
-	stamp.modified, stamp.size = about.ModTime(), about.Size()
-	if system, isKnown := about.Sys().(*syscall.Stat_t); isKnown {
+	stamp.modified, stamp.size = info.ModTime(), info.Size()
+	if system, isKnown := info.Sys().(*syscall.Stat_t); isKnown {
 		stamp.inode = system.Ino
 	}
 	return stamp
@@ -30,10 +30,10 @@
 
 // Watch runs reload whenever the file is another than the stamp says, until the world
 // ends. It looks once a second; a file that is gone for a while changes nothing.
-func Watch(world loop.World, path string, have Stamp, reload func()) {
+func Watch(world loop.World, path string, last Stamp, reload func()) {
 	loop.Every(world, func() time.Duration { return time.Second }, func() bool {
-		if now := StampOf(path); now != have && now != (Stamp{}) {
-			have = now
+		if now := StampOf(path); now != last && now != (Stamp{}) {
+			last = now
 			reload()
 		}
 		return true
--- a/settings/choices_test.go
+++ b/settings/choices_test.go
@@ -10,11 +10,11 @@
 	"swifttiller/settings"
 )
 
-// place is a data daemon's settings; more goes into the object.
-func place(t *testing.T, more string) string {
+// dataDaemonFile is a data daemon's settings; more goes into the object.
+func dataDaemonFile(t *testing.T, extraFields string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "daemon.json")
-	text := `{"name":"d1","region":"a","zone":"a-1","wire":"127.0.0.1:1","http":"127.0.0.1:2","seeds":["127.0.0.1:3"]` + more + `}`
+	text := `{"name":"d1","region":"a","zone":"a-1","wire":"127.0.0.1:1","http":"127.0.0.1:2","seeds":["127.0.0.1:3"]` + extraFields + `}`
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -24,34 +24,34 @@
 // TestChoices: what makes a daemon log its choices may stand in the file or be a flag, and only
 // true or false will do.
 func TestChoices(t *testing.T) {
-	given := func(words ...string) *flag.FlagSet {
+	parseFlags := func(args ...string) *flag.FlagSet {
 		set := flag.NewFlagSet("d", flag.ContinueOnError)
 		settings.ProcessFlags(set)
-		if err := set.Parse(words); err != nil {
+		if err := set.Parse(args); err != nil {
 			t.Fatal(err)
 		}
 		return set
 	}
-	for _, one := range []struct {
-		more  string
-		words []string
-		want  bool
+	for _, test := range []struct {
+		more string
+		args []string
+		want bool
 	}{
 		{"", nil, false},
 		{`,"choices":true`, nil, true},
 		{"", []string{"--choices"}, true},
 		{`,"choices":true`, []string{"--choices=false"}, false},
 	} {
-		process, err := settings.LoadProcess(place(t, one.more), given(one.words...))
-		if err != nil || process.Choices != one.want {
-			t.Errorf("%s %v: %v, %v", one.more, one.words, process, err)
+		process, err := settings.LoadProcess(dataDaemonFile(t, test.more), parseFlags(test.args...))
+		if err != nil || process.Choices != test.want {
+			t.Errorf("%s %v: %v, %v", test.more, test.args, process, err)
 		}
 	}
-	if _, err := settings.LoadProcess(place(t, `,"choices":"yes"`), given()); err == nil || !strings.Contains(err.Error(), "$.choices") {
+	if _, err := settings.LoadProcess(dataDaemonFile(t, `,"choices":"yes"`), parseFlags()); err == nil || !strings.Contains(err.Error(), "$.choices") {
 		t.Errorf("told %v", err)
 	}
 	process := &settings.Process{Name: "d1"}
-	process.Watching(given("--choices", "--name", "other"))
+	process.Watching(parseFlags("--choices", "--name", "other"))
 	if !process.Choices || process.Name != "d1" {
 		t.Errorf("where all else comes from the machine: %+v", process)
 	}
--- a/settings/chunk.go
+++ b/settings/chunk.go
@@ -9,23 +9,23 @@
 	"github.com/tidwall/gjson"
 )
 
-// Digest tells chunks apart: the beginning of their text's SHA-256.
+// Digest identifies a chunk: the first 8 bytes of the SHA-256 of its text.
 type Digest [8]byte
 
-// Chunk is a part of a document: a run of its routes, a run of its tenants, or all but
-// these.
+// Chunk is a part of a document: a run of consecutive routes, a run of consecutive
+// tenants, or the rest of the document without both lists.
 //
-// Invariant: a chunk in a tree is never changed, so that trees share it, with what was
-// read from it.
+// Invariant: a chunk in a tree is immutable, so that several trees can share it together
+// with the routes or tenants parsed from it.
 type Chunk struct {
-	Digest  Digest
-	Text    string
-	routes  []*Route
-	tenants []*Tenant
-	isRead  bool // routes or tenants are those of the text, which has no problems of its own
+	Digest   Digest
+	Text     string
+	routes   []*Route
+	tenants  []*Tenant
+	isParsed bool // routes or tenants hold the parsed text, which is valid on its own
 }
 
-// NewChunk makes a chunk of a text.
+// NewChunk returns an unparsed chunk with the given text.
 func NewChunk(text string) *Chunk {
 	return &Chunk{Digest: digestOf([]byte(text)), Text: text}
 }
@@ -36,35 +36,39 @@
 	return out
 }
 
-// A run ends behind a route or tenant whose name says so, which one in usualRun does, or
-// after longestRun. As names say it, one more or less changes one run, or two.
+// A list is split by content: a run ends after an element whose name has a hash that is
+// divisible by meanRunLength, so after one element in meanRunLength on average, and after
+// maxRunLength elements at the latest. As the boundaries depend on names and not on
+// positions, adding or removing one element changes one run, or two.
 const (
-	usualRun   = 32
-	longestRun = 4 * usualRun
+	meanRunLength = 32
+	maxRunLength  = 4 * meanRunLength
 )
 
-func endsRun(one gjson.Result) bool {
+func endsRun(element gjson.Result) bool {
 	sum := fnv.New32a()
-	_, _ = sum.Write([]byte(one.Get("name").Str))
-	return sum.Sum32()%usualRun == 0
+	_, _ = sum.Write([]byte(element.Get("name").Str))
+	return sum.Sum32()%meanRunLength == 0
 }
 
-// cutLists are the lists that are cut into runs, in the order of their chunks, each with
-// what stands around a run of it.
-var cutLists = []struct{ key, open, end string }{{"routes", "[", "]"}, {"tenants", `{"tenants":[`, "]}"}}
+// chunkedLists are the lists that are split into runs, in the order of their chunks, each
+// with the text that encloses a run of it in its chunk.
+var chunkedLists = []struct{ key, open, end string }{{"routes", "[", "]"}, {"tenants", `{"tenants":[`, "]}"}}
 
-// list is which list the chunk is a run of, and the run's text without what stands around.
+// list returns the key of the list that the chunk is a run of, and the run's text without
+// the enclosing text. Both are empty for the chunk with the rest of the document.
 func (chunk *Chunk) list() (key, run string) {
-	for _, one := range cutLists {
-		if run, isOne := strings.CutPrefix(chunk.Text, one.open); isOne {
-			return one.key, strings.TrimSuffix(run, one.end)
+	for _, list := range chunkedLists {
+		if run, found := strings.CutPrefix(chunk.Text, list.open); found {
+			return list.key, strings.TrimSuffix(run, list.end)
 		}
 	}
 	return "", ""
 }
 
-// listOf gives the one list of that key that a document has.
-func listOf(document gjson.Result, name string) (list gjson.Result, isOne bool) {
+// findList returns the list with the key; found is false unless the document has the key
+// exactly once, with a list as its value.
+func findList(document gjson.Result, name string) (list gjson.Result, found bool) {
 	count := 0
 	document.ForEach(func(key, value gjson.Result) bool {
 		if key.Str == name {
@@ -76,24 +80,25 @@
 	return list, count == 1 && list.IsArray() && list.Index > 0
 }
 
-// put gives the document with something else in the place of its lists that are cut.
-func put(root gjson.Result, fresh func(key string, list gjson.Result) string) string {
-	type place struct {
+// replaceLists returns the document with each of the chunked lists replaced by the text
+// that replacement returns for it.
+func replaceLists(root gjson.Result, replacement func(key string, list gjson.Result) string) string {
+	type edit struct {
 		from, to int
 		text     string
 	}
-	var places []place
+	var edits []edit
 	if root.IsObject() {
-		for _, one := range cutLists {
-			if list, isOne := listOf(root, one.key); isOne {
-				places = append(places, place{list.Index - root.Index, list.Index - root.Index + len(list.Raw), fresh(one.key, list)})
+		for _, one := range chunkedLists {
+			if list, found := findList(root, one.key); found {
+				edits = append(edits, edit{list.Index - root.Index, list.Index - root.Index + len(list.Raw), replacement(one.key, list)})
 			}
 		}
 	}
-	slices.SortFunc(places, func(a, b place) int { return a.from - b.from })
+	slices.SortFunc(edits, func(a, b edit) int { return a.from - b.from })
 	var out strings.Builder
 	at := 0
-	for _, one := range places {
+	for _, one := range edits {
 		out.WriteString(root.Raw[at:one.from])
 		out.WriteString(one.text)
 		at = one.to
@@ -102,9 +107,10 @@
 	return out.String()
 }
 
-// cut gives the chunks of a document which is JSON: the first is the document with no
-// routes and tenants. Chunks that the tree has (it may be nil) are taken from it.
-func (tree *Tree) cut(document []byte) []*Chunk {
+// split splits a document, which must be valid JSON, into chunks: the first is the document
+// with empty lists of routes and tenants. Chunks that the tree already has are reused; the
+// tree may be nil.
+func (tree *Tree) split(document []byte) []*Chunk {
 	root := gjson.ParseBytes(document)
 	known := map[Digest]*Chunk{}
 	if tree != nil {
@@ -113,21 +119,21 @@
 		}
 	}
 	chunks := make([]*Chunk, 1)
-	take := func(text []byte) *Chunk {
+	reuse := func(text []byte) *Chunk {
 		chunk := known[digestOf(text)]
 		if chunk == nil || chunk.Text != string(text) {
 			chunk = NewChunk(string(text))
 		}
 		return chunk
 	}
-	rest := put(root, func(string, gjson.Result) string { return "[]" })
-	chunks[0] = take([]byte(rest))
+	rest := replaceLists(root, func(string, gjson.Result) string { return "[]" })
+	chunks[0] = reuse([]byte(rest))
 	if !root.IsObject() {
 		return chunks
 	}
-	for _, one := range cutLists {
-		list, isOne := listOf(root, one.key)
-		if !isOne {
+	for _, one := range chunkedLists {
+		list, found := findList(root, one.key)
+		if !found {
 			continue
 		}
 		run, count := []byte(one.open), 0
@@ -136,22 +142,23 @@
 				run = append(run, ',')
 			}
 			run = append(run, value.Raw...)
-			if count++; count == longestRun || endsRun(value) {
-				chunks = append(chunks, take(append(run, one.end...)))
+			if count++; count == maxRunLength || endsRun(value) {
+				chunks = append(chunks, reuse(append(run, one.end...)))
 				run, count = run[:len(one.open)], 0
 			}
 			return true
 		})
 		if count > 0 {
-			chunks = append(chunks, take(append(run, one.end...)))
+			chunks = append(chunks, reuse(append(run, one.end...)))
 		}
 	}
 	return chunks
 }
 
-// read reads a run; first is the place in the document's list of the first one in it.
-func (chunk *Chunk) read(first int, problems *Problems) {
-	if chunk.isRead {
+// parse parses a run, unless that was done before; first is the index of the run's first
+// element in the document's list.
+func (chunk *Chunk) parse(first int, problems *Problems) {
+	if chunk.isParsed {
 		return
 	}
 	var own Problems
@@ -164,36 +171,36 @@
 	}
 	list.ForEach(func(_, value gjson.Result) bool {
 		if isTenants {
-			chunk.tenants = append(chunk.tenants, readTenant(value, &spot{nil, "tenants", first + len(chunk.tenants)}, &own))
+			chunk.tenants = append(chunk.tenants, readTenant(value, &location{nil, "tenants", first + len(chunk.tenants)}, &own))
 		} else {
-			chunk.routes = append(chunk.routes, readRoute(value, &spot{nil, "routes", first + len(chunk.routes)}, &own))
+			chunk.routes = append(chunk.routes, readRoute(value, &location{nil, "routes", first + len(chunk.routes)}, &own))
 		}
 		return true
 	})
-	chunk.isRead = len(own) == 0
+	chunk.isParsed = len(own) == 0
 	*problems = append(*problems, own...)
 }
 
-// runsOf are the chunks of a list, in order.
-func (tree *Tree) runsOf(key string) (runs []*Chunk) {
+// chunksOf returns the chunks of the list with the key, in order.
+func (tree *Tree) chunksOf(key string) (runs []*Chunk) {
 	for _, chunk := range tree.chunks[1:] {
-		if of, _ := chunk.list(); of == key {
+		if list, _ := chunk.list(); list == key {
 			runs = append(runs, chunk)
 		}
 	}
 	return runs
 }
 
-// Chunks are the document's, in order; they are not to be changed.
+// Chunks returns the chunks of the document in order. Callers must not change them.
 func (tree *Tree) Chunks() []*Chunk { return tree.chunks }
 
-// Document is the document that the tree was made from, without white space between
+// Document returns the document that the tree was parsed from, without white space between
 // routes and between tenants.
 func (tree *Tree) Document() []byte {
-	return []byte(put(gjson.Parse(tree.chunks[0].Text), func(key string, _ gjson.Result) string {
+	return []byte(replaceLists(gjson.Parse(tree.chunks[0].Text), func(key string, _ gjson.Result) string {
 		var out strings.Builder
 		out.WriteByte('[')
-		for _, chunk := range tree.runsOf(key) {
+		for _, chunk := range tree.chunksOf(key) {
 			if out.Len() > 1 {
 				out.WriteByte(',')
 			}
@@ -205,20 +212,20 @@
 	}))
 }
 
-// Revise parses a document and shares with the tree, which may be nil, the chunks that
-// are in both.
+// Revise parses a new document and reuses the chunks that the tree has in common with it.
+// The tree may be nil.
 func (tree *Tree) Revise(document []byte) (*Tree, Problems) {
 	if !gjson.ValidBytes(document) {
 		return nil, Problems{{Path: "$", Reason: "is not JSON"}}
 	}
-	return parse(tree.cut(document))
+	return parse(tree.split(document))
 }
 
-// Assemble parses a document that is given in chunks. Those that a tree has are not read
-// again.
+// Assemble parses a document that is given in chunks. Chunks taken from an existing tree
+// are not parsed again.
 func Assemble(chunks []*Chunk) (*Tree, Problems) {
 	for _, chunk := range chunks {
-		if !chunk.isRead && !gjson.Valid(chunk.Text) {
+		if !chunk.isParsed && !gjson.Valid(chunk.Text) {
 			return nil, Problems{{Path: "$", Reason: "is not JSON"}}
 		}
 	}
@@ -228,5 +235,5 @@
 	return parse(chunks)
 }
 
-// Parse checks a whole document. The tree is nil when there are problems.
+// Parse parses and checks a whole document. The tree is nil when there are problems.
 func Parse(document []byte) (*Tree, Problems) { return (*Tree)(nil).Revise(document) }
--- a/settings/first_test.go
+++ b/settings/first_test.go
@@ -27,7 +27,7 @@
 
 // TestFirst: the first start is told by file or flag, and by nothing else.
 func TestFirst(t *testing.T) {
-	for _, one := range []struct {
+	for _, test := range []struct {
 		field   string
 		flags   []string
 		isFirst bool
@@ -41,16 +41,16 @@
 		{`,"first":"true"`, nil, false, false},
 		{`,"first":1`, nil, false, false},
 	} {
-		process, err := load(t, one.field, one.flags)
-		if (err == nil) != one.holds || err == nil && process.First != one.isFirst {
-			t.Errorf("%s %v: %+v, %v", one.field, one.flags, process, err)
+		process, err := load(t, test.field, test.flags)
+		if (err == nil) != test.holds || err == nil && process.First != test.isFirst {
+			t.Errorf("%s %v: %+v, %v", test.field, test.flags, process, err)
 		}
 	}
 }
 
 // TestCount: counting calls is off unless file or flag tell it.
 func TestCount(t *testing.T) {
-	for _, one := range []struct {
+	for _, test := range []struct {
 		field         string
 		flags         []string
 		counts, holds bool
@@ -61,9 +61,9 @@
 		{"", []string{"--count"}, true, true},
 		{`,"count":1`, nil, false, false},
 	} {
-		process, err := load(t, one.field, one.flags)
-		if (err == nil) != one.holds || err == nil && process.Count != one.counts {
-			t.Errorf("%s %v: %+v, %v", one.field, one.flags, process, err)
+		process, err := load(t, test.field, test.flags)
+		if (err == nil) != test.holds || err == nil && process.Count != test.counts {
+			t.Errorf("%s %v: %+v, %v", test.field, test.flags, process, err)
 		}
 	}
 }
--- a/settings/live.go
+++ b/settings/live.go
@@ -8,17 +8,18 @@
 	"sync/atomic"
 )
 
-// Reloaded is what became of a reread of a process's settings.
+// Reloaded is the result of rereading a process's settings.
 type Reloaded struct {
-	// Changed were applied in place.
+	// Changed lists the settings that were applied in place.
 	Changed []string `json:"changed,omitempty"`
-	// Restart differ and stay as they were until the process starts anew.
+	// Restart lists the settings that differ but keep their old values until the process
+	// is restarted.
 	Restart []string `json:"needs_restart,omitempty"`
-	// Problems, if any, are why nothing was changed.
+	// Problems, if any, are the reasons why nothing was changed.
 	Problems Problems `json:"problems,omitempty"`
 }
 
-// String is one line for logs and operators.
+// String returns a summary for logs and operators.
 func (reloaded Reloaded) String() string {
 	switch {
 	case len(reloaded.Problems) > 0:
@@ -36,48 +37,50 @@
 	return strings.Join(parts, "; ")
 }
 
-// LiveOptions of a process's settings.
+// LiveOptions configures the reloadable settings of a process.
 type LiveOptions struct {
 	Process Process
-	// Read reads and checks them anew.
+	// Read reads and checks the settings again.
 	Read func() (*Process, error)
-	// Apply, if set, carries out what takes more than being looked up. Its error
-	// keeps the old settings, and it must have left everything as it was.
+	// Apply, if set, carries out the changes for which storing the new value is not
+	// enough. If it returns an error, the old settings stay in force, and it must have
+	// left everything unchanged.
 	Apply func(old, next Process) error
 }
 
-// Live are a process's settings as they stand.
+// Live holds the current settings of a process, which can be reloaded.
 //
-// Invariants: whatever Now gives was checked as a whole; name, region, zone, wire,
-// http, door and data never change in a process's life, as its colleagues, its
-// listeners and its disk go by them.
+// Invariants: the settings that Now returns were checked as a whole; name, region, zone,
+// wire, http, door and data never change while the process runs, as its peers, its
+// listeners and its disk depend on them.
 type Live struct {
 	LiveOptions
-	guard sync.Mutex // over reloads
-	now   atomic.Pointer[Process]
+	mutex   sync.Mutex // serializes reloads
+	current atomic.Pointer[Process]
 }
 
-// NewLive makes settings that can be reloaded.
+// NewLive returns reloadable settings that start as options.Process.
 func NewLive(options LiveOptions) *Live {
 	live := &Live{LiveOptions: options}
-	live.now.Store(&options.Process)
+	live.current.Store(&options.Process)
 	return live
 }
 
-// Now is what holds.
-func (live *Live) Now() Process { return *live.now.Load() }
+// Now returns the settings in force.
+func (live *Live) Now() Process { return *live.current.Load() }
 
-// Seeds are the present seeds.
+// Seeds returns the seeds in force.
 func (live *Live) Seeds() []string { return live.Now().Seeds }
 
-// Reload rereads the settings.
+// Reload rereads the settings and applies those that can change in place. If reading or
+// applying them fails, the old ones stay in force.
 func (live *Live) Reload() (out Reloaded) {
-	live.guard.Lock()
-	defer live.guard.Unlock()
+	live.mutex.Lock()
+	defer live.mutex.Unlock()
 	read, err := live.Read()
 	if err != nil {
-		problems, known := err.(Problems)
-		if !known {
+		problems, isProblems := err.(Problems)
+		if !isProblems {
 			problems = Problems{{Path: "settings", Reason: err.Error()}}
 		}
 		return Reloaded{Problems: problems}
@@ -85,7 +88,7 @@
 	old := live.Now()
 	next := old
 	for _, name := range []string{"name", "region", "zone", "wire", "http", "door", "data"} {
-		if *old.place(name) != *read.place(name) {
+		if *old.stringField(name) != *read.stringField(name) {
 			out.Restart = append(out.Restart, name)
 		}
 	}
@@ -110,14 +113,14 @@
 	}
 	if live.Apply != nil {
 		if err := live.Apply(old, next); err != nil {
-			return Reloaded{Problems: Problems{{Path: "$.traces", Reason: fmt.Sprint("can't be applied: ", err)}}}
+			return Reloaded{Problems: Problems{{Path: "$.traces", Reason: fmt.Sprint("can't apply the change: ", err)}}}
 		}
 	}
-	live.now.Store(&next)
+	live.current.Store(&next)
 	return out
 }
 
-// Service lets control daemons ask a colleague to reload.
+// Service is the RPC service by which control daemons make a peer reload its settings.
 type Service struct{ Live *Live }
 
 // Reload rereads the settings.
--- a/settings/process.go
+++ b/settings/process.go
@@ -1,5 +1,5 @@
-// Package settings owns the process's own file and flags, and the operators'
-// tree (whole > region > zone) with its checks and defaults.
+// Package settings parses and checks a process's own settings (file and flags) and the
+// operators' configuration tree (whole > region > zone), and supplies their defaults.
 package settings
 
 import (
@@ -14,16 +14,16 @@
 	"github.com/tidwall/gjson"
 )
 
-// Problem is one thing wrong with a setting, at its path.
+// Problem is one error in a setting, with the setting's path.
 type Problem struct {
 	Path   string `json:"path"`
 	Reason string `json:"reason"`
 }
 
-// Problems is a whole check's outcome.
+// Problems lists all errors that a check found.
 type Problems []Problem
 
-// Error is one line per problem.
+// Error returns one line per problem.
 func (problems Problems) Error() string {
 	lines := make([]string, len(problems))
 	for index, problem := range problems {
@@ -36,65 +36,66 @@
 	*problems = append(*problems, Problem{path, fmt.Sprintf(reason, values...)})
 }
 
-// Process is a daemon's place: what its file or flags say.
+// Process is a daemon's own settings, from its file and flags.
 //
-// Invariant: Name is unique in the system and stays with the machine's role;
-// a restarted process keeps the name and gets a new incarnation.
+// Invariant: Name is unique in the system and belongs to the machine's role: a restarted
+// process keeps the name and gets a new incarnation.
 type Process struct {
 	Name   string
 	Region string
 	Zone   string
 	Wire   string
 	HTTP   string
-	Door   string // where callers of routes come in, if that is elsewhere than HTTP
+	Door   string // listen address for callers of routes, if it is not HTTP
 	Seeds  []string
 	Data   string
 	Log    string
-	Grace  int // seconds that a planned stop may take
+	Grace  int // seconds that a graceful stop may take
 	Traces string
-	// Memory is how much the process may use, in MiB; zero when nobody says. It is told
-	// to the runtime at a process's start.
+	// Memory is the memory that the process may use, in MiB; zero means no limit. The Go
+	// runtime's limit is set from it when the process starts.
 	Memory int
 	// First is true only when the whole system starts for the first time, on empty
-	// disks: then the seeds are made the first core. It counts at a process's start.
+	// disks: the seeds then become the first core. It is read only when the process starts.
 	First bool
-	// Count makes calls to other daemons be counted by method, shown with the counters.
-	// It counts at a process's start.
+	// Count enables counting of calls to other daemons by method; the counts are shown
+	// with the counters. It is read only when the process starts.
 	Count bool
-	// Choices makes a data daemon log the choice behind every dispatch of a routed request:
-	// a line each, for analysis. It counts at a process's start.
+	// Choices makes a data daemon log, for analysis, one line for every attempt of a routed
+	// request with the reasons for the choice of the replica. It is read only when the
+	// process starts.
 	Choices bool
 }
 
 var (
-	nameShape = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
-	levels    = map[string]bool{"debug": true, "info": true, "warn": true, "error": true}
+	namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
+	logLevels   = map[string]bool{"debug": true, "info": true, "warn": true, "error": true}
 )
 
-// ProcessFlags registers the flags on a set. Give the result to LoadProcess
-// once the set has been parsed.
+// ProcessFlags registers the flags of a process on the set and returns the path of the
+// settings file, for LoadProcess, which holds once the set has been parsed.
 func ProcessFlags(set *flag.FlagSet) *string {
-	path := set.String("settings", "", "settings file (JSON); flags go before it")
+	path := set.String("settings", "", "settings file (JSON); flags take precedence over it")
 	set.String("name", "", "this daemon's name, unique in the system")
 	set.String("region", "", "the region this daemon is in")
 	set.String("zone", "", "the zone this daemon is in")
-	set.String("wire", "", "IP:port for the system's own calls")
+	set.String("wire", "", "IP:port for calls between the system's daemons")
 	set.String("http", "", "IP:port for callers and operators")
-	set.String("door", "", "IP:port for callers of routes, if elsewhere than http")
-	set.String("seeds", "", "wire addresses of a few control daemons, by comma")
-	set.String("data", "", "data folder (control daemons with a disk only)")
+	set.String("door", "", "IP:port for callers of routes, if other than http")
+	set.String("seeds", "", "wire addresses of a few control daemons, separated by commas")
+	set.String("data", "", "data directory (only for control daemons with a disk)")
 	set.String("log", "", "debug, info, warn or error (default info)")
-	set.Int("grace", 0, "seconds that a planned stop may take (default 10)")
+	set.Int("grace", 0, "seconds that a graceful stop may take (default 10)")
 	set.Int("memory", 0, "MiB of memory that the process may use (0: no limit)")
 	set.Bool("first", false, "the whole system starts for the first time, on empty disks: make the seeds the first core")
 	set.Bool("count", false, "count calls to other daemons and their bytes, shown at /v1/counters")
-	set.Bool("choices", false, "log the choice behind every dispatch of a routed request, for fleet explain")
-	set.String("traces", "", "file that OpenTelemetry JSON traces go to (off when empty)")
+	set.Bool("choices", false, "log why each attempt of a routed request went to its replica, for fleet explain")
+	set.String("traces", "", "file to write OpenTelemetry JSON traces to (no traces when empty)")
 	return path
 }
 
-// LoadProcess reads the file, if any, lays the given flags over it and checks
-// the outcome.
+// LoadProcess reads the file, if any, overrides its settings with the flags that were
+// given, and checks the result.
 func LoadProcess(path string, set *flag.FlagSet) (*Process, error) {
 	process := &Process{Log: "info", Grace: 10}
 	var problems Problems
@@ -103,9 +104,9 @@
 		if err != nil {
 			return nil, Problems{{"settings", err.Error()}}
 		}
-		process.read(string(data), &problems)
+		process.readJSON(string(data), &problems)
 	}
-	set.Visit(process.lay)
+	set.Visit(process.applyFlag)
 	process.check(&problems)
 	if len(problems) > 0 {
 		return nil, problems
@@ -113,10 +114,10 @@
 	return process, nil
 }
 
-// lay lays one flag over the settings.
-func (process *Process) lay(given *flag.Flag) {
-	value := given.Value.String()
-	switch given.Name {
+// applyFlag overrides a setting with the value of a flag.
+func (process *Process) applyFlag(option *flag.Flag) {
+	value := option.Value.String()
+	switch option.Name {
 	case "seeds":
 		process.Seeds = strings.Split(value, ",")
 	case "memory":
@@ -130,30 +131,31 @@
 	case "choices":
 		process.Choices = value == "true"
 	default:
-		if place := process.place(given.Name); place != nil {
-			*place = value
+		if field := process.stringField(option.Name); field != nil {
+			*field = value
 		}
 	}
 }
 
-// Watching lays those of the given flags over the settings that only say what is logged;
-// they hold also where everything else comes from the machine.
+// Watching applies only those of the given flags that control what is logged. They are in
+// force even where all other settings come from the platform's deployment files.
 func (process *Process) Watching(set *flag.FlagSet) {
-	set.Visit(func(given *flag.Flag) {
-		if given.Name == "choices" {
-			process.lay(given)
+	set.Visit(func(option *flag.Flag) {
+		if option.Name == "choices" {
+			process.applyFlag(option)
 		}
 	})
 }
 
-func (process *Process) place(name string) *string {
+// stringField returns a pointer to the string setting of that name; nil if there is none.
+func (process *Process) stringField(name string) *string {
 	return map[string]*string{
 		"name": &process.Name, "region": &process.Region, "zone": &process.Zone, "wire": &process.Wire,
 		"http": &process.HTTP, "door": &process.Door, "data": &process.Data, "log": &process.Log, "traces": &process.Traces,
 	}[name]
 }
 
-func (process *Process) read(text string, problems *Problems) {
+func (process *Process) readJSON(text string, problems *Problems) {
 	if !gjson.Valid(text) {
 		problems.add("$", "is not JSON")
 		return
@@ -167,14 +169,14 @@
 	root.ForEach(func(key, value gjson.Result) bool {
 		path := "$." + key.Str
 		if seen[key.Str] {
-			problems.add(path, "stands twice")
+			problems.add(path, "is given twice")
 		}
 		seen[key.Str] = true
-		place := process.place(key.Str)
+		field := process.stringField(key.Str)
 		switch {
-		case place != nil && value.Type == gjson.String:
-			*place = value.Str
-		case place != nil:
+		case field != nil && value.Type == gjson.String:
+			*field = value.Str
+		case field != nil:
 			problems.add(path, "must be a string")
 		case key.Str == "memory" && value.Type == gjson.Number:
 			process.Memory = int(value.Int())
@@ -199,30 +201,32 @@
 		case key.Str == "seeds":
 			problems.add(path, "must be a list of addresses")
 		default:
-			problems.add(path, "is no setting of a daemon")
+			problems.add(path, "is not a setting of a daemon")
 		}
 		return true
 	})
 }
 
-// Check gives every problem of the settings, at its path in a settings file of ours.
+// Check returns all problems of the settings, each with its path in a settings file of
+// this package's format.
 func (process *Process) Check() (problems Problems) {
 	process.check(&problems)
 	return problems
 }
 
+// check adds all problems of the settings and cleans the path of the data directory.
 func (process *Process) check(problems *Problems) {
 	for _, name := range []string{"name", "region", "zone"} {
-		if value := *process.place(name); !nameShape.MatchString(value) {
+		if value := *process.stringField(name); !namePattern.MatchString(value) {
 			problems.add("$."+name, "%q is no name: letters, digits, dots, underscores and dashes", value)
 		}
 	}
 	address := func(path, value string) {
 		host, _, err := net.SplitHostPort(value)
 		if err != nil {
-			problems.add(path, "%q is no IP:port", value)
+			problems.add(path, "%q is not an IP:port", value)
 		} else if net.ParseIP(host) == nil {
-			problems.add(path, "%q: the host must be an IP number", value)
+			problems.add(path, "%q: the host must be an IP address", value)
 		}
 	}
 	address("$.wire", process.Wire)
@@ -231,16 +235,16 @@
 		address("$.door", process.Door)
 	}
 	if len(process.Seeds) == 0 {
-		problems.add("$.seeds", "at least one is needed")
+		problems.add("$.seeds", "at least one seed is needed")
 	}
 	for index, seed := range process.Seeds {
 		address(fmt.Sprintf("$.seeds.%d", index), seed)
 	}
-	if !levels[process.Log] {
-		problems.add("$.log", "%q is none of debug, info, warn, error", process.Log)
+	if !logLevels[process.Log] {
+		problems.add("$.log", "%q is not one of debug, info, warn, error", process.Log)
 	}
 	if process.Memory != 0 && (process.Memory < 32 || process.Memory > 1<<20) {
-		problems.add("$.memory", "%d is not 0 or within 32 to 1048576 MiB", process.Memory)
+		problems.add("$.memory", "%d is neither 0 nor within 32 to 1048576 MiB", process.Memory)
 	}
 	if process.Grace < 1 || process.Grace > 3600 {
 		problems.add("$.grace", "%d is not within 1 to 3600 seconds", process.Grace)
--- a/settings/routes.go
+++ b/settings/routes.go
@@ -12,20 +12,21 @@
 	"github.com/tidwall/gjson"
 )
 
-// Kinds of routes: what may be done with a request that may have run.
+// Kinds of routes: whether a request that may already have run may be retried.
 const (
 	Safe     = "safe"     // may run more than once
 	Unsafe   = "unsafe"   // runs at most once
-	Streamed = "streamed" // as unsafe, unless the route lets streams be resumed
+	Streamed = "streamed" // like unsafe, unless the route allows streams to be resumed
 )
 
-// Share is a part of a route's traffic.
+// Share is the part of a route's traffic that goes to one model, by weight.
 type Share struct {
 	Model  string
 	Weight float64
 }
 
-// Route says by host and path where a request goes and what it may cost.
+// Route determines by host and path which models serve a request, and the request's
+// timeout, urgency and number of attempts.
 //
 // Invariants: Shares is not empty and its weights add up to more than zero; every
 // model in it is placed in the tree; Prefix begins and ends with a slash; no two
@@ -33,30 +34,30 @@
 type Route struct {
 	Name, Host, Prefix string
 	Kind               string
-	// Timeout is the longest time that a request is held; Target the time to the first
-	// piece within which an answer is worth most; Gap the longest pause within a stream
-	// that is still in time, zero when none is stated.
+	// Timeout is the longest time that a request may take. Target is the time to first
+	// token within which an answer has its full value. Gap is the longest pause within a
+	// stream that still counts as in time; zero means that none is set.
 	Timeout, Target, Gap time.Duration
-	// Urgency is the rank, 0 first. Tries is the largest number of replicas that one
-	// request may be sent to.
+	// Urgency is the priority class; 0 is the most urgent. Tries is the maximum number of
+	// replicas that one request may be sent to.
 	Urgency, Tries int
-	// Resume lets a stream be continued at another replica. Keyless requests need no key
-	// and are nobody's, where the tree has tenants.
+	// Resume allows a stream to be continued on another replica. Keyless means that
+	// requests need no key and belong to no tenant, where the tree has tenants.
 	Resume, Keyless bool
-	// Homes are the only regions that may serve it; none means anywhere.
+	// Homes are the only regions that may serve the route; if empty, all regions may.
 	Homes  []string
 	Shares []Share
 }
 
-// Repeatable tells whether a request on the route may run more than once.
+// Repeatable reports whether a request on the route may run more than once.
 func (route *Route) Repeatable() bool {
 	return route.Kind == Safe || route.Kind == Streamed && route.Resume
 }
 
-// Address is what its requests are addressed to: its host and prefix.
+// Address returns the route's host and prefix, which identify it in the tree.
 func (route *Route) Address() string { return route.Host + route.Prefix }
 
-// RouteAt is the route with that address; nil when there is none.
+// RouteAt returns the route with the address, or nil if there is none.
 func (tree *Tree) RouteAt(address string) *Route {
 	host, path, _ := strings.Cut(address, "/")
 	if route := tree.Route(host, "/"+path); route != nil && route.Address() == address {
@@ -65,7 +66,7 @@
 	return nil
 }
 
-// Within tells whether the route may be served in the region.
+// Within reports whether the route may be served in the region.
 func (route *Route) Within(region string) bool {
 	if len(route.Homes) == 0 {
 		return true
@@ -78,29 +79,32 @@
 	return false
 }
 
-// Engine is what is known beforehand of the replicas that hold a model.
+// Engine describes the replicas that serve a model, as far as the document states it.
 type Engine struct {
-	// ProbePath is where a replica is asked how it does.
+	// ProbePath is the HTTP path of a replica's health check.
 	ProbePath string
-	// ConnCap is how many connections a replica takes from all callers together.
+	// ConnCap is the maximum number of connections that a replica accepts from all callers
+	// together.
 	ConnCap int
-	// Cold is how long a replica stays cold after its start, and ColdRate the requests a
-	// second, from all callers together, that it bears meanwhile.
+	// Cold is how long a replica stays cold after its start. ColdRate is the number of
+	// requests per second, from all callers together, that it can bear during that time.
 	Cold     time.Duration
 	ColdRate float64
-	// Berths are the requests that it works on at once, CacheTokens its memory for
-	// running requests and kept parts, Spacing the tokens in one event of a stream.
+	// Berths is the number of requests that a replica processes concurrently. CacheTokens
+	// is the size of its key-value cache, for running requests and the prefix cache.
+	// Spacing is the number of tokens in one event of a stream.
 	Berths, CacheTokens, Spacing int
 }
 
-// Intake bounds what a caller may send and how long it may take.
+// Intake limits the size of a caller's request and the time that its connection may take:
+// Header is the timeout for reading the header, Idle that for an idle connection.
 type Intake struct {
 	HeaderBytes, BodyBytes int
 	Header, Idle           time.Duration
 }
 
-// Route is the one with the host whose prefix begins the path and is the longest;
-// nil when there is none. The host is compared without its port and letter case.
+// Route returns the route of the host with the longest prefix that matches the path, or
+// nil if there is none. Hosts are compared without port and regardless of letter case.
 func (tree *Tree) Route(host, path string) *Route {
 	for _, route := range tree.routes[hostOf(host)] {
 		if strings.HasPrefix(path, route.Prefix) {
@@ -110,7 +114,7 @@
 	return nil
 }
 
-// AtHome tells whether all routes of a host may be served in the region.
+// AtHome reports whether all routes of the host may be served in the region.
 func (tree *Tree) AtHome(host, region string) bool {
 	for _, route := range tree.routes[hostOf(host)] {
 		if !route.Within(region) {
@@ -120,19 +124,19 @@
 	return true
 }
 
-// Routed tells whether the tree has routes at all.
+// Routed reports whether the tree has any routes.
 func (tree *Tree) Routed() bool { return len(tree.routes) > 0 }
 
-// Engine is what is known of a model's replicas; nil when the tree does not say.
+// Engine returns the description of the model's replicas, or nil if the tree has none.
 func (tree *Tree) Engine(model string) *Engine { return tree.engines[model] }
 
-// Intake is what callers may send.
+// Intake returns the limits on callers' requests.
 func (tree *Tree) Intake() Intake { return tree.intake }
 
-// Label is the operator's own number of the document, zero when it has none.
+// Label returns the number that the operator gave the document, or zero.
 func (tree *Tree) Label() uint64 { return tree.label }
 
-// hostOf is a host as routes are looked up by it: without port and letter case.
+// hostOf returns the host as the key for looking up routes: lower case and without port.
 func hostOf(host string) string {
 	if at := strings.LastIndexByte(host, ':'); at >= 0 {
 		host = host[:at]
@@ -140,16 +144,16 @@
 	return strings.ToLower(host)
 }
 
-// index puts the routes of each host in the order in which they are looked at. No two
-// routes may have the same host and prefix.
-func (tree *Tree) index(problems *Problems) {
-	tree.routes = make(map[string][]*Route, len(tree.listed))
-	for at, route := range tree.listed {
+// indexRoutes groups the routes by host and sorts those of a host by descending length of
+// their prefixes. Two routes with the same host and prefix are a problem.
+func (tree *Tree) indexRoutes(problems *Problems) {
+	tree.routes = make(map[string][]*Route, len(tree.routeList))
+	for at, route := range tree.routeList {
 		host := hostOf(route.Host)
 		if list := tree.routes[host]; len(list) > 0 {
 			tree.routes[host] = append(list, route)
 		} else {
-			tree.routes[host] = tree.listed[at : at+1 : at+1]
+			tree.routes[host] = tree.routeList[at : at+1 : at+1]
 		}
 	}
 	for _, list := range tree.routes {
@@ -167,85 +171,85 @@
 			if route.Prefix != first.Prefix {
 				first = route
 			} else if route.Host != "" && route.Prefix != "" {
-				(&spot{nil, "routes", slices.Index(tree.listed, route)}).tell(problems, "", "has the host and prefix of routes.%d", slices.Index(tree.listed, first))
+				(&location{nil, "routes", slices.Index(tree.routeList, route)}).report(problems, "", "has the same host and prefix as routes.%d", slices.Index(tree.routeList, first))
 			}
 		}
 	}
 }
 
-// shape is what a key may hold. The kind True stands for booleans, JSON for lists;
-// least and most bound numbers.
-type shape struct {
-	kind              gjson.Type
-	least, most       float64
-	isWhole, isNeeded bool
+// fieldRule states which values a key may have. The kind True stands for booleans and JSON
+// for lists; min and max are the bounds of a number.
+type fieldRule struct {
+	kind                  gjson.Type
+	min, max              float64
+	isInteger, isRequired bool
 }
 
 const (
-	// No span is as short as nothing or longer than a day, in milliseconds.
-	shortest, longest = 0.001, 86400000.0
-	// most is the highest of numbers that have no bound of their own.
-	most = 1 << 40
+	// Durations, in milliseconds, must be above zero and at most one day.
+	minMillis, maxMillis = 0.001, 86400000.0
+	// maxNumber is the upper bound of numbers that have no other bound.
+	maxNumber = 1 << 40
 )
 
 var (
-	routeShapes = map[string]shape{
-		"name": {kind: gjson.String, isNeeded: true}, "host": {kind: gjson.String, isNeeded: true}, "prefix": {kind: gjson.String, isNeeded: true}, "kind": {kind: gjson.String, isNeeded: true},
-		"timeout_ms": {kind: gjson.Number, least: shortest, most: longest, isNeeded: true}, "target_ms": {kind: gjson.Number, most: longest}, "gap_ms": {kind: gjson.Number, most: longest},
-		"urgency": {kind: gjson.Number, most: 9, isWhole: true}, "tries": {kind: gjson.Number, least: 1, most: 1000, isWhole: true}, "resume": {kind: gjson.True}, "keyless": {kind: gjson.True},
-		"homes": {kind: gjson.JSON}, "shares": {kind: gjson.JSON, isNeeded: true},
+	routeFields = map[string]fieldRule{
+		"name": {kind: gjson.String, isRequired: true}, "host": {kind: gjson.String, isRequired: true}, "prefix": {kind: gjson.String, isRequired: true}, "kind": {kind: gjson.String, isRequired: true},
+		"timeout_ms": {kind: gjson.Number, min: minMillis, max: maxMillis, isRequired: true}, "target_ms": {kind: gjson.Number, max: maxMillis}, "gap_ms": {kind: gjson.Number, max: maxMillis},
+		"urgency": {kind: gjson.Number, max: 9, isInteger: true}, "tries": {kind: gjson.Number, min: 1, max: 1000, isInteger: true}, "resume": {kind: gjson.True}, "keyless": {kind: gjson.True},
+		"homes": {kind: gjson.JSON}, "shares": {kind: gjson.JSON, isRequired: true},
 	}
-	shareShapes  = map[string]shape{"model": {kind: gjson.String, isNeeded: true}, "weight": {kind: gjson.Number, most: most, isNeeded: true}}
-	engineShapes = map[string]shape{
-		"probe_path": {kind: gjson.String, isNeeded: true}, "conn_cap": {kind: gjson.Number, most: most, isWhole: true}, "cold_ms": {kind: gjson.Number, most: longest}, "cold_per_s": {kind: gjson.Number, most: most},
-		"berths": {kind: gjson.Number, least: 1, most: 100000, isWhole: true}, "cache_tokens": {kind: gjson.Number, most: most, isWhole: true}, "spacing": {kind: gjson.Number, most: most, isWhole: true},
+	shareFields  = map[string]fieldRule{"model": {kind: gjson.String, isRequired: true}, "weight": {kind: gjson.Number, max: maxNumber, isRequired: true}}
+	engineFields = map[string]fieldRule{
+		"probe_path": {kind: gjson.String, isRequired: true}, "conn_cap": {kind: gjson.Number, max: maxNumber, isInteger: true}, "cold_ms": {kind: gjson.Number, max: maxMillis}, "cold_per_s": {kind: gjson.Number, max: maxNumber},
+		"berths": {kind: gjson.Number, min: 1, max: 100000, isInteger: true}, "cache_tokens": {kind: gjson.Number, max: maxNumber, isInteger: true}, "spacing": {kind: gjson.Number, max: maxNumber, isInteger: true},
 	}
-	intakeShapes = map[string]shape{
-		"header_bytes": {kind: gjson.Number, least: 1, most: most, isWhole: true}, "body_bytes": {kind: gjson.Number, least: 1, most: most, isWhole: true},
-		"header_ms": {kind: gjson.Number, least: shortest, most: longest}, "idle_ms": {kind: gjson.Number, least: shortest, most: longest},
+	intakeFields = map[string]fieldRule{
+		"header_bytes": {kind: gjson.Number, min: 1, max: maxNumber, isInteger: true}, "body_bytes": {kind: gjson.Number, min: 1, max: maxNumber, isInteger: true},
+		"header_ms": {kind: gjson.Number, min: minMillis, max: maxMillis}, "idle_ms": {kind: gjson.Number, min: minMillis, max: maxMillis},
 	}
 	kindNames = map[gjson.Type]string{gjson.String: "string", gjson.Number: "number", gjson.True: "boolean", gjson.JSON: "list"}
 )
 
-// spot is a place in a document; its path is only made where there is a problem, as
-// documents may have thousands of routes.
-type spot struct {
-	above *spot
-	key   string
-	index int // within the list of that key; -1 for the key itself
+// location is a position in a document. Its path is built only when a problem is reported,
+// as documents may have thousands of routes.
+type location struct {
+	parent *location
+	key    string
+	index  int // in the list of that key; -1 for the key itself
 }
 
-func (spot *spot) String() string {
-	if spot == nil {
+func (location *location) String() string {
+	if location == nil {
 		return "$"
 	}
-	if spot.index < 0 {
-		return spot.above.String() + "." + spot.key
+	if location.index < 0 {
+		return location.parent.String() + "." + location.key
 	}
-	return fmt.Sprintf("%s.%s.%d", spot.above, spot.key, spot.index)
+	return fmt.Sprintf("%s.%s.%d", location.parent, location.key, location.index)
 }
 
-func (spot *spot) tell(problems *Problems, key, reason string, values ...any) {
-	path := spot.String()
+func (location *location) report(problems *Problems, key, reason string, values ...any) {
+	path := location.String()
 	if key != "" {
 		path += "." + key
 	}
 	problems.add(path, reason, values...)
 }
 
-// fields are an object's members that hold what they may.
+// fields holds the members of an object that were read, each marked if its value is invalid.
 type fields []field
 
 type field struct {
-	key   string
-	value gjson.Result
-	isBad bool
+	key       string
+	value     gjson.Result
+	isInvalid bool
 }
 
-// get gives a member, and false when it is not there or does not hold what it may.
+// get returns the value of a member, and false if it is missing or invalid.
 func (fields fields) get(key string) (gjson.Result, bool) {
 	for index := range fields {
-		if one := &fields[index]; one.key == key && !one.isBad {
+		if one := &fields[index]; one.key == key && !one.isInvalid {
 			return one.value, true
 		}
 	}
@@ -257,18 +261,19 @@
 	value, _ := fields.get(key)
 	return value.Num
 }
-func (fields fields) span(key string) time.Duration {
+func (fields fields) duration(key string) time.Duration {
 	return time.Duration(fields.number(key) * float64(time.Millisecond))
 }
 
-// texts gives a list of strings; what is none, or empty, is a problem.
-func (fields fields) texts(key string, at *spot, problems *Problems) (out []string) {
+// stringList returns a list of strings. An element that is not a string, or is empty, is
+// a problem.
+func (fields fields) stringList(key string, at *location, problems *Problems) (out []string) {
 	list, _ := fields.get(key)
-	list.ForEach(func(_, one gjson.Result) bool {
-		if one.Type != gjson.String || one.Str == "" {
-			(&spot{at, key, len(out)}).tell(problems, "", "must be a string that is not empty")
+	list.ForEach(func(_, element gjson.Result) bool {
+		if element.Type != gjson.String || element.Str == "" {
+			(&location{at, key, len(out)}).report(problems, "", "must be a string and not empty")
 		}
-		out = append(out, one.Str)
+		out = append(out, element.Str)
 		return true
 	})
 	return out
@@ -283,52 +288,53 @@
 	return false
 }
 
-// members checks an object's keys.
-func members(object gjson.Result, at *spot, shapes map[string]shape, problems *Problems) fields {
+// readFields checks an object's members against the rules and returns them.
+func readFields(object gjson.Result, at *location, rules map[string]fieldRule, problems *Problems) fields {
 	if !object.IsObject() {
-		at.tell(problems, "", "must be an object")
+		at.report(problems, "", "must be an object")
 		return nil
 	}
-	got := make(fields, 0, len(shapes))
+	result := make(fields, 0, len(rules))
 	object.ForEach(func(key, value gjson.Result) bool {
-		if got.has(key.Str) {
-			at.tell(problems, key.Str, "stands twice")
+		if result.has(key.Str) {
+			at.report(problems, key.Str, "is given twice")
 			return true
 		}
-		shape, known := shapes[key.Str]
-		fits := value.Type == shape.kind
-		switch shape.kind {
+		rule, known := rules[key.Str]
+		fits := value.Type == rule.kind
+		switch rule.kind {
 		case gjson.True:
 			fits = value.IsBool()
 		case gjson.JSON:
 			fits = value.IsArray()
 		}
-		one := field{key: key.Str, value: value, isBad: true}
+		member := field{key: key.Str, value: value, isInvalid: true}
 		switch {
 		case !known:
-			at.tell(problems, key.Str, "is unknown")
+			at.report(problems, key.Str, "is unknown")
 		case !fits:
-			at.tell(problems, key.Str, "must be a %s", kindNames[shape.kind])
-		case shape.kind == gjson.Number && (value.Num < shape.least || value.Num > shape.most):
-			at.tell(problems, key.Str, "%v is not within %v to %v", value.Num, shape.least, shape.most)
-		case shape.isWhole && value.Num != math.Trunc(value.Num):
-			at.tell(problems, key.Str, "%v is no whole number", value.Num)
+			at.report(problems, key.Str, "must be a %s", kindNames[rule.kind])
+		case rule.kind == gjson.Number && (value.Num < rule.min || value.Num > rule.max):
+			at.report(problems, key.Str, "%v is not within %v to %v", value.Num, rule.min, rule.max)
+		case rule.isInteger && value.Num != math.Trunc(value.Num):
+			at.report(problems, key.Str, "%v is not a whole number", value.Num)
 		default:
-			one.isBad = false
+			member.isInvalid = false
 		}
-		got = append(got, one)
+		result = append(result, member)
 		return true
 	})
-	for key, shape := range shapes {
-		if shape.isNeeded && !got.has(key) {
-			at.tell(problems, key, "is needed")
+	for key, rule := range rules {
+		if rule.isRequired && !result.has(key) {
+			at.report(problems, key, "is needed")
 		}
 	}
-	return got
+	return result
 }
 
-// sections reads what stands beside the levels; false when the key is none of them.
-func (tree *Tree) sections(key string, value gjson.Result, path string, problems *Problems) bool {
+// readSection reads a top-level section other than the levels (whole and regions). It
+// returns false if the key is none of these sections.
+func (tree *Tree) readSection(key string, value gjson.Result, path string, problems *Problems) bool {
 	switch key {
 	case "label":
 		label, err := strconv.ParseUint(value.Raw, 10, 64)
@@ -336,86 +342,85 @@
 			problems.add(path, "must be a whole number, 0 or above")
 		}
 		tree.label = label
-	case "origin": // what the document was made from, kept as it is
+	case "origin": // what the document was generated from; stored but not interpreted
 	case "routes":
 		if !value.IsArray() {
 			problems.add(path, "must be a list")
 			break
 		}
-		for _, chunk := range tree.runsOf(key) {
-			chunk.read(len(tree.listed), problems)
-			tree.listed = append(tree.listed, chunk.routes...)
+		for _, chunk := range tree.chunksOf(key) {
+			chunk.parse(len(tree.routeList), problems)
+			tree.routeList = append(tree.routeList, chunk.routes...)
 		}
-		tree.index(problems)
+		tree.indexRoutes(problems)
 	case "tenants":
 		if !value.IsArray() {
 			problems.add(path, "must be a list")
 			break
 		}
-		tree.isTenanted = true
-		for _, chunk := range tree.runsOf(key) {
-			chunk.read(len(tree.tenants), problems)
+		tree.hasTenants = true
+		for _, chunk := range tree.chunksOf(key) {
+			chunk.parse(len(tree.tenants), problems)
 			tree.tenants = append(tree.tenants, chunk.tenants...)
 		}
 	case "engines":
 		tree.engines = map[string]*Engine{}
-		each(value, path, problems, func(model string, one gjson.Result, path string) {
-			shaped(model, path, problems)
-			at := &spot{&spot{nil, "engines", -1}, model, -1}
-			got := members(one, at, engineShapes, problems)
-			if probe, known := got.get("probe_path"); known && !strings.HasPrefix(probe.Str, "/") {
-				at.tell(problems, "probe_path", "must begin with a slash")
+		eachMember(value, path, problems, func(model string, engine gjson.Result, path string) {
+			checkName(model, path, problems)
+			at := &location{&location{nil, "engines", -1}, model, -1}
+			parsed := readFields(engine, at, engineFields, problems)
+			if probe, known := parsed.get("probe_path"); known && !strings.HasPrefix(probe.Str, "/") {
+				at.report(problems, "probe_path", "must begin with a slash")
 			}
-			tree.engines[model] = &Engine{ProbePath: got.text("probe_path"), ConnCap: int(got.number("conn_cap")), Cold: got.span("cold_ms"), ColdRate: got.number("cold_per_s"),
-				Berths: int(got.number("berths")), CacheTokens: int(got.number("cache_tokens")), Spacing: int(got.number("spacing"))}
+			tree.engines[model] = &Engine{ProbePath: parsed.text("probe_path"), ConnCap: int(parsed.number("conn_cap")), Cold: parsed.duration("cold_ms"), ColdRate: parsed.number("cold_per_s"),
+				Berths: int(parsed.number("berths")), CacheTokens: int(parsed.number("cache_tokens")), Spacing: int(parsed.number("spacing"))}
 		})
 	case "intake":
-		got := members(value, &spot{nil, "intake", -1}, intakeShapes, problems)
-		tree.intake = Intake{HeaderBytes: int(got.number("header_bytes")), BodyBytes: int(got.number("body_bytes")), Header: got.span("header_ms"), Idle: got.span("idle_ms")}
+		parsed := readFields(value, &location{nil, "intake", -1}, intakeFields, problems)
+		tree.intake = Intake{HeaderBytes: int(parsed.number("header_bytes")), BodyBytes: int(parsed.number("body_bytes")), Header: parsed.duration("header_ms"), Idle: parsed.duration("idle_ms")}
 	default:
 		return false
 	}
 	return true
 }
 
-// readRoute reads one route and checks what can be told without the rest of the
-// tree.
-func readRoute(value gjson.Result, at *spot, problems *Problems) *Route {
-	got := members(value, at, routeShapes, problems)
-	resume, _ := got.get("resume")
-	keyless, _ := got.get("keyless")
-	route := &Route{Name: got.text("name"), Host: got.text("host"), Prefix: got.text("prefix"), Kind: got.text("kind"), Timeout: got.span("timeout_ms"), Target: got.span("target_ms"), Gap: got.span("gap_ms"),
-		Urgency: int(got.number("urgency")), Tries: max(1, int(got.number("tries"))), Resume: resume.Bool(), Keyless: keyless.Bool(), Homes: got.texts("homes", at, problems)}
+// readRoute reads one route and makes the checks that don't need the rest of the tree.
+func readRoute(value gjson.Result, at *location, problems *Problems) *Route {
+	parsed := readFields(value, at, routeFields, problems)
+	resume, _ := parsed.get("resume")
+	keyless, _ := parsed.get("keyless")
+	route := &Route{Name: parsed.text("name"), Host: parsed.text("host"), Prefix: parsed.text("prefix"), Kind: parsed.text("kind"), Timeout: parsed.duration("timeout_ms"), Target: parsed.duration("target_ms"), Gap: parsed.duration("gap_ms"),
+		Urgency: int(parsed.number("urgency")), Tries: max(1, int(parsed.number("tries"))), Resume: resume.Bool(), Keyless: keyless.Bool(), Homes: parsed.stringList("homes", at, problems)}
 	for _, key := range []string{"name", "host"} {
-		if one, known := got.get(key); known && one.Str == "" {
-			at.tell(problems, key, "is empty")
+		if one, known := parsed.get(key); known && one.Str == "" {
+			at.report(problems, key, "is empty")
 		}
 	}
-	if prefix, known := got.get("prefix"); known && (!strings.HasPrefix(prefix.Str, "/") || !strings.HasSuffix(prefix.Str, "/")) {
-		at.tell(problems, "prefix", "%q must begin and end with a slash", prefix.Str)
+	if prefix, known := parsed.get("prefix"); known && (!strings.HasPrefix(prefix.Str, "/") || !strings.HasSuffix(prefix.Str, "/")) {
+		at.report(problems, "prefix", "%q must begin and end with a slash", prefix.Str)
 	}
-	if kind, known := got.get("kind"); known && kind.Str != Safe && kind.Str != Unsafe && kind.Str != Streamed {
-		at.tell(problems, "kind", "%q is none of %s, %s, %s", kind.Str, Safe, Unsafe, Streamed)
+	if kind, known := parsed.get("kind"); known && kind.Str != Safe && kind.Str != Unsafe && kind.Str != Streamed {
+		at.report(problems, "kind", "%q is none of the kinds %s, %s, %s", kind.Str, Safe, Unsafe, Streamed)
 	}
-	shares, known := got.get("shares")
+	shares, known := parsed.get("shares")
 	sum := 0.0
 	for index, share := range shares.Array() {
-		place := &spot{at, "shares", index}
-		got := members(share, place, shareShapes, problems)
-		if model, known := got.get("model"); known && model.Str == "" {
-			place.tell(problems, "model", "is empty")
+		location := &location{at, "shares", index}
+		parsed := readFields(share, location, shareFields, problems)
+		if model, known := parsed.get("model"); known && model.Str == "" {
+			location.report(problems, "model", "is empty")
 		}
-		route.Shares = append(route.Shares, Share{Model: got.text("model"), Weight: got.number("weight")})
-		sum += got.number("weight")
+		route.Shares = append(route.Shares, Share{Model: parsed.text("model"), Weight: parsed.number("weight")})
+		sum += parsed.number("weight")
 	}
 	if known && sum <= 0 {
-		at.tell(problems, "shares", "its weights must add up to more than 0")
+		at.report(problems, "shares", "its weights must add up to more than 0")
 	}
 	return route
 }
 
-// join checks what routes name elsewhere in the tree.
-func (tree *Tree) join(problems *Problems) {
+// checkRoutes checks that the models and regions that routes refer to are in the tree.
+func (tree *Tree) checkRoutes(problems *Problems) {
 	placed := map[string]bool{}
 	for _, leaves := range append(slices.Collect(maps.Values(tree.regions)), slices.Collect(maps.Values(tree.zones))...) {
 		for key := range leaves {
@@ -425,23 +430,23 @@
 			}
 		}
 	}
-	// Paths are only made where there is a problem.
-	tell := func(route int, list string, index int, key, reason string, values ...any) {
-		(&spot{&spot{nil, "routes", route}, list, index}).tell(problems, key, reason, values...)
+	// Paths are built only when there is a problem.
+	report := func(route int, list string, index int, key, reason string, values ...any) {
+		(&location{&location{nil, "routes", route}, list, index}).report(problems, key, reason, values...)
 	}
-	for at, route := range tree.listed {
+	for at, route := range tree.routeList {
 		for index, share := range route.Shares {
 			switch {
-			case share.Model == "": // told where it is read
+			case share.Model == "": // reported by readRoute
 			case !placed[share.Model]:
-				tell(at, "shares", index, "model", "names model %q, which is placed nowhere", share.Model)
+				report(at, "shares", index, "model", "names model %q, which is placed nowhere", share.Model)
 			case tree.engines[share.Model] == nil:
-				tell(at, "shares", index, "model", "names model %q, which has no engine", share.Model)
+				report(at, "shares", index, "model", "names model %q, which has no engine", share.Model)
 			}
 		}
 		for index, home := range route.Homes {
 			if _, known := tree.regions[home]; !known && home != "" {
-				tell(at, "homes", index, "", "names region %q, which the tree does not have", home)
+				report(at, "homes", index, "", "names region %q, which the tree does not have", home)
 			}
 		}
 	}
--- a/settings/routes_test.go
+++ b/settings/routes_test.go
@@ -30,8 +30,8 @@
 		So(tree.Route("one.example", "/p/q").Name, ShouldEqual, "a")
 		So(tree.Route("one.example", "/p"), ShouldBeNil)
 		So(tree.Route("three.example", "/p/"), ShouldBeNil)
-		one := tree.Route("one.example", "/p/")
-		So(*one, ShouldResemble, settings.Route{Name: "a", Host: "One.example", Prefix: "/p/", Kind: settings.Streamed, Timeout: 10 * time.Second, Target: time.Second, Gap: 300 * time.Millisecond, Urgency: 9, Tries: 2, Resume: true,
+		test := tree.Route("one.example", "/p/")
+		So(*test, ShouldResemble, settings.Route{Name: "a", Host: "One.example", Prefix: "/p/", Kind: settings.Streamed, Timeout: 10 * time.Second, Target: time.Second, Gap: 300 * time.Millisecond, Urgency: 9, Tries: 2, Resume: true,
 			Homes: []string{"north"}, Shares: []settings.Share{{Model: "m1", Weight: 90}, {Model: "m1"}, {Model: "m2", Weight: 1.5}}})
 		So(tree.Route("two.example", "/x").Tries, ShouldEqual, 1)
 		So(*tree.Engine("m1"), ShouldResemble, settings.Engine{ProbePath: "/ok", ConnCap: 360, Cold: 3 * time.Second, ColdRate: 26.5, Berths: 64, CacheTokens: 348621, Spacing: 4})
@@ -46,7 +46,7 @@
 	})
 	Convey("a problem is told at its path, and nothing else is told", t, func() {
 		whole := `"name": "c", "host": "two.example", "prefix": "/", "kind": "safe", "timeout_ms": 5000, "shares": [{"model": "m1", "weight": 1}]`
-		for _, one := range []struct{ from, to, path, reason string }{
+		for _, test := range []struct{ from, to, path, reason string }{
 			{`"label": 7`, `"label": -1`, "$.label", "whole number"},
 			{`"label": 7`, `"label": 7.5`, "$.label", "whole number"},
 			{`"label": 7`, `"label": "7"`, "$.label", "whole number"},
@@ -100,15 +100,15 @@
 			{`"idle_ms": 15000`, `"idle_ms": null`, "$.intake.idle_ms", "number"},
 			{`"idle_ms": 15000`, `"idle_ms": 15000, "tempo": 2`, "$.intake.tempo", "unknown"},
 		} {
-			text := strings.Replace(routed, one.from, one.to, 1)
+			text := strings.Replace(routed, test.from, test.to, 1)
 			So(text, ShouldNotEqual, routed)
 			_, problems := settings.Parse([]byte(text))
-			if one.path == "" {
+			if test.path == "" {
 				So(problems, ShouldBeEmpty)
 				continue
 			}
-			if len(problems) != 1 || problems[0].Path != one.path || !strings.Contains(problems[0].Reason, one.reason) {
-				t.Errorf("%s for %s: want one problem at %s (%s), got %v", one.to, one.from, one.path, one.reason, problems)
+			if len(problems) != 1 || problems[0].Path != test.path || !strings.Contains(problems[0].Reason, test.reason) {
+				t.Errorf("%s for %s: want one problem at %s (%s), got %v", test.to, test.from, test.path, test.reason, problems)
 			}
 		}
 		_, problems := settings.Parse([]byte(strings.Replace(routed, `, "m2": {"probe_path": "/"}`, ``, 1)))
--- a/settings/tenants.go
+++ b/settings/tenants.go
@@ -6,88 +6,89 @@
 	"github.com/tidwall/gjson"
 )
 
-// Tenant holds keys, by which its requests are known. Over all data daemons together it
-// may make PerSecond requests a second and Burst on top; no PerSecond means no limit.
+// Tenant is a customer, whose requests are recognized by its keys. Across all data daemons
+// together its rate limit is PerSecond requests per second, and Burst on top of that; a
+// PerSecond of zero means no limit.
 //
-// Invariants: no two tenants of a tree have the same Name or share a key; no figure is
-// below zero; every home is a region of the tree.
+// Invariants: no two tenants of a tree have the same Name or share a key; no number is
+// negative; every home is a region of the tree.
 type Tenant struct {
 	Name             string
 	Keys             []string
 	PerSecond, Burst float64
-	// Urgency, where HasUrgency, goes before that of the route.
+	// Urgency, if HasUrgency is set, overrides that of the route.
 	Urgency    int
 	HasUrgency bool
-	// Homes are the only regions that may serve it, among those of the route; none means
-	// wherever the route may be served.
+	// Homes are the only regions, among those of the route, that may serve the tenant; if
+	// empty, all regions of the route may.
 	Homes []string
 }
 
-// Within tells whether the tenant's requests may be served in the region. A request
-// without a tenant, nil, may be anywhere.
+// Within reports whether the tenant's requests may be served in the region. A nil tenant
+// stands for a request without tenant, which may be served in all regions.
 func (tenant *Tenant) Within(region string) bool {
 	return tenant == nil || len(tenant.Homes) == 0 || slices.Contains(tenant.Homes, region)
 }
 
-// Tenanted tells whether the document has the list of tenants, be it empty: then every
-// request needs a key, but on a keyless route.
-func (tree *Tree) Tenanted() bool { return tree.isTenanted }
+// Tenanted reports whether the document has a list of tenants, which may be empty. If so,
+// every request needs a key, except on a keyless route.
+func (tree *Tree) Tenanted() bool { return tree.hasTenants }
 
-// Tenants are all of them, in their order in the document.
+// Tenants returns all tenants in the order of the document.
 func (tree *Tree) Tenants() []*Tenant { return tree.tenants }
 
-// KeyHolder is the tenant that holds the key; nil when none does.
-func (tree *Tree) KeyHolder(key string) *Tenant { return tree.holders[key] }
+// KeyHolder returns the tenant that has the key, or nil if there is none.
+func (tree *Tree) KeyHolder(key string) *Tenant { return tree.tenantsByKey[key] }
 
-// TenantNamed is the tenant of that name; nil when there is none.
-func (tree *Tree) TenantNamed(name string) *Tenant { return tree.named[name] }
+// TenantNamed returns the tenant with the name, or nil if there is none.
+func (tree *Tree) TenantNamed(name string) *Tenant { return tree.tenantsByName[name] }
 
-var tenantShapes = map[string]shape{
-	"name": {kind: gjson.String, isNeeded: true}, "keys": {kind: gjson.JSON, isNeeded: true}, "per_s": {kind: gjson.Number, most: most}, "burst": {kind: gjson.Number, most: most},
-	"urgency": {kind: gjson.Number, most: 9, isWhole: true}, "homes": {kind: gjson.JSON},
+var tenantFields = map[string]fieldRule{
+	"name": {kind: gjson.String, isRequired: true}, "keys": {kind: gjson.JSON, isRequired: true}, "per_s": {kind: gjson.Number, max: maxNumber}, "burst": {kind: gjson.Number, max: maxNumber},
+	"urgency": {kind: gjson.Number, max: 9, isInteger: true}, "homes": {kind: gjson.JSON},
 }
 
-// readTenant reads one tenant and checks what can be told without the rest of the tree.
-func readTenant(value gjson.Result, at *spot, problems *Problems) *Tenant {
-	got := members(value, at, tenantShapes, problems)
-	tenant := &Tenant{Name: got.text("name"), Keys: got.texts("keys", at, problems), PerSecond: got.number("per_s"), Burst: got.number("burst"), Homes: got.texts("homes", at, problems)}
-	if name, known := got.get("name"); known && name.Str == "" {
-		at.tell(problems, "name", "is empty")
+// readTenant reads one tenant and makes the checks that don't need the rest of the tree.
+func readTenant(value gjson.Result, at *location, problems *Problems) *Tenant {
+	parsed := readFields(value, at, tenantFields, problems)
+	tenant := &Tenant{Name: parsed.text("name"), Keys: parsed.stringList("keys", at, problems), PerSecond: parsed.number("per_s"), Burst: parsed.number("burst"), Homes: parsed.stringList("homes", at, problems)}
+	if name, known := parsed.get("name"); known && name.Str == "" {
+		at.report(problems, "name", "is empty")
 	}
-	if urgency, known := got.get("urgency"); known {
+	if urgency, known := parsed.get("urgency"); known {
 		tenant.Urgency, tenant.HasUrgency = int(urgency.Num), true
 	}
 	return tenant
 }
 
-// enlist makes the tenants be found by name and by key, and checks what they name
-// elsewhere in the tree.
-func (tree *Tree) enlist(problems *Problems) {
+// indexTenants indexes the tenants by name and by key, and checks that both are unique and
+// that the regions that tenants refer to are in the tree.
+func (tree *Tree) indexTenants(problems *Problems) {
 	count := 0
 	for _, tenant := range tree.tenants {
 		count += len(tenant.Keys)
 	}
-	tree.named, tree.holders = make(map[string]*Tenant, len(tree.tenants)), make(map[string]*Tenant, count)
+	tree.tenantsByName, tree.tenantsByKey = make(map[string]*Tenant, len(tree.tenants)), make(map[string]*Tenant, count)
 	for at, tenant := range tree.tenants {
-		// Paths are only made where there is a problem.
-		tell := func(list string, index int, reason string, values ...any) {
-			(&spot{&spot{nil, "tenants", at}, list, index}).tell(problems, "", reason, values...)
+		// Paths are built only when there is a problem.
+		report := func(list string, index int, reason string, values ...any) {
+			(&location{&location{nil, "tenants", at}, list, index}).report(problems, "", reason, values...)
 		}
-		if first := tree.named[tenant.Name]; first != nil && tenant.Name != "" {
-			tell("name", -1, "%q is that of tenants.%d too", tenant.Name, slices.Index(tree.tenants, first))
+		if first := tree.tenantsByName[tenant.Name]; first != nil && tenant.Name != "" {
+			report("name", -1, "%q is also the name of tenants.%d", tenant.Name, slices.Index(tree.tenants, first))
 		} else {
-			tree.named[tenant.Name] = tenant
+			tree.tenantsByName[tenant.Name] = tenant
 		}
 		for index, key := range tenant.Keys {
-			if first := tree.holders[key]; first != nil && key != "" {
-				tell("keys", index, "is held by tenants.%d too", slices.Index(tree.tenants, first))
+			if first := tree.tenantsByKey[key]; first != nil && key != "" {
+				report("keys", index, "is also a key of tenants.%d", slices.Index(tree.tenants, first))
 			} else if key != "" {
-				tree.holders[key] = tenant
+				tree.tenantsByKey[key] = tenant
 			}
 		}
 		for index, home := range tenant.Homes {
 			if _, known := tree.regions[home]; !known && home != "" {
-				tell("homes", index, "names region %q, which the tree does not have", home)
+				report("homes", index, "names region %q, which the tree does not have", home)
 			}
 		}
 	}
--- a/settings/tenants_test.go
+++ b/settings/tenants_test.go
@@ -9,8 +9,8 @@
 	"swifttiller/settings"
 )
 
-// held is the routed document with tenants.
-var held = strings.Replace(routed, `"routes"`, `"tenants": [
+// routedWithTenants is the routed document with tenants.
+var routedWithTenants = strings.Replace(routed, `"routes"`, `"tenants": [
   {"name": "one", "keys": ["k1", "k2"], "per_s": 2.5, "burst": 7, "urgency": 0, "homes": ["north"]},
   {"name": "two", "keys": ["k3"]},
   {"name": "three", "keys": []}],
@@ -18,7 +18,7 @@
 
 func TestTenants(t *testing.T) {
 	Convey("a tenant is found by each of its keys, and by its name", t, func() {
-		tree, problems := settings.Parse([]byte(held))
+		tree, problems := settings.Parse([]byte(routedWithTenants))
 		So(problems, ShouldBeEmpty)
 		So(tree.Tenanted(), ShouldBeTrue)
 		So(*tree.KeyHolder("k2"), ShouldResemble, settings.Tenant{Name: "one", Keys: []string{"k1", "k2"}, PerSecond: 2.5, Burst: 7, HasUrgency: true, Homes: []string{"north"}})
@@ -41,12 +41,12 @@
 		So(tree.KeyHolder(""), ShouldBeNil)
 	})
 	Convey("a keyless route says so", t, func() {
-		tree, _ := settings.Parse([]byte(strings.Replace(held, `"name": "b"`, `"keyless": true, "name": "b"`, 1)))
+		tree, _ := settings.Parse([]byte(strings.Replace(routedWithTenants, `"name": "b"`, `"keyless": true, "name": "b"`, 1)))
 		So(tree.Route("one.example", "/p/q/").Keyless, ShouldBeTrue)
 		So(tree.Route("one.example", "/p/").Keyless, ShouldBeFalse)
 	})
 	Convey("a problem is told at its path, and nothing else is told", t, func() {
-		for _, one := range []struct{ from, to, path, reason string }{
+		for _, test := range []struct{ from, to, path, reason string }{
 			{`"name": "two"`, `"name": ""`, "$.tenants.1.name", "empty"},
 			{`"name": "two", `, ``, "$.tenants.1.name", "needed"},
 			{`"name": "two"`, `"name": 2`, "$.tenants.1.name", "string"},
@@ -67,12 +67,12 @@
 			{`"keyless": true`, `"keyless": 1`, "$.routes.1.keyless", "boolean"},
 			{`{"name": "three", "keys": []}`, `7`, "$.tenants.2", "object"},
 		} {
-			text := strings.Replace(held, `"name": "b"`, `"keyless": true, "name": "b"`, 1)
-			spoiled := strings.Replace(text, one.from, one.to, 1)
-			So(spoiled, ShouldNotEqual, text)
-			_, problems := settings.Parse([]byte(spoiled))
-			if len(problems) != 1 || problems[0].Path != one.path || !strings.Contains(problems[0].Reason, one.reason) {
-				t.Errorf("%s for %s: want one problem at %s (%s), got %v", one.to, one.from, one.path, one.reason, problems)
+			text := strings.Replace(routedWithTenants, `"name": "b"`, `"keyless": true, "name": "b"`, 1)
+			broken := strings.Replace(text, test.from, test.to, 1)
+			So(broken, ShouldNotEqual, text)
+			_, problems := settings.Parse([]byte(broken))
+			if len(problems) != 1 || problems[0].Path != test.path || !strings.Contains(problems[0].Reason, test.reason) {
+				t.Errorf("%s for %s: want one problem at %s (%s), got %v", test.to, test.from, test.path, test.reason, problems)
 			}
 		}
 		_, problems := settings.Parse([]byte(strings.Replace(routed, `"routes"`, `"tenants": 3, "routes"`, 1)))
--- a/settings/tree.go
+++ b/settings/tree.go
@@ -61,9 +61,9 @@
 	"affinity_slack":     {1.5, 0, 100, "how far above the average load a prompt's own replica may go; 0: prompts have no own replica"},
 }
 
-// Withdrawn are limits of earlier releases, each with why it is no more. A document that
+// RemovedLimits are limits of earlier releases, each with why it is no more. A document that
 // sets one is taken, for one release, and the value means nothing.
-var Withdrawn = map[string]string{
+var RemovedLimits = map[string]string{
 	"reader_share": "long and short prompts go to the same replicas, by the time that each would take there",
 }
 
@@ -83,22 +83,22 @@
 // Invariant: a tree is never changed once it is parsed; every zone's leaves are
 // resolved in it, so reading it takes no lock and no search.
 type Tree struct {
-	chunks   []*Chunk
-	whole    map[string]Leaf
-	regions  map[string]map[string]Leaf
-	zones    map[string]map[string]Leaf
-	regionOf map[string]string
-	platform map[string]string
-	routes   map[string][]*Route // by host, the longest prefix first
-	listed   []*Route            // as they stand in the document; from its chunks
-	tenants  []*Tenant           // as well
-	named    map[string]*Tenant  // by name
-	holders  map[string]*Tenant  // by key
-	engines  map[string]*Engine
-	intake   Intake
-	label    uint64
-
-	isTenanted bool
+	chunks        []*Chunk
+	whole         map[string]Leaf
+	regions       map[string]map[string]Leaf
+	zones         map[string]map[string]Leaf
+	regionOf      map[string]string
+	platform      map[string]string
+	routes        map[string][]*Route // by host, the longest prefix first
+	routeList     []*Route            // as they stand in the document; from its chunks
+	tenants       []*Tenant           // as well
+	tenantsByName map[string]*Tenant  // by name
+	tenantsByKey  map[string]*Tenant  // by key
+	engines       map[string]*Engine
+	intake        Intake
+	label         uint64
+
+	hasTenants bool
 	warnings   Problems
 }
 
@@ -115,15 +115,15 @@
 		return nil, problems
 	}
 	tree := &Tree{chunks: chunks, whole: map[string]Leaf{}, regions: map[string]map[string]Leaf{}, zones: map[string]map[string]Leaf{}, regionOf: map[string]string{}, platform: map[string]string{}}
-	each(root, "$", &problems, func(key string, value gjson.Result, path string) {
+	eachMember(root, "$", &problems, func(key string, value gjson.Result, path string) {
 		switch key {
 		case "whole":
-			tree.level(value, path, "whole", tree.whole, &problems, nil)
+			tree.readLevel(value, path, "whole", tree.whole, &problems, nil)
 		case "regions":
-			each(value, path, &problems, func(region string, value gjson.Result, path string) {
-				shaped(region, path, &problems)
+			eachMember(value, path, &problems, func(region string, value gjson.Result, path string) {
+				checkName(region, path, &problems)
 				tree.regions[region] = map[string]Leaf{}
-				tree.level(value, path, "region "+region, tree.regions[region], &problems, func(key string, value gjson.Result, path string) bool {
+				tree.readLevel(value, path, "region "+region, tree.regions[region], &problems, func(key string, value gjson.Result, path string) bool {
 					switch key {
 					case "platform":
 						if value.Type != gjson.String || !strings.HasPrefix(value.Str, "http://") {
@@ -131,14 +131,14 @@
 						}
 						tree.platform[region] = value.Str
 					case "zones":
-						each(value, path, &problems, func(zone string, value gjson.Result, path string) {
-							shaped(zone, path, &problems)
+						eachMember(value, path, &problems, func(zone string, value gjson.Result, path string) {
+							checkName(zone, path, &problems)
 							if other, taken := tree.regionOf[zone]; taken {
 								problems.add(path, "the zone stands in region %s too", other)
 							}
 							tree.regionOf[zone] = region
 							tree.zones[zone] = map[string]Leaf{}
-							tree.level(value, path, "zone "+zone, tree.zones[zone], &problems, nil)
+							tree.readLevel(value, path, "zone "+zone, tree.zones[zone], &problems, nil)
 						})
 					default:
 						return false
@@ -147,7 +147,7 @@
 				})
 			})
 		default:
-			if !tree.sections(key, value, path, &problems) {
+			if !tree.readSection(key, value, path, &problems) {
 				problems.add(path, "is unknown; the tree has whole, regions, routes, tenants, engines, intake, label and origin")
 			}
 		}
@@ -156,68 +156,68 @@
 		problems.add("$.regions", "at least one region is needed")
 	}
 	for region := range tree.regions {
-		inherit(tree.regions[region], tree.whole)
+		inheritLeaves(tree.regions[region], tree.whole)
 	}
 	for zone, region := range tree.regionOf {
-		inherit(tree.zones[zone], tree.regions[region])
+		inheritLeaves(tree.zones[zone], tree.regions[region])
 	}
-	tree.refer(&problems)
-	tree.join(&problems)
-	tree.enlist(&problems)
-	tree.gather(&problems)
-	tree.agree(&problems)
+	tree.checkReferences(&problems)
+	tree.checkRoutes(&problems)
+	tree.indexTenants(&problems)
+	tree.liftZoneVersions(&problems)
+	tree.checkProbeLimits(&problems)
 	sort.SliceStable(problems, func(a, b int) bool { return problems[a].Path < problems[b].Path })
 	if len(problems) > 0 {
 		return nil, problems
 	}
-	if !chunks[0].isRead {
-		chunks[0].isRead = true
+	if !chunks[0].isParsed {
+		chunks[0].isParsed = true
 	}
 	return tree, nil
 }
 
-func shaped(name, path string, problems *Problems) {
-	if !nameShape.MatchString(name) {
+func checkName(name, path string, problems *Problems) {
+	if !namePattern.MatchString(name) {
 		problems.add(path, "%q is no name: letters, digits, dots, underscores and dashes", name)
 	}
 }
 
-// each walks an object and reports keys that stand twice.
-func each(object gjson.Result, path string, problems *Problems, visit func(key string, value gjson.Result, path string)) {
+// eachMember walks an object and reports keys that stand twice.
+func eachMember(object gjson.Result, path string, problems *Problems, visit func(key string, value gjson.Result, path string)) {
 	if !object.IsObject() {
 		problems.add(path, "must be an object")
 		return
 	}
 	seen := map[string]bool{}
 	object.ForEach(func(key, value gjson.Result) bool {
-		place := path + "." + key.Str
+		memberPath := path + "." + key.Str
 		if seen[key.Str] {
-			problems.add(place, "stands twice")
+			problems.add(memberPath, "stands twice")
 			return true
 		}
 		seen[key.Str] = true
-		visit(key.Str, value, place)
+		visit(key.Str, value, memberPath)
 		return true
 	})
 }
 
-func inherit(leaves, from map[string]Leaf) {
+func inheritLeaves(leaves, from map[string]Leaf) {
 	for key, leaf := range from {
-		if _, own := leaves[key]; !own {
+		if _, isSet := leaves[key]; !isSet {
 			leaves[key] = leaf
 		}
 	}
 }
 
-// level reads the four sections of a level into leaves.
-func (tree *Tree) level(object gjson.Result, path, from string, leaves map[string]Leaf, problems *Problems, other func(string, gjson.Result, string) bool) {
-	each(object, path, problems, func(section string, value gjson.Result, path string) {
-		keep := func(key string, value gjson.Result) { leaves[section+"."+key] = Leaf{value, from} }
+// readLevel reads the four sections of a level into leaves.
+func (tree *Tree) readLevel(object gjson.Result, path, from string, leaves map[string]Leaf, problems *Problems, other func(string, gjson.Result, string) bool) {
+	eachMember(object, path, problems, func(section string, value gjson.Result, path string) {
+		store := func(key string, value gjson.Result) { leaves[section+"."+key] = Leaf{value, from} }
 		switch section {
 		case "limits":
-			each(value, path, problems, func(name string, value gjson.Result, path string) {
+			eachMember(value, path, problems, func(name string, value gjson.Result, path string) {
 				bound, known := Limits[name]
-				if reason, isWithdrawn := Withdrawn[name]; isWithdrawn {
+				if reason, isRemoved := RemovedLimits[name]; isRemoved {
 					tree.warnings.add(path, "is a limit no more: %s", reason)
 					return
 				}
@@ -229,19 +229,19 @@
 				case value.Num < bound.Least || value.Num > bound.Most:
 					problems.add(path, "%v is not within %v to %v", value.Num, bound.Least, bound.Most)
 				}
-				keep(name, value)
+				store(name, value)
 			})
 		case "placements":
-			tree.models(value, path, placementKeys, problems, keep)
+			tree.readModels(value, path, placementKeys, problems, store)
 		case "handovers":
-			tree.models(value, path, handoverKeys, problems, keep)
+			tree.readModels(value, path, handoverKeys, problems, store)
 		case "homes":
-			each(value, path, problems, func(tag string, value gjson.Result, path string) {
-				shaped(tag, path, problems)
+			eachMember(value, path, problems, func(tag string, value gjson.Result, path string) {
+				checkName(tag, path, problems)
 				if !value.IsArray() || len(value.Array()) == 0 {
 					problems.add(path, "must be a list of at least one region")
 				}
-				keep(tag, value)
+				store(tag, value)
 			})
 		default:
 			if other == nil || !other(section, value, path) {
@@ -251,10 +251,10 @@
 	})
 }
 
-func (tree *Tree) models(object gjson.Result, path string, keys map[string]gjson.Type, problems *Problems, keep func(string, gjson.Result)) {
-	each(object, path, problems, func(model string, value gjson.Result, path string) {
-		shaped(model, path, problems)
-		each(value, path, problems, func(key string, value gjson.Result, path string) {
+func (tree *Tree) readModels(object gjson.Result, path string, keys map[string]gjson.Type, problems *Problems, store func(string, gjson.Result)) {
+	eachMember(object, path, problems, func(model string, value gjson.Result, path string) {
+		checkName(model, path, problems)
+		eachMember(value, path, problems, func(key string, value gjson.Result, path string) {
 			kind, known := keys[key]
 			boolean := kind == gjson.True && (value.Type == gjson.True || value.Type == gjson.False)
 			switch {
@@ -264,18 +264,18 @@
 				problems.add(path, "must be a %s", map[gjson.Type]string{gjson.String: "string", gjson.Number: "number", gjson.True: "boolean"}[kind])
 			case kind == gjson.Number && (value.Num < 1 || value.Num > 100000 || value.Num != float64(int(value.Num))):
 				problems.add(path, "%v is no whole number within 1 to 100000", value.Num)
-			case key == "version" && !nameShape.MatchString(value.Str):
+			case key == "version" && !namePattern.MatchString(value.Str):
 				problems.add(path, "%q is no name of a version", value.Str)
 			}
-			keep(model+"."+key, value)
+			store(model+"."+key, value)
 		})
 	})
 }
 
-// gather gives a region the version of a model that only zones of it place, so
+// liftZoneVersions gives a region the version of a model that only zones of it place, so
 // that its runs and routes cover them. A route is one per model and region, so all
 // zones of a region that hold a model hold the same version of it.
-func (tree *Tree) gather(problems *Problems) {
+func (tree *Tree) liftZoneVersions(problems *Problems) {
 	zones := make([]string, 0, len(tree.regionOf))
 	for zone := range tree.regionOf {
 		zones = append(zones, zone)
@@ -288,20 +288,20 @@
 			if !isPlacement || !strings.HasSuffix(rest, ".version") || leaf.From != "zone "+zone {
 				continue
 			}
-			have, known := tree.regions[region][key]
+			regional, known := tree.regions[region][key]
 			switch {
 			case !known:
 				tree.regions[region][key] = leaf
-			case have.Value.Str != leaf.Value.Str:
-				problems.add("$.regions."+region+".zones."+zone+"."+key, "%q, but region %s has %q (from %s): a route is one per region, so a group that is to hold another version needs a region of its own", leaf.Value.Str, region, have.Value.Str, have.From)
+			case regional.Value.Str != leaf.Value.Str:
+				problems.add("$.regions."+region+".zones."+zone+"."+key, "%q, but region %s has %q (from %s): a route is one per region, so a group that is to hold another version needs a region of its own", leaf.Value.Str, region, regional.Value.Str, regional.From)
 			}
 		}
 	}
 }
 
-// agree checks limits against each other, where they are in force.
-func (tree *Tree) agree(problems *Problems) {
-	told := map[string]bool{}
+// checkProbeLimits checks limits against each other, where they are in force.
+func (tree *Tree) checkProbeLimits(problems *Problems) {
+	reported := map[string]bool{}
 	regions := append([]string{""}, tree.Regions()...)
 	for _, region := range regions {
 		probe, dark := tree.Limit("probe_ms", region), tree.Limit("dark_ms", region)
@@ -314,15 +314,15 @@
 				path = "$.regions." + region + ".limits.probe_ms"
 			}
 		}
-		if !told[path] {
-			told[path] = true
+		if !reported[path] {
+			reported[path] = true
 			problems.add(path, "is %g, and dark_ms is %g: a replica must be probed twice before it counts as dark", probe, dark)
 		}
 	}
 }
 
-// refer checks what points elsewhere.
-func (tree *Tree) refer(problems *Problems) {
+// checkReferences checks what points elsewhere.
+func (tree *Tree) checkReferences(problems *Problems) {
 	check := func(path, from string, leaves map[string]Leaf) {
 		for key, leaf := range leaves {
 			if leaf.From != from {
@@ -385,13 +385,13 @@
 
 // Effective gives every value that holds in a zone, a region or, for an empty
 // name, the whole, defaults included.
-func (tree *Tree) Effective(place string) (map[string]Leaf, bool) {
-	leaves := tree.leaves(place)
+func (tree *Tree) Effective(scope string) (map[string]Leaf, bool) {
+	leaves := tree.leaves(scope)
 	if leaves == nil {
 		return nil, false
 	}
 	out := map[string]Leaf{}
-	inherit(out, leaves)
+	inheritLeaves(out, leaves)
 	for name, bound := range Limits {
 		if _, set := out["limits."+name]; !set {
 			out["limits."+name] = Leaf{gjson.Result{Type: gjson.Number, Num: bound.Default}, "default"}
@@ -400,23 +400,23 @@
 	return out, true
 }
 
-func (tree *Tree) leaves(place string) map[string]Leaf {
-	if place == "" {
+func (tree *Tree) leaves(scope string) map[string]Leaf {
+	if scope == "" {
 		return tree.whole
 	}
-	if leaves, ok := tree.zones[place]; ok {
+	if leaves, ok := tree.zones[scope]; ok {
 		return leaves
 	}
-	return tree.regions[place]
+	return tree.regions[scope]
 }
 
 // Limit is a limit at a place: a zone, a region, or empty for the whole. Where there is no
 // tree yet it is the default.
-func (tree *Tree) Limit(name, place string) float64 {
+func (tree *Tree) Limit(name, scope string) float64 {
 	if tree == nil {
 		return Limits[name].Default
 	}
-	if leaf, set := tree.leaves(place)["limits."+name]; set {
+	if leaf, set := tree.leaves(scope)["limits."+name]; set {
 		return leaf.Value.Num
 	}
 	if leaf, set := tree.whole["limits."+name]; set {
@@ -426,8 +426,8 @@
 }
 
 // Span is a limit that is a time.
-func (tree *Tree) Span(name, place string) time.Duration {
-	return time.Duration(tree.Limit(name, place) * float64(time.Millisecond))
+func (tree *Tree) Span(name, scope string) time.Duration {
+	return time.Duration(tree.Limit(name, scope) * float64(time.Millisecond))
 }
 
 // Placement is how a model is placed somewhere.
@@ -448,8 +448,8 @@
 func (placement Placement) Any() bool { return placement.Version == AnyVersion }
 
 // Placement is a model's at a place; false when it is not placed there.
-func (tree *Tree) Placement(model, place string) (Placement, bool) {
-	leaves := tree.leaves(place)
+func (tree *Tree) Placement(model, scope string) (Placement, bool) {
+	leaves := tree.leaves(scope)
 	version, placed := leaves["placements."+model+".version"]
 	if !placed {
 		return Placement{}, false
@@ -462,9 +462,9 @@
 }
 
 // Models are the models placed at a place, in order.
-func (tree *Tree) Models(place string) []string {
+func (tree *Tree) Models(scope string) []string {
 	var models []string
-	for key := range tree.leaves(place) {
+	for key := range tree.leaves(scope) {
 		if rest, ok := strings.CutPrefix(key, "placements."); ok {
 			if model, found := strings.CutSuffix(rest, ".version"); found {
 				models = append(models, model)
@@ -476,14 +476,14 @@
 }
 
 // Automatic tells whether a changed version in the tree starts a roll-out.
-func (tree *Tree) Automatic(model, place string) bool {
-	leaf, set := tree.leaves(place)["handovers."+model+".automatic"]
+func (tree *Tree) Automatic(model, scope string) bool {
+	leaf, set := tree.leaves(scope)["handovers."+model+".automatic"]
 	return !set || leaf.Value.Bool()
 }
 
 // Homes are the regions of a home tag; false when there is no such tag.
-func (tree *Tree) Homes(tag, place string) ([]string, bool) {
-	leaf, known := tree.leaves(place)["homes."+tag]
+func (tree *Tree) Homes(tag, scope string) ([]string, bool) {
+	leaf, known := tree.leaves(scope)["homes."+tag]
 	if !known {
 		return nil, false
 	}
