--- a/settings/routes.go
+++ b/settings/routes.go
@@ -446,7 +446,7 @@
 		}
 		for index, home := range route.Homes {
 			if _, known := tree.regions[home]; !known && home != "" {
-				report(at, "homes", index, "", "names region %q, which the tree does not have", home)
+				report(at, "homes", index, "", "names region %q, which is not in the tree", home)
 			}
 		}
 	}
--- a/settings/tenants.go
+++ b/settings/tenants.go
@@ -88,7 +88,7 @@
 		}
 		for index, home := range tenant.Homes {
 			if _, known := tree.regions[home]; !known && home != "" {
-				report("homes", index, "names region %q, which the tree does not have", home)
+				report("homes", index, "names region %q, which is not in the tree", home)
 			}
 		}
 	}
--- a/settings/tree.go
+++ b/settings/tree.go
@@ -8,63 +8,63 @@
 	"github.com/tidwall/gjson"
 )
 
-// Bound is a limit's default and range.
+// Bound is the default, range and description of a limit.
 type Bound struct {
 	Default, Least, Most float64
 	What                 string
 }
 
-// Limits are the limits that the tree may set, each with its default, range and
-// meaning. Times are in milliseconds.
+// Limits are the limits that a document may set, each with its default, range and
+// description. Times are in milliseconds.
 var Limits = map[string]Bound{
-	"permit_ms":          {2000, 300, 2800, "how long a data daemon may serve after it last asked a core majority"},
-	"quota_window_ms":    {5000, 500, 600000, "the span within which a tenant's requests are counted against its limit"},
-	"quota_excess":       {0.1, 0.01, 1, "by how much a tenant's limit may be exceeded within the window, as a ratio"},
-	"quota_slack":        {20, 4, 100000, "requests that a tenant may make above that within the window"},
-	"quota_reserve_ms":   {60000, 1000, 86400000, "how long a data daemon that is not heard any more keeps its share of tenants' limits"},
-	"alone_ms":           {0, 0, 86400000, "how long a data daemon serves routed requests by what it last knew, once its permit has ended"},
-	"session_ms":         {1500, 300, 3000, "how long a daemon stays a member unheard"},
-	"replace_ms":         {1500, 200, 600000, "how long an acceptor of the core may be unheard before one that waits takes its place"},
+	"permit_ms":          {2000, 300, 2800, "how long a data daemon's lease lasts after its last request to a majority of the core"},
+	"quota_window_ms":    {5000, 500, 600000, "the window within which a tenant's requests are counted against its rate limit"},
+	"quota_excess":       {0.1, 0.01, 1, "how far a tenant's rate limit may be exceeded within the window, as a ratio"},
+	"quota_slack":        {20, 4, 100000, "requests that a tenant may make in addition to that within the window"},
+	"quota_reserve_ms":   {60000, 1000, 86400000, "how long a data daemon that can't be reached keeps its share of tenants' rate limits"},
+	"alone_ms":           {0, 0, 86400000, "how long a data daemon goes on serving routed requests with its last known state after its lease has expired"},
+	"session_ms":         {1500, 300, 3000, "how long a daemon stays a member without heartbeats"},
+	"replace_ms":         {1500, 200, 600000, "how long an acceptor of the core may be unreachable before a spare acceptor replaces it"},
 	"queue_ms":           {1500, 10, 60000, "how long a request may wait for a replica"},
-	"queue_length":       {128, 1, 100000, "how many requests may wait in one data daemon"},
-	"request_ms":         {120000, 100, 3600000, "how long one dispatch may take"},
-	"stall_ms":           {10000, 100, 600000, "how long a stream may stay silent"},
-	"ticket_ms":          {60000, 1000, 3600000, "how long a ticket lasts"},
-	"retry_share":        {0.2, 0, 0.2, "retries as a share of real demand"},
-	"small_share":        {0.08, 0.001, 0.1, "share of a model's requests that a version on trial may get"},
-	"dark_ms":            {1200, 100, 10000, "how long a replica may leave probes unanswered"},
-	"probe_ms":           {300, 20, 10000, "how often replicas are probed"},
-	"platform_ms":        {1000, 50, 60000, "how often the platform is asked for its list"},
-	"cold_share":         {0.125, 0.01, 1, "share of its capacity that a cold replica may get at first"},
-	"warm_ms":            {8000, 0, 600000, "least time for a cold replica to reach its whole capacity"},
-	"warm_answers":       {40, 1, 100000, "least answers for a cold replica to reach its whole capacity"},
-	"spill_share":        {0.6, 0, 1, "share of its spare capacity that a region lends to others"},
+	"queue_length":       {128, 1, 100000, "how many requests may be queued in one data daemon"},
+	"request_ms":         {120000, 100, 3600000, "how long one attempt of a request may take"},
+	"stall_ms":           {10000, 100, 600000, "how long a stream may go without data"},
+	"ticket_ms":          {60000, 1000, 3600000, "how long a ticket is valid"},
+	"retry_share":        {0.2, 0, 0.2, "retry budget, as a share of the requests that are not retries"},
+	"small_share":        {0.08, 0.001, 0.1, "share of a model's requests that a version on trial (canary) may get"},
+	"dark_ms":            {1200, 100, 10000, "how long a replica may leave health checks unanswered before it counts as down"},
+	"probe_ms":           {300, 20, 10000, "interval of the health checks of replicas"},
+	"platform_ms":        {1000, 50, 60000, "interval at which the platform's list of replicas is fetched"},
+	"cold_share":         {0.125, 0.01, 1, "share of its capacity that a cold replica may get at the start of its warm-up"},
+	"warm_ms":            {8000, 0, 600000, "minimum time until a cold replica reaches its full capacity"},
+	"warm_answers":       {40, 1, 100000, "minimum number of answers until a cold replica reaches its full capacity"},
+	"spill_share":        {0.6, 0, 1, "share of its spare capacity that a region offers to other regions"},
 	"standby_ms":         {1800000, 0, 604800000, "how long a replaced version stays loaded"},
 	"archive_ms":         {21600000, 0, 2592000000, "how long a version stays on standby"},
-	"unload_wait_ms":     {30000, 0, 600000, "how long an unload waits for streams in flight"},
-	"trial_ms":           {15000, 100, 86400000, "how long a trial lasts at the least"},
-	"trial_most_ms":      {120000, 100, 86400000, "how long a trial waits for its samples at the most"},
-	"trial_samples":      {20, 1, 100000, "answers per kind that a trial wants to see"},
+	"unload_wait_ms":     {30000, 0, 600000, "how long an unload waits for streams in progress"},
+	"trial_ms":           {15000, 100, 86400000, "minimum duration of a trial"},
+	"trial_most_ms":      {120000, 100, 86400000, "how long a trial waits for its samples at most"},
+	"trial_samples":      {20, 1, 100000, "answers per kind that a trial needs as samples"},
 	"trial_replicas":     {1, 1, 100, "replicas per region that a trial uses"},
-	"watch_ms":           {30000, 0, 86400000, "how long a version is watched after the route moved"},
+	"watch_ms":           {30000, 0, 86400000, "how long a version is monitored after the route has moved to it"},
 	"load_ms":            {600000, 100, 86400000, "how long replicas may take to load a version"},
 	"ready_share":        {0.75, 0.01, 1, "share of a region's replicas that must be ready before the route moves"},
 	"prompt_unit_bytes":  {8192, 64, 1048576, "prompt bytes per unit of cost"},
 	"answer_unit_tokens": {512, 1, 1048576, "answer tokens per unit of cost"},
-	"far_ms":             {80, 0, 10000, "what the way to another region adds to a first piece"},
-	"far_kb_ms":          {4, 0, 10000, "what a KiB sent to another region is weighed as, in ms of waiting"},
-	"cold_excess":        {1, 0.1, 2, "how much of its cold rate a cold replica is sent by all together, as a ratio"},
-	"again_ms":           {60, 0, 10000, "what a thousand shared tokens read again elsewhere are weighed as, in ms of waiting"},
-	"tenant_ms":          {0, 0, 600000, "how often it is looked whether tenants' sessions have changed and need new placement; 0: never"},
-	"tenant_change":      {0.25, 0.05, 1, "how far a tenant's sessions must have moved to be judged anew, as a share"},
-	"tenant_again":       {0.1, 0.001, 1, "which part of all prompt tokens may be read again for tenants that are placed anew"},
-	"affinity_slack":     {1.5, 0, 100, "how far above the average load a prompt's own replica may go; 0: prompts have no own replica"},
+	"far_ms":             {80, 0, 10000, "network delay that another region adds to the time to first token"},
+	"far_kb_ms":          {4, 0, 10000, "cost of sending a KiB to another region, in ms of waiting time"},
+	"cold_excess":        {1, 0.1, 2, "part of its cold rate that all data daemons together send to a cold replica, as a ratio"},
+	"again_ms":           {60, 0, 10000, "cost of the prefill of a thousand shared tokens on another replica, in ms of waiting time"},
+	"tenant_ms":          {0, 0, 600000, "interval at which tenants' sessions are checked for changes that need a new placement; 0: never"},
+	"tenant_change":      {0.25, 0.05, 1, "how much a tenant's sessions must have changed before its placement is evaluated again, as a share"},
+	"tenant_again":       {0.1, 0.001, 1, "share of all prompt tokens for which placing tenants anew may cause a second prefill"},
+	"affinity_slack":     {1.5, 0, 100, "how far the load of a prompt's preferred replica may exceed the average; 0: prompts have no preferred replica"},
 }
 
-// RemovedLimits are limits of earlier releases, each with why it is no more. A document that
-// sets one is taken, for one release, and the value means nothing.
+// RemovedLimits are limits of earlier releases, each with the reason for its removal. A
+// document that sets one is accepted for one release with a warning; the value is ignored.
 var RemovedLimits = map[string]string{
-	"reader_share": "long and short prompts go to the same replicas, by the time that each would take there",
+	"reader_share": "long and short prompts share replicas, chosen by the time that each prompt would take there",
 }
 
 var (
@@ -72,16 +72,16 @@
 	handoverKeys  = map[string]gjson.Type{"automatic": gjson.True}
 )
 
-// Leaf is one effective value and the level that it came from.
+// Leaf is one effective value and the level that it comes from.
 type Leaf struct {
 	Value gjson.Result
 	From  string
 }
 
-// Tree is a checked document.
+// Tree is a parsed and checked document.
 //
-// Invariant: a tree is never changed once it is parsed; every zone's leaves are
-// resolved in it, so reading it takes no lock and no search.
+// Invariant: a tree is immutable once it is parsed. It contains the resolved leaves of
+// every zone, so reading it needs neither a lock nor a search through the levels.
 type Tree struct {
 	chunks        []*Chunk
 	whole         map[string]Leaf
@@ -89,9 +89,9 @@
 	zones         map[string]map[string]Leaf
 	regionOf      map[string]string
 	platform      map[string]string
-	routes        map[string][]*Route // by host, the longest prefix first
-	routeList     []*Route            // as they stand in the document; from its chunks
-	tenants       []*Tenant           // as well
+	routes        map[string][]*Route // by host, longest prefix first
+	routeList     []*Route            // in the order of the document; owned by its chunks
+	tenants       []*Tenant           // in the order of the document; owned by its chunks
 	tenantsByName map[string]*Tenant  // by name
 	tenantsByKey  map[string]*Tenant  // by key
 	engines       map[string]*Engine
@@ -102,11 +102,11 @@
 	warnings   Problems
 }
 
-// Warnings are what the document sets that means nothing any more, at its paths.
+// Warnings returns the settings of the document that are ignored, with their paths.
 func (tree *Tree) Warnings() Problems { return tree.warnings }
 
-// parse checks a document in chunks, each of which is JSON. The tree is nil when there
-// are problems.
+// parse parses and checks a document given in chunks, each of which must be valid JSON. The
+// tree is nil when there are problems.
 func parse(chunks []*Chunk) (*Tree, Problems) {
 	var problems Problems
 	root := gjson.Parse(chunks[0].Text)
@@ -134,7 +134,7 @@
 						eachMember(value, path, &problems, func(zone string, value gjson.Result, path string) {
 							checkName(zone, path, &problems)
 							if other, taken := tree.regionOf[zone]; taken {
-								problems.add(path, "the zone stands in region %s too", other)
+								problems.add(path, "the zone is also in region %s", other)
 							}
 							tree.regionOf[zone] = region
 							tree.zones[zone] = map[string]Leaf{}
@@ -176,13 +176,15 @@
 	return tree, nil
 }
 
+// checkName adds a problem unless the name is a valid name.
 func checkName(name, path string, problems *Problems) {
 	if !namePattern.MatchString(name) {
 		problems.add(path, "%q is no name: letters, digits, dots, underscores and dashes", name)
 	}
 }
 
-// eachMember walks an object and reports keys that stand twice.
+// eachMember calls visit for each member of an object; a key that is given twice is a
+// problem.
 func eachMember(object gjson.Result, path string, problems *Problems, visit func(key string, value gjson.Result, path string)) {
 	if !object.IsObject() {
 		problems.add(path, "must be an object")
@@ -192,7 +194,7 @@
 	object.ForEach(func(key, value gjson.Result) bool {
 		memberPath := path + "." + key.Str
 		if seen[key.Str] {
-			problems.add(memberPath, "stands twice")
+			problems.add(memberPath, "is given twice")
 			return true
 		}
 		seen[key.Str] = true
@@ -201,6 +203,7 @@
 	})
 }
 
+// inheritLeaves copies to leaves the values of the level above that it does not override.
 func inheritLeaves(leaves, from map[string]Leaf) {
 	for key, leaf := range from {
 		if _, isSet := leaves[key]; !isSet {
@@ -209,7 +212,8 @@
 	}
 }
 
-// readLevel reads the four sections of a level into leaves.
+// readLevel reads the four sections of a level into leaves. Other sections are passed to
+// other, which returns false for those that are unknown.
 func (tree *Tree) readLevel(object gjson.Result, path, from string, leaves map[string]Leaf, problems *Problems, other func(string, gjson.Result, string) bool) {
 	eachMember(object, path, problems, func(section string, value gjson.Result, path string) {
 		store := func(key string, value gjson.Result) { leaves[section+"."+key] = Leaf{value, from} }
@@ -218,7 +222,7 @@
 			eachMember(value, path, problems, func(name string, value gjson.Result, path string) {
 				bound, known := Limits[name]
 				if reason, isRemoved := RemovedLimits[name]; isRemoved {
-					tree.warnings.add(path, "is a limit no more: %s", reason)
+					tree.warnings.add(path, "is no longer a limit: %s", reason)
 					return
 				}
 				switch {
@@ -251,6 +255,7 @@
 	})
 }
 
+// readModels reads a section that has an object with the given keys for each model.
 func (tree *Tree) readModels(object gjson.Result, path string, keys map[string]gjson.Type, problems *Problems, store func(string, gjson.Result)) {
 	eachMember(object, path, problems, func(model string, value gjson.Result, path string) {
 		checkName(model, path, problems)
@@ -263,18 +268,19 @@
 			case value.Type != kind && !boolean:
 				problems.add(path, "must be a %s", map[gjson.Type]string{gjson.String: "string", gjson.Number: "number", gjson.True: "boolean"}[kind])
 			case kind == gjson.Number && (value.Num < 1 || value.Num > 100000 || value.Num != float64(int(value.Num))):
-				problems.add(path, "%v is no whole number within 1 to 100000", value.Num)
+				problems.add(path, "%v is not a whole number within 1 to 100000", value.Num)
 			case key == "version" && !namePattern.MatchString(value.Str):
-				problems.add(path, "%q is no name of a version", value.Str)
+				problems.add(path, "%q is not a valid name of a version", value.Str)
 			}
 			store(model+"."+key, value)
 		})
 	})
 }
 
-// liftZoneVersions gives a region the version of a model that only zones of it place, so
-// that its runs and routes cover them. A route is one per model and region, so all
-// zones of a region that hold a model hold the same version of it.
+// liftZoneVersions copies the version of a model that is placed only in zones of a region
+// to the region, so that the region's rollout runs and routes cover those zones. There is
+// one route per model and region, so all zones of a region that have the model must have
+// the same version of it.
 func (tree *Tree) liftZoneVersions(problems *Problems) {
 	zones := make([]string, 0, len(tree.regionOf))
 	for zone := range tree.regionOf {
@@ -293,13 +299,15 @@
 			case !known:
 				tree.regions[region][key] = leaf
 			case regional.Value.Str != leaf.Value.Str:
-				problems.add("$.regions."+region+".zones."+zone+"."+key, "%q, but region %s has %q (from %s): a route is one per region, so a group that is to hold another version needs a region of its own", leaf.Value.Str, region, regional.Value.Str, regional.From)
+				problems.add("$.regions."+region+".zones."+zone+"."+key, "%q, but region %s has %q (from %s): a region has one route per model, so replicas with another version need a region of their own", leaf.Value.Str, region, regional.Value.Str, regional.From)
 			}
 		}
 	}
 }
 
-// checkProbeLimits checks limits against each other, where they are in force.
+// checkProbeLimits checks for the whole and each region that the health check's interval
+// fits its timeout. A problem is reported only once, at the level where probe_ms or dark_ms
+// is set.
 func (tree *Tree) checkProbeLimits(problems *Problems) {
 	reported := map[string]bool{}
 	regions := append([]string{""}, tree.Regions()...)
@@ -321,30 +329,30 @@
 	}
 }
 
-// checkReferences checks what points elsewhere.
+// checkReferences checks that the regions, home tags and models that a level refers to exist.
 func (tree *Tree) checkReferences(problems *Problems) {
 	check := func(path, from string, leaves map[string]Leaf) {
 		for key, leaf := range leaves {
 			if leaf.From != from {
-				continue // told where it stands
+				continue // inherited; checked at the level that sets it
 			}
 			section, rest, _ := strings.Cut(key, ".")
 			switch section {
 			case "homes":
 				for _, region := range leaf.Value.Array() {
 					if _, known := tree.regions[region.String()]; !known {
-						problems.add(path+"."+key, "names region %q, which the tree does not have", region.String())
+						problems.add(path+"."+key, "names region %q, which is not in the tree", region.String())
 					}
 				}
 			case "placements":
 				model, name := cutLast(rest)
 				if name == "home" {
 					if _, known := leaves["homes."+leaf.Value.Str]; !known {
-						problems.add(path+"."+key, "names home %q, which homes does not have", leaf.Value.Str)
+						problems.add(path+"."+key, "names home %q, which is not in homes", leaf.Value.Str)
 					}
 				}
 				if _, placed := leaves["placements."+model+".version"]; !placed && name != "version" {
-					problems.add(path+".placements."+model, "has no version, here or above")
+					problems.add(path+".placements."+model, "has no version, neither here nor at a level above")
 				}
 			case "handovers":
 				model, _ := cutLast(rest)
@@ -366,11 +374,13 @@
 	*problems = distinct(*problems)
 }
 
+// cutLast splits the text at its last dot.
 func cutLast(text string) (string, string) {
 	at := strings.LastIndexByte(text, '.')
 	return text[:at], text[at+1:]
 }
 
+// distinct returns the problems without duplicates.
 func distinct(problems Problems) Problems {
 	seen := map[Problem]bool{}
 	var out Problems
@@ -383,8 +393,8 @@
 	return out
 }
 
-// Effective gives every value that holds in a zone, a region or, for an empty
-// name, the whole, defaults included.
+// Effective returns all values in force in a zone, a region or, for an empty name, the
+// whole, including defaults. It returns false if the tree has no such zone or region.
 func (tree *Tree) Effective(scope string) (map[string]Leaf, bool) {
 	leaves := tree.leaves(scope)
 	if leaves == nil {
@@ -400,6 +410,8 @@
 	return out, true
 }
 
+// leaves returns the leaves of a zone, a region or, for an empty name, the whole. If there
+// is no such zone or region, it returns nil.
 func (tree *Tree) leaves(scope string) map[string]Leaf {
 	if scope == "" {
 		return tree.whole
@@ -410,8 +422,8 @@
 	return tree.regions[scope]
 }
 
-// Limit is a limit at a place: a zone, a region, or empty for the whole. Where there is no
-// tree yet it is the default.
+// Limit returns the value of a limit in a zone, a region or, for an empty name, the whole.
+// If the tree is nil, it returns the default.
 func (tree *Tree) Limit(name, scope string) float64 {
 	if tree == nil {
 		return Limits[name].Default
@@ -425,29 +437,31 @@
 	return Limits[name].Default
 }
 
-// Span is a limit that is a time.
+// Span returns a limit in milliseconds as a duration.
 func (tree *Tree) Span(name, scope string) time.Duration {
 	return time.Duration(tree.Limit(name, scope) * float64(time.Millisecond))
 }
 
-// Placement is how a model is placed somewhere.
+// Placement states which version of a model a zone or region has, the model's home tag, and
+// the capacity of its replicas in units of cost.
 type Placement struct {
 	Model, Version, Home string
 	Capacity             int
 }
 
-// DefaultCapacity is the cost units that a replica can bear at once, unless the
-// placement says otherwise.
+// DefaultCapacity is the number of cost units that a replica can process concurrently,
+// unless the placement sets another.
 const DefaultCapacity = 8
 
-// AnyVersion is the version of a placement that leaves open which weights replicas
-// hold: whichever they say that they have.
+// AnyVersion is the version of a placement that accepts whichever version of the weights
+// the replicas report.
 const AnyVersion = "any"
 
-// Any tells whether the placement leaves the version open.
+// Any reports whether the placement accepts any version.
 func (placement Placement) Any() bool { return placement.Version == AnyVersion }
 
-// Placement is a model's at a place; false when it is not placed there.
+// Placement returns the placement of a model in a zone, a region or the whole, and false
+// if the model is not placed there.
 func (tree *Tree) Placement(model, scope string) (Placement, bool) {
 	leaves := tree.leaves(scope)
 	version, placed := leaves["placements."+model+".version"]
@@ -461,7 +475,7 @@
 	return placement, true
 }
 
-// Models are the models placed at a place, in order.
+// Models returns the models that are placed in a zone, a region or the whole, sorted.
 func (tree *Tree) Models(scope string) []string {
 	var models []string
 	for key := range tree.leaves(scope) {
@@ -475,13 +489,13 @@
 	return models
 }
 
-// Automatic tells whether a changed version in the tree starts a roll-out.
+// Automatic reports whether a change of the model's version in the tree starts a rollout.
 func (tree *Tree) Automatic(model, scope string) bool {
 	leaf, set := tree.leaves(scope)["handovers."+model+".automatic"]
 	return !set || leaf.Value.Bool()
 }
 
-// Homes are the regions of a home tag; false when there is no such tag.
+// Homes returns the regions of a home tag, and false if there is no such tag.
 func (tree *Tree) Homes(tag, scope string) ([]string, bool) {
 	leaf, known := tree.leaves(scope)["homes."+tag]
 	if !known {
@@ -494,7 +508,7 @@
 	return regions, true
 }
 
-// Allowed tells whether a request with the home tag may be in the region.
+// Allowed reports whether a request with the home tag may be served in the region.
 func (tree *Tree) Allowed(tag, region string) bool {
 	if tag == "" {
 		return true
@@ -511,7 +525,7 @@
 	return false
 }
 
-// Regions are all regions, in order.
+// Regions returns all regions, sorted.
 func (tree *Tree) Regions() []string {
 	regions := make([]string, 0, len(tree.regions))
 	for region := range tree.regions {
@@ -521,7 +535,7 @@
 	return regions
 }
 
-// Zones are a region's zones, in order.
+// Zones returns the zones of a region, sorted.
 func (tree *Tree) Zones(region string) []string {
 	var zones []string
 	for zone, at := range tree.regionOf {
@@ -533,11 +547,11 @@
 	return zones
 }
 
-// RegionOf is the region of a zone; false for a zone not in the tree.
+// RegionOf returns the region of a zone, and false for a zone that is not in the tree.
 func (tree *Tree) RegionOf(zone string) (string, bool) {
 	region, known := tree.regionOf[zone]
 	return region, known
 }
 
-// Platform is where a region's list of replicas is asked for.
+// Platform returns the URL from which a region's list of replicas is fetched.
 func (tree *Tree) Platform(region string) string { return tree.platform[region] }
