--- a/settings/choices_test.go
+++ b/settings/choices_test.go
@@ -10,7 +10,8 @@
 	"swifttiller/settings"
 )
 
-// dataDaemonFile is a data daemon's settings; more goes into the object.
+// dataDaemonFile writes a data daemon's settings, with extra fields, to a file and returns
+// its path.
 func dataDaemonFile(t *testing.T, extraFields string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "daemon.json")
@@ -21,8 +22,9 @@
 	return path
 }
 
-// TestChoices: what makes a daemon log its choices may stand in the file or be a flag, and only
-// true or false will do.
+// TestChoices checks that choices can be set in the file and by a flag, which overrides the
+// file, that other values than booleans are rejected, and that Watching applies no flag but
+// this.
 func TestChoices(t *testing.T) {
 	parseFlags := func(args ...string) *flag.FlagSet {
 		set := flag.NewFlagSet("d", flag.ContinueOnError)
@@ -48,29 +50,30 @@
 		}
 	}
 	if _, err := settings.LoadProcess(dataDaemonFile(t, `,"choices":"yes"`), parseFlags()); err == nil || !strings.Contains(err.Error(), "$.choices") {
-		t.Errorf("told %v", err)
+		t.Errorf("choices as a string: want an error at $.choices, got %v", err)
 	}
 	process := &settings.Process{Name: "d1"}
 	process.Watching(parseFlags("--choices", "--name", "other"))
 	if !process.Choices || process.Name != "d1" {
-		t.Errorf("where all else comes from the machine: %+v", process)
+		t.Errorf("want the choices flag and no other to be applied, got %+v", process)
 	}
 }
 
-// TestWithdrawnLimits: a document of an earlier release is taken, and it is said what in it
-// means nothing any more; a limit that never was is a problem.
+// TestWithdrawnLimits guards against a document of an earlier release that is rejected after
+// an upgrade because it sets a limit that was removed: it must be accepted with a warning.
+// A limit that never existed is a problem.
 func TestWithdrawnLimits(t *testing.T) {
 	tree, problems := settings.Parse([]byte(strings.Replace(good, `"queue_ms": 900`, `"queue_ms": 900, "reader_share": 0.4`, 1)))
 	if len(problems) > 0 {
 		t.Fatal(problems)
 	}
 	if warnings := tree.Warnings(); len(warnings) != 1 || warnings[0].Path != "$.whole.limits.reader_share" {
-		t.Errorf("warned of %v", warnings)
+		t.Errorf("want one warning, for reader_share, got %v", warnings)
 	}
 	if _, problems := settings.Parse([]byte(strings.Replace(good, `"queue_ms": 900`, `"writer_share": 0.4`, 1))); len(problems) != 1 {
-		t.Errorf("an unknown limit: %v", problems)
+		t.Errorf("unknown limit: want one problem, got %v", problems)
 	}
 	if tree, _ := settings.Parse([]byte(good)); len(tree.Warnings()) > 0 {
-		t.Errorf("warned of %v", tree.Warnings())
+		t.Errorf("want no warnings for a current document, got %v", tree.Warnings())
 	}
 }
--- a/settings/chunk_test.go
+++ b/settings/chunk_test.go
@@ -12,11 +12,12 @@
 	"swifttiller/settings"
 )
 
-// route is the text of one.
+// route returns the JSON text of a route to model m.
 func route(name, host string) string {
 	return fmt.Sprintf(`{"name":%q,"host":%q,"prefix":"/","kind":"safe","timeout_ms":1000,"shares":[{"model":"m","weight":1}]}`, name, host)
 }
 
+// routeList returns the JSON texts of routes, one for each name.
 func routeList(names ...string) (list []string) {
 	for _, name := range names {
 		list = append(list, route(name, name+".example"))
@@ -24,10 +25,12 @@
 	return list
 }
 
+// document returns a document with the label and the routes.
 func document(label int, list []string) []byte {
 	return []byte(fmt.Sprintf(`{"label":%d,"whole":{"placements":{"m":{"version":"any"}}},"engines":{"m":{"probe_path":"/"}},"routes":[%s],"regions":{"a":{"zones":{"a-1":{}}}}}`, label, strings.Join(list, ",")))
 }
 
+// tenantNames returns tenant-0, tenant-1 and so on.
 func tenantNames(count int) (names []string) {
 	for index := range count {
 		names = append(names, fmt.Sprintf("tenant-%d", index))
@@ -35,8 +38,9 @@
 	return names
 }
 
-// TestChunks: a document comes back from its chunks as it was; a tree revised is the tree
-// parsed, and shares all that is the same.
+// TestChunks checks that a document is restored from its chunks byte for byte, that a
+// revised tree equals a freshly parsed one, and that it reuses the unchanged chunks of the
+// previous tree: otherwise small changes would cost as much as the whole document.
 func TestChunks(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	names := tenantNames(1500)
@@ -54,7 +58,7 @@
 			names = slices.Delete(names, at, at+1)
 		case 2:
 			names[at] = fresh
-		case 3: // one moves
+		case 3: // a route moves within the list
 			one := names[at]
 			names = slices.Insert(slices.Delete(names, at, at+1), random.IntN(len(names)), one)
 		}
@@ -64,7 +68,7 @@
 			t.Fatal(problems)
 		}
 		if !bytes.Equal(next.Document(), text) {
-			t.Fatal("the document does not come back as it was")
+			t.Fatal("the document restored from the chunks differs from the original")
 		}
 		parsed, _ := settings.Parse(text)
 		if len(parsed.Chunks()) != len(next.Chunks()) {
@@ -73,13 +77,14 @@
 		added := 0
 		for index, chunk := range next.Chunks() {
 			if chunk.Text != parsed.Chunks()[index].Text {
-				t.Fatal("a chunk of a revised tree is another than that of a parsed one")
+				t.Fatal("a chunk of the revised tree differs from that of the parsed tree")
 			}
 			if !slices.Contains(tree.Chunks(), chunk) {
 				added++
 			}
 		}
-		// The rest, which has the label, and for a move two places of two runs at the most.
+		// The chunk with the rest of the document, which has the label, and, for a move, at
+		// most two runs at each of two positions.
 		if added > 5 {
 			t.Errorf("turn %d: %d chunks of %d are new", round, added, len(next.Chunks()))
 		}
@@ -89,12 +94,12 @@
 			}
 		}
 		if gone := fmt.Sprintf("fresh-%d.example", round); round%4 == 1 && next.Route(gone, "/") != nil {
-			t.Error("a route is found that there never was")
+			t.Error("a route was found that was never in the document")
 		}
 		tree = next
 	}
 	if again, _ := tree.Revise(document(1, routeList(tenantNames(1500)...))); !bytes.Equal(again.Document(), first.Document()) {
-		t.Error("the first does not come back")
+		t.Error("revising back to the first document does not restore it")
 	}
 	for _, chunk := range first.Chunks()[1:] {
 		if count := strings.Count(chunk.Text, `"name"`); count > 128 || count == 0 {
@@ -103,14 +108,15 @@
 	}
 }
 
-// tenantWithKeys is the text of a tenant with a key of its own, and one that was drawn for it.
+// tenantWithKeys returns the JSON text of a tenant with one key that stays and one that
+// depends on the round.
 func tenantWithKeys(name string, turn int) string {
 	return fmt.Sprintf(`{"name":%q,"keys":["key-of-%s","drawn-%s-%d"],"per_s":10}`, name, name, name, turn)
 }
 
-// TestTenantChunks: the list of tenants is cut as that of the routes is, wherever it stands:
-// a document comes back as it was, and of one tenant that changes, comes or goes little
-// more than itself is new.
+// TestTenantChunks checks that the list of tenants is split like that of the routes, wherever
+// it is in the document: the document is restored from its chunks byte for byte, and a tenant
+// that is changed, added or removed makes little more than its own run new.
 func TestTenantChunks(t *testing.T) {
 	random := rand.New(rand.NewPCG(2, 2))
 	names, turns := tenantNames(1500), map[string]int{}
@@ -121,7 +127,7 @@
 			list = append(list, tenantWithKeys(name, turns[name]))
 		}
 		tenants := fmt.Sprintf(`"tenants":[%s],`, strings.Join(list, ","))
-		nextKey := []string{`"routes"`, `"regions"`}[label/30%2] // it moves once
+		nextKey := []string{`"routes"`, `"regions"`}[label/30%2] // the list changes its position once
 		return []byte(strings.Replace(strings.Replace(routes, nextKey, tenants+nextKey, 1), `"label":1`, fmt.Sprintf(`"label":%d`, label), 1))
 	}
 	tree, problems := settings.Parse(text(1))
@@ -151,13 +157,13 @@
 		}
 		for name, tree := range map[string]*settings.Tree{"revised": next, "parsed": parsed, "assembled": assembled} {
 			if !bytes.Equal(tree.Document(), document) {
-				t.Fatalf("%s: the document does not come back as it was", name)
+				t.Fatalf("%s: the document restored from the chunks differs from the original", name)
 			}
 			if got := tree.KeyHolder(fmt.Sprintf("drawn-%s-%d", changed, turns[changed])); (got != nil) != (round%4 != 1) || got != nil && got.Name != changed {
-				t.Fatalf("%s, turn %d: the key of %s is held by %+v", name, round, changed, got)
+				t.Fatalf("%s, turn %d: the key of %s belongs to %+v", name, round, changed, got)
 			}
 			if round%4 > 1 && (tree.KeyHolder(fmt.Sprintf("drawn-%s-0", changed)) != nil || tree.KeyHolder("key-of-"+changed) == nil) {
-				t.Fatalf("%s, turn %d: an old key of %s is held, or one that stays is not", name, round, changed)
+				t.Fatalf("%s, turn %d: an old key of %s is still valid, or its unchanged key is not", name, round, changed)
 			}
 		}
 		added, size := 0, 0
@@ -166,25 +172,26 @@
 				added, size = added+1, size+len(chunk.Text)
 			}
 		}
-		// The rest, which has the label, and a run or two.
+		// The chunk with the rest of the document, which has the label, and at most two runs.
 		if added > 3 || size > 3*128*len(tenantWithKeys(changed, 10)) {
 			t.Errorf("turn %d: %d chunks of %d are new, with %d bytes of %d", round, added, len(next.Chunks()), size, len(document))
 		}
 		tree = next
 	}
-	// What is wrong is told in the same words whatever tree it is revised from.
+	// The problems must not depend on the tree that the document is revised from.
 	bad := bytes.Replace(text(60), []byte(`"drawn-`+names[700]), []byte(`"key-of-`+names[3]+`","x`), 1)
 	_, want := settings.Parse(bad)
 	if _, problems := tree.Revise(bad); len(problems) != 1 || problems[0].Path != "$.tenants.700.keys.1" || problems.Error() != want.Error() {
-		t.Errorf("a key that two hold: %v, revised: %v", want, problems)
+		t.Errorf("a key of two tenants: parsed: %v, revised: %v", want, problems)
 	}
 	if assembled, problems := tree.Revise(text(60)); len(problems) > 0 || !bytes.Equal(assembled.Document(), text(60)) {
 		t.Error(problems)
 	}
 }
 
-// BenchmarkReviseTenants is what one changed tenant of 21,000 with two keys each costs a
-// daemon that reads the chunks which it lacks, beside 100 routes.
+// BenchmarkReviseTenants measures the cost of one changed tenant for a daemon that parses
+// only the chunks that it does not have yet; the document has 21,000 tenants with two keys
+// each, and 100 routes.
 func BenchmarkReviseTenants(b *testing.B) {
 	var list []string
 	for _, name := range tenantNames(21000) {
@@ -204,8 +211,9 @@
 	}
 }
 
-// TestRevisedProblems: what is wrong with a document is told in the same words whatever
-// tree it is revised from, and none of it is remembered.
+// TestRevisedProblems checks that the problems of a document don't depend on the tree that
+// it is revised from, and that they leave nothing behind: reused chunks must neither hide a
+// problem nor carry one over into the next document.
 func TestRevisedProblems(t *testing.T) {
 	good := routeList(tenantNames(300)...)
 	tree, problems := settings.Parse(document(1, good))
@@ -223,21 +231,21 @@
 		_, whole := settings.Parse(text)
 		for range 2 {
 			if revised, problems := tree.Revise(text); revised != nil || len(problems) == 0 || problems.Error() != whole.Error() {
-				t.Errorf("%s: %v, revised: %v", name, whole, problems)
+				t.Errorf("%s: parsed: %v, revised: %v", name, whole, problems)
 			}
 		}
 		if again, problems := tree.Revise(document(1, good)); len(problems) > 0 || !bytes.Equal(again.Document(), tree.Document()) {
-			t.Errorf("after %s: %v", name, problems)
+			t.Errorf("after %s: the valid document has problems or differs: %v", name, problems)
 		}
 	}
 	for _, odd := range []string{`{"routes":[],"routes":[]}`, `{"routes":7}`, `{"routes":[ ]}`, `[]`, `7`, ``, `{"whole":{},"routes":null}`} {
 		if tree, problems := tree.Revise([]byte(odd)); tree != nil || len(problems) == 0 {
-			t.Errorf("%q has no problems", odd)
+			t.Errorf("want problems for %q, got none", odd)
 		}
 	}
 }
 
-// TestAssemble: a tree can't be assembled from chunks that are no document.
+// TestAssemble checks that chunks that don't form a valid document are rejected.
 func TestAssemble(t *testing.T) {
 	tree, _ := settings.Parse(document(1, routeList(tenantNames(100)...)))
 	texts := func(edit func(texts []string) []string) (chunks []*settings.Chunk) {
@@ -259,7 +267,7 @@
 		"a run twice": func(list []string) []string { return append(list, list[1]) },
 	} {
 		if tree, problems := settings.Assemble(texts(edit)); tree != nil || len(problems) == 0 {
-			t.Errorf("%s: assembled", name)
+			t.Errorf("%s: want problems and no tree", name)
 		}
 	}
 }
--- a/settings/first_test.go
+++ b/settings/first_test.go
@@ -9,7 +9,7 @@
 	"swifttiller/settings"
 )
 
-// load reads a process's settings from a file with the field and from the flags.
+// load loads settings from a file with an additional field, and from flags.
 func load(t *testing.T, field string, flags []string) (*settings.Process, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "settings.json")
@@ -25,7 +25,8 @@
 	return settings.LoadProcess(path, set)
 }
 
-// TestFirst: the first start is told by file or flag, and by nothing else.
+// TestFirst checks that a first start is set only by the boolean in the file or the flag,
+// and that the flag overrides the file.
 func TestFirst(t *testing.T) {
 	for _, test := range []struct {
 		field   string
@@ -48,7 +49,7 @@
 	}
 }
 
-// TestCount: counting calls is off unless file or flag tell it.
+// TestCount checks that calls are counted only if the file or the flag enables it.
 func TestCount(t *testing.T) {
 	for _, test := range []struct {
 		field         string
--- a/settings/routes_test.go
+++ b/settings/routes_test.go
@@ -22,7 +22,7 @@
   {"name": "c", "host": "two.example", "prefix": "/", "kind": "safe", "timeout_ms": 5000, "shares": [{"model": "m1", "weight": 1}]}]}`
 
 func TestRoutes(t *testing.T) {
-	Convey("a route is the one of the host with the longest prefix", t, func() {
+	Convey("a request gets the host's route with the longest matching prefix", t, func() {
 		tree, problems := settings.Parse([]byte(routed))
 		So(problems, ShouldBeEmpty)
 		So(tree.Label(), ShouldEqual, 7)
@@ -30,21 +30,21 @@
 		So(tree.Route("one.example", "/p/q").Name, ShouldEqual, "a")
 		So(tree.Route("one.example", "/p"), ShouldBeNil)
 		So(tree.Route("three.example", "/p/"), ShouldBeNil)
-		test := tree.Route("one.example", "/p/")
-		So(*test, ShouldResemble, settings.Route{Name: "a", Host: "One.example", Prefix: "/p/", Kind: settings.Streamed, Timeout: 10 * time.Second, Target: time.Second, Gap: 300 * time.Millisecond, Urgency: 9, Tries: 2, Resume: true,
+		streamed := tree.Route("one.example", "/p/")
+		So(*streamed, ShouldResemble, settings.Route{Name: "a", Host: "One.example", Prefix: "/p/", Kind: settings.Streamed, Timeout: 10 * time.Second, Target: time.Second, Gap: 300 * time.Millisecond, Urgency: 9, Tries: 2, Resume: true,
 			Homes: []string{"north"}, Shares: []settings.Share{{Model: "m1", Weight: 90}, {Model: "m1"}, {Model: "m2", Weight: 1.5}}})
 		So(tree.Route("two.example", "/x").Tries, ShouldEqual, 1)
 		So(*tree.Engine("m1"), ShouldResemble, settings.Engine{ProbePath: "/ok", ConnCap: 360, Cold: 3 * time.Second, ColdRate: 26.5, Berths: 64, CacheTokens: 348621, Spacing: 4})
 		So(tree.Intake(), ShouldResemble, settings.Intake{HeaderBytes: 16384, BodyBytes: 4194304, Header: 3 * time.Second, Idle: 15 * time.Second})
 	})
-	Convey("a placement may leave the version open", t, func() {
+	Convey("a placement may accept any version", t, func() {
 		tree, _ := settings.Parse([]byte(routed))
 		open, _ := tree.Placement("m1", "south")
 		So(open.Any(), ShouldBeTrue)
 		bound, _ := tree.Placement("m2", "n2")
 		So(bound.Any(), ShouldBeFalse)
 	})
-	Convey("a problem is told at its path, and nothing else is told", t, func() {
+	Convey("each problem is reported at its path, with no others", t, func() {
 		whole := `"name": "c", "host": "two.example", "prefix": "/", "kind": "safe", "timeout_ms": 5000, "shares": [{"model": "m1", "weight": 1}]`
 		for _, test := range []struct{ from, to, path, reason string }{
 			{`"label": 7`, `"label": -1`, "$.label", "whole number"},
@@ -119,7 +119,7 @@
 		So(problems[0].Path, ShouldEqual, "$.routes")
 		So(problems[0].Reason, ShouldContainSubstring, "list")
 	})
-	Convey("hosts are told apart without letter case and port", t, func() {
+	Convey("hosts that differ only in letter case and port are the same", t, func() {
 		_, problems := settings.Parse([]byte(strings.Replace(routed, `"host": "one.example", "prefix": "/p/q/"`, `"host": "ONE.example:80", "prefix": "/p/"`, 1)))
 		So(len(problems), ShouldEqual, 1)
 		So(problems[0].Path, ShouldEqual, "$.routes.1")
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -18,7 +18,7 @@
   "south": {"limits": {"queue_ms": 500}, "placements": {"roster": {"capacity": 4}}, "zones": {"s1": {}}}}}`
 
 func TestTree(t *testing.T) {
-	Convey("a level overrides only what differs, and each value tells where it came from", t, func() {
+	Convey("a level overrides only the values that it sets, and each value has its source level", t, func() {
 		tree, problems := settings.Parse([]byte(good))
 		So(problems, ShouldBeEmpty)
 		So(tree.Limit("queue_ms", "n1"), ShouldEqual, 300)
@@ -31,7 +31,7 @@
 		So(tree.Allowed("inland", "north"), ShouldBeTrue)
 		So(tree.Allowed("nowhere", "north"), ShouldBeFalse)
 	})
-	Convey("a model may be placed in some zones of a region only, at one version", t, func() {
+	Convey("a model may be placed in only some zones of a region, if all have the same version", t, func() {
 		text := `{"whole":{},"regions":{"r":{"zones":{"a":{"placements":{"m":{"version":"v1","capacity":3}}},"b":{},"c":{"placements":{"m":{"version":"VC"}}}}}}}`
 		tree, problems := settings.Parse([]byte(strings.Replace(text, "VC", "v1", 1)))
 		So(problems, ShouldBeEmpty)
@@ -47,7 +47,7 @@
 		So(len(problems), ShouldEqual, 1)
 		So(problems[0].Reason, ShouldContainSubstring, "from whole")
 	})
-	Convey("limits that do not fit together are told where they stand", t, func() {
+	Convey("limits that are out of range or conflict are reported at the level that sets them", t, func() {
 		for text, path := range map[string]string{
 			`{"whole":{"limits":{"probe_ms":700}},"regions":{"r":{"zones":{"a":{}}}}}`:                           "$.whole.limits.probe_ms",
 			`{"whole":{"limits":{"dark_ms":400}},"regions":{"r":{"zones":{"a":{}}}}}`:                            "$.whole.limits.probe_ms",
@@ -67,7 +67,7 @@
 			So(problems[0].Path, ShouldEqual, path)
 		}
 	})
-	Convey("every error is told with its path, all at once", t, func() {
+	Convey("all errors are reported at once, each with its path", t, func() {
 		_, problems := settings.Parse([]byte(`{
  "whole": {"placements": {"roster": {"version": "v1", "size": 2, "home": "moon"}},
            "homes": {"inland": ["atlantis"]},
@@ -91,6 +91,6 @@
 		} {
 			So(at[path], ShouldContainSubstring, reason)
 		}
-		So(len(problems), ShouldBeGreaterThanOrEqualTo, 10) // permit_ms: range and twice
+		So(len(problems), ShouldBeGreaterThanOrEqualTo, 10) // permit_ms has two: out of range and given twice
 	})
 }
--- a/settings/tenants_test.go
+++ b/settings/tenants_test.go
@@ -9,7 +9,7 @@
 	"swifttiller/settings"
 )
 
-// routedWithTenants is the routed document with tenants.
+// routedWithTenants is the document routed with tenants added.
 var routedWithTenants = strings.Replace(routed, `"routes"`, `"tenants": [
   {"name": "one", "keys": ["k1", "k2"], "per_s": 2.5, "burst": 7, "urgency": 0, "homes": ["north"]},
   {"name": "two", "keys": ["k3"]},
@@ -40,12 +40,12 @@
 		So(tree.Tenanted(), ShouldBeTrue)
 		So(tree.KeyHolder(""), ShouldBeNil)
 	})
-	Convey("a keyless route says so", t, func() {
+	Convey("only a route with the keyless field set is keyless", t, func() {
 		tree, _ := settings.Parse([]byte(strings.Replace(routedWithTenants, `"name": "b"`, `"keyless": true, "name": "b"`, 1)))
 		So(tree.Route("one.example", "/p/q/").Keyless, ShouldBeTrue)
 		So(tree.Route("one.example", "/p/").Keyless, ShouldBeFalse)
 	})
-	Convey("a problem is told at its path, and nothing else is told", t, func() {
+	Convey("each problem is reported at its path, with no others", t, func() {
 		for _, test := range []struct{ from, to, path, reason string }{
 			{`"name": "two"`, `"name": ""`, "$.tenants.1.name", "empty"},
 			{`"name": "two", `, ``, "$.tenants.1.name", "needed"},
--- a/settings/tree.go
+++ b/settings/tree.go
@@ -324,7 +324,7 @@
 		}
 		if !reported[path] {
 			reported[path] = true
-			problems.add(path, "is %g, and dark_ms is %g: a replica must be probed twice before it counts as dark", probe, dark)
+			problems.add(path, "is %g, and dark_ms is %g: at least two probes must fit into dark_ms", probe, dark)
 		}
 	}
 }
