--- a/serve/command.go
+++ b/serve/command.go
@@ -16,54 +16,55 @@
 	"swifttiller/settings"
 )
 
-// Daemon is what a program makes of a process.
+// Daemon holds the parts of a program's daemon that Command runs.
 type Daemon struct {
 	Services *rpc.Server
 	App      *fiber.App
-	// Apps, if any, are further ones, by the address that each is served at.
+	// Apps, if any, are additional HTTP apps, by their listen addresses.
 	Apps map[string]*fiber.App
-	// Run starts the loops; Stop is the planned stop and tells whether all was
-	// finished; Closed, if set, is the last thing done.
+	// Run starts the daemon's loops. Stop stops it gracefully and reports whether all
+	// work has finished within the grace period. Closed, if set, is called last.
 	Run    func()
 	Stop   func(grace time.Duration) bool
 	Closed func()
-	// Running, if set, counts the requests that have not ended yet.
+	// Running, if set, returns the number of requests in progress.
 	Running func() int
-	// Retrace, if set, makes traces go to another file from now on.
+	// Retrace, if set, redirects traces to another file.
 	Retrace func(path string) error
 }
 
-// Command is the run command of a program.
+// Command is a program's run command, which runs its daemon.
 type Command struct {
 	Program, What, More string
-	// Load, if set, is how settings are read elsewhere than in our own file.
+	// Load, if set, replaces the function that reads the settings from this program's own
+	// settings file.
 	Load Load
-	// Make makes the daemon of a process whose settings hold.
+	// Make creates the daemon of a process whose settings were checked.
 	Make func(process *Process) (Daemon, error)
 
 	path  *string
 	check bool
 }
 
-// Name is run.
+// Name returns the name of the command.
 func (*Command) Name() string { return "run" }
 
-// Synopsis is one line.
+// Synopsis returns a description of one line.
 func (command *Command) Synopsis() string { return "run a " + command.What }
 
-// Usage is the help.
+// Usage returns the help text.
 func (command *Command) Usage() string {
-	return command.Program + " run [--settings FILE] [flags]\n  Runs until SIGTERM or SIGINT, then finishes what runs within the grace.\n  SIGHUP (or controlplane reload NAME, or a change of the file, looked for each second) rereads\n  the settings file: seeds, log, grace and traces\n  change in place, the rest needs a restart; on an error the old ones stay." + command.More +
-		"\n  Exit: 0 stopped as asked, 1 failed or the grace ran out, 2 the settings do not hold.\n"
+	return command.Program + " run [--settings FILE] [flags]\n  Runs until SIGTERM or SIGINT, then finishes running requests within the grace period.\n  SIGHUP (or controlplane reload NAME, or a change of the file, checked every second) rereads\n  the settings file: seeds, log, grace and traces\n  change in place, the rest needs a restart; after an error the old settings stay in force." + command.More +
+		"\n  Exit: 0 stopped as requested, 1 failed or not finished within the grace period, 2 the settings are invalid.\n"
 }
 
-// SetFlags registers the flags.
+// SetFlags registers the command's flags.
 func (command *Command) SetFlags(set *flag.FlagSet) {
 	command.path = settings.ProcessFlags(set)
-	set.BoolVar(&command.check, "check", false, "only check the settings")
+	set.BoolVar(&command.check, "check", false, "check the settings and exit")
 }
 
-// Execute runs the daemon from its settings to its planned stop.
+// Execute loads the settings, runs the daemon until a signal to stop, and stops it gracefully.
 func (command *Command) Execute(_ context.Context, set *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if command.Load == nil {
 		command.Load = load
@@ -74,7 +75,7 @@
 	}
 	daemon, err := command.Make(process)
 	if err != nil {
-		process.Log.Error("can't start", zap.Error(err))
+		process.Log.Error("can't create the daemon", zap.Error(err))
 		return subcommands.ExitFailure
 	}
 	if daemon.Closed != nil {
@@ -84,7 +85,7 @@
 	maps.Copy(apps, daemon.Apps)
 	closing, err := process.Listen(daemon.Services, apps)
 	if err != nil {
-		process.Log.Error("can't listen", zap.Error(err))
+		process.Log.Error("can't open the listeners", zap.Error(err))
 		return subcommands.ExitFailure
 	}
 	process.retrace = daemon.Retrace
@@ -99,7 +100,7 @@
 	return subcommands.ExitSuccess
 }
 
-// stop ends the daemon in order, within its grace, and tells whether all that was under way has ended.
+// stop stops the daemon gracefully within its grace period and reports whether all work in progress has finished.
 func (process *Process) stop(daemon Daemon, received os.Signal, closing func()) (finished bool) {
 	grace := time.Duration(process.Live.Now().Grace) * time.Second
 	began := process.World.Now()
@@ -112,7 +113,7 @@
 	return finished
 }
 
-// running counts the requests that have not ended yet, none for a daemon that has no such count.
+// running returns the number of requests in progress, or zero for a daemon that doesn't count them.
 func (daemon *Daemon) running() int {
 	if daemon.Running == nil {
 		return 0
@@ -120,7 +121,8 @@
 	return daemon.Running()
 }
 
-// Main runs a program with its commands, by group.
+// Main registers the program's commands, run and those for operators, runs the one that the
+// command line names, and exits with its status.
 func Main(program string, run *Command, operators []subcommands.Command) {
 	commander := subcommands.NewCommander(flag.CommandLine, program)
 	commander.Register(commander.HelpCommand(), "")
@@ -132,7 +134,7 @@
 	flag.CommandLine.Usage = func() { commander.Explain(os.Stderr) }
 	flag.Parse()
 	if flag.NArg() == 0 {
-		fmt.Fprintf(os.Stderr, "%[1]s: a command is needed; see `%[1]s help`\n", program)
+		fmt.Fprintf(os.Stderr, "%[1]s: a command is required; see `%[1]s help`\n", program)
 	}
 	os.Exit(int(commander.Execute(context.Background())))
 }
--- a/serve/serve.go
+++ b/serve/serve.go
@@ -1,5 +1,5 @@
-// Package serve is what both programs' processes share: start, logs, listeners
-// and the graceful stop.
+// Package serve has what the processes of both programs share: startup, logging, listeners,
+// reloading of settings, and graceful stop.
 package serve
 
 import (
@@ -27,23 +27,24 @@
 	"swifttiller/wire"
 )
 
-// Process is a running process: its settings, world, net and log.
+// Process is a running process with its settings, event loop, network and log.
 type Process struct {
 	*settings.Process
 	Live         *settings.Live
 	level        zap.AtomicLevel
 	retrace      func(path string) error
 	signals      *signals
-	settingsFile string // that the settings come from, if any
-	initialStamp Stamp  // of the file as it was first read
+	settingsFile string // from which the settings were read, if any
+	initialStamp Stamp  // of the settings file when it was first read
 	World        *loop.Machine
 	Net          *wire.TCP
 	Log          *zap.Logger
-	// Incarnation names this life of the process.
+	// Incarnation identifies this run of the process.
 	Incarnation string
 }
 
-// Incarnation names one life of a process; it never comes again.
+// Incarnation returns a new identifier for one run of a process: the time in milliseconds
+// and a random suffix, so that no other run has the same.
 func Incarnation() string {
 	suffix := make([]byte, 4)
 	for index := range suffix {
@@ -52,7 +53,8 @@
 	return fmt.Sprintf("%x-%s", time.Now().UnixMilli(), hex.EncodeToString(suffix))
 }
 
-// Logger writes JSON lines to standard error, at a level that can be changed.
+// Logger returns a logger that writes JSON lines to standard error, with a level that can be
+// changed later.
 func Logger(level zap.AtomicLevel) *zap.Logger {
 	encoder := zap.NewProductionEncoderConfig()
 	encoder.EncodeTime = zapcore.ISO8601TimeEncoder
@@ -60,29 +62,32 @@
 	return zap.New(zapcore.NewCore(zapcore.NewJSONEncoder(encoder), zapcore.Lock(os.Stderr), level))
 }
 
-// Load reads a process's settings and gives the file that they come from, if any.
+// Load reads a process's settings and returns them with the path of the file that they were
+// read from, if any.
 type Load func(path string, set *flag.FlagSet) (*settings.Process, string, error)
 
-// load reads our own settings file.
+// load reads the settings from this program's own settings file and flags.
 func load(path string, set *flag.FlagSet) (*settings.Process, string, error) {
 	process, err := settings.LoadProcess(path, set)
 	return process, path, err
 }
 
-// memoryShare is which part of its memory the runtime keeps the process within, as what
-// the kernel holds for its connections counts too; gcPercent is by how much the heap may
-// grow between two collections.
+// memoryShare is the part of the process's memory that is set as the Go runtime's limit; the
+// rest is left for the kernel's buffers of its connections, which count too. gcPercent is
+// the growth of the heap, in percent, that triggers the next garbage collection.
 const (
 	memoryShare = 0.8
 	gcPercent   = 50
 )
 
-// Start reads the settings. With check it only says whether they hold.
+// Start reads the settings and creates the process. If that fails, it prints the error and
+// returns nil and the exit code. With check it only checks the settings, and returns nil.
 func Start(load Load, path string, set *flag.FlagSet, check bool) (*Process, int) {
-	// First of all: a signal may come while the settings are read.
+	// Signals are caught before anything else, as one may arrive while the settings are read.
 	caught := catchSignals()
 	process, file, err := load(path, set)
-	// Taken after the first reading, it would miss a change in between.
+	// The stamp is taken before the settings are read a second time: taken after the only
+	// reading, it would hide a change of the file between the reading and the stamp.
 	var stamp Stamp
 	if err == nil {
 		stamp = StampOf(file)
@@ -93,11 +98,12 @@
 		return nil, 2
 	}
 	if check {
-		fmt.Println("the settings hold")
+		fmt.Println("the settings are valid")
 		return nil, 0
 	}
 	if process.Memory > 0 {
-		// Collected earlier than by default: where memory is told, it is dear.
+		// Garbage is collected more often than by default: a memory setting means that
+		// memory is scarce.
 		debug.SetGCPercent(gcPercent)
 		debug.SetMemoryLimit(int64(float64(process.Memory) * memoryShare * (1 << 20)))
 	}
@@ -126,7 +132,8 @@
 	return out, 0
 }
 
-// apply carries out what changed in place; traces first, which alone may fail.
+// apply applies the settings that changed in place. Traces come first: only they can fail,
+// and a failure must leave everything unchanged.
 func (process *Process) apply(old, next settings.Process) error {
 	if old.Traces != next.Traces && process.retrace != nil {
 		if err := process.retrace(next.Traces); err != nil {
@@ -136,7 +143,7 @@
 	return process.level.UnmarshalText([]byte(next.Log))
 }
 
-// Reload rereads the settings and says so in the log.
+// Reload rereads the settings and logs the result.
 func (process *Process) Reload() {
 	switch reloaded := process.Live.Reload(); {
 	case len(reloaded.Problems) > 0:
@@ -148,8 +155,8 @@
 	}
 }
 
-// Listen serves the wire and the apps, each at its address; it gives the function that
-// closes all of them.
+// Listen opens the listeners for RPC calls and for the HTTP apps, each at its address, and
+// serves them. It returns a function that closes all of them.
 func (process *Process) Listen(server *rpc.Server, apps map[string]*fiber.App) (func(), error) {
 	listener, err := net.Listen("tcp", process.Wire)
 	if err != nil {
@@ -171,13 +178,13 @@
 	for address, app := range apps {
 		process.World.Go(func() {
 			if err := app.Listener(httpListeners[address]); err != nil && !process.World.Ended() {
-				process.Log.Error("the HTTP listener ended", zap.String("at", address), zap.Error(err))
+				process.Log.Error("the HTTP listener failed", zap.String("at", address), zap.Error(err))
 			}
 		})
 	}
 	process.Log.Info("listening", zap.String("wire", process.Wire), zap.Strings("http", slices.Sorted(maps.Keys(apps))))
 	return func() {
-		// All at once: each may take the whole second.
+		// The apps are shut down concurrently, as each may take the whole second.
 		loop.Gather(process.World, len(apps), 2*time.Second, func(index int) error {
 			return apps[slices.Sorted(maps.Keys(apps))[index]].ShutdownWithTimeout(time.Second)
 		}, func(int, error) bool { return false })
@@ -185,15 +192,15 @@
 	}, nil
 }
 
-// Wait waits for the word to stop.
+// Wait waits for SIGTERM or SIGINT.
 func Wait() {
 	stopContext, release := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer release()
 	<-stopContext.Done()
 }
 
-// Wait waits for the signal to stop and gives it. Signals to reread the settings are obeyed from now on,
-// also while the process stops.
+// Wait waits for the signal to stop and returns it. From the call on, a SIGHUP makes the process reload its
+// settings, also while it stops.
 func (process *Process) Wait() (received os.Signal) {
 	process.signals.onReload(process.World, process.Reload)
 	return <-process.signals.stop
--- a/serve/signal_test.go
+++ b/serve/signal_test.go
@@ -14,8 +14,8 @@
 	"swifttiller/settings"
 )
 
-// TestAStopIsNotLostBehindReloads guards against a process that goes on after SIGTERM, as more SIGHUPs
-// than it had room for came while its settings were being reread.
+// TestAStopIsNotLostBehindReloads guards against a process that keeps running after SIGTERM because the
+// signal was dropped: more SIGHUPs than its channel could hold had arrived during a reload.
 func TestAStopIsNotLostBehindReloads(t *testing.T) {
 	reading, release := make(chan struct{}, 100), make(chan struct{})
 	process := &Process{
@@ -28,7 +28,8 @@
 	}
 	defer signal.Stop(process.signals.stop)
 	defer signal.Stop(process.signals.reload)
-	// What the runtime hands over last shows that it has handed over what came before.
+	// SIGUSR1 serves as a barrier: once the runtime has delivered it, it has delivered the signal that was
+	// sent before it.
 	barrier := make(chan os.Signal, 1)
 	signal.Notify(barrier, syscall.SIGUSR1)
 	defer signal.Stop(barrier)
@@ -54,7 +55,7 @@
 	select {
 	case <-ended:
 	case <-time.After(10 * time.Second):
-		t.Error("the process goes on")
+		t.Error("the process is still running after SIGTERM")
 	}
 	close(release)
 }
--- a/serve/signals.go
+++ b/serve/signals.go
@@ -8,18 +8,18 @@
 	"swifttiller/loop"
 )
 
-// signals are those that a daemon acts on.
+// signals receives the signals that a daemon handles.
 //
-// Invariant: a signal that was caught once is never given back, up to the end of the process. Its default
-// action would end the process at once, with requests running.
+// Invariant: once caught, a signal stays caught until the process ends. Its default action would terminate the
+// process immediately, with requests in progress.
 type signals struct {
-	// stop and reload are apart, so that no number of the one hides the other: the runtime drops a
-	// signal for which there is no room.
+	// stop and reload are separate channels, as the runtime drops a signal when its channel is full:
+	// with a shared channel, many reloads could make it drop the signal to stop.
 	stop, reload chan os.Signal
 }
 
-// catchSignals catches the signals to stop (SIGTERM, SIGINT) and to reread the settings (SIGHUP). It ignores
-// SIGPIPE, by which the runtime ends a process whose log has lost its reader.
+// catchSignals catches the signals to stop (SIGTERM, SIGINT) and to reload the settings (SIGHUP). It ignores
+// SIGPIPE, with which the runtime would terminate a process when the reader of its log is gone.
 func catchSignals() *signals {
 	caught := &signals{stop: make(chan os.Signal, 1), reload: make(chan os.Signal, 1)}
 	signal.Notify(caught.stop, syscall.SIGTERM, syscall.SIGINT)
@@ -28,11 +28,11 @@
 	return caught
 }
 
-// onReload runs reload for each signal to reread the settings until the world ends. All that come while it
-// runs have it run once more.
+// onReload calls reload for each signal to reload the settings until the world ends. Signals that arrive while
+// reload runs are merged into one more call.
 func (caught *signals) onReload(world loop.World, reload func()) {
 	arrived := world.Mailbox()
-	// It outlives the world, as it has nothing to wait for but the next signal.
+	// This goroutine outlives the world, as only a signal can wake it.
 	go func() {
 		for received := range caught.reload {
 			arrived.Put(received)
--- a/serve/stopping_test.go
+++ b/serve/stopping_test.go
@@ -19,13 +19,14 @@
 	"swifttiller/settings"
 )
 
-// childVariable makes this test program a daemon whose stop ends when its standard input does.
+// childVariable is the environment variable that makes this test program run as a daemon whose stop finishes
+// when its standard input is closed.
 const childVariable = "SERVE_TEST_STOPPING_DAEMON"
 
-// childTimeout is after which time a daemon that does not end is killed.
+// childTimeout is the time after which a daemon that has not ended is killed.
 const childTimeout = 30 * time.Second
 
-// TestMain runs the daemon in place of the tests where it is asked to.
+// TestMain runs the tests, or the daemon if childVariable is set.
 func TestMain(main *testing.M) {
 	if os.Getenv(childVariable) == "" {
 		os.Exit(main.Run())
@@ -33,7 +34,8 @@
 	os.Exit(stoppingDaemon())
 }
 
-// stoppingDaemon runs the command of a daemon that says on standard output how far it has come.
+// stoppingDaemon runs a daemon that prints the stage it has reached to standard output: loading, running,
+// stopping.
 func stoppingDaemon() int {
 	var loading sync.Once
 	command := &Command{
@@ -62,7 +64,7 @@
 	return int(command.Execute(context.Background(), set))
 }
 
-// child is a daemon in a process of its own.
+// child is a daemon that runs as a child process.
 type child struct {
 	*exec.Cmd
 	stdin  io.WriteCloser
@@ -96,7 +98,7 @@
 	return out
 }
 
-// await reads what the daemon says until it has come so far.
+// await reads the daemon's output until it has reached the stage.
 func (child *child) await(t *testing.T, stage string) {
 	t.Helper()
 	for child.stdout.Scan() {
@@ -104,7 +106,7 @@
 			return
 		}
 	}
-	t.Fatalf("the process ended before it was %s: %v", stage, child.Wait())
+	t.Fatalf("the process ended before the stage %s: %v", stage, child.Wait())
 }
 
 func (child *child) send(t *testing.T, signals ...syscall.Signal) {
@@ -116,7 +118,7 @@
 	}
 }
 
-// endInOrder waits until the daemon runs, tells it to stop, and sees that it ends with status 0.
+// endInOrder waits until the daemon runs, sends it SIGTERM, and checks that it exits with status 0.
 func (child *child) endInOrder(t *testing.T) {
 	t.Helper()
 	child.await(t, "running")
@@ -124,12 +126,12 @@
 	child.await(t, "stopping")
 	_ = child.stdin.Close()
 	if err := child.Wait(); err != nil {
-		t.Errorf("the process ended with %v", err)
+		t.Errorf("want exit status 0 after SIGTERM, got %v", err)
 	}
 }
 
-// TestNoSignalEndsAStopEarly guards against requests that are cut by a SIGHUP, or a second order to stop,
-// that reaches a daemon while it waits for what is under way.
+// TestNoSignalEndsAStopEarly guards against requests that are cut off because a SIGHUP or a second signal to
+// stop terminates the daemon while its graceful stop waits for requests in progress.
 func TestNoSignalEndsAStopEarly(t *testing.T) {
 	for _, late := range []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT} {
 		t.Run(late.String(), func(t *testing.T) {
@@ -141,13 +143,14 @@
 			child.send(t, late, late)
 			_ = child.stdin.Close()
 			if err := child.Wait(); err != nil {
-				t.Errorf("the process ended with %v, while its stop was under way", err)
+				t.Errorf("a signal during the graceful stop ended the process: %v", err)
 			}
 		})
 	}
 }
 
-// TestNoReloadEndsAStart guards against a daemon that is ended by a SIGHUP while it reads its settings.
+// TestNoReloadEndsAStart guards against a daemon that is terminated by a SIGHUP that arrives while it reads its
+// settings.
 func TestNoReloadEndsAStart(t *testing.T) {
 	child := startChild(t, os.Stderr)
 	child.await(t, "loading")
@@ -156,8 +159,8 @@
 	child.endInOrder(t)
 }
 
-// TestALostLogReaderEndsNothing guards against a daemon that is ended by SIGPIPE, with requests running, as it
-// writes a line of its log after the reader of that has gone.
+// TestALostLogReaderEndsNothing guards against a daemon that is terminated by SIGPIPE, with requests in progress,
+// because it writes to its log after the reader of the log has closed the pipe.
 func TestALostLogReaderEndsNothing(t *testing.T) {
 	reader, writer, err := os.Pipe()
 	if err != nil {
--- a/serve/watch.go
+++ b/serve/watch.go
@@ -8,14 +8,15 @@
 	"swifttiller/loop"
 )
 
-// Stamp tells a file from what it was before; the zero one is of no file.
+// Stamp identifies the state of a file, so that a change of the file can be detected. The
+// zero Stamp means that there is no file.
 type Stamp struct {
 	modified time.Time
 	size     int64
 	inode    uint64
 }
 
-// StampOf is the file's stamp now.
+// StampOf returns the current stamp of a file, or the zero Stamp if it can't be read.
 func StampOf(path string) (stamp Stamp) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -28,8 +29,8 @@
 	return stamp
 }
 
-// Watch runs reload whenever the file is another than the stamp says, until the world
-// ends. It looks once a second; a file that is gone for a while changes nothing.
+// Watch checks the file once a second until the world ends, and calls reload whenever the
+// file differs from the last stamp. A file that is missing for a while is ignored.
 func Watch(world loop.World, path string, last Stamp, reload func()) {
 	loop.Every(world, func() time.Duration { return time.Second }, func() bool {
 		if now := StampOf(path); now != last && now != (Stamp{}) {
--- a/serve/watch_test.go
+++ b/serve/watch_test.go
@@ -18,7 +18,7 @@
 const file = `{"name":"c1","region":"r","zone":"z","wire":"127.0.0.1:1","http":"127.0.0.1:2","seeds":["127.0.0.1:1"]}`
 
 func TestWatch(t *testing.T) {
-	Convey("a settings file that changes without a signal is reread", t, func() {
+	Convey("a settings file that changes is reloaded without a signal", t, func() {
 		path := filepath.Join(t.TempDir(), "node.json")
 		write := func(text string) { So(os.WriteFile(path, []byte(text), 0o600), ShouldBeNil) }
 		write(file)
@@ -41,7 +41,7 @@
 		world.Run(1200 * time.Millisecond)
 		So(reloads, ShouldEqual, 1)
 		So(live.Seeds(), ShouldResemble, []string{"127.0.0.1:7", "127.0.0.1:8"})
-		// One that does not hold changes nothing; nor does one that is gone.
+		// An invalid file changes nothing; nor does a missing one.
 		write(file[:40])
 		world.Run(3 * time.Second)
 		So(reloads, ShouldEqual, 2)
@@ -50,7 +50,7 @@
 		So(os.Remove(path), ShouldBeNil)
 		world.Run(3 * time.Second)
 		So(reloads, ShouldEqual, 2)
-		// Another file of the same size and time in its place.
+		// The file is replaced by another, the second time with the same size and modification time.
 		other := path + ".new"
 		So(os.WriteFile(other, []byte(file), 0o600), ShouldBeNil)
 		So(os.Rename(other, path), ShouldBeNil)
--- a/settings/chunk.go
+++ b/settings/chunk.go
@@ -89,19 +89,19 @@
 	}
 	var edits []edit
 	if root.IsObject() {
-		for _, one := range chunkedLists {
-			if list, found := findList(root, one.key); found {
-				edits = append(edits, edit{list.Index - root.Index, list.Index - root.Index + len(list.Raw), replacement(one.key, list)})
+		for _, part := range chunkedLists {
+			if list, found := findList(root, part.key); found {
+				edits = append(edits, edit{list.Index - root.Index, list.Index - root.Index + len(list.Raw), replacement(part.key, list)})
 			}
 		}
 	}
 	slices.SortFunc(edits, func(a, b edit) int { return a.from - b.from })
 	var out strings.Builder
 	at := 0
-	for _, one := range edits {
-		out.WriteString(root.Raw[at:one.from])
-		out.WriteString(one.text)
-		at = one.to
+	for _, part := range edits {
+		out.WriteString(root.Raw[at:part.from])
+		out.WriteString(part.text)
+		at = part.to
 	}
 	out.WriteString(root.Raw[at:])
 	return out.String()
@@ -131,25 +131,25 @@
 	if !root.IsObject() {
 		return chunks
 	}
-	for _, one := range chunkedLists {
-		list, found := findList(root, one.key)
+	for _, kind := range chunkedLists {
+		list, found := findList(root, kind.key)
 		if !found {
 			continue
 		}
-		run, count := []byte(one.open), 0
+		run, count := []byte(kind.open), 0
 		list.ForEach(func(_, value gjson.Result) bool {
 			if count > 0 {
 				run = append(run, ',')
 			}
 			run = append(run, value.Raw...)
 			if count++; count == maxRunLength || endsRun(value) {
-				chunks = append(chunks, reuse(append(run, one.end...)))
-				run, count = run[:len(one.open)], 0
+				chunks = append(chunks, reuse(append(run, kind.end...)))
+				run, count = run[:len(kind.open)], 0
 			}
 			return true
 		})
 		if count > 0 {
-			chunks = append(chunks, reuse(append(run, one.end...)))
+			chunks = append(chunks, reuse(append(run, kind.end...)))
 		}
 	}
 	return chunks
--- a/settings/chunk_test.go
+++ b/settings/chunk_test.go
@@ -50,17 +50,17 @@
 	}
 	first := tree
 	for round := range 60 {
-		at, fresh := random.IntN(len(names)), fmt.Sprintf("fresh-%d", round)
+		at, newName := random.IntN(len(names)), fmt.Sprintf("fresh-%d", round)
 		switch round % 4 {
 		case 0:
-			names = slices.Insert(names, at, fresh)
+			names = slices.Insert(names, at, newName)
 		case 1:
 			names = slices.Delete(names, at, at+1)
 		case 2:
-			names[at] = fresh
+			names[at] = newName
 		case 3: // a route moves within the list
-			one := names[at]
-			names = slices.Insert(slices.Delete(names, at, at+1), random.IntN(len(names)), one)
+			moved := names[at]
+			names = slices.Insert(slices.Delete(names, at, at+1), random.IntN(len(names)), moved)
 		}
 		text := document(round+2, routeList(names...))
 		next, problems := tree.Revise(text)
@@ -98,7 +98,7 @@
 		}
 		tree = next
 	}
-	if again, _ := tree.Revise(document(1, routeList(tenantNames(1500)...))); !bytes.Equal(again.Document(), first.Document()) {
+	if restored, _ := tree.Revise(document(1, routeList(tenantNames(1500)...))); !bytes.Equal(restored.Document(), first.Document()) {
 		t.Error("revising back to the first document does not restore it")
 	}
 	for _, chunk := range first.Chunks()[1:] {
@@ -110,8 +110,8 @@
 
 // tenantWithKeys returns the JSON text of a tenant with one key that stays and one that
 // depends on the round.
-func tenantWithKeys(name string, turn int) string {
-	return fmt.Sprintf(`{"name":%q,"keys":["key-of-%s","drawn-%s-%d"],"per_s":10}`, name, name, name, turn)
+func tenantWithKeys(name string, round int) string {
+	return fmt.Sprintf(`{"name":%q,"keys":["key-of-%s","drawn-%s-%d"],"per_s":10}`, name, name, name, round)
 }
 
 // TestTenantChunks checks that the list of tenants is split like that of the routes, wherever
@@ -197,9 +197,9 @@
 	for _, name := range tenantNames(21000) {
 		list = append(list, tenantWithKeys(name, 0))
 	}
-	text := func(turn int) []byte {
-		list[turn%len(list)] = tenantWithKeys(fmt.Sprintf("tenant-%d", turn%len(list)), turn)
-		return bytes.Replace(document(turn+1, routeList(tenantNames(100)...)), []byte(`"routes"`), []byte(`"tenants":[`+strings.Join(list, ",")+`],"routes"`), 1)
+	text := func(round int) []byte {
+		list[round%len(list)] = tenantWithKeys(fmt.Sprintf("tenant-%d", round%len(list)), round)
+		return bytes.Replace(document(round+1, routeList(tenantNames(100)...)), []byte(`"routes"`), []byte(`"tenants":[`+strings.Join(list, ",")+`],"routes"`), 1)
 	}
 	tree, _ := settings.Parse(text(0))
 	next, _ := tree.Revise(text(7))
@@ -228,19 +228,19 @@
 		"no JSON":                            func(list []string) []string { list[3] = "{"; return list },
 	} {
 		text := document(2, corrupt(slices.Clone(good)))
-		_, whole := settings.Parse(text)
+		_, parsedProblems := settings.Parse(text)
 		for range 2 {
-			if revised, problems := tree.Revise(text); revised != nil || len(problems) == 0 || problems.Error() != whole.Error() {
-				t.Errorf("%s: parsed: %v, revised: %v", name, whole, problems)
+			if revised, problems := tree.Revise(text); revised != nil || len(problems) == 0 || problems.Error() != parsedProblems.Error() {
+				t.Errorf("%s: parsed: %v, revised: %v", name, parsedProblems, problems)
 			}
 		}
-		if again, problems := tree.Revise(document(1, good)); len(problems) > 0 || !bytes.Equal(again.Document(), tree.Document()) {
+		if restored, problems := tree.Revise(document(1, good)); len(problems) > 0 || !bytes.Equal(restored.Document(), tree.Document()) {
 			t.Errorf("after %s: the valid document has problems or differs: %v", name, problems)
 		}
 	}
-	for _, odd := range []string{`{"routes":[],"routes":[]}`, `{"routes":7}`, `{"routes":[ ]}`, `[]`, `7`, ``, `{"whole":{},"routes":null}`} {
-		if tree, problems := tree.Revise([]byte(odd)); tree != nil || len(problems) == 0 {
-			t.Errorf("want problems for %q, got none", odd)
+	for _, invalid := range []string{`{"routes":[],"routes":[]}`, `{"routes":7}`, `{"routes":[ ]}`, `[]`, `7`, ``, `{"whole":{},"routes":null}`} {
+		if tree, problems := tree.Revise([]byte(invalid)); tree != nil || len(problems) == 0 {
+			t.Errorf("want problems for %q, got none", invalid)
 		}
 	}
 }
@@ -258,7 +258,7 @@
 		}
 		return chunks
 	}
-	if again, problems := settings.Assemble(texts(func(list []string) []string { return list })); len(problems) > 0 || !json.Valid(again.Document()) || !bytes.Equal(again.Document(), tree.Document()) {
+	if assembled, problems := settings.Assemble(texts(func(list []string) []string { return list })); len(problems) > 0 || !json.Valid(assembled.Document()) || !bytes.Equal(assembled.Document(), tree.Document()) {
 		t.Error(problems)
 	}
 	for name, edit := range map[string]func(list []string) []string{
--- a/settings/routes_test.go
+++ b/settings/routes_test.go
@@ -41,18 +41,18 @@
 		tree, _ := settings.Parse([]byte(routed))
 		open, _ := tree.Placement("m1", "south")
 		So(open.Any(), ShouldBeTrue)
-		bound, _ := tree.Placement("m2", "n2")
-		So(bound.Any(), ShouldBeFalse)
+		fixed, _ := tree.Placement("m2", "n2")
+		So(fixed.Any(), ShouldBeFalse)
 	})
 	Convey("each problem is reported at its path, with no others", t, func() {
-		whole := `"name": "c", "host": "two.example", "prefix": "/", "kind": "safe", "timeout_ms": 5000, "shares": [{"model": "m1", "weight": 1}]`
+		lastRoute := `"name": "c", "host": "two.example", "prefix": "/", "kind": "safe", "timeout_ms": 5000, "shares": [{"model": "m1", "weight": 1}]`
 		for _, test := range []struct{ from, to, path, reason string }{
 			{`"label": 7`, `"label": -1`, "$.label", "whole number"},
 			{`"label": 7`, `"label": 7.5`, "$.label", "whole number"},
 			{`"label": 7`, `"label": "7"`, "$.label", "whole number"},
 			{`"routes": [`, `"routes": {"x": [`, "$", "JSON"},
-			{whole, whole + `, "color": 1`, "$.routes.2.color", "unknown"},
-			{whole, whole + `, "host": "x"`, "$.routes.2.host", "twice"},
+			{lastRoute, lastRoute + `, "color": 1`, "$.routes.2.color", "unknown"},
+			{lastRoute, lastRoute + `, "host": "x"`, "$.routes.2.host", "twice"},
 			{`"name": "c", `, ``, "$.routes.2.name", "needed"},
 			{`"name": "c"`, `"name": ""`, "$.routes.2.name", "empty"},
 			{`"name": "c"`, `"name": 3`, "$.routes.2.name", "string"},
@@ -79,9 +79,9 @@
 			{`"homes": ["north"]`, `"homes": "north"`, "$.routes.0.homes", "list"},
 			{`"homes": ["north"]`, `"homes": ["north", "moon"]`, "$.routes.0.homes.1", "moon"},
 			{`"homes": ["north"]`, `"homes": ["north", "n1"]`, "$.routes.0.homes.1", "n1"},
-			{whole, strings.Replace(whole, `, "shares": [{"model": "m1", "weight": 1}]`, ``, 1), "$.routes.2.shares", "needed"},
-			{whole, strings.Replace(whole, `[{"model": "m1", "weight": 1}]`, `[]`, 1), "$.routes.2.shares", "more than 0"},
-			{whole, strings.Replace(whole, `"weight": 1`, `"weight": 0`, 1), "$.routes.2.shares", "more than 0"},
+			{lastRoute, strings.Replace(lastRoute, `, "shares": [{"model": "m1", "weight": 1}]`, ``, 1), "$.routes.2.shares", "needed"},
+			{lastRoute, strings.Replace(lastRoute, `[{"model": "m1", "weight": 1}]`, `[]`, 1), "$.routes.2.shares", "more than 0"},
+			{lastRoute, strings.Replace(lastRoute, `"weight": 1`, `"weight": 0`, 1), "$.routes.2.shares", "more than 0"},
 			{`"weight": 90`, `"weight": -1`, "$.routes.0.shares.0.weight", "within"},
 			{`"weight": 90`, `"weight": 1, "fee": 1`, "$.routes.0.shares.0.fee", "unknown"},
 			{`{"model": "m2", "weight": 1.5}`, `{"weight": 1.5}`, "$.routes.0.shares.2.model", "needed"},
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -74,9 +74,9 @@
            "limits": {"permit_ms": 90000, "permit_ms": 5, "tempo": 1, "queue_ms": "long"}},
  "regions": {"north": {"handovers": {"other": {"automatic": true}}, "zones": {"n1": {"speed": 1}}}},
  "extra": 1}`))
-		at := map[string]string{}
+		reasons := map[string]string{}
 		for _, problem := range problems {
-			at[problem.Path] = problem.Reason
+			reasons[problem.Path] = problem.Reason
 		}
 		for path, reason := range map[string]string{
 			"$.extra":                                   "unknown",
@@ -89,7 +89,7 @@
 			"$.regions.north.handovers.other.automatic": "not placed",
 			"$.regions.north.zones.n1.speed":            "unknown here",
 		} {
-			So(at[path], ShouldContainSubstring, reason)
+			So(reasons[path], ShouldContainSubstring, reason)
 		}
 		So(len(problems), ShouldBeGreaterThanOrEqualTo, 10) // permit_ms has two: out of range and given twice
 	})
