--- a/serve/command.go
+++ b/serve/command.go
@@ -83,7 +83,7 @@
 	}
 	apps := map[string]*fiber.App{process.HTTP: daemon.App}
 	maps.Copy(apps, daemon.Apps)
-	closing, err := process.Listen(daemon.Services, apps)
+	closeListeners, err := process.Listen(daemon.Services, apps)
 	if err != nil {
 		process.Log.Error("can't open the listeners", zap.Error(err))
 		return subcommands.ExitFailure
@@ -94,19 +94,19 @@
 		process.World.Go(func() { Watch(process.World, process.settingsFile, process.initialStamp, process.Reload) })
 	}
 	received := process.Wait()
-	if !process.stop(daemon, received, closing) {
+	if !process.stop(daemon, received, closeListeners) {
 		return subcommands.ExitFailure
 	}
 	return subcommands.ExitSuccess
 }
 
 // stop stops the daemon gracefully within its grace period and reports whether all work in progress has finished.
-func (process *Process) stop(daemon Daemon, received os.Signal, closing func()) (finished bool) {
+func (process *Process) stop(daemon Daemon, received os.Signal, closeListeners func()) (finished bool) {
 	grace := time.Duration(process.Live.Now().Grace) * time.Second
 	began := process.World.Now()
 	process.Log.Info("stopping", zap.Stringer("signal", received), zap.Duration("grace", grace), zap.Int("running", daemon.running()))
 	finished = daemon.Stop(grace)
-	closing()
+	closeListeners()
 	process.World.End()
 	process.World.Wait(time.Second)
 	process.Log.Info("stopped", zap.Bool("finished", finished), zap.Duration("took", process.World.Now()-began), zap.Int("running", daemon.running()))
--- a/serve/signal_test.go
+++ b/serve/signal_test.go
@@ -34,8 +34,8 @@
 	signal.Notify(barrier, syscall.SIGUSR1)
 	defer signal.Stop(barrier)
 	send := func(sent syscall.Signal) {
-		for _, each := range []syscall.Signal{sent, syscall.SIGUSR1} {
-			if err := syscall.Kill(os.Getpid(), each); err != nil {
+		for _, next := range []syscall.Signal{sent, syscall.SIGUSR1} {
+			if err := syscall.Kill(os.Getpid(), next); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/settings/chunk_test.go
+++ b/settings/chunk_test.go
@@ -86,11 +86,11 @@
 		// The chunk with the rest of the document, which has the label, and, for a move, at
 		// most two runs at each of two positions.
 		if added > 5 {
-			t.Errorf("turn %d: %d chunks of %d are new", round, added, len(next.Chunks()))
+			t.Errorf("round %d: %d chunks of %d are new", round, added, len(next.Chunks()))
 		}
 		for _, name := range []string{names[0], names[at%len(names)], names[len(names)-1]} {
 			if got := next.Route(name+".example:80", "/x"); got == nil || got.Name != name {
-				t.Errorf("turn %d: the route %s is not found", round, name)
+				t.Errorf("round %d: the route %s is not found", round, name)
 			}
 		}
 		if gone := fmt.Sprintf("fresh-%d.example", round); round%4 == 1 && next.Route(gone, "/") != nil {
@@ -119,12 +119,12 @@
 // that is changed, added or removed makes little more than its own run new.
 func TestTenantChunks(t *testing.T) {
 	random := rand.New(rand.NewPCG(2, 2))
-	names, turns := tenantNames(1500), map[string]int{}
+	names, keyRounds := tenantNames(1500), map[string]int{}
 	routes := string(document(1, routeList(tenantNames(300)...)))
 	text := func(label int) []byte {
 		var list []string
 		for _, name := range names {
-			list = append(list, tenantWithKeys(name, turns[name]))
+			list = append(list, tenantWithKeys(name, keyRounds[name]))
 		}
 		tenants := fmt.Sprintf(`"tenants":[%s],`, strings.Join(list, ","))
 		nextKey := []string{`"routes"`, `"regions"`}[label/30%2] // the list changes its position once
@@ -143,7 +143,7 @@
 		case 1:
 			names = slices.Delete(names, at, at+1)
 		default:
-			turns[changed] = round
+			keyRounds[changed] = round
 		}
 		document := text(round)
 		next, problems := tree.Revise(document)
@@ -159,11 +159,11 @@
 			if !bytes.Equal(tree.Document(), document) {
 				t.Fatalf("%s: the document restored from the chunks differs from the original", name)
 			}
-			if got := tree.KeyHolder(fmt.Sprintf("drawn-%s-%d", changed, turns[changed])); (got != nil) != (round%4 != 1) || got != nil && got.Name != changed {
-				t.Fatalf("%s, turn %d: the key of %s belongs to %+v", name, round, changed, got)
+			if got := tree.KeyHolder(fmt.Sprintf("drawn-%s-%d", changed, keyRounds[changed])); (got != nil) != (round%4 != 1) || got != nil && got.Name != changed {
+				t.Fatalf("%s, round %d: the key of %s belongs to %+v", name, round, changed, got)
 			}
 			if round%4 > 1 && (tree.KeyHolder(fmt.Sprintf("drawn-%s-0", changed)) != nil || tree.KeyHolder("key-of-"+changed) == nil) {
-				t.Fatalf("%s, turn %d: an old key of %s is still valid, or its unchanged key is not", name, round, changed)
+				t.Fatalf("%s, round %d: an old key of %s is still valid, or its unchanged key is not", name, round, changed)
 			}
 		}
 		added, size := 0, 0
@@ -174,7 +174,7 @@
 		}
 		// The chunk with the rest of the document, which has the label, and at most two runs.
 		if added > 3 || size > 3*128*len(tenantWithKeys(changed, 10)) {
-			t.Errorf("turn %d: %d chunks of %d are new, with %d bytes of %d", round, added, len(next.Chunks()), size, len(document))
+			t.Errorf("round %d: %d chunks of %d are new, with %d bytes of %d", round, added, len(next.Chunks()), size, len(document))
 		}
 		tree = next
 	}
--- a/settings/routes.go
+++ b/settings/routes.go
@@ -249,8 +249,8 @@
 // get returns the value of a member, and false if it is missing or invalid.
 func (fields fields) get(key string) (gjson.Result, bool) {
 	for index := range fields {
-		if one := &fields[index]; one.key == key && !one.isInvalid {
-			return one.value, true
+		if member := &fields[index]; member.key == key && !member.isInvalid {
+			return member.value, true
 		}
 	}
 	return gjson.Result{}, false
@@ -392,7 +392,7 @@
 	route := &Route{Name: parsed.text("name"), Host: parsed.text("host"), Prefix: parsed.text("prefix"), Kind: parsed.text("kind"), Timeout: parsed.duration("timeout_ms"), Target: parsed.duration("target_ms"), Gap: parsed.duration("gap_ms"),
 		Urgency: int(parsed.number("urgency")), Tries: max(1, int(parsed.number("tries"))), Resume: resume.Bool(), Keyless: keyless.Bool(), Homes: parsed.stringList("homes", at, problems)}
 	for _, key := range []string{"name", "host"} {
-		if one, known := parsed.get(key); known && one.Str == "" {
+		if text, known := parsed.get(key); known && text.Str == "" {
 			at.report(problems, key, "is empty")
 		}
 	}
