--- a/serve/signal_test.go
+++ b/serve/signal_test.go
@@ -14,8 +14,8 @@
 	"swifttiller/settings"
 )
 
-// TestAStopIsNotLostBehindReloads guards against a process that goes on after SIGTERM, as more SIGHUPs
-// than it had room for came while its settings were being reread.
+// TestAStopIsNotLostBehindReloads guards against a process that keeps running after SIGTERM because the
+// signal was dropped: more SIGHUPs than its channel could hold had arrived during a reload.
 func TestAStopIsNotLostBehindReloads(t *testing.T) {
 	reading, release := make(chan struct{}, 100), make(chan struct{})
 	process := &Process{
@@ -28,17 +28,18 @@
 	}
 	defer signal.Stop(process.signals.stop)
 	defer signal.Stop(process.signals.reload)
-	// What the runtime hands over last shows that it has handed over what came before.
-	marks := make(chan os.Signal, 1)
-	signal.Notify(marks, syscall.SIGUSR1)
-	defer signal.Stop(marks)
-	send := func(one syscall.Signal) {
-		for _, each := range []syscall.Signal{one, syscall.SIGUSR1} {
-			if err := syscall.Kill(os.Getpid(), each); err != nil {
+	// SIGUSR1 serves as a barrier: once the runtime has delivered it, it has delivered the signal that was
+	// sent before it.
+	barrier := make(chan os.Signal, 1)
+	signal.Notify(barrier, syscall.SIGUSR1)
+	defer signal.Stop(barrier)
+	send := func(sent syscall.Signal) {
+		for _, next := range []syscall.Signal{sent, syscall.SIGUSR1} {
+			if err := syscall.Kill(os.Getpid(), next); err != nil {
 				t.Fatal(err)
 			}
 		}
-		<-marks
+		<-barrier
 	}
 	ended := make(chan struct{})
 	go func() {
@@ -54,7 +55,7 @@
 	select {
 	case <-ended:
 	case <-time.After(10 * time.Second):
-		t.Error("the process goes on")
+		t.Error("the process is still running after SIGTERM")
 	}
 	close(release)
 }
--- a/serve/watch.go
+++ b/serve/watch.go
@@ -8,32 +8,33 @@
 	"swifttiller/loop"
 )
 
-// Stamp tells a file from what it was before; the zero one is of no file.
+// Stamp identifies the state of a file, so that a change of the file can be detected. The
+// zero Stamp means that there is no file.
 type Stamp struct {
 	modified time.Time
 	size     int64
 	inode    uint64
 }
 
-// StampOf is the file's stamp now.
+// StampOf returns the current stamp of a file, or the zero Stamp if it can't be read.
 func StampOf(path string) (stamp Stamp) {
-	about, err := os.Stat(path)
+	info, err := os.Stat(path)
 	if err != nil {
 		return Stamp{}
 	}
-	stamp.modified, stamp.size = about.ModTime(), about.Size()
-	if system, isKnown := about.Sys().(*syscall.Stat_t); isKnown {
+	stamp.modified, stamp.size = info.ModTime(), info.Size()
+	if system, isKnown := info.Sys().(*syscall.Stat_t); isKnown {
 		stamp.inode = system.Ino
 	}
 	return stamp
 }
 
-// Watch runs reload whenever the file is another than the stamp says, until the world
-// ends. It looks once a second; a file that is gone for a while changes nothing.
-func Watch(world loop.World, path string, have Stamp, reload func()) {
+// Watch checks the file once a second until the world ends, and calls reload whenever the
+// file differs from the last stamp. A file that is missing for a while is ignored.
+func Watch(world loop.World, path string, last Stamp, reload func()) {
 	loop.Every(world, func() time.Duration { return time.Second }, func() bool {
-		if now := StampOf(path); now != have && now != (Stamp{}) {
-			have = now
+		if now := StampOf(path); now != last && now != (Stamp{}) {
+			last = now
 			reload()
 		}
 		return true
--- a/settings/routes_test.go
+++ b/settings/routes_test.go
@@ -22,7 +22,7 @@
   {"name": "c", "host": "two.example", "prefix": "/", "kind": "safe", "timeout_ms": 5000, "shares": [{"model": "m1", "weight": 1}]}]}`
 
 func TestRoutes(t *testing.T) {
-	Convey("a route is the one of the host with the longest prefix", t, func() {
+	Convey("a request gets the host's route with the longest matching prefix", t, func() {
 		tree, problems := settings.Parse([]byte(routed))
 		So(problems, ShouldBeEmpty)
 		So(tree.Label(), ShouldEqual, 7)
@@ -30,29 +30,29 @@
 		So(tree.Route("one.example", "/p/q").Name, ShouldEqual, "a")
 		So(tree.Route("one.example", "/p"), ShouldBeNil)
 		So(tree.Route("three.example", "/p/"), ShouldBeNil)
-		one := tree.Route("one.example", "/p/")
-		So(*one, ShouldResemble, settings.Route{Name: "a", Host: "One.example", Prefix: "/p/", Kind: settings.Streamed, Timeout: 10 * time.Second, Target: time.Second, Gap: 300 * time.Millisecond, Urgency: 9, Tries: 2, Resume: true,
+		streamed := tree.Route("one.example", "/p/")
+		So(*streamed, ShouldResemble, settings.Route{Name: "a", Host: "One.example", Prefix: "/p/", Kind: settings.Streamed, Timeout: 10 * time.Second, Target: time.Second, Gap: 300 * time.Millisecond, Urgency: 9, Tries: 2, Resume: true,
 			Homes: []string{"north"}, Shares: []settings.Share{{Model: "m1", Weight: 90}, {Model: "m1"}, {Model: "m2", Weight: 1.5}}})
 		So(tree.Route("two.example", "/x").Tries, ShouldEqual, 1)
 		So(*tree.Engine("m1"), ShouldResemble, settings.Engine{ProbePath: "/ok", ConnCap: 360, Cold: 3 * time.Second, ColdRate: 26.5, Berths: 64, CacheTokens: 348621, Spacing: 4})
 		So(tree.Intake(), ShouldResemble, settings.Intake{HeaderBytes: 16384, BodyBytes: 4194304, Header: 3 * time.Second, Idle: 15 * time.Second})
 	})
-	Convey("a placement may leave the version open", t, func() {
+	Convey("a placement may accept any version", t, func() {
 		tree, _ := settings.Parse([]byte(routed))
 		open, _ := tree.Placement("m1", "south")
 		So(open.Any(), ShouldBeTrue)
-		bound, _ := tree.Placement("m2", "n2")
-		So(bound.Any(), ShouldBeFalse)
+		fixed, _ := tree.Placement("m2", "n2")
+		So(fixed.Any(), ShouldBeFalse)
 	})
-	Convey("a problem is told at its path, and nothing else is told", t, func() {
-		whole := `"name": "c", "host": "two.example", "prefix": "/", "kind": "safe", "timeout_ms": 5000, "shares": [{"model": "m1", "weight": 1}]`
-		for _, one := range []struct{ from, to, path, reason string }{
+	Convey("each problem is reported at its path, with no others", t, func() {
+		lastRoute := `"name": "c", "host": "two.example", "prefix": "/", "kind": "safe", "timeout_ms": 5000, "shares": [{"model": "m1", "weight": 1}]`
+		for _, test := range []struct{ from, to, path, reason string }{
 			{`"label": 7`, `"label": -1`, "$.label", "whole number"},
 			{`"label": 7`, `"label": 7.5`, "$.label", "whole number"},
 			{`"label": 7`, `"label": "7"`, "$.label", "whole number"},
 			{`"routes": [`, `"routes": {"x": [`, "$", "JSON"},
-			{whole, whole + `, "color": 1`, "$.routes.2.color", "unknown"},
-			{whole, whole + `, "host": "x"`, "$.routes.2.host", "twice"},
+			{lastRoute, lastRoute + `, "color": 1`, "$.routes.2.color", "unknown"},
+			{lastRoute, lastRoute + `, "host": "x"`, "$.routes.2.host", "twice"},
 			{`"name": "c", `, ``, "$.routes.2.name", "needed"},
 			{`"name": "c"`, `"name": ""`, "$.routes.2.name", "empty"},
 			{`"name": "c"`, `"name": 3`, "$.routes.2.name", "string"},
@@ -79,9 +79,9 @@
 			{`"homes": ["north"]`, `"homes": "north"`, "$.routes.0.homes", "list"},
 			{`"homes": ["north"]`, `"homes": ["north", "moon"]`, "$.routes.0.homes.1", "moon"},
 			{`"homes": ["north"]`, `"homes": ["north", "n1"]`, "$.routes.0.homes.1", "n1"},
-			{whole, strings.Replace(whole, `, "shares": [{"model": "m1", "weight": 1}]`, ``, 1), "$.routes.2.shares", "needed"},
-			{whole, strings.Replace(whole, `[{"model": "m1", "weight": 1}]`, `[]`, 1), "$.routes.2.shares", "more than 0"},
-			{whole, strings.Replace(whole, `"weight": 1`, `"weight": 0`, 1), "$.routes.2.shares", "more than 0"},
+			{lastRoute, strings.Replace(lastRoute, `, "shares": [{"model": "m1", "weight": 1}]`, ``, 1), "$.routes.2.shares", "needed"},
+			{lastRoute, strings.Replace(lastRoute, `[{"model": "m1", "weight": 1}]`, `[]`, 1), "$.routes.2.shares", "more than 0"},
+			{lastRoute, strings.Replace(lastRoute, `"weight": 1`, `"weight": 0`, 1), "$.routes.2.shares", "more than 0"},
 			{`"weight": 90`, `"weight": -1`, "$.routes.0.shares.0.weight", "within"},
 			{`"weight": 90`, `"weight": 1, "fee": 1`, "$.routes.0.shares.0.fee", "unknown"},
 			{`{"model": "m2", "weight": 1.5}`, `{"weight": 1.5}`, "$.routes.0.shares.2.model", "needed"},
@@ -100,15 +100,15 @@
 			{`"idle_ms": 15000`, `"idle_ms": null`, "$.intake.idle_ms", "number"},
 			{`"idle_ms": 15000`, `"idle_ms": 15000, "tempo": 2`, "$.intake.tempo", "unknown"},
 		} {
-			text := strings.Replace(routed, one.from, one.to, 1)
+			text := strings.Replace(routed, test.from, test.to, 1)
 			So(text, ShouldNotEqual, routed)
 			_, problems := settings.Parse([]byte(text))
-			if one.path == "" {
+			if test.path == "" {
 				So(problems, ShouldBeEmpty)
 				continue
 			}
-			if len(problems) != 1 || problems[0].Path != one.path || !strings.Contains(problems[0].Reason, one.reason) {
-				t.Errorf("%s for %s: want one problem at %s (%s), got %v", one.to, one.from, one.path, one.reason, problems)
+			if len(problems) != 1 || problems[0].Path != test.path || !strings.Contains(problems[0].Reason, test.reason) {
+				t.Errorf("%s for %s: want one problem at %s (%s), got %v", test.to, test.from, test.path, test.reason, problems)
 			}
 		}
 		_, problems := settings.Parse([]byte(strings.Replace(routed, `, "m2": {"probe_path": "/"}`, ``, 1)))
@@ -119,7 +119,7 @@
 		So(problems[0].Path, ShouldEqual, "$.routes")
 		So(problems[0].Reason, ShouldContainSubstring, "list")
 	})
-	Convey("hosts are told apart without letter case and port", t, func() {
+	Convey("hosts that differ only in letter case and port are the same", t, func() {
 		_, problems := settings.Parse([]byte(strings.Replace(routed, `"host": "one.example", "prefix": "/p/q/"`, `"host": "ONE.example:80", "prefix": "/p/"`, 1)))
 		So(len(problems), ShouldEqual, 1)
 		So(problems[0].Path, ShouldEqual, "$.routes.1")
