--- a/cmd/controlplane/commands.go
+++ b/cmd/controlplane/commands.go
@@ -20,15 +20,16 @@
 
 // Exit statuses of the operators' commands.
 const (
-	exitDone     = subcommands.ExitSuccess
-	exitFailed   = subcommands.ExitFailure // declined, or could not be asked
-	exitUsage    = subcommands.ExitUsageError
-	exitUnknown  = subcommands.ExitStatus(3) // the outcome is unknown
-	defaultAt    = "127.0.0.1:7201"
-	callPatience = 30 * time.Second
+	exitDone    = subcommands.ExitSuccess
+	exitFailed  = subcommands.ExitFailure // rejected, or no daemon could be reached
+	exitUsage   = subcommands.ExitUsageError
+	exitUnknown = subcommands.ExitStatus(3) // the request may or may not have taken effect
+	defaultAt   = "127.0.0.1:7201"
+	callTimeout = 30 * time.Second
 )
 
-// remote is what every operator's command embeds: where to ask, and how to show.
+// remote holds the flags that all operator commands share: the control daemons to
+// contact and the output format.
 type remote struct {
 	at   string
 	json bool
@@ -39,43 +40,44 @@
 	if at == "" {
 		at = defaultAt
 	}
-	set.StringVar(&remote.at, "at", at, "HTTP addresses of control daemons, by comma; the first that answers is used (or SWIFTTILLER_AT)")
-	set.BoolVar(&remote.json, "json", false, "show JSON")
+	set.StringVar(&remote.at, "at", at, "comma-separated HTTP addresses of control daemons; the first that answers is used (default from SWIFTTILLER_AT)")
+	set.BoolVar(&remote.json, "json", false, "print the raw JSON response")
 }
 
-// ask calls the first control daemon that can be reached. Only what can't have
-// been sent is asked of another.
-func (remote *remote) ask(method, path string, body any) (int, []byte, error) {
+// send sends the request to the first control daemon that can be reached. A request that
+// changes state moves on to the next address only if the connection was refused: after any
+// other failure it may have been executed already.
+func (remote *remote) send(method, path string, body any) (int, []byte, error) {
 	var last error
 	for _, at := range strings.Split(remote.at, ",") {
-		ask, answer := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
-		ask.Header.SetMethod(method)
-		ask.SetRequestURI("http://" + at + path)
+		request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+		request.Header.SetMethod(method)
+		request.SetRequestURI("http://" + at + path)
 		switch body := body.(type) {
 		case nil:
 		case []byte:
-			ask.SetBody(body)
+			request.SetBody(body)
 		default:
 			text, err := json.Marshal(body)
 			if err != nil {
 				return 0, nil, err
 			}
-			ask.SetBody(text)
+			request.SetBody(text)
 		}
 		client := fasthttp.Client{MaxIdemponentCallAttempts: 1, MaxResponseBodySize: 64 << 20}
-		err := client.DoTimeout(ask, answer, callPatience)
+		err := client.DoTimeout(request, response, callTimeout)
 		if err == nil {
-			return answer.StatusCode(), append([]byte{}, answer.Body()...), nil
+			return response.StatusCode(), append([]byte{}, response.Body()...), nil
 		}
 		last = fmt.Errorf("%s: %w", at, err)
 		if method != "GET" && !strings.Contains(err.Error(), "refused") {
-			return 0, nil, fmt.Errorf("the outcome is unknown: %w; look at `controlplane show` and `controlplane handover status`", last)
+			return 0, nil, fmt.Errorf("the outcome is unknown: %w; check it with `controlplane show` and `controlplane handover status`", last)
 		}
 	}
 	return 0, nil, last
 }
 
-// finish shows an answer and gives the exit status.
+// finish prints the response and returns the exit status.
 func (remote *remote) finish(status int, body []byte, err error, show func(gjson.Result)) subcommands.ExitStatus {
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -106,18 +108,18 @@
 	return exitDone
 }
 
-// command is one operator's command.
+// command is a subcommand for operators.
 type command struct {
 	remote
 	name, synopsis, usage string
 	flags                 func(set *flag.FlagSet)
-	run                   func(command *command, words []string) subcommands.ExitStatus
+	run                   func(command *command, args []string) subcommands.ExitStatus
 }
 
 func (command *command) Name() string     { return command.name }
 func (command *command) Synopsis() string { return command.synopsis }
 func (command *command) Usage() string {
-	return "controlplane " + command.usage + "\n  " + command.synopsis + ".\n  Exit: 0 done, 1 declined or not reached, 2 wrong usage or contents, 3 the outcome is unknown.\n"
+	return "controlplane " + command.usage + "\n  " + command.synopsis + ".\n  Exit status: 0 success, 1 rejected or no daemon reachable, 2 invalid usage or input, 3 the outcome is unknown.\n"
 }
 
 func (command *command) SetFlags(set *flag.FlagSet) {
@@ -128,30 +130,30 @@
 }
 
 func (command *command) Execute(_ context.Context, set *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	words, again := set.Args(), []string{}
-	// Flags may stand behind the words as well.
-	for index, word := range words {
-		if strings.HasPrefix(word, "-") {
-			if err := set.Parse(words[index:]); err != nil {
+	args, positional := set.Args(), []string{}
+	// Flags are also accepted after the positional arguments.
+	for index, arg := range args {
+		if strings.HasPrefix(arg, "-") {
+			if err := set.Parse(args[index:]); err != nil {
 				return exitUsage
 			}
-			words = append(words[:index:index], set.Args()...)
+			args = append(args[:index:index], set.Args()...)
 			break
 		}
-		again = append(again, word)
+		positional = append(positional, arg)
 	}
-	return command.run(command, words)
+	return command.run(command, args)
 }
 
-func (command *command) misused() subcommands.ExitStatus {
+func (command *command) usageError() subcommands.ExitStatus {
 	fmt.Fprintf(os.Stderr, "usage: controlplane %s\n", command.usage)
 	return exitUsage
 }
 
-func acknowledged(root gjson.Result) {
+func showAcknowledgement(root gjson.Result) {
 	fmt.Printf("acknowledged as serial %d after %v by %d data daemons\n", root.Get("serial").Int(), time.Duration(root.Get("took").Int()).Round(time.Millisecond), root.Get("holders").Int())
 	if expired := root.Get("expired").Array(); len(expired) > 0 {
-		fmt.Printf("did not answer, and their permits have expired: %s\n", root.Get("expired").Raw)
+		fmt.Printf("not acknowledged by these data daemons, whose leases have expired: %s\n", root.Get("expired").Raw)
 	}
 }
 
@@ -160,27 +162,27 @@
 	list = append(list, evacuations()...)
 	list = append(list, handover(), tenantsCommand())
 	out := make([]subcommands.Command, len(list))
-	for index, one := range list {
-		out[index] = one
+	for index, entry := range list {
+		out[index] = entry
 	}
 	return out
 }
 
 func initCommand() *command {
 	var seeds string
-	return &command{name: "init", synopsis: "make the first core, of the daemons at the wire addresses", usage: "init [--seeds A,B,C]",
+	return &command{name: "init", synopsis: "create the first core from the daemons at the given wire addresses", usage: "init [--seeds A,B,C]",
 		flags: func(set *flag.FlagSet) {
-			set.StringVar(&seeds, "seeds", "", "wire addresses by comma (default: the asked daemon's seeds)")
+			set.StringVar(&seeds, "seeds", "", "comma-separated wire addresses (default: the seeds of the contacted daemon)")
 		},
-		run: func(command *command, words []string) subcommands.ExitStatus {
-			if len(words) > 0 {
-				return command.misused()
+		run: func(command *command, args []string) subcommands.ExitStatus {
+			if len(args) > 0 {
+				return command.usageError()
 			}
-			ask := map[string][]string{}
+			request := map[string][]string{}
 			if seeds != "" {
-				ask["seeds"] = strings.Split(seeds, ",")
+				request["seeds"] = strings.Split(seeds, ",")
 			}
-			status, body, err := command.ask("POST", "/v1/init", ask)
+			status, body, err := command.send("POST", "/v1/init", request)
 			return command.finish(status, body, err, showCore)
 		}}
 }
@@ -194,14 +196,14 @@
 
 func reload() *command {
 	return &command{
-		name: "reload", synopsis: "have daemons reread their settings files", usage: "reload NAME [NAME ...] [flags]",
-		run: func(command *command, words []string) subcommands.ExitStatus {
-			if len(words) == 0 {
-				return command.misused()
+		name: "reload", synopsis: "make daemons reload their settings files", usage: "reload NAME [NAME ...] [flags]",
+		run: func(command *command, args []string) subcommands.ExitStatus {
+			if len(args) == 0 {
+				return command.usageError()
 			}
 			worst := exitDone
-			for _, name := range words {
-				status, body, err := command.ask("POST", "/v1/daemons/"+url.PathEscape(name)+"/reload", nil)
+			for _, name := range args {
+				status, body, err := command.send("POST", "/v1/daemons/"+url.PathEscape(name)+"/reload", nil)
 				code := command.finish(status, body, err, func(root gjson.Result) {
 					var reloaded settings.Reloaded
 					_ = json.Unmarshal([]byte(root.Raw), &reloaded)
@@ -219,16 +221,16 @@
 func apply() *command {
 	var expect int64
 	var dry bool
-	return &command{name: "apply", synopsis: "check a configuration and apply it; returns once it is acknowledged", usage: "apply FILE [--expect SERIAL] [--dry-run]",
+	return &command{name: "apply", synopsis: "validate a configuration and apply it; returns once it is acknowledged", usage: "apply FILE [--expect SERIAL] [--dry-run]",
 		flags: func(set *flag.FlagSet) {
-			set.Int64Var(&expect, "expect", -1, "decline unless this is the current serial (0: none yet)")
-			set.BoolVar(&dry, "dry-run", false, "only check")
+			set.Int64Var(&expect, "expect", -1, "reject the configuration unless this is the current serial (0: none yet)")
+			set.BoolVar(&dry, "dry-run", false, "only validate")
 		},
-		run: func(command *command, words []string) subcommands.ExitStatus {
-			if len(words) != 1 {
-				return command.misused()
+		run: func(command *command, args []string) subcommands.ExitStatus {
+			if len(args) != 1 {
+				return command.usageError()
 			}
-			document, err := os.ReadFile(words[0])
+			document, err := os.ReadFile(args[0])
 			if err != nil {
 				fmt.Fprintln(os.Stderr, err)
 				return exitUsage
@@ -240,38 +242,38 @@
 			if dry {
 				query.Set("dry_run", "true")
 			}
-			status, body, err := command.ask("POST", "/v1/config?"+query.Encode(), document)
+			status, body, err := command.send("POST", "/v1/config?"+query.Encode(), document)
 			return command.finish(status, body, err, func(root gjson.Result) {
 				if dry {
-					fmt.Println("the configuration holds; nothing was applied")
+					fmt.Println("the configuration is valid; nothing was applied")
 					return
 				}
-				acknowledged(root)
+				showAcknowledgement(root)
 			})
 		}}
 }
 
 func show() *command {
-	var place string
-	return &command{name: "show", synopsis: "show the configuration, or what holds in a zone and where it came from", usage: "show [--effective ZONE]",
+	var scope string
+	return &command{name: "show", synopsis: "show the configuration, or the effective settings of a zone and where each is defined", usage: "show [--effective ZONE]",
 		flags: func(set *flag.FlagSet) {
-			set.StringVar(&place, "effective", "", "a zone or region")
+			set.StringVar(&scope, "effective", "", "a zone or region")
 		},
-		run: func(command *command, words []string) subcommands.ExitStatus {
-			if len(words) > 0 {
-				return command.misused()
+		run: func(command *command, args []string) subcommands.ExitStatus {
+			if len(args) > 0 {
+				return command.usageError()
 			}
 			path := "/v1/config"
-			if place != "" {
-				path += "?effective=" + url.QueryEscape(place)
+			if scope != "" {
+				path += "?effective=" + url.QueryEscape(scope)
 			}
-			status, body, err := command.ask("GET", path, nil)
+			status, body, err := command.send("GET", path, nil)
 			return command.finish(status, body, err, func(root gjson.Result) {
 				fmt.Printf("serial %d\n", root.Get("serial").Int())
 				if evacuated := root.Get("evacuated").Array(); len(evacuated) > 0 {
 					fmt.Printf("evacuated %s\n", root.Get("evacuated").Raw)
 				}
-				if place == "" {
+				if scope == "" {
 					fmt.Println(root.Get("document|@pretty").String())
 					return
 				}
@@ -289,15 +291,15 @@
 }
 
 func members() *command {
-	return &command{name: "members", synopsis: "list the daemons whose sessions stand", usage: "members",
-		run: func(command *command, words []string) subcommands.ExitStatus {
-			if len(words) > 0 {
-				return command.misused()
+	return &command{name: "members", synopsis: "list the daemons with a live session", usage: "members",
+		run: func(command *command, args []string) subcommands.ExitStatus {
+			if len(args) > 0 {
+				return command.usageError()
 			}
-			status, body, err := command.ask("GET", "/v1/members", nil)
+			status, body, err := command.send("GET", "/v1/members", nil)
 			return command.finish(status, body, err, func(root gjson.Result) {
-				for _, one := range root.Array() {
-					member := one.Get("Member")
+				for _, session := range root.Array() {
+					member := session.Get("Member")
 					fmt.Printf("%-8s %-12s %-10s %-10s wire %-21s http %-21s %s\n", member.Get("role").Str, member.Get("name").Str, member.Get("region").Str, member.Get("zone").Str, member.Get("wire").Str, member.Get("http").Str, member.Get("acceptor").Str)
 				}
 			})
@@ -305,36 +307,36 @@
 }
 
 func core() *command {
-	return &command{name: "core", synopsis: "change which acceptors decide, several at once if need be", usage: "core add ID ... [remove ID ...] | core remove ID ... [add ID ...]",
-		run: func(command *command, words []string) subcommands.ExitStatus {
+	return &command{name: "core", synopsis: "change the members of the core; can add and remove several acceptors at once", usage: "core add ID ... [remove ID ...] | core remove ID ... [add ID ...]",
+		run: func(command *command, args []string) subcommands.ExitStatus {
 			lists := map[string][]string{}
-			at := ""
-			for _, word := range words {
-				if word == "add" || word == "remove" {
-					at = word
-				} else if at == "" {
-					return command.misused()
+			action := ""
+			for _, arg := range args {
+				if arg == "add" || arg == "remove" {
+					action = arg
+				} else if action == "" {
+					return command.usageError()
 				} else {
-					lists[at] = append(lists[at], word)
+					lists[action] = append(lists[action], arg)
 				}
 			}
 			if len(lists) == 0 {
-				return command.misused()
+				return command.usageError()
 			}
-			status, body, err := command.ask("POST", "/v1/core", lists)
+			status, body, err := command.send("POST", "/v1/core", lists)
 			return command.finish(status, body, err, showCore)
 		}}
 }
 
 func evacuations() (list []*command) {
-	for _, one := range [][2]string{{"evacuate", "take a zone out of service; returns once no daemon sends anything there"}, {"hand-back", "bring an evacuated zone back into service"}} {
-		list = append(list, &command{name: one[0], synopsis: one[1], usage: one[0] + " ZONE",
-			run: func(command *command, words []string) subcommands.ExitStatus {
-				if len(words) != 1 {
-					return command.misused()
+	for _, action := range [][2]string{{"evacuate", "take a zone out of service; returns once no daemon sends anything there"}, {"hand-back", "return an evacuated zone to service"}} {
+		list = append(list, &command{name: action[0], synopsis: action[1], usage: action[0] + " ZONE",
+			run: func(command *command, args []string) subcommands.ExitStatus {
+				if len(args) != 1 {
+					return command.usageError()
 				}
-				status, body, err := command.ask("POST", "/v1/zones/"+url.PathEscape(words[0])+"/"+command.name, nil)
-				return command.finish(status, body, err, acknowledged)
+				status, body, err := command.send("POST", "/v1/zones/"+url.PathEscape(args[0])+"/"+command.name, nil)
+				return command.finish(status, body, err, showAcknowledgement)
 			}})
 	}
 	return list
@@ -343,57 +345,57 @@
 func handover() *command {
 	var id, regions string
 	var stay bool
-	return &command{name: "handover", synopsis: "move a model's traffic from one version to the next, see how it goes, or take it back", usage: "handover start MODEL VERSION --id ID [--regions A,B] | status [MODEL] | rollback MODEL [--regions A,B] | promote MODEL [--stay]",
+	return &command{name: "handover", synopsis: "move a model's traffic to another version, watch the progress, or roll it back", usage: "handover start MODEL VERSION --id ID [--regions A,B] | status [MODEL] | rollback MODEL [--regions A,B] | promote MODEL [--stay]",
 		flags: func(set *flag.FlagSet) {
-			set.StringVar(&id, "id", "", "the run's id; the same id joins the same run")
-			set.StringVar(&regions, "regions", "", "regions by comma (default: all where the model is placed)")
-			set.BoolVar(&stay, "stay", false, "promote: only let automatic roll-outs be, move nothing")
+			set.StringVar(&id, "id", "", "the id of the run; reusing an id joins the existing run")
+			set.StringVar(&regions, "regions", "", "comma-separated regions (default: all regions where the model is placed)")
+			set.BoolVar(&stay, "stay", false, "promote: only allow automatic roll-outs again, without moving traffic")
 		},
-		run: func(command *command, words []string) subcommands.ExitStatus {
-			if len(words) == 0 {
-				return command.misused()
+		run: func(command *command, args []string) subcommands.ExitStatus {
+			if len(args) == 0 {
+				return command.usageError()
 			}
 			var list []string
 			if regions != "" {
 				list = strings.Split(regions, ",")
 			}
-			switch verb := words[0]; {
-			case verb == "start" && len(words) == 3 && id != "":
-				status, body, err := command.ask("POST", "/v1/handovers", map[string]any{"id": id, "model": words[1], "version": words[2], "regions": list})
+			switch action := args[0]; {
+			case action == "start" && len(args) == 3 && id != "":
+				status, body, err := command.send("POST", "/v1/handovers", map[string]any{"id": id, "model": args[1], "version": args[2], "regions": list})
 				return command.finish(status, body, err, func(root gjson.Result) {
 					root.ForEach(func(region, run gjson.Result) bool {
 						fmt.Printf("%s: run %s is %s\n", region.Str, run.Get("id").Str, run.Get("state").Str)
 						return true
 					})
 				})
-			case verb == "status" && len(words) <= 2:
-				status, body, err := command.ask("GET", "/v1/handovers", nil)
+			case action == "status" && len(args) <= 2:
+				status, body, err := command.send("GET", "/v1/handovers", nil)
 				return command.finish(status, body, err, func(root gjson.Result) {
-					root.ForEach(func(model, one gjson.Result) bool {
-						if len(words) < 2 || words[1] == model.Str {
-							showModel(model.Str, one)
+					root.ForEach(func(name, model gjson.Result) bool {
+						if len(args) < 2 || args[1] == name.Str {
+							showModel(name.Str, model)
 						}
 						return true
 					})
 				})
-			case verb == "rollback" && len(words) == 2:
-				status, body, err := command.ask("POST", "/v1/handovers/"+url.PathEscape(words[1])+"/rollback?regions="+url.QueryEscape(regions), nil)
-				return command.finish(status, body, err, func(root gjson.Result) { showModel(words[1], root) })
-			case verb == "promote" && len(words) == 2:
-				status, body, err := command.ask("POST", fmt.Sprintf("/v1/handovers/%s/promote?stay=%t", url.PathEscape(words[1]), stay), nil)
-				return command.finish(status, body, err, func(root gjson.Result) { showModel(words[1], root) })
+			case action == "rollback" && len(args) == 2:
+				status, body, err := command.send("POST", "/v1/handovers/"+url.PathEscape(args[1])+"/rollback?regions="+url.QueryEscape(regions), nil)
+				return command.finish(status, body, err, func(root gjson.Result) { showModel(args[1], root) })
+			case action == "promote" && len(args) == 2:
+				status, body, err := command.send("POST", fmt.Sprintf("/v1/handovers/%s/promote?stay=%t", url.PathEscape(args[1]), stay), nil)
+				return command.finish(status, body, err, func(root gjson.Result) { showModel(args[1], root) })
 			}
-			return command.misused()
+			return command.usageError()
 		}}
 }
 
-func showModel(name string, one gjson.Result) {
-	fmt.Printf("model %s: live %s", name, orNone(one.Get("live").Str))
-	if one.Get("isRolledBack").Bool() {
+func showModel(name string, model gjson.Result) {
+	fmt.Printf("model %s: live %s", name, orNone(model.Get("live").Str))
+	if model.Get("isRolledBack").Bool() {
 		fmt.Print(", rolled back: automatic roll-outs wait for a promote")
 	}
 	fmt.Println()
-	one.Get("routes").ForEach(func(region, route gjson.Result) bool {
+	model.Get("routes").ForEach(func(region, route gjson.Result) bool {
 		fmt.Printf("  %-10s serves %s, before it %s (serial %d)", region.Str, orNone(route.Get("Version").Str), orNone(route.Get("Previous").Str), route.Get("Serial").Int())
 		if trial := route.Get("Trial").Str; trial != "" {
 			fmt.Printf(", tries %s on %s", trial, route.Get("TrialReplicas").Raw)
@@ -404,8 +406,8 @@
 		fmt.Println()
 		return true
 	})
-	one.Get("runs").ForEach(func(region, shelf gjson.Result) bool {
-		run := shelf.Get("run")
+	model.Get("runs").ForEach(func(region, store gjson.Result) bool {
+		run := store.Get("run")
 		if !run.IsObject() {
 			return true
 		}
@@ -434,39 +436,39 @@
 
 func status() *command {
 	var request string
-	return &command{name: "status", synopsis: "show the system, or where one request went", usage: "status [--request ID]",
+	return &command{name: "status", synopsis: "show the state of the system, or where one request was sent", usage: "status [--request ID]",
 		flags: func(set *flag.FlagSet) {
-			set.StringVar(&request, "request", "", "a request id to look for at all data daemons")
+			set.StringVar(&request, "request", "", "a request id to look up on all data daemons")
 		},
-		run: func(command *command, words []string) subcommands.ExitStatus {
-			if len(words) > 0 {
-				return command.misused()
+		run: func(command *command, args []string) subcommands.ExitStatus {
+			if len(args) > 0 {
+				return command.usageError()
 			}
 			if request != "" {
 				return command.find(request)
 			}
-			status, body, err := command.ask("GET", "/v1/status", nil)
+			status, body, err := command.send("GET", "/v1/status", nil)
 			return command.finish(status, body, err, showStatus)
 		}}
 }
 
-// find asks every data daemon for a request id.
+// find looks the request id up on every data daemon and prints the records found.
 func (command *command) find(request string) subcommands.ExitStatus {
-	_, body, err := command.ask("GET", "/v1/members", nil)
+	_, body, err := command.send("GET", "/v1/members", nil)
 	if err != nil {
 		return command.finish(0, nil, err, nil)
 	}
-	found, unasked := 0, 0
-	for _, one := range gjson.ParseBytes(body).Array() {
-		member := one.Get("Member")
+	found, unreachable := 0, 0
+	for _, session := range gjson.ParseBytes(body).Array() {
+		member := session.Get("Member")
 		if member.Get("role").Str != "data" {
 			continue
 		}
-		at := remote{at: member.Get("http").Str}
-		status, body, err := at.ask("GET", "/v1/requests/"+url.PathEscape(request), nil)
+		daemon := remote{at: member.Get("http").Str}
+		status, body, err := daemon.send("GET", "/v1/requests/"+url.PathEscape(request), nil)
 		if err != nil {
-			unasked++
-			fmt.Fprintf(os.Stderr, "%s could not be asked: %v\n", member.Get("name").Str, err)
+			unreachable++
+			fmt.Fprintf(os.Stderr, "could not query %s: %v\n", member.Get("name").Str, err)
 			continue
 		}
 		if status != 200 {
@@ -480,22 +482,23 @@
 		for _, record := range gjson.ParseBytes(body).Array() {
 			found++
 			fmt.Printf("%s at %s: %s (%s), %d events, %v\n", record.Get("At").Str, member.Get("name").Str, record.Get("Verdict").Str, record.Get("Code").Str, record.Get("Events").Int(), time.Duration(record.Get("Took").Int()).Round(time.Millisecond))
-			for _, dispatch := range record.Get("Dispatches").Array() {
-				fmt.Printf("  to %s in %s, version %s, under serial %d: %s (%s)\n", dispatch.Get("Replica").Str, dispatch.Get("Region").Str, dispatch.Get("Version").Str, dispatch.Get("Serial").Int(), dispatch.Get("Verdict").Str, dispatch.Get("Code").Str)
+			for _, attempt := range record.Get("Dispatches").Array() {
+				fmt.Printf("  to %s in %s, version %s, under serial %d: %s (%s)\n", attempt.Get("Replica").Str, attempt.Get("Region").Str, attempt.Get("Version").Str, attempt.Get("Serial").Int(), attempt.Get("Verdict").Str, attempt.Get("Code").Str)
 			}
 		}
 	}
 	if found == 0 {
-		fmt.Fprintln(os.Stderr, "no data daemon remembers this request")
+		fmt.Fprintln(os.Stderr, "no data daemon has a record of this request")
 		return exitFailed
 	}
-	if unasked > 0 {
+	if unreachable > 0 {
 		return exitFailed
 	}
 	return exitDone
 }
 
-// showRedundancy tells which acceptors hold what was decided; nothing without a majority.
+// showRedundancy prints how many acceptors hold everything that was decided, and which are
+// behind or silent. Without a majority the status has no redundancy, and nothing is printed.
 func showRedundancy(redundancy gjson.Result) {
 	if !redundancy.Exists() {
 		return
@@ -515,19 +518,19 @@
 		fmt.Printf("NO MAJORITY: %s\n", root.Get("trouble").Str)
 	}
 	showRedundancy(root.Get("redundancy"))
-	root.Get("unreached").ForEach(func(address, why gjson.Result) bool {
-		fmt.Printf("not reached: %s (%s)\n", address.Str, why.Str)
+	root.Get("unreached").ForEach(func(address, reason gjson.Result) bool {
+		fmt.Printf("not reached: %s (%s)\n", address.Str, reason.Str)
 		return true
 	})
 	shown := map[string]bool{}
 	root.Get("locals").ForEach(func(_, local gjson.Result) bool {
-		for _, one := range local.Get("sessions").Array() {
-			member := one.Get("Member")
+		for _, session := range local.Get("sessions").Array() {
+			member := session.Get("Member")
 			if member.Get("role").Str != "data" || shown[member.Get("name").Str] {
 				continue
 			}
 			shown[member.Get("name").Str] = true
-			report := one.Get("Report")
+			report := session.Get("Report")
 			fmt.Printf("data %-10s %-8s serial %d, permit %v, queue %d\n", member.Get("name").Str, member.Get("zone").Str, report.Get("Config").Int(), time.Duration(report.Get("Permit").Int()).Round(time.Millisecond), report.Get("Queue").Int())
 		}
 		return true
@@ -535,22 +538,22 @@
 	root.Get("locals").ForEach(func(name, local gjson.Result) bool {
 		local.Get("regions").ForEach(func(region, state gjson.Result) bool {
 			fmt.Printf("region %s, by %s (duty serial %d)\n", region.Str, name.Str, state.Get("duty").Int())
-			places := map[string]gjson.Result{}
-			for _, place := range state.Get("standing.Places").Array() {
-				places[place.Get("ID").Str] = place
+			endpoints := map[string]gjson.Result{}
+			for _, endpoint := range state.Get("standing.Places").Array() {
+				endpoints[endpoint.Get("ID").Str] = endpoint
 			}
 			for _, replica := range state.Get("replicas").Array() {
 				id := replica.Get("ID").Str
-				word := "dark"
+				health := "dark"
 				if replica.Get("Alive").Bool() {
-					word = "alive"
+					health = "alive"
 				}
 				if replica.Get("Leaving").Bool() {
-					word = "leaving"
+					health = "leaving"
 				}
-				fmt.Printf("  replica %-10s %-8s %-8s holds %s", id, replica.Get("Zone").Str, word, replica.Get("Held").Raw)
-				if place, used := places[id]; used {
-					fmt.Printf(", bears %d of %d, credits %s", place.Get("Capacity").Int(), place.Get("Whole").Int(), place.Get("Credits").Raw)
+				fmt.Printf("  replica %-10s %-8s %-8s holds %s", id, replica.Get("Zone").Str, health, replica.Get("Held").Raw)
+				if endpoint, isRouted := endpoints[id]; isRouted {
+					fmt.Printf(", bears %d of %d, credits %s", endpoint.Get("Capacity").Int(), endpoint.Get("Whole").Int(), endpoint.Get("Credits").Raw)
 				}
 				fmt.Println()
 			}
@@ -558,8 +561,8 @@
 		})
 		return true
 	})
-	root.Get("models").ForEach(func(model, one gjson.Result) bool {
-		showModel(model.Str, one)
+	root.Get("models").ForEach(func(name, model gjson.Result) bool {
+		showModel(name.Str, model)
 		return true
 	})
 }
--- a/cmd/controlplane/doctor.go
+++ b/cmd/controlplane/doctor.go
@@ -14,42 +14,42 @@
 	"swifttiller/doctor"
 )
 
-// doctorCommand looks for common faults. It asks every address that it is given
-// and goes by the one that sees a majority.
+// doctorCommand returns the command that looks for common faults. It queries the given
+// addresses in turn and uses the status of a daemon that sees a majority, if there is one.
 func doctorCommand() *command {
 	var pause time.Duration
-	return &command{name: "doctor", synopsis: "look for common faults; only reads. Exit here: 0 clean, 1 findings, 2 could not look", usage: "doctor [--pause 1.5s]",
+	return &command{name: "doctor", synopsis: "look for common faults, read-only; its exit status is 0 for no findings, 1 for findings, 2 if no daemon could be queried", usage: "doctor [--pause 1.5s]",
 		flags: func(set *flag.FlagSet) {
-			set.DurationVar(&pause, "pause", 1500*time.Millisecond, "time between the two looks that are compared")
+			set.DurationVar(&pause, "pause", 1500*time.Millisecond, "time between the two status queries that are compared")
 		},
-		run: func(command *command, words []string) subcommands.ExitStatus {
-			if len(words) > 0 {
-				return command.misused()
+		run: func(command *command, args []string) subcommands.ExitStatus {
+			if len(args) > 0 {
+				return command.usageError()
 			}
-			first, unasked, ok := command.look()
+			first, unreachable, ok := command.query()
 			if ok {
 				time.Sleep(pause)
 			}
-			last, again, ok := command.look()
-			for address, why := range again {
-				unasked[address] = why
+			last, failures, ok := command.query()
+			for address, reason := range failures {
+				unreachable[address] = reason
 			}
 			if !ok {
-				for address, why := range unasked {
-					fmt.Fprintf(os.Stderr, "could not ask %s: %s\n", address, why)
+				for address, reason := range unreachable {
+					fmt.Fprintf(os.Stderr, "could not ask %s: %s\n", address, reason)
 				}
 				return subcommands.ExitStatus(2)
 			}
 			findings := doctor.Examine(first, last)
 			if command.json {
-				body, _ := json.Marshal(map[string]any{"asked": last.Status.Asked, "findings": findings, "could_not_ask": unasked, "unreached": last.Status.Unreached})
+				body, _ := json.Marshal(map[string]any{"asked": last.Status.Asked, "findings": findings, "could_not_ask": unreachable, "unreached": last.Status.Unreached})
 				fmt.Println(string(body))
 			} else {
-				for address, why := range unasked {
-					fmt.Printf("could not ask %s: %s\n", address, why)
+				for address, reason := range unreachable {
+					fmt.Printf("could not ask %s: %s\n", address, reason)
 				}
-				for _, one := range findings {
-					fmt.Printf("%-8s %s: %s\n         %s\n", one.Severity, one.Name, one.Evidence, one.Advice)
+				for _, finding := range findings {
+					fmt.Printf("%-8s %s: %s\n         %s\n", finding.Severity, finding.Name, finding.Evidence, finding.Advice)
 				}
 				fmt.Printf("asked %s, %d findings\n", last.Status.Asked, len(findings))
 			}
@@ -60,31 +60,32 @@
 		}}
 }
 
-// look asks each address and takes the best answer.
-func (command *command) look() (doctor.Look, map[string]string, bool) {
-	unasked := map[string]string{}
+// query requests the status from each address until one sees a majority. Without any, it
+// returns the first status received. The map has the error for each address that failed.
+func (command *command) query() (doctor.Look, map[string]string, bool) {
+	unreachable := map[string]string{}
 	var best doctor.Look
 	found := false
 	for _, at := range strings.Split(command.at, ",") {
-		one := remote{at: at}
-		status, body, err := one.ask("GET", "/v1/status", nil)
-		var told controlplane.Status
-		if err == nil && status != 200 {
-			err = fmt.Errorf("answered %d", status)
+		daemon := remote{at: at}
+		code, body, err := daemon.send("GET", "/v1/status", nil)
+		var status controlplane.Status
+		if err == nil && code != 200 {
+			err = fmt.Errorf("HTTP status %d", code)
 		}
 		if err == nil {
-			err = json.Unmarshal(body, &told)
+			err = json.Unmarshal(body, &status)
 		}
 		if err != nil {
-			unasked[at] = err.Error()
+			unreachable[at] = err.Error()
 			continue
 		}
-		if !found || told.Majority && !best.Status.Majority {
-			best, found = doctor.Look{At: time.Now(), Status: told}, true
+		if !found || status.Majority && !best.Status.Majority {
+			best, found = doctor.Look{At: time.Now(), Status: status}, true
 		}
 		if best.Status.Majority {
 			break
 		}
 	}
-	return best, unasked, found
+	return best, unreachable, found
 }
--- a/cmd/controlplane/main.go
+++ b/cmd/controlplane/main.go
@@ -1,4 +1,4 @@
-// Command controlplane is the control daemon and the operators' commands.
+// Command controlplane runs the control daemon and the operators' commands.
 package main
 
 import (
@@ -25,7 +25,7 @@
 		}
 		lock, err := disk.Lock(process.Data)
 		if err != nil {
-			return serve.Daemon{}, fmt.Errorf("the data folder is in use: %w", err)
+			return serve.Daemon{}, fmt.Errorf("cannot lock the data folder, another process may use it: %w", err)
 		}
 		closed = func() { lock.Close() }
 		folder = disk.Real(process.Data)
@@ -42,17 +42,17 @@
 	if err != nil {
 		return serve.Daemon{}, err
 	}
-	var more map[string]*fiber.App
+	var apps map[string]*fiber.App
 	if isDeployed {
-		if more, err = platform.Desks(daemon); err != nil {
+		if apps, err = platform.Desks(daemon); err != nil {
 			return serve.Daemon{}, err
 		}
 	}
 	stop := func(time.Duration) bool { daemon.Stop(); return true }
-	return serve.Daemon{Apps: more, Services: daemon.Services(), App: daemon.App(), Run: daemon.Run, Stop: stop, Closed: closed}, nil
+	return serve.Daemon{Apps: apps, Services: daemon.Services(), App: daemon.App(), Run: daemon.Run, Stop: stop, Closed: closed}, nil
 }
 
 func main() {
-	more := "\n  With a data folder it is an acceptor that a core may admit."
-	serve.Main("controlplane", &serve.Command{Program: "controlplane", What: "control daemon", More: more, Load: platform.Load(platform.Controlplane), Make: build}, commands())
+	help := "\n  With a data folder the daemon also runs an acceptor that can be added to the core."
+	serve.Main("controlplane", &serve.Command{Program: "controlplane", What: "control daemon", More: help, Load: platform.Load(platform.Controlplane), Make: build}, commands())
 }
--- a/cmd/dataplane/main.go
+++ b/cmd/dataplane/main.go
@@ -1,5 +1,5 @@
-// Command dataplane is the data daemon: it locates, serves and relays callers'
-// requests.
+// Command dataplane runs the data daemon, which routes callers' requests and proxies them to
+// replicas.
 package main
 
 import (
@@ -13,13 +13,13 @@
 )
 
 func build(process *serve.Process) (serve.Daemon, error) {
-	switched := &traces.Switch{Options: traces.Options{Daemon: process.Name, Region: process.Region, Zone: process.Zone, Most: 1024}, Log: process.Log}
-	if err := switched.To(process.Traces); err != nil {
+	tracing := &traces.Switch{Options: traces.Options{Daemon: process.Name, Region: process.Region, Zone: process.Zone, Most: 1024}, Log: process.Log}
+	if err := tracing.To(process.Traces); err != nil {
 		return serve.Daemon{}, err
 	}
 	options := dataplane.Options{
 		World: process.World, Net: process.Net, Process: *process.Process, Live: process.Live, Incarnation: process.Incarnation,
-		Replicas: &replica.HTTP{World: process.World}, Log: process.Log, Traced: switched.Trace,
+		Replicas: &replica.HTTP{World: process.World}, Log: process.Log, Traced: tracing.Trace,
 	}
 	_, isDeployed := platform.Deployed()
 	if isDeployed {
@@ -27,18 +27,18 @@
 		options.Probe = platform.Dialect{}.Probe
 	}
 	daemon := dataplane.New(options)
-	var more map[string]*fiber.App
+	var apps map[string]*fiber.App
 	if isDeployed {
 		var err error
-		if more, err = platform.Doors(daemon); err != nil {
+		if apps, err = platform.Doors(daemon); err != nil {
 			return serve.Daemon{}, err
 		}
 	}
 	return serve.Daemon{
-		Apps:     more,
+		Apps:     apps,
 		Services: daemon.Services(), App: daemon.App(), Run: daemon.Run, Stop: daemon.Stop,
 		Running: daemon.Decider.Running,
-		Closed:  func() { _ = switched.To("") }, Retrace: switched.To,
+		Closed:  func() { _ = tracing.To("") }, Retrace: tracing.To,
 	}, nil
 }
 
--- a/cmd/fleet/explain.go
+++ b/cmd/fleet/explain.go
@@ -12,15 +12,15 @@
 	"swifttiller/fleet"
 )
 
-// explainCommand sums up the choices that data daemons logged.
+// explainCommand summarizes the routing decisions that data daemons logged.
 type explainCommand struct{}
 
 func (*explainCommand) Name() string { return "explain" }
 func (*explainCommand) Synopsis() string {
-	return "sum up why first pieces came late, from data daemons' logs"
+	return "summarize why the first pieces of responses were late, from the logs of data daemons"
 }
 func (*explainCommand) Usage() string {
-	return "fleet explain [FILE...]\nreads logs of data daemons that run with --choices; standard input without files\n"
+	return "fleet explain [FILE...]\nReads the logs of data daemons that run with --choices; without files, reads standard input.\n"
 }
 func (*explainCommand) SetFlags(*flag.FlagSet) {}
 
@@ -44,7 +44,7 @@
 		return subcommands.ExitFailure
 	}
 	if len(choices) == 0 {
-		fmt.Fprintln(os.Stderr, "no choices in the logs: do the data daemons run with --choices?")
+		fmt.Fprintln(os.Stderr, "the logs contain no routing decisions; check that the data daemons run with --choices")
 		return subcommands.ExitFailure
 	}
 	fleet.WriteExplained(os.Stdout, fleet.Explain(choices))
--- a/cmd/fleet/main.go
+++ b/cmd/fleet/main.go
@@ -1,5 +1,5 @@
-// Command fleet runs the stand-ins of a local fleet: replicas, a platform and
-// callers. It is a proof tool, not product.
+// Command fleet runs the simulated parts of a local fleet: replicas, a platform and callers.
+// It is a tool for tests and measurements, not part of the product.
 package main
 
 import (
@@ -18,7 +18,8 @@
 	"swifttiller/serve"
 )
 
-type stand struct {
+// serverFlags holds the flags of the simulated replica and the simulated platform.
+type serverFlags struct {
 	id, zone, http, held, bad, cuts string
 	capacity, cold                  int
 	loading, prefill, decode        time.Duration
@@ -27,62 +28,62 @@
 	replicas                        string
 }
 
-type replicaCommand struct{ stand }
+type replicaCommand struct{ serverFlags }
 
 func (*replicaCommand) Name() string     { return "replica" }
-func (*replicaCommand) Synopsis() string { return "run a stand-in replica" }
+func (*replicaCommand) Synopsis() string { return "run a simulated replica" }
 func (*replicaCommand) Usage() string    { return "fleet replica --id ID --http IP:PORT [flags]\n" }
 func (command *replicaCommand) SetFlags(set *flag.FlagSet) {
 	set.StringVar(&command.id, "id", "r1", "the replica's id")
 	set.StringVar(&command.zone, "zone", "", "its zone")
 	set.StringVar(&command.http, "http", "127.0.0.1:7401", "IP:port")
-	set.StringVar(&command.held, "held", "", "versions loaded from the start, as model/version, by comma")
+	set.StringVar(&command.held, "held", "", "comma-separated versions that are loaded at the start, as model/version")
 	set.StringVar(&command.bad, "bad", "", "a version that fails, as version or version/kind")
-	set.StringVar(&command.cuts, "cuts", "", "a kind whose answers it cuts after the first event")
-	set.BoolVar(&command.odd, "odd", false, "requests of the kinds odd-reset, odd-reset-head, odd-reset-stream, odd-silent, odd-hang, odd-bad-head, odd-bad-chunk, odd-half, odd-no-done and odd-other go wrong on the wire")
-	set.IntVar(&command.capacity, "capacity", 8, "cost units it bears at once")
-	set.IntVar(&command.cold, "cold", 20, "answers until it is warm")
+	set.StringVar(&command.cuts, "cuts", "", "a kind of request whose responses are cut off after the first event")
+	set.BoolVar(&command.odd, "odd", false, "requests of the kinds odd-reset, odd-reset-head, odd-reset-stream, odd-silent, odd-hang, odd-bad-head, odd-bad-chunk, odd-half, odd-no-done and odd-other trigger connection and protocol faults")
+	set.IntVar(&command.capacity, "capacity", 8, "capacity in concurrent cost units")
+	set.IntVar(&command.cold, "cold", 20, "number of responses until it is warm")
 	set.DurationVar(&command.loading, "loading", time.Second, "how long loading a version takes")
-	set.DurationVar(&command.prefill, "prefill", 5*time.Millisecond, "per KiB of prompt that is not cached")
-	set.DurationVar(&command.decode, "decode", time.Millisecond, "per token")
-	set.BoolVar(&command.reports, "reports", false, "report load in probes")
+	set.DurationVar(&command.prefill, "prefill", 5*time.Millisecond, "prefill time per KiB of prompt that is not cached")
+	set.DurationVar(&command.decode, "decode", time.Millisecond, "decode time per token")
+	set.BoolVar(&command.reports, "reports", false, "report the load in responses to probes")
 }
 
 func (command *replicaCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
-	one := fleet.NewReplica(fleet.ReplicaOptions{
+	replica := fleet.NewReplica(fleet.ReplicaOptions{
 		World: loop.NewMachine(), ID: command.id, Zone: command.zone, Address: command.http, Boot: serve.Incarnation(), Capacity: command.capacity,
 		ColdShare: 0.125, ColdAnswers: command.cold, Loading: command.loading, Prefill: command.prefill, Decode: command.decode, Cached: 8, Reports: command.reports,
-		Held: words(command.held), Cuts: command.cuts, Odd: command.odd,
+		Held: splitList(command.held), Cuts: command.cuts, Odd: command.odd,
 		Bad: func(version, kind string, _ int) bool {
-			badVersion, badKind, both := strings.Cut(command.bad, "/")
-			return command.bad != "" && version == badVersion && (!both || kind == badKind)
+			badVersion, badKind, hasKind := strings.Cut(command.bad, "/")
+			return command.bad != "" && version == badVersion && (!hasKind || kind == badKind)
 		},
 	})
-	return listen(one.App(), command.http)
+	return listen(replica.App(), command.http)
 }
 
-type platformCommand struct{ stand }
+type platformCommand struct{ serverFlags }
 
 func (*platformCommand) Name() string     { return "platform" }
-func (*platformCommand) Synopsis() string { return "run a stand-in platform" }
+func (*platformCommand) Synopsis() string { return "run a simulated platform" }
 func (*platformCommand) Usage() string {
 	return "fleet platform --http IP:PORT --replicas region/zone/id=IP:PORT,...\n"
 }
 func (command *platformCommand) SetFlags(set *flag.FlagSet) {
 	set.StringVar(&command.http, "http", "127.0.0.1:7400", "IP:port")
-	set.StringVar(&command.replicas, "replicas", "", "what to list, as region/zone/id=IP:PORT, by comma")
-	set.DurationVar(&command.lag, "lag", 500*time.Millisecond, "how late the list is")
-	set.DurationVar(&command.least, "least", 200*time.Millisecond, "least time between two questions about a region")
+	set.StringVar(&command.replicas, "replicas", "", "comma-separated replicas to list, as region/zone/id=IP:PORT")
+	set.DurationVar(&command.lag, "lag", 500*time.Millisecond, "delay until a change appears in the list")
+	set.DurationVar(&command.least, "least", 200*time.Millisecond, "minimum time between two requests for the same region")
 }
 
 func (command *platformCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
 	world := loop.NewMachine()
 	platform := fleet.NewPlatform(world.Now, command.lag, command.least)
-	for _, word := range words(command.replicas) {
-		place, address, _ := strings.Cut(word, "=")
-		parts := strings.Split(place, "/")
+	for _, entry := range splitList(command.replicas) {
+		path, address, _ := strings.Cut(entry, "=")
+		parts := strings.Split(path, "/")
 		if len(parts) != 3 || address == "" {
-			fmt.Fprintf(os.Stderr, "fleet: %q is no region/zone/id=IP:PORT\n", word)
+			fmt.Fprintf(os.Stderr, "fleet: %q is not of the form region/zone/id=IP:PORT\n", entry)
 			return subcommands.ExitUsageError
 		}
 		platform.Add(parts[0], parts[2], address, parts[1])
@@ -97,39 +98,40 @@
 
 func (*callCommand) Name() string { return "call" }
 func (*callCommand) Synopsis() string {
-	return "send requests as a caller does, and count what came back"
+	return "send requests as a caller and count the outcomes"
 }
 func (*callCommand) Usage() string {
-	return "fleet call --at IP:PORT[,IP:PORT] --model M --kind K [flags]\n  Exit: 0 every request was answered whole, 1 some were not.\n"
+	return "fleet call --at IP:PORT[,IP:PORT] --model M --kind K [flags]\n  Exit status: 0 every request was answered completely, 1 some were not.\n"
 }
 func (command *callCommand) SetFlags(set *flag.FlagSet) {
-	set.StringVar(&command.at, "at", "127.0.0.1:7301", "HTTP addresses of data daemons, by comma")
+	set.StringVar(&command.at, "at", "127.0.0.1:7301", "comma-separated HTTP addresses of data daemons")
 	set.StringVar(&command.Model, "model", "roster", "model")
 	set.StringVar(&command.Kind, "kind", "check", "kind of request")
 	set.StringVar(&command.Home, "home", "", "home tag")
 	set.StringVar(&command.Zone, "zone", "", "the caller's zone")
 	set.IntVar(&command.Count, "count", 10, "requests")
-	set.IntVar(&command.Workers, "workers", 2, "callers at a time")
-	set.IntVar(&command.Bytes, "bytes", 4000, "prompt length")
-	set.IntVar(&command.Tokens, "tokens", 32, "answer length")
-	set.IntVar(&command.Rosters, "rosters", 3, "distinct prompt beginnings")
+	set.IntVar(&command.Workers, "workers", 2, "number of concurrent callers")
+	set.IntVar(&command.Bytes, "bytes", 4000, "prompt length in bytes")
+	set.IntVar(&command.Tokens, "tokens", 32, "response length in tokens")
+	set.IntVar(&command.Rosters, "rosters", 3, "number of distinct prompt prefixes")
 	set.DurationVar(&command.Pause, "pause", 0, "pause between a caller's requests")
-	set.IntVar(&command.Retries, "retries", 3, "retries of a request that was not run")
-	set.StringVar(&command.Direct, "direct", "", "a replica's IP:PORT to send to without any daemon, for comparison (give --model as model@version)")
-	set.BoolVar(&command.Show, "show", false, "print each request's end")
+	set.IntVar(&command.Retries, "retries", 3, "maximum retries of a request that was not run")
+	set.StringVar(&command.Direct, "direct", "", "a replica's IP:PORT to send to directly, without a data daemon, for comparison (give --model as model@version)")
+	set.BoolVar(&command.Show, "show", false, "print the outcome of each request")
 }
 
 func (command *callCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
-	command.At = words(command.at)
-	tally := fleet.Call(command.CallerOptions)
-	fmt.Println(tally)
-	if tally.OK != command.Count {
+	command.At = splitList(command.at)
+	counters := fleet.Call(command.CallerOptions)
+	fmt.Println(counters)
+	if counters.OK != command.Count {
 		return subcommands.ExitFailure
 	}
 	return subcommands.ExitSuccess
 }
 
-func words(text string) []string {
+// splitList splits a comma-separated list; an empty text gives no elements.
+func splitList(text string) []string {
 	if text == "" {
 		return nil
 	}
--- a/cmd/fleet/model.go
+++ b/cmd/fleet/model.go
@@ -14,7 +14,7 @@
 	"swifttiller/modelcheck"
 )
 
-// modelCommand explores the worlds of package modelcheck for as long as a developer likes.
+// modelCommand explores the models of package modelcheck, with limits set by flags.
 type modelCommand struct {
 	world  string
 	bounds modelcheck.Bounds
@@ -22,27 +22,27 @@
 
 func (*modelCommand) Name() string { return "check-model" }
 func (*modelCommand) Synopsis() string {
-	return "explore small worlds of registers for schedules that break a promise"
+	return "explore small models of registers for schedules that violate an invariant"
 }
 func (*modelCommand) Usage() string {
 	return `fleet check-model [--world NAME] [--runs COUNT] [--deviations COUNT]
-  Explores the worlds: messages delivered, lost, repeated and overtaken, losses of power.
-  It says how many states it saw, and what it left out.
-  Exit: 0 nothing found, 1 a promise was broken (the run is printed), 2 wrong usage.
+  Explores schedules in which messages are delivered, lost, duplicated and reordered, and
+  machines lose power. Prints how many states it visited and what it left out.
+  Exit status: 0 nothing found, 1 an invariant was violated (the run is printed), 2 invalid usage.
 `
 }
 
 func (command *modelCommand) SetFlags(set *flag.FlagSet) {
-	set.StringVar(&command.world, "world", "", "one of "+strings.Join(slices.Sorted(maps.Keys(modelcheck.AllWorlds())), ", ")+"; all without")
-	set.IntVar(&command.bounds.Runs, "runs", 20000, "most runs of each world")
-	set.IntVar(&command.bounds.Deviations, "deviations", 6, "most unusual steps in a run")
+	set.StringVar(&command.world, "world", "", "the model to explore: "+strings.Join(slices.Sorted(maps.Keys(modelcheck.AllWorlds())), ", ")+"; default all")
+	set.IntVar(&command.bounds.Runs, "runs", 20000, "maximum number of runs of each model")
+	set.IntVar(&command.bounds.Deviations, "deviations", 6, "maximum number of unusual steps in a run")
 }
 
 func (command *modelCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
 	names := slices.Sorted(maps.Keys(modelcheck.AllWorlds()))
 	if command.world != "" {
 		if _, isKnown := modelcheck.AllWorlds()[command.world]; !isKnown {
-			fmt.Fprintf(os.Stderr, "fleet check-model: no world %q; there are %s\n", command.world, strings.Join(names, ", "))
+			fmt.Fprintf(os.Stderr, "fleet check-model: unknown model %q; the models are %s\n", command.world, strings.Join(names, ", "))
 			return subcommands.ExitUsageError
 		}
 		names = []string{command.world}
