--- a/scripts/ablations/main.go
+++ b/scripts/ablations/main.go
@@ -1,6 +1,7 @@
-// Command ablations switches mechanisms off one at a time, each in a scratch clone of the last
-// commit, plays days of a bench with and without it, and writes what each is worth. Exit: 0
-// all were played, 1 one was not, 2 wrong usage or a mechanism that does not fit the code.
+// Command ablations measures the benefit of mechanisms. It switches them off one at a time, each in
+// a temporary clone of the last commit, runs days of a benchmark with and without it, and prints a
+// table of the differences. Exit status: 0 all runs succeeded, 1 a run failed, 2 invalid usage or a
+// mechanism that no longer matches the source.
 //
 //	go run ./scripts/ablations -bench PROGRAM -site FILE -days scale-1,scale-2 -seeds 1,2
 package main
@@ -20,22 +21,22 @@
 	"swifttiller/scripts/edits"
 )
 
-// options are the command's flags.
+// options holds the command's flags.
 type options struct {
 	bench, site, days, seeds, only, label string
 	jobs                                  int
 }
 
-// play is one day with one seed.
+// play is a benchmark run: a day and a seed.
 type play struct{ day, seed string }
 
-// worth is what a report says of a day; Broken names the rules that broke.
+// worth holds the fields read from the report of a run: its score, and the rules that were violated.
 type worth struct {
 	Value  float64        `json:"G"`
 	Broken map[string]any `json:"breaks"`
 }
 
-// result is what one play without a mechanism gave, or why it gave nothing.
+// result is the outcome of a run without a mechanism, or the error that prevented it.
 type result struct {
 	mechanism string
 	play      play
@@ -43,22 +44,22 @@
 	err       error
 }
 
-// nothing names the tree as it is.
+// nothing is the mechanism name of runs on the unchanged tree.
 const nothing = "nothing"
 
 func main() {
 	var opts options
-	flag.StringVar(&opts.bench, "bench", "", "the bench's program")
-	flag.StringVar(&opts.site, "site", "", "the site file")
-	flag.StringVar(&opts.days, "days", "scale-1", "days, by comma")
-	flag.StringVar(&opts.seeds, "seeds", "1", "seeds, by comma")
-	flag.StringVar(&opts.only, "only", "", "only the mechanisms whose name has this in it")
-	flag.StringVar(&opts.label, "label", "", "what the runs are for, for the journal")
-	flag.IntVar(&opts.jobs, "jobs", 3, "how many days at a time")
+	flag.StringVar(&opts.bench, "bench", "", "path of the benchmark program")
+	flag.StringVar(&opts.site, "site", "", "path of the site file")
+	flag.StringVar(&opts.days, "days", "scale-1", "comma-separated days")
+	flag.StringVar(&opts.seeds, "seeds", "1", "comma-separated seeds")
+	flag.StringVar(&opts.only, "only", "", "run only mechanisms whose name contains this text")
+	flag.StringVar(&opts.label, "label", "", "purpose of the runs, recorded in the journal")
+	flag.IntVar(&opts.jobs, "jobs", 3, "number of days that run at the same time")
 	flag.Parse()
 	list, err := mechanisms("scripts/ablations/all.ablation", opts.only)
 	if err == nil && (opts.bench == "" || opts.site == "") {
-		err = errors.New("-bench and -site are needed")
+		err = errors.New("-bench and -site are required")
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -70,16 +71,16 @@
 		os.Exit(2)
 	}
 	fmt.Print(table(list, results))
-	for _, one := range results {
-		if one.err != nil {
-			fmt.Fprintf(os.Stderr, "%s on %s, seed %s: %v\n", one.mechanism, one.play.day, one.play.seed, one.err)
+	for _, result := range results {
+		if result.err != nil {
+			fmt.Fprintf(os.Stderr, "%s on %s, seed %s: %v\n", result.mechanism, result.play.day, result.play.seed, result.err)
 			os.Exit(1)
 		}
 	}
 }
 
-// mechanisms reads those whose name has the word in it.
-func mechanisms(path, word string) (list []edits.Edit, err error) {
+// mechanisms parses the ablations in a file and returns those whose name contains part.
+func mechanisms(path, part string) (list []edits.Edit, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
@@ -88,39 +89,39 @@
 	if err != nil {
 		return nil, err
 	}
-	for _, one := range all {
-		if strings.Contains(one.Name, word) {
-			list = append(list, one)
+	for _, edit := range all {
+		if strings.Contains(edit.Name, part) {
+			list = append(list, edit)
 		}
 	}
 	return list, nil
 }
 
-// run plays every day with the tree as it is, and without each mechanism.
+// run runs every day with every seed on the unchanged tree, and without each mechanism.
 func run(opts options, list []edits.Edit) (results []result, err error) {
 	root, err := os.MkdirTemp("", "ablations")
 	if err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(root)
-	var guard sync.Mutex
+	var mutex sync.Mutex
 	var group sync.WaitGroup
-	free := make(chan struct{}, opts.jobs)
-	for _, one := range append([]edits.Edit{{Name: nothing}}, list...) {
-		clone, err := without(root, one)
+	slots := make(chan struct{}, opts.jobs)
+	for _, edit := range append([]edits.Edit{{Name: nothing}}, list...) {
+		clone, err := cloneWithout(root, edit)
 		if err != nil {
-			return nil, fmt.Errorf("%s: %w", one.Name, err)
+			return nil, fmt.Errorf("%s: %w", edit.Name, err)
 		}
 		for _, day := range strings.Split(opts.days, ",") {
 			for _, seed := range strings.Split(opts.seeds, ",") {
 				group.Add(1)
-				free <- struct{}{}
+				slots <- struct{}{}
 				go func() {
-					defer func() { <-free; group.Done() }()
-					got := played(opts, clone, one.Name, play{day, seed})
-					guard.Lock()
-					defer guard.Unlock()
-					results = append(results, got)
+					defer func() { <-slots; group.Done() }()
+					outcome := runDay(opts, clone, edit.Name, play{day, seed})
+					mutex.Lock()
+					defer mutex.Unlock()
+					results = append(results, outcome)
 				}()
 			}
 		}
@@ -129,28 +130,28 @@
 	return results, nil
 }
 
-// without makes a clone that lacks the mechanism.
-func without(root string, one edits.Edit) (clone string, err error) {
-	clone = filepath.Join(root, one.Name)
+// cloneWithout clones the repository below root and switches the mechanism off in the clone.
+func cloneWithout(root string, edit edits.Edit) (clone string, err error) {
+	clone = filepath.Join(root, edit.Name)
 	if out, err := exec.Command("git", "clone", "-q", ".", clone).CombinedOutput(); err != nil {
 		return "", fmt.Errorf("%w: %s", err, out)
 	}
-	if one.Name == nothing {
+	if edit.Name == nothing {
 		return clone, nil
 	}
-	code, err := one.Apply(clone)
+	code, err := edit.Apply(clone)
 	if err != nil {
 		return "", err
 	}
-	return clone, os.WriteFile(filepath.Join(clone, one.File), code, 0o600)
+	return clone, os.WriteFile(filepath.Join(clone, edit.File), code, 0o600)
 }
 
-// played plays one day in the clone, and takes its journal entry over.
-func played(opts options, clone, mechanism string, one play) result {
-	out := result{mechanism: mechanism, play: one}
-	report := filepath.Join(clone, "target", one.day+"-"+one.seed+".json")
-	why := fmt.Sprintf("ablation: without %s; %s", mechanism, opts.label)
-	command := exec.Command(opts.bench, "run", opts.site, one.day, "--seed", one.seed, "--no-cpu", "--jobs", "1", "--report", report, "--why", why)
+// runDay runs one day in the clone, and copies its journal entry to the journal of this tree.
+func runDay(opts options, clone, mechanism string, run play) result {
+	out := result{mechanism: mechanism, play: run}
+	report := filepath.Join(clone, "target", run.day+"-"+run.seed+".json")
+	reason := fmt.Sprintf("ablation: without %s; %s", mechanism, opts.label)
+	command := exec.Command(opts.bench, "run", opts.site, run.day, "--seed", run.seed, "--no-cpu", "--jobs", "1", "--report", report, "--why", reason)
 	command.Dir = clone
 	if text, err := command.CombinedOutput(); err != nil {
 		out.err = fmt.Errorf("%w: %s", err, text[max(0, len(text)-400):])
@@ -161,18 +162,19 @@
 		out.err = err
 	}
 	if copied, err := exec.Command("cp", "-rn", filepath.Join(clone, "journal")+"/.", "journal").CombinedOutput(); err != nil && out.err == nil {
-		out.err = fmt.Errorf("the journal entry was not kept: %s", copied)
+		out.err = fmt.Errorf("the journal entry could not be copied: %s", copied)
 	}
 	return out
 }
 
-// table writes what each mechanism is worth: the worth with it less that without, its mean
-// and spread over the plays, and which rules broke without it.
+// table formats a Markdown table of the mechanisms. The benefit of a mechanism is the score with it
+// minus the score without it; the table has its mean and mean absolute deviation over the runs that
+// succeeded both ways, and the number of rules violated without the mechanism.
 func table(list []edits.Edit, results []result) string {
-	whole := map[play]float64{}
-	for _, one := range results {
-		if one.mechanism == nothing && one.err == nil {
-			whole[one.play] = one.worth.Value
+	baseline := map[play]float64{}
+	for _, result := range results {
+		if result.mechanism == nothing && result.err == nil {
+			baseline[result.play] = result.worth.Value
 		}
 	}
 	out := &strings.Builder{}
@@ -180,13 +182,13 @@
 	for _, mechanism := range list {
 		var gains []float64
 		broken := 0
-		for _, one := range results {
-			with, isKnown := whole[one.play]
-			if one.mechanism != mechanism.Name || one.err != nil || !isKnown {
+		for _, result := range results {
+			with, isKnown := baseline[result.play]
+			if result.mechanism != mechanism.Name || result.err != nil || !isKnown {
 				continue
 			}
-			gains = append(gains, with-one.worth.Value)
-			broken += len(one.worth.Broken)
+			gains = append(gains, with-result.worth.Value)
+			broken += len(result.worth.Broken)
 		}
 		mean, spread := summary(gains)
 		fmt.Fprintf(out, "| %s | %s | %d | %+.4f | %.4f | %d |\n", mechanism.Name, mechanism.What, len(gains), mean, spread, broken)
@@ -194,16 +196,16 @@
 	return out.String()
 }
 
-// summary gives the mean, and the mean distance from it.
+// summary returns the mean and the mean absolute deviation, both NaN without values.
 func summary(values []float64) (mean, spread float64) {
 	if len(values) == 0 {
 		return math.NaN(), math.NaN()
 	}
-	for _, one := range values {
-		mean += one / float64(len(values))
+	for _, value := range values {
+		mean += value / float64(len(values))
 	}
-	for _, one := range values {
-		spread += math.Abs(one-mean) / float64(len(values))
+	for _, value := range values {
+		spread += math.Abs(value-mean) / float64(len(values))
 	}
 	return mean, spread
 }
--- a/scripts/ablations/main_test.go
+++ b/scripts/ablations/main_test.go
@@ -8,21 +8,21 @@
 	"swifttiller/scripts/edits"
 )
 
-// TestMechanismsFit: each mechanism's lines stand in its file, once.
+// TestMechanismsFit checks that the old lines of each mechanism occur exactly once in its file.
 func TestMechanismsFit(t *testing.T) {
 	list, err := mechanisms("all.ablation", "")
 	if err != nil || len(list) < 8 {
-		t.Fatalf("%d mechanisms: %v", len(list), err)
+		t.Fatalf("%d mechanisms, want at least 8 and no error: %v", len(list), err)
 	}
-	for _, one := range list {
-		if _, err := one.Apply("../.."); err != nil {
-			t.Errorf("%s does not fit %s: %v", one.Name, one.File, err)
+	for _, edit := range list {
+		if _, err := edit.Apply("../.."); err != nil {
+			t.Errorf("%s does not fit %s: %v", edit.Name, edit.File, err)
 		}
 	}
 }
 
-// TestTable: the worth of a mechanism is what the days lose without it, over those that were
-// played both ways.
+// TestTable checks that the benefit of a mechanism is the mean loss of score without it, over the
+// runs that exist both with and without it.
 func TestTable(t *testing.T) {
 	first, second := play{"a", "1"}, play{"a", "2"}
 	text := table([]edits.Edit{{Name: "owners", What: "w"}, {Name: "unplayed"}}, []result{
@@ -34,6 +34,6 @@
 		t.Error(text)
 	}
 	if mean, _ := summary(nil); !math.IsNaN(mean) {
-		t.Error("a mean of nothing")
+		t.Error("summary of no values: the mean is not NaN")
 	}
 }
--- a/scripts/edits/edits.go
+++ b/scripts/edits/edits.go
@@ -1,6 +1,6 @@
-// Package edits reads named changes of the code from text files, and applies them to a tree:
-// guards that are disabled to see a test fail, mechanisms that are switched off to see what
-// they are worth.
+// Package edits parses named source changes from text files and applies them to a source tree:
+// mutants, which disable a guard so that a test must fail, and ablations, which switch a
+// mechanism off to measure its benefit.
 package edits
 
 import (
@@ -11,22 +11,23 @@
 	"strings"
 )
 
-// Edit is one change of one file.
+// Edit is a change at one place of one file.
 type Edit struct {
-	// Name is its own, File the file's path from the root of the tree.
+	// Name identifies the edit, File is the path of the file relative to the root of the tree.
 	Name, File string
-	// Rule and Test are, of a disabled guard, the rule that breaks and the test that shows it.
+	// Rule and Test are set for mutants: the rule that is violated without the guard, and the
+	// arguments of the `go test` that must report it.
 	Rule, Test string
-	// What is, of a mechanism, what it does.
+	// What is set for ablations: a description of the mechanism.
 	What string
-	// Old are the lines that Fresh stands for.
+	// Old holds the lines that are replaced by Fresh.
 	Old, Fresh string
 }
 
-// ErrUnfit tells that an edit does not fit the code any more.
-var ErrUnfit = errors.New("does not fit the code: its old lines must stand there once")
+// ErrUnfit is returned for an edit that no longer matches the source.
+var ErrUnfit = errors.New("does not fit the code: its old lines must occur there exactly once")
 
-// field gives the place of a key's value; nil for an unknown key.
+// field returns a pointer to the field for a key, or nil if the key is unknown.
 func (edit *Edit) field(key string) *string {
 	switch key {
 	case "name":
@@ -43,43 +44,46 @@
 	return nil
 }
 
-// Parse reads edits: `key: value` lines, then the old lines after `<<<<`, the new ones after
-// `====`, ended by `>>>>`. Each needs a name, a file, old lines, and the named keys.
+// Parse parses a list of edits. Each has `key: value` lines, then the old lines after `<<<<`, the
+// new lines after `====`, and ends with `>>>>`. A name, a file, old lines and the needed keys are
+// mandatory. Empty lines and lines that begin with # are ignored between edits.
 func Parse(text string, needed ...string) (list []Edit, err error) {
-	var one Edit
-	var into *string
+	var edit Edit
+	var target *string
 	for number, line := range strings.Split(text, "\n") {
 		key, value, _ := strings.Cut(line, ": ")
 		switch {
 		case line == "<<<<":
-			into = &one.Old
+			target = &edit.Old
 		case line == "====":
-			into = &one.Fresh
+			target = &edit.Fresh
 		case line == ">>>>":
 			for _, key := range append([]string{"name", "file"}, needed...) {
-				if *one.field(key) == "" {
-					return nil, fmt.Errorf("line %d: edit %q lacks %s", number+1, one.Name, key)
+				if *edit.field(key) == "" {
+					return nil, fmt.Errorf("line %d: edit %q has no %s", number+1, edit.Name, key)
 				}
 			}
-			if one.Old == "" {
-				return nil, fmt.Errorf("line %d: edit %q lacks old lines", number+1, one.Name)
+			if edit.Old == "" {
+				return nil, fmt.Errorf("line %d: edit %q has no old lines", number+1, edit.Name)
 			}
-			// The last line may be the beginning of a longer one.
-			one.Old, one.Fresh = strings.TrimSuffix(one.Old, "\n"), strings.TrimSuffix(one.Fresh, "\n")
-			list, one, into = append(list, one), Edit{}, nil
-		case into != nil:
-			*into += line + "\n"
+			// Without the final newline, the last old line may match the beginning of a longer line.
+			edit.Old, edit.Fresh = strings.TrimSuffix(edit.Old, "\n"), strings.TrimSuffix(edit.Fresh, "\n")
+			list, edit, target = append(list, edit), Edit{}, nil
+		case target != nil:
+			*target += line + "\n"
 		case line == "" || strings.HasPrefix(line, "#"):
-		case one.field(key) != nil:
-			*one.field(key) = value
+		case edit.field(key) != nil:
+			*edit.field(key) = value
 		default:
-			return nil, fmt.Errorf("line %d: %q", number+1, line)
+			return nil, fmt.Errorf("line %d: unexpected %q", number+1, line)
 		}
 	}
 	return list, nil
 }
 
-// Apply gives the file's contents with the change in it. ErrUnfit, or why it can't be read.
+// Apply returns the contents of the file below root with the edit applied; the file itself is not
+// changed. It fails with ErrUnfit if the old lines do not occur exactly once, or with the error of
+// reading the file.
 func (edit *Edit) Apply(root string) ([]byte, error) {
 	code, err := os.ReadFile(filepath.Join(root, edit.File))
 	if err != nil {
--- a/scripts/mutants/main_test.go
+++ b/scripts/mutants/main_test.go
@@ -8,8 +8,8 @@
 	"swifttiller/scripts/edits"
 )
 
-// TestMutantsFit: each mutant's old lines stand in its file, once, and each rule
-// has two of them at least.
+// TestMutantsFit checks that the old lines of each mutant occur exactly once in its file, and that
+// each rule has at least two mutants. Mutants stop matching when the lines that they quote change.
 func TestMutantsFit(t *testing.T) {
 	text, err := os.ReadFile("all.mutant")
 	if err != nil {
@@ -20,29 +20,30 @@
 		t.Fatal(err)
 	}
 	rules := map[string]int{}
-	for _, one := range list {
-		rules[one.Rule]++
-		if _, err := one.Apply("../.."); err != nil {
-			t.Errorf("%s does not fit %s (%v)", one.Name, one.File, err)
+	for _, edit := range list {
+		rules[edit.Rule]++
+		if _, err := edit.Apply("../.."); err != nil {
+			t.Errorf("%s does not fit %s (%v)", edit.Name, edit.File, err)
 		}
 	}
 	for _, rule := range []string{"twice", "foreign", "lost", "old config", "fallback", "leaving", "bad version", "flooded", "home", "evacuated", "retries", "recovery", "keys", "tenant"} {
 		if rules[rule] < 2 {
-			t.Errorf("only %d mutants for %q", rules[rule], rule)
+			t.Errorf("%d mutants for rule %q, want at least 2", rules[rule], rule)
 		}
 	}
 	if _, err := edits.Parse("name: x\nrule: y\n<<<<\na\n====\nb\n>>>>\n", "rule", "test"); err == nil {
-		t.Error("a mutant without file and test was taken")
+		t.Error("Parse accepted a mutant without file and test")
 	}
 }
 
-// plantedInCI begin the names of the mutants that CI plants each time; each takes seconds.
+// plantedInCI lists prefixes of the names of the mutants that CI runs each time; each takes seconds.
 var plantedInCI = []string{"model-", "health-one", "health-extended", "health-of-any"}
 
-// TestPlantedBugsAreSeen: the checks that guard the control side find bugs that are planted.
+// TestPlantedBugsAreSeen guards the checks of the control plane: with a bug planted by a mutant, the
+// mutant's test must fail and report the violated rule.
 func TestPlantedBugsAreSeen(t *testing.T) {
 	if testing.Short() {
-		t.Skip("the other half of CI plants them")
+		t.Skip("these mutants run in the other half of CI")
 	}
 	text, err := os.ReadFile("all.mutant")
 	if err != nil {
@@ -54,20 +55,20 @@
 	}
 	t.Chdir("../..")
 	folder, planted := t.TempDir(), 0
-	for _, one := range list {
-		for _, beginning := range plantedInCI {
-			if !strings.HasPrefix(one.Name, beginning) {
+	for _, edit := range list {
+		for _, prefix := range plantedInCI {
+			if !strings.HasPrefix(edit.Name, prefix) {
 				continue
 			}
 			planted++
-			isSeen, how, err := try(folder, one)
-			if err != nil || !isSeen {
-				t.Errorf("%s is not seen by %s: %v", one.Name, one.Test, err)
+			isKilled, violation, err := runMutant(folder, edit)
+			if err != nil || !isKilled {
+				t.Errorf("mutant %s is not detected by %s: %v", edit.Name, edit.Test, err)
 			}
-			t.Logf("%s: %s", one.Name, how)
+			t.Logf("%s: %s", edit.Name, violation)
 		}
 	}
 	if planted < 15 {
-		t.Errorf("vacuous: %d were planted", planted)
+		t.Errorf("only %d mutants were run, want at least 15", planted)
 	}
 }
