--- a/scripts/ablations/main.go
+++ b/scripts/ablations/main.go
@@ -27,11 +27,11 @@
 	jobs                                  int
 }
 
-// play is a benchmark run: a day and a seed.
-type play struct{ day, seed string }
+// benchmarkRun is a benchmark run: a day and a seed.
+type benchmarkRun struct{ day, seed string }
 
-// worth holds the fields read from the report of a run: its score, and the rules that were violated.
-type worth struct {
+// score holds the fields read from the report of a run: its value, and the rules that were violated.
+type score struct {
 	Value  float64        `json:"G"`
 	Broken map[string]any `json:"breaks"`
 }
@@ -39,8 +39,8 @@
 // result is the outcome of a run without a mechanism, or the error that prevented it.
 type result struct {
 	mechanism string
-	play      play
-	worth     worth
+	run       benchmarkRun
+	score     score
 	err       error
 }
 
@@ -73,7 +73,7 @@
 	fmt.Print(table(list, results))
 	for _, result := range results {
 		if result.err != nil {
-			fmt.Fprintf(os.Stderr, "%s on %s, seed %s: %v\n", result.mechanism, result.play.day, result.play.seed, result.err)
+			fmt.Fprintf(os.Stderr, "%s on %s, seed %s: %v\n", result.mechanism, result.run.day, result.run.seed, result.err)
 			os.Exit(1)
 		}
 	}
@@ -118,7 +118,7 @@
 				slots <- struct{}{}
 				go func() {
 					defer func() { <-slots; group.Done() }()
-					outcome := runDay(opts, clone, edit.Name, play{day, seed})
+					outcome := runDay(opts, clone, edit.Name, benchmarkRun{day, seed})
 					mutex.Lock()
 					defer mutex.Unlock()
 					results = append(results, outcome)
@@ -147,8 +147,8 @@
 }
 
 // runDay runs one day in the clone, and copies its journal entry to the journal of this tree.
-func runDay(opts options, clone, mechanism string, run play) result {
-	out := result{mechanism: mechanism, play: run}
+func runDay(opts options, clone, mechanism string, run benchmarkRun) result {
+	out := result{mechanism: mechanism, run: run}
 	report := filepath.Join(clone, "target", run.day+"-"+run.seed+".json")
 	reason := fmt.Sprintf("ablation: without %s; %s", mechanism, opts.label)
 	command := exec.Command(opts.bench, "run", opts.site, run.day, "--seed", run.seed, "--no-cpu", "--jobs", "1", "--report", report, "--why", reason)
@@ -157,7 +157,7 @@
 		out.err = fmt.Errorf("%w: %s", err, text[max(0, len(text)-400):])
 	}
 	if text, err := os.ReadFile(report); err == nil {
-		out.err = json.Unmarshal(text, &out.worth)
+		out.err = json.Unmarshal(text, &out.score)
 	} else if out.err == nil {
 		out.err = err
 	}
@@ -171,10 +171,10 @@
 // minus the score without it; the table has its mean and mean absolute deviation over the runs that
 // succeeded both ways, and the number of rules violated without the mechanism.
 func table(list []edits.Edit, results []result) string {
-	baseline := map[play]float64{}
+	baseline := map[benchmarkRun]float64{}
 	for _, result := range results {
 		if result.mechanism == nothing && result.err == nil {
-			baseline[result.play] = result.worth.Value
+			baseline[result.run] = result.score.Value
 		}
 	}
 	out := &strings.Builder{}
@@ -183,12 +183,12 @@
 		var gains []float64
 		broken := 0
 		for _, result := range results {
-			with, isKnown := baseline[result.play]
+			with, isKnown := baseline[result.run]
 			if result.mechanism != mechanism.Name || result.err != nil || !isKnown {
 				continue
 			}
-			gains = append(gains, with-result.worth.Value)
-			broken += len(result.worth.Broken)
+			gains = append(gains, with-result.score.Value)
+			broken += len(result.score.Broken)
 		}
 		mean, spread := summary(gains)
 		fmt.Fprintf(out, "| %s | %s | %d | %+.4f | %.4f | %d |\n", mechanism.Name, mechanism.What, len(gains), mean, spread, broken)
--- a/scripts/ablations/main_test.go
+++ b/scripts/ablations/main_test.go
@@ -24,11 +24,11 @@
 // TestTable checks that the benefit of a mechanism is the mean loss of score without it, over the
 // runs that exist both with and without it.
 func TestTable(t *testing.T) {
-	first, second := play{"a", "1"}, play{"a", "2"}
+	first, second := benchmarkRun{"a", "1"}, benchmarkRun{"a", "2"}
 	text := table([]edits.Edit{{Name: "owners", What: "w"}, {Name: "unplayed"}}, []result{
-		{mechanism: nothing, play: first, worth: worth{Value: 0.9}}, {mechanism: nothing, play: second, worth: worth{Value: 0.8}},
-		{mechanism: "owners", play: first, worth: worth{Value: 0.7}}, {mechanism: "owners", play: second, worth: worth{Value: 0.7, Broken: map[string]any{"HOME": 1}}},
-		{mechanism: "owners", play: play{"b", "1"}, worth: worth{Value: 0.1}},
+		{mechanism: nothing, run: first, score: score{Value: 0.9}}, {mechanism: nothing, run: second, score: score{Value: 0.8}},
+		{mechanism: "owners", run: first, score: score{Value: 0.7}}, {mechanism: "owners", run: second, score: score{Value: 0.7, Broken: map[string]any{"HOME": 1}}},
+		{mechanism: "owners", run: benchmarkRun{"b", "1"}, score: score{Value: 0.1}},
 	})
 	if !strings.Contains(text, "| owners | w | 2 | +0.1500 | 0.0500 | 1 |") || !strings.Contains(text, "| unplayed |  | 0 | +NaN | NaN | 0 |") {
 		t.Error(text)
--- a/scripts/mutants/main.go
+++ b/scripts/mutants/main.go
@@ -29,7 +29,7 @@
 // runMutant runs the mutant's test with the changed file as an overlay, which it writes to the
 // folder. A mutant is killed if the test fails and its output has a line with the rule's name
 // followed by `: ` or ` at `; that line is returned.
-func runMutant(folder string, edit mutant) (killed bool, seen string, err error) {
+func runMutant(folder string, edit mutant) (killed bool, line string, err error) {
 	code, err := edit.Apply(".")
 	if err != nil {
 		return false, "", err
@@ -98,7 +98,7 @@
 		slots <- struct{}{}
 		go func() {
 			defer func() { <-slots; group.Done() }()
-			isKilled, seen, err := runMutant(folder, edit)
+			isKilled, line, err := runMutant(folder, edit)
 			mutex.Lock()
 			defer mutex.Unlock()
 			switch {
@@ -107,7 +107,7 @@
 				fmt.Printf("UNFIT    %-28s %s: %v\n", edit.Name, edit.Rule, err)
 			case isKilled:
 				killed++
-				fmt.Printf("killed   %-28s %s by %s: %s\n", edit.Name, edit.Rule, edit.Test, seen)
+				fmt.Printf("killed   %-28s %s by %s: %s\n", edit.Name, edit.Rule, edit.Test, line)
 			default:
 				survived++
 				fmt.Printf("SURVIVED %-28s %s under %s\n", edit.Name, edit.Rule, edit.Test)
