--- a/doctor/doctor.go
+++ b/doctor/doctor.go
@@ -59,8 +59,8 @@
 	exam.core()
 	exam.disks()
 	exam.clocks()
-	exam.datas()
-	exam.duties()
+	exam.count()
+	exam.elections()
 	exam.replicas()
 	exam.rollouts()
 	exam.settings()
@@ -73,9 +73,9 @@
 func sessions(status controlplane.Status) map[string]session.Session {
 	out := map[string]session.Session{}
 	for _, name := range slices.Sorted(maps.Keys(status.Locals)) {
-		for _, one := range status.Locals[name].Sessions {
-			if have, known := out[one.Member.Name]; !known || one.Age < have.Age {
-				out[one.Member.Name] = one
+		for _, report := range status.Locals[name].Sessions {
+			if freshest, known := out[report.Member.Name]; !known || report.Age < freshest.Age {
+				out[report.Member.Name] = report
 			}
 		}
 	}
@@ -103,24 +103,24 @@
 		exam.find("seed names nobody", Warning, "start a control daemon there or change the seeds in the daemons' settings", "no control daemon answers at seed %s", seed)
 	}
 	for _, name := range slices.Sorted(maps.Keys(status.Locals)) {
-		about := status.Locals[name].Acceptor
-		if about == nil {
+		acceptor := status.Locals[name].Acceptor
+		if acceptor == nil {
 			continue
 		}
 		switch {
-		case status.Core.Has(about.ID) && about.Core.Epoch < status.Core.Epoch:
-			exam.find("acceptor behind", Warning, "it catches up by itself within seconds; if not, look at its log", "%s (%s) is at core epoch %d of %d", name, about.ID, about.Core.Epoch, status.Core.Epoch)
-		case !status.Core.Has(about.ID):
-			exam.find("acceptor outside the core", Watch, "it is taken in by itself within seconds, up to seven votes, while a majority answers; if not, look at its disk and the ways to it, or `controlplane core add "+about.ID+"`", "%s has a disk but no vote (%s)", name, about.ID)
+		case status.Core.Has(acceptor.ID) && acceptor.Core.Epoch < status.Core.Epoch:
+			exam.find("acceptor behind", Warning, "it catches up by itself within seconds; if not, look at its log", "%s (%s) is at core epoch %d of %d", name, acceptor.ID, acceptor.Core.Epoch, status.Core.Epoch)
+		case !status.Core.Has(acceptor.ID):
+			exam.find("acceptor outside the core", Watch, "it is taken in by itself within seconds, up to seven votes, while a majority answers; if not, look at its disk and the ways to it, or `controlplane core add "+acceptor.ID+"`", "%s has a disk but no vote (%s)", name, acceptor.ID)
 		}
 	}
 	exam.copies()
 	exam.redundancy()
 }
 
-// lackingLong is from when on an acceptor that lacks copies does not come back by itself, as far
+// missingCopyAfter is from when on an acceptor that lacks copies does not come back by itself, as far
 // as can be told: a machine that started anew, or a whole disk, takes seconds.
-const lackingLong = time.Minute
+const missingCopyAfter = time.Minute
 
 // redundancy finds acceptors that have lacked copies, or have been silent, for long.
 func (exam *exam) redundancy() {
@@ -129,7 +129,7 @@
 		return
 	}
 	for _, id := range slices.Sorted(maps.Keys(redundancy.LackingFor)) {
-		if age := redundancy.LackingFor[id]; age >= lackingLong {
+		if age := redundancy.LackingFor[id]; age >= missingCopyAfter {
 			exam.find("a copy is missing", Warning, "start its machine or bring another one; if it runs, look for `copies compared` in its log",
 				"acceptor %s has been silent or behind for %v at least; %d more disks may be lost", id, age.Round(time.Second), redundancy.Losable)
 		}
@@ -173,20 +173,20 @@
 	}
 }
 
-// slowSync is from when on a sync is slow, as a share of a round's patience.
-const slowSync = 300 * time.Millisecond
+// slowSyncLimit is from when on a sync is slow, as a share of a round's patience.
+const slowSyncLimit = 300 * time.Millisecond
 
 func (exam *exam) disks() {
 	for _, name := range slices.Sorted(maps.Keys(exam.last.Status.Locals)) {
-		about := exam.last.Status.Locals[name].Acceptor
-		if about == nil {
+		acceptor := exam.last.Status.Locals[name].Acceptor
+		if acceptor == nil {
 			continue
 		}
-		if about.Disk.Broken != "" {
-			exam.find("disk does not keep", Critical, "free or replace the disk; the daemon votes again half a second after it takes writes", "%s: %s", name, about.Disk.Broken)
+		if acceptor.Disk.Broken != "" {
+			exam.find("disk does not keep", Critical, "free or replace the disk; the daemon votes again half a second after it takes writes", "%s: %s", name, acceptor.Disk.Broken)
 		}
-		if about.Disk.LastSync > slowSync {
-			exam.find("slow disk", Warning, "move the data folder to a faster disk; only this acceptor's vote is late", "%s: the last sync took %v", name, about.Disk.LastSync.Round(time.Millisecond))
+		if acceptor.Disk.LastSync > slowSyncLimit {
+			exam.find("slow disk", Warning, "move the data folder to a faster disk; only this acceptor's vote is late", "%s: the last sync took %v", name, acceptor.Disk.LastSync.Round(time.Millisecond))
 		}
 	}
 }
@@ -204,28 +204,28 @@
 	}
 }
 
-func (exam *exam) datas() {
+func (exam *exam) count() {
 	old := sessions(exam.first.Status)
-	datas := 0
+	count := 0
 	for _, name := range slices.Sorted(maps.Keys(exam.sessions)) {
-		one := exam.sessions[name]
-		if one.Member.Role != session.Data {
+		report := exam.sessions[name]
+		if report.Member.Role != session.Data {
 			continue
 		}
-		datas++
-		if one.Report.Permit <= one.Age {
-			exam.find("no permit", Critical, "look at its log and its ways to control daemons; it declines everything until it has one", "data daemon %s in %s has no permit", name, one.Member.Zone)
+		count++
+		if report.Report.Permit <= report.Age {
+			exam.find("no permit", Critical, "look at its log and its ways to control daemons; it declines everything until it has one", "data daemon %s in %s has no permit", name, report.Member.Zone)
 		}
-		if exam.last.Status.Majority && one.Report.Config < exam.first.Status.Serial && one.Report.Permit > one.Age {
-			exam.find("serial behind", Warning, "it should follow within a renewal; look at its log", "data daemon %s applies serial %d of %d", name, one.Report.Config, exam.last.Status.Serial)
+		if exam.last.Status.Majority && report.Report.Config < exam.first.Status.Serial && report.Report.Permit > report.Age {
+			exam.find("serial behind", Warning, "it should follow within a renewal; look at its log", "data daemon %s applies serial %d of %d", name, report.Report.Config, exam.last.Status.Serial)
 		}
 		if exam.tree != nil {
-			if region, known := exam.tree.RegionOf(one.Member.Zone); !known || region != one.Member.Region {
-				exam.find("settings clash", Warning, "name the zone in the configuration, or change the daemon's settings", "%s says it is in zone %s of region %s, which the configuration does not have", name, one.Member.Zone, one.Member.Region)
+			if region, known := exam.tree.RegionOf(report.Member.Zone); !known || region != report.Member.Region {
+				exam.find("settings clash", Warning, "name the zone in the configuration, or change the daemon's settings", "%s says it is in zone %s of region %s, which the configuration does not have", name, report.Member.Zone, report.Member.Region)
 			}
 		}
 		before := old[name]
-		if spent := one.Report.Declined["retry_budget"] - min(one.Report.Declined["retry_budget"], before.Report.Declined["retry_budget"]); before.Member.Incarnation == one.Member.Incarnation && spent > 0 {
+		if spent := report.Report.Declined["retry_budget"] - min(report.Report.Declined["retry_budget"], before.Report.Declined["retry_budget"]); before.Member.Incarnation == report.Member.Incarnation && spent > 0 {
 			exam.find("retry budget spent", Warning, "callers ask again faster than a fifth of real demand; look for what fails first, then for eager callers", "data daemon %s declined %d retries between two looks", name, spent)
 		}
 	}
@@ -234,12 +234,12 @@
 			exam.find("holder without session", Watch, "start it again or leave it: its record retires by itself; until then every apply waits for its permit to expire", "data daemon %s had a permit and is no member", name)
 		}
 	}
-	if exam.last.Status.Majority && datas == 0 {
+	if exam.last.Status.Majority && count == 0 {
 		exam.find("no data daemons", Critical, "start data daemons", "no data daemon is a member")
 	}
 }
 
-func (exam *exam) duties() {
+func (exam *exam) elections() {
 	if exam.tree == nil || !exam.last.Status.Majority {
 		return
 	}
@@ -251,18 +251,18 @@
 		names = append(names, controlplane.TenantDuty)
 	}
 	for _, name := range names {
-		held, holder, serial := false, "", uint64(0)
+		isLive, holder, serial := false, "", uint64(0)
 		for _, local := range exam.last.Status.Locals {
-			if duty, known := local.Duties[name]; known && duty.Serial >= serial {
-				serial, holder = duty.Serial, duty.Holder
-				held = false
-				if one, here := exam.sessions[holder]; here && one.Member.Incarnation == duty.Incarnation {
-					held = true
+			if leader, known := local.Duties[name]; known && leader.Serial >= serial {
+				serial, holder = leader.Serial, leader.Holder
+				isLive = false
+				if report, here := exam.sessions[holder]; here && report.Member.Incarnation == leader.Incarnation {
+					isLive = true
 				}
 			}
 		}
-		if !held {
-			exam.find("duty vacant", Critical, "it is taken by itself within a few seconds while the core has a majority; if not, look at the control daemons' logs", "duty %s has no live holder (last %s)", name, orNobody(holder))
+		if !isLive {
+			exam.find("duty vacant", Critical, "it is taken by itself within a few seconds while the core has a majority; if not, look at the control daemons' logs", "duty %s has no live holder (last %s)", name, nameOrNobody(holder))
 		}
 		for _, local := range exam.last.Status.Locals {
 			if changes := local.Changes[name]; changes >= 5 && local.Watched < time.Duration(changes)*20*time.Second {
@@ -273,7 +273,7 @@
 	}
 }
 
-func orNobody(name string) string {
+func nameOrNobody(name string) string {
 	if name == "" {
 		return "nobody"
 	}
@@ -314,14 +314,14 @@
 			exam.find("platform does not list", Warning, "look at the platform; the last list stands", "region %s: %s", region, state.ListError)
 		}
 		alive := map[string]int{}
-		for _, one := range state.Replicas {
+		for _, replica := range state.Replicas {
 			switch {
-			case one.Leaving:
-			case !one.Alive:
-				exam.find("replica listed but dark", Warning, "look at that replica; it gets nothing until its probes are answered", "%s at %s in %s leaves probes unanswered", one.ID, one.Address, one.Zone)
+			case replica.Leaving:
+			case !replica.Alive:
+				exam.find("replica listed but dark", Warning, "look at that replica; it gets nothing until its probes are answered", "%s at %s in %s leaves probes unanswered", replica.ID, replica.Address, replica.Zone)
 			default:
-				alive[one.Zone]++
-				exam.unheld(region, one)
+				alive[replica.Zone]++
+				exam.missingVersions(region, replica)
 			}
 		}
 		for _, zone := range exam.tree.Zones(region) {
@@ -336,9 +336,9 @@
 				}
 				serving[row.Model][region] = true
 			}
-			for _, place := range state.Standing.Places {
-				if place.Slow {
-					exam.find("slow replica", Warning, "look at that replica; it bears half until it keeps up with its neighbours", "%s in %s answers far later than its neighbours", place.ID, place.Zone)
+			for _, endpoint := range state.Standing.Places {
+				if endpoint.Slow {
+					exam.find("slow replica", Warning, "look at that replica; it bears half until it keeps up with its neighbours", "%s in %s answers far later than its neighbours", endpoint.ID, endpoint.Zone)
 				}
 			}
 		}
@@ -346,14 +346,14 @@
 	exam.homes(serving, unknown)
 }
 
-// unheld finds versions that a replica should hold and does not even load.
-func (exam *exam) unheld(region string, one standing.Replica) {
+// missingVersions finds versions that a replica should hold and does not even load.
+func (exam *exam) missingVersions(region string, replica standing.Replica) {
 	for _, model := range slices.Sorted(maps.Keys(exam.last.Status.Models)) {
 		for _, version := range slices.Sorted(maps.Keys(exam.last.Status.Models[model].Versions)) {
 			desired := exam.last.Status.Models[model].Versions[version].Regions[region]
-			wanted := desired.State == rollout.RUNNING && (len(desired.Only) == 0 || slices.Contains(desired.Only, one.ID))
-			if have := one.Held[model+"/"+version]; wanted && have != standing.Ready && have != standing.Loading && exam.last.At.Sub(desired.Since) > 5*time.Second {
-				exam.find("version wanted but not held", Warning, "look at that replica's log for why it does not load", "%s should hold %s of %s and has %q", one.ID, version, model, have)
+			wanted := desired.State == rollout.RUNNING && (len(desired.Only) == 0 || slices.Contains(desired.Only, replica.ID))
+			if state := replica.Held[model+"/"+version]; wanted && state != standing.Ready && state != standing.Loading && exam.last.At.Sub(desired.Since) > 5*time.Second {
+				exam.find("version wanted but not held", Warning, "look at that replica's log for why it does not load", "%s should hold %s of %s and has %q", replica.ID, version, model, state)
 			}
 		}
 	}
@@ -371,12 +371,12 @@
 			seen[tag] = true
 			homes, _ := exam.tree.Homes(tag, region)
 			for _, model := range exam.tree.Models(region) {
-				able, unsure := false, false
+				servable, undecided := false, false
 				for _, home := range homes {
-					able = able || serving[model][home]
-					unsure = unsure || unknown[home]
+					servable = servable || serving[model][home]
+					undecided = undecided || unknown[home]
 				}
-				if !able && !unsure {
+				if !servable && !undecided {
 					exam.find("home without replicas", Critical, "start replicas in those regions; home-bound requests are declined, never served elsewhere", "no replica can serve %s for home %s (%s)", model, tag, strings.Join(homes, ", "))
 				}
 			}
@@ -386,12 +386,12 @@
 
 func (exam *exam) rollouts() {
 	for _, model := range slices.Sorted(maps.Keys(exam.last.Status.Models)) {
-		one := exam.last.Status.Models[model]
-		if one.RolledBack {
+		state := exam.last.Status.Models[model]
+		if state.RolledBack {
 			exam.find("rolled back", Watch, "once the cause is known: `controlplane handover promote "+model+" --stay`", "model %s was rolled back; automatic roll-outs wait", model)
 		}
-		for _, region := range slices.Sorted(maps.Keys(one.Shelves)) {
-			run := one.Shelves[region].Run
+		for _, region := range slices.Sorted(maps.Keys(state.Shelves)) {
+			run := state.Shelves[region].Run
 			if run == nil || run.State != workflow.Running || exam.tree == nil {
 				continue
 			}
--- a/listing/listing.go
+++ b/listing/listing.go
@@ -41,15 +41,15 @@
 type HTTP struct{}
 
 // List asks once.
-func (HTTP) List(address string, _ []string, patience time.Duration) ([]Listed, error) {
-	ask, answer := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
-	defer fasthttp.ReleaseRequest(ask)
-	defer fasthttp.ReleaseResponse(answer)
-	ask.SetRequestURI(address)
-	if err := fasthttp.DoTimeout(ask, answer, patience); err != nil {
+func (HTTP) List(address string, _ []string, timeout time.Duration) ([]Listed, error) {
+	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseRequest(request)
+	defer fasthttp.ReleaseResponse(response)
+	request.SetRequestURI(address)
+	if err := fasthttp.DoTimeout(request, response, timeout); err != nil {
 		return nil, err
 	}
-	return Answered(answer.StatusCode(), string(answer.Header.Peek("Retry-After")), answer.Body())
+	return Answered(response.StatusCode(), string(response.Header.Peek("Retry-After")), response.Body())
 }
 
 // Answered reads an answer of the platform.
@@ -74,9 +74,9 @@
 		return nil, errors.New("the platform's list can't be read")
 	}
 	var out []Listed
-	for _, one := range list.Array() {
+	for _, element := range list.Array() {
 		// The strings are cloned: the body's buffer is the library's.
-		entry := Listed{ID: clone(one.Get("id")), Address: clone(one.Get("address")), Zone: clone(one.Get("zone")), Model: clone(one.Get("model")), Version: clone(one.Get("version")), Leaving: one.Get("state").String() == "leaving"}
+		entry := Listed{ID: clone(element.Get("id")), Address: clone(element.Get("address")), Zone: clone(element.Get("zone")), Model: clone(element.Get("model")), Version: clone(element.Get("version")), Leaving: element.Get("state").String() == "leaving"}
 		if entry.ID != "" && entry.Address != "" {
 			out = append(out, entry)
 		}
--- a/traces/traces.go
+++ b/traces/traces.go
@@ -34,9 +34,9 @@
 	file    *os.File
 	records chan execute.Record
 	done    chan struct{}
-	guard   sync.Mutex
+	mutex   sync.Mutex
 	closed  bool
-	left    uint64
+	dropped uint64
 	failed  error
 }
 
@@ -60,64 +60,64 @@
 
 // To makes traces go to the file from now on; an empty path is nowhere. On an
 // error they go on to where they went.
-func (one *Switch) To(path string) error {
+func (sw *Switch) To(path string) error {
 	var next *Writer
 	if path != "" {
-		options := one.Options
+		options := sw.Options
 		options.Path = path
 		var err error
 		if next, err = Open(options); err != nil {
 			return err
 		}
 	}
-	if old := one.writer.Swap(next); old != nil {
+	if old := sw.writer.Swap(next); old != nil {
 		if err := old.Close(); err != nil || old.Left() > 0 {
-			one.Log.Warn("traces", zap.String("file", old.Path), zap.Uint64("left_out", old.Left()), zap.Error(err))
+			sw.Log.Warn("traces", zap.String("file", old.Path), zap.Uint64("left_out", old.Left()), zap.Error(err))
 		}
 	}
 	return nil
 }
 
 // Trace takes an ended request.
-func (one *Switch) Trace(record execute.Record) {
-	if writer := one.writer.Load(); writer != nil {
+func (sw *Switch) Trace(record execute.Record) {
+	if writer := sw.writer.Load(); writer != nil {
 		writer.Trace(record)
 	}
 }
 
 // Trace takes an ended request, or leaves it out.
 func (writer *Writer) Trace(record execute.Record) {
-	writer.guard.Lock()
-	defer writer.guard.Unlock()
+	writer.mutex.Lock()
+	defer writer.mutex.Unlock()
 	if writer.closed {
-		writer.left++
+		writer.dropped++
 		return
 	}
 	select {
 	case writer.records <- record:
 	default:
-		writer.left++
+		writer.dropped++
 	}
 }
 
 // Left counts the requests that were left out.
 func (writer *Writer) Left() uint64 {
-	writer.guard.Lock()
-	defer writer.guard.Unlock()
-	return writer.left
+	writer.mutex.Lock()
+	defer writer.mutex.Unlock()
+	return writer.dropped
 }
 
 // Close writes what waits and ends; what is traced later is left out.
 func (writer *Writer) Close() error {
-	writer.guard.Lock()
+	writer.mutex.Lock()
 	if !writer.closed {
 		writer.closed = true
 		close(writer.records)
 	}
-	writer.guard.Unlock()
+	writer.mutex.Unlock()
 	<-writer.done
-	writer.guard.Lock()
-	defer writer.guard.Unlock()
+	writer.mutex.Lock()
+	defer writer.mutex.Unlock()
 	if err := writer.file.Close(); err != nil && writer.failed == nil {
 		writer.failed = err
 	}
@@ -132,9 +132,9 @@
 			_, err = writer.file.Write(append(line, '\n'))
 		}
 		if err != nil {
-			writer.guard.Lock()
+			writer.mutex.Lock()
 			writer.failed = err
-			writer.guard.Unlock()
+			writer.mutex.Unlock()
 		}
 	}
 }
@@ -191,17 +191,17 @@
 	return attribute{key, map[string]any{"stringValue": value}}
 }
 
-func count(key string, value int64) attribute {
+func integer(key string, value int64) attribute {
 	return attribute{key, map[string]any{"intValue": strconv.FormatInt(value, 10)}}
 }
 
-func truth(key string, value bool) attribute {
+func boolean(key string, value bool) attribute {
 	return attribute{key, map[string]any{"boolValue": value}}
 }
 
-func (one *span) judge(code string) {
+func (s *span) setStatus(code string) {
 	if code != "ok" {
-		one.Status = status{code, codeError}
+		s.Status = status{code, codeError}
 	}
 }
 
@@ -210,32 +210,32 @@
 // daemons write of one request meets in one trace.
 func (writer *Writer) Spans(record execute.Record) Traces {
 	var traces Traces
-	within := &traces.ResourceSpans[0]
-	within.Resource.Attributes = []attribute{
+	resource := &traces.ResourceSpans[0]
+	resource.Resource.Attributes = []attribute{
 		text("service.name", "swifttiller-dataplane"), text("service.instance.id", writer.Daemon),
 		text("cloud.region", writer.Region), text("cloud.availability_zone", writer.Zone),
 	}
-	scope := &within.ScopeSpans[0]
+	scope := &resource.ScopeSpans[0]
 	scope.Scope.Name = "swifttiller"
-	sum := sha256.Sum256([]byte(record.ID))
-	add := func(name string, kind int, part byte, parent string, attributes []attribute, code string) string {
-		mark := sha256.Sum256([]byte(record.ID + writer.Daemon + record.At.String() + string(rune(part))))
-		one := span{
-			TraceID: hex.EncodeToString(sum[:16]), SpanID: hex.EncodeToString(mark[:8]), ParentSpanID: parent, Name: name, Kind: kind, Attributes: attributes,
+	traceSum := sha256.Sum256([]byte(record.ID))
+	add := func(name string, kind int, index byte, parent string, attributes []attribute, code string) string {
+		spanSum := sha256.Sum256([]byte(record.ID + writer.Daemon + record.At.String() + string(rune(index))))
+		s := span{
+			TraceID: hex.EncodeToString(traceSum[:16]), SpanID: hex.EncodeToString(spanSum[:8]), ParentSpanID: parent, Name: name, Kind: kind, Attributes: attributes,
 			Start: strconv.FormatInt(record.At.UnixNano(), 10), End: strconv.FormatInt(record.At.Add(max(record.Took, time.Nanosecond)).UnixNano(), 10),
 		}
-		one.judge(code)
-		scope.Spans = append(scope.Spans, one)
-		return one.SpanID
+		s.setStatus(code)
+		scope.Spans = append(scope.Spans, s)
+		return s.SpanID
 	}
-	whole := add("request", kindServer, 0, "", []attribute{
+	requestSpan := add("request", kindServer, 0, "", []attribute{
 		text("swifttiller.request", record.ID), text("swifttiller.model", record.Model), text("swifttiller.kind", record.Kind),
-		text("swifttiller.verdict", record.Verdict), text("swifttiller.code", record.Code), count("swifttiller.events", int64(record.Events)),
+		text("swifttiller.verdict", record.Verdict), text("swifttiller.code", record.Code), integer("swifttiller.events", int64(record.Events)),
 	}, record.Code)
 	for index, dispatch := range record.Dispatches {
-		add("dispatch", kindClient, byte(index+1), whole, []attribute{
+		add("dispatch", kindClient, byte(index+1), requestSpan, []attribute{
 			text("swifttiller.replica", dispatch.Replica), text("swifttiller.version", dispatch.Version), text("swifttiller.region", dispatch.Region),
-			count("swifttiller.serial", int64(dispatch.Serial)), truth("swifttiller.trial", dispatch.Trial), truth("swifttiller.spill", dispatch.Spill), text("swifttiller.verdict", dispatch.Verdict),
+			integer("swifttiller.serial", int64(dispatch.Serial)), boolean("swifttiller.trial", dispatch.Trial), boolean("swifttiller.spill", dispatch.Spill), text("swifttiller.verdict", dispatch.Verdict),
 		}, dispatch.Code)
 	}
 	return traces
