--- a/doctor/doctor.go
+++ b/doctor/doctor.go
@@ -1,5 +1,5 @@
-// Package doctor looks for common faults in what a system says of itself. It
-// only reads, and says what it could not see.
+// Package doctor looks for common faults in the status that a system reports about itself. It
+// only reads, and reports what it could not observe.
 package doctor
 
 import (
@@ -17,14 +17,14 @@
 	"swifttiller/workflow"
 )
 
-// Severities of findings, from the worst.
+// Severities of findings, from the most severe.
 const (
-	Critical = "critical" // a promise is broken or about to be
-	Warning  = "warning"  // something works less well than it should
+	Critical = "critical" // a guarantee is violated or about to be
+	Warning  = "warning"  // something works worse than it should
 	Watch    = "watch"    // worth knowing
 )
 
-// Finding is one fault.
+// Finding is one detected fault.
 type Finding struct {
 	Name     string `json:"name"`
 	Severity string `json:"severity"`
@@ -32,7 +32,7 @@
 	Advice   string `json:"advice"`
 }
 
-// Look is what was seen at one moment.
+// Look is the status of the system at one moment.
 type Look struct {
 	At     time.Time
 	Status controlplane.Status
@@ -49,8 +49,8 @@
 	exam.findings = append(exam.findings, Finding{name, severity, fmt.Sprintf(evidence, values...), advice})
 }
 
-// Examine compares two looks, some time apart, and gives the findings, the worst
-// first. What passes by itself between the looks is none.
+// Examine compares two status snapshots taken some time apart and returns the findings, the most
+// severe first. A condition that clears by itself between the snapshots is not a finding.
 func Examine(first, last Look) []Finding {
 	exam := &exam{first: first, last: last, sessions: sessions(last.Status)}
 	if len(last.Status.Document) > 0 {
@@ -69,7 +69,7 @@
 	return exam.findings
 }
 
-// sessions gives each member's freshest session that any daemon told of.
+// sessions returns, for each member, the most recent session that any daemon reported.
 func sessions(status controlplane.Status) map[string]session.Session {
 	out := map[string]session.Session{}
 	for _, name := range slices.Sorted(maps.Keys(status.Locals)) {
@@ -85,19 +85,19 @@
 func (exam *exam) core() {
 	status := exam.last.Status
 	if status.Core.Epoch == 0 {
-		exam.find("no core", Critical, "make one with `controlplane init`", "%s knows of no core", status.Asked)
+		exam.find("no core", Critical, "create one with `controlplane init`", "%s does not know of any core", status.Asked)
 		return
 	}
 	if !status.Majority {
-		exam.find("no core majority", Critical, "bring acceptors back, or their network; without a majority permits run out and nothing is served", "%s", status.Trouble)
+		exam.find("no core majority", Critical, "restore the acceptors or their network; without a majority leases expire and no requests are served", "%s", status.Trouble)
 	} else if status.Serial == 0 {
-		exam.find("no configuration", Warning, "apply one with `controlplane apply FILE`", "the configuration's register is empty")
+		exam.find("no configuration", Warning, "apply one with `controlplane apply FILE`", "the configuration register is empty")
 	}
 	for _, address := range slices.Sorted(maps.Keys(status.Unreached)) {
 		if strings.HasPrefix(status.Unreached[address], "seed") {
 			continue
 		}
-		exam.find("not reached", Warning, "look at that machine and the ways to it; if it is gone for good, take its acceptor out with `controlplane core remove`", "%s: %s", address, status.Unreached[address])
+		exam.find("not reached", Warning, "check that machine and the network paths to it; if it is permanently gone, remove its acceptor with `controlplane core remove`", "%s: %s", address, status.Unreached[address])
 	}
 	for _, seed := range status.SeedsUnmet {
 		exam.find("seed names nobody", Warning, "start a control daemon there or change the seeds in the daemons' settings", "no control daemon answers at seed %s", seed)
@@ -109,20 +109,20 @@
 		}
 		switch {
 		case status.Core.Has(acceptor.ID) && acceptor.Core.Epoch < status.Core.Epoch:
-			exam.find("acceptor behind", Warning, "it catches up by itself within seconds; if not, look at its log", "%s (%s) is at core epoch %d of %d", name, acceptor.ID, acceptor.Core.Epoch, status.Core.Epoch)
+			exam.find("acceptor behind", Warning, "it catches up by itself within seconds; if not, check its log", "%s (%s) is at core epoch %d of %d", name, acceptor.ID, acceptor.Core.Epoch, status.Core.Epoch)
 		case !status.Core.Has(acceptor.ID):
-			exam.find("acceptor outside the core", Watch, "it is taken in by itself within seconds, up to seven votes, while a majority answers; if not, look at its disk and the ways to it, or `controlplane core add "+acceptor.ID+"`", "%s has a disk but no vote (%s)", name, acceptor.ID)
+			exam.find("acceptor outside the core", Watch, "it is added automatically within seconds, up to seven voters, while a majority responds; if not, check its disk and the network paths to it, or run `controlplane core add "+acceptor.ID+"`", "%s has a disk but is not a voting member (%s)", name, acceptor.ID)
 		}
 	}
 	exam.copies()
 	exam.redundancy()
 }
 
-// missingCopyAfter is from when on an acceptor that lacks copies does not come back by itself, as far
-// as can be told: a machine that started anew, or a whole disk, takes seconds.
+// missingCopyAfter is how long an acceptor may lack copies before it is taken not to recover by
+// itself: a restarted machine, or the copying of a whole disk, takes only seconds.
 const missingCopyAfter = time.Minute
 
-// redundancy finds acceptors that have lacked copies, or have been silent, for long.
+// redundancy finds acceptors that have lacked copies, or have not responded, for a long time.
 func (exam *exam) redundancy() {
 	redundancy := exam.last.Status.Redundancy
 	if redundancy == nil {
@@ -130,13 +130,14 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(redundancy.LackingFor)) {
 		if age := redundancy.LackingFor[id]; age >= missingCopyAfter {
-			exam.find("a copy is missing", Warning, "start its machine or bring another one; if it runs, look for `copies compared` in its log",
-				"acceptor %s has been silent or behind for %v at least; %d more disks may be lost", id, age.Round(time.Second), redundancy.Losable)
+			exam.find("a copy is missing", Warning, "start its machine or add another one; if it is running, look for `copies compared` in its log",
+				"acceptor %s has not responded or has been behind for at least %v; %d more disks may fail without loss of data", id, age.Round(time.Second), redundancy.Losable)
 		}
 	}
 }
 
-// copies finds an acceptor that stood still, apart from others that agree.
+// copies finds an acceptor whose data has not changed between the snapshots and differs from that
+// of the other acceptors, which all agree.
 func (exam *exam) copies() {
 	before, now := exam.first.Status.Sums, exam.last.Status.Sums
 	if len(now) < 3 {
@@ -168,12 +169,13 @@
 			}
 		}
 		if len(stuck) > 0 {
-			exam.find("acceptors disagree", Warning, "repair mends this by itself within seconds; if it stays, that acceptor is cut off from writes: look at its network and disk", "acceptor %s stood still in ranges %v while the others agree", id, stuck)
+			exam.find("acceptors disagree", Warning, "repair fixes this by itself within seconds; if it persists, that acceptor receives no writes: check its network and disk", "acceptor %s has not changed in ranges %v while the others agree", id, stuck)
 		}
 	}
 }
 
-// slowSyncLimit is from when on a sync is slow, as a share of a round's patience.
+// slowSyncLimit is the disk sync time from which a disk counts as slow; it is a share of the
+// timeout of a quorum round.
 const slowSyncLimit = 300 * time.Millisecond
 
 func (exam *exam) disks() {
@@ -183,10 +185,10 @@
 			continue
 		}
 		if acceptor.Disk.Broken != "" {
-			exam.find("disk does not keep", Critical, "free or replace the disk; the daemon votes again half a second after it takes writes", "%s: %s", name, acceptor.Disk.Broken)
+			exam.find("disk does not keep", Critical, "free up or replace the disk; the daemon votes again half a second after the disk accepts writes", "%s: %s", name, acceptor.Disk.Broken)
 		}
 		if acceptor.Disk.LastSync > slowSyncLimit {
-			exam.find("slow disk", Warning, "move the data folder to a faster disk; only this acceptor's vote is late", "%s: the last sync took %v", name, acceptor.Disk.LastSync.Round(time.Millisecond))
+			exam.find("slow disk", Warning, "move the data directory to a faster disk; only the replies of this acceptor are late", "%s: the last sync took %v", name, acceptor.Disk.LastSync.Round(time.Millisecond))
 		}
 	}
 }
@@ -194,12 +196,12 @@
 func (exam *exam) clocks() {
 	for _, name := range slices.Sorted(maps.Keys(exam.last.Status.Skews)) {
 		if skew := exam.last.Status.Skews[name]; skew.Abs() > 2*time.Second {
-			exam.find("clock apart", Warning, "set the calendar clock; only delayed orders (standby, archive) go by it", "%s is %v apart from %s", name, skew.Round(time.Millisecond), exam.last.Status.Asked)
+			exam.find("clock apart", Warning, "set the wall clock; only delayed orders (standby, archive) depend on it", "the clock of %s differs by %v from that of %s", name, skew.Round(time.Millisecond), exam.last.Status.Asked)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(exam.last.Status.Locals)) {
 		if local := exam.last.Status.Locals[name]; exam.last.Status.Majority && local.Serial < exam.first.Status.Serial {
-			exam.find("serial behind", Warning, "look at that control daemon's ways to the core", "%s has read serial %d of %d", name, local.Serial, exam.last.Status.Serial)
+			exam.find("serial behind", Warning, "check the network paths from that control daemon to the core", "%s has read configuration version %d of %d", name, local.Serial, exam.last.Status.Serial)
 		}
 	}
 }
@@ -214,24 +216,24 @@
 		}
 		count++
 		if report.Report.Permit <= report.Age {
-			exam.find("no permit", Critical, "look at its log and its ways to control daemons; it declines everything until it has one", "data daemon %s in %s has no permit", name, report.Member.Zone)
+			exam.find("no permit", Critical, "check its log and its network paths to the control daemons; it rejects all requests until it has a lease", "data daemon %s in %s has no lease", name, report.Member.Zone)
 		}
 		if exam.last.Status.Majority && report.Report.Config < exam.first.Status.Serial && report.Report.Permit > report.Age {
-			exam.find("serial behind", Warning, "it should follow within a renewal; look at its log", "data daemon %s applies serial %d of %d", name, report.Report.Config, exam.last.Status.Serial)
+			exam.find("serial behind", Warning, "it should catch up within one lease renewal; check its log", "data daemon %s applies configuration version %d of %d", name, report.Report.Config, exam.last.Status.Serial)
 		}
 		if exam.tree != nil {
 			if region, known := exam.tree.RegionOf(report.Member.Zone); !known || region != report.Member.Region {
-				exam.find("settings clash", Warning, "name the zone in the configuration, or change the daemon's settings", "%s says it is in zone %s of region %s, which the configuration does not have", name, report.Member.Zone, report.Member.Region)
+				exam.find("settings clash", Warning, "add the zone to the configuration, or change the daemon's settings", "%s reports zone %s of region %s, which the configuration does not have", name, report.Member.Zone, report.Member.Region)
 			}
 		}
 		before := old[name]
 		if spent := report.Report.Declined["retry_budget"] - min(report.Report.Declined["retry_budget"], before.Report.Declined["retry_budget"]); before.Member.Incarnation == report.Member.Incarnation && spent > 0 {
-			exam.find("retry budget spent", Warning, "callers ask again faster than a fifth of real demand; look for what fails first, then for eager callers", "data daemon %s declined %d retries between two looks", name, spent)
+			exam.find("retry budget spent", Warning, "callers send more retries than a fifth of the first attempts; look for the failing component first, then for callers that retry too often", "data daemon %s rejected %d retries between two status snapshots", name, spent)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(exam.last.Status.Holders)) {
 		if _, here := exam.sessions[name]; !here && !exam.last.Status.Holders[name].Retired {
-			exam.find("holder without session", Watch, "start it again or leave it: its record retires by itself; until then every apply waits for its permit to expire", "data daemon %s had a permit and is no member", name)
+			exam.find("holder without session", Watch, "restart it or leave it: its record is retired automatically; until then each apply waits for its lease to expire", "data daemon %s had a lease and is not a member", name)
 		}
 	}
 	if exam.last.Status.Majority && count == 0 {
@@ -262,11 +264,11 @@
 			}
 		}
 		if !isLive {
-			exam.find("duty vacant", Critical, "it is taken by itself within a few seconds while the core has a majority; if not, look at the control daemons' logs", "duty %s has no live holder (last %s)", name, nameOrNobody(holder))
+			exam.find("duty vacant", Critical, "a control daemon is elected within a few seconds while the core has a majority; if not, check the control daemons' logs", "duty %s has no live leader (last %s)", name, nameOrNobody(holder))
 		}
 		for _, local := range exam.last.Status.Locals {
 			if changes := local.Changes[name]; changes >= 5 && local.Watched < time.Duration(changes)*20*time.Second {
-				exam.find("duty flapping", Warning, "control daemons lose sight of each other: look at their network and load", "duty %s changed hands %d times within %v", name, changes, local.Watched.Round(time.Second))
+				exam.find("duty flapping", Warning, "control daemons lose contact with each other: check their network and load", "leadership of duty %s changed %d times within %v", name, changes, local.Watched.Round(time.Second))
 				break
 			}
 		}
@@ -280,7 +282,7 @@
 	return name
 }
 
-// region gives what the holder of a region's duty sees.
+// region returns the state of a region as its leader reports it: that of the highest term.
 func (exam *exam) region(name string) (controlplane.RegionState, bool) {
 	var out controlplane.RegionState
 	found := false
@@ -302,7 +304,7 @@
 			evacuated[zone] = true
 		}
 	}
-	serving := map[string]map[string]bool{} // model: regions with rows
+	serving := map[string]map[string]bool{} // by model, the regions whose routing tables have rows for it
 	unknown := map[string]bool{}
 	for _, region := range exam.tree.Regions() {
 		state, known := exam.region(region)
@@ -311,14 +313,14 @@
 			continue
 		}
 		if state.ListError != "" && !strings.Contains(state.ListError, "asked again") {
-			exam.find("platform does not list", Warning, "look at the platform; the last list stands", "region %s: %s", region, state.ListError)
+			exam.find("platform does not list", Warning, "check the platform; the last list remains in use", "region %s: %s", region, state.ListError)
 		}
 		alive := map[string]int{}
 		for _, replica := range state.Replicas {
 			switch {
 			case replica.Leaving:
 			case !replica.Alive:
-				exam.find("replica listed but dark", Warning, "look at that replica; it gets nothing until its probes are answered", "%s at %s in %s leaves probes unanswered", replica.ID, replica.Address, replica.Zone)
+				exam.find("replica listed but dark", Warning, "check that replica; it gets no requests until it answers health checks", "%s at %s in %s does not answer health checks", replica.ID, replica.Address, replica.Zone)
 			default:
 				alive[replica.Zone]++
 				exam.missingVersions(region, replica)
@@ -326,7 +328,7 @@
 		}
 		for _, zone := range exam.tree.Zones(region) {
 			if len(exam.tree.Models(zone)) > 0 && alive[zone] == 0 && !evacuated[zone] {
-				exam.find("zone without replicas", Warning, "start replicas there, or evacuate the zone", "zone %s of region %s has no replica that answers", zone, region)
+				exam.find("zone without replicas", Warning, "start replicas there, or evacuate the zone", "zone %s of region %s has no replica that answers health checks", zone, region)
 			}
 		}
 		if state.Standing != nil {
@@ -338,7 +340,7 @@
 			}
 			for _, endpoint := range state.Standing.Places {
 				if endpoint.Slow {
-					exam.find("slow replica", Warning, "look at that replica; it bears half until it keeps up with its neighbours", "%s in %s answers far later than its neighbours", endpoint.ID, endpoint.Zone)
+					exam.find("slow replica", Warning, "check that replica; it gets half of its load until it keeps up with the other replicas", "%s in %s responds much later than the other replicas", endpoint.ID, endpoint.Zone)
 				}
 			}
 		}
@@ -346,14 +348,14 @@
 	exam.homes(serving, unknown)
 }
 
-// missingVersions finds versions that a replica should hold and does not even load.
+// missingVersions finds versions that a replica should have loaded and is not even loading.
 func (exam *exam) missingVersions(region string, replica standing.Replica) {
 	for _, model := range slices.Sorted(maps.Keys(exam.last.Status.Models)) {
 		for _, version := range slices.Sorted(maps.Keys(exam.last.Status.Models[model].Versions)) {
 			desired := exam.last.Status.Models[model].Versions[version].Regions[region]
 			wanted := desired.State == rollout.RUNNING && (len(desired.Only) == 0 || slices.Contains(desired.Only, replica.ID))
 			if state := replica.Held[model+"/"+version]; wanted && state != standing.Ready && state != standing.Loading && exam.last.At.Sub(desired.Since) > 5*time.Second {
-				exam.find("version wanted but not held", Warning, "look at that replica's log for why it does not load", "%s should hold %s of %s and has %q", replica.ID, version, model, state)
+				exam.find("version wanted but not held", Warning, "check that replica's log for why it does not load the version", "%s should have version %s of model %s loaded, but its state is %q", replica.ID, version, model, state)
 			}
 		}
 	}
@@ -377,7 +379,7 @@
 					undecided = undecided || unknown[home]
 				}
 				if !servable && !undecided {
-					exam.find("home without replicas", Critical, "start replicas in those regions; home-bound requests are declined, never served elsewhere", "no replica can serve %s for home %s (%s)", model, tag, strings.Join(homes, ", "))
+					exam.find("home without replicas", Critical, "start replicas in those regions; requests bound to a home are rejected, never served elsewhere", "no replica can serve %s for home %s (%s)", model, tag, strings.Join(homes, ", "))
 				}
 			}
 		}
@@ -388,7 +390,7 @@
 	for _, model := range slices.Sorted(maps.Keys(exam.last.Status.Models)) {
 		state := exam.last.Status.Models[model]
 		if state.RolledBack {
-			exam.find("rolled back", Watch, "once the cause is known: `controlplane handover promote "+model+" --stay`", "model %s was rolled back; automatic roll-outs wait", model)
+			exam.find("rolled back", Watch, "once the cause is known: `controlplane handover promote "+model+" --stay`", "model %s was rolled back; automatic rollouts are paused", model)
 		}
 		for _, region := range slices.Sorted(maps.Keys(state.Shelves)) {
 			run := state.Shelves[region].Run
@@ -402,9 +404,9 @@
 			}
 			bound := max(exam.tree.Span("load_ms", region), exam.tree.Span("trial_most_ms", region), exam.tree.Span("watch_ms", region))
 			if run.Mishaps >= 3 {
-				exam.find("roll-out stuck", Warning, "mend what the step runs into; it goes on by itself", "run %s of %s in %s: step %s failed %d times: %s", run.ID, model, region, run.At, run.Mishaps, run.Last)
+				exam.find("roll-out stuck", Warning, "fix the cause of the failures; the rollout continues by itself", "run %s of %s in %s: step %s failed %d times: %s", run.ID, model, region, run.At, run.Mishaps, run.Last)
 			} else if stood := exam.last.At.Sub(since); stood > bound+bound/4 {
-				exam.find("roll-out stuck", Warning, "look at the region's duty holder, and at other regions' trials, which it waits for", "run %s of %s in %s has done nothing for %v since step %s", run.ID, model, region, stood.Round(time.Second), last)
+				exam.find("roll-out stuck", Warning, "check the region's leader, and the trials in other regions that it waits for", "run %s of %s in %s has made no progress for %v since step %s", run.ID, model, region, stood.Round(time.Second), last)
 			}
 		}
 	}
@@ -415,7 +417,7 @@
 		return
 	}
 	clash := func(place, evidence string, values ...any) {
-		exam.find("settings clash", Warning, "change the limits at that place", "%s: %s", place, fmt.Sprintf(evidence, values...))
+		exam.find("settings clash", Warning, "change the limits of that region", "%s: %s", place, fmt.Sprintf(evidence, values...))
 	}
 	for _, region := range exam.tree.Regions() {
 		limit := func(name string) time.Duration { return exam.tree.Span(name, region) }
@@ -423,7 +425,7 @@
 			clash(region, "trial_ms (%v) is above trial_most_ms (%v)", limit("trial_ms"), limit("trial_most_ms"))
 		}
 		if limit("dark_ms") < 2*limit("probe_ms") {
-			clash(region, "dark_ms (%v) is less than two probes (probe_ms %v): one lost probe makes a replica dark", limit("dark_ms"), limit("probe_ms"))
+			clash(region, "dark_ms (%v) is less than two probes (probe_ms %v): one lost probe makes a replica count as down", limit("dark_ms"), limit("probe_ms"))
 		}
 		if limit("queue_ms") > limit("request_ms") {
 			clash(region, "queue_ms (%v) is above request_ms (%v)", limit("queue_ms"), limit("request_ms"))
@@ -432,7 +434,7 @@
 			clash(region, "stall_ms (%v) is above request_ms (%v)", limit("stall_ms"), limit("request_ms"))
 		}
 		if exam.tree.Platform(region) == "" && len(exam.tree.Models(region)) > 0 {
-			clash(region, "models are placed here but no platform is named")
+			clash(region, "models are placed here, but no platform address is configured")
 		}
 	}
 }
--- a/listing/listing.go
+++ b/listing/listing.go
@@ -1,5 +1,5 @@
-// Package listing is the client of the platform's list of replicas: HTTP with
-// JSON, lagging, and limited in how often it may be asked.
+// Package listing is the client of the platform's list of replicas. The list is JSON over HTTP; it
+// lags behind, and the platform limits how often it may be requested.
 package listing
 
 import (
@@ -12,35 +12,35 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Listed is a replica as the platform lists it.
+// Listed is a replica as listed by the platform.
 type Listed struct {
 	ID, Address, Zone string
 	Leaving           bool
-	// Model and Version are what the replica holds from its start on, where the platform
-	// says so; empty where probes tell.
+	// Model and Version are what the replica has loaded from its start, if the platform reports
+	// it; empty if only health checks tell.
 	Model, Version string
-	// Cold is how much longer it stays cold, as the list has it.
+	// Cold is the remaining warm-up time according to the list.
 	Cold time.Duration
 }
 
-// Limited is the platform's word to come back later.
+// Limited is the error of a rate-limited request; ComeBack is the delay before a retry.
 type Limited struct{ ComeBack time.Duration }
 
-// Error is one line.
+// Error implements error with a message of one line.
 func (limited *Limited) Error() string {
 	return "the platform wants to be asked again in " + limited.ComeBack.String()
 }
 
-// Client asks for a list.
+// Client requests a list of replicas.
 type Client interface {
-	// List asks for the replicas of the zones; a platform may answer with more.
+	// List requests the replicas of the zones; a platform may return more than those.
 	List(address string, zones []string, patience time.Duration) ([]Listed, error)
 }
 
-// HTTP is the real client.
+// HTTP is the client that requests lists over the network.
 type HTTP struct{}
 
-// List asks once.
+// List sends one request, without retries.
 func (HTTP) List(address string, _ []string, timeout time.Duration) ([]Listed, error) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
@@ -52,7 +52,7 @@
 	return Answered(response.StatusCode(), string(response.Header.Peek("Retry-After")), response.Body())
 }
 
-// Answered reads an answer of the platform.
+// Answered parses a response of the platform.
 func Answered(status int, retryAfter string, body []byte) ([]Listed, error) {
 	switch status {
 	case 200:
@@ -64,18 +64,18 @@
 		}
 		return nil, &Limited{time.Duration(seconds) * time.Second}
 	}
-	return nil, fmt.Errorf("the platform answered %d", status)
+	return nil, fmt.Errorf("the platform responded with status %d", status)
 }
 
-// Read reads a list; one entry that can't be read spoils none of the others.
+// Read parses a list. It skips entries without an id or address, and keeps all others.
 func Read(body []byte) ([]Listed, error) {
 	list := gjson.GetBytes(body, "replicas")
 	if !gjson.ValidBytes(body) || !list.IsArray() {
-		return nil, errors.New("the platform's list can't be read")
+		return nil, errors.New("the platform's response is not a valid list of replicas")
 	}
 	var out []Listed
 	for _, element := range list.Array() {
-		// The strings are cloned: the body's buffer is the library's.
+		// The strings are copied, because the HTTP library reuses the buffer of the body.
 		entry := Listed{ID: clone(element.Get("id")), Address: clone(element.Get("address")), Zone: clone(element.Get("zone")), Model: clone(element.Get("model")), Version: clone(element.Get("version")), Leaving: element.Get("state").String() == "leaving"}
 		if entry.ID != "" && entry.Address != "" {
 			out = append(out, entry)
--- a/traces/traces.go
+++ b/traces/traces.go
@@ -1,5 +1,5 @@
-// Package traces writes ended requests as spans in the OpenTelemetry JSON form,
-// one line a request, to a file. Off by default.
+// Package traces writes completed requests to a file as spans in the OpenTelemetry JSON format, one
+// line per request. It is off by default.
 package traces
 
 import (
@@ -17,18 +17,18 @@
 	"swifttiller/execute"
 )
 
-// Options say who writes and where.
+// Options configure a Writer: the daemon that it writes for and the file.
 type Options struct {
 	Daemon, Region, Zone string
 	Path                 string
-	// Most bounds how many requests wait to be written; beyond it they are left
-	// out and counted, as a trace must not hold up a request.
+	// Most limits how many requests wait to be written. Requests beyond it are dropped and
+	// counted, because tracing must not delay requests.
 	Most int
 }
 
-// Writer writes spans.
+// Writer writes spans to a file.
 //
-// Invariant: Trace never waits for the disk; one task alone writes the file.
+// Invariant: Trace never waits for the disk; only one goroutine writes the file.
 type Writer struct {
 	Options
 	file    *os.File
@@ -40,7 +40,7 @@
 	failed  error
 }
 
-// Open opens the file and starts the writing task.
+// Open opens the file and starts the goroutine that writes to it.
 func Open(options Options) (*Writer, error) {
 	file, err := os.OpenFile(options.Path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -51,15 +51,15 @@
 	return writer, nil
 }
 
-// Switch sends traces to one file after another, or nowhere.
+// Switch sends traces to a file that can be replaced at run time, or to none.
 type Switch struct {
 	Options
 	Log    *zap.Logger
 	writer atomic.Pointer[Writer]
 }
 
-// To makes traces go to the file from now on; an empty path is nowhere. On an
-// error they go on to where they went.
+// To sends traces to the file at path from now on; an empty path turns them off. After an error
+// the previous file remains in use.
 func (sw *Switch) To(path string) error {
 	var next *Writer
 	if path != "" {
@@ -78,14 +78,14 @@
 	return nil
 }
 
-// Trace takes an ended request.
+// Trace records a completed request if a file is set.
 func (sw *Switch) Trace(record execute.Record) {
 	if writer := sw.writer.Load(); writer != nil {
 		writer.Trace(record)
 	}
 }
 
-// Trace takes an ended request, or leaves it out.
+// Trace queues a completed request for writing, or drops it if the queue is full.
 func (writer *Writer) Trace(record execute.Record) {
 	writer.mutex.Lock()
 	defer writer.mutex.Unlock()
@@ -100,14 +100,14 @@
 	}
 }
 
-// Left counts the requests that were left out.
+// Left returns the number of dropped requests.
 func (writer *Writer) Left() uint64 {
 	writer.mutex.Lock()
 	defer writer.mutex.Unlock()
 	return writer.dropped
 }
 
-// Close writes what waits and ends; what is traced later is left out.
+// Close writes the queued requests and closes the file. Requests traced later are dropped.
 func (writer *Writer) Close() error {
 	writer.mutex.Lock()
 	if !writer.closed {
@@ -139,11 +139,11 @@
 	}
 }
 
-// The OpenTelemetry JSON form, as far as it is written here. Its library would do, but
-// the name of its package is one that the users' platform takes for tracing of other
-// processes; the test reads what is written with it.
+// These types are the part of the OpenTelemetry JSON format that is written here. The OpenTelemetry
+// library isn't used, because the users' platform takes its package name for tracing of other
+// processes; the test parses the output with that library.
 type (
-	// Traces are one writer's spans.
+	// Traces are the spans of one writer.
 	Traces struct {
 		ResourceSpans [1]resourceSpans `json:"resourceSpans"`
 	}
@@ -205,9 +205,9 @@
 	}
 }
 
-// Spans makes a request's spans: one for the request, one below it for each
-// dispatch. The trace's id is made of the request's, so that what several
-// daemons write of one request meets in one trace.
+// Spans converts a request to spans: one for the request and one child span for each attempt. The
+// trace id is derived from the request id, so that spans of one request from several daemons
+// belong to the same trace.
 func (writer *Writer) Spans(record execute.Record) Traces {
 	var traces Traces
 	resource := &traces.ResourceSpans[0]
