--- a/traces/traces_test.go
+++ b/traces/traces_test.go
@@ -15,7 +15,7 @@
 )
 
 func TestSpansAreReadBack(t *testing.T) {
-	Convey("each request is a line that the library reads as a span with its dispatches below", t, func() {
+	Convey("each request is one line, which the library parses as a span with its attempts as children", t, func() {
 		path := filepath.Join(t.TempDir(), "traces.json")
 		writer, err := traces.Open(traces.Options{Daemon: "d1", Region: "east", Zone: "east-1", Path: path, Most: 10})
 		So(err, ShouldBeNil)
@@ -35,7 +35,7 @@
 		So(spans.At(2).SpanID(), ShouldNotResemble, spans.At(1).SpanID())
 		So(spans.At(0).EndTimestamp()-spans.At(0).StartTimestamp(), ShouldEqual, uint64(time.Second))
 	})
-	Convey("a full line of waiting records leaves out and counts, and never waits", t, func() {
+	Convey("if the queue is full, records are dropped and counted without waiting", t, func() {
 		writer, err := traces.Open(traces.Options{Path: filepath.Join(t.TempDir(), "t.json"), Most: 0})
 		So(err, ShouldBeNil)
 		for turn := 0; turn < 20000; turn++ {
