--- a/sim/disk.go
+++ b/sim/disk.go
@@ -10,103 +10,103 @@
 	"swifttiller/loop"
 )
 
-// Disk is a node's data folder. What was not synced is lost, or torn, when the
-// process is killed.
+// Disk is the simulated data directory of a node. When the process is killed, data that was not
+// synced is lost in whole or in part.
 type Disk struct {
 	node  *Node
 	files map[string]*file
-	// Slow is added to every sync; Full makes writes fail; Sick makes syncs fail.
+	// Slow is added to the time of every file sync. Full makes writes fail, and Sick makes syncs fail.
 	Slow       time.Duration
 	Full, Sick bool
 	Syncs      int
 }
 
-// file: lasting is what a crash leaves; named tells whether the folder was
-// synced since the file was made.
+// file is one file of a disk. durable is the content that survives a crash. nameDurable reports
+// whether the directory was synced after the file was created; a crash removes the file otherwise.
 type file struct {
-	data, lasting []byte
-	named         bool
+	data, durable []byte
+	nameDurable   bool
 }
 
 var (
-	errFull = errors.New("no space left on device")
-	errSick = errors.New("input/output error")
+	errNoSpace = errors.New("no space left on device")
+	errIO      = errors.New("input/output error")
 )
 
-// Lose empties the disk, as a replaced one.
+// Lose empties the disk, as if it was replaced by a new one.
 func (disk *Disk) Lose() { disk.files = map[string]*file{} }
 
-// Bytes are those of all files.
+// Bytes returns the total size of all files.
 func (disk *Disk) Bytes() (bytes int) {
-	for _, one := range disk.files {
-		bytes += len(one.data)
+	for _, file := range disk.files {
+		bytes += len(file.data)
 	}
 	return bytes
 }
 
-// Take moves another machine's disk to this one; both must be down.
+// Take moves the content of another machine's disk to this one. Both machines must be down.
 func (disk *Disk) Take(other *Disk) { disk.files, other.files = other.files, map[string]*file{} }
 
-// Spoil changes a byte of what lasts in a file.
-func (disk *Disk) Spoil(name string, at int) bool {
-	one := disk.files[name]
-	if one == nil || at >= len(one.lasting) {
+// Spoil corrupts one byte of a file's durable content. It returns false if there is no such byte.
+func (disk *Disk) Spoil(name string, offset int) bool {
+	file := disk.files[name]
+	if file == nil || offset >= len(file.durable) {
 		return false
 	}
-	one.lasting[at] ^= 0xff
-	one.data = bytes.Clone(one.lasting)
+	file.durable[offset] ^= 0xff
+	file.data = bytes.Clone(file.durable)
 	return true
 }
 
 func (disk *Disk) crash() {
 	sim := disk.node.sim
-	for name, one := range disk.files {
-		if !one.named {
+	for name, file := range disk.files {
+		if !file.nameDurable {
 			delete(disk.files, name)
 			continue
 		}
-		// Bytes appended since the last sync may have got there in part.
-		if len(one.data) > len(one.lasting) && bytes.HasPrefix(one.data, one.lasting) {
-			grown := len(one.data) - len(one.lasting)
-			one.lasting = bytes.Clone(one.data[:len(one.lasting)+int(uint64(sim.Seed+uint64(sim.order))%uint64(grown+1))])
+		// A crash can leave any prefix of the bytes that were appended since the last sync.
+		if len(file.data) > len(file.durable) && bytes.HasPrefix(file.data, file.durable) {
+			unsynced := len(file.data) - len(file.durable)
+			file.durable = bytes.Clone(file.data[:len(file.durable)+int(uint64(sim.Seed+uint64(sim.sequence))%uint64(unsynced+1))])
 		}
-		one.data = bytes.Clone(one.lasting)
+		file.data = bytes.Clone(file.durable)
 	}
 }
 
-// Read gives a whole file.
+// Read returns the content of a file.
 func (disk *Disk) Read(name string) ([]byte, error) {
-	one := disk.files[name]
-	if one == nil {
+	file := disk.files[name]
+	if file == nil {
 		return nil, fs.ErrNotExist
 	}
-	return bytes.Clone(one.data), nil
+	return bytes.Clone(file.data), nil
 }
 
-// Open opens for appending.
-func (disk *Disk) Open(name string, emptied bool) (disk.File, error) {
-	one := disk.files[name]
-	if one == nil {
+// Open opens a file for appending, creating it if it does not exist.
+func (disk *Disk) Open(name string, truncate bool) (disk.File, error) {
+	opened := disk.files[name]
+	if opened == nil {
 		if disk.Full {
-			return nil, errFull
+			return nil, errNoSpace
 		}
-		one = &file{}
-		disk.files[name] = one
+		opened = &file{}
+		disk.files[name] = opened
 	}
-	if emptied {
-		one.data = nil
+	if truncate {
+		opened.data = nil
 	}
-	return &handle{disk: disk, file: one}, nil
+	return &handle{disk: disk, file: opened}, nil
 }
 
-// Sync makes the names last.
+// Sync makes the directory entries of all files durable.
 func (disk *Disk) Sync() error {
 	disk.node.sim.Point(disk.node, "disk.folder")
 	if disk.Sick {
-		return errSick
+		return errIO
 	}
-	for _, one := range disk.files {
-		one.named = true
+	for _, file := range disk.files {
+		file.nameDurable = true
 	}
 	return nil
 }
@@ -119,7 +119,7 @@
 func (handle *handle) Write(data []byte) (int, error) {
 	handle.disk.node.sim.Point(handle.disk.node, "disk.write")
 	if handle.disk.Full {
-		return 0, errFull
+		return 0, errNoSpace
 	}
 	handle.file.data = append(handle.file.data, data...)
 	return len(data), nil
@@ -128,18 +128,18 @@
 func (handle *handle) Sync() error {
 	node := handle.disk.node
 	node.sim.Point(node, "disk.sync")
-	life := node.life
+	incarnation := node.incarnation
 	loop.Sleep(node, node.sim.SyncTime+handle.disk.Slow)
-	if node.life != life {
-		return errSick
+	if node.incarnation != incarnation {
+		return errIO
 	}
 	if handle.disk.Sick {
-		return errSick
+		return errIO
 	}
 	handle.disk.Syncs++
-	// Files only grow or are begun anew, so what lasts is a prefix that nobody
-	// writes to again.
-	handle.file.lasting = handle.file.data[:len(handle.file.data):len(handle.file.data)]
+	// Files are only appended to or emptied, so the durable content is a prefix that is never
+	// overwritten and can share memory with the data.
+	handle.file.durable = handle.file.data[:len(handle.file.data):len(handle.file.data)]
 	node.sim.Point(node, "disk.synced")
 	return nil
 }
--- a/sim/net.go
+++ b/sim/net.go
@@ -12,16 +12,16 @@
 	"swifttiller/wire"
 )
 
-// Link is what stands between two nodes, one way.
+// Link is the state of the network path from one node to another, in one direction.
 type Link struct {
 	Cut   bool
 	Delay time.Duration
 }
 
-// Cut cuts or mends the way from one node to the other, one way only.
+// Cut cuts or restores the network path from one node to the other, in this direction only.
 func (sim *Sim) Cut(from, to string, cut bool) { sim.link(from, to).Cut = cut }
 
-// Delay adds to the way from one node to the other, one way only.
+// Delay sets the additional delay from one node to the other, in this direction only.
 func (sim *Sim) Delay(from, to string, delay time.Duration) { sim.link(from, to).Delay = delay }
 
 func (sim *Sim) link(from, to string) *Link {
@@ -32,7 +32,7 @@
 	return sim.links[key]
 }
 
-// Split cuts every way between the two groups, or mends them.
+// Split cuts or restores all network paths between the two groups, in both directions.
 func (sim *Sim) Split(left, right []string, cut bool) {
 	for _, a := range left {
 		for _, b := range right {
@@ -42,24 +42,25 @@
 	}
 }
 
-// Names are all nodes in the order in which they were made.
+// Names returns the names of all nodes in the order of their creation.
 func (sim *Sim) Names() []string { return sim.names }
 
-// Serve says which rpc server answers at the node.
+// Serve sets the RPC server that handles the node's incoming calls.
 func (node *Node) Serve(server *rpc.Server) {
 	node.services = func(string) any { return server }
 }
 
-// Reach tells whether a message from a node gets to another now, and after
-// which delay.
+// Reach returns the delay of a message that is sent from one node to another now, and whether the
+// network path is open. It draws the jitter from the seeded source.
 func (sim *Sim) Reach(from, to string) (time.Duration, bool) {
 	link := sim.link(from, to)
 	delay := sim.Latency + link.Delay + time.Duration(sim.Draw(int64(sim.Jitter)))
 	return delay, !link.Cut
 }
 
-// Deliver runs a step on another node after the way there, if it gets there.
-// Dropped ones vanish, as packets do.
+// Deliver runs a function on another node after the network delay, if the message gets there and the
+// node is up. Messages on a cut path are silently dropped, as packets are. It returns false only if
+// there is no node of that name.
 func (sim *Sim) Deliver(from *Node, to string, run func(node *Node)) bool {
 	target := sim.nodes[to]
 	if target == nil {
@@ -77,14 +78,15 @@
 	return true
 }
 
-// Lane is one connection's direction: what goes over it arrives in order or,
-// once something was lost, not at all.
+// Lane is one direction of a connection. Messages arrive in order; after one message was lost, none
+// arrives any more.
 type Lane struct {
 	last time.Duration
 	lost bool
 }
 
-// Send delivers in the lane's order.
+// Send runs a function on another node after the network delay, in order with the lane's other
+// messages.
 func (sim *Sim) Send(lane *Lane, from *Node, to string, run func(node *Node)) {
 	target := sim.nodes[to]
 	delay, open := sim.Reach(from.Name, to)
@@ -100,65 +102,67 @@
 	})
 }
 
-// Net is the node's net; addresses are node names.
+// Net is a node's client side of the network. Addresses are node names.
 type Net struct{ *Node }
 
-// lateBy is how late a late call comes: after its caller has given it up.
-const lateBy = 1300 * time.Millisecond
+// lateDelay is the delay of a call whose fate is IsLate or IsRepeated: it arrives after its caller
+// has timed out.
+const lateDelay = 1300 * time.Millisecond
 
-var errDeclined = errors.New("connection refused")
+var errRefused = errors.New("connection refused")
 
-// Call sends the args as bytes, serves them on the callee and brings the reply.
-func (net Net) Call(address, method string, args, reply any, patience time.Duration) error {
+// Call sends the encoded args to the address, has the callee's RPC server handle them, and stores the
+// response in reply. It fails if there is no response within the timeout.
+func (net Net) Call(address, method string, args, reply any, timeout time.Duration) error {
 	sim := net.sim
 	sim.Messages[method]++
 	target := sim.nodes[address]
-	box := net.Mailbox()
+	replies := net.Mailbox()
 	if target == nil || !target.up {
 		delay, open := sim.Reach(net.Name, address)
 		if !open {
-			delay = patience
+			delay = timeout
 		}
-		box.Take(min(delay, patience))
-		return &wire.Mishap{Address: address, Method: method, Cause: errDeclined}
+		replies.Take(min(delay, timeout))
+		return &wire.Mishap{Address: address, Method: method, Cause: errRefused}
 	}
-	sent := sim.copy(method+" args", args)
-	sim.carried(net.Name, address, method)
-	life := target.life
+	request := sim.copy(method+" args", args)
+	sim.countBytes(net.Name, address, method)
+	incarnation := target.incarnation
 	fate := Passes
 	if sim.OnCall != nil {
 		fate = sim.OnCall(net.Name, address, method)
 	}
 	serve := func(node *Node) {
-		if node.life != life || node.services == nil {
+		if node.incarnation != incarnation || node.services == nil {
 			return
 		}
 		if sim.ServeTime > 0 {
 			node.busyUntil = max(node.busyUntil, sim.now) + sim.ServeTime
 			loop.Sleep(node, node.busyUntil-sim.now)
-			if node.life != life {
+			if node.incarnation != incarnation {
 				return
 			}
 		}
 		server := node.services(method).(*rpc.Server)
-		codec := &codec{sim: sim, method: method, sent: sent, from: node.Name, to: net.Name}
+		codec := &codec{sim: sim, method: method, request: request, from: node.Name, to: net.Name}
 		server.ServeRequest(codec)
-		if fate != AnswerLost && !sim.happens(sim.Unruly.Lost) {
-			sim.Deliver(node, net.Name, func(*Node) { box.Put(codec) })
+		if fate != AnswerLost && !sim.withProbability(sim.Unruly.Lost) {
+			sim.Deliver(node, net.Name, func(*Node) { replies.Put(codec) })
 		}
 	}
-	later := func() {
+	deliverLater := func() {
 		sim.At(time.Duration(sim.Draw(int64(sim.Unruly.Latest))), func() { sim.Deliver(net.Node, address, serve) })
 	}
-	if sim.happens(sim.Unruly.Repeated) {
-		later()
+	if sim.withProbability(sim.Unruly.Repeated) {
+		deliverLater()
 	}
-	heldUp := func() { sim.At(lateBy, func() { sim.Deliver(net.Node, address, serve) }) }
+	deliverLate := func() { sim.At(lateDelay, func() { sim.Deliver(net.Node, address, serve) }) }
 	switch fate {
 	case IsRepeated:
-		heldUp()
+		deliverLate()
 	case IsLate:
-		heldUp()
+		deliverLate()
 	case SenderDies:
 		sim.Deliver(net.Node, address, serve)
 		sim.Killed(net.Name)
@@ -167,75 +171,75 @@
 	}
 	switch {
 	case fate == IsLost || fate == IsLate || fate == SenderDies:
-	case sim.happens(sim.Unruly.Lost):
-	case sim.happens(sim.Unruly.Late):
-		later()
+	case sim.withProbability(sim.Unruly.Lost):
+	case sim.withProbability(sim.Unruly.Late):
+		deliverLater()
 	default:
 		sim.Deliver(net.Node, address, serve)
 	}
-	got, ok := box.Take(patience)
+	received, ok := replies.Take(timeout)
 	if !ok {
 		return &wire.Mishap{Address: address, Method: method, Sent: true, Cause: wire.ErrExpired}
 	}
-	answer := got.(*codec)
-	if answer.trouble != "" {
-		return &wire.Mishap{Address: address, Method: method, Sent: true, Cause: rpc.ServerError(answer.trouble)}
+	response := received.(*codec)
+	if response.failure != "" {
+		return &wire.Mishap{Address: address, Method: method, Sent: true, Cause: rpc.ServerError(response.failure)}
 	}
-	reflect.ValueOf(reply).Elem().Set(answer.out)
+	reflect.ValueOf(reply).Elem().Set(response.response)
 	return nil
 }
 
-// tape carries values of one type through gob, as the real wire does, with the
-// type's description read only once.
-type tape struct {
+// gobStream encodes and decodes values of one type with gob, as a real connection does. As on a
+// connection, the type's description is sent only once.
+type gobStream struct {
 	buffer  bytes.Buffer
 	encoder *gob.Encoder
 	decoder *gob.Decoder
 }
 
-// carried counts the bytes of what was copied last.
-func (sim *Sim) carried(from, to, method string) {
-	sim.Bytes[method] += sim.copied
+// countBytes adds the size of the value that was copied last to the method's bytes.
+func (sim *Sim) countBytes(from, to, method string) {
+	sim.Bytes[method] += sim.copiedBytes
 	if sim.OnBytes != nil {
-		sim.OnBytes(from, to, method, sim.copied)
+		sim.OnBytes(from, to, method, sim.copiedBytes)
 	}
 }
 
-// copy gives what arrives of a value that is sent, sharing nothing with it.
+// copy encodes and decodes a value and returns the result, which shares no memory with the value.
 func (sim *Sim) copy(name string, value any) reflect.Value {
-	one := sim.tapes[name]
-	if one == nil {
-		one = &tape{}
-		one.encoder, one.decoder = gob.NewEncoder(&one.buffer), gob.NewDecoder(&one.buffer)
-		sim.tapes[name] = one
+	stream := sim.streams[name]
+	if stream == nil {
+		stream = &gobStream{}
+		stream.encoder, stream.decoder = gob.NewEncoder(&stream.buffer), gob.NewDecoder(&stream.buffer)
+		sim.streams[name] = stream
 	}
-	kind := reflect.TypeOf(value)
-	if kind.Kind() == reflect.Pointer {
-		kind = kind.Elem()
+	valueType := reflect.TypeOf(value)
+	if valueType.Kind() == reflect.Pointer {
+		valueType = valueType.Elem()
 	}
-	out := reflect.New(kind)
-	sim.copied = 0
-	if kind.Kind() == reflect.Struct && kind.NumField() == 0 {
-		return out.Elem() // gob has no words for nothing
+	out := reflect.New(valueType)
+	sim.copiedBytes = 0
+	if valueType.Kind() == reflect.Struct && valueType.NumField() == 0 {
+		return out.Elem() // gob can't encode a struct without fields
 	}
-	if err := one.encoder.Encode(value); err != nil {
+	if err := stream.encoder.Encode(value); err != nil {
 		panic(err)
 	}
-	sim.copied = one.buffer.Len()
-	if err := one.decoder.DecodeValue(out); err != nil {
+	sim.copiedBytes = stream.buffer.Len()
+	if err := stream.decoder.DecodeValue(out); err != nil {
 		panic(err)
 	}
 	return out.Elem()
 }
 
-// codec feeds one request to a real rpc.Server.
+// codec is an rpc.ServerCodec that passes one request to an rpc.Server and keeps its response.
 type codec struct {
-	sim     *Sim
-	method  string
-	sent    reflect.Value
-	out     reflect.Value
-	trouble string
-	// from and to are the way of the answer.
+	sim      *Sim
+	method   string
+	request  reflect.Value
+	response reflect.Value
+	failure  string
+	// from and to are the sender and the receiver of the response.
 	from, to string
 }
 
@@ -246,18 +250,18 @@
 
 func (codec *codec) ReadRequestBody(body any) error {
 	if body != nil {
-		reflect.ValueOf(body).Elem().Set(codec.sent)
+		reflect.ValueOf(body).Elem().Set(codec.request)
 	}
 	return nil
 }
 
 func (codec *codec) WriteResponse(response *rpc.Response, body any) error {
 	if response.Error != "" {
-		codec.trouble = response.Error
+		codec.failure = response.Error
 		return nil
 	}
-	codec.out = codec.sim.copy(codec.method+" reply", body)
-	codec.sim.carried(codec.from, codec.to, codec.method)
+	codec.response = codec.sim.copy(codec.method+" reply", body)
+	codec.sim.countBytes(codec.from, codec.to, codec.method)
 	return nil
 }
 
--- a/sim/sim.go
+++ b/sim/sim.go
@@ -1,5 +1,5 @@
-// Package sim runs the product's own code under virtual time: one task at a
-// time, in an order that a seed decides, over a simulated network and disks.
+// Package sim is a deterministic simulator. It runs the product's own code in virtual time, one
+// task at a time, in an order that depends only on a seed, with simulated networks and disks.
 package sim
 
 import (
@@ -11,52 +11,55 @@
 	"swifttiller/loop"
 )
 
-// Sim is the virtual machine park.
+// Sim is a simulated cluster of machines.
 //
-// Invariant: at any moment either the scheduler or exactly one task runs; who
-// runs holds the token. Everything below is touched only by the token's holder.
+// Invariant: at any moment either the scheduler or exactly one task runs; the one that runs holds
+// the execution token. All fields are accessed only by the holder of the token.
 type Sim struct {
-	Seed   uint64
-	now    time.Duration
-	queue  eventHeap
-	order  uint64
-	source *rand.Rand
-	back   chan struct{}
-	nodes  map[string]*Node
-	names  []string
-	links  map[[2]string]*Link
-	// Latency of one way on the network, and of one sync.
+	Seed     uint64
+	now      time.Duration
+	queue    eventHeap
+	sequence uint64
+	random   *rand.Rand
+	yielded  chan struct{}
+	nodes    map[string]*Node
+	names    []string
+	links    map[[2]string]*Link
+	// Latency is the base one-way network delay and Jitter the bound of the random delay added to
+	// it. SyncTime is how long syncing a file takes.
 	Latency, Jitter, SyncTime time.Duration
-	// ServeTime is what a node's processor takes for each call that it serves, one after
-	// the other, whether or not the caller still waits; none when zero.
+	// ServeTime is the processor time for each call that a node serves. Calls are served one after
+	// the other, whether or not the caller still waits. Zero means that serving takes no time.
 	ServeTime time.Duration
 	Messages  map[string]int
-	// Bytes are the bytes of calls and answers as gob writes them, by method.
+	// Bytes counts the gob-encoded bytes of requests and responses by method.
 	Bytes map[string]int
-	// OnBytes, if set, is told of each call's and answer's bytes, and of their way.
-	OnBytes  func(from, to, method string, bytes int)
-	tapes    map[string]*tape
-	copied   int // bytes of the last copy
-	points   map[string]int
-	hooks    map[string]func(node *Node, count int)
-	panicked any
-	parked   map[*task]bool
-	closed   bool
-	running  *task // who holds the token, if not the scheduler
-	Steps    int
-	// Unruly is how calls between processes are mistreated.
+	// OnBytes, if set, is called with the size, sender and receiver of each request and response.
+	OnBytes     func(from, to, method string, bytes int)
+	streams     map[string]*gobStream
+	copiedBytes int // size of the value that copy encoded last
+	points      map[string]int
+	hooks       map[string]func(node *Node, count int)
+	panicked    any
+	parked      map[*task]bool
+	closed      bool
+	running     *task // the task that holds the token; nil if the scheduler holds it
+	Steps       int
+	// Unruly sets the random faults of calls between processes.
 	Unruly Unruly
-	// OnCall, if set, is asked what becomes of a call.
+	// OnCall, if set, decides the fate of each call.
 	OnCall func(from, to, method string) Fate
+	// OnKill, if set, replaces Kill where a fault kills a process; see Killed.
 	OnKill func(name string)
 }
 
-// Fate is what becomes of one call.
+// Fate is the outcome of one call on the network.
 type Fate int
 
-// The fates: it goes through; it is lost; its answer is lost; it comes late, or
-// once more later on; its sender is killed once it was sent, or its receiver
-// before it comes.
+// Passes delivers the call. IsLost drops the request, and AnswerLost drops the response. IsLate
+// delivers the request only after its caller has timed out, and IsRepeated delivers it a second
+// time then. SenderDies kills the sender after the request was sent, and ReceiverDies kills the
+// receiver before the request arrives.
 const (
 	Passes Fate = iota
 	IsLost
@@ -67,33 +70,34 @@
 	ReceiverDies
 )
 
-// Unruly are shares of calls that vanish on either way, that are served once
-// more later on, and that are held up; the last two by up to Latest.
+// Unruly sets random network faults. Lost is the probability that a request or a response is
+// dropped, Repeated that a request is delivered a second time, and Late that a request is delayed.
+// The delay of repeated and late requests is below Latest.
 type Unruly struct {
 	Lost, Repeated, Late float64
 	Latest               time.Duration
 }
 
-func (sim *Sim) happens(share float64) bool {
-	return share > 0 && float64(sim.Draw(1<<20)) < share*(1<<20)
+func (sim *Sim) withProbability(probability float64) bool {
+	return probability > 0 && float64(sim.Draw(1<<20)) < probability*(1<<20)
 }
 
-// New makes a park from a seed.
+// New returns a simulator whose random decisions all derive from the seed.
 func New(seed uint64) *Sim {
 	return &Sim{
-		Seed: seed, source: rand.New(rand.NewPCG(seed, 77)), back: make(chan struct{}),
+		Seed: seed, random: rand.New(rand.NewPCG(seed, 77)), yielded: make(chan struct{}),
 		nodes: map[string]*Node{}, links: map[[2]string]*Link{},
 		Latency: time.Millisecond, Jitter: 2 * time.Millisecond, SyncTime: 2 * time.Millisecond,
-		Messages: map[string]int{}, Bytes: map[string]int{}, tapes: map[string]*tape{}, parked: map[*task]bool{}, points: map[string]int{}, hooks: map[string]func(*Node, int){},
+		Messages: map[string]int{}, Bytes: map[string]int{}, streams: map[string]*gobStream{}, parked: map[*task]bool{}, points: map[string]int{}, hooks: map[string]func(*Node, int){},
 	}
 }
 
 type event struct {
-	at    time.Duration
-	order uint64
-	node  *Node
-	life  int
-	run   func()
+	at          time.Duration
+	sequence    uint64
+	node        *Node
+	incarnation int
+	run         func()
 }
 
 type eventHeap []*event
@@ -102,18 +106,18 @@
 	if heap[a].at != heap[b].at {
 		return heap[a].at < heap[b].at
 	}
-	return heap[a].order < heap[b].order
+	return heap[a].sequence < heap[b].sequence
 }
 
-func (heap *eventHeap) push(one *event) {
-	*heap = append(*heap, one)
+func (heap *eventHeap) push(added *event) {
+	*heap = append(*heap, added)
 	for at := len(*heap) - 1; at > 0; {
-		up := (at - 1) / 2
-		if !heap.less(at, up) {
+		parent := (at - 1) / 2
+		if !heap.less(at, parent) {
 			return
 		}
-		(*heap)[at], (*heap)[up] = (*heap)[up], (*heap)[at]
-		at = up
+		(*heap)[at], (*heap)[parent] = (*heap)[parent], (*heap)[at]
+		at = parent
 	}
 }
 
@@ -125,60 +129,61 @@
 	list[last] = nil
 	*heap = list[:last]
 	for at := 0; ; {
-		least := at
+		smallest := at
 		for child := 2*at + 1; child <= 2*at+2 && child < last; child++ {
-			if heap.less(child, least) {
-				least = child
+			if heap.less(child, smallest) {
+				smallest = child
 			}
 		}
-		if least == at {
+		if smallest == at {
 			return top
 		}
-		(*heap)[at], (*heap)[least] = (*heap)[least], (*heap)[at]
-		at = least
+		(*heap)[at], (*heap)[smallest] = (*heap)[smallest], (*heap)[at]
+		at = smallest
 	}
 }
 
-// At plans a step of the scheduler's own, on no node.
-func (sim *Sim) At(after time.Duration, run func()) { sim.plan(after, nil, run) }
+// At schedules a step that runs in the scheduler and belongs to no node.
+func (sim *Sim) At(delay time.Duration, run func()) { sim.schedule(delay, nil, run) }
 
-func (sim *Sim) plan(after time.Duration, node *Node, run func()) {
-	if after < 0 {
-		after = 0
+func (sim *Sim) schedule(delay time.Duration, node *Node, run func()) {
+	if delay < 0 {
+		delay = 0
 	}
-	sim.order++
-	one := &event{at: sim.now + after, order: sim.order, node: node, run: run}
+	sim.sequence++
+	scheduled := &event{at: sim.now + delay, sequence: sim.sequence, node: node, run: run}
 	if node != nil {
-		one.life = node.life
+		scheduled.incarnation = node.incarnation
 	}
-	sim.queue.push(one)
+	sim.queue.push(scheduled)
 }
 
-// Run lets virtual time pass for the span. It panics with a task's panic.
-func (sim *Sim) Run(span time.Duration) {
-	if span < 0 {
-		panic("sim: time does not go back")
+// Run advances virtual time by the duration and runs the events that are due. It panics if a task
+// panicked.
+func (sim *Sim) Run(duration time.Duration) {
+	if duration < 0 {
+		panic("sim: negative duration: virtual time can not go backwards")
 	}
-	until := sim.now + span
+	until := sim.now + duration
 	for len(sim.queue) > 0 && sim.queue[0].at <= until {
-		one := sim.queue.pop()
-		if one.at > sim.now {
-			sim.now = one.at
+		next := sim.queue.pop()
+		if next.at > sim.now {
+			sim.now = next.at
 		}
-		if one.node != nil {
-			if one.node.life != one.life {
+		if next.node != nil {
+			if next.node.incarnation != next.incarnation {
 				continue
 			}
-			if one.node.frozenUntil > sim.now {
-				one.at = one.node.frozenUntil
-				sim.order++
-				one.order = sim.order
-				sim.queue.push(one)
+			if next.node.frozenUntil > sim.now {
+				next.at = next.node.frozenUntil
+				sim.sequence++
+				next.sequence = sim.sequence
+				sim.queue.push(next)
 				continue
 			}
 		}
 		sim.Steps++
-		one.run()
+		next.run()
 		if sim.panicked != nil {
 			panic(fmt.Sprintf("seed %d at %v: %v", sim.Seed, sim.now, sim.panicked))
 		}
@@ -186,44 +191,44 @@
 	sim.now = until
 }
 
-// Now is the park's time.
+// Now returns the virtual time.
 func (sim *Sim) Now() time.Duration { return sim.now }
 
-// Draw draws from the park's source.
+// Draw returns a random number in [0, below) from the simulator's seeded source.
 func (sim *Sim) Draw(below int64) int64 {
 	if below <= 1 {
 		return 0
 	}
-	return sim.source.Int64N(below)
+	return sim.random.Int64N(below)
 }
 
-// Node is one simulated machine with one process; it is a loop.World. A new
-// life begins with every start; tasks of an older life never run again.
+// Node is one simulated machine with one process; it implements loop.World. Each start of the
+// process begins a new incarnation; tasks of an older incarnation never run again.
 type Node struct {
 	Name        string
 	sim         *Sim
-	life        int
+	incarnation int
 	frozenUntil time.Duration
 	Disk        *Disk
 	services    func(method string) any
 	up          bool
-	// Skew is added to the calendar clock.
+	// Skew is the offset of the wall clock.
 	Skew time.Duration
-	// pace is by how much the machine's clock is too fast since paced, when it
-	// showed shown.
-	pace         float64
-	paced, shown time.Duration
-	// busyUntil is when it will have served what came so far.
+	// pace is the relative rate error of the machine's clock, positive if the clock is fast. It
+	// applies since virtual time paceSetAt, when the machine's clock was at paceSetClock.
+	pace                    float64
+	paceSetAt, paceSetClock time.Duration
+	// busyUntil is when the calls that have arrived so far will have been served.
 	busyUntil time.Duration
 }
 
 type task struct {
-	node *Node
-	life int
-	wake chan bool
+	node        *Node
+	incarnation int
+	wake        chan bool
 }
 
-// Node makes a machine, or gives the one of that name.
+// Node returns the machine of that name, creating it if there is none.
 func (sim *Sim) Node(name string) *Node {
 	if node := sim.nodes[name]; node != nil {
 		return node
@@ -235,98 +240,97 @@
 	return node
 }
 
-// Now is the machine's clock: virtual time at the machine's own pace. It runs
-// through freezes.
+// Now returns the machine's monotonic clock: virtual time at the machine's own rate. The clock goes
+// on while the machine is frozen.
 func (node *Node) Now() time.Duration {
-	since := node.sim.now - node.paced
-	return node.shown + since + time.Duration(node.pace*float64(since))
+	elapsed := node.sim.now - node.paceSetAt
+	return node.paceSetClock + elapsed + time.Duration(node.pace*float64(elapsed))
 }
 
-// SetPace makes the machine's clock run too fast by the ratio from now on.
+// SetPace makes the machine's clock run at 1+pace times the rate of virtual time from now on.
 func (node *Node) SetPace(pace float64) {
-	node.shown, node.paced, node.pace = node.Now(), node.sim.now, pace
+	node.paceSetClock, node.paceSetAt, node.pace = node.Now(), node.sim.now, pace
 }
 
-// Wall is a calendar that starts in 2026.
+// Wall returns the machine's wall clock, which starts at the beginning of 2026.
 func (node *Node) Wall() time.Time {
 	return time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC).Add(node.sim.now + node.Skew)
 }
 
-// Draw draws from the park's source.
+// Draw returns a random number in [0, below) from the simulator's seeded source.
 func (node *Node) Draw(below int64) int64 { return node.sim.Draw(below) }
 
-// Ended is false: a task of an ended life never gets to ask.
+// Ended always returns false: a task of an ended incarnation never runs, so it can not call Ended.
 func (node *Node) Ended() bool { return false }
 
-// Go starts a task.
+// Go starts a task on the node.
 func (node *Node) Go(run func()) {
 	sim := node.sim
-	sim.plan(0, node, func() {
-		one := &task{node: node, life: node.life, wake: make(chan bool)}
-		sim.running = one
+	sim.schedule(0, node, func() {
+		started := &task{node: node, incarnation: node.incarnation, wake: make(chan bool)}
+		sim.running = started
 		go func() {
 			defer func() {
-				if trouble := recover(); trouble != nil {
+				if recovered := recover(); recovered != nil {
 					stack := make([]byte, 4096)
-					sim.panicked = fmt.Sprintf("task on %s: %v\n%s", node.Name, trouble, stack[:runtime.Stack(stack, false)])
+					sim.panicked = fmt.Sprintf("task on %s: %v\n%s", node.Name, recovered, stack[:runtime.Stack(stack, false)])
 				}
-				sim.back <- struct{}{}
+				sim.yielded <- struct{}{}
 			}()
 			run()
 		}()
-		<-sim.back
+		<-sim.yielded
 		sim.running = nil
 	})
 }
 
-// park gives the token back until resumed.
-func (one *task) park() {
-	sim := one.node.sim
-	sim.parked[one] = true
-	sim.back <- struct{}{}
-	if !<-one.wake {
+// park returns the token to the scheduler and blocks until the task is resumed.
+func (task *task) park() {
+	sim := task.node.sim
+	sim.parked[task] = true
+	sim.yielded <- struct{}{}
+	if !<-task.wake {
 		runtime.Goexit()
 	}
 }
 
-// resume hands the token to a parked task and waits for it back.
-func (sim *Sim) resume(one *task) {
-	sim.running = one
-	delete(sim.parked, one)
-	one.wake <- true
-	<-sim.back
+// resume hands the token to a parked task and waits until the task returns it.
+func (sim *Sim) resume(task *task) {
+	sim.running = task
+	delete(sim.parked, task)
+	task.wake <- true
+	<-sim.yielded
 	sim.running = nil
 }
 
-// Close ends every task, also those of killed processes, which are kept parked
-// until now. Without it a finished park would stay in memory.
+// Close ends all tasks, including those of killed processes, which stay parked until then. Without
+// Close the goroutines would keep a finished simulation in memory.
 func (sim *Sim) Close() {
 	sim.closed = true
-	for one := range sim.parked {
-		one.wake <- false
-		<-sim.back
+	for task := range sim.parked {
+		task.wake <- false
+		<-sim.yielded
 	}
 	sim.parked, sim.queue = nil, nil
 }
 
-// Kill ends the process on the node at once; unsynced writes are lost.
+// Kill ends the node's process at once. Writes that were not synced are lost.
 func (sim *Sim) Kill(name string) {
 	node := sim.nodes[name]
 	if !node.up {
 		return
 	}
 	node.up = false
-	node.life++
+	node.incarnation++
 	node.services = nil
 	node.frozenUntil = 0
 	node.Disk.crash()
-	// Parked tasks are left parked until Close: they hold nothing but memory,
-	// and ending them now would run their deferred steps, which no killed
-	// process does.
+	// Parked tasks stay parked until Close. They use only memory, and ending them now would run
+	// their deferred functions, which a killed process never does.
 }
 
-// Killed kills a process as soon as the running task gives way, with whatever OnKill
-// does around it.
+// Killed schedules the kill of a process for when the running task yields. It calls OnKill if that
+// is set, and Kill otherwise.
 func (sim *Sim) Killed(name string) {
 	sim.At(0, func() {
 		if sim.OnKill != nil {
@@ -337,93 +341,95 @@
 	})
 }
 
-// Start begins a new life on the node.
+// Start starts a new incarnation of the node's process. It panics if the process is running.
 func (sim *Sim) Start(name string, run func(node *Node)) {
 	node := sim.Node(name)
 	if node.up {
-		panic("start of a running node " + name)
+		panic("sim: node is already running: " + name)
 	}
 	node.up = true
-	node.life++
+	node.incarnation++
 	node.Go(func() { run(node) })
 }
 
-// Up tells whether a process runs there.
+// Up reports whether the node's process is running.
 func (node *Node) Up() bool { return node.up }
 
-// Freeze stops the machine for the span; its clock runs on.
-func (sim *Sim) Freeze(name string, span time.Duration) {
-	sim.nodes[name].frozenUntil = sim.now + span
+// Freeze suspends the machine's tasks for the duration; its clock goes on.
+func (sim *Sim) Freeze(name string, duration time.Duration) {
+	sim.nodes[name].frozenUntil = sim.now + duration
 }
 
-// Frozen tells whether the machine stands still.
+// Frozen reports whether the machine is suspended.
 func (node *Node) Frozen() bool { return node.frozenUntil > node.sim.now }
 
 type mailbox struct {
-	node    *Node
-	life    int
-	letters []any
-	waiter  *task
-	ticket  int
+	node        *Node
+	incarnation int
+	messages    []any
+	waiter      *task
+	waitNumber  int
 }
 
-// Mailbox makes a mailbox.
-func (node *Node) Mailbox() loop.Mailbox { return &mailbox{node: node, life: node.life} }
+// Mailbox returns a new mailbox that belongs to the node's present incarnation.
+func (node *Node) Mailbox() loop.Mailbox { return &mailbox{node: node, incarnation: node.incarnation} }
 
-func (box *mailbox) Put(letter any) {
-	box.letters = append(box.letters, letter)
+func (box *mailbox) Put(message any) {
+	box.messages = append(box.messages, message)
 	if box.waiter != nil {
-		box.rouse(0)
+		box.scheduleWakeup(0)
 	}
 }
 
-// rouse plans the waiter's resumption; the ticket makes late ones no-ops.
-func (box *mailbox) rouse(after time.Duration) {
-	ticket := box.ticket
+// scheduleWakeup schedules the resumption of the waiting task after the delay. The wait number makes
+// a wakeup a no-op if its wait has ended by then.
+func (box *mailbox) scheduleWakeup(delay time.Duration) {
+	waitNumber := box.waitNumber
 	if box.node.pace != 0 {
-		// A waiter's span is of its own clock; it never wakes too early by it.
-		after = time.Duration(float64(after)/(1+box.node.pace)) + 1
+		// The delay is in time of the machine's own clock. Rounding up makes sure that the task
+		// does not wake too early by that clock.
+		delay = time.Duration(float64(delay)/(1+box.node.pace)) + 1
 	}
-	box.node.sim.plan(after, box.node, func() {
-		if box.waiter == nil || box.ticket != ticket || box.life != box.node.life {
+	box.node.sim.schedule(delay, box.node, func() {
+		if box.waiter == nil || box.waitNumber != waitNumber || box.incarnation != box.node.incarnation {
 			return
 		}
 		waiter := box.waiter
 		box.waiter = nil
-		box.ticket++
+		box.waitNumber++
 		box.node.sim.resume(waiter)
 	})
 }
 
-func (box *mailbox) Take(patience time.Duration) (any, bool) {
+func (box *mailbox) Take(timeout time.Duration) (any, bool) {
 	if box.node.sim.closed {
-		runtime.Goexit() // a deferred step of a task that is being ended
+		runtime.Goexit() // called from a deferred function of a task that Close ends
 	}
-	if len(box.letters) == 0 && patience > 0 {
-		one := box.node.sim.running
-		if one == nil {
-			panic("sim: a wait outside of any task")
+	if len(box.messages) == 0 && timeout > 0 {
+		waiter := box.node.sim.running
+		if waiter == nil {
+			panic("sim: a mailbox can only be waited on from a task")
 		}
-		if one.life != box.node.life {
-			one.park() // of a killed life: never comes back
+		if waiter.incarnation != box.node.incarnation {
+			waiter.park() // the task's incarnation was killed: park never returns
 		}
-		box.ticket++
-		box.waiter = one
-		if patience < loop.Forever/2 {
-			box.rouse(patience)
+		box.waitNumber++
+		box.waiter = waiter
+		if timeout < loop.Forever/2 {
+			box.scheduleWakeup(timeout)
 		}
-		one.park()
+		waiter.park()
 	}
-	if len(box.letters) == 0 {
+	if len(box.messages) == 0 {
 		return nil, false
 	}
-	letter := box.letters[0]
-	box.letters = box.letters[1:]
-	return letter, true
+	message := box.messages[0]
+	box.messages = box.messages[1:]
+	return message, true
 }
 
-// Point marks a numbered place where a fault may be put; the hook for the name
-// runs with how often the place was passed.
+// Point marks a point in the code where a fault can be injected. It calls the hook that is set for
+// the name with the number of times that the point was passed, including this one.
 func (sim *Sim) Point(node *Node, name string) {
 	sim.points[name]++
 	if hook := sim.hooks[name]; hook != nil {
@@ -431,13 +437,13 @@
 	}
 }
 
-// Hook puts a fault at a point.
+// Hook sets the function that is called each time the point is passed.
 func (sim *Sim) Hook(name string, hook func(node *Node, count int)) { sim.hooks[name] = hook }
 
-// Passed tells how often a point was passed.
+// Passed returns how often the point was passed.
 func (sim *Sim) Passed(name string) int { return sim.points[name] }
 
-// Halt ends the running task's process from inside, as a crash at this line.
+// Halt kills the process of the running task, as if it crashed at this line. It does not return.
 func (node *Node) Halt() {
 	node.sim.Kill(node.Name)
 	node.sim.running.park()
