--- a/modelcheck/doc.go
+++ b/modelcheck/doc.go
@@ -1,9 +1,10 @@
-// Package modelcheck explores small worlds of the product's own registers: acceptors and
-// proposers whose messages are delivered, lost, repeated and overtaken in any order, while
-// acceptors lose power and disks. It is a tool of developers and CI; no daemon uses it.
+// Package modelcheck is a model checker that runs the product's own code: acceptors, proposers,
+// lease issuers and holders, and control daemons in small clusters. It explores schedules in which
+// messages are delivered in any order, lost, repeated and delayed, and nodes lose power or their
+// disks. It is a tool for developers and CI; no daemon uses it.
 //
-// A run begins with the schedule that delivers each message in the order of sending. A
-// deviation is any other step at one point of it. Runs are explored by their number of
-// deviations, the fewest first; a state that was reached before is not explored again.
-// What a search did not reach it tells: see Report.
+// The default schedule delivers each message in the order of sending. A deviation is any other
+// step at one point of the schedule. Runs are explored in the order of their number of deviations,
+// fewest first, and a state that was visited before is not explored again. The Report of a search
+// states what was left unexplored.
 package modelcheck
--- a/modelcheck/explore.go
+++ b/modelcheck/explore.go
@@ -9,31 +9,30 @@
 	"strings"
 )
 
-// World is what is explored.
+// World is a scenario to explore.
 type World struct {
 	Name string
-	// Start makes the nodes and starts their tasks. Check is asked at every state, and End
-	// at the end of each run, after all that was in flight was delivered; an error is a
-	// broken promise.
-	Start func(run *Run) Trial
-	// Crashes and Wipes are how many losses of power and of disks a run has at most, each
-	// of one node of Stores, which starts again at once.
+	// Start creates the nodes and starts their tasks. The search calls the instance's Check in
+	// every state and its End at the end of each run; an error means that an invariant is violated.
+	Start func(run *Run) Instance
+	// Crashes and Wipes bound the power losses and the disk losses of a run. Each affects one node
+	// of Stores, which restarts at once.
 	Crashes, Wipes int
 	Stores         []string
-	// Delays are how many messages come as late as their callers may wait for them.
-	// Isolations are how many nodes of Isolated are cut off one way: what is sent to them
-	// from then on is lost.
+	// Delays bounds the messages of a run that arrive just before their callers time out.
+	// Isolations bounds the nodes of Isolated that are cut off in one direction: messages that are
+	// sent to them from then on are lost.
 	Delays, Isolations int
 	Isolated           []string
-	// OrdersOnly leaves losses and repeats of messages out: they come in any order, and time
-	// passes only when none is in flight. Such a world is small enough to be explored whole.
+	// OrdersOnly leaves out lost and repeated messages: messages arrive in any order, and time
+	// passes only when none is in flight. Such a world is small enough to be explored completely.
 	OrdersOnly bool
-	// Symmetric are nodes that differ in their names alone: of states that differ in which of
-	// them is which, one is explored.
+	// Symmetric are interchangeable nodes. Of states that differ only by a permutation of these
+	// nodes, one is explored.
 	Symmetric []string
 }
 
-// AllWorlds are the worlds of registers, leases and orders, by name.
+// AllWorlds returns the worlds of registers, leases and operators' orders by name.
 func AllWorlds() map[string]World {
 	all := maps.Clone(Worlds)
 	maps.Copy(all, LeaseWorlds)
@@ -41,40 +40,43 @@
 	return all
 }
 
-// Trial is a world that has started.
-type Trial interface {
-	// Restart starts the node's acceptor from its disk.
+// Instance is a world that was started for one run.
+type Instance interface {
+	// Restart starts the node's process again after a crash, from its disk if it has one.
 	Restart(run *Run, name string)
-	// IsOver tells that nothing more is to be seen.
+	// IsOver reports that the run can end, as no further step matters.
 	IsOver(run *Run) bool
+	// Check returns an error if an invariant is violated in the present state.
 	Check(run *Run) error
+	// End finishes the run and returns an error if its outcome violates an invariant.
 	End(run *Run) error
 }
 
-// Bounds of a search.
+// Bounds limits a search.
 type Bounds struct {
-	Runs       int // at most so many runs
-	Deviations int // at most so many deviations in each
-	Steps      int // a run ends after so many; 0 is 400
+	Runs       int // maximum number of runs
+	Deviations int // maximum number of deviations in a run
+	Steps      int // maximum number of steps in a run; 0 means 400
 }
 
-// Deviation is a step other than the usual one: at point number Point of a run, the option.
+// Deviation is a step other than the default one: Option is the index of the step that is taken at
+// step number Point of a run.
 type Deviation struct{ Point, Option int }
 
-// Report is what a search has seen.
+// Report is the result of a search.
 type Report struct {
 	World      string
 	Runs       int
-	States     int // different ones
-	Depth      int // most steps of a run
-	Deviations int // up to so many in a run were all explored
-	Left       int // runs that were known and not made
-	Broken     *Counterexample
+	States     int             // distinct states visited
+	Depth      int             // steps of the longest run
+	Deviations int             // all runs with up to this many deviations were explored
+	Left       int             // runs that were found but not explored
+	Broken     *Counterexample // nil if no invariant was violated
 }
 
-// String is one line, or the counterexample.
+// String returns a summary in one line, followed by the counterexample if there is one.
 func (report Report) String() string {
-	line := fmt.Sprintf("%s: %d runs, %d states, %d steps deep; all of up to %d deviations, %d runs left out",
+	line := fmt.Sprintf("%s: %d runs, %d states, longest run %d steps; explored all runs of up to %d deviations, left out %d runs",
 		report.World, report.Runs, report.States, report.Depth, report.Deviations, report.Left)
 	if report.Broken != nil {
 		line += "\n" + report.Broken.String()
@@ -82,7 +84,7 @@
 	return line
 }
 
-// Counterexample is a run that broke a promise. Replay makes it again.
+// Counterexample is a run that violated an invariant. Replay repeats it.
 type Counterexample struct {
 	World      string
 	Deviations []Deviation
@@ -90,35 +92,36 @@
 	Err        error
 }
 
-// String is the run, a step a line.
+// String returns the error, the deviations to replay, and the steps of the run, one per line.
 func (found *Counterexample) String() string {
 	return fmt.Sprintf("%s: %v\nreplay with %v\n%s", found.World, found.Err, found.Deviations, strings.Join(found.Steps, "\n"))
 }
 
-const usualSteps = 400
+const defaultMaxSteps = 400
 
-// point is a place of a run where another step was possible.
+// point is the state of a run before one step, with the number of steps that were possible.
 type point struct {
 	options int
 	state   uint64
 }
 
-// Explore searches the world within the bounds.
+// Explore searches the world within the bounds, until it finds the first counterexample.
 func Explore(world World, bounds Bounds) Report {
 	report := Report{World: world.Name}
 	if bounds.Steps == 0 {
-		bounds.Steps = usualSteps
+		bounds.Steps = defaultMaxSteps
 	}
 	visited := map[uint64]bool{}
 	level := [][]Deviation{nil}
 	for depth := 0; depth <= bounds.Deviations && len(level) > 0; depth++ {
 		var next [][]Deviation
-		// Where not all can be made, those that are made lie all over the level.
+		// Shuffling makes the explored runs a sample of the whole level if the bound on runs does
+		// not allow to explore all of them.
 		order := rand.New(rand.NewPCG(uint64(depth), uint64(len(level))))
 		order.Shuffle(len(level), func(a, b int) { level[a], level[b] = level[b], level[a] })
-		for at, deviations := range level {
+		for explored, deviations := range level {
 			if report.Runs >= bounds.Runs {
-				report.Left = len(level) - at + len(next)
+				report.Left = len(level) - explored + len(next)
 				report.States = len(visited)
 				return report
 			}
@@ -151,10 +154,10 @@
 	return report
 }
 
-// Replay makes a run once more and tells its steps; nil if it breaks nothing.
+// Replay repeats a run and records its steps. It returns nil if the run violates no invariant.
 func Replay(world World, deviations []Deviation, steps int) *Counterexample {
 	if steps == 0 {
-		steps = usualSteps
+		steps = defaultMaxSteps
 	}
 	found := &Counterexample{World: world.Name, Deviations: deviations}
 	_, _, found.Err = play(world, deviations, steps, nil, func(step string) { found.Steps = append(found.Steps, step) })
@@ -164,28 +167,28 @@
 	return found
 }
 
-// option is a step that is possible now.
+// option is a step that is possible in the present state.
 type option struct {
 	name string
 	take func()
 }
 
-// options are the steps that are possible now, the usual one first.
-func options(world World, trial Trial, run *Run) (out []option) {
-	for index, one := range run.inFlight {
-		out = append(out, option{"deliver " + one.String(), func() { run.deliver(run.take(index)) }})
+// options returns the steps that are possible in the present state, the default step first.
+func options(world World, instance Instance, run *Run) (out []option) {
+	for index, message := range run.inFlight {
+		out = append(out, option{"deliver " + message.String(), func() { run.deliver(run.take(index)) }})
 	}
 	_, canTick := run.nextDeadline()
 	if world.OrdersOnly && len(run.inFlight) > 0 {
 		return out
 	}
-	if canTick && !slices.ContainsFunc(run.inFlight, func(one *message) bool { return run.isOnce(one) && !one.isReply }) {
+	if canTick && !slices.ContainsFunc(run.inFlight, func(message *message) bool { return run.isNeverRepeated(message) && !message.isReply }) {
 		out = append(out, option{"time passes", run.tick})
 	}
 	if len(run.inFlight) > 0 {
 		first := run.inFlight[0]
 		out = append(out, option{"lose " + first.String(), func() { run.take(0) }})
-		if !first.isReply && !run.isOnce(first) {
+		if !first.isReply && !run.isNeverRepeated(first) {
 			out = append(out, option{"repeat " + first.String(), func() {
 				again := *first
 				run.deliver(run.take(0))
@@ -203,7 +206,7 @@
 	}
 	for _, name := range world.Isolated {
 		if run.isolations < world.Isolations && !run.isolated[name] {
-			out = append(out, option{"nothing reaches " + name + " any more", func() {
+			out = append(out, option{"isolate " + name + " from incoming messages", func() {
 				run.isolations++
 				run.isolated[name] = true
 			}})
@@ -214,7 +217,7 @@
 			out = append(out, option{name + " loses power", func() {
 				run.crashes++
 				run.crash(name)
-				trial.Restart(run, name)
+				instance.Restart(run, name)
 			}})
 		}
 		if run.wipes < world.Wipes {
@@ -222,26 +225,26 @@
 				run.wipes++
 				run.crash(name)
 				run.node(name).folder = newFolder()
-				trial.Restart(run, name)
+				instance.Restart(run, name)
 			}})
 		}
 	}
 	return out
 }
 
-// crash ends the node's tasks and takes what was not synced.
+// crash ends the node's tasks and discards what was not synced to its disk.
 func (run *Run) crash(name string) {
-	one := run.node(name)
-	one.life++
-	clear(one.services)
-	one.noted("crash")
-	one.folder.losePower()
+	node := run.node(name)
+	node.incarnation++
+	clear(node.services)
+	node.recordInput("crash")
+	node.folder.losePower()
 }
 
-// play makes one run: the usual steps, but for the deviations. In a world that is explored whole
-// it ends where it comes to a state that was visited: what follows was played from there. States
-// of before the last deviation are left out, as they are not explored anew.
-func play(world World, deviations []Deviation, steps int, visited map[uint64]bool, tell func(step string)) (points []point, step int, err error) {
+// play executes one run: the default steps except for the deviations. In an OrdersOnly world the run
+// ends when it reaches a visited state, as the steps from that state were played before. The states
+// before the last deviation are not computed, as they are not explored again.
+func play(world World, deviations []Deviation, steps int, visited map[uint64]bool, trace func(step string)) (points []point, step int, err error) {
 	from := 0
 	if len(deviations) > 0 {
 		from = deviations[len(deviations)-1].Point + 1
@@ -249,40 +252,41 @@
 	run := newRun()
 	run.symmetric = world.Symmetric
 	defer run.end()
-	trial := world.Start(run)
+	instance := world.Start(run)
 	run.settle()
-	for ; step < steps && !trial.IsOver(run); step++ {
-		possible := options(world, trial, run)
+	for ; step < steps && !instance.IsOver(run); step++ {
+		possible := options(world, instance, run)
 		if len(possible) == 0 {
 			break
 		}
 		points = append(points, point{options: len(possible)})
 		if step >= from {
-			points[step].state = run.state(trial)
+			points[step].state = run.state(instance)
 			if world.OrdersOnly && visited[points[step].state] {
 				return points, step, nil
 			}
 		}
-		which := 0
+		choice := 0
 		if len(deviations) > 0 && deviations[0].Point == step {
-			which = min(deviations[0].Option, len(possible)-1)
+			choice = min(deviations[0].Option, len(possible)-1)
 			deviations = deviations[1:]
 		}
-		if tell != nil {
-			tell(possible[which].name)
+		if trace != nil {
+			trace(possible[choice].name)
 		}
-		possible[which].take()
+		possible[choice].take()
 		run.settle()
-		if err := trial.Check(run); err != nil {
+		if err := instance.Check(run); err != nil {
 			return points, step, err
 		}
 	}
-	return points, step, trial.End(run)
+	return points, step, instance.End(run)
 }
 
-// drain delivers all that is in flight, and lets time pass, until the condition holds.
+// drain delivers the messages in flight and advances time until the condition holds. It returns false
+// if the condition does not hold after 10 times the default number of steps.
 func (run *Run) drain(isDone func() bool) bool {
-	for turn := 0; turn < 10*usualSteps && !isDone(); turn++ {
+	for turn := 0; turn < 10*defaultMaxSteps && !isDone(); turn++ {
 		if len(run.inFlight) > 0 {
 			run.deliver(run.take(0))
 		} else {
@@ -293,33 +297,33 @@
 	return isDone()
 }
 
-// state sums up all on which the rest of a run depends.
-func (run *Run) state(trial Trial) uint64 {
+// state returns a hash of everything that the rest of the run depends on.
+func (run *Run) state(instance Instance) uint64 {
 	if len(run.symmetric) > 0 {
-		return run.symmetricState(trial)
+		return run.symmetricState(instance)
 	}
 	sum := fnv.New64a()
 	for _, name := range slices.Sorted(maps.Keys(run.nodes)) {
-		one := run.nodes[name]
-		fmt.Fprint(sum, name, one.life, " ")
-		if len(one.folder.files) == 0 {
-			fmt.Fprint(sum, one.history)
+		node := run.nodes[name]
+		fmt.Fprint(sum, name, node.incarnation, " ")
+		if len(node.folder.files) == 0 {
+			fmt.Fprint(sum, node.history)
 			continue
 		}
-		// What a store does next depends on its disk alone.
+		// The further behavior of a node with a disk depends only on the disk's content.
 		for _, file := range []string{"slot-0", "slot-1", "log-0", "log-1"} {
-			if content := one.folder.files[file]; content != nil {
+			if content := node.folder.files[file]; content != nil {
 				_, _ = sum.Write(content.content)
 			}
 		}
 	}
-	for _, one := range run.inFlight {
-		fmt.Fprint(sum, one.from, one.to, one.method, one.isReply)
-		_, _ = sum.Write(one.body)
+	for _, message := range run.inFlight {
+		fmt.Fprint(sum, message.from, message.to, message.method, message.isReply)
+		_, _ = sum.Write(message.body)
 	}
-	for _, one := range run.delayed {
-		fmt.Fprint(sum, one.from, one.to, one.method, one.isReply, one.due)
-		_, _ = sum.Write(one.body)
+	for _, message := range run.delayed {
+		fmt.Fprint(sum, message.from, message.to, message.method, message.isReply, message.due)
+		_, _ = sum.Write(message.body)
 	}
 	for _, name := range slices.Sorted(maps.Keys(run.isolated)) {
 		fmt.Fprint(sum, name)
--- a/modelcheck/explore_test.go
+++ b/modelcheck/explore_test.go
@@ -4,26 +4,27 @@
 	"testing"
 )
 
-// runs of each world in CI; a count and no span of time, so that the verdict is the same
-// each time.
+// Bounds of the search in each world. They are counts and not durations, so that the result of the
+// test is the same each time.
 const (
-	runsInCI       = 3000
-	daemonRunsInCI = 1200 // whole daemons take longer
-	runsInShort    = 300
-	deviationsMax  = 6
+	ciRuns        = 3000
+	ciDaemonRuns  = 1200 // runs with whole daemons take longer
+	shortRuns     = 300
+	maxDeviations = 6
 )
 
-// TestWorlds: no world breaks a promise within the budget.
+// TestWorlds explores all worlds within fixed bounds. It fails if a run violates an invariant, and if
+// a world reaches so few states that the search would show nothing.
 func TestWorlds(t *testing.T) {
 	for name, world := range AllWorlds() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			bounds := Bounds{Runs: runsInCI, Deviations: deviationsMax}
+			bounds := Bounds{Runs: ciRuns, Deviations: maxDeviations}
 			if _, isOfRegisters := Worlds[name]; !isOfRegisters {
-				bounds.Runs = daemonRunsInCI
+				bounds.Runs = ciDaemonRuns
 			}
 			if testing.Short() {
-				bounds.Runs = runsInShort
+				bounds.Runs = shortRuns
 			}
 			report := Explore(world, bounds)
 			t.Log(report)
@@ -31,7 +32,7 @@
 				t.Errorf("broken promise: %s", name)
 			}
 			if report.States < 100 {
-				t.Errorf("vacuous: %d states", report.States)
+				t.Errorf("vacuous: the search visited only %d states", report.States)
 			}
 		})
 	}
--- a/modelcheck/folder.go
+++ b/modelcheck/folder.go
@@ -6,60 +6,60 @@
 	"swifttiller/disk"
 )
 
-// folder is a disk in memory. A loss of power takes what was written since the last sync of
-// each file.
+// folder is a disk in memory. A power loss discards what was written to each file since its last
+// sync.
 type folder struct{ files map[string]*file }
 
 type file struct{ content, synced []byte }
 
 func newFolder() *folder { return &folder{files: map[string]*file{}} }
 
-// Read gives a whole file.
+// Read returns the content of a file.
 func (folder *folder) Read(name string) ([]byte, error) {
-	if one := folder.files[name]; one != nil {
-		return append([]byte{}, one.content...), nil
+	if file := folder.files[name]; file != nil {
+		return append([]byte{}, file.content...), nil
 	}
 	return nil, &fs.PathError{Op: "read", Path: name, Err: fs.ErrNotExist}
 }
 
-// Open opens a file for appending, or empties it first.
-func (folder *folder) Open(name string, emptied bool) (disk.File, error) {
+// Open opens a file for appending, creating it if needed; with truncate it empties the file first.
+func (folder *folder) Open(name string, truncate bool) (disk.File, error) {
 	if folder.files[name] == nil {
 		folder.files[name] = &file{}
 	}
-	if emptied {
+	if truncate {
 		folder.files[name].content = nil
 	}
 	return folder.files[name], nil
 }
 
-// Sync makes names last; here they always do.
+// Sync does nothing, as the names of files are always durable here.
 func (folder *folder) Sync() error { return nil }
 
-// losePower forgets what was not synced.
+// losePower discards what was not synced.
 func (folder *folder) losePower() {
-	for _, one := range folder.files {
-		one.content = append([]byte{}, one.synced...)
+	for _, file := range folder.files {
+		file.content = append([]byte{}, file.synced...)
 	}
 }
 
-// Write appends.
+// Write appends the data to the file.
 func (file *file) Write(data []byte) (int, error) {
 	file.content = append(file.content, data...)
 	return len(data), nil
 }
 
-// Sync makes what was written last.
+// Sync makes the written content durable.
 func (file *file) Sync() error {
 	file.synced = append([]byte{}, file.content...)
 	return nil
 }
 
-// Truncate cuts the file to the size.
+// Truncate shortens the file to the size.
 func (file *file) Truncate(size int64) error {
 	file.content = file.content[:size]
 	return nil
 }
 
-// Close ends the use of the file.
+// Close does nothing.
 func (file *file) Close() error { return nil }
--- a/modelcheck/net.go
+++ b/modelcheck/net.go
@@ -19,10 +19,10 @@
 	from, to string
 	method   string
 	isReply  bool
-	// args are the encoded arguments of a request, or the encoded reply.
-	body []byte
-	box  *mailbox      // of the caller
-	due  time.Duration // when it comes, of one that is delayed
+	// body is the encoded arguments of a request, or the encoded reply.
+	body    []byte
+	replies *mailbox      // where the caller waits for the reply
+	due     time.Duration // arrival time of a delayed message
 }
 
 func (message *message) String() string {
@@ -30,115 +30,119 @@
 	if message.isReply {
 		kind = "reply"
 	}
-	return fmt.Sprintf("%s %s of %s to %s", strings.TrimPrefix(message.method, "Register."), kind, message.from, message.to)
+	return fmt.Sprintf("%s %s from %s to %s", strings.TrimPrefix(message.method, "Register."), kind, message.from, message.to)
 }
 
-// network is a node's way to the others.
+// network is a node's client side of the network.
 type network struct{ node *node }
 
-var errSilent = errors.New("modelcheck: no answer in time")
+var errTimeout = errors.New("modelcheck: timeout waiting for the reply")
 
-// Call sends a request and waits for its reply.
+// Call sends a request and waits for its reply until the timeout.
 func (network network) Call(address, method string, args, reply any, timeout time.Duration) error {
 	node := network.node
-	box := node.Mailbox().(*mailbox)
-	node.run.send(&message{from: node.name, to: address, method: method, body: encode(args), box: box})
-	got, ok := box.Take(timeout)
+	replies := node.Mailbox().(*mailbox)
+	node.run.send(&message{from: node.name, to: address, method: method, body: encode(args), replies: replies})
+	received, ok := replies.Take(timeout)
 	if !ok {
-		return &wire.Mishap{Address: address, Method: method, Sent: true, Cause: errSilent}
+		return &wire.Mishap{Address: address, Method: method, Sent: true, Cause: errTimeout}
 	}
-	return decode(got.([]byte), reply)
+	return decode(received.([]byte), reply)
 }
 
-func (run *Run) send(one *message) {
+// send puts a message in flight, unless it is lost.
+func (run *Run) send(message *message) {
 	run.sent++
-	one.number = run.sent
-	if run.isolated[one.to] || run.isLost != nil && run.isLost(one) {
+	message.number = run.sent
+	if run.isolated[message.to] || run.isLost != nil && run.isLost(message) {
 		return
 	}
-	run.inFlight = append(run.inFlight, one)
-	if run.isLate != nil && run.isLate(one) {
+	run.inFlight = append(run.inFlight, message)
+	if run.isLate != nil && run.isLate(message) {
 		run.delay(len(run.inFlight) - 1)
 	}
 }
 
-// lateBy is how long before its caller gives up a delayed message comes.
-const lateBy = time.Microsecond
+// lateMargin is how long before its caller's timeout a delayed message arrives.
+const lateMargin = time.Microsecond
 
-// transitMost is how long an operator's order is on its way at the most: what is on its way for
-// longer can't be told from one that was sent later.
-const transitMost = 200 * time.Millisecond
+// maxTransit bounds how long an operator's order is in transit. An order in transit for longer can
+// not be distinguished from an order that was sent later.
+const maxTransit = 200 * time.Millisecond
 
-// caller is the task that waits for the message's exchange to end; nil if none does any more.
-func (run *Run) caller(one *message) *task {
+// caller returns the task that waits for the reply to the message's request, or for the message
+// itself if it is the reply; nil if no task waits any more.
+func (run *Run) caller(message *message) *task {
 	for _, waiting := range run.waiting {
-		if waiting.box == one.box && waiting.deadline < loop.Forever {
+		if waiting.mailbox == message.replies && waiting.deadline < loop.Forever {
 			return waiting
 		}
 	}
 	return nil
 }
 
-// delay has a message come as late as its caller may wait for it.
+// delay makes a message in flight arrive just before its caller times out.
 func (run *Run) delay(index int) {
 	caller := run.caller(run.inFlight[index])
-	if caller == nil || caller.deadline-lateBy <= run.now {
+	if caller == nil || caller.deadline-lateMargin <= run.now {
 		return
 	}
-	one := run.take(index)
-	one.due = caller.deadline - lateBy
-	if run.isOnce(one) && !one.isReply {
-		one.due = min(one.due, run.now+transitMost)
+	message := run.take(index)
+	message.due = caller.deadline - lateMargin
+	if run.isNeverRepeated(message) && !message.isReply {
+		message.due = min(message.due, run.now+maxTransit)
 	}
-	run.delayed = append(run.delayed, one)
+	run.delayed = append(run.delayed, message)
 }
 
-// releaseDelayed puts the messages that are due among those that may be delivered.
+// releaseDelayed moves the delayed messages that are due to the messages in flight.
 func (run *Run) releaseDelayed() {
-	run.delayed = slices.DeleteFunc(run.delayed, func(one *message) bool {
-		isDue := one.due <= run.now
+	run.delayed = slices.DeleteFunc(run.delayed, func(message *message) bool {
+		isDue := message.due <= run.now
 		if isDue {
-			run.inFlight = append(run.inFlight, one)
+			run.inFlight = append(run.inFlight, message)
 		}
 		return isDue
 	})
 }
 
-// take removes a message from those in flight.
+// take removes a message from those in flight and returns it.
 func (run *Run) take(index int) *message {
-	one := run.inFlight[index]
+	message := run.inFlight[index]
 	run.inFlight = append(run.inFlight[:index], run.inFlight[index+1:]...)
-	return one
+	return message
 }
 
-// isOnce tells that a message is never repeated: operators' orders come over connections, and
-// are sent again by the operators alone.
-func (run *Run) isOnce(one *message) bool { return strings.HasPrefix(one.method, "Operator.") }
+// isNeverRepeated reports whether the network never duplicates the message. This holds for operators'
+// orders: they come over connections, and only the operators send them again.
+func (run *Run) isNeverRepeated(message *message) bool {
+	return strings.HasPrefix(message.method, "Operator.")
+}
 
-// deliver gives a message to its receiver. A request for a service that the node has not is
+// deliver delivers a message to its receiver. A request for a service that the node does not run is
 // lost.
-func (run *Run) deliver(one *message) {
-	receiver := run.node(one.to)
-	receiver.noted(one.String() + string(one.body))
-	if one.isReply {
-		if one.box.life == receiver.life {
-			one.box.Put(one.body)
+func (run *Run) deliver(delivered *message) {
+	receiver := run.node(delivered.to)
+	receiver.recordInput(delivered.String() + string(delivered.body))
+	if delivered.isReply {
+		if delivered.replies.incarnation == receiver.incarnation {
+			delivered.replies.Put(delivered.body)
 		}
 		return
 	}
-	service, method, _ := strings.Cut(one.method, ".")
+	service, method, _ := strings.Cut(delivered.method, ".")
 	server := receiver.services[service]
 	if server == nil {
 		return
 	}
 	receiver.Go(func() {
-		if body, err := serve(server, method, one.body); err == nil {
-			run.send(&message{from: one.to, to: one.from, method: one.method, isReply: true, body: body, box: one.box})
+		if body, err := serve(server, method, delivered.body); err == nil {
+			run.send(&message{from: delivered.to, to: delivered.from, method: delivered.method, isReply: true, body: body, replies: delivered.replies})
 		}
 	})
 }
 
-// serve calls the method of the server and gives its encoded reply.
+// serve calls a method of the server and returns the encoded reply.
 func serve(server any, name string, body []byte) ([]byte, error) {
 	method := reflect.ValueOf(server).MethodByName(name)
 	if !method.IsValid() {
@@ -155,11 +159,11 @@
 	return encode(reply.Interface()), nil
 }
 
-// encode gives a value as it travels; the same value always looks the same.
+// encode returns the encoding of a value; equal values have equal encodings.
 func encode(value any) []byte {
 	body, err := json.Marshal(value)
 	if err != nil {
-		panic(err) // only the product's own types travel
+		panic(err) // only the product's own types are sent, and all of them can be encoded
 	}
 	return body
 }
--- a/modelcheck/run.go
+++ b/modelcheck/run.go
@@ -9,8 +9,8 @@
 	"swifttiller/loop"
 )
 
-// Run is one execution of a world: tasks that take turns, messages in flight, and a clock
-// that moves only when a step says so.
+// Run is one execution of a world: tasks that run one at a time, messages in flight, and a clock that
+// only certain steps advance.
 //
 // Invariant: at any moment either the scheduler or exactly one task runs.
 type Run struct {
@@ -19,54 +19,54 @@
 	ready    []*task
 	waiting  []*task
 	inFlight []*message
-	// delayed are messages that are on their way for longer, each until its due time.
+	// delayed are messages in transit that can't be delivered before their due time.
 	delayed []*message
-	// isolated are nodes that nothing reaches any more that is sent from now on.
+	// isolated are nodes that receive no message that is sent after their isolation.
 	isolated map[string]bool
-	// symmetric are nodes that differ in their names alone.
+	// symmetric are interchangeable nodes; see World.Symmetric.
 	symmetric []string
-	// isLate, if set, tells which replies come as late as they may.
-	isLate func(one *message) bool
-	// isLost, if set, tells which messages are lost as they are sent.
-	isLost   func(one *message) bool
+	// isLate, if set, selects the messages that arrive just before their callers time out.
+	isLate func(message *message) bool
+	// isLost, if set, selects the messages that are lost when they are sent.
+	isLost   func(message *message) bool
 	sent     int
-	back     chan struct{}
+	yielded  chan struct{}
 	panicked any
-	// crashes, wipes, delays and isolations count those that happened; they are bounded by
-	// the world.
+	// crashes, wipes, delays and isolations count the faults of the run so far; the world bounds
+	// them.
 	crashes, wipes, delays, isolations int
 }
 
-// node is a process of a run; life counts its starts.
+// node is a simulated process of a run; incarnation counts its crashes, and its end.
 type node struct {
-	run    *Run
-	name   string
-	life   int
-	draws  int64
-	folder *folder
-	// services are what it answers by, by the first part of a method's name.
+	run         *Run
+	name        string
+	incarnation int
+	draws       int64
+	folder      *folder
+	// services are the node's RPC servers, by the part of a method's name before the dot.
 	services map[string]any
-	// rate is how fast its clock goes; zero is as fast as the run's.
+	// rate is the rate of the node's clock relative to the run's; zero means the same rate.
 	rate float64
-	// history sums up all that the node was given, in its order. Its tasks depend on
-	// nothing else.
+	// history is a hash of all inputs of the node in their order. The behavior of its tasks depends
+	// on nothing else.
 	history uint64
-	// given is the same in full, in runs whose states are compared by names too.
-	given []string
+	// inputs lists what history hashes. It is kept only in runs that have symmetric nodes.
+	inputs []string
 }
 
-// task is a goroutine that runs while it holds the turn.
+// task is a goroutine that runs only while the scheduler waits for it.
 type task struct {
-	node     *node
-	life     int
-	wake     chan struct{}
-	box      *mailbox // that it waits at
-	deadline time.Duration
-	timedOut bool
+	node        *node
+	incarnation int
+	wake        chan struct{}
+	mailbox     *mailbox // the mailbox that it waits on
+	deadline    time.Duration
+	timedOut    bool
 }
 
 func newRun() *Run {
-	return &Run{nodes: map[string]*node{}, isolated: map[string]bool{}, back: make(chan struct{})}
+	return &Run{nodes: map[string]*node{}, isolated: map[string]bool{}, yielded: make(chan struct{})}
 }
 
 func (run *Run) node(name string) *node {
@@ -76,22 +76,22 @@
 	return run.nodes[name]
 }
 
-// noted adds what the node is given to its history.
-func (node *node) noted(what string) {
+// recordInput adds an input of the node to its history.
+func (node *node) recordInput(input string) {
 	sum := fnv.New64a()
-	var before [8]byte
-	for at := range before {
-		before[at] = byte(node.history >> (8 * at))
+	var previous [8]byte
+	for index := range previous {
+		previous[index] = byte(node.history >> (8 * index))
 	}
-	sum.Write(before[:])
-	_, _ = io.WriteString(sum, what)
+	sum.Write(previous[:])
+	_, _ = io.WriteString(sum, input)
 	node.history = sum.Sum64()
 	if len(node.run.symmetric) > 0 {
-		node.given = append(node.given, what)
+		node.inputs = append(node.inputs, input)
 	}
 }
 
-// Now is the node's clock.
+// Now returns the node's clock.
 func (node *node) Now() time.Duration {
 	if node.rate == 0 {
 		return node.run.now
@@ -99,7 +99,7 @@
 	return time.Duration(float64(node.run.now) * node.rate)
 }
 
-// deadline is when a span that begins now is over by the node's clock, on the run's.
+// deadline returns the time on the run's clock when the span has passed by the node's clock.
 func (node *node) deadline(span time.Duration) time.Duration {
 	switch {
 	case node.rate > 0 && span < loop.Forever/2:
@@ -110,10 +110,10 @@
 	return loop.Forever
 }
 
-// Wall is a calendar that agrees with the clock.
+// Wall returns a wall clock that advances with the run's clock.
 func (node *node) Wall() time.Time { return time.Unix(0, 0).Add(node.run.now) }
 
-// Draw gives numbers that differ between nodes and from draw to draw.
+// Draw returns deterministic numbers in [0, below) that differ between nodes and between draws.
 func (node *node) Draw(below int64) int64 {
 	if below <= 1 {
 		return 0
@@ -124,139 +124,140 @@
 	return int64((sum.Sum64()>>1 + uint64(node.draws)*0x9e3779b97f4a7c15>>1) % uint64(below))
 }
 
-// Ended is never true: a task of a life that is over does not come back from waiting.
+// Ended always returns false: a task of an ended incarnation never returns from waiting.
 func (node *node) Ended() bool { return false }
 
-// Go starts a task of the node's present life.
+// Go starts a task of the node's present incarnation.
 func (node *node) Go(work func()) {
-	one := &task{node: node, life: node.life, wake: make(chan struct{})}
+	task := &task{node: node, incarnation: node.incarnation, wake: make(chan struct{})}
 	run := node.run
-	run.ready = append(run.ready, one)
+	run.ready = append(run.ready, task)
 	go func() {
 		defer func() {
-			if trouble := recover(); trouble != nil {
-				run.panicked = trouble
+			if recovered := recover(); recovered != nil {
+				run.panicked = recovered
 			}
-			run.back <- struct{}{}
+			run.yielded <- struct{}{}
 		}()
-		<-one.wake
-		if one.isOver() {
+		<-task.wake
+		if task.isOver() {
 			return
 		}
 		work()
 	}()
 }
 
-func (task *task) isOver() bool { return task.life != task.node.life }
+func (task *task) isOver() bool { return task.incarnation != task.node.incarnation }
 
-// Mailbox makes a place to wait at.
-func (node *node) Mailbox() loop.Mailbox { return &mailbox{node: node, life: node.life} }
+// Mailbox returns a new mailbox that belongs to the node's present incarnation.
+func (node *node) Mailbox() loop.Mailbox { return &mailbox{node: node, incarnation: node.incarnation} }
 
 type mailbox struct {
-	node    *node
-	life    int
-	letters []any
-	waiter  *task
+	node        *node
+	incarnation int
+	messages    []any
+	waiting     *task
 }
 
-// Put leaves a letter and wakes who waits.
-func (box *mailbox) Put(letter any) {
-	box.letters = append(box.letters, letter)
-	if box.waiter != nil {
-		box.node.run.wakes(box.waiter)
-		box.waiter = nil
+// Put adds a message and wakes the waiting task.
+func (box *mailbox) Put(message any) {
+	box.messages = append(box.messages, message)
+	if box.waiting != nil {
+		box.node.run.makeReady(box.waiting)
+		box.waiting = nil
 	}
 }
 
-// Take waits for a letter.
+// Take waits for a message until the timeout.
 func (box *mailbox) Take(timeout time.Duration) (any, bool) {
 	run := box.node.run
-	if len(box.letters) == 0 {
+	if len(box.messages) == 0 {
 		if timeout <= 0 {
 			return nil, false
 		}
-		one := &task{node: box.node, life: box.life, wake: make(chan struct{}), box: box, deadline: box.node.deadline(timeout)}
-		box.waiter = one
-		run.waiting = append(run.waiting, one)
-		run.back <- struct{}{}
-		<-one.wake
-		if one.isOver() {
+		task := &task{node: box.node, incarnation: box.incarnation, wake: make(chan struct{}), mailbox: box, deadline: box.node.deadline(timeout)}
+		box.waiting = task
+		run.waiting = append(run.waiting, task)
+		run.yielded <- struct{}{}
+		<-task.wake
+		if task.isOver() {
 			runtime.Goexit()
 		}
-		if one.timedOut {
+		if task.timedOut {
 			return nil, false
 		}
 	}
-	letter := box.letters[0]
-	box.letters = box.letters[1:]
-	return letter, true
+	message := box.messages[0]
+	box.messages = box.messages[1:]
+	return message, true
 }
 
-// wakes makes a waiting task ready.
-func (run *Run) wakes(one *task) {
-	for at, other := range run.waiting {
-		if other == one {
-			run.waiting = append(run.waiting[:at], run.waiting[at+1:]...)
+// makeReady moves a task from the waiting tasks to the ready ones.
+func (run *Run) makeReady(task *task) {
+	for index, other := range run.waiting {
+		if other == task {
+			run.waiting = append(run.waiting[:index], run.waiting[index+1:]...)
 			break
 		}
 	}
-	run.ready = append(run.ready, one)
+	run.ready = append(run.ready, task)
 }
 
-// settle lets tasks run until each of them waits.
+// settle runs the ready tasks until every task waits or has ended.
 func (run *Run) settle() {
 	for len(run.ready) > 0 {
-		one := run.ready[0]
+		task := run.ready[0]
 		run.ready = run.ready[1:]
-		one.wake <- struct{}{}
-		<-run.back
+		task.wake <- struct{}{}
+		<-run.yielded
 		if run.panicked != nil {
 			panic(run.panicked)
 		}
 	}
 }
 
-// nextDeadline is when the first of the waiting tasks gives up, or a delayed message is due.
+// nextDeadline returns the earliest time at which a waiting task times out or a delayed message is
+// due; false if there is none.
 func (run *Run) nextDeadline() (time.Duration, bool) {
-	least := loop.Forever
-	for _, one := range run.waiting {
-		least = min(least, one.deadline)
+	earliest := loop.Forever
+	for _, task := range run.waiting {
+		earliest = min(earliest, task.deadline)
 	}
-	for _, one := range run.delayed {
-		least = min(least, one.due)
+	for _, message := range run.delayed {
+		earliest = min(earliest, message.due)
 	}
-	return least, least < loop.Forever
+	return earliest, earliest < loop.Forever
 }
 
-// tick moves the clock to the next deadline.
+// tick advances the clock to the next deadline.
 func (run *Run) tick() {
-	at, has := run.nextDeadline()
-	if !has {
+	deadline, isPending := run.nextDeadline()
+	if !isPending {
 		return
 	}
-	run.now = at
+	run.now = deadline
 	run.releaseDelayed()
 	var due []*task
-	for _, one := range run.waiting {
-		if one.deadline <= at {
-			due = append(due, one)
+	for _, task := range run.waiting {
+		if task.deadline <= deadline {
+			due = append(due, task)
 		}
 	}
-	for _, one := range due {
-		one.timedOut = true
-		one.box.waiter = nil
-		one.node.noted("timeout")
-		run.wakes(one)
+	for _, task := range due {
+		task.timedOut = true
+		task.mailbox.waiting = nil
+		task.node.recordInput("timeout")
+		run.makeReady(task)
 	}
 }
 
-// end lets all tasks of the run end.
+// end ends all tasks of the run.
 func (run *Run) end() {
-	for _, one := range run.nodes {
-		one.life++
+	for _, node := range run.nodes {
+		node.incarnation++
 	}
 	for len(run.waiting) > 0 {
-		run.wakes(run.waiting[0])
+		run.makeReady(run.waiting[0])
 	}
 	run.settle()
 }
--- a/modelcheck/symmetry.go
+++ b/modelcheck/symmetry.go
@@ -11,24 +11,24 @@
 	"swifttiller/register"
 )
 
-// symmetricState is the same for states that differ in which of the symmetric nodes is which: the
-// least of the sums under all ways to rename them. Such runs lose no power, so that what an
-// acceptor does next depends on what it holds, and not on its disk.
-func (run *Run) symmetricState(trial Trial) uint64 {
-	lines := run.lines()
-	if one, isObserved := trial.(observed); isObserved {
-		lines = append(lines, one.Observed())
+// symmetricState returns a hash that is equal for states that differ only by a permutation of the
+// symmetric nodes: the least hash over all permutations. Runs of such worlds have no power losses,
+// so the further behavior of an acceptor depends on its state in memory and not on its disk.
+func (run *Run) symmetricState(instance Instance) uint64 {
+	lines := run.stateLines()
+	if observer, isObserved := instance.(observable); isObserved {
+		lines = append(lines, observer.Observed())
 	}
 	least := ^uint64(0)
 	for _, names := range permutations(run.symmetric) {
 		var pairs []string
-		for at, name := range run.symmetric {
-			pairs = append(pairs, name, names[at])
+		for index, name := range run.symmetric {
+			pairs = append(pairs, name, names[index])
 		}
 		replacer := strings.NewReplacer(pairs...)
 		renamed := make([]string, len(lines))
-		for at, line := range lines {
-			renamed[at] = replacer.Replace(line)
+		for index, line := range lines {
+			renamed[index] = replacer.Replace(line)
 		}
 		slices.Sort(renamed)
 		sum := fnv.New64a()
@@ -40,39 +40,39 @@
 	return least
 }
 
-// observed is a trial whose judgement at the end depends on what its clients have seen so far.
-type observed interface{ Observed() string }
+// observable is an instance whose check at the end depends on what its clients have observed so far.
+type observable interface{ Observed() string }
 
-// lines are the run's nodes and messages in words.
-func (run *Run) lines() (lines []string) {
-	for name, one := range run.nodes {
-		line := fmt.Sprint("node ", name, " ", one.life, " ")
-		if acceptor, isAcceptor := one.services["Register"].(*register.Acceptor); isAcceptor {
+// stateLines describes the state of the run's nodes and messages in one line each.
+func (run *Run) stateLines() (lines []string) {
+	for name, node := range run.nodes {
+		line := fmt.Sprint("node ", name, " ", node.incarnation, " ")
+		if acceptor, isAcceptor := node.services["Register"].(*register.Acceptor); isAcceptor {
 			var about register.About
 			_ = acceptor.Describe(struct{}{}, &about)
 			text, err := json.Marshal(acceptor.Cells())
 			if err != nil {
-				panic(err) // only the registers' own types are in it
+				panic(err) // the cells consist of the registers' own types, and all of them can be encoded
 			}
 			line += fmt.Sprint(about.Core.Epoch, about.Sealed, string(text))
 		} else {
-			line += strings.Join(one.given, "|")
+			line += strings.Join(node.inputs, "|")
 		}
 		lines = append(lines, line)
 	}
-	for _, one := range run.inFlight {
-		lines = append(lines, fmt.Sprint("message ", one.from, one.to, one.method, one.isReply, string(one.body)))
+	for _, message := range run.inFlight {
+		lines = append(lines, fmt.Sprint("message ", message.from, message.to, message.method, message.isReply, string(message.body)))
 	}
 	return append(lines, fmt.Sprint("now ", run.now))
 }
 
-// permutations gives the names in all orders.
+// permutations returns all permutations of the names.
 func permutations(names []string) (out [][]string) {
 	if len(names) == 0 {
 		return [][]string{nil}
 	}
-	for at, name := range names {
-		rest := slices.Concat(names[:at:at], names[at+1:])
+	for index, name := range names {
+		rest := slices.Concat(names[:index:index], names[index+1:])
 		for _, order := range permutations(rest) {
 			out = append(out, append([]string{name}, order...))
 		}
--- a/modelcheck/worlds.go
+++ b/modelcheck/worlds.go
@@ -12,17 +12,17 @@
 	"swifttiller/register"
 )
 
-// timeout of the proposers' operations. Its size plays no role: time passes only by steps.
+// timeout of the proposers' operations. Its value does not matter, as time passes only by steps.
 const timeout = 2 * time.Second
 
-// key is the register that the worlds write.
+// key is the key of the register that the worlds read and write.
 const key = "config"
 
-// Worlds are those that developers and CI explore, by name.
+// Worlds are the worlds of registers, by name.
 var Worlds = map[string]World{
 	"two-writers": {
 		Name: "two-writers", Crashes: 1, Stores: []string{"a1", "a2", "a3"},
-		Start: func(run *Run) Trial {
+		Start: func(run *Run) Instance {
 			cluster := start(run, "a1", "a2", "a3")
 			cluster.write("p1", "x")
 			cluster.write("p2", "y")
@@ -31,7 +31,7 @@
 	},
 	"two-writers-any-order": {
 		Name: "two-writers-any-order", OrdersOnly: true, Symmetric: []string{"a1", "a2", "a3"},
-		Start: func(run *Run) Trial {
+		Start: func(run *Run) Instance {
 			cluster := start(run, "a1", "a2", "a3")
 			cluster.write("p1", "x")
 			cluster.write("p2", "y")
@@ -40,7 +40,7 @@
 	},
 	"writer-and-reader-any-order": {
 		Name: "writer-and-reader-any-order", OrdersOnly: true, Symmetric: []string{"a1", "a2", "a3"},
-		Start: func(run *Run) Trial {
+		Start: func(run *Run) Instance {
 			cluster := start(run, "a1", "a2", "a3")
 			cluster.write("p1", "x")
 			cluster.read("p2", 1)
@@ -49,7 +49,7 @@
 	},
 	"writer-and-reader": {
 		Name: "writer-and-reader", Crashes: 1, Stores: []string{"a1", "a2", "a3"},
-		Start: func(run *Run) Trial {
+		Start: func(run *Run) Instance {
 			cluster := start(run, "a1", "a2", "a3")
 			cluster.write("p1", "x")
 			cluster.read("p2", 2)
@@ -58,7 +58,7 @@
 	},
 	"replaced-member": {
 		Name: "replaced-member", Crashes: 1, Stores: []string{"a1", "a2", "a3"},
-		Start: func(run *Run) Trial {
+		Start: func(run *Run) Instance {
 			cluster := start(run, "a1", "a2", "a3")
 			cluster.open("a4")
 			cluster.write("p1", "x")
@@ -68,7 +68,7 @@
 	},
 	"writes-during-replacement": {
 		Name: "writes-during-replacement",
-		Start: func(run *Run) Trial {
+		Start: func(run *Run) Instance {
 			cluster := start(run, "a1", "a2", "a3")
 			cluster.open("a4")
 			cluster.write("p1", "x", "y", "z")
@@ -78,7 +78,7 @@
 	},
 	"replaced-member-read": {
 		Name: "replaced-member-read", Crashes: 0, Stores: []string{"a1", "a2", "a3"},
-		Start: func(run *Run) Trial {
+		Start: func(run *Run) Instance {
 			cluster := start(run, "a1", "a2", "a3")
 			cluster.open("a4")
 			cluster.write("p1", "x")
@@ -87,11 +87,11 @@
 			return cluster
 		},
 	},
-	// Once the change is through, any one disk may go: the copies of the members that stay
-	// and of the newcomer are enough.
+	// Once the membership change is complete, any one disk can be lost: the copies of the remaining
+	// members and of the new member are enough.
 	"disk-lost-after-replacement": {
 		Name: "disk-lost-after-replacement", Stores: []string{"a1", "a2", "a4"},
-		Start: func(run *Run) Trial {
+		Start: func(run *Run) Instance {
 			cluster := start(run, "a1", "a2", "a3")
 			cluster.open("a4")
 			cluster.lostAfterReplacement = "a1"
@@ -101,34 +101,33 @@
 	},
 }
 
-// cluster is a core of acceptors, and what its clients did.
+// cluster is the instance of a register world: a core of acceptors and the history of its clients.
 type cluster struct {
-	run        *Run
-	core       register.Core
-	lives      int
-	left       int // clients that are not done
-	history    []porcupine.Operation
-	unreturned []*operation
-	steps      int64
-	// lostAfterReplacement loses its disk once the core's change is through; isReplaced
-	// tells that it is.
+	run            *Run
+	core           register.Core
+	acceptorStarts int
+	clientsLeft    int // clients that have not finished
+	history        []porcupine.Operation
+	unreturned     []*operation
+	steps          int64
+	// lostAfterReplacement is a node that loses its disk once the core's membership change is
+	// complete; isReplaced reports that it is.
 	lostAfterReplacement string
 	isReplaced           bool
 }
 
-// operation is a client's call: an append of the tag, or a read where that is empty.
+// operation is a client's call: an append of the tag, or a read if the tag is empty.
 type operation struct{ tag string }
 
-// outcome is what a call gave; isUnknown is a write of which it is not known whether it
-// took place.
+// outcome is the result of a call. isUnknown marks a write that may or may not have taken effect.
 type outcome struct {
 	content   string
 	isUnknown bool
 }
 
-// listModel is a register that is appended to. A write without an outcome may take place, or
-// never.
-var listModel = porcupine.NondeterministicModel{
+// appendModel is the sequential specification of a register to which tags are appended. A write with
+// an unknown outcome may or may not take effect.
+var appendModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{""} },
 	Step: func(state, input, output any) []any {
 		before, call, result := state.(string), input.(operation), output.(outcome)
@@ -143,7 +142,7 @@
 	},
 }
 
-// start makes acceptors and the first core of them.
+// start starts acceptors and creates the first core of them.
 func start(run *Run, names ...string) *cluster {
 	cluster := &cluster{run: run}
 	for _, name := range names {
@@ -159,83 +158,83 @@
 	})
 	run.settle()
 	if !run.drain(func() bool { return cluster.core.Epoch > 0 }) {
-		panic("modelcheck: the first core is not made")
+		panic("modelcheck: creating the first core did not complete")
 	}
 	return cluster
 }
 
-// open starts the node's acceptor.
+// open starts an acceptor on the node, from the node's disk and with a new identity.
 func (cluster *cluster) open(name string) {
-	cluster.lives++
-	identity := fmt.Sprintf("%s-%d", name, cluster.lives)
-	one := cluster.run.node(name)
-	one.Go(func() {
-		acceptor, err := register.OpenAcceptor(disk.Options{World: one, Folder: one.folder, LogBytes: 1 << 20}, identity)
+	cluster.acceptorStarts++
+	identity := fmt.Sprintf("%s-%d", name, cluster.acceptorStarts)
+	node := cluster.run.node(name)
+	node.Go(func() {
+		acceptor, err := register.OpenAcceptor(disk.Options{World: node, Folder: node.folder, LogBytes: 1 << 20}, identity)
 		if err != nil {
 			panic(err)
 		}
-		one.services["Register"] = acceptor
+		node.services["Register"] = acceptor
 	})
 	cluster.run.settle()
 }
 
-// Restart starts the node's acceptor from its disk.
+// Restart starts the node's acceptor again from its disk.
 func (cluster *cluster) Restart(_ *Run, name string) { cluster.open(name) }
 
-// proposer makes a proposer of the node that knows the first core.
+// proposer returns a proposer on the node that knows the first core.
 func (cluster *cluster) proposer(name string) *register.Keeper {
-	one := cluster.run.node(name)
-	proposer := &register.Keeper{Options: register.Options{World: one, Net: network{one}, Self: name, Patience: timeout}}
+	node := cluster.run.node(name)
+	proposer := &register.Keeper{Options: register.Options{World: node, Net: network{node}, Self: name, Patience: timeout}}
 	proposer.Learn(cluster.core)
 	return proposer
 }
 
-// client runs the work in a task of the node.
+// client runs the work in a task on the node.
 func (cluster *cluster) client(name string, work func(proposer *register.Keeper)) {
-	cluster.left++
+	cluster.clientsLeft++
 	proposer := cluster.proposer(name)
 	cluster.run.node(name).Go(func() {
 		work(proposer)
-		cluster.left--
+		cluster.clientsLeft--
 	})
 }
 
-// moment orders calls and returns; time may stand still.
-func (cluster *cluster) moment() int64 {
+// timestamp returns a logical time that orders calls and returns, as the run's clock can stand still.
+func (cluster *cluster) timestamp() int64 {
 	cluster.steps++
 	return cluster.steps
 }
 
-// called notes a call that has returned.
-func (cluster *cluster) called(call operation, at int64, result outcome) {
-	end := cluster.moment()
+// recordCall adds a call that has returned to the history.
+func (cluster *cluster) recordCall(call operation, begin int64, result outcome) {
+	end := cluster.timestamp()
 	if result.isUnknown {
-		end = 1 << 60 // it may take place at any time from its call on
+		end = 1 << 60 // it can take effect at any time after the call
 	}
-	cluster.history = append(cluster.history, porcupine.Operation{ClientId: len(cluster.history), Input: call, Call: at, Output: result, Return: end})
+	cluster.history = append(cluster.history, porcupine.Operation{ClientId: len(cluster.history), Input: call, Call: begin, Output: result, Return: end})
 }
 
-// append has the proposer append the tag.
+// append appends the tag with the proposer and records the outcome.
 func (cluster *cluster) append(proposer *register.Keeper, tag string) {
-	at := cluster.moment()
+	begin := cluster.timestamp()
 	cluster.unreturned = append(cluster.unreturned, &operation{tag})
-	mine := cluster.unreturned[len(cluster.unreturned)-1]
+	pending := cluster.unreturned[len(cluster.unreturned)-1]
 	value, err := proposer.Change(key, func(value register.Value) ([]byte, error) {
 		return append(append([]byte{}, value.Data...), tag...), nil
 	})
-	mine.tag = "" // it has returned
+	pending.tag = "" // it has returned
 	switch {
 	case errors.Is(err, register.ErrUncertain):
-		cluster.called(operation{tag}, at, outcome{isUnknown: true})
+		cluster.recordCall(operation{tag}, begin, outcome{isUnknown: true})
 	case err == nil:
-		// A later change may lie above it already; up to its own tag the value is its own.
+		// The value can already contain later appends; up to its own tag it is the result of this one.
 		content := string(value.Data)
-		cluster.called(operation{tag}, at, outcome{content: content[:strings.Index(content, tag)+len(tag)]})
+		cluster.recordCall(operation{tag}, begin, outcome{content: content[:strings.Index(content, tag)+len(tag)]})
 	}
-	// By any other error nothing was written, and the history has nothing of it.
+	// After any other error nothing was written, and the history does not contain the call.
 }
 
-// write has the node append the tags, one after the other.
+// write runs a client that appends the tags, one after the other.
 func (cluster *cluster) write(name string, tags ...string) {
 	cluster.client(name, func(proposer *register.Keeper) {
 		for _, tag := range tags {
@@ -244,20 +243,21 @@
 	})
 }
 
+// read runs a client that reads the register the given number of times.
 func (cluster *cluster) read(name string, times int) {
 	cluster.client(name, func(proposer *register.Keeper) {
 		for range times {
-			at := cluster.moment()
+			begin := cluster.timestamp()
 			if value, err := proposer.Read(key); err == nil {
-				cluster.called(operation{}, at, outcome{content: string(value.Data)})
+				cluster.recordCall(operation{}, begin, outcome{content: string(value.Data)})
 			}
 		}
 	})
 }
 
-// change replaces a member by a node that has an acceptor of its own.
-func (cluster *cluster) change(proposer *register.Keeper, old, fresh string) error {
-	newcomer := register.Member{ID: cluster.run.node(fresh).services["Register"].(*register.Acceptor).ID(), Address: fresh}
+// change replaces the old member of the core by the added node, whose acceptor must be running.
+func (cluster *cluster) change(proposer *register.Keeper, old, added string) error {
+	newcomer := register.Member{ID: cluster.run.node(added).services["Register"].(*register.Acceptor).ID(), Address: added}
 	_, err := proposer.ChangeCore(func(core register.Core) (members []register.Member, err error) {
 		for _, member := range core.Members {
 			if member.Address == old {
@@ -270,40 +270,41 @@
 	return err
 }
 
-func (cluster *cluster) replace(name, old, fresh string) {
-	cluster.client(name, func(proposer *register.Keeper) { _ = cluster.change(proposer, old, fresh) })
+func (cluster *cluster) replace(name, old, added string) {
+	cluster.client(name, func(proposer *register.Keeper) { _ = cluster.change(proposer, old, added) })
 }
 
-func (cluster *cluster) writeThenReplace(name, tag, old, fresh string) {
+func (cluster *cluster) writeThenReplace(name, tag, old, added string) {
 	cluster.client(name, func(proposer *register.Keeper) {
 		cluster.append(proposer, tag)
-		cluster.isReplaced = cluster.change(proposer, old, fresh) == nil
+		cluster.isReplaced = cluster.change(proposer, old, added) == nil
 	})
 }
 
-// IsOver tells that all clients are done.
-func (cluster *cluster) IsOver(*Run) bool { return cluster.left == 0 }
+// IsOver reports that all clients have finished.
+func (cluster *cluster) IsOver(*Run) bool { return cluster.clientsLeft == 0 }
 
-// Check is asked at every state: each address answers under one identity, and the promise of
-// a ballot is never below what was accepted.
+// Check returns an error if an acceptor has accepted a ballot that is higher than the ballot that it
+// promised.
 func (cluster *cluster) Check(run *Run) error {
-	for name, one := range run.nodes {
-		acceptor, isAcceptor := one.services["Register"].(*register.Acceptor)
+	for name, node := range run.nodes {
+		acceptor, isAcceptor := node.services["Register"].(*register.Acceptor)
 		if !isAcceptor {
 			continue
 		}
 		cells := acceptor.Cells()
-		for held, cell := range cells {
+		for cellKey, cell := range cells {
 			if cell.Promised.Less(cell.Accepted) {
-				return fmt.Errorf("%s: %s is accepted above its promise", name, held)
+				return fmt.Errorf("%s: %s: the accepted ballot is higher than the promised one", name, cellKey)
 			}
 		}
 	}
 	return nil
 }
 
-// End reads the register by a proposer that knows nothing but the first core, after all in
-// flight came, and judges the history.
+// End reads the register with a proposer that knows only the first core, delivering the messages in
+// flight meanwhile. It returns an error if the read does not complete or the history is not
+// linearizable.
 func (cluster *cluster) End(run *Run) error {
 	if cluster.lostAfterReplacement != "" {
 		if !cluster.isReplaced {
@@ -312,45 +313,45 @@
 		run.crash(cluster.lostAfterReplacement)
 		run.node(cluster.lostAfterReplacement).folder = newFolder()
 	}
-	for _, one := range cluster.unreturned {
-		if one.tag != "" { // it never returned, and may have taken place
-			cluster.called(*one, 0, outcome{isUnknown: true})
+	for _, pending := range cluster.unreturned {
+		if pending.tag != "" { // an append that never returned; it may have taken effect
+			cluster.recordCall(*pending, 0, outcome{isUnknown: true})
 		}
 	}
 	isRead := false
 	cluster.client("auditor", func(proposer *register.Keeper) {
-		for try := 0; try < 20 && !isRead; try++ {
-			at := cluster.moment()
+		for attempt := 0; attempt < 20 && !isRead; attempt++ {
+			begin := cluster.timestamp()
 			if value, err := proposer.Read(key); err == nil {
 				isRead = true
-				cluster.called(operation{}, at, outcome{content: string(value.Data)})
+				cluster.recordCall(operation{}, begin, outcome{content: string(value.Data)})
 			}
 		}
 	})
 	run.settle()
 	if !run.drain(func() bool { return isRead }) {
-		return errors.New("the register can't be read at the end")
+		return errors.New("the final read of the register does not complete")
 	}
-	if !porcupine.CheckOperations(listModel.ToModel(), cluster.history) {
-		return fmt.Errorf("the history is not that of one register: %s", cluster.told())
+	if !porcupine.CheckOperations(appendModel.ToModel(), cluster.history) {
+		return fmt.Errorf("the history is not linearizable: %s", cluster.formatHistory())
 	}
 	return nil
 }
 
-// Observed is the history so far, with calls that have not returned.
+// Observed returns the history so far, with the appends that have not returned.
 func (cluster *cluster) Observed() string {
-	out := cluster.told()
-	for _, one := range cluster.unreturned {
-		out += " " + one.tag
+	out := cluster.formatHistory()
+	for _, pending := range cluster.unreturned {
+		out += " " + pending.tag
 	}
 	return out
 }
 
-// told is the history in words.
-func (cluster *cluster) told() string {
+// formatHistory returns the history as text.
+func (cluster *cluster) formatHistory() string {
 	var out []string
-	for _, one := range cluster.history {
-		call, result := one.Input.(operation), one.Output.(outcome)
+	for _, recorded := range cluster.history {
+		call, result := recorded.Input.(operation), recorded.Output.(outcome)
 		line := fmt.Sprintf("read gave %q", result.content)
 		switch {
 		case call.tag != "" && result.isUnknown:
@@ -358,7 +359,7 @@
 		case call.tag != "":
 			line = fmt.Sprintf("append %s gave %q", call.tag, result.content)
 		}
-		out = append(out, fmt.Sprintf("%s (%d to %d)", line, one.Call, one.Return))
+		out = append(out, fmt.Sprintf("%s (%d to %d)", line, recorded.Call, recorded.Return))
 	}
 	return strings.Join(out, "; ")
 }
--- a/sim/net.go
+++ b/sim/net.go
@@ -185,7 +185,7 @@
 	if response.failure != "" {
 		return &wire.Mishap{Address: address, Method: method, Sent: true, Cause: rpc.ServerError(response.failure)}
 	}
-	reflect.ValueOf(reply).Elem().Set(response.response)
+	reflect.ValueOf(reply).Elem().Set(response.body)
 	return nil
 }
 
@@ -234,11 +234,11 @@
 
 // codec is an rpc.ServerCodec that passes one request to an rpc.Server and keeps its response.
 type codec struct {
-	sim      *Sim
-	method   string
-	request  reflect.Value
-	response reflect.Value
-	failure  string
+	sim     *Sim
+	method  string
+	request reflect.Value
+	body    reflect.Value
+	failure string
 	// from and to are the sender and the receiver of the response.
 	from, to string
 }
@@ -260,7 +260,7 @@
 		codec.failure = response.Error
 		return nil
 	}
-	codec.response = codec.sim.copy(codec.method+" reply", body)
+	codec.body = codec.sim.copy(codec.method+" reply", body)
 	codec.sim.countBytes(codec.from, codec.to, codec.method)
 	return nil
 }
--- a/sim/sim.go
+++ b/sim/sim.go
@@ -111,35 +111,35 @@
 
 func (heap *eventHeap) push(added *event) {
 	*heap = append(*heap, added)
-	for at := len(*heap) - 1; at > 0; {
-		parent := (at - 1) / 2
-		if !heap.less(at, parent) {
+	for index := len(*heap) - 1; index > 0; {
+		parent := (index - 1) / 2
+		if !heap.less(index, parent) {
 			return
 		}
-		(*heap)[at], (*heap)[parent] = (*heap)[parent], (*heap)[at]
-		at = parent
+		(*heap)[index], (*heap)[parent] = (*heap)[parent], (*heap)[index]
+		index = parent
 	}
 }
 
 func (heap *eventHeap) pop() *event {
-	list := *heap
-	top := list[0]
-	last := len(list) - 1
-	list[0] = list[last]
-	list[last] = nil
-	*heap = list[:last]
-	for at := 0; ; {
-		smallest := at
-		for child := 2*at + 1; child <= 2*at+2 && child < last; child++ {
+	events := *heap
+	top := events[0]
+	last := len(events) - 1
+	events[0] = events[last]
+	events[last] = nil
+	*heap = events[:last]
+	for index := 0; ; {
+		smallest := index
+		for child := 2*index + 1; child <= 2*index+2 && child < last; child++ {
 			if heap.less(child, smallest) {
 				smallest = child
 			}
 		}
-		if smallest == at {
+		if smallest == index {
 			return top
 		}
-		(*heap)[at], (*heap)[smallest] = (*heap)[smallest], (*heap)[at]
-		at = smallest
+		(*heap)[index], (*heap)[smallest] = (*heap)[smallest], (*heap)[index]
+		index = smallest
 	}
 }
 
@@ -367,7 +367,7 @@
 	node        *Node
 	incarnation int
 	messages    []any
-	waiter      *task
+	waiting     *task
 	waitNumber  int
 }
 
@@ -376,7 +376,7 @@
 
 func (box *mailbox) Put(message any) {
 	box.messages = append(box.messages, message)
-	if box.waiter != nil {
+	if box.waiting != nil {
 		box.scheduleWakeup(0)
 	}
 }
@@ -391,11 +391,11 @@
 		delay = time.Duration(float64(delay)/(1+box.node.pace)) + 1
 	}
 	box.node.sim.schedule(delay, box.node, func() {
-		if box.waiter == nil || box.waitNumber != waitNumber || box.incarnation != box.node.incarnation {
+		if box.waiting == nil || box.waitNumber != waitNumber || box.incarnation != box.node.incarnation {
 			return
 		}
-		waiter := box.waiter
-		box.waiter = nil
+		waiter := box.waiting
+		box.waiting = nil
 		box.waitNumber++
 		box.node.sim.resume(waiter)
 	})
@@ -414,7 +414,7 @@
 			waiter.park() // the task's incarnation was killed: park never returns
 		}
 		box.waitNumber++
-		box.waiter = waiter
+		box.waiting = waiter
 		if timeout < loop.Forever/2 {
 			box.scheduleWakeup(timeout)
 		}
