--- a/modelcheck/explore.go
+++ b/modelcheck/explore.go
@@ -70,14 +70,14 @@
 	States     int             // distinct states visited
 	Depth      int             // steps of the longest run
 	Deviations int             // all runs with up to this many deviations were explored
-	Left       int             // runs that were found but not explored
+	Unexplored int             // runs that were found but not explored
 	Broken     *Counterexample // nil if no invariant was violated
 }
 
 // String returns a summary in one line, followed by the counterexample if there is one.
 func (report Report) String() string {
 	line := fmt.Sprintf("%s: %d runs, %d states, longest run %d steps; explored all runs of up to %d deviations, left out %d runs",
-		report.World, report.Runs, report.States, report.Depth, report.Deviations, report.Left)
+		report.World, report.Runs, report.States, report.Depth, report.Deviations, report.Unexplored)
 	if report.Broken != nil {
 		line += "\n" + report.Broken.String()
 	}
@@ -121,7 +121,7 @@
 		order.Shuffle(len(level), func(a, b int) { level[a], level[b] = level[b], level[a] })
 		for explored, deviations := range level {
 			if report.Runs >= bounds.Runs {
-				report.Left = len(level) - explored + len(next)
+				report.Unexplored = len(level) - explored + len(next)
 				report.States = len(visited)
 				return report
 			}
@@ -150,7 +150,7 @@
 		report.Deviations = depth
 		level = next
 	}
-	report.Left, report.States = len(level), len(visited)
+	report.Unexplored, report.States = len(level), len(visited)
 	return report
 }
 
--- a/modelcheck/worlds.go
+++ b/modelcheck/worlds.go
@@ -163,7 +163,8 @@
 	return cluster
 }
 
-// open starts an acceptor on the node, from the node's disk and with a new identity.
+// open starts an acceptor on the node. It restores the acceptor from the node's disk, or gives it a
+// new identity if the disk is empty.
 func (cluster *cluster) open(name string) {
 	cluster.acceptorStarts++
 	identity := fmt.Sprintf("%s-%d", name, cluster.acceptorStarts)
