--- a/sim/sim.go
+++ b/sim/sim.go
@@ -440,8 +440,8 @@
 // Hook sets the function that is called each time the point is passed.
 func (sim *Sim) Hook(name string, hook func(node *Node, count int)) { sim.hooks[name] = hook }
 
-// Passed returns how often the point was passed.
-func (sim *Sim) Passed(name string) int { return sim.points[name] }
+// PointCount returns how often the point was passed.
+func (sim *Sim) PointCount(name string) int { return sim.points[name] }
 
 // Halt kills the process of the running task, as if it crashed at this line. It does not return.
 func (node *Node) Halt() {
