--- a/register/register_test.go
+++ b/register/register_test.go
@@ -320,7 +320,7 @@
 			core := cluster.core("a", "b", "c")
 			cluster.write("a", fault.writes, "k")
 			cluster.Kill("b")
-			So(cluster.Node("b").Disk.Corrupt(fault.name, fault.at), ShouldBeTrue)
+			So(cluster.Node("b").Disk.Spoil(fault.name, fault.at), ShouldBeTrue)
 			cluster.start("b", core)
 			var corrupt *disk.Corrupt
 			So(errors.As(cluster.openErrors["b"], &corrupt), ShouldBeTrue)
--- a/sim/disk.go
+++ b/sim/disk.go
@@ -47,8 +47,8 @@
 // Take moves the content of another machine's disk to this one. Both machines must be down.
 func (disk *Disk) Take(other *Disk) { disk.files, other.files = other.files, map[string]*file{} }
 
-// Corrupt corrupts one byte of a file's durable content. It returns false if there is no such byte.
-func (disk *Disk) Corrupt(name string, offset int) bool {
+// Spoil corrupts one byte of a file's durable content. It returns false if there is no such byte.
+func (disk *Disk) Spoil(name string, offset int) bool {
 	file := disk.files[name]
 	if file == nil || offset >= len(file.durable) {
 		return false
