--- a/docs/words_test.go
+++ b/docs/words_test.go
@@ -39,7 +39,7 @@
 	"replica":      6,
 	"rollout":      3,
 	"session":      5,
-	"sim":          4,
+	"sim":          2,
 	"standing":     9,
 	"verdict":      2,
 	"wire":         1,
