--- a/cmd/controlplane/commands.go
+++ b/cmd/controlplane/commands.go
@@ -205,7 +205,7 @@
 			for _, name := range args {
 				status, body, err := command.send("POST", "/v1/daemons/"+url.PathEscape(name)+"/reload", nil)
 				code := command.finish(status, body, err, func(root gjson.Result) {
-					var reloaded settings.Reloaded
+					var reloaded settings.ReloadResult
 					_ = json.Unmarshal([]byte(root.Raw), &reloaded)
 					fmt.Printf("%s: %v\n", name, reloaded)
 				})
--- a/cmd/controlplane/doctor.go
+++ b/cmd/controlplane/doctor.go
@@ -62,9 +62,9 @@
 
 // query requests the status from each address until one sees a majority. Without any, it
 // returns the first status received. The map has the error for each address that failed.
-func (command *command) query() (doctor.Look, map[string]string, bool) {
+func (command *command) query() (doctor.Snapshot, map[string]string, bool) {
 	unreachable := map[string]string{}
-	var best doctor.Look
+	var best doctor.Snapshot
 	found := false
 	for _, at := range strings.Split(command.at, ",") {
 		daemon := remote{at: at}
@@ -81,7 +81,7 @@
 			continue
 		}
 		if !found || status.Majority && !best.Status.Majority {
-			best, found = doctor.Look{At: time.Now(), Status: status}, true
+			best, found = doctor.Snapshot{At: time.Now(), Status: status}, true
 		}
 		if best.Status.Majority {
 			break
--- a/cmd/controlplane/main.go
+++ b/cmd/controlplane/main.go
@@ -28,7 +28,7 @@
 			return serve.Daemon{}, fmt.Errorf("cannot lock the data folder, another process may use it: %w", err)
 		}
 		closed = func() { lock.Close() }
-		folder = disk.Real(process.Data)
+		folder = disk.OSFolder(process.Data)
 	}
 	options := controlplane.Options{
 		World: process.World, Net: process.Net, Process: *process.Process, Live: process.Live, Folder: folder, Incarnation: process.Incarnation,
@@ -44,15 +44,15 @@
 	}
 	var apps map[string]*fiber.App
 	if isDeployed {
-		if apps, err = platform.Desks(daemon); err != nil {
+		if apps, err = platform.ControlplaneApps(daemon); err != nil {
 			return serve.Daemon{}, err
 		}
 	}
 	stop := func(time.Duration) bool { daemon.Stop(); return true }
-	return serve.Daemon{Apps: apps, Services: daemon.Services(), App: daemon.App(), Run: daemon.Run, Stop: stop, Closed: closed}, nil
+	return serve.Daemon{Apps: apps, Services: daemon.Services(), App: daemon.App(), Run: daemon.Run, Stop: stop, AfterStop: closed}, nil
 }
 
 func main() {
 	help := "\n  With a data folder the daemon also runs an acceptor that can be added to the core."
-	serve.Main("controlplane", &serve.Command{Program: "controlplane", What: "control daemon", More: help, Load: platform.Load(platform.Controlplane), Make: build}, commands())
+	serve.Main("controlplane", &serve.Command{Program: "controlplane", Title: "control daemon", Help: help, Load: platform.Load(platform.Controlplane), Make: build}, commands())
 }
--- a/cmd/fleet/main.go
+++ b/cmd/fleet/main.go
@@ -113,7 +113,7 @@
 	set.IntVar(&command.Workers, "workers", 2, "number of concurrent callers")
 	set.IntVar(&command.Bytes, "bytes", 4000, "prompt length in bytes")
 	set.IntVar(&command.Tokens, "tokens", 32, "response length in tokens")
-	set.IntVar(&command.Rosters, "rosters", 3, "number of distinct prompt prefixes")
+	set.IntVar(&command.Prefixes, "rosters", 3, "number of distinct prompt prefixes")
 	set.DurationVar(&command.Pause, "pause", 0, "pause between a caller's requests")
 	set.IntVar(&command.Retries, "retries", 3, "maximum retries of a request that was not run")
 	set.StringVar(&command.Direct, "direct", "", "a replica's IP:PORT to send to directly, without a data daemon, for comparison (give --model as model@version)")
--- a/cmd/fleet/model.go
+++ b/cmd/fleet/model.go
@@ -51,7 +51,7 @@
 	for _, name := range names {
 		report := modelcheck.Explore(modelcheck.AllWorlds()[name], command.bounds)
 		fmt.Println(report)
-		if report.Broken != nil {
+		if report.Counterexample != nil {
 			status = subcommands.ExitFailure
 		}
 	}
--- a/controlplane/copies.go
+++ b/controlplane/absence.go
@@ -47,7 +47,7 @@
 
 // compareCopies records which acceptors are behind or silent. Only the leader of the core calls it.
 func (daemon *Daemon) compareCopies() {
-	redundancy := computeRedundancy(daemon.Core(), daemon.Compare())
+	redundancy := computeRedundancy(daemon.Core(), daemon.CompareDigests())
 	daemon.behind.update(daemon.World.Now(), redundancy.lacking())
 }
 
--- a/controlplane/order.go
+++ b/controlplane/command.go
@@ -12,7 +12,7 @@
 
 	"go.uber.org/zap"
 
-	"swifttiller/permit"
+	"swifttiller/lease"
 	"swifttiller/rollout"
 	"swifttiller/settings"
 	"swifttiller/verdict"
@@ -49,9 +49,9 @@
 	arrived time.Duration
 }
 
-// For accepts a command that is read now. If it may have waited in a socket buffer while this
+// OperatorFor accepts a command that is read now. If it may have waited in a socket buffer while this
 // daemon was frozen, the beginning of the freeze counts as its arrival.
-func (daemon *Daemon) For(caller Caller) *Operator {
+func (daemon *Daemon) OperatorFor(caller Caller) *Operator {
 	return &Operator{daemon: daemon, caller: caller, arrived: daemon.pauses.earliestArrival()}
 }
 
@@ -62,43 +62,43 @@
 }
 
 // Apply is Operator.Apply for a caller that can't disconnect.
-func (daemon *Daemon) Apply(document []byte, expect *uint64, dry bool) (permit.Applied, error) {
-	return daemon.For(Caller{}).Apply(document, expect, dry)
+func (daemon *Daemon) Apply(document []byte, expect *uint64, dry bool) (lease.Applied, error) {
+	return daemon.OperatorFor(Caller{}).Apply(document, expect, dry)
 }
 
 // Replace is Operator.Replace for a caller that can't disconnect.
-func (daemon *Daemon) Replace(document []byte, expect uint64) (permit.Applied, error) {
-	return daemon.For(Caller{}).Replace(document, expect)
+func (daemon *Daemon) Replace(document []byte, expect uint64) (lease.Applied, error) {
+	return daemon.OperatorFor(Caller{}).Replace(document, expect)
 }
 
 // Evacuate is Operator.Evacuate for a caller that can't disconnect.
-func (daemon *Daemon) Evacuate(zone string, back bool) (permit.Applied, error) {
-	return daemon.For(Caller{}).Evacuate(zone, back)
+func (daemon *Daemon) Evacuate(zone string, back bool) (lease.Applied, error) {
+	return daemon.OperatorFor(Caller{}).Evacuate(zone, back)
 }
 
 // BeginRollout is Operator.BeginRollout for a caller that can't disconnect.
 func (daemon *Daemon) BeginRollout(model, version string, over time.Duration) error {
-	return daemon.For(Caller{}).BeginRollout(model, version, over)
+	return daemon.OperatorFor(Caller{}).BeginRollout(model, version, over)
 }
 
 // Apply validates a whole document and makes it the configuration; dry only validates. It
 // returns once every lease holder applies the document or has lost its lease.
-func (operator *Operator) Apply(document []byte, expect *uint64, dry bool) (permit.Applied, error) {
+func (operator *Operator) Apply(document []byte, expect *uint64, dry bool) (lease.Applied, error) {
 	daemon := operator.daemon
-	rest, origin := permit.Apart(document)
-	tree, problems := daemon.Office.Parse(rest)
+	rest, origin := lease.SplitOrigin(document)
+	tree, problems := daemon.Issuer.Parse(rest)
 	if len(problems) > 0 {
-		return permit.Applied{}, problems
+		return lease.Applied{}, problems
 	}
 	for _, warning := range tree.Warnings() {
 		daemon.Log.Warn("the document sets a setting that has no effect any more", zap.String("path", warning.Path), zap.String("reason", warning.Reason))
 	}
 	if dry {
-		return permit.Applied{}, nil
+		return lease.Applied{}, nil
 	}
-	archived := daemon.Office.Archive()
-	return daemon.Office.Change(expect, operator.unlessAbandoned(documentMaxAge, func(config permit.Config) (permit.Config, error) {
-		config, err := config.Take(document, versionMark(tree.Label(), rest, origin), archived)
+	archived := daemon.Issuer.Archive()
+	return daemon.Issuer.Change(expect, operator.unlessAbandoned(documentMaxAge, func(config lease.Config) (lease.Config, error) {
+		config, err := config.WithDocument(document, versionMark(tree.Label(), rest, origin), archived)
 		// Evacuations persist over configuration changes, except those of removed zones.
 		config.Evacuated = slices.DeleteFunc(slices.Clone(config.Evacuated), func(zone string) bool {
 			_, known := tree.RegionOf(zone)
@@ -119,7 +119,7 @@
 // versionMark makes a document's version mark, its label and a digest of what the operator
 // sent: the origin that the document was made from, if it has one. A document without a label
 // has no mark.
-func versionMark(label uint64, rest, origin []byte) permit.Mark {
+func versionMark(label uint64, rest, origin []byte) lease.OrderMark {
 	if label == 0 {
 		return ""
 	}
@@ -130,7 +130,7 @@
 	var compact bytes.Buffer
 	_ = json.Compact(&compact, source) // valid JSON: a tree was parsed from it
 	sum := sha256.Sum256(compact.Bytes())
-	return permit.Mark(fmt.Sprintf("%d/%s", label, base64.RawStdEncoding.EncodeToString(sum[:9])))
+	return lease.OrderMark(fmt.Sprintf("%d/%s", label, base64.RawStdEncoding.EncodeToString(sum[:9])))
 }
 
 // Replace makes a labelled document the configuration if the current label is the expected
@@ -138,50 +138,50 @@
 // document that the configuration or its history records as accepted is acknowledged again,
 // even if others have followed. Errors are settings.Problems, *Outdated and those of the
 // registers; only register.ErrUncertain leaves open whether the document was accepted.
-func (operator *Operator) Replace(document []byte, expect uint64) (permit.Applied, error) {
+func (operator *Operator) Replace(document []byte, expect uint64) (lease.Applied, error) {
 	daemon := operator.daemon
-	rest, origin := permit.Apart(document)
-	tree, problems := daemon.Office.Parse(rest)
+	rest, origin := lease.SplitOrigin(document)
+	tree, problems := daemon.Issuer.Parse(rest)
 	if len(problems) > 0 {
-		return permit.Applied{}, problems
+		return lease.Applied{}, problems
 	}
 	mark := versionMark(tree.Label(), rest, origin)
-	if applied, isTaken, err := daemon.Office.Again(mark); isTaken {
+	if applied, isTaken, err := daemon.Issuer.ReacknowledgeDocument(mark); isTaken {
 		return daemon.logOutcome(operator.arrived, applied, err)
 	}
-	archived := daemon.Office.Archive()
-	var base permit.Config // the configuration that the last attempt was based on
-	applied, err := operator.changeRepeatable(documentMaxAge, func(config permit.Config) (permit.Config, error) {
+	archived := daemon.Issuer.Archive()
+	var base lease.Config // the configuration that the last attempt was based on
+	applied, err := operator.changeRepeatable(documentMaxAge, func(config lease.Config) (lease.Config, error) {
 		base = config
 		switch label := config.Label(); {
 		case slices.Contains(config.Taken, mark):
-			return config, permit.ErrSame
+			return config, lease.ErrAlreadyInForce
 		case expect != label:
 			return config, &Outdated{Have: label, Want: expect}
 		case tree.Label() <= label:
 			return config, settings.Problems{{Path: "$.label", Reason: fmt.Sprintf("%d is not above the current %d", tree.Label(), label)}}
 		}
-		return config.Take(document, mark, archived)
+		return config.WithDocument(document, mark, archived)
 	})
 	var outdated *Outdated
 	if !errors.As(err, &outdated) || base.Archived == 0 || mark.Label() > base.Label() {
 		return applied, err
 	}
 	// It may be an old document whose mark was moved to the archived history.
-	isTaken, recallErr := daemon.Office.Recall(base, mark, orderQuorumTimeout)
+	isTaken, recallErr := daemon.Issuer.InHistory(base, mark, orderQuorumTimeout)
 	switch {
 	case recallErr != nil:
 		return applied, recallErr
 	case !isTaken:
 		return applied, err
 	}
-	return operator.changeRepeatable(documentMaxAge, func(config permit.Config) (permit.Config, error) { return config, permit.ErrSame })
+	return operator.changeRepeatable(documentMaxAge, func(config lease.Config) (lease.Config, error) { return config, lease.ErrAlreadyInForce })
 }
 
 // unlessAbandoned wraps a revision so that it fails once the command is abandoned. The check
 // runs right before each write, so that a daemon that was frozen in between notices it.
-func (operator *Operator) unlessAbandoned(maxAge time.Duration, revise func(permit.Config) (permit.Config, error)) func(permit.Config) (permit.Config, error) {
-	return func(config permit.Config) (permit.Config, error) {
+func (operator *Operator) unlessAbandoned(maxAge time.Duration, revise func(lease.Config) (lease.Config, error)) func(lease.Config) (lease.Config, error) {
+	return func(config lease.Config) (lease.Config, error) {
 		next, err := revise(config)
 		if err == nil && operator.isAbandoned(maxAge) {
 			err = ErrAbandoned
@@ -194,13 +194,13 @@
 // has been made already. If the outcome is uncertain, sending it again settles it: the second
 // attempt has a higher ballot, so that it either reads the first one's value or prevents it
 // from ever being accepted.
-func (operator *Operator) changeRepeatable(maxAge time.Duration, revise func(permit.Config) (permit.Config, error)) (permit.Applied, error) {
-	applied, err := operator.daemon.Office.Change(nil, operator.unlessAbandoned(maxAge, revise))
+func (operator *Operator) changeRepeatable(maxAge time.Duration, revise func(lease.Config) (lease.Config, error)) (lease.Applied, error) {
+	applied, err := operator.daemon.Issuer.Change(nil, operator.unlessAbandoned(maxAge, revise))
 	return operator.daemon.logOutcome(operator.arrived, applied, err)
 }
 
 // logOutcome logs the outcome of an operator's change.
-func (daemon *Daemon) logOutcome(began time.Duration, applied permit.Applied, err error) (permit.Applied, error) {
+func (daemon *Daemon) logOutcome(began time.Duration, applied lease.Applied, err error) (lease.Applied, error) {
 	daemon.Log.Info("operator command finished", zap.Uint64("serial", applied.Serial), zap.Duration("took", daemon.World.Now()-began),
 		zap.Duration("acknowledged_in", applied.Took), zap.Int("holders", applied.Holders), zap.Strings("expired", applied.Expired), zap.Error(err))
 	return applied, err
@@ -208,36 +208,36 @@
 
 // Current reads the newest document and its label from a majority; nil if there is none yet.
 func (daemon *Daemon) Current() (document []byte, label uint64, err error) {
-	if err := daemon.Office.Refresh(); err != nil {
+	if err := daemon.Issuer.Refresh(); err != nil {
 		return nil, 0, err
 	}
-	_, config, _ := daemon.Office.Current()
-	return config.Whole(), config.Label(), nil
+	_, config, _ := daemon.Issuer.Current()
+	return config.WithOrigin(), config.Label(), nil
 }
 
 // Evacuate takes a zone out of service, or puts it back into service. It is idempotent.
-func (operator *Operator) Evacuate(zone string, back bool) (permit.Applied, error) {
+func (operator *Operator) Evacuate(zone string, back bool) (lease.Applied, error) {
 	daemon := operator.daemon
-	if applied, isSo, err := daemon.Office.Stands(func(tree *settings.Tree, config permit.Config) bool {
+	if applied, isSo, err := daemon.Issuer.AcknowledgeInForce(func(tree *settings.Tree, config lease.Config) bool {
 		_, isKnown := tree.RegionOf(zone)
 		return isKnown && slices.Contains(config.Evacuated, zone) != back
 	}); isSo || err != nil {
 		return daemon.logOutcome(operator.arrived, applied, err)
 	}
-	return operator.changeRepeatable(orderMaxAge, func(config permit.Config) (permit.Config, error) {
+	return operator.changeRepeatable(orderMaxAge, func(config lease.Config) (lease.Config, error) {
 		if len(config.Document) == 0 {
-			return config, verdict.Decline(409, "no_configuration", "there is no configuration yet", 0)
+			return config, verdict.Reject(409, "no_configuration", "there is no configuration yet", 0)
 		}
-		tree, problems := daemon.Office.Parse(config.Document)
+		tree, problems := daemon.Issuer.Parse(config.Document)
 		if len(problems) > 0 {
 			return config, problems
 		}
 		isOut := slices.Contains(config.Evacuated, zone)
 		if _, known := tree.RegionOf(zone); !known && !isOut {
-			return config, verdict.Decline(404, "no_zone", fmt.Sprintf("the configuration has no zone %q", zone), 0)
+			return config, verdict.Reject(404, "no_zone", fmt.Sprintf("the configuration has no zone %q", zone), 0)
 		}
 		if isOut != back {
-			return config, permit.ErrSame
+			return config, lease.ErrAlreadyInForce
 		}
 		zones := slices.DeleteFunc(slices.Clone(config.Evacuated), func(evacuated string) bool { return evacuated == zone })
 		if !back {
@@ -263,7 +263,7 @@
 		return nil
 	}
 	for _, region := range tree.Regions() {
-		if placement, placed := tree.Placement(model, region); placed && placement.Any() {
+		if placement, placed := tree.Placement(model, region); placed && placement.AcceptsAnyVersion() {
 			regions = append(regions, region)
 		}
 	}
@@ -277,24 +277,24 @@
 // once the roll-out is stored durably; the regions' leaders execute it.
 func (operator *Operator) BeginRollout(model, version string, over time.Duration) error {
 	if version == "" || over <= 0 {
-		return verdict.Decline(400, "bad_request", "a roll-out requires a version and a duration", 0)
+		return verdict.Reject(400, "bad_request", "a roll-out requires a version and a duration", 0)
 	}
 	daemon := operator.daemon
 	// The cached configuration may be older than the one that the operator has seen.
-	if err := daemon.Office.Refresh(); err != nil {
-		return Answer(err)
+	if err := daemon.Issuer.Refresh(); err != nil {
+		return OperatorError(err)
 	}
-	_, _, tree := daemon.Office.Current()
+	_, _, tree := daemon.Issuer.Current()
 	regions := regionsWithAnyVersion(tree, model)
 	switch {
 	case tree == nil:
-		return verdict.Decline(409, "no_configuration", "there is no configuration yet", 0)
+		return verdict.Reject(409, "no_configuration", "there is no configuration yet", 0)
 	case len(regions) == 0:
-		return verdict.Decline(404, "no_model", fmt.Sprintf("no region places model %q with any version", model), 0)
+		return verdict.Reject(404, "no_model", fmt.Sprintf("no region places model %q with any version", model), 0)
 	}
-	fence := rollout.Fence{Silence: orderQuorumTimeout, IsAbandoned: func() bool { return operator.isAbandoned(orderMaxAge) }}
-	if _, err := daemon.Objects.BeginWithin(fence, model, version, over, regions); err != nil {
-		return Answer(err)
+	fence := rollout.WriteLimits{Timeout: orderQuorumTimeout, IsAbandoned: func() bool { return operator.isAbandoned(orderMaxAge) }}
+	if _, err := daemon.Objects.BeginWithLimits(fence, model, version, over, regions); err != nil {
+		return OperatorError(err)
 	}
 	return nil
 }
@@ -302,14 +302,14 @@
 // RolloutState reports the state of the model's newest timed roll-out. The error is always a
 // *verdict.Mishap.
 func (daemon *Daemon) RolloutState(model string) (RolloutState, error) {
-	object, err := daemon.Objects.ModelWithin(model, orderQuorumTimeout)
+	object, err := daemon.Objects.ModelWithTimeout(model, orderQuorumTimeout)
 	if err != nil {
-		return RolloutState{}, Answer(err)
+		return RolloutState{}, OperatorError(err)
 	}
 	if object.Order == nil {
 		return RolloutState{}, nil
 	}
-	_, _, tree := daemon.Office.Current()
+	_, _, tree := daemon.Issuer.Current()
 	regions := regionsWithAnyVersion(tree, model)
 	if tree == nil { // this daemon has just started and has no configuration yet
 		regions = object.Order.Regions
--- a/controlplane/daemon.go
+++ b/controlplane/daemon.go
@@ -13,16 +13,16 @@
 	"go.uber.org/zap"
 
 	"swifttiller/disk"
-	"swifttiller/duty"
+	"swifttiller/election"
+	"swifttiller/lease"
 	"swifttiller/listing"
 	"swifttiller/loop"
-	"swifttiller/permit"
 	"swifttiller/register"
 	"swifttiller/replica"
 	"swifttiller/rollout"
+	"swifttiller/routing"
 	"swifttiller/session"
 	"swifttiller/settings"
-	"swifttiller/standing"
 	"swifttiller/wire"
 	"swifttiller/workflow"
 )
@@ -52,13 +52,13 @@
 // of the session protocol, and a candidate for the elections of all regions and of the core.
 type Daemon struct {
 	Options
-	*register.Keeper
-	Acceptor *register.Acceptor // nil without a disk
-	Table    *session.Table
-	Duties   *duty.Keeper
-	Office   *permit.Office
-	Objects  *rollout.Objects
-	Book     *workflow.Book
+	*register.Client
+	Acceptor  *register.Acceptor // nil without a disk
+	Sessions  *session.Table
+	Elections *election.Elector
+	Issuer    *lease.Issuer
+	Objects   *rollout.Objects
+	Runs      *workflow.Journal
 
 	mu       sync.Mutex
 	regions  map[string]*region
@@ -71,12 +71,12 @@
 	behind, silent absenceTracker
 }
 
-// RegionDuty is the prefix of the names of the regions' elections. A region's leader watches the
+// RegionElection is the prefix of the names of the regions' elections. A region's leader watches the
 // region's replicas, writes its routing table and drives its roll-outs.
-const RegionDuty = "region/"
+const RegionElection = "region/"
 
-// JanitorDuty is the election whose leader garbage-collects old lease holders' records.
-const JanitorDuty = "janitor"
+// JanitorElection is the election whose leader garbage-collects old lease holders' records.
+const JanitorElection = "janitor"
 
 // New makes a daemon and recovers the acceptor's state from its disk. A corrupt or unreadable
 // disk is an error.
@@ -88,9 +88,9 @@
 	if daemon.Log == nil {
 		daemon.Log = zap.NewNop()
 	}
-	daemon.Keeper = &register.Keeper{Options: register.Options{
+	daemon.Client = &register.Client{Options: register.Options{
 		World: options.World, Net: options.Net, Self: options.Process.Name + "." + options.Incarnation, Patience: roundTimeout,
-		Locate: func(id string) string { return daemon.Table.Locate(id) },
+		Locate: func(id string) string { return daemon.Sessions.Locate(id) },
 	}}
 	identity := ""
 	if options.Folder != nil {
@@ -98,35 +98,35 @@
 		if err != nil {
 			return nil, err
 		}
-		acceptor.Moved, acceptor.Name = daemon.Learn, options.Process.Name
+		acceptor.Moved, acceptor.Name = daemon.LearnCore, options.Process.Name
 		daemon.Acceptor = acceptor
 		identity = acceptor.ID()
-		daemon.Keeper.Own = identity
-		var about register.About
+		daemon.Client.Own = identity
+		var about register.Status
 		_ = acceptor.Describe(struct{}{}, &about)
-		daemon.Learn(about.Core)
+		daemon.LearnCore(about.Core)
 		if about.Sealed {
-			daemon.Learn(about.Next)
+			daemon.LearnCore(about.Next)
 		}
 	}
-	daemon.Table = session.NewTable(session.Options{
-		World: options.World, Net: options.Net, Seeds: options.Live.Seeds, Keeper: daemon.Keeper, Span: daemon.sessionTimeout, Tell: daemon.describeSelf, Tenants: daemon.tenants.announcement.Load,
+	daemon.Sessions = session.NewTable(session.Options{
+		World: options.World, Net: options.Net, Seeds: options.Live.Seeds, Registers: daemon.Client, SessionTimeout: daemon.sessionTimeout, Describe: daemon.describeSelf, Tenants: daemon.tenants.announcement.Load,
 		Self: session.Member{Name: options.Process.Name, Incarnation: options.Incarnation, Role: session.Control, Region: options.Process.Region, Zone: options.Process.Zone, Wire: options.Process.Wire, HTTP: options.Process.HTTP, Acceptor: identity},
 	})
-	daemon.Office = &permit.Office{Options: permit.Options{World: options.World, Net: options.Net, Keeper: daemon.Keeper, Table: daemon.Table, Kept: daemon.tableAge, Silence: orderQuorumTimeout}}
-	daemon.Duties = &duty.Keeper{Options: duty.Options{
-		World: options.World, Keeper: daemon.Keeper, Name: options.Process.Name, Incarnation: options.Incarnation, Span: daemon.sessionTimeout,
-		Alive: daemon.isAlive, Claims: daemon.claimsLeadership, Reborn: daemon.hasRestarted, Watched: daemon.Table.Watched, IsBack: daemon.Core().Epoch > 0, Wanted: daemon.elections,
+	daemon.Issuer = &lease.Issuer{IssuerOptions: lease.IssuerOptions{World: options.World, Net: options.Net, Registers: daemon.Client, Table: daemon.Sessions, ConfirmedAge: daemon.tableAge, OrderTimeout: orderQuorumTimeout}}
+	daemon.Elections = &election.Elector{Options: election.Options{
+		World: options.World, Registers: daemon.Client, Name: options.Process.Name, Incarnation: options.Incarnation, SessionTimeout: daemon.sessionTimeout,
+		IsAlive: daemon.isAlive, Claims: daemon.claimsLeadership, HasRestarted: daemon.hasRestarted, Watched: daemon.Sessions.Age, HasRestartedSelf: daemon.Core().Epoch > 0, Wanted: daemon.elections,
 	}}
-	daemon.Objects = &rollout.Objects{World: options.World, Keeper: daemon.Keeper, Name: options.Process.Name + "." + options.Incarnation, Changed: daemon.routesChanged}
-	daemon.Book = &workflow.Book{World: options.World, Keeper: daemon.Keeper}
+	daemon.Objects = &rollout.Objects{World: options.World, Registers: daemon.Client, Name: options.Process.Name + "." + options.Incarnation, Changed: daemon.routesChanged}
+	daemon.Runs = &workflow.Journal{World: options.World, Registers: daemon.Client}
 	return daemon, nil
 }
 
 // routesChanged wakes the regions that are executing a timed roll-out, so that a change of a
 // model's routes is published in their routing tables at once.
 func (daemon *Daemon) routesChanged() {
-	_, _, tree := daemon.Office.Current()
+	_, _, tree := daemon.Issuer.Current()
 	if tree == nil {
 		return
 	}
@@ -148,10 +148,10 @@
 // timeLimit is the current value of a system-wide duration setting.
 func (daemon *Daemon) timeLimit(name string) time.Duration {
 	var tree *settings.Tree
-	if daemon.Office != nil {
-		_, _, tree = daemon.Office.Current()
+	if daemon.Issuer != nil {
+		_, _, tree = daemon.Issuer.Current()
 	}
-	return tree.Span(name, "")
+	return tree.Duration(name, "")
 }
 
 // sessionFraction gives times/parts of the session timeout, as a loop's interval.
@@ -162,28 +162,28 @@
 // tableAge tells whether the region's leader is maintaining the given routing table, as far
 // as this daemon knows, and how long ago the leader last verified it. A live leader alone is
 // not enough: without a majority of the core it can't write what it observes.
-func (daemon *Daemon) tableAge(region string, read standing.Standing) (time.Duration, bool) {
-	duty, known := daemon.Duties.Last(RegionDuty + region)
+func (daemon *Daemon) tableAge(region string, read routing.Table) (time.Duration, bool) {
+	duty, known := daemon.Elections.Last(RegionElection + region)
 	if !known || duty.Serial != read.Duty {
 		return 0, false
 	}
 	leader, isAlive := daemon.leader(duty)
 	keeping, keeps := leader.Member.Keeps[region]
-	_, _, tree := daemon.Office.Current()
+	_, _, tree := daemon.Issuer.Current()
 	age := leader.Age + keeping.Age
-	return age, isAlive && keeps && keeping.Duty == duty.Serial && keeping.Serial <= read.Serial && tree != nil && age < tree.Span("permit_ms", "")
+	return age, isAlive && keeps && keeping.Duty == duty.Serial && keeping.Serial <= read.Serial && tree != nil && age < tree.Duration("permit_ms", "")
 }
 
 // leader gives the session of the daemon that won an election, if that incarnation is a member.
-func (daemon *Daemon) leader(held duty.Duty) (session.Session, bool) {
-	found, isMember := daemon.Table.Find(held.Holder)
+func (daemon *Daemon) leader(held election.Leadership) (session.Session, bool) {
+	found, isMember := daemon.Sessions.Find(held.Holder)
 	return found, isMember && found.Member.Role == session.Control && found.Member.Incarnation == held.Incarnation
 }
 
 // describeSelf fills in what this daemon's heartbeats announce to its peers: the elections
 // that it leads and the routing tables that it maintains.
 func (daemon *Daemon) describeSelf(self *session.Member) {
-	self.Duties, self.Keeps = daemon.Duties.Holds(), map[string]session.Keeping{}
+	self.Duties, self.Keeps = daemon.Elections.Terms(), map[string]session.TableStatus{}
 	daemon.mu.Lock()
 	defer daemon.mu.Unlock()
 	for name, region := range daemon.regions {
@@ -194,52 +194,52 @@
 }
 
 // claimsLeadership tells whether the recorded leader itself announces that it leads in that term.
-func (daemon *Daemon) claimsLeadership(name string, held duty.Duty) bool {
+func (daemon *Daemon) claimsLeadership(name string, held election.Leadership) bool {
 	found, isAlive := daemon.leader(held)
 	return isAlive && found.Member.Duties[name] == held.Serial
 }
 
 // isAlive tells whether that incarnation of a control daemon is a member.
 func (daemon *Daemon) isAlive(name, incarnation string) bool {
-	_, isAlive := daemon.leader(duty.Duty{Holder: name, Incarnation: incarnation})
+	_, isAlive := daemon.leader(election.Leadership{Holder: name, Incarnation: incarnation})
 	return isAlive
 }
 
 // hasRestarted tells whether another incarnation of the named daemon is a member, which
 // proves that the given one has ended.
 func (daemon *Daemon) hasRestarted(name, incarnation string) bool {
-	found, isMember := daemon.Table.Find(name)
+	found, isMember := daemon.Sessions.Find(name)
 	return isMember && found.Member.Role == session.Control && found.Member.Incarnation != incarnation
 }
 
 // elections lists the elections to stand in, in order of preference: the core and this
 // daemon's own region first.
 func (daemon *Daemon) elections() []string {
-	_, _, tree := daemon.Office.Current()
+	_, _, tree := daemon.Issuer.Current()
 	if tree == nil {
-		if daemon.Duties.IsBack && daemon.Table.Watched() < daemon.sessionTimeout() {
+		if daemon.Elections.HasRestartedSelf && daemon.Sessions.Age() < daemon.sessionTimeout() {
 			return nil // reads the configuration first, so as to stand in all elections at once
 		}
-		return []string{CoreDuty}
+		return []string{CoreElection}
 	}
 	names := []string{}
 	for _, region := range tree.Regions() {
-		names = append(names, RegionDuty+region)
+		names = append(names, RegionElection+region)
 	}
-	own := RegionDuty + daemon.Process.Region
+	own := RegionElection + daemon.Process.Region
 	sort.SliceStable(names, func(a, b int) bool { return names[a] == own && names[b] != own })
-	names = append(append([]string{CoreDuty}, names...), JanitorDuty)
+	names = append(append([]string{CoreElection}, names...), JanitorElection)
 	if tree.Limit("tenant_ms", "") > 0 {
-		names = append(names, TenantDuty)
+		names = append(names, TenantElection)
 	}
 	return names
 }
 
 // diskless serves the register protocol of a daemon without an acceptor.
-type diskless struct{ *register.Keeper }
+type diskless struct{ *register.Client }
 
 // Describe reports the newest core that the daemon knows.
-func (diskless diskless) Describe(_ struct{}, about *register.About) error {
+func (diskless diskless) Describe(_ struct{}, about *register.Status) error {
 	about.Core = diskless.Core()
 	return nil
 }
@@ -255,10 +255,10 @@
 	if daemon.Acceptor != nil {
 		mustRegister("Register", daemon.Acceptor)
 	} else {
-		mustRegister("Register", diskless{daemon.Keeper})
+		mustRegister("Register", diskless{daemon.Client})
 	}
-	mustRegister("Session", tableService{daemon.Table})
-	mustRegister("Permit", officeService{daemon.Office})
+	mustRegister("Session", tableService{daemon.Sessions})
+	mustRegister("Permit", officeService{daemon.Issuer})
 	mustRegister("Local", localService{daemon})
 	mustRegister("Tenant", tenantService{daemon})
 	mustRegister("Process", settings.Service{Live: daemon.Live})
@@ -268,26 +268,26 @@
 // The services expose only the methods that are meant to be called remotely.
 type (
 	tableService  struct{ table *session.Table }
-	officeService struct{ issuer *permit.Office }
+	officeService struct{ issuer *lease.Issuer }
 )
 
 // Beat handles a daemon's heartbeat.
-func (service tableService) Beat(heartbeat session.Beat, answer *session.Answer) error {
+func (service tableService) Beat(heartbeat session.Heartbeat, answer *session.HeartbeatReply) error {
 	return service.table.Beat(heartbeat, answer)
 }
 
 // Share exchanges session tables with a peer.
-func (service tableService) Share(shared session.Shared, reply *session.Shared) error {
+func (service tableService) Share(shared session.ShareMessage, reply *session.ShareMessage) error {
 	return service.table.Share(shared, reply)
 }
 
 // Renew grants or renews a data daemon's lease.
-func (service officeService) Renew(request permit.Ask, grant *permit.Grant) error {
+func (service officeService) Renew(request lease.Request, grant *lease.Grant) error {
 	return service.issuer.Renew(request, grant)
 }
 
 // Fetch returns a configuration.
-func (service officeService) Fetch(request permit.Want, edition *permit.Edition) error {
+func (service officeService) Fetch(request lease.FetchRequest, edition *lease.ConfigUpdate) error {
 	return service.issuer.Fetch(request, edition)
 }
 
@@ -295,9 +295,9 @@
 func (daemon *Daemon) Run() {
 	world := daemon.World
 	world.Go(func() { daemon.pauses.run(daemon.stopped.Load) })
-	world.Go(daemon.Table.Run)
+	world.Go(daemon.Sessions.Run)
 	world.Go(daemon.discover)
-	world.Go(daemon.Duties.Run)
+	world.Go(daemon.Elections.Run)
 	world.Go(daemon.watchConfig)
 	world.Go(daemon.sweepRecords)
 	world.Go(daemon.reconcileMembership)
@@ -315,7 +315,7 @@
 		}
 		return 4 * daemon.sessionTimeout()
 	}, func() bool {
-		daemon.Discover(daemon.Table.Colleagues())
+		daemon.Discover(daemon.Sessions.PeerAddresses())
 		daemon.initFirstCore()
 		return !daemon.stopped.Load()
 	})
@@ -325,11 +325,11 @@
 func (daemon *Daemon) watchConfig() {
 	loop.Every(daemon.World, daemon.sessionFraction(1, 3), func() bool {
 		if daemon.Core().Epoch > 0 {
-			if err := daemon.Office.Refresh(); err != nil {
+			if err := daemon.Issuer.Refresh(); err != nil {
 				daemon.Log.Debug("reading the configuration failed", zap.Error(err))
 			}
 		}
-		if _, _, tree := daemon.Office.Current(); tree != nil {
+		if _, _, tree := daemon.Issuer.Current(); tree != nil {
 			for _, name := range tree.Regions() {
 				daemon.ensureRegion(name)
 			}
@@ -373,7 +373,7 @@
 // isBehind tells whether the acceptor has not yet installed a core that it belongs to, or was
 // sealed for one.
 func (daemon *Daemon) isBehind() bool {
-	var about register.About
+	var about register.Status
 	_ = daemon.Acceptor.Describe(struct{}{}, &about)
 	core := daemon.Core()
 	return about.Sealed || core.Has(about.ID) && about.Core.Epoch < core.Epoch
@@ -382,8 +382,8 @@
 // sweepRecords garbage-collects lease holders' records while this daemon is the janitor.
 func (daemon *Daemon) sweepRecords() {
 	loop.Every(daemon.World, daemon.sessionFraction(4, 1), func() bool {
-		if _, held := daemon.Duties.Held(JanitorDuty); held {
-			daemon.Office.Sweep()
+		if _, held := daemon.Elections.Term(JanitorElection); held {
+			daemon.Issuer.RetireRecords()
 		}
 		return !daemon.stopped.Load()
 	})
@@ -393,11 +393,11 @@
 // peers, for a planned shutdown.
 func (daemon *Daemon) Stop() {
 	daemon.stopped.Store(true)
-	daemon.Duties.Resign()
-	self := daemon.Table.Self
-	for _, peer := range daemon.Table.Live(session.Control) {
+	daemon.Elections.Resign()
+	self := daemon.Sessions.Self
+	for _, peer := range daemon.Sessions.Live(session.Control) {
 		if peer.Member.Name != self.Name {
-			_ = daemon.Net.Call(peer.Member.Wire, "Session.Beat", session.Beat{Member: self, Over: true}, new(session.Answer), daemon.sessionTimeout()/4)
+			_ = daemon.Net.Call(peer.Member.Wire, "Session.Beat", session.Heartbeat{Member: self, Over: true}, new(session.HeartbeatReply), daemon.sessionTimeout()/4)
 		}
 	}
 }
--- a/controlplane/http.go
+++ b/controlplane/http.go
@@ -13,7 +13,7 @@
 
 // sendError sends an error as JSON, with its status and, if a retry makes sense, Retry-After.
 func sendError(ctx *fiber.Ctx, err error) error {
-	failure := Answer(err)
+	failure := OperatorError(err)
 	if failure.ComeBack > 0 {
 		ctx.Set("Retry-After", strconv.Itoa(int((failure.ComeBack+time.Second-1)/time.Second)))
 	}
@@ -39,7 +39,7 @@
 		if known, ok := err.(*fiber.Error); ok {
 			status = known.Code
 		}
-		return ctx.Status(status).Type("json").Send(verdict.Decline(status, "bad_request", err.Error(), 0).JSON())
+		return ctx.Status(status).Type("json").Send(verdict.Reject(status, "bad_request", err.Error(), 0).JSON())
 	}})
 	app.Get("/v1/health", func(ctx *fiber.Ctx) error {
 		return sendJSON(ctx, map[string]any{"name": daemon.Process.Name, "core_epoch": daemon.Core().Epoch}, nil)
@@ -47,20 +47,20 @@
 	app.Get("/v1/local", func(ctx *fiber.Ctx) error { return sendJSON(ctx, daemon.Local(), nil) })
 	app.Get("/v1/status", func(ctx *fiber.Ctx) error { return sendJSON(ctx, daemon.Status(), nil) })
 	app.Get("/v1/counters", func(ctx *fiber.Ctx) error { return sendJSON(ctx, daemon.Counters(), nil) })
-	app.Get("/v1/members", func(ctx *fiber.Ctx) error { return sendJSON(ctx, daemon.Table.Live(""), nil) })
+	app.Get("/v1/members", func(ctx *fiber.Ctx) error { return sendJSON(ctx, daemon.Sessions.Live(""), nil) })
 	app.Get("/v1/config", func(ctx *fiber.Ctx) error {
-		if err := daemon.Office.Refresh(); err != nil {
+		if err := daemon.Issuer.Refresh(); err != nil {
 			return sendError(ctx, err)
 		}
-		serial, config, tree := daemon.Office.Current()
+		serial, config, tree := daemon.Issuer.Current()
 		if tree == nil {
 			return sendJSON(ctx, map[string]any{"serial": 0}, nil)
 		}
-		out := map[string]any{"serial": serial, "document": config.Whole(), "evacuated": config.Evacuated}
+		out := map[string]any{"serial": serial, "document": config.WithOrigin(), "evacuated": config.Evacuated}
 		if scope, isSet := ctx.Queries()["effective"]; isSet {
 			leaves, known := effective(tree, scope)
 			if !known {
-				return sendError(ctx, verdict.Decline(404, "no_zone", fmt.Sprintf("the configuration has no zone or region %q", scope), 0))
+				return sendError(ctx, verdict.Reject(404, "no_zone", fmt.Sprintf("the configuration has no zone or region %q", scope), 0))
 			}
 			out["effective"] = leaves
 		}
@@ -71,7 +71,7 @@
 		if text := ctx.Query("expect"); text != "" {
 			serial, err := strconv.ParseUint(text, 10, 64)
 			if err != nil {
-				return sendError(ctx, verdict.Decline(400, "bad_request", "expect must be a serial", 0))
+				return sendError(ctx, verdict.Reject(400, "bad_request", "expect must be a serial", 0))
 			}
 			expect = &serial
 		}
@@ -79,17 +79,17 @@
 		if text := ctx.Query("expect_label"); text != "" {
 			label, err := strconv.ParseUint(text, 10, 64)
 			if err != nil || expect != nil {
-				return sendError(ctx, verdict.Decline(400, "bad_request", "expect_label must be a label and can't be combined with expect", 0))
+				return sendError(ctx, verdict.Reject(400, "bad_request", "expect_label must be a label and can't be combined with expect", 0))
 			}
-			applied, err := daemon.For(CallerOf(ctx)).Replace(document, label)
+			applied, err := daemon.OperatorFor(CallerOf(ctx)).Replace(document, label)
 			return sendJSON(ctx, applied, err)
 		}
-		applied, err := daemon.For(CallerOf(ctx)).Apply(document, expect, ctx.QueryBool("dry_run"))
+		applied, err := daemon.OperatorFor(CallerOf(ctx)).Apply(document, expect, ctx.QueryBool("dry_run"))
 		return sendJSON(ctx, applied, err)
 	})
 	for path, back := range map[string]bool{"evacuate": false, "hand-back": true} {
 		app.Post("/v1/zones/:zone/"+path, func(ctx *fiber.Ctx) error {
-			applied, err := daemon.For(CallerOf(ctx)).Evacuate(string([]byte(ctx.Params("zone"))), back)
+			applied, err := daemon.OperatorFor(CallerOf(ctx)).Evacuate(string([]byte(ctx.Params("zone"))), back)
 			return sendJSON(ctx, applied, err)
 		})
 	}
@@ -104,16 +104,16 @@
 		}
 		core, err := daemon.Init(request.Seeds)
 		if err != nil {
-			err = verdict.Decline(409, "init", err.Error(), 0)
+			err = verdict.Reject(409, "init", err.Error(), 0)
 		}
 		return sendJSON(ctx, core, err)
 	})
 	app.Post("/v1/core", func(ctx *fiber.Ctx) error {
 		var request struct{ Add, Remove []string }
 		if err := json.Unmarshal(ctx.Body(), &request); err != nil {
-			return sendError(ctx, verdict.Decline(400, "bad_request", err.Error(), 0))
+			return sendError(ctx, verdict.Reject(400, "bad_request", err.Error(), 0))
 		}
-		core, err := daemon.ChangeVotes(request.Add, request.Remove)
+		core, err := daemon.ChangeCoreMembers(request.Add, request.Remove)
 		return sendJSON(ctx, core, err)
 	})
 	app.Get("/v1/handovers", func(ctx *fiber.Ctx) error {
@@ -126,7 +126,7 @@
 			Regions            []string
 		}
 		if err := json.Unmarshal(ctx.Body(), &request); err != nil {
-			return sendError(ctx, verdict.Decline(400, "bad_request", err.Error(), 0))
+			return sendError(ctx, verdict.Reject(400, "bad_request", err.Error(), 0))
 		}
 		runs, err := daemon.Handover(request.ID, request.Model, request.Version, request.Regions)
 		return sendJSON(ctx, runs, err)
@@ -137,9 +137,9 @@
 			Over           float64 `json:"over_s"`
 		}
 		if err := json.Unmarshal(ctx.Body(), &request); err != nil {
-			return sendError(ctx, verdict.Decline(400, "bad_request", err.Error(), 0))
+			return sendError(ctx, verdict.Reject(400, "bad_request", err.Error(), 0))
 		}
-		if err := daemon.For(CallerOf(ctx)).BeginRollout(request.Model, request.Version, time.Duration(request.Over*float64(time.Second))); err != nil {
+		if err := daemon.OperatorFor(CallerOf(ctx)).BeginRollout(request.Model, request.Version, time.Duration(request.Over*float64(time.Second))); err != nil {
 			return sendError(ctx, err)
 		}
 		state, err := daemon.RolloutState(request.Model)
@@ -160,7 +160,7 @@
 				Regions []string
 			}
 			if err := json.Unmarshal(ctx.Body(), &request); err != nil || request.Tenant == "" || isPin != (len(request.Regions) > 0) {
-				return sendError(ctx, verdict.Decline(400, "bad_request", "pin requires a tenant and regions, release only a tenant", 0))
+				return sendError(ctx, verdict.Reject(400, "bad_request", "pin requires a tenant and regions, release only a tenant", 0))
 			}
 			placement, err := daemon.Pin(request.Tenant, request.Regions)
 			return sendJSON(ctx, placement, err)
@@ -179,8 +179,8 @@
 
 // standbyPeriod is the configured standby_ms; 0 without a configuration.
 func (daemon *Daemon) standbyPeriod() time.Duration {
-	if _, _, tree := daemon.Office.Current(); tree != nil {
-		return tree.Span("standby_ms", "")
+	if _, _, tree := daemon.Issuer.Current(); tree != nil {
+		return tree.Duration("standby_ms", "")
 	}
 	return 0
 }
--- a/controlplane/tender.go
+++ b/controlplane/membership.go
@@ -14,8 +14,8 @@
 	"swifttiller/session"
 )
 
-// CoreDuty is the election whose leader reconciles the core's membership with the live acceptors.
-const CoreDuty = "core"
+// CoreElection is the election whose leader reconciles the core's membership with the live acceptors.
+const CoreElection = "core"
 
 // MaxVotes is the size up to which the core grows automatically.
 const MaxVotes = 7
@@ -184,7 +184,7 @@
 func (reconciler *membershipReconciler) observe(core register.Core) map[string]AcceptorView {
 	daemon := reconciler.daemon
 	now, seen := daemon.World.Now(), map[string]AcceptorView{}
-	for _, peer := range daemon.Table.Live(session.Control) {
+	for _, peer := range daemon.Sessions.Live(session.Control) {
 		if id := peer.Member.Acceptor; id != "" {
 			reconciler.lastSeenAt[id], reconciler.seen[id] = now-peer.Age, peer.Member
 			seen[id] = AcceptorView{Member: peer.Member, SilentFor: peer.Age, IsMember: true}
@@ -231,7 +231,7 @@
 	}
 	seen := reconciler.observe(core)
 	daemon.silent.update(daemon.World.Now(), silentAcceptors(core, seen))
-	if _, held := daemon.Duties.Held(CoreDuty); !held {
+	if _, held := daemon.Elections.Term(CoreElection); !held {
 		daemon.behind.update(daemon.World.Now(), nil) // only the leader compares copies
 		reconciler.rounds = 0
 		return
@@ -244,12 +244,12 @@
 		return
 	}
 	next := register.Core{Epoch: core.Epoch + 1, Members: change.Next(core, seen)}
-	inStep, answered := daemon.InStep(core)
+	inStep, answered := daemon.UpToDate(core)
 	if !change.isSafe(core, next, inStep, answered) {
 		daemon.Log.Info("a core change is due but not safe yet", zap.String("add", change.Add), zap.String("remove", change.Remove), zap.Int("in_step", len(inStep)))
 		return
 	}
-	var about register.About
+	var about register.Status
 	if change.Add != "" {
 		err := daemon.Net.Call(seen[change.Add].Member.Wire, "Register.Describe", struct{}{}, &about, daemon.sessionTimeout()/4)
 		if err != nil || about.ID != change.Add || about.Disk.Broken != "" {
--- a/controlplane/tender_test.go
+++ b/controlplane/membership_test.go
@@ -8,9 +8,9 @@
 	"swifttiller/session"
 )
 
-// TestTend checks which change of the core is planned for a core and what is known of its
+// TestPlanCoreChange checks which change of the core is planned for a core and what is known of its
 // acceptors, and that the next core has as many members as the change implies.
-func TestTend(t *testing.T) {
+func TestPlanCoreChange(t *testing.T) {
 	const replaceAfter = 1500 * time.Millisecond
 	core := register.Core{Epoch: 4, Members: []register.Member{{ID: "a-1", Address: "a", Name: "a"}, {ID: "b-1", Address: "b", Name: "b"}, {ID: "c-1", Address: "c", Name: "c"}}}
 	four := register.Core{Epoch: 4, Members: append([]register.Member{{ID: "d-1", Address: "d", Name: "d"}}, core.Members...)}
--- a/controlplane/operate.go
+++ b/controlplane/operator.go
@@ -8,91 +8,91 @@
 	"strings"
 	"time"
 
-	"swifttiller/duty"
+	"swifttiller/election"
+	"swifttiller/lease"
 	"swifttiller/loop"
-	"swifttiller/permit"
 	"swifttiller/register"
 	"swifttiller/rollout"
+	"swifttiller/routing"
 	"swifttiller/session"
 	"swifttiller/settings"
-	"swifttiller/standing"
 	"swifttiller/verdict"
 	"swifttiller/wire"
 	"swifttiller/workflow"
 )
 
 // outcomeUnknown makes the error for an operator's command that may or may not have taken effect.
-func outcomeUnknown(err error) *verdict.Mishap {
-	return &verdict.Mishap{Verdict: verdict.MayHaveRun, Code: "outcome_unknown", Status: 504, Cause: err,
+func outcomeUnknown(err error) *verdict.Error {
+	return &verdict.Error{Verdict: verdict.MayHaveRun, Code: "outcome_unknown", Status: 504, Cause: err,
 		Message: "the outcome is unknown: " + err.Error() + "; look at `controlplane show` and `controlplane handover status` to find out"}
 }
 
-// Answer converts an error of the registers, objects and runs into the error that an operator
+// OperatorError converts an error of the registers, objects and runs into the error that an operator
 // gets, with its HTTP status and code.
-func Answer(err error) *verdict.Mishap {
-	var failure *verdict.Mishap
-	var stale *register.Stale
+func OperatorError(err error) *verdict.Error {
+	var failure *verdict.Error
+	var stale *register.SerialMismatch
 	var problems settings.Problems
-	var rejection *rollout.Decline
+	var rejection *rollout.Rejection
 	var outdated *Outdated
 	switch {
 	case err == nil:
 		return nil
 	case errors.As(err, &failure):
 		return failure
-	case errors.Is(err, register.ErrUncertain), errors.Is(err, permit.ErrUnconfirmed):
+	case errors.Is(err, register.ErrUncertain), errors.Is(err, lease.ErrUnconfirmed):
 		return outcomeUnknown(err)
 	case errors.As(err, &stale):
-		return verdict.Decline(409, "stale", fmt.Sprintf("expected serial %d, but the current serial is %d", stale.Want, stale.Have), 0)
+		return verdict.Reject(409, "stale", fmt.Sprintf("expected serial %d, but the current serial is %d", stale.Expected, stale.Current), 0)
 	case errors.As(err, &outdated):
-		return verdict.Decline(409, "stale", outdated.Error(), 0)
+		return verdict.Reject(409, "stale", outdated.Error(), 0)
 	case errors.As(err, &problems):
-		return verdict.Decline(422, "invalid", problems.Error(), 0)
+		return verdict.Reject(422, "invalid", problems.Error(), 0)
 	case errors.As(err, &rejection):
-		return verdict.Decline(409, "declined", rejection.Reason, 0)
-	case errors.Is(err, workflow.ErrBusy), errors.Is(err, workflow.ErrOther), errors.Is(err, workflow.ErrUsed), errors.Is(err, register.ErrCoreChange):
-		return verdict.Decline(409, "conflict", err.Error(), 0)
+		return verdict.Reject(409, "declined", rejection.Reason, 0)
+	case errors.Is(err, workflow.ErrBusy), errors.Is(err, workflow.ErrContentsDiffer), errors.Is(err, workflow.ErrUsed), errors.Is(err, register.ErrCoreChange):
+		return verdict.Reject(409, "conflict", err.Error(), 0)
 	case errors.Is(err, ErrAbandoned), errors.Is(err, rollout.ErrAbandoned):
-		return verdict.Decline(503, "abandoned", err.Error(), time.Second)
-	case errors.Is(err, permit.ErrForgotten), errors.Is(err, permit.ErrHistoryFull):
-		return verdict.Decline(503, "history", err.Error(), time.Second)
+		return verdict.Reject(503, "abandoned", err.Error(), time.Second)
+	case errors.Is(err, lease.ErrBeforeHistory), errors.Is(err, lease.ErrHistoryFull):
+		return verdict.Reject(503, "history", err.Error(), time.Second)
 	case errors.Is(err, register.ErrNoMajority), errors.Is(err, register.ErrNoCore):
-		return verdict.Decline(503, "no_majority", err.Error(), time.Second)
+		return verdict.Reject(503, "no_majority", err.Error(), time.Second)
 	}
-	return verdict.Decline(500, "failed", err.Error(), 0)
+	return verdict.Reject(500, "failed", err.Error(), 0)
 }
 
 // Reload makes the named member reread its process settings.
-func (daemon *Daemon) Reload(name string) (settings.Reloaded, error) {
-	var out settings.Reloaded
-	for _, member := range daemon.Table.Live("") {
+func (daemon *Daemon) Reload(name string) (settings.ReloadResult, error) {
+	var out settings.ReloadResult
+	for _, member := range daemon.Sessions.Live("") {
 		if member.Member.Name != name {
 			continue
 		}
 		if name == daemon.Process.Name {
 			out = daemon.Live.Reload()
-		} else if err := daemon.Net.Call(member.Member.Wire, "Process.Reload", struct{}{}, &out, roundTimeout); wire.Unsent(err) {
-			return out, verdict.Decline(503, "unreached", err.Error(), time.Second)
+		} else if err := daemon.Net.Call(member.Member.Wire, "Process.Reload", struct{}{}, &out, roundTimeout); wire.NotSent(err) {
+			return out, verdict.Reject(503, "unreached", err.Error(), time.Second)
 		} else if err != nil {
-			return out, &verdict.Mishap{Verdict: verdict.MayHaveRun, Code: "outcome_unknown", Status: 504, Cause: err, Message: "the outcome is unknown: " + err.Error() + "; it is safe to reload again"}
+			return out, &verdict.Error{Verdict: verdict.MayHaveRun, Code: "outcome_unknown", Status: 504, Cause: err, Message: "the outcome is unknown: " + err.Error() + "; it is safe to reload again"}
 		}
 		if len(out.Problems) > 0 {
-			return out, verdict.Decline(422, "invalid", out.String(), 0)
+			return out, verdict.Reject(422, "invalid", out.String(), 0)
 		}
 		return out, nil
 	}
-	return out, verdict.Decline(404, "no_daemon", fmt.Sprintf("no member is named %q", name), 0)
+	return out, verdict.Reject(404, "no_daemon", fmt.Sprintf("no member is named %q", name), 0)
 }
 
 // Handover starts a roll-out run of the version in each of the regions (all that place the
 // model if none are given), or joins the run that has this id already.
 func (daemon *Daemon) Handover(id, model, version string, regions []string) (map[string]workflow.Run, error) {
-	_, _, tree := daemon.Office.Current()
+	_, _, tree := daemon.Issuer.Current()
 	if tree == nil {
-		return nil, verdict.Decline(409, "no_configuration", "there is no configuration yet", 0)
+		return nil, verdict.Reject(409, "no_configuration", "there is no configuration yet", 0)
 	}
 	if id == "" || version == "" {
-		return nil, verdict.Decline(400, "bad_request", "a handover requires an id and a version", 0)
+		return nil, verdict.Reject(400, "bad_request", "a handover requires an id and a version", 0)
 	}
 	if len(regions) == 0 {
 		for _, region := range tree.Regions() {
@@ -102,21 +102,21 @@
 		}
 	}
 	if len(regions) == 0 {
-		return nil, verdict.Decline(404, "no_model", fmt.Sprintf("model %q is placed in no region", model), 0)
+		return nil, verdict.Reject(404, "no_model", fmt.Sprintf("model %q is placed in no region", model), 0)
 	}
 	for _, region := range regions {
 		if _, placed := tree.Placement(model, region); !placed {
-			return nil, verdict.Decline(404, "no_model", fmt.Sprintf("model %q is not placed in region %q", model, region), 0)
+			return nil, verdict.Reject(404, "no_model", fmt.Sprintf("model %q is not placed in region %q", model, region), 0)
 		}
 	}
 	runs := map[string]workflow.Run{}
 	for _, region := range regions {
-		if placement, _ := tree.Placement(model, region); placement.Any() {
-			return nil, verdict.Decline(409, "any_version", fmt.Sprintf("model %q accepts any version in region %s: its replicas come up with a version loaded; start a timed roll-out instead", model, region), 0)
+		if placement, _ := tree.Placement(model, region); placement.AcceptsAnyVersion() {
+			return nil, verdict.Reject(409, "any_version", fmt.Sprintf("model %q accepts any version in region %s: its replicas come up with a version loaded; start a timed roll-out instead", model, region), 0)
 		}
 	}
 	for _, region := range regions {
-		run, _, err := daemon.Book.Start(rollout.Key(model, region), id, rollout.Contents{Model: model, Region: region, Version: version})
+		run, _, err := daemon.Runs.Start(rollout.Key(model, region), id, rollout.Contents{Model: model, Region: region, Version: version})
 		if err != nil {
 			return runs, fmt.Errorf("region %s: %w", region, err)
 		}
@@ -128,13 +128,13 @@
 // ModelStatus is a model's state as reported to operators.
 type ModelStatus struct {
 	rollout.Model
-	Shelves  map[string]workflow.Shelf  `json:"runs"`
-	Versions map[string]rollout.Version `json:"versions"`
+	Shelves  map[string]workflow.RunStore `json:"runs"`
+	Versions map[string]rollout.Version   `json:"versions"`
 }
 
 // Handovers reports every model's routes, runs and versions.
 func (daemon *Daemon) Handovers() (map[string]ModelStatus, error) {
-	_, _, tree := daemon.Office.Current()
+	_, _, tree := daemon.Issuer.Current()
 	out := map[string]ModelStatus{}
 	if tree == nil {
 		return out, nil
@@ -150,9 +150,9 @@
 		if err != nil {
 			return nil, err
 		}
-		status := ModelStatus{Model: object, Shelves: map[string]workflow.Shelf{}}
+		status := ModelStatus{Model: object, Shelves: map[string]workflow.RunStore{}}
 		for _, region := range tree.Regions() {
-			shelf, _, err := daemon.Book.Read(rollout.Key(model, region))
+			shelf, _, err := daemon.Runs.Read(rollout.Key(model, region))
 			if err != nil {
 				return nil, err
 			}
@@ -166,9 +166,9 @@
 	return out, nil
 }
 
-// ChangeVotes adds and removes acceptors of the core by identity. The addresses of new ones
+// ChangeCoreMembers adds and removes acceptors of the core by identity. The addresses of new ones
 // are looked up in the session table.
-func (daemon *Daemon) ChangeVotes(add, remove []string) (register.Core, error) {
+func (daemon *Daemon) ChangeCoreMembers(add, remove []string) (register.Core, error) {
 	return daemon.ChangeCore(func(core register.Core) ([]register.Member, error) {
 		var members []register.Member
 		for _, member := range core.Members {
@@ -178,21 +178,21 @@
 		}
 		for _, id := range remove {
 			if !core.Has(id) {
-				return nil, verdict.Decline(404, "no_acceptor", fmt.Sprintf("%q is not in the core", id), 0)
+				return nil, verdict.Reject(404, "no_acceptor", fmt.Sprintf("%q is not in the core", id), 0)
 			}
 		}
 		for _, id := range add {
 			if core.Has(id) {
-				return nil, verdict.Decline(409, "in_core", fmt.Sprintf("%q is already in the core", id), 0)
+				return nil, verdict.Reject(409, "in_core", fmt.Sprintf("%q is already in the core", id), 0)
 			}
-			address := daemon.Table.Locate(id)
+			address := daemon.Sessions.Locate(id)
 			if address == "" {
-				return nil, verdict.Decline(404, "no_acceptor", fmt.Sprintf("no member runs the acceptor %q", id), 0)
+				return nil, verdict.Reject(404, "no_acceptor", fmt.Sprintf("no member runs the acceptor %q", id), 0)
 			}
 			members = append(members, register.Member{ID: id, Address: address})
 		}
 		if len(members) == 0 {
-			return nil, verdict.Decline(409, "empty_core", "a core needs at least one acceptor", 0)
+			return nil, verdict.Reject(409, "empty_core", "a core needs at least one acceptor", 0)
 		}
 		return members, nil
 	})
@@ -201,20 +201,20 @@
 // Local is the local state of one control daemon, for the status and doctor commands. It is
 // available without a majority of the core.
 type Local struct {
-	Member    session.Member         `json:"member"`
-	Core      register.Core          `json:"core"`
-	Acceptor  *register.About        `json:"acceptor,omitempty"`
-	Serial    uint64                 `json:"serial"`
-	Evacuated []string               `json:"evacuated"`
-	Sessions  []session.Session      `json:"sessions"`
-	Duties    map[string]duty.Duty   `json:"duties"`
-	Changes   map[string]int         `json:"duty_changes"`
-	Regions   map[string]RegionState `json:"regions"`
-	Mended    int64                  `json:"mended"`
-	Granted   uint64                 `json:"granted"`
-	Rounds    any                    `json:"rounds"`
-	Wall      time.Time              `json:"wall"`
-	Watched   time.Duration          `json:"watched"`
+	Member    session.Member                 `json:"member"`
+	Core      register.Core                  `json:"core"`
+	Acceptor  *register.Status               `json:"acceptor,omitempty"`
+	Serial    uint64                         `json:"serial"`
+	Evacuated []string                       `json:"evacuated"`
+	Sessions  []session.Session              `json:"sessions"`
+	Duties    map[string]election.Leadership `json:"duties"`
+	Changes   map[string]int                 `json:"duty_changes"`
+	Regions   map[string]RegionState         `json:"regions"`
+	Mended    int64                          `json:"mended"`
+	Granted   uint64                         `json:"granted"`
+	Rounds    any                            `json:"rounds"`
+	Wall      time.Time                      `json:"wall"`
+	Watched   time.Duration                  `json:"watched"`
 	// Lacking gives, by acceptor, for how many nanoseconds its copies have been incomplete or
 	// its daemon has been silent.
 	Lacking map[string]time.Duration `json:"lacking,omitempty"`
@@ -222,24 +222,24 @@
 
 // RegionState is a region's state as its leader sees it.
 type RegionState struct {
-	Duty      uint64             `json:"duty"`
-	Replicas  []standing.Replica `json:"replicas"`
-	Standing  *standing.Standing `json:"standing"`
-	ListError string             `json:"list_error,omitempty"`
-	RollError string             `json:"roll_error,omitempty"`
+	Duty      uint64            `json:"duty"`
+	Replicas  []routing.Replica `json:"replicas"`
+	Standing  *routing.Table    `json:"standing"`
+	ListError string            `json:"list_error,omitempty"`
+	RollError string            `json:"roll_error,omitempty"`
 }
 
 // Local reports this daemon's local state.
 func (daemon *Daemon) Local() Local {
-	serial, config, tree := daemon.Office.Current()
+	serial, config, tree := daemon.Issuer.Current()
 	out := Local{
-		Member: daemon.Table.Self, Core: daemon.Core(), Serial: serial, Evacuated: config.Evacuated, Sessions: daemon.Table.Live(""),
-		Regions: map[string]RegionState{}, Mended: daemon.repaired.Load(), Rounds: daemon.Rounded(), Granted: daemon.Office.Grants(), Wall: daemon.World.Wall(), Watched: daemon.Table.Watched(),
+		Member: daemon.Sessions.Self, Core: daemon.Core(), Serial: serial, Evacuated: config.Evacuated, Sessions: daemon.Sessions.Live(""),
+		Regions: map[string]RegionState{}, Mended: daemon.repaired.Load(), Rounds: daemon.RoundCounters(), Granted: daemon.Issuer.Grants(), Wall: daemon.World.WallTime(), Watched: daemon.Sessions.Age(),
 		Lacking: daemon.lacking(),
 	}
-	out.Duties, out.Changes = daemon.Duties.Seen()
+	out.Duties, out.Changes = daemon.Elections.Snapshot()
 	if daemon.Acceptor != nil {
-		out.Acceptor = new(register.About)
+		out.Acceptor = new(register.Status)
 		_ = daemon.Acceptor.Describe(struct{}{}, out.Acceptor)
 	}
 	daemon.mu.Lock()
@@ -249,7 +249,7 @@
 	}
 	daemon.mu.Unlock()
 	for _, region := range regions {
-		if term, held := daemon.Duties.Held(RegionDuty + region.name); held && tree != nil {
+		if term, held := daemon.Elections.Term(RegionElection + region.name); held && tree != nil {
 			region.mu.Lock()
 			observed := region.leadership
 			state := RegionState{Duty: term, Standing: region.table, ListError: region.listError, RollError: region.rollError}
@@ -263,17 +263,17 @@
 
 // Status is the state of the whole system, as collected by one control daemon from the others.
 type Status struct {
-	Asked      string                   `json:"asked"`
-	Majority   bool                     `json:"majority"`
-	Trouble    string                   `json:"trouble,omitempty"`
-	Serial     uint64                   `json:"serial"`
-	Core       register.Core            `json:"core"`
-	Locals     map[string]Local         `json:"locals"`
-	Unreached  map[string]string        `json:"unreached,omitempty"`
-	Models     map[string]ModelStatus   `json:"models,omitempty"`
-	Document   json.RawMessage          `json:"document,omitempty"`
-	SeedsUnmet []string                 `json:"seeds_unmet,omitempty"`
-	Holders    map[string]permit.Record `json:"holders,omitempty"`
+	Asked      string                        `json:"asked"`
+	Majority   bool                          `json:"majority"`
+	Trouble    string                        `json:"trouble,omitempty"`
+	Serial     uint64                        `json:"serial"`
+	Core       register.Core                 `json:"core"`
+	Locals     map[string]Local              `json:"locals"`
+	Unreached  map[string]string             `json:"unreached,omitempty"`
+	Models     map[string]ModelStatus        `json:"models,omitempty"`
+	Document   json.RawMessage               `json:"document,omitempty"`
+	SeedsUnmet []string                      `json:"seeds_unmet,omitempty"`
+	Holders    map[string]lease.HolderRecord `json:"holders,omitempty"`
 	// Skews are the differences between each daemon's wall clock and this daemon's.
 	Skews map[string]time.Duration `json:"skews,omitempty"`
 	// Sums are the acceptors' digests by identity, one per key range; Redundancy is how many
@@ -300,7 +300,7 @@
 	out := Status{Asked: self.Member.Name, Core: self.Core, Locals: map[string]Local{self.Member.Name: self}, Unreached: map[string]string{}, Skews: map[string]time.Duration{}}
 	addresses := map[string]string{} // by address: a description of who should answer there
 	for _, member := range self.Core.Members {
-		address := daemon.Table.Locate(member.ID)
+		address := daemon.Sessions.Locate(member.ID)
 		if address == "" {
 			address = member.Address
 		}
@@ -337,7 +337,7 @@
 		address := list[index]
 		if entry.err == nil {
 			out.Locals[entry.local.Member.Name] = entry.local
-			out.Skews[entry.local.Member.Name] = entry.local.Wall.Sub(daemon.World.Wall())
+			out.Skews[entry.local.Member.Name] = entry.local.Wall.Sub(daemon.World.WallTime())
 		} else {
 			out.Unreached[address] = addresses[address] + ": " + entry.err.Error()
 			if slices.Contains(daemon.Live.Seeds(), address) {
@@ -359,24 +359,24 @@
 		}
 	}
 	slices.Sort(out.SeedsUnmet)
-	value, err := daemon.ReadWithin(permit.ConfigKey, orderQuorumTimeout)
+	value, err := daemon.ReadWithin(lease.ConfigKey, orderQuorumTimeout)
 	if err != nil {
 		out.Trouble = err.Error()
 		out.Serial = self.Serial
 		return out
 	}
 	out.Majority, out.Serial = true, value.Serial
-	out.Sums = daemon.Compare()
+	out.Sums = daemon.CompareDigests()
 	redundancy := computeRedundancy(out.Core, out.Sums)
 	redundancy.LackingFor = redundancy.lackingFor(out.Locals)
 	out.Redundancy = &redundancy
-	_ = daemon.Office.Learn(value)
-	_, config, _ := daemon.Office.Current()
-	out.Document = config.Whole()
+	_ = daemon.Issuer.Adopt(value)
+	_, config, _ := daemon.Issuer.Current()
+	out.Document = config.WithOrigin()
 	if out.Models, err = daemon.Handovers(); err != nil {
 		out.Trouble = err.Error()
 	}
-	if out.Holders, err = daemon.Office.Holders(); err != nil {
+	if out.Holders, err = daemon.Issuer.Holders(); err != nil {
 		out.Trouble = err.Error()
 	}
 	return out
--- a/controlplane/reconciler_model_test.go
+++ b/controlplane/reconciler_model_test.go
@@ -441,10 +441,10 @@
 	return rules
 }
 
-// TestReconcilerModelSeesBugs checks that the model detects planted bugs: rules that never replace
+// TestReconcilerModelDetectsPlantedBugs checks that the model detects planted bugs: rules that never replace
 // an acceptor, never grow the core, or change it only while all acceptors are in step, and an
 // environment that destroys more disks than the core tolerates.
-func TestReconcilerModelSeesBugs(t *testing.T) {
+func TestReconcilerModelDetectsPlantedBugs(t *testing.T) {
 	allInStep := productRules
 	allInStep.isSafe = func(_ CoreChange, core, _ register.Core, inStep map[string]bool, _ int) bool {
 		return len(inStep) == len(core.Members)
--- a/controlplane/region.go
+++ b/controlplane/region.go
@@ -9,15 +9,15 @@
 
 	"go.uber.org/zap"
 
+	"swifttiller/lease"
 	"swifttiller/listing"
 	"swifttiller/loop"
-	"swifttiller/permit"
 	"swifttiller/register"
 	"swifttiller/replica"
 	"swifttiller/rollout"
+	"swifttiller/routing"
 	"swifttiller/session"
 	"swifttiller/settings"
-	"swifttiller/standing"
 	"swifttiller/workflow"
 )
 
@@ -44,12 +44,12 @@
 	// lastDarkAt is when a listed replica that is not leaving was last found to fail its health
 	// checks for dark_ms; zero for never during this leadership.
 	lastDarkAt time.Duration
-	table      *standing.Standing // last read or written
+	table      *routing.Table // last read or written
 	writtenAt  time.Duration
 	// verifiedAt is when the last computation began that, during this leadership, wrote table
 	// or found it to be up to date.
 	verifiedAt time.Duration
-	routes     map[string]standing.Route // as last read
+	routes     map[string]routing.Route // as last read
 	// idle are the models that, as last read, have and had no roll-out run and can't get one
 	// without an operator; nil before the first read.
 	idle      map[string]bool
@@ -59,7 +59,7 @@
 	// rollWaker wakes the loop that advances the roll-outs, after a new routing table.
 	computeWaker, rollWaker *loop.Waker
 	// endedReplicas are replicas' incarnations that have ended, to be announced in a batch.
-	endedReplicas []permit.Leaver
+	endedReplicas []lease.DepartingReplica
 	// evacuated are the zones that were evacuated at the last computation.
 	evacuated map[string]bool
 }
@@ -70,22 +70,24 @@
 
 // tree is the current configuration; nil if there is none.
 func (region *region) tree() *settings.Tree {
-	_, _, tree := region.Office.Current()
+	_, _, tree := region.Issuer.Current()
 	return tree
 }
 
 // run starts the region's loops: list, probe, compute, and advance roll-outs.
 func (region *region) run() {
-	tick := func(tree *settings.Tree) time.Duration { return standing.Tick(tree.Span("permit_ms", "")) }
+	tick := func(tree *settings.Tree) time.Duration {
+		return routing.RecomputeInterval(tree.Duration("permit_ms", ""))
+	}
 	region.World.Go(func() {
 		// This is much more often than the platform is queried, so that a new leader queries it
 		// at once; list itself keeps to the platform's interval.
 		loop.Every(region.World, region.interval(func(tree *settings.Tree) time.Duration {
-			return min(tree.Span("platform_ms", region.name)/2, tree.Span("dark_ms", region.name)/2, region.untilNextList())
+			return min(tree.Duration("platform_ms", region.name)/2, tree.Duration("dark_ms", region.name)/2, region.untilNextList())
 		}), region.whileLeader(region.list))
 	})
 	region.World.Go(func() {
-		loop.Every(region.World, region.interval(func(tree *settings.Tree) time.Duration { return tree.Span("probe_ms", region.name) }), region.whileLeader(region.probeAll))
+		loop.Every(region.World, region.interval(func(tree *settings.Tree) time.Duration { return tree.Duration("probe_ms", region.name) }), region.whileLeader(region.probeAll))
 	})
 	region.World.Go(func() {
 		region.computeWaker.Run(region.World, region.interval(tick), region.whileLeader(region.compute))
@@ -109,7 +111,7 @@
 	if runner == nil {
 		return loop.Forever
 	}
-	return runner.Due()
+	return runner.RetryAfter()
 }
 
 // hasUrgentRollout tells whether a timed roll-out is in progress in this region.
@@ -117,7 +119,7 @@
 	region.mu.Lock()
 	defer region.mu.Unlock()
 	for model, route := range region.routes {
-		if placement, _ := tree.Placement(model, region.name); placement.Any() && (route.Trial != "" || route.Watched) {
+		if placement, _ := tree.Placement(model, region.name); placement.AcceptsAnyVersion() && (route.Trial != "" || route.Watched) {
 			return true
 		}
 	}
@@ -130,7 +132,7 @@
 func (region *region) interval(interval func(tree *settings.Tree) time.Duration) func() time.Duration {
 	return func() time.Duration {
 		if region.hasJustRestarted() {
-			return min(interval(region.tree()), region.tree().Span("dark_ms", region.name)/8)
+			return min(interval(region.tree()), region.tree().Duration("dark_ms", region.name)/8)
 		}
 		return interval(region.tree())
 	}
@@ -139,7 +141,7 @@
 // hasJustRestarted tells whether this daemon restarted within the last 3 session timeouts, so
 // that it may have led the region before, and has not written a routing table in this term yet.
 func (region *region) hasJustRestarted() bool {
-	if !region.Duties.IsBack || region.Table.Watched() > 3*region.sessionTimeout() {
+	if !region.Elections.HasRestartedSelf || region.Sessions.Age() > 3*region.sessionTimeout() {
 		return false
 	}
 	region.mu.Lock()
@@ -151,7 +153,7 @@
 // also resets the region's state when leadership is lost or the term changes.
 func (region *region) whileLeader(step func(term uint64, tree *settings.Tree)) func() bool {
 	return func() bool {
-		term, held := region.Duties.Held(RegionDuty + region.name)
+		term, held := region.Elections.Term(RegionElection + region.name)
 		region.mu.Lock()
 		if !held {
 			region.leadership, region.isFilled, region.table = leadership{}, false, nil
@@ -173,9 +175,9 @@
 // replicaRows gives the replicas as input for computing the routing table and for the roll-outs. It
 // is false if the leadership is not the expected one any more: it was lost or its term changed, and
 // the region's state was reset.
-func (region *region) replicaRows(tree *settings.Tree, expected leadership) ([]standing.Replica, bool) {
+func (region *region) replicaRows(tree *settings.Tree, expected leadership) ([]routing.Replica, bool) {
 	now := region.World.Now()
-	darkAfter := tree.Span("dark_ms", region.name)
+	darkAfter := tree.Duration("dark_ms", region.name)
 	outcomes := region.recentOutcomes()
 	region.mu.Lock()
 	defer region.mu.Unlock()
@@ -195,9 +197,9 @@
 	// that others can reach. So if more than half fail their checks, all that are listed stay
 	// in use, and data daemons rely on the outcomes of their own requests.
 	mayBePartitioned := 2*silent > total
-	var out []standing.Replica
+	var out []routing.Replica
 	for _, watched := range region.replicas {
-		row := standing.Replica{
+		row := routing.Replica{
 			ID: watched.ID, Address: watched.Address, Zone: watched.Zone, Region: region.name,
 			Leaving: watched.leaving || watched.unlisted || watched.hasEnded, Alive: watched.probed && now-watched.answeredAt < darkAfter,
 			Boot: watched.boot(tree), Held: watched.health.Held, Load: watched.health.Load, Cold: now < watched.coldUntil,
@@ -207,7 +209,7 @@
 			if row.Held == nil {
 				row.Held = map[string]string{}
 			}
-			row.Held[watched.Model+"/"+watched.Version] = standing.Ready
+			row.Held[watched.Model+"/"+watched.Version] = routing.Ready
 		}
 		if watched.engine(tree) != nil {
 			row.Alive = (row.Alive || mayBePartitioned && (watched.probed || now-region.since > 2*darkAfter)) && !watched.isExcluded(outcomes[watched.ID], now)
@@ -219,10 +221,10 @@
 }
 
 // dataDaemons gives the live data daemons with their reports, and their incarnations by name.
-func (daemon *Daemon) dataDaemons() (out []standing.Daemon, incarnations map[string]string) {
+func (daemon *Daemon) dataDaemons() (out []routing.Daemon, incarnations map[string]string) {
 	incarnations = map[string]string{}
-	for _, daemonSession := range daemon.Table.Live(session.Data) {
-		out = append(out, standing.Daemon{Name: daemonSession.Member.Name, Zone: daemonSession.Member.Zone, Region: daemonSession.Member.Region, Report: daemonSession.Report})
+	for _, daemonSession := range daemon.Sessions.Live(session.Data) {
+		out = append(out, routing.Daemon{Name: daemonSession.Member.Name, Zone: daemonSession.Member.Zone, Region: daemonSession.Member.Region, Report: daemonSession.Report})
 		incarnations[daemonSession.Member.Name] = daemonSession.Member.Name + "#" + daemonSession.Member.Incarnation
 	}
 	return out, incarnations
@@ -233,7 +235,7 @@
 // incarnation, and the versions that it loads on command; until then, the incarnation shown
 // last is assumed. It is false, and nothing is added, if the leadership is not the expected
 // one any more.
-func (region *region) restore(last standing.Standing, expected leadership) bool {
+func (region *region) restore(last routing.Table, expected leadership) bool {
 	now := region.World.Now()
 	tree := region.tree()
 	region.mu.Lock()
@@ -247,10 +249,10 @@
 			listed.health.Boot = endpoint.Boot
 		}
 		if region.replicas[endpoint.ID] == nil {
-			watched := &watchedReplica{Listed: listing.Listed{ID: endpoint.ID, Address: endpoint.Address, Zone: endpoint.Zone}, answeredAt: now, health: replica.Vitals{Boot: endpoint.Boot}}
+			watched := &watchedReplica{Instance: listing.Instance{ID: endpoint.ID, Address: endpoint.Address, Zone: endpoint.Zone}, answeredAt: now, health: replica.Health{Boot: endpoint.Boot}}
 			for _, row := range last.Rows {
 				// With any version allowed, a replica keeps its version for its whole lifetime.
-				if placement, _ := tree.Placement(row.Model, endpoint.Zone); row.Replica == endpoint.ID && placement.Any() {
+				if placement, _ := tree.Placement(row.Model, endpoint.Zone); row.Replica == endpoint.ID && placement.AcceptsAnyVersion() {
 					watched.Model, watched.Version = row.Model, row.Version
 				}
 			}
@@ -268,7 +270,7 @@
 	before, isFilled, writtenAt, observed := region.table, region.isFilled, region.writtenAt, region.leadership
 	region.mu.Unlock()
 	models := tree.Models(region.name)
-	keys := []string{permit.StandingPrefix + region.name}
+	keys := []string{lease.RoutingTablePrefix + region.name}
 	for _, model := range models {
 		keys = append(keys, rollout.ModelPrefix+model, rollout.DelayedPrefix+model, workflow.Prefix+rollout.Key(model, region.name))
 	}
@@ -277,9 +279,9 @@
 		return
 	}
 	if value := values[keys[0]]; before == nil || before.Serial != value.Serial {
-		var last standing.Standing
+		var last routing.Table
 		if value.Serial > 0 {
-			if last, _, err = permit.OpenStanding(value); err != nil {
+			if last, _, err = lease.DecodeRoutingTable(value); err != nil {
 				return
 			}
 		}
@@ -293,7 +295,7 @@
 	if !isFilled || region.awaitsProbes(tree) {
 		return
 	}
-	_, config, _ := region.Office.Current()
+	_, config, _ := region.Issuer.Current()
 	evacuated := map[string]bool{}
 	for _, zone := range config.Evacuated {
 		evacuated[zone] = true
@@ -303,9 +305,9 @@
 	if !isLeader {
 		return
 	}
-	input := standing.Input{
-		Region: region.name, Tree: tree, Duty: term, Evacuated: evacuated, Replicas: replicas,
-		Gone: region.Table.Gone(), Routes: map[string]standing.Route{}, Before: before, Since: now - writtenAt,
+	input := routing.Input{
+		Region: region.name, Tree: tree, Term: term, Evacuated: evacuated, Replicas: replicas,
+		AbsentFor: region.Sessions.AbsentFor(), Routes: map[string]routing.Route{}, Previous: before, Since: now - writtenAt,
 	}
 	input.Daemons, _ = region.dataDaemons()
 	for _, model := range models {
@@ -318,27 +320,27 @@
 	idle := map[string]bool{}
 	for _, model := range models {
 		placement, _ := tree.Placement(model, region.name)
-		idle[model] = placement.Any() && values[rollout.ModelPrefix+model].Serial == 0 && values[rollout.DelayedPrefix+model].Serial == 0 &&
+		idle[model] = placement.AcceptsAnyVersion() && values[rollout.ModelPrefix+model].Serial == 0 && values[rollout.DelayedPrefix+model].Serial == 0 &&
 			values[workflow.Prefix+rollout.Key(model, region.name)].Serial == 0
 	}
 	region.mu.Lock()
 	region.routes, region.idle = input.Routes, idle
 	region.mu.Unlock()
-	next := standing.Compute(input)
-	if before.Serial > 0 && standing.Same(*before, next) {
+	next := routing.Compute(input)
+	if before.Serial > 0 && routing.Equivalent(*before, next) {
 		region.recordTable(term, before, writtenAt, now)
 		return
 	}
-	data, err := permit.PackStanding(next)
+	data, err := lease.EncodeRoutingTable(next)
 	if err != nil {
 		region.Log.Error("encoding the routing table failed", zap.Error(err))
 		return
 	}
 	// Compare-and-swap against the routing table that this one was computed from, so that a
 	// deposed leader that resumes after a pause can't overwrite a newer one.
-	value, err := region.Swap(keys[0], before.Serial, data)
+	value, err := region.CompareAndSwap(keys[0], before.Serial, data)
 	if err != nil {
-		var stale *register.Stale
+		var stale *register.SerialMismatch
 		if !errors.As(err, &stale) {
 			region.Log.Debug("writing the routing table failed", zap.String("region", region.name), zap.Error(err))
 		}
@@ -349,20 +351,20 @@
 	if region.hasUrgentRollout(tree) {
 		region.rollWaker.Wake()
 	}
-	region.Log.Info("routing table written", zap.String("region", region.name), zap.Uint64("serial", next.Serial), zap.String("changed", standing.Changed(*before, next)), zap.Strings("replicas", next.Shown()), zap.Duration("took", region.World.Now()-now))
+	region.Log.Info("routing table written", zap.String("region", region.name), zap.Uint64("serial", next.Serial), zap.String("changed", routing.FirstDifference(*before, next)), zap.Strings("replicas", next.ReplicaNames()), zap.Duration("took", region.World.Now()-now))
 	region.recordTable(term, &next, now, now)
 	region.notifyLeaving(removedReplicas(*before, next), next.Serial)
 }
 
 // removedReplicas are the replicas' incarnations that the previous routing table has and the next
 // one does not.
-func removedReplicas(before, next standing.Standing) (out []permit.Leaver) {
-	remaining := map[permit.Leaver]bool{}
+func removedReplicas(before, next routing.Table) (out []lease.DepartingReplica) {
+	remaining := map[lease.DepartingReplica]bool{}
 	for _, endpoint := range next.Places {
-		remaining[permit.Leaver{Replica: endpoint.ID, Boot: endpoint.Boot}] = true
+		remaining[lease.DepartingReplica{Replica: endpoint.ID, Boot: endpoint.Boot}] = true
 	}
 	for _, endpoint := range before.Places {
-		if incarnation := (permit.Leaver{Replica: endpoint.ID, Boot: endpoint.Boot}); !remaining[incarnation] && incarnation.Boot != "" {
+		if incarnation := (lease.DepartingReplica{Replica: endpoint.ID, Boot: endpoint.Boot}); !remaining[incarnation] && incarnation.Boot != "" {
 			out = append(out, incarnation)
 		}
 	}
@@ -377,7 +379,7 @@
 	defer region.mu.Unlock()
 	for _, watched := range region.replicas {
 		if engine := watched.engine(tree); engine != nil && region.evacuated[watched.Zone] && !evacuated[watched.Zone] {
-			watched.coldUntil = max(watched.coldUntil, now+engine.Cold)
+			watched.coldUntil = max(watched.coldUntil, now+engine.ColdPeriod)
 		}
 	}
 	region.evacuated = evacuated
@@ -390,7 +392,7 @@
 	now := region.World.Now()
 	region.mu.Lock()
 	defer region.mu.Unlock()
-	darkAfter := tree.Span("dark_ms", region.name)
+	darkAfter := tree.Duration("dark_ms", region.name)
 	// This applies only right after the election; later a new replica delays nothing.
 	if now-region.since > 2*darkAfter {
 		return false
@@ -409,7 +411,7 @@
 }
 
 // recordTable records the last routing table with its times, if the term is still the current one.
-func (region *region) recordTable(term uint64, table *standing.Standing, writtenAt, verifiedAt time.Duration) {
+func (region *region) recordTable(term uint64, table *routing.Table, writtenAt, verifiedAt time.Duration) {
 	region.mu.Lock()
 	defer region.mu.Unlock()
 	if region.term == term {
@@ -418,20 +420,20 @@
 }
 
 // maintained describes the routing table that this daemon maintains; false if it maintains none.
-func (region *region) maintained() (session.Keeping, bool) {
+func (region *region) maintained() (session.TableStatus, bool) {
 	region.mu.Lock()
 	defer region.mu.Unlock()
 	if region.table == nil || region.table.Duty != region.term {
-		return session.Keeping{}, false
+		return session.TableStatus{}, false
 	}
-	return session.Keeping{Duty: region.term, Serial: region.table.Serial, Age: region.World.Now() - region.verifiedAt}, true
+	return session.TableStatus{Duty: region.term, Serial: region.table.Serial, Age: region.World.Now() - region.verifiedAt}, true
 }
 
 // advanceRollouts runs the next steps of the region's roll-outs.
 func (region *region) advanceRollouts(term uint64, tree *settings.Tree) {
 	region.mu.Lock()
 	if region.runner == nil {
-		region.runner = &rollout.Runner{World: region.World, Objects: region.Objects, Book: region.Book, Client: region.Replicas, Point: region.Point}
+		region.runner = &rollout.Runner{World: region.World, Objects: region.Objects, Journal: region.Runs, Client: region.Replicas, Failpoint: region.Point}
 	}
 	runner, routes, table, idle, observed := region.runner, region.routes, region.table, region.idle, region.leadership
 	region.mu.Unlock()
@@ -442,13 +444,13 @@
 	if !isLeader {
 		return
 	}
-	_, config, _ := region.Office.Current()
-	scene := rollout.Scene{Region: region.name, Duty: term, Tree: tree, Evacuated: map[string]bool{}, Replicas: replicas, Routes: routes, Standing: table, Watched: region.Table.Watched(), Idle: idle}
+	_, config, _ := region.Issuer.Current()
+	scene := rollout.RegionView{Region: region.name, Term: term, Tree: tree, Evacuated: map[string]bool{}, Replicas: replicas, Routes: routes, RoutingTable: table, SessionsWatched: region.Sessions.Age(), Idle: idle}
 	scene.Daemons, scene.Incarnations = region.dataDaemons()
 	for _, zone := range config.Evacuated {
 		scene.Evacuated[zone] = true
 	}
-	err := runner.Turn(scene)
+	err := runner.RunOnce(scene)
 	region.mu.Lock()
 	region.rollError = ""
 	if err != nil {
--- a/controlplane/region_list.go
+++ b/controlplane/region_list.go
@@ -6,9 +6,9 @@
 
 	"go.uber.org/zap"
 
+	"swifttiller/lease"
 	"swifttiller/listing"
 	"swifttiller/loop"
-	"swifttiller/permit"
 	"swifttiller/session"
 	"swifttiller/settings"
 )
@@ -31,12 +31,12 @@
 // shown to be leaving, so that they need not wait for a new routing table to be computed, written
 // and fetched with their next lease renewal; and those that a written routing table no longer
 // has. It is best effort: a data daemon that it does not reach learns from the routing table.
-func (region *region) notifyLeaving(leavers []permit.Leaver, serial uint64) {
+func (region *region) notifyLeaving(leavers []lease.DepartingReplica, serial uint64) {
 	if len(leavers) == 0 {
 		return
 	}
-	notice := permit.Notice{Region: region.name, Leavers: leavers, Serial: serial}
-	for _, dataDaemon := range region.Table.Live(session.Data) {
+	notice := lease.DepartureNotice{Region: region.name, Leavers: leavers, Serial: serial}
+	for _, dataDaemon := range region.Sessions.Live(session.Data) {
 		region.World.Go(func() {
 			for range notifyAttempts {
 				acknowledged := false
@@ -61,7 +61,7 @@
 	if wait || address == "" {
 		return
 	}
-	interval := tree.Span("platform_ms", region.name)
+	interval := tree.Duration("platform_ms", region.name)
 	listed, err := region.Platform.List(address, tree.Zones(region.name), min(interval, region.sessionTimeout()))
 	leavers, hasNew := region.applyList(tree, listed, err)
 	region.notifyLeaving(leavers, 0)
@@ -80,13 +80,13 @@
 // applyList merges the platform's list, or the error of the query, into the region's replicas. It
 // gives the replicas' incarnations that this list is the first to show as leaving, and whether it
 // has new replicas.
-func (region *region) applyList(tree *settings.Tree, listed []listing.Listed, err error) (leavers []permit.Leaver, hasNew bool) {
-	interval := tree.Span("platform_ms", region.name)
+func (region *region) applyList(tree *settings.Tree, listed []listing.Instance, err error) (leavers []lease.DepartingReplica, hasNew bool) {
+	interval := tree.Duration("platform_ms", region.name)
 	now := region.World.Now()
 	region.mu.Lock()
 	defer region.mu.Unlock()
 	for _, entry := range region.replicas {
-		if entry.probed && !entry.leaving && !entry.unlisted && now-entry.answeredAt >= tree.Span("dark_ms", region.name) {
+		if entry.probed && !entry.leaving && !entry.unlisted && now-entry.answeredAt >= tree.Duration("dark_ms", region.name) {
 			region.lastDarkAt = now
 		}
 	}
@@ -94,13 +94,13 @@
 	if region.lastDarkAt > 0 && now-region.lastDarkAt < lossListWindow {
 		region.nextListAt = now + interval/lossListFactor
 	}
-	var limited *listing.Limited
+	var limited *listing.RateLimitedError
 	if err != nil {
 		// Query again soon, as there may be no list yet, but not before the time that the
 		// platform asked for.
-		region.nextListAt = now + min(interval, tree.Span("dark_ms", region.name))
+		region.nextListAt = now + min(interval, tree.Duration("dark_ms", region.name))
 		if errors.As(err, &limited) {
-			region.nextListAt = max(region.nextListAt, now+limited.ComeBack)
+			region.nextListAt = max(region.nextListAt, now+limited.RetryAfter)
 		}
 		region.listError = err.Error()
 		return nil, false // the last list remains in use
@@ -114,17 +114,17 @@
 		seen[entry.ID] = true
 		watched := region.replicas[entry.ID]
 		if watched == nil || watched.Address != entry.Address {
-			watched = &watchedReplica{Listed: entry, answeredAt: now}
+			watched = &watchedReplica{Instance: entry, answeredAt: now}
 			watched.probed, hasNew = false, true
 			region.replicas[entry.ID] = watched
 		}
 		if entry.Leaving && !watched.leaving {
 			region.Log.Info("replica is leaving", zap.String("region", region.name), zap.String("replica", entry.ID))
 			if boot := watched.boot(tree); boot != "" {
-				leavers = append(leavers, permit.Leaver{Replica: entry.ID, Boot: boot})
+				leavers = append(leavers, lease.DepartingReplica{Replica: entry.ID, Boot: boot})
 			}
 		}
-		watched.Listed = entry
+		watched.Instance = entry
 		watched.unlisted = false
 		watched.leaving = watched.leaving || entry.Leaving
 		watched.coldUntil = max(watched.coldUntil, now+entry.Cold)
@@ -132,7 +132,7 @@
 	for id, watched := range region.replicas {
 		if !seen[id] {
 			watched.unlisted = true
-			if now-watched.answeredAt > 2*tree.Span("dark_ms", region.name) {
+			if now-watched.answeredAt > 2*tree.Duration("dark_ms", region.name) {
 				delete(region.replicas, id)
 			}
 		}
--- a/controlplane/region_probe.go
+++ b/controlplane/region_probe.go
@@ -4,20 +4,20 @@
 	"sort"
 	"time"
 
+	"swifttiller/lease"
 	"swifttiller/listing"
 	"swifttiller/loop"
-	"swifttiller/permit"
 	"swifttiller/replica"
+	"swifttiller/routing"
 	"swifttiller/session"
 	"swifttiller/settings"
-	"swifttiller/standing"
 	"swifttiller/verdict"
 )
 
 // watchedReplica is a replica's state by the platform's list and this daemon's health checks.
 type watchedReplica struct {
-	listing.Listed
-	health replica.Vitals
+	listing.Instance
+	health replica.Health
 	probed bool
 	// answeredAt is when the last answered health check was sent; before the first answer, when
 	// the replica was added.
@@ -80,12 +80,12 @@
 	}
 	region.mu.Unlock()
 	sort.Slice(targets, func(a, b int) bool { return targets[a].id < targets[b].id })
-	timeout := tree.Span("dark_ms", region.name) / 2
+	timeout := tree.Duration("dark_ms", region.name) / 2
 	outcomes := region.recentOutcomes()
 	for _, watched := range targets {
 		region.World.Go(func() {
 			sentAt := region.World.Now()
-			var health replica.Vitals
+			var health replica.Health
 			var err error
 			if watched.engine != nil && region.Dialect != nil {
 				health, err = region.Dialect.Probe(replica.Target{ID: watched.id, Address: watched.address, Path: watched.engine.ProbePath}, timeout)
@@ -94,13 +94,13 @@
 			}
 			region.mu.Lock()
 			defer region.mu.Unlock()
-			if failure, isFailure := err.(*verdict.Mishap); isFailure && failure.Code == replica.AnewCode && !watched.hasEnded {
+			if failure, isFailure := err.(*verdict.Error); isFailure && failure.Code == replica.RestartedCode && !watched.hasEnded {
 				// Otherwise each data daemon would lose a request to find out.
 				watched.hasEnded = true
-				region.announceEnded(permit.Leaver{Replica: watched.id, Boot: watched.boot(tree)})
+				region.announceEnded(lease.DepartingReplica{Replica: watched.id, Boot: watched.boot(tree)})
 				region.computeWaker.Wake()
 			}
-			if err != nil && watched.probed && !watched.isDark && region.World.Now()-watched.answeredAt >= tree.Span("dark_ms", region.name) {
+			if err != nil && watched.probed && !watched.isDark && region.World.Now()-watched.answeredAt >= tree.Duration("dark_ms", region.name) {
 				// Data daemons send it requests until they have a routing table without it.
 				watched.isDark = true
 				region.computeWaker.Wake()
@@ -110,11 +110,11 @@
 			}
 			watched.isDark = false
 			watched.hasEnded = false
-			if health.Ill && !watched.wasHealthy && outcomes[watched.id].OK == 0 {
+			if health.Unhealthy && !watched.wasHealthy && outcomes[watched.id].OK == 0 {
 				return // it is still starting
 			}
-			watched.wasHealthy = watched.wasHealthy || !health.Ill
-			if !health.Ill {
+			watched.wasHealthy = watched.wasHealthy || !health.Unhealthy
+			if !health.Unhealthy {
 				watched.excludedUntil = 0
 			}
 			if health.Boot != watched.health.Boot {
@@ -136,7 +136,7 @@
 
 // announceEnded notifies data daemons within endedBatchDelay that a replica's incarnation has
 // ended, ahead of the routing table without it. The caller holds the lock.
-func (region *region) announceEnded(incarnation permit.Leaver) {
+func (region *region) announceEnded(incarnation lease.DepartingReplica) {
 	if region.endedReplicas = append(region.endedReplicas, incarnation); len(region.endedReplicas) > 1 {
 		return // the pending notice includes it
 	}
@@ -151,10 +151,10 @@
 }
 
 // recentOutcomes sums up, by replica, the outcomes of recent requests that data daemons report.
-func (region *region) recentOutcomes() map[string]standing.Outcome {
-	out := map[string]standing.Outcome{}
-	for _, dataDaemon := range region.Table.Live(session.Data) {
-		for _, list := range [][]standing.Outcome{dataDaemon.Report.Recent, dataDaemon.Report.Near} {
+func (region *region) recentOutcomes() map[string]routing.Outcome {
+	out := map[string]routing.Outcome{}
+	for _, dataDaemon := range region.Sessions.Live(session.Data) {
+		for _, list := range [][]routing.Outcome{dataDaemon.Report.Recent, dataDaemon.Report.Near} {
 			for _, outcome := range list {
 				sum := out[outcome.Replica]
 				sum.Add(outcome)
@@ -172,8 +172,8 @@
 // isExcluded tells whether a replica gets no requests because it is unhealthy. Its own report is
 // not enough, as a replica that is leaving reports the same and is marked in the list soon after:
 // most of the recent requests to it must have failed too.
-func (watched *watchedReplica) isExcluded(outcome standing.Outcome, now time.Duration) bool {
-	if !watched.health.Ill {
+func (watched *watchedReplica) isExcluded(outcome routing.Outcome, now time.Duration) bool {
+	if !watched.health.Unhealthy {
 		return false
 	}
 	if outcome.Mishaps+outcome.Unreached > outcome.OK {
--- a/controlplane/tenants.go
+++ b/controlplane/tenants.go
@@ -12,8 +12,8 @@
 
 	"go.uber.org/zap"
 
+	"swifttiller/lease"
 	"swifttiller/loop"
-	"swifttiller/permit"
 	"swifttiller/register"
 	"swifttiller/session"
 	"swifttiller/settings"
@@ -21,9 +21,9 @@
 	"swifttiller/verdict"
 )
 
-// TenantDuty is the election whose leader observes the tenants' load in all regions and places
+// TenantElection is the election whose leader observes the tenants' load in all regions and places
 // tenants.
-const TenantDuty = "tenants"
+const TenantElection = "tenants"
 
 // BaselineKey is the register with the baseline profiles that tenants' load is compared with, for
 // the next leader.
@@ -32,10 +32,10 @@
 // Points of a planning round, for fault injection in tests. A tenant's move extends over several
 // rounds; each round writes the placements at most once.
 const (
-	PointRead    = "tenants.read"    // before anything is read
-	PointPlanned = "tenants.planned" // the next placements are planned, but not written
-	PointWritten = "tenants.written" // the placements are written
-	PointUsual   = "tenants.usual"   // the baseline profiles are written
+	PointRead            = "tenants.read"    // before anything is read
+	PointPlanned         = "tenants.planned" // the next placements are planned, but not written
+	PointWritten         = "tenants.written" // the placements are written
+	PointBaselineWritten = "tenants.usual"   // the baseline profiles are written
 )
 
 // tenants is a control daemon's state for the placement of tenants.
@@ -43,11 +43,11 @@
 // Invariants: what announcement points to never changes; watch is nil while this daemon is not
 // the leader.
 type tenants struct {
-	announcement atomic.Pointer[tenant.Told]
+	announcement atomic.Pointer[tenant.WindowReport]
 	started      sync.Once
 	mu           sync.Mutex
 	term         uint64
-	watch        *tenant.Watch
+	watch        *tenant.Planner
 	// baseline is the register's text as last read or written; rounds counts planning rounds.
 	baseline string
 	rounds   int
@@ -60,8 +60,8 @@
 // tenantInterval is the interval of planning rounds; false, and the session timeout, while the
 // placement of tenants is off.
 func (daemon *Daemon) tenantInterval() (time.Duration, bool) {
-	if _, _, tree := daemon.Office.Current(); tree != nil {
-		if interval := tree.Span("tenant_ms", ""); interval > 0 {
+	if _, _, tree := daemon.Issuer.Current(); tree != nil {
+		if interval := tree.Duration("tenant_ms", ""); interval > 0 {
 			return interval, true
 		}
 	}
@@ -88,15 +88,15 @@
 			return !daemon.stopped.Load()
 		}
 		serial++
-		daemon.tenants.announcement.Store(tenant.Tell(serial, tenant.Gather(tenantReports(daemon.Table.FirstHand()))))
+		daemon.tenants.announcement.Store(tenant.NewReport(serial, tenant.Gather(tenantReports(daemon.Sessions.Direct()))))
 		return !daemon.stopped.Load()
 	})
 }
 
 // tenantReports extracts the reports on tenants from sessions.
-func tenantReports(sessions []session.Session) (out []tenant.Heard) {
+func tenantReports(sessions []session.Session) (out []tenant.RegionReport) {
 	for _, reporter := range sessions {
-		out = append(out, tenant.Heard{Region: reporter.Member.Region, Told: reporter.Report.Tenants})
+		out = append(out, tenant.RegionReport{Region: reporter.Member.Region, Report: reporter.Report.Tenants})
 	}
 	return out
 }
@@ -104,8 +104,8 @@
 // runTenantPlanner runs planning rounds while this daemon is the leader.
 func (daemon *Daemon) runTenantPlanner() {
 	loop.Every(daemon.World, func() time.Duration { interval, _ := daemon.tenantInterval(); return interval }, func() bool {
-		term, held := daemon.Duties.Held(TenantDuty)
-		_, _, tree := daemon.Office.Current()
+		term, held := daemon.Elections.Term(TenantElection)
+		_, _, tree := daemon.Issuer.Current()
 		interval, isOn := daemon.tenantInterval()
 		state := &daemon.tenants
 		state.mu.Lock()
@@ -135,16 +135,16 @@
 func (daemon *Daemon) planTenants(term uint64, interval time.Duration, tree *settings.Tree) {
 	daemon.point(PointRead)
 	now := daemon.World.Now()
-	keys := []string{permit.PlacedKey, BaselineKey}
+	keys := []string{lease.PlacementsKey, BaselineKey}
 	for _, region := range tree.Regions() {
-		keys = append(keys, permit.StandingPrefix+region)
+		keys = append(keys, lease.RoutingTablePrefix+region)
 	}
 	values, err := daemon.ReadMany(keys...)
 	if err != nil {
 		return
 	}
-	placed := values[permit.PlacedKey]
-	placements, isReadable := permit.OpenPlaced(placed.Data)
+	placed := values[lease.PlacementsKey]
+	placements, isReadable := lease.DecodePlacements(placed.Data)
 	if placed.Serial > 0 && !isReadable || placements.Duty > term {
 		daemon.Log.Warn("skipping tenant placement: the register is unreadable or was written in a later term", zap.Uint64("duty", term), zap.Uint64("written_by", placements.Duty))
 		return
@@ -157,37 +157,37 @@
 			_ = json.Unmarshal(value.Data, &baseline)
 			state.baseline = string(value.Data)
 		}
-		state.term, state.watch = term, tenant.NewWatch(now, baseline)
+		state.term, state.watch = term, tenant.NewPlanner(now, baseline)
 	}
 	state.rounds++
 	scene := daemon.tenantScene(term, interval, tree, values)
-	next, notices := state.watch.Turn(scene, tenant.Gather(tenantReports(daemon.Table.Live(session.Control))), placements)
-	baseline, _ := json.Marshal(state.watch.Usual())
+	next, notices := state.watch.Step(scene, tenant.Gather(tenantReports(daemon.Sessions.Live(session.Control))), placements)
+	baseline, _ := json.Marshal(state.watch.Baselines())
 	writesBaseline := string(baseline) != state.baseline && (state.rounds%baselineRounds == 0 || len(notices) > 0)
 	state.mu.Unlock()
 	for _, notice := range notices {
-		daemon.Log.Info("a tenant "+notice.What, zap.String("tenant", notice.Tenant), zap.String("reason", notice.Reason), zap.Float64("distance", notice.Distance),
-			zap.Float64("gain_ms", notice.Gain), zap.Float64("price_ms", notice.Price), zap.Float64("tokens", notice.Tokens), zap.Strings("from", notice.From), zap.Strings("to", notice.To), zap.Int("part", notice.Part))
+		daemon.Log.Info("a tenant "+notice.Event, zap.String("tenant", notice.Tenant), zap.String("reason", notice.Reason), zap.Float64("distance", notice.Distance),
+			zap.Float64("gain_ms", notice.Gain), zap.Float64("price_ms", notice.Cost), zap.Float64("tokens", notice.Tokens), zap.Strings("from", notice.From), zap.Strings("to", notice.To), zap.Int("part", notice.Part))
 	}
 	daemon.point(PointPlanned)
 	if !slices.EqualFunc(placements.Placed, next.Placed, samePlacement) {
-		data, err := permit.PackPlaced(next)
+		data, err := lease.EncodePlacements(next)
 		if err != nil {
 			daemon.Log.Error("encoding tenant placements failed", zap.Error(err))
 			return
 		}
-		if _, err := daemon.Swap(permit.PlacedKey, placed.Serial, data); err != nil {
+		if _, err := daemon.CompareAndSwap(lease.PlacementsKey, placed.Serial, data); err != nil {
 			daemon.Log.Info("writing tenant placements failed", zap.Error(err))
 			return
 		}
 		daemon.point(PointWritten)
 	}
 	if writesBaseline {
-		if _, err := daemon.Swap(BaselineKey, values[BaselineKey].Serial, baseline); err == nil {
+		if _, err := daemon.CompareAndSwap(BaselineKey, values[BaselineKey].Serial, baseline); err == nil {
 			state.mu.Lock()
 			state.baseline = string(baseline)
 			state.mu.Unlock()
-			daemon.point(PointUsual)
+			daemon.point(PointBaselineWritten)
 		}
 	}
 }
@@ -201,15 +201,15 @@
 
 // tenantScene collects the input of a planning round: each region's capacity by model, the
 // tenants' home regions, and the prices and limits of moves.
-func (daemon *Daemon) tenantScene(term uint64, interval time.Duration, tree *settings.Tree, values map[string]register.Value) tenant.Scene {
-	_, config, _ := daemon.Office.Current()
-	capacities := map[string]map[string]tenant.Ground{}
+func (daemon *Daemon) tenantScene(term uint64, interval time.Duration, tree *settings.Tree, values map[string]register.Value) tenant.TurnInputs {
+	_, config, _ := daemon.Issuer.Current()
+	capacities := map[string]map[string]tenant.Capacity{}
 	for _, region := range tree.Regions() {
-		value := values[permit.StandingPrefix+region]
+		value := values[lease.RoutingTablePrefix+region]
 		if value.Serial == 0 {
 			continue
 		}
-		table, _, err := permit.OpenStanding(value)
+		table, _, err := lease.DecodeRoutingTable(value)
 		if err != nil {
 			continue
 		}
@@ -229,15 +229,15 @@
 				continue
 			}
 			if capacities[model] == nil {
-				capacities[model] = map[string]tenant.Ground{}
+				capacities[model] = map[string]tenant.Capacity{}
 			}
-			capacities[model][region] = tenant.Ground{Replicas: count, Berths: engine.Berths, Cache: engine.CacheTokens}
+			capacities[model][region] = tenant.Capacity{Replicas: count, Slots: engine.Slots, Cache: engine.CacheTokens}
 		}
 	}
-	return tenant.Scene{
-		Now: daemon.World.Now(), Window: interval, Duty: term, Grounds: capacities,
+	return tenant.TurnInputs{
+		Now: daemon.World.Now(), Window: interval, Term: term, Capacities: capacities,
 		Homes: func(name string) []string {
-			route := tree.RouteAt(name)
+			route := tree.RouteByAddress(name)
 			switch {
 			case route == nil:
 				return nil
@@ -246,7 +246,7 @@
 			}
 			return tree.Regions()
 		},
-		Far: tree.Limit("far_ms", ""), FarKB: tree.Limit("far_kb_ms", ""), Again: tree.Limit("again_ms", ""),
+		RemoteMs: tree.Limit("far_ms", ""), RemoteKBMs: tree.Limit("far_kb_ms", ""), RecomputeMs: tree.Limit("again_ms", ""),
 		Change: tree.Limit("tenant_change", ""), Budget: tree.Limit("tenant_again", ""),
 	}
 }
@@ -259,8 +259,8 @@
 	IsOn   bool               `json:"is_on"`
 	Placed []tenant.Placement `json:"placed"`
 	// Seen are the heavy tenants as the leader observes them; Trouble says why they are missing.
-	Seen    []tenant.Seen `json:"seen"`
-	Trouble string        `json:"trouble,omitempty"`
+	Seen    []tenant.TenantStatus `json:"seen"`
+	Trouble string                `json:"trouble,omitempty"`
 }
 
 type tenantService struct{ daemon *Daemon }
@@ -273,28 +273,28 @@
 	if state.watch == nil {
 		return errors.New("this daemon is not the leader")
 	}
-	reply.Body, err = json.Marshal(state.watch.Seen())
+	reply.Body, err = json.Marshal(state.watch.Statuses())
 	return err
 }
 
 // Tenants reports the placements, read from a majority, and the tenants that the leader observes.
 func (daemon *Daemon) Tenants() (out Tenants, err error) {
-	value, err := daemon.Read(permit.PlacedKey)
+	value, err := daemon.Read(lease.PlacementsKey)
 	if err != nil {
 		return out, err
 	}
-	placements, _ := permit.OpenPlaced(value.Data)
+	placements, _ := lease.DecodePlacements(value.Data)
 	out.Serial, out.Duty, out.Placed = value.Serial, placements.Duty, placements.Placed
 	if _, out.IsOn = daemon.tenantInterval(); !out.IsOn {
 		out.Trouble = "tenant_ms is 0: tenant placement is off, and no placement is in force"
 		return out, nil
 	}
-	leadership, _ := daemon.Duties.Last(TenantDuty)
+	leadership, _ := daemon.Elections.Last(TenantElection)
 	out.Holder = leadership.Holder
 	var reply LocalReply
 	if leadership.Holder == daemon.Process.Name {
 		err = tenantService{daemon}.Seen(struct{}{}, &reply)
-	} else if leader, isMember := daemon.Table.Find(leadership.Holder); isMember {
+	} else if leader, isMember := daemon.Sessions.Find(leadership.Holder); isMember {
 		err = daemon.Net.Call(leader.Member.Wire, "Tenant.Seen", struct{}{}, &reply, daemon.sessionTimeout())
 	} else {
 		err = errors.New("no leader is known")
@@ -310,46 +310,46 @@
 // once the placement is decided; data daemons apply it within the duration of a lease. The error
 // is always a *verdict.Mishap.
 func (daemon *Daemon) Pin(name string, regions []string) (tenant.Placement, error) {
-	_, _, tree := daemon.Office.Current()
+	_, _, tree := daemon.Issuer.Current()
 	if tree == nil {
-		return tenant.Placement{}, verdict.Decline(409, "no_configuration", "there is no configuration yet", 0)
+		return tenant.Placement{}, verdict.Reject(409, "no_configuration", "there is no configuration yet", 0)
 	}
-	route := tree.RouteAt(name)
+	route := tree.RouteByAddress(name)
 	switch {
 	case tree.Limit("tenant_ms", "") <= 0 && len(regions) > 0:
-		return tenant.Placement{}, verdict.Decline(409, "off", "tenant_ms is 0: no placement would be in force", 0)
+		return tenant.Placement{}, verdict.Reject(409, "off", "tenant_ms is 0: no placement would be in force", 0)
 	case route == nil && len(regions) > 0:
-		return tenant.Placement{}, verdict.Decline(404, "no_tenant", fmt.Sprintf("no route has the host and path prefix %q", name), 0)
+		return tenant.Placement{}, verdict.Reject(404, "no_tenant", fmt.Sprintf("no route has the host and path prefix %q", name), 0)
 	}
 	for index, region := range regions {
 		switch {
 		case !slices.Contains(tree.Regions(), region):
-			return tenant.Placement{}, verdict.Decline(404, "no_region", fmt.Sprintf("the configuration has no region %q", region), 0)
-		case !route.Within(region):
-			return tenant.Placement{}, verdict.Decline(409, "not_home", fmt.Sprintf("%s may not be served in %s; its homes are %s", name, region, strings.Join(route.Homes, ", ")), 0)
+			return tenant.Placement{}, verdict.Reject(404, "no_region", fmt.Sprintf("the configuration has no region %q", region), 0)
+		case !route.AllowedIn(region):
+			return tenant.Placement{}, verdict.Reject(409, "not_home", fmt.Sprintf("%s may not be served in %s; its homes are %s", name, region, strings.Join(route.Homes, ", ")), 0)
 		case slices.Contains(regions[:index], region):
-			return tenant.Placement{}, verdict.Decline(400, "bad_request", fmt.Sprintf("region %q is listed twice", region), 0)
+			return tenant.Placement{}, verdict.Reject(400, "bad_request", fmt.Sprintf("region %q is listed twice", region), 0)
 		}
 	}
 	next := tenant.Placement{Tenant: name}
 	if len(regions) > 0 {
 		next = tenant.Placement{Tenant: name, Now: regions, Pinned: true, Reason: "an operator's"}
 	}
-	_, err := daemon.Change(permit.PlacedKey, func(value register.Value) ([]byte, error) {
-		placements, isReadable := permit.OpenPlaced(value.Data)
+	_, err := daemon.Update(lease.PlacementsKey, func(value register.Value) ([]byte, error) {
+		placements, isReadable := lease.DecodePlacements(value.Data)
 		existing := placements.Find(name)
 		switch {
 		case value.Serial > 0 && !isReadable:
 			return nil, errors.New("the register of placements is unreadable")
 		case !next.Pinned && existing == nil:
-			return nil, verdict.Decline(404, "not_placed", fmt.Sprintf("tenant %q has no placement", name), 0)
-		case existing == nil && len(placements.Placed) >= tenant.MostKept:
-			return nil, verdict.Decline(409, "full", fmt.Sprintf("%d tenants are placed already, which is the limit; release one", len(placements.Placed)), 0)
+			return nil, verdict.Reject(404, "not_placed", fmt.Sprintf("tenant %q has no placement", name), 0)
+		case existing == nil && len(placements.Placed) >= tenant.MaxTracked:
+			return nil, verdict.Reject(409, "full", fmt.Sprintf("%d tenants are placed already, which is the limit; release one", len(placements.Placed)), 0)
 		}
-		return permit.PackPlaced(placements.With(next))
+		return lease.EncodePlacements(placements.With(next))
 	})
 	if err != nil {
-		return tenant.Placement{}, Answer(err)
+		return tenant.Placement{}, OperatorError(err)
 	}
 	daemon.Log.Info("tenant placement changed by an operator", zap.String("tenant", name), zap.Strings("to", regions))
 	return next, nil
--- a/dataplane/daemon.go
+++ b/dataplane/daemon.go
@@ -11,8 +11,8 @@
 
 	"swifttiller/decide"
 	"swifttiller/execute"
+	"swifttiller/lease"
 	"swifttiller/loop"
-	"swifttiller/permit"
 	"swifttiller/quota"
 	"swifttiller/replica"
 	"swifttiller/session"
@@ -30,21 +30,21 @@
 	Live        *settings.Live
 	Incarnation string
 	Replicas    replica.Client
-	// Relayer, if set, is the client for routed requests.
-	Relayer execute.Relayer
+	// ProxyClient, if set, is the client for routed requests.
+	ProxyClient execute.ProxyClient
 	// Probe, if set, probes the health of a replica whose model has an engine.
-	Probe  func(target replica.Target, timeout time.Duration) (replica.Vitals, error)
-	Log    *zap.Logger
-	Traced func(execute.Record)
+	Probe      func(target replica.Target, timeout time.Duration) (replica.Health, error)
+	Log        *zap.Logger
+	OnFinished func(execute.Record)
 }
 
 // Daemon is a data daemon.
 type Daemon struct {
 	Options
 	Client    *session.Client
-	Holder    *permit.Holder
+	Holder    *lease.Holder
 	Decider   *decide.Decider
-	Meter     *quota.Meter
+	Limiter   *quota.Limiter
 	Executor  *execute.Executor
 	startedAt time.Duration
 	leaving   atomic.Bool
@@ -65,31 +65,33 @@
 		daemon.Log = zap.NewNop()
 	}
 	daemon.Client = &session.Client{
-		World: options.World, Net: options.Net, Seeds: options.Live.Seeds, Region: options.Process.Region, Zone: options.Process.Zone, Name: options.Process.Name, Span: daemon.sessionInterval,
-		Describe: func() session.Beat { return session.Beat{Member: daemon.Self(), Report: daemon.Decider.Report()} },
+		World: options.World, Net: options.Net, Seeds: options.Live.Seeds, Region: options.Process.Region, Zone: options.Process.Zone, Name: options.Process.Name, SessionTimeout: daemon.sessionInterval,
+		Describe: func() session.Heartbeat {
+			return session.Heartbeat{Member: daemon.Self(), Report: daemon.Decider.Report()}
+		},
 	}
-	daemon.Meter = quota.NewMeter(quota.Options{World: options.World, Net: options.Net, Self: daemon.Self(), Limits: daemon.limits, Members: func() ([]session.Member, time.Duration) {
+	daemon.Limiter = quota.NewLimiter(quota.Options{World: options.World, Net: options.Net, Self: daemon.Self(), Limits: daemon.limits, Members: func() ([]session.Member, time.Duration) {
 		view := daemon.Holder.View()
-		return view.Members, view.Expiry
+		return view.Members, view.Deadline
 	}})
 	daemon.Decider = decide.New(decide.Options{
-		World: options.World, Net: options.Net, Self: daemon.Self(), Began: daemon.startedAt, Quota: daemon.Meter,
-		Holder: func() *permit.View { return daemon.Holder.View() }, Traced: daemon.choices(),
+		World: options.World, Net: options.Net, Self: daemon.Self(), StartedAt: daemon.startedAt, Quota: daemon.Limiter,
+		View: func() *lease.View { return daemon.Holder.View() }, OnChoice: daemon.choices(),
 	})
-	daemon.Holder = permit.NewHolder(permit.HolderOptions{
+	daemon.Holder = lease.NewHolder(lease.HolderOptions{
 		World: options.World, Client: daemon.Client, Self: daemon.Self,
-		Changed: func(view *permit.View) {
-			daemon.Decider.Wake()
-			if len(view.Unkept) > 0 {
+		OnChange: func(view *lease.View) {
+			daemon.Decider.WakeQueue()
+			if len(view.Unconfirmed) > 0 {
 				daemon.prober.Wake()
 			}
-			if daemon.wasMoving.Swap(view.IsMoving) || view.IsMoving {
-				daemon.Client.Hurry() // a rollout step waits until this daemon has reported that it has seen the move
+			if daemon.wasMoving.Swap(view.HasVersionChange) || view.HasVersionChange {
+				daemon.Client.HeartbeatNow() // a rollout step waits until this daemon has reported that it has seen the move
 			}
 		},
 	})
 	daemon.Executor = &execute.Executor{Options: execute.Options{
-		World: options.World, Decider: daemon.Decider, Client: options.Replicas, Relayer: options.Relayer, Holder: daemon.Holder.View, Log: options.Log, Traced: options.Traced,
+		World: options.World, Decider: daemon.Decider, Client: options.Replicas, ProxyClient: options.ProxyClient, Holder: daemon.Holder.View, Log: options.Log, OnFinished: options.OnFinished,
 	}}
 	return daemon
 }
@@ -99,7 +101,7 @@
 	if daemon.Holder != nil {
 		tree = daemon.Holder.View().Tree
 	}
-	return tree.Span("session_ms", "")
+	return tree.Duration("session_ms", "")
 }
 
 // Leaving reports whether a planned stop has begun. Callers are then told to locate another daemon
@@ -116,18 +118,18 @@
 }
 
 type (
-	leaseService  struct{ holder *permit.Holder }
+	leaseService  struct{ holder *lease.Holder }
 	ticketService struct{ decider *decide.Decider }
 	healthService struct{ decider *decide.Decider }
 )
 
 // Take applies a configuration that the lease issuer offers.
-func (service leaseService) Take(offer permit.Offer, taken *permit.Taken) error {
+func (service leaseService) Take(offer lease.Offer, taken *lease.OfferReply) error {
 	return service.holder.Take(offer, taken)
 }
 
 // Heed accepts an announcement that replicas are about to stop.
-func (service leaseService) Heed(notice permit.Notice, acknowledged *bool) error {
+func (service leaseService) Heed(notice lease.DepartureNotice, acknowledged *bool) error {
 	return service.holder.Heed(notice, acknowledged)
 }
 
@@ -137,7 +139,7 @@
 }
 
 // Inherit takes over the tickets of a peer that stops.
-func (service ticketService) Inherit(bequest decide.Bequest, taken *bool) error {
+func (service ticketService) Inherit(bequest decide.TicketHandover, taken *bool) error {
 	return service.decider.Inherit(bequest, taken)
 }
 
@@ -156,7 +158,7 @@
 // Services registers the RPC services that other daemons call.
 func (daemon *Daemon) Services() *rpc.Server {
 	server := rpc.NewServer()
-	for name, service := range map[string]any{"Permit": leaseService{daemon.Holder}, "Ticket": ticketService{daemon.Decider}, "Health": healthService{daemon.Decider}, "Process": settings.Service{Live: daemon.Live}, "Quota": quota.Service{Meter: daemon.Meter}} {
+	for name, service := range map[string]any{"Permit": leaseService{daemon.Holder}, "Ticket": ticketService{daemon.Decider}, "Health": healthService{daemon.Decider}, "Process": settings.Service{Live: daemon.Live}, "Quota": quota.Service{Meter: daemon.Limiter}} {
 		if err := server.RegisterName(name, service); err != nil {
 			panic(err) // fails only if a service type of this package has no suitable methods
 		}
@@ -168,8 +170,8 @@
 func (daemon *Daemon) Run() {
 	daemon.World.Go(daemon.Client.Run)
 	daemon.World.Go(daemon.Holder.Run)
-	daemon.World.Go(daemon.Meter.Run)
-	if client, ok := daemon.Relayer.(*replica.Relay); ok {
+	daemon.World.Go(daemon.Limiter.Run)
+	if client, ok := daemon.ProxyClient.(*replica.Proxy); ok {
 		daemon.World.Go(func() { daemon.maintain(client) })
 	}
 	if daemon.Probe != nil {
@@ -186,17 +188,17 @@
 	wasValid, before := false, uint64(0)
 	loop.Every(daemon.World, func() time.Duration { return daemon.sessionInterval() / 6 }, func() bool {
 		view := daemon.Holder.View()
-		if isValid := view.Stands(daemon.World.Now()); isValid != wasValid {
+		if isValid := view.IsValid(daemon.World.Now()); isValid != wasValid {
 			wasValid = isValid
 			reason := ""
-			if rejected := daemon.Holder.Declined.Load(); rejected != nil {
+			if rejected := daemon.Holder.RejectReason.Load(); rejected != nil {
 				reason = *rejected
 			}
 			daemon.Log.Info("permit", zap.Bool("stands", isValid), zap.Uint64("serial", view.Serial), zap.String("reason", reason))
 		}
 		if view.Tree != nil && view.Serial != before {
 			daemon.Log.Info("configuration version is in force", zap.Uint64("serial", view.Serial), zap.Uint64("label", view.Tree.Label()), zap.Uint64("before", before),
-				zap.Duration("lease_left", view.Expiry-daemon.World.Now()), zap.Bool("stopping", daemon.leaving.Load()))
+				zap.Duration("lease_left", view.Deadline-daemon.World.Now()), zap.Bool("stopping", daemon.leaving.Load()))
 			before = view.Serial
 		}
 		return true
@@ -205,13 +207,13 @@
 
 // Enter admits a call and estimates its cost, or rejects it. The body is read only once the headers
 // have been accepted.
-func (daemon *Daemon) Enter(call *decide.Call, body func() []byte) ([]byte, *verdict.Mishap) {
+func (daemon *Daemon) Enter(call *decide.Call, body func() []byte) ([]byte, *verdict.Error) {
 	if failure := daemon.Decider.Allow(call); failure != nil {
 		daemon.Executor.RecordRejected(call, failure)
 		return nil, failure
 	}
 	content := body()
-	if failure := daemon.Decider.Weigh(call, content); failure != nil {
+	if failure := daemon.Decider.ReadCost(call, content); failure != nil {
 		daemon.Decider.Settled(call, failure)
 		daemon.Executor.RecordRejected(call, failure)
 		return nil, failure
@@ -226,15 +228,15 @@
 func (daemon *Daemon) Stop(grace time.Duration) bool {
 	startedAt := daemon.World.Now()
 	daemon.leaving.Store(true)
-	daemon.Client.Say(session.Beat{Member: daemon.Self(), Report: daemon.Decider.Report()})
+	daemon.Client.SendHeartbeat(session.Heartbeat{Member: daemon.Self(), Report: daemon.Decider.Report()})
 	// To reach every locate reply, the announcement needs a heartbeat, an exchange among the
 	// control daemons, and a lease renewal of the peers.
-	leaseDuration := daemon.Holder.View().Tree.Span("permit_ms", "")
-	propagation := daemon.sessionInterval()/3 + leaseDuration/permit.Renewals + leaseDuration/10
+	leaseDuration := daemon.Holder.View().Tree.Duration("permit_ms", "")
+	propagation := daemon.sessionInterval()/3 + leaseDuration/lease.RenewalsPerLease + leaseDuration/10
 	loop.Sleep(daemon.World, min(propagation, grace/4))
 	// Some callers use older lists of daemons or cannot get a new one. They are served for as long
 	// as half of the grace period remains for their requests to finish.
-	for daemon.World.Now()-startedAt < grace/2 && daemon.Decider.Quiet() < daemon.DoorSpan() {
+	for daemon.World.Now()-startedAt < grace/2 && daemon.Decider.IdleTime() < daemon.LocateTTL() {
 		if !loop.Sleep(daemon.World, 20*time.Millisecond) {
 			break
 		}
@@ -247,7 +249,7 @@
 	}
 	finished := daemon.Decider.Running() == 0
 	// Callers keep their tickets when this daemon is gone.
-	daemon.Decider.Bequeath()
-	daemon.Client.Say(session.Beat{Member: daemon.Self(), Over: true})
+	daemon.Decider.HandOverTickets()
+	daemon.Client.SendHeartbeat(session.Heartbeat{Member: daemon.Self(), Over: true})
 	return finished
 }
--- a/dataplane/http.go
+++ b/dataplane/http.go
@@ -27,7 +27,7 @@
 // other end the library closes the connection without the last chunk of the body, so that a cut
 // answer cannot be mistaken for a whole one.
 type pipe struct {
-	execute.Leaver
+	execute.CallerState
 	*io.PipeWriter
 	reader  *io.PipeReader
 	started atomic.Bool
@@ -51,7 +51,7 @@
 	return err
 }
 
-func fail(ctx *fiber.Ctx, failure *verdict.Mishap) error {
+func fail(ctx *fiber.Ctx, failure *verdict.Error) error {
 	if failure.ComeBack > 0 {
 		ctx.Set("Retry-After", strconv.Itoa(int((failure.ComeBack+time.Second-1)/time.Second)))
 	}
@@ -77,7 +77,7 @@
 		if errors.As(err, &fiberErr) {
 			status = fiberErr.Code
 		}
-		return fail(ctx, verdict.Decline(status, "bad_request", err.Error(), 0))
+		return fail(ctx, verdict.Reject(status, "bad_request", err.Error(), 0))
 	}})
 	app.Use(func(ctx *fiber.Ctx) error {
 		err := ctx.Next()
@@ -90,7 +90,7 @@
 		return err
 	})
 	app.Get("/health", func(ctx *fiber.Ctx) error {
-		isServing := daemon.Holder.View().Stands(daemon.World.Now()) && !daemon.leaving.Load()
+		isServing := daemon.Holder.View().IsValid(daemon.World.Now()) && !daemon.leaving.Load()
 		if !isServing {
 			ctx.Status(503)
 		}
@@ -104,7 +104,7 @@
 	app.Get("/v1/requests/:id", func(ctx *fiber.Ctx) error {
 		found := daemon.Executor.Find(strings.Clone(ctx.Params("id")))
 		if len(found) == 0 {
-			return fail(ctx, verdict.Decline(404, "unknown", "this daemon has no record of this request", 0))
+			return fail(ctx, verdict.Reject(404, "unknown", "this daemon has no record of this request", 0))
 		}
 		return reply(ctx, found)
 	})
@@ -147,7 +147,7 @@
 		}
 	}
 	if timeout, err := strconv.Atoi(ctx.Get("Swifttiller-Patience-Ms")); err == nil && timeout > 0 {
-		call.Patience = time.Duration(timeout) * time.Millisecond
+		call.QueueTimeout = time.Duration(timeout) * time.Millisecond
 	}
 	bodyRead := false
 	body, failure := daemon.Enter(call, func() []byte {
@@ -185,11 +185,11 @@
 	// The first message announces the beginning of the answer if there is one; the stream itself
 	// then shows how it ends.
 	signal, _ := pipe.signals.Take(loop.Forever)
-	if failure, isFailure := signal.(*verdict.Mishap); isFailure {
+	if failure, isFailure := signal.(*verdict.Error); isFailure {
 		return fail(ctx, failure)
 	}
 	if !pipe.started.Load() && !pipe.ended.Load() {
-		return fail(ctx, &verdict.Mishap{Verdict: verdict.MayHaveRun, Code: "stopped", Status: 503, Message: "this daemon stopped before the answer began"})
+		return fail(ctx, &verdict.Error{Verdict: verdict.MayHaveRun, Code: "stopped", Status: 503, Message: "this daemon stopped before the answer began"})
 	}
 	ctx.Type("text/event-stream")
 	ctx.Set("Content-Type", "text/event-stream")
@@ -205,7 +205,7 @@
 // closed connection only on a write, and a replica may prefill a prompt for a long time before
 // there is anything to write. Bytes that the caller sends meanwhile are left unread.
 func (daemon *Daemon) watchCaller(pipe *pipe, conn syscall.RawConn) {
-	interval := daemon.Holder.View().Tree.Span("stall_ms", daemon.Process.Zone) / callerChecksPerStall
+	interval := daemon.Holder.View().Tree.Duration("stall_ms", daemon.Process.Zone) / callerChecksPerStall
 	for !pipe.ended.Load() && loop.Sleep(daemon.World, interval) {
 		isGone := false
 		err := conn.Control(func(descriptor uintptr) {
@@ -214,7 +214,7 @@
 			isGone = err == nil && count == 0 || err != nil && err != unix.EAGAIN && err != unix.EINTR
 		})
 		if (isGone || err != nil) && !pipe.ended.Load() {
-			pipe.Leave()
+			pipe.Disconnect()
 			return
 		}
 	}
@@ -224,16 +224,16 @@
 func (daemon *Daemon) Status() map[string]any {
 	view := daemon.Holder.View()
 	tables := map[string]any{}
-	for region, table := range view.Standings {
+	for region, table := range view.RoutingTables {
 		tables[region] = table
 	}
 	rejected := ""
-	if reason := daemon.Holder.Declined.Load(); reason != nil {
+	if reason := daemon.Holder.RejectReason.Load(); reason != nil {
 		rejected = *reason
 	}
 	return map[string]any{
-		"member": daemon.Self(), "serial": view.Serial, "permit_left_ms": (view.Expiry - daemon.World.Now()).Milliseconds(),
-		"quota": daemon.Meter.Status(), "permit_declined": rejected, "evacuated": slices.Sorted(maps.Keys(view.Evacuated)), "standings": tables, "members": view.Members, "report": daemon.Decider.Report(),
+		"member": daemon.Self(), "serial": view.Serial, "permit_left_ms": (view.Deadline - daemon.World.Now()).Milliseconds(),
+		"quota": daemon.Limiter.Status(), "permit_declined": rejected, "evacuated": slices.Sorted(maps.Keys(view.Evacuated)), "standings": tables, "members": view.Members, "report": daemon.Decider.Report(),
 	}
 }
 
@@ -242,7 +242,7 @@
 	counts := daemon.Decider.Count()
 	view := daemon.Holder.View()
 	return map[string]any{
-		"config_serial": view.Serial, "permit_left_ms": (view.Expiry - daemon.World.Now()).Milliseconds(), "running": daemon.Decider.Running(),
+		"config_serial": view.Serial, "permit_left_ms": (view.Deadline - daemon.World.Now()).Milliseconds(), "running": daemon.Decider.Running(),
 		"demanded": counts.Demanded, "retries_seen": counts.Retries, "retries_allowed": counts.Allowed, "redispatches": counts.Redispatches,
 		"dispatches": counts.Dispatches, "trial_dispatches": counts.Trials, "spilled": counts.Spilled, "affine": counts.Affine, "declined": counts.Declined,
 	}
--- a/dataplane/inquire.go
+++ b/dataplane/probe.go
@@ -21,17 +21,17 @@
 // gets only this daemon's share of the load that a cold replica can bear.
 func (daemon *Daemon) probeReplicas() {
 	daemon.prober.Run(daemon.World, func() time.Duration {
-		if len(daemon.Holder.View().Unkept) > 0 {
+		if len(daemon.Holder.View().Unconfirmed) > 0 {
 			return unkeptProbeInterval
 		}
 		return daemon.sessionInterval()
 	}, func() bool {
-		inquiries := daemon.Decider.Inquiries()
+		inquiries := daemon.Decider.HealthQueries()
 		if len(inquiries) == 0 {
 			return true
 		}
 		var mu sync.Mutex
-		next := func() (inquiry decide.Inquiry, ok bool) {
+		next := func() (inquiry decide.HealthQuery, ok bool) {
 			mu.Lock()
 			defer mu.Unlock()
 			if ok = len(inquiries) > 0; ok {
@@ -39,13 +39,13 @@
 			}
 			return inquiry, ok
 		}
-		timeout := daemon.Holder.View().Tree.Span("dark_ms", daemon.Process.Region) / 2
+		timeout := daemon.Holder.View().Tree.Duration("dark_ms", daemon.Process.Region) / 2
 		for range min(maxProbes, len(inquiries)) {
 			daemon.World.Go(func() {
 				for inquiry, ok := next(); ok; inquiry, ok = next() {
 					sentAt := daemon.World.Now()
 					health, err := daemon.Probe(replica.Target{ID: inquiry.Replica, Address: inquiry.Address, Path: inquiry.Path}, timeout)
-					daemon.Decider.Inquired(inquiry, sentAt, err == nil && health.Boot == inquiry.Boot && health.Cold <= 0 && !health.Declined)
+					daemon.Decider.RecordHealthQuery(inquiry, sentAt, err == nil && health.Boot == inquiry.Boot && health.Cold <= 0 && !health.Rejected)
 				}
 			})
 		}
--- a/dataplane/relay.go
+++ b/dataplane/proxy.go
@@ -22,19 +22,19 @@
 // Invariant: an entry exists exactly while its request runs.
 type callerWatch struct {
 	mu    sync.Mutex
-	table map[*execute.Leaver]syscall.RawConn
+	table map[*execute.CallerState]syscall.RawConn
 }
 
-func (watch *callerWatch) add(leaver *execute.Leaver, conn syscall.RawConn) {
+func (watch *callerWatch) add(leaver *execute.CallerState, conn syscall.RawConn) {
 	watch.mu.Lock()
 	defer watch.mu.Unlock()
 	if watch.table == nil {
-		watch.table = map[*execute.Leaver]syscall.RawConn{}
+		watch.table = map[*execute.CallerState]syscall.RawConn{}
 	}
 	watch.table[leaver] = conn
 }
 
-func (watch *callerWatch) remove(leaver *execute.Leaver) {
+func (watch *callerWatch) remove(leaver *execute.CallerState) {
 	watch.mu.Lock()
 	defer watch.mu.Unlock()
 	delete(watch.table, leaver)
@@ -43,14 +43,14 @@
 // abortGone finds callers that have disconnected and aborts their requests.
 func (watch *callerWatch) abortGone() {
 	watch.mu.Lock()
-	callers := make(map[*execute.Leaver]syscall.RawConn, len(watch.table))
+	callers := make(map[*execute.CallerState]syscall.RawConn, len(watch.table))
 	for leaver, conn := range watch.table {
 		callers[leaver] = conn
 	}
 	watch.mu.Unlock()
 	for leaver, conn := range callers {
 		if isGone(conn) {
-			leaver.Leave()
+			leaver.Disconnect()
 		}
 	}
 }
@@ -72,7 +72,7 @@
 type Response struct {
 	*execute.Response
 	daemon *Daemon
-	leaver *execute.Leaver
+	leaver *execute.CallerState
 }
 
 // Close ends the response and stops watching the caller's connection.
@@ -81,16 +81,16 @@
 	return response.Response.Close()
 }
 
-// Relay serves a routed request of the caller behind the connection. The returned response must be
+// Proxy serves a routed request of the caller behind the connection. The returned response must be
 // closed.
-func (daemon *Daemon) Relay(ctx *fasthttp.RequestCtx, routed *decide.Routed, request replica.Ask) (*Response, *verdict.Mishap) {
-	leaver := &execute.Leaver{}
+func (daemon *Daemon) Proxy(ctx *fasthttp.RequestCtx, routed *decide.Routed, request replica.RoutedRequest) (*Response, *verdict.Error) {
+	leaver := &execute.CallerState{}
 	if conn, hasSocket := ctx.Conn().(syscall.Conn); hasSocket {
 		if raw, err := conn.SyscallConn(); err == nil {
 			daemon.callers.add(leaver, raw)
 		}
 	}
-	response, failure := daemon.Executor.Relay(routed, request, leaver)
+	response, failure := daemon.Executor.Proxy(routed, request, leaver)
 	if failure != nil {
 		daemon.callers.remove(leaver)
 		return nil, failure
@@ -100,21 +100,21 @@
 
 // Serving reports whether callers may be sent to this daemon.
 func (daemon *Daemon) Serving() bool {
-	return daemon.Holder.View().Serves(daemon.World.Now()) && !daemon.leaving.Load()
+	return daemon.Holder.View().MayServe(daemon.World.Now()) && !daemon.leaving.Load()
 }
 
-// DoorSpan is how long a caller may use a list of daemons that it was given.
-func (daemon *Daemon) DoorSpan() time.Duration { return time.Second }
+// LocateTTL is how long a caller may use a list of daemons that it was given.
+func (daemon *Daemon) LocateTTL() time.Duration { return time.Second }
 
 // maintain runs the periodic work for routed requests: it aborts those whose callers have
 // disconnected and closes old idle connections.
-func (daemon *Daemon) maintain(client *replica.Relay) {
+func (daemon *Daemon) maintain(client *replica.Proxy) {
 	rounds := 0
 	loop.Every(daemon.World, func() time.Duration { return callerCheckInterval }, func() bool {
 		daemon.callers.abortGone()
 		if rounds++; rounds%4 == 0 {
 			client.Sweep()
-			daemon.Decider.Sweep()
+			daemon.Decider.DropUnlisted()
 		}
 		return true
 	})
--- a/dataplane/quota.go
+++ b/dataplane/quota.go
@@ -22,14 +22,14 @@
 	if cached != nil && cached.tree == tree {
 		return cached.limits
 	}
-	terms := quota.Terms{Window: tree.Span("quota_window_ms", ""), Excess: tree.Limit("quota_excess", ""), Slack: tree.Limit("quota_slack", ""), Reserve: tree.Span("quota_reserve_ms", "")}
+	terms := quota.Accuracy{Window: tree.Duration("quota_window_ms", ""), Excess: tree.Limit("quota_excess", ""), Slack: tree.Limit("quota_slack", ""), Reserve: tree.Duration("quota_reserve_ms", "")}
 	var tenantLimits []quota.Limit
 	if tree != nil {
 		for _, tenant := range tree.Tenants() {
 			tenantLimits = append(tenantLimits, quota.Limit{Tenant: tenant.Name, PerSecond: tenant.PerSecond, Burst: tenant.Burst})
 		}
 	}
-	current := &cachedLimits{tree, quota.Index(terms, tenantLimits)}
+	current := &cachedLimits{tree, quota.NewLimits(terms, tenantLimits)}
 	daemon.cachedLimits.Store(current)
 	return current.limits
 }
--- a/decide/seat.go
+++ b/decide/attempt.go
@@ -5,42 +5,42 @@
 	"math"
 	"time"
 
-	"swifttiller/permit"
+	"swifttiller/lease"
 	"swifttiller/verdict"
 )
 
 // Bookkeeping of the attempts of routed requests, from the reservation to the end.
 
-// engine returns the state of a replica, which it creates if need be.
-func (decider *Decider) engine(id string) *engine {
-	state := decider.engines[id]
+// replicaState returns the state of a replica, which it creates if need be.
+func (decider *Decider) replicaState(id string) *replicaState {
+	state := decider.replicas[id]
 	if state == nil {
-		state = &engine{}
-		decider.engines[id] = state
+		state = &replicaState{}
+		decider.replicas[id] = state
 	}
 	return state
 }
 
 // reserve records a new attempt at the replica of the candidate.
-func (decider *Decider) reserve(view *permit.View, routed *Routed, best *routeCandidate, now time.Duration) *Selection {
+func (decider *Decider) reserve(view *lease.View, routed *Routed, best *routeCandidate, now time.Duration) *Selection {
 	state := best.state
 	selection := &Selection{
 		Replica: best.row.Replica, Address: best.endpoint.Address, Version: best.row.Version, Boot: best.endpoint.Boot, Region: best.endpoint.Region,
 		Serial: view.Serial, Cost: 1, Trial: best.row.Trial, Spill: best.endpoint.Region != decider.Self.Region, call: &routed.call,
-		Foreseen: best.ttft, Allowance: decider.reading(best.uncached), uncached: best.uncached, routed: routed, sent: now, seat: state, isCold: best.endpoint.Warm < 1,
-		Vouched: state.vouched, Doubted: decider.isDoubted(best.endpoint.Region),
+		PredictedTTFT: best.ttft, Allowance: decider.prefillTime(best.uncached), uncached: best.uncached, routed: routed, sent: now, state: state, isCold: best.endpoint.Warm < 1,
+		LastAlive: state.lastAlive, IsRegionProbe: decider.isBreakerOpen(best.endpoint.Region),
 	}
 	if best.isProbe {
 		decider.lastProbes[best.endpoint.Region] = now
 	}
-	if selection.Doubted {
+	if selection.IsRegionProbe {
 		decider.breakers[best.endpoint.Region].lastProbe = now
 	}
 	state.running++
-	state.region, state.model, state.health.asked = best.endpoint.Region, best.row.Model, now
+	state.region, state.model, state.health.lastSent = best.endpoint.Region, best.row.Model, now
 	state.prefillTokens += best.uncached
 	if state.awaitingFirst == 0 {
-		state.silent = now
+		state.silentSince = now
 	}
 	state.awaitingFirst++
 	state.sent = append(state.sent, now)
@@ -52,27 +52,27 @@
 	return selection
 }
 
-// Heard records that something came from the replica of a selection, and the load that the
+// NoteAlive records that something came from the replica of a selection, and the load that the
 // replica reports, if any.
-func (decider *Decider) Heard(selection *Selection, load *Load) {
+func (decider *Decider) NoteAlive(selection *Selection, load *Load) {
 	now := decider.World.Now()
-	decider.guard.Lock()
-	defer decider.guard.Unlock()
-	state := selection.seat
+	decider.mu.Lock()
+	defer decider.mu.Unlock()
+	state := selection.state
 	decider.noteAlive(state, now)
 	if state.awaitingFirst > 0 {
-		state.silent = now
+		state.silentSince = now
 	}
 	if load != nil {
 		state.load, state.loadAt = *load, now
 	}
 }
 
-// Begun records the first chunk of an answer, or the end of an attempt that had none.
-func (decider *Decider) Begun(selection *Selection, isChunk bool) {
+// NoteFirstChunk records the first chunk of an answer, or the end of an attempt that had none.
+func (decider *Decider) NoteFirstChunk(selection *Selection, isChunk bool) {
 	now := decider.World.Now()
-	decider.guard.Lock()
-	defer decider.guard.Unlock()
+	decider.mu.Lock()
+	defer decider.mu.Unlock()
 	decider.noteBegun(selection, isChunk, now)
 }
 
@@ -81,14 +81,14 @@
 		return
 	}
 	selection.hasBegun = true
-	state := selection.seat
+	state := selection.state
 	state.prefillTokens -= selection.uncached
 	state.awaitingFirst--
-	delete(decider.judging.waiting, selection)
+	delete(decider.trialMonitor.waiting, selection)
 	if !isChunk {
 		return
 	}
-	state.flowing++
+	state.streams++
 	selection.isStreaming = true
 	delete(decider.noReplicaSince, selection.call.Kind)
 	took := now - selection.sent
@@ -98,14 +98,14 @@
 	if selection.uncached < minLearnTokens && !selection.Spill {
 		decider.baseLatency = max(0, decider.baseLatency+(min(took, 2*decider.baseLatency+initialBaseLatency)-decider.baseLatency)/32)
 	}
-	if took > slowTimes*selection.Foreseen+slowMore {
+	if took > slowFactor*selection.PredictedTTFT+slowMore {
 		if !selection.isLate {
-			decider.judgeLate(selection, slowBad, now)
+			decider.recordLate(selection, slowWeight, now)
 		}
 	} else {
-		state.health.well(now)
+		state.health.recordSuccess(now)
 	}
-	over := took - selection.Foreseen
+	over := took - selection.PredictedTTFT
 	state.lag = max(0, state.decayedLag(now)*3/4+over/4)
 	state.lagAt = now
 	if selection.uncached > minLearnTokens && state.prefillTokens == 0 && !selection.Spill {
@@ -117,83 +117,83 @@
 }
 
 // noteAlive records that a replica has just shown that it is alive. The caller holds guard.
-func (decider *Decider) noteAlive(state *engine, now time.Duration) {
-	state.vouched, state.strikes, state.shunned, state.isUnreachable = now, 0, 0, false
+func (decider *Decider) noteAlive(state *replicaState, now time.Duration) {
+	state.lastAlive, state.failuresInRow, state.backOffUntil, state.isUnreachable = now, 0, 0, false
 	decider.closeBreaker(state)
 }
 
-// Flowed records that a chunk of a stream came from the replica of a selection.
-func (decider *Decider) Flowed(selection *Selection) {
+// NoteChunk records that a chunk of a stream came from the replica of a selection.
+func (decider *Decider) NoteChunk(selection *Selection) {
 	now := decider.World.Now()
-	decider.guard.Lock()
-	defer decider.guard.Unlock()
-	decider.noteAlive(selection.seat, now)
+	decider.mu.Lock()
+	defer decider.mu.Unlock()
+	decider.noteAlive(selection.state, now)
 }
 
-// Unseat ends a routed selection with its failure, if any, and the time to first token.
-func (decider *Decider) Unseat(selection *Selection, failure *verdict.Mishap, first time.Duration) {
+// EndRouted ends a routed selection with its failure, if any, and the time to first token.
+func (decider *Decider) EndRouted(selection *Selection, failure *verdict.Error, first time.Duration) {
 	now := decider.World.Now()
-	decider.guard.Lock()
+	decider.mu.Lock()
 	decider.noteBegun(selection, false, now)
 	isEmpty := false
-	if view := decider.Holder(); view.Tree != nil {
-		isEmpty = selection.seat.isEmpty(view.Tree.Engine(selection.call.Model), now)
+	if view := decider.View(); view.Tree != nil {
+		isEmpty = selection.state.isLightlyLoaded(view.Tree.Engine(selection.call.Model), now)
 	}
-	selection.seat.running--
-	decider.noteEnd(selection, now)
+	selection.state.running--
+	decider.countTenantEnd(selection, now)
 	if selection.isStreaming {
-		selection.seat.flowing--
+		selection.state.streams--
 	}
-	if bad := badness(failure, isEmpty, decider.certainty(selection, now)); bad > 0 {
-		decider.judgeHealth(selection, bad, now)
-		if isSure(failure) {
-			decider.report(selection)
+	if bad := failureWeight(failure, isEmpty, decider.latenessCertainty(selection, now)); bad > 0 {
+		decider.recordFailure(selection, bad, now)
+		if isCertainFailure(failure) {
+			decider.queueReport(selection)
 		}
 	}
 	if failure != nil {
-		selection.seat.isUnreachable = selection.seat.isUnreachable || failure.Code == "replica_unreached"
+		selection.state.isUnreachable = selection.state.isUnreachable || failure.Code == "replica_unreached"
 		switch failure.Code {
 		case "replica_unreached", "replica_cut", "cut":
-			decider.wary = now + warySpan
-			decider.shun(selection.seat, now)
-			decider.missed(selection.seat, now)
+			decider.cautiousUntil = now + cautionSpan
+			decider.backOff(selection.state, now)
+			decider.noteUnreachable(selection.state, now)
 		case "replica_declined":
-			decider.shun(selection.seat, now)
+			decider.backOff(selection.state, now)
 		}
 	}
-	decider.guard.Unlock()
+	decider.mu.Unlock()
 	decider.Release(selection, failure, first)
 	if choice := selection.choice; choice != nil {
 		if failure != nil {
 			choice.Code = failure.Code
 		}
-		decider.Traced(*choice)
+		decider.OnChoice(*choice)
 	}
 }
 
-// Sweep drops the state of replicas that no routing table lists. It does nothing while the
+// DropUnlisted drops the state of replicas that no routing table lists. It does nothing while the
 // routing table of a region is missing.
-func (decider *Decider) Sweep() {
-	decider.guard.Lock()
-	defer decider.guard.Unlock()
-	view := decider.Holder()
-	if view.Tree == nil || len(view.Standings) < len(view.Tree.Regions()) {
+func (decider *Decider) DropUnlisted() {
+	decider.mu.Lock()
+	defer decider.mu.Unlock()
+	view := decider.View()
+	if view.Tree == nil || len(view.RoutingTables) < len(view.Tree.Regions()) {
 		return
 	}
 	listed := map[string]bool{}
-	for _, table := range view.Standings {
+	for _, table := range view.RoutingTables {
 		for _, endpoint := range table.Places {
 			listed[endpoint.ID] = true
 		}
 	}
-	for id, state := range decider.engines {
+	for id, state := range decider.replicas {
 		if !listed[id] && state.running == 0 {
-			delete(decider.engines, id)
+			delete(decider.replicas, id)
 		}
 	}
 }
 
 // String describes the target of a selection for logs.
 func (selection *Selection) String() string {
-	return fmt.Sprintf("%s@%s predicted %v", selection.Replica, selection.Address, selection.Foreseen)
+	return fmt.Sprintf("%s@%s predicted %v", selection.Replica, selection.Address, selection.PredictedTTFT)
 }
--- a/decide/way.go
+++ b/decide/breaker.go
@@ -12,7 +12,7 @@
 // there, as long as other regions may serve the request. A request that may be sent only once
 // goes there on a new connection only, which fails before anything is sent.
 type regionBreaker struct {
-	unreachable map[*engine]bool
+	unreachable map[*replicaState]bool
 	lastProbe   time.Duration
 }
 
@@ -23,36 +23,36 @@
 	regionProbeInterval = 600 * time.Millisecond
 )
 
-// isDoubted reports whether the circuit breaker of the region is open. There is none for this
+// isBreakerOpen reports whether the circuit breaker of the region is open. There is none for this
 // daemon's own region, where each replica is judged by itself.
-func (decider *Decider) isDoubted(region string) bool {
+func (decider *Decider) isBreakerOpen(region string) bool {
 	breaker := decider.breakers[region]
 	return breaker != nil && len(breaker.unreachable) >= regionFailureThreshold
 }
 
 // breakerWait returns for how long nothing must be sent to the region; zero if a request may be.
 func (decider *Decider) breakerWait(region string, now time.Duration) time.Duration {
-	if !decider.isDoubted(region) {
+	if !decider.isBreakerOpen(region) {
 		return 0
 	}
 	return max(0, decider.breakers[region].lastProbe+regionProbeInterval-now)
 }
 
-// missed records that a replica was put into backoff.
-func (decider *Decider) missed(state *engine, now time.Duration) {
+// noteUnreachable records that a replica was put into backoff.
+func (decider *Decider) noteUnreachable(state *replicaState, now time.Duration) {
 	if state.region == "" || state.region == decider.Self.Region {
 		return
 	}
 	breaker := decider.breakers[state.region]
 	if breaker == nil {
-		breaker = &regionBreaker{unreachable: map[*engine]bool{}}
+		breaker = &regionBreaker{unreachable: map[*replicaState]bool{}}
 		decider.breakers[state.region] = breaker
 	}
 	breaker.unreachable[state] = true
-	if decider.isDoubted(state.region) {
+	if decider.isBreakerOpen(state.region) {
 		breaker.lastProbe = now
 	}
 }
 
 // closeBreaker closes the circuit breaker of a replica's region, as something came from there.
-func (decider *Decider) closeBreaker(state *engine) { delete(decider.breakers, state.region) }
+func (decider *Decider) closeBreaker(state *replicaState) { delete(decider.breakers, state.region) }
--- a/decide/way_test.go
+++ b/decide/breaker_test.go
@@ -9,23 +9,23 @@
 	"swifttiller/verdict"
 )
 
-// TestWayToARegion guards against a circuit breaker that opens for single replicas. Replicas of
+// TestRegionBreaker guards against a circuit breaker that opens for single replicas. Replicas of
 // another region that fail by themselves, one of them always and all of them now and then, must
 // not open it. It must open once no replica there answers, and close at the first answer.
-func TestWayToARegion(t *testing.T) {
-	clinic := newClinic(t, 60, resumedPath)
+func TestRegionBreaker(t *testing.T) {
+	clinic := newHealthBench(t, 60, resumedPath)
 	clinic.view.Evacuated["a-1"] = true // the daemon's own region, so that all requests go to b and c
 	doubted, back, isDark := 0, false, false
-	clinic.hears = func(selection *decide.Selection) *verdict.Mishap {
-		if selection.Doubted {
+	clinic.failsSelection = func(selection *decide.Selection) *verdict.Error {
+		if selection.IsRegionProbe {
 			doubted++
 		}
 		switch {
 		case isDark && selection.Region == "b":
-			return &verdict.Mishap{Verdict: verdict.NotRun, Code: "replica_unreached", Status: 503}
+			return &verdict.Error{Verdict: verdict.NotRun, Code: "replica_unreached", Status: 503}
 		case isDark:
 		case strings.HasSuffix(selection.Replica, "3"), clinic.Draw(10) == 0:
-			return &verdict.Mishap{Verdict: verdict.MayHaveRun, Code: "replica_cut", Status: 502}
+			return &verdict.Error{Verdict: verdict.MayHaveRun, Code: "replica_cut", Status: 502}
 		}
 		back = back || selection.Region == "b"
 		return nil
@@ -46,21 +46,21 @@
 	}
 }
 
-// TestNobodyInReach checks the case that no connection opens to any replica. One request per
+// TestAllReplicasUnreachable checks the case that no connection opens to any replica. One request per
 // interval probes a replica; the others are rejected at once, with a retry delay that grows
 // with the outage. All replicas are used again soon after the first connection opens.
-func TestNobodyInReach(t *testing.T) {
+func TestAllReplicasUnreachable(t *testing.T) {
 	for _, path := range []string{resumedPath, oncePath} {
-		clinic := newClinic(t, 12, path)
+		clinic := newHealthBench(t, 12, path)
 		isGone, tries, declined, last := false, 0, 0, time.Duration(0)
-		clinic.hears = func(*decide.Selection) *verdict.Mishap {
+		clinic.failsSelection = func(*decide.Selection) *verdict.Error {
 			if !isGone {
 				return nil
 			}
 			tries++
-			return &verdict.Mishap{Verdict: verdict.NotRun, Code: "replica_unreached", Status: 503}
+			return &verdict.Error{Verdict: verdict.NotRun, Code: "replica_unreached", Status: 503}
 		}
-		clinic.declines = func(failure *verdict.Mishap) {
+		clinic.declines = func(failure *verdict.Error) {
 			declined++
 			if failure.Verdict != verdict.NotRun || failure.ComeBack < min(last, 2*time.Second) {
 				t.Errorf("%s: %s, retry delay %v after one of %v", path, failure.Code, failure.ComeBack, last)
--- a/decide/call.go
+++ b/decide/call.go
@@ -9,10 +9,10 @@
 	"strconv"
 	"time"
 
-	"swifttiller/permit"
+	"swifttiller/lease"
+	"swifttiller/routing"
 	"swifttiller/session"
 	"swifttiller/settings"
-	"swifttiller/standing"
 	"swifttiller/verdict"
 )
 
@@ -24,16 +24,16 @@
 // The ticket is settled before any other check. A rejection with not_run is about the
 // request and not only about this try of it, so it may be sent only once this daemon
 // knows that no other try of the request is running or has run.
-func (decider *Decider) Allow(call *Call) *verdict.Mishap {
+func (decider *Decider) Allow(call *Call) *verdict.Error {
 	if mishap := decider.checkHeaders(call); mishap != nil {
 		return mishap
 	}
 	if mishap := decider.settle(call); mishap != nil {
 		return mishap
 	}
-	mishap := decider.checkPlacement(decider.Holder(), call)
+	mishap := decider.checkPlacement(decider.View(), call)
 	if mishap == nil {
-		mishap = decider.chargeRetry(decider.Holder(), call)
+		mishap = decider.chargeRetry(decider.View(), call)
 	}
 	if mishap != nil {
 		decider.Settled(call, mishap)
@@ -42,17 +42,17 @@
 }
 
 // checkHeaders checks the headers that identify the request.
-func (decider *Decider) checkHeaders(call *Call) *verdict.Mishap {
-	decider.guard.Lock()
-	defer decider.guard.Unlock()
-	call.retry = call.Retried || decider.tickets.isRecent(call.ID)
+func (decider *Decider) checkHeaders(call *Call) *verdict.Error {
+	decider.mu.Lock()
+	defer decider.mu.Unlock()
+	call.isRetry = call.Retried || decider.tickets.isRecent(call.ID)
 	switch {
 	case call.ID == "" || call.Model == "":
-		return decider.decline(400, "bad_request", "the headers Swifttiller-Request-Id and Swifttiller-Model are needed", 0)
+		return decider.reject(400, "bad_request", "the headers Swifttiller-Request-Id and Swifttiller-Model are needed", 0)
 	case call.Ticket == "":
 		// Without a ticket it can't be known whether another try has run.
 		decider.counts.Declined["ticket_needed"]++
-		return &verdict.Mishap{Verdict: verdict.MayHaveRun, Code: "ticket_needed", Status: 428,
+		return &verdict.Error{Verdict: verdict.MayHaveRun, Code: "ticket_needed", Status: 428,
 			Message: "the header Swifttiller-Ticket is needed: this try did not run, and without a ticket it can't be known whether another one did; call /v1/locate before the first try and send its ticket with all tries"}
 	}
 	return nil
@@ -63,87 +63,87 @@
 // Invariant: in every budgetSpan that ends with an admitted retry, the admitted retries
 // and this daemon's own further attempts are at most retry_share of the demand. A single
 // one is always admitted if the span has no other.
-func (decider *Decider) chargeRetry(view *permit.View, call *Call) *verdict.Mishap {
-	decider.guard.Lock()
-	defer decider.guard.Unlock()
-	if !call.retry {
+func (decider *Decider) chargeRetry(view *lease.View, call *Call) *verdict.Error {
+	decider.mu.Lock()
+	defer decider.mu.Unlock()
+	if !call.isRetry {
 		decider.counts.Demanded++
-		decider.budget.count(decider.World.Now()).fresh++
+		decider.budget.slice(decider.World.Now()).firstTries++
 		return nil
 	}
 	decider.counts.Retries++
-	if !decider.spend(view, &decider.budget) {
-		return decider.decline(429, "retry_budget", "too many retries compared with first tries; retry later", retryDelay(view))
+	if !decider.takeRetry(view, &decider.budget) {
+		return decider.reject(429, "retry_budget", "too many retries compared with first tries; retry later", retryDelay(view))
 	}
 	decider.counts.Allowed++
 	return nil
 }
 
-// spend takes one retry from the budget and reports whether there was one.
-func (decider *Decider) spend(view *permit.View, budget *budget) bool {
+// takeRetry takes one retry from the budget and reports whether there was one.
+func (decider *Decider) takeRetry(view *lease.View, budget *retryBudget) bool {
 	now := decider.World.Now()
 	fresh, retries := budget.sums(now)
 	if retries > 0 && float64(retries+1) > view.Tree.Limit("retry_share", decider.Self.Zone)*float64(fresh) {
 		return false
 	}
-	budget.count(now).retries++
+	budget.slice(now).retries++
 	return true
 }
 
 // retryDelay is the delay after which a rejected request may be retried.
-func retryDelay(view *permit.View) time.Duration {
-	return max(time.Second, view.Tree.Span("queue_ms", ""))
+func retryDelay(view *lease.View) time.Duration {
+	return max(time.Second, view.Tree.Duration("queue_ms", ""))
 }
 
 // checkPlacement checks everything that depends on the daemon's location.
-func (decider *Decider) checkPlacement(view *permit.View, call *Call) *verdict.Mishap {
-	decider.guard.Lock()
-	defer decider.guard.Unlock()
+func (decider *Decider) checkPlacement(view *lease.View, call *Call) *verdict.Error {
+	decider.mu.Lock()
+	defer decider.mu.Unlock()
 	if mishap := decider.checkServing(view); mishap != nil {
 		return mishap
 	}
 	placement, placed := view.Tree.Placement(call.Model, decider.Self.Zone)
 	if !placed {
-		return decider.decline(404, "no_model", fmt.Sprintf("model %q is not placed here", call.Model), 0)
+		return decider.reject(404, "no_model", fmt.Sprintf("model %q is not placed here", call.Model), 0)
 	}
 	for _, tag := range []string{call.Home, placement.Home} {
 		if !view.Tree.Allowed(tag, decider.Self.Region) {
-			return decider.decline(421, "outside_home", fmt.Sprintf("home %q does not include region %s; call /v1/locate again", tag, decider.Self.Region), 0)
+			return decider.reject(421, "outside_home", fmt.Sprintf("home %q does not include region %s; call /v1/locate again", tag, decider.Self.Region), 0)
 		}
 	}
-	call.bound = placement.Home
+	call.placementHome = placement.Home
 	if call.Home == "" {
 		call.Home = placement.Home
 	}
-	decider.came = decider.World.Now()
+	decider.lastAdmitted = decider.World.Now()
 	return nil
 }
 
-func (decider *Decider) checkServing(view *permit.View) *verdict.Mishap {
+func (decider *Decider) checkServing(view *lease.View) *verdict.Error {
 	switch {
 	case decider.stopped:
-		return decider.decline(503, "stopping", "this daemon is shutting down; call /v1/locate for another", time.Second)
-	case !view.Stands(decider.World.Now()):
-		return decider.decline(503, "no_permit", "this daemon holds no valid lease; try another daemon", time.Second)
+		return decider.reject(503, "stopping", "this daemon is shutting down; call /v1/locate for another", time.Second)
+	case !view.IsValid(decider.World.Now()):
+		return decider.reject(503, "no_permit", "this daemon holds no valid lease; try another daemon", time.Second)
 	case view.Evacuated[decider.Self.Zone]:
-		return decider.decline(503, "evacuated", "this daemon's zone is evacuated; call /v1/locate for another daemon", time.Second)
+		return decider.reject(503, "evacuated", "this daemon's zone is evacuated; call /v1/locate for another daemon", time.Second)
 	}
 	return nil
 }
 
 type candidate struct {
-	row      standing.Row
-	endpoint *standing.Place
+	row      routing.Row
+	endpoint *routing.Endpoint
 	credit   int
 	units    int
 	isHome   bool // in this daemon's region
 }
 
 // candidates lists the rows of the view's routing tables that the call may use.
-func (decider *Decider) candidates(view *permit.View, call *Call, avoid map[string]bool) (out []candidate) {
+func (decider *Decider) candidates(view *lease.View, call *Call, avoid map[string]bool) (out []candidate) {
 	now := decider.World.Now()
 	for name, suspected := range decider.suspects {
-		if now >= suspected.until && view.Kept[suspected.region] >= suspected.until-view.Tree.Span("permit_ms", "")/2 {
+		if now >= suspected.until && view.ConfirmedAt[suspected.region] >= suspected.until-view.Tree.Duration("permit_ms", "")/2 {
 			delete(decider.suspects, name)
 		}
 	}
@@ -153,28 +153,28 @@
 		}
 	}
 	for _, region := range view.Tree.Regions() {
-		table, known := view.Standings[region]
+		table, known := view.RoutingTables[region]
 		if !known || !call.within(view, region) {
 			continue
 		}
-		index := map[string]*standing.Place{}
+		index := map[string]*routing.Endpoint{}
 		for at := range table.Places {
 			place := &table.Places[at]
 			index[place.ID] = place
-			if past, known := decider.past[place.ID]; known && past != place.Boot {
-				delete(decider.past, place.ID)
+			if past, known := decider.endedBoots[place.ID]; known && past != place.Boot {
+				delete(decider.endedBoots, place.ID)
 			}
 		}
-		isWatched, fails := decider.watchedVersion(view, region, call.Model) != "", decider.fails(view, region, call.Model)
+		isWatched, fails := decider.watchedVersion(view, region, call.Model) != "", decider.watchedFails(view, region, call.Model)
 		for _, row := range table.Rows {
 			place := index[row.Replica]
 			if row.Back != fails && (row.Back || isWatched) {
 				continue
 			}
-			if row.Model != call.Model || place == nil || view.Evacuated[place.Zone] || avoid[row.Replica] || decider.suspects[row.Replica].until > 0 || decider.fullUntil[row.Replica] > 0 || denies(row, call.Kind) {
+			if row.Model != call.Model || place == nil || view.Evacuated[place.Zone] || avoid[row.Replica] || decider.suspects[row.Replica].until > 0 || decider.fullUntil[row.Replica] > 0 || deniesKind(row, call.Kind) {
 				continue
 			}
-			if _, isPast := decider.past[row.Replica]; isPast {
+			if _, isPast := decider.endedBoots[row.Replica]; isPast {
 				continue
 			}
 			if credit := place.Credits[decider.Self.Name]; credit > 0 {
@@ -189,7 +189,7 @@
 	return out
 }
 
-func denies(row standing.Row, kind string) bool {
+func deniesKind(row routing.Row, kind string) bool {
 	for _, denied := range row.Deny {
 		if denied == kind {
 			return true
@@ -200,15 +200,15 @@
 
 // Cost returns the cost units of a call, at most standing.Heaviest.
 func Cost(tree *settings.Tree, zone string, call *Call) int {
-	cost := 1 + call.Bytes/int(tree.Limit("prompt_unit_bytes", zone)) + call.Answer/int(tree.Limit("answer_unit_tokens", zone))
-	return min(cost, standing.Heaviest)
+	cost := 1 + call.Bytes/int(tree.Limit("prompt_unit_bytes", zone)) + call.MaxAnswerTokens/int(tree.Limit("answer_unit_tokens", zone))
+	return min(cost, routing.MaxRequestCost)
 }
 
 // Select returns a replica for an allowed call, and waits in the queue if none is free.
 // The caller must return the selection through Release.
-func (decider *Decider) Select(call *Call, avoid map[string]bool) (*Selection, *verdict.Mishap) {
+func (decider *Decider) Select(call *Call, avoid map[string]bool) (*Selection, *verdict.Error) {
 	began := decider.World.Now()
-	var queued *waiter
+	var queued *queuedRequest
 	leave := func() {
 		if queued == nil {
 			return
@@ -221,18 +221,18 @@
 		}
 	}
 	for {
-		decider.guard.Lock()
-		view := decider.Holder()
+		decider.mu.Lock()
+		view := decider.View()
 		now := decider.World.Now()
-		if !view.Stands(now) {
-			mishap := decider.decline(503, "no_permit", "this daemon holds no valid lease; try another daemon", time.Second)
+		if !view.IsValid(now) {
+			mishap := decider.reject(503, "no_permit", "this daemon holds no valid lease; try another daemon", time.Second)
 			leave()
-			decider.guard.Unlock()
+			decider.mu.Unlock()
 			return nil, mishap
 		}
-		bound := view.Tree.Span("queue_ms", decider.Self.Zone)
-		if call.Patience > 0 {
-			bound = min(bound, call.Patience)
+		bound := view.Tree.Duration("queue_ms", decider.Self.Zone)
+		if call.QueueTimeout > 0 {
+			bound = min(bound, call.QueueTimeout)
 		}
 		cost := Cost(view.Tree, decider.Self.Zone, call)
 		list := decider.candidates(view, call, avoid)
@@ -242,56 +242,56 @@
 		late := now-began > bound/4 || decider.estimateWait(call.Model, cost) > bound/2
 		if selection := decider.pick(view, call, list, cost, late); selection != nil {
 			leave()
-			decider.guard.Unlock()
+			decider.mu.Unlock()
 			return selection, nil
 		}
 		if queued == nil {
-			var mishap *verdict.Mishap
+			var mishap *verdict.Error
 			switch {
 			case len(list) == 0 && !decider.served(view, call):
-				mishap = decider.decline(503, "no_replica", "no replica can serve this request now", retryDelay(view))
+				mishap = decider.reject(503, "no_replica", "no replica can serve this request now", retryDelay(view))
 			case len(decider.queue) >= int(view.Tree.Limit("queue_length", decider.Self.Zone)):
-				mishap = decider.decline(503, "queue_full", "the queue is full", retryDelay(view))
+				mishap = decider.reject(503, "queue_full", "the queue is full", retryDelay(view))
 			case decider.estimateWait(call.Model, cost) > bound:
-				mishap = decider.decline(503, "too_late", "the estimated queueing time exceeds the time allowed", max(time.Second, decider.estimateWait(call.Model, cost)))
+				mishap = decider.reject(503, "too_late", "the estimated queueing time exceeds the time allowed", max(time.Second, decider.estimateWait(call.Model, cost)))
 			}
 			if mishap != nil {
-				decider.guard.Unlock()
+				decider.mu.Unlock()
 				return nil, mishap
 			}
-			queued = &waiter{box: decider.World.Mailbox(), model: call.Model, cost: cost}
+			queued = &queuedRequest{mailbox: decider.World.Mailbox(), model: call.Model, cost: cost}
 			decider.queue = append(decider.queue, queued)
 		}
 		if now-began >= bound {
-			mishap := decider.decline(503, "too_late", "no replica became free within the queue timeout", retryDelay(view))
+			mishap := decider.reject(503, "too_late", "no replica became free within the queue timeout", retryDelay(view))
 			leave()
-			decider.guard.Unlock()
+			decider.mu.Unlock()
 			return nil, mishap
 		}
-		decider.guard.Unlock()
+		decider.mu.Unlock()
 		// A release or a new view wakes it up. It waits for a quarter of the bound at
 		// most, as after that replicas of other regions may be used too.
-		queued.box.Take(min(began+bound-now, bound/4))
+		queued.mailbox.Take(min(began+bound-now, bound/4))
 	}
 }
 
 // within reports whether the call may run in the region, by the caller's home and the
 // placement's.
-func (call *Call) within(view *permit.View, region string) bool {
-	return view.Tree.Allowed(call.Home, region) && view.Tree.Allowed(call.bound, region)
+func (call *Call) within(view *lease.View, region string) bool {
+	return view.Tree.Allowed(call.Home, region) && view.Tree.Allowed(call.placementHome, region)
 }
 
 // served reports whether any replica in any region could serve the call, whether or not
 // this daemon has credits there.
-func (decider *Decider) served(view *permit.View, call *Call) bool {
+func (decider *Decider) served(view *lease.View, call *Call) bool {
 	for _, region := range view.Tree.Regions() {
 		if !call.within(view, region) {
 			continue
 		}
-		table := view.Standings[region]
-		placed := places{list: table.Places}
+		table := view.RoutingTables[region]
+		placed := endpointIndex{list: table.Places}
 		for _, row := range table.Rows {
-			if place := placed.of(row.Replica); row.Model == call.Model && !denies(row, call.Kind) && place != nil && !view.Evacuated[place.Zone] {
+			if place := placed.of(row.Replica); row.Model == call.Model && !deniesKind(row, call.Kind) && place != nil && !view.Evacuated[place.Zone] {
 				return true
 			}
 		}
@@ -317,7 +317,7 @@
 // pick selects among the candidates with free credit: the home region before others, the
 // replica that has cached the prompt while it is not much busier than the rest, and
 // otherwise the one whose credit is used least. It returns nil if there is none.
-func (decider *Decider) pick(view *permit.View, call *Call, list []candidate, cost int, late bool) *Selection {
+func (decider *Decider) pick(view *lease.View, call *Call, list []candidate, cost int, late bool) *Selection {
 	var free []candidate
 	anyHome := false
 	for _, option := range list {
@@ -332,7 +332,7 @@
 	// a cold one only if no other daemon may send requests there.
 	heavy := cost > maxCredit
 	for _, option := range list {
-		if heavy && (option.units > 0 || option.endpoint.Warm < 1 && !option.endpoint.Alone(decider.Self.Name)) {
+		if heavy && (option.units > 0 || option.endpoint.Warm < 1 && !option.endpoint.IsExclusive(decider.Self.Name)) {
 			continue
 		}
 		if !heavy && option.units+cost > option.credit || !option.isHome && anyHome && !late {
@@ -410,7 +410,7 @@
 	for index := range len(name) {
 		value = (value ^ uint64(name[index])) * prime
 	}
-	return session.Spread(value)
+	return session.MixHash(value)
 }
 
 // Prefix hashes the first 1024 bytes of a prompt; the hash is 0 only if the prompt is empty.
--- a/decide/candidates.go
+++ b/decide/candidates.go
@@ -4,8 +4,8 @@
 	"math"
 	"time"
 
-	"swifttiller/permit"
-	"swifttiller/standing"
+	"swifttiller/lease"
+	"swifttiller/routing"
 )
 
 // Candidates of a routed request: the replicas that may get it.
@@ -14,9 +14,9 @@
 type Avoid map[string]bool
 
 type routeCandidate struct {
-	row      *standing.Row
-	endpoint *standing.Place
-	state    *engine
+	row      *routing.Row
+	endpoint *routing.Endpoint
+	state    *replicaState
 	// ttft is the predicted time to first token. cost is what candidates are compared by, the
 	// least first: ttft with the costs of another region, of duplicate prefill, and so on.
 	ttft, cost               time.Duration
@@ -30,9 +30,9 @@
 
 // routeCandidates evaluates all replicas that may get the request and returns the best one. If
 // there is none, next is the time until the first one may get it, zero if none is in sight.
-func (decider *Decider) routeCandidates(view *permit.View, routed *Routed, avoid Avoid, now time.Duration) (best *routeCandidate, candidates []routeCandidate, next time.Duration) {
+func (decider *Decider) routeCandidates(view *lease.View, routed *Routed, avoid Avoid, now time.Duration) (best *routeCandidate, candidates []routeCandidate, next time.Duration) {
 	rows := 0
-	for _, table := range view.Standings {
+	for _, table := range view.RoutingTables {
 		rows += len(table.Rows)
 	}
 	candidates = make([]routeCandidate, 0, rows)
@@ -43,22 +43,22 @@
 	}
 	route := routed.Route
 	config := view.Tree.Engine(routed.Model)
-	routed.ownerKey = routed.owner
+	routed.ownerKey = routed.sharedKey
 	isLong := decider.isLong(routed)
 	hasRepeatable := decider.hasRepeatable(routed.Model, now)
 	home := "" // of a tenant that has a placement
 	placement := decider.placement(view, routed, now)
 	if placement != nil {
-		routed.ownerKey = placement.Owner(routed.owner, routed.Parts[len(routed.Parts)-1].ID)
-		home = placement.Home(routed.owner, decider.Self.Region, routed.within)
+		routed.ownerKey = placement.Owner(routed.sharedKey, routed.Parts[len(routed.Parts)-1].ID)
+		home = placement.Home(routed.sharedKey, decider.Self.Region, routed.within)
 	}
 	var backedOff, unreachable []routeCandidate
 	for _, region := range view.Tree.Regions() {
-		table, has := view.Standings[region]
+		table, has := view.RoutingTables[region]
 		if !has || !routed.within(region) {
 			continue
 		}
-		endpoints := places{list: table.Places}
+		endpoints := endpointIndex{list: table.Places}
 		trial, isOpen := decider.opensTrial(view, &routed.call, region)
 		for index := range table.Rows {
 			row := &table.Rows[index]
@@ -66,31 +66,31 @@
 				continue
 			}
 			endpoint := endpoints.of(row.Replica)
-			if endpoint == nil || view.Evacuated[endpoint.Zone] || avoid[row.Replica] || denies(*row, routed.call.Kind) {
+			if endpoint == nil || view.Evacuated[endpoint.Zone] || avoid[row.Replica] || deniesKind(*row, routed.call.Kind) {
 				continue
 			}
-			if _, isPast := decider.past[row.Replica]; isPast {
+			if _, isPast := decider.endedBoots[row.Replica]; isPast {
 				continue
 			}
 			if isTrial := trial != "" && row.Version == trial; isTrial != isOpen || !isTrial && decider.barred(view, region, row.Model, row.Version) {
 				continue
 			}
-			state := decider.engine(endpoint.ID)
+			state := decider.replicaState(endpoint.ID)
 			if wait := decider.coldWait(view, config, endpoint, state, now); wait > 0 {
 				if endpoint.Warm >= 1 {
-					decider.wanted = now
+					decider.lastThrottled = now
 				}
 				retryIn(wait)
 				continue
 			}
-			wait := max(state.health.opens(now, route.Repeatable(), hasRepeatable), decider.breakerWait(region, now))
-			if wait > 0 || now < state.shunned || !state.admits(now, route.Repeatable()) {
+			wait := max(state.health.probeDelay(now, route.Idempotent(), hasRepeatable), decider.breakerWait(region, now))
+			if wait > 0 || now < state.backOffUntil || !state.admits(now, route.Idempotent()) {
 				candidate := routeCandidate{row: row, endpoint: endpoint, state: state, isProbe: state.isUnreachable}
 				if candidate.isProbe {
 					unreachable = append(unreachable, candidate)
 					continue
 				}
-				retryIn(max(wait, state.shunned-now, firstShun/2))
+				retryIn(max(wait, state.backOffUntil-now, initialBackOff/2))
 				backedOff = append(backedOff, candidate)
 				continue
 			}
@@ -104,7 +104,7 @@
 	if len(candidates) == 0 {
 		candidates = decider.dueProbes(unreachable, now)
 	}
-	assignOwners(routed, candidates, home, func(endpoint *standing.Place) bool {
+	assignOwners(routed, candidates, home, func(endpoint *routing.Endpoint) bool {
 		// A short prompt is not worth a request to another region, so each region has an owner of its own.
 		return isLong || endpoint.Region == decider.Self.Region || !routed.within(decider.Self.Region)
 	})
@@ -149,14 +149,14 @@
 // can be reached.
 const localProbeInterval = 100 * time.Millisecond
 
-// places looks up a region's endpoints by replica id. Rows are nearly always in the order of
+// endpointIndex looks up a region's endpoints by replica id. Rows are nearly always in the order of
 // the endpoints, so it first looks at the endpoint after the last one found.
-type places struct {
-	list []standing.Place
+type endpointIndex struct {
+	list []routing.Endpoint
 	next int
 }
 
-func (places *places) of(id string) *standing.Place {
+func (places *endpointIndex) of(id string) *routing.Endpoint {
 	if places.next > 0 && places.list[places.next-1].ID == id {
 		return &places.list[places.next-1]
 	}
--- a/decide/choice.go
+++ b/decide/choice.go
@@ -58,7 +58,7 @@
 
 // recordChoice returns the record of the choice of best; nil unless Options.Traced is set.
 func (decider *Decider) recordChoice(routed *Routed, best *routeCandidate, candidates []routeCandidate, now time.Duration) *Choice {
-	if decider.Traced == nil {
+	if decider.OnChoice == nil {
 		return nil
 	}
 	choice := &Choice{
@@ -66,7 +66,7 @@
 		From: decider.Self.Region, Replica: best.row.Replica, Region: best.endpoint.Region, Zone: best.endpoint.Zone, Rank: best.rank(), Key: routed.ownerKey,
 		Tokens: routed.Tokens, Unread: best.uncached, UnreadShared: best.uncachedShared, Candidates: len(candidates),
 		Running: best.running, Waiting: best.waiting,
-		Waited: now - routed.Came, Foreseen: best.ttft, Target: routed.Route.Target,
+		Waited: now - routed.ReceivedAt, Foreseen: best.ttft, Target: routed.Route.Target,
 	}
 	for index := range candidates {
 		if candidate := &candidates[index]; candidate.isOwner {
--- a/decide/pace.go
+++ b/decide/cold_limit.go
@@ -3,10 +3,10 @@
 import (
 	"time"
 
-	"swifttiller/permit"
+	"swifttiller/lease"
+	"swifttiller/routing"
 	"swifttiller/session"
 	"swifttiller/settings"
-	"swifttiller/standing"
 )
 
 // Rate limiting of cold replicas.
@@ -16,14 +16,14 @@
 //
 // Invariant: in every second, all data daemons that know of each other send a cold replica at
 // most ColdRate times cold_excess requests together, or one if that is below one.
-func (decider *Decider) coldWait(view *permit.View, config *settings.Engine, endpoint *standing.Place, state *engine, now time.Duration) time.Duration {
+func (decider *Decider) coldWait(view *lease.View, config *settings.Engine, endpoint *routing.Endpoint, state *replicaState, now time.Duration) time.Duration {
 	if config == nil || config.ColdRate <= 0 || !decider.isCold(view, endpoint, state, now) {
 		state.coldShare = nil
 		return 0
 	}
 	if state.coldShare == nil || state.coldShare.view != view {
 		daemons := 0
-		for _, table := range view.Standings {
+		for _, table := range view.RoutingTables {
 			daemons = max(daemons, table.Daemons)
 		}
 		total := max(1, int(config.ColdRate*view.Tree.Limit("cold_excess", decider.Self.Zone)))
@@ -45,7 +45,7 @@
 
 // coldShare is the number of requests per second that a daemon may send to a cold replica under a view.
 type coldShare struct {
-	view  *permit.View
+	view  *lease.View
 	limit int
 }
 
@@ -57,8 +57,8 @@
 //
 // Invariant: the shares of daemons that know the same members add up to at most the total,
 // however many daemons there are.
-func coldLimit(total int, members []session.Member, self session.Member, endpoint *standing.Place, daemons int) int {
-	key := nameKey(endpoint.ID + "/" + endpoint.Boot)
+func coldLimit(total int, members []session.Member, self session.Member, endpoint *routing.Endpoint, daemons int) int {
+	key := nameHash(endpoint.ID + "/" + endpoint.Boot)
 	isNear, ownScore := self.Region == endpoint.Region, score(key, self.Name)
 	sideRank, otherSide, count := 0, 0, 1 // the rank among daemons on the same side of isNear, and how many are on the other
 	for _, member := range members {
@@ -86,5 +86,5 @@
 	return limit
 }
 
-// nameKey is the hash of a name.
-func nameKey(name string) uint64 { return score(0, name) }
+// nameHash is the hash of a name.
+func nameHash(name string) uint64 { return score(0, name) }
--- a/decide/cold_test.go
+++ b/decide/cold_test.go
@@ -6,18 +6,18 @@
 	"testing"
 	"time"
 
-	"swifttiller/permit"
+	"swifttiller/lease"
+	"swifttiller/routing"
 	"swifttiller/session"
 	"swifttiller/settings"
 	"swifttiller/sim"
-	"swifttiller/standing"
 )
 
-// TestColdPart guards against daemons that overload a cold replica. Daemons of several
+// TestColdLimit guards against daemons that overload a cold replica. Daemons of several
 // counts, in three regions, each send it all that they may as soon as they may, starting at
 // different instants. Together they must keep within its limit in every second, and use most
 // of it; half of the requests come from daemons of its own region where all shares are remainders.
-func TestColdPart(t *testing.T) {
+func TestColdLimit(t *testing.T) {
 	tree, problems := settings.Parse([]byte(`{"whole":{"placements":{"m":{"version":"any","capacity":24}},"limits":{"cold_excess":1.275}},
  "engines":{"m":{"probe_path":"/v","cold_ms":3000,"cold_per_s":19,"berths":24}},
  "regions":{"a":{"zones":{"a-1":{}}},"b":{"zones":{"b-1":{}}},"c":{"zones":{"c-1":{}}}}}`))
@@ -28,8 +28,8 @@
 	for _, count := range []int{1, 6, 24, 25, 88} {
 		world := sim.New(uint64(count))
 		world.Start("w", func(*sim.Node) {})
-		endpoint := &standing.Place{ID: "i-1", Boot: "i-1", Region: "b", Zone: "b-1", Warm: 0.1}
-		view := &permit.View{Tree: tree, Standings: map[string]standing.Standing{"b": {Daemons: count}}}
+		endpoint := &routing.Endpoint{ID: "i-1", Boot: "i-1", Region: "b", Zone: "b-1", Warm: 0.1}
+		view := &lease.View{Tree: tree, RoutingTables: map[string]routing.Table{"b": {Daemons: count}}}
 		for index := range count {
 			region := []string{"a", "b", "c"}[index%3]
 			view.Members = append(view.Members, session.Member{Name: fmt.Sprint("d", index), Role: session.Data, Region: region, Zone: region + "-1"})
@@ -37,8 +37,8 @@
 		var sent []time.Duration
 		byRegion := map[string]int{}
 		for index, member := range view.Members {
-			decider := New(Options{World: world.Node("w"), Self: member, Holder: func() *permit.View { return view }})
-			state := &engine{}
+			decider := New(Options{World: world.Node("w"), Self: member, View: func() *lease.View { return view }})
+			state := &replicaState{}
 			for now := time.Duration(index*137%1000) * time.Millisecond; now < 10*time.Second; now += 7 * time.Millisecond {
 				for decider.coldWait(view, tree.Engine("m"), endpoint, state, now) == 0 {
 					state.sent = append(state.sent, now)
@@ -74,7 +74,7 @@
 	sum := 0
 	for _, half := range halves {
 		for _, member := range half {
-			sum += coldLimit(bound, half, member, &standing.Place{ID: "i-1", Region: "b"}, 88)
+			sum += coldLimit(bound, half, member, &routing.Endpoint{ID: "i-1", Region: "b"}, 88)
 		}
 	}
 	if sum > bound || sum < bound/2 {
@@ -82,11 +82,11 @@
 	}
 }
 
-// TestColdPartElsewhere guards against daemons without a share in any cold replica. While all
+// TestColdLimitAcrossRegions guards against daemons without a share in any cold replica. While all
 // replicas are cold, each of many daemons must be able to send to replicas of its own region,
 // and about as much to those of the two other regions, which may be the only homes of its
 // callers' requests.
-func TestColdPartElsewhere(t *testing.T) {
+func TestColdLimitAcrossRegions(t *testing.T) {
 	const bound = 24
 	replicas := map[string]int{"a": 40, "b": 30, "c": 20}
 	var members []session.Member
@@ -99,7 +99,7 @@
 		for region, count := range replicas {
 			for index := range count {
 				id := fmt.Sprint(region, index)
-				part := coldLimit(bound, members, self, &standing.Place{ID: id, Region: region}, len(members))
+				part := coldLimit(bound, members, self, &routing.Endpoint{ID: id, Region: region}, len(members))
 				parts[region] += part
 				sums[id] += part
 			}
@@ -117,49 +117,49 @@
 	}
 }
 
-// TestWordOfAReplica checks that a replica's own reply that it is warm counts while no leader
+// TestWarmReplyOfAReplica checks that a replica's own reply that it is warm counts while no leader
 // maintains its region's routing table: for the boot that sent it, for the length of a lease,
 // and never against a routing table that lists the replica as cold.
-func TestWordOfAReplica(t *testing.T) {
+func TestWarmReplyOfAReplica(t *testing.T) {
 	tree, problems := settings.Parse([]byte(`{"whole":{"placements":{"m":{"version":"any","capacity":24}},"limits":{"permit_ms":2000}},
  "engines":{"m":{"probe_path":"/v","cold_ms":3000,"cold_per_s":19,"berths":24}},"regions":{"a":{"zones":{"a-1":{}}}}}`))
 	if len(problems) > 0 {
 		t.Fatal(problems)
 	}
-	warm := standing.Place{ID: "i-1", Address: "x", Boot: "i-1", Region: "a", Zone: "a-1", Warm: 1}
-	view := &permit.View{Tree: tree, Unkept: map[string]bool{"a": true}, Standings: map[string]standing.Standing{"a": {Places: []standing.Place{warm}, Rows: []standing.Row{{Replica: "i-1", Model: "m"}}}}}
+	warm := routing.Endpoint{ID: "i-1", Address: "x", Boot: "i-1", Region: "a", Zone: "a-1", Warm: 1}
+	view := &lease.View{Tree: tree, Unconfirmed: map[string]bool{"a": true}, RoutingTables: map[string]routing.Table{"a": {Places: []routing.Endpoint{warm}, Rows: []routing.Row{{Replica: "i-1", Model: "m"}}}}}
 	world := sim.New(1)
 	defer world.Close()
 	world.Start("w", func(*sim.Node) {})
 	world.Run(time.Second)
-	decider := New(Options{World: world.Node("w"), Self: session.Member{Name: "d", Region: "a"}, Holder: func() *permit.View { return view }})
-	isCold := func(endpoint standing.Place) bool {
-		return decider.isCold(view, &endpoint, decider.engine(endpoint.ID), world.Now())
+	decider := New(Options{World: world.Node("w"), Self: session.Member{Name: "d", Region: "a"}, View: func() *lease.View { return view }})
+	isCold := func(endpoint routing.Endpoint) bool {
+		return decider.isCold(view, &endpoint, decider.replicaState(endpoint.ID), world.Now())
 	}
-	if len(decider.Inquiries()) > 0 {
+	if len(decider.HealthQueries()) > 0 {
 		t.Error("replicas are probed though no request needs it")
 	}
-	decider.wanted = world.Now()
-	list := decider.Inquiries()
-	if len(list) != 1 || list[0] != (Inquiry{Replica: "i-1", Address: "x", Boot: "i-1", Path: "/v"}) || len(decider.Inquiries()) > 0 {
+	decider.lastThrottled = world.Now()
+	list := decider.HealthQueries()
+	if len(list) != 1 || list[0] != (HealthQuery{Replica: "i-1", Address: "x", Boot: "i-1", Path: "/v"}) || len(decider.HealthQueries()) > 0 {
 		t.Fatalf("the probes are %v", list)
 	}
 	if !isCold(warm) {
 		t.Error("the replica counts as warm before it replied")
 	}
-	decider.Inquired(list[0], world.Now(), false)
+	decider.RecordHealthQuery(list[0], world.Now(), false)
 	if !isCold(warm) {
 		t.Error("the replica counts as warm though it replied that it is not")
 	}
-	decider.Inquired(list[0], world.Now(), true)
+	decider.RecordHealthQuery(list[0], world.Now(), true)
 	next, cold := warm, warm
 	next.Boot, cold.Warm = "i-2", 0.5
 	if isCold(warm) || !isCold(next) || !isCold(cold) {
 		t.Errorf("cold: %v, after its restart %v, with a routing table that lists it as cold %v", isCold(warm), isCold(next), isCold(cold))
 	}
 	world.Run(1999 * time.Millisecond)
-	decider.wanted = world.Now()
-	if isCold(warm) || len(decider.Inquiries()) != 1 {
+	decider.lastThrottled = world.Now()
+	if isCold(warm) || len(decider.HealthQueries()) != 1 {
 		t.Error("the reply expires before a lease's length, or the replica is not probed again before")
 	}
 	world.Run(time.Millisecond)
--- a/decide/weigh.go
+++ b/decide/cost.go
@@ -6,13 +6,13 @@
 	"swifttiller/verdict"
 )
 
-// Weigh reads from the request body what determines the cost of a call, and the hash of the
+// ReadCost reads from the request body what determines the cost of a call, and the hash of the
 // beginning of its prompt.
-func (decider *Decider) Weigh(call *Call, body []byte) *verdict.Mishap {
-	reject := func(message string) *verdict.Mishap {
-		decider.guard.Lock()
-		defer decider.guard.Unlock()
-		return decider.decline(400, "bad_request", message, 0)
+func (decider *Decider) ReadCost(call *Call, body []byte) *verdict.Error {
+	reject := func(message string) *verdict.Error {
+		decider.mu.Lock()
+		defer decider.mu.Unlock()
+		return decider.reject(400, "bad_request", message, 0)
 	}
 	if !gjson.ValidBytes(body) {
 		return reject("the body is not JSON")
@@ -32,7 +32,7 @@
 		return reject("the body has neither prompt nor messages")
 	}
 	call.Bytes = len(prompt)
-	call.Answer = int(max(0, root.Get("max_tokens").Int()))
+	call.MaxAnswerTokens = int(max(0, root.Get("max_tokens").Int()))
 	call.Prefix = Prefix([]byte(prompt))
 	return nil
 }
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -6,10 +6,10 @@
 	"sync"
 	"time"
 
+	"swifttiller/lease"
 	"swifttiller/loop"
-	"swifttiller/permit"
+	"swifttiller/routing"
 	"swifttiller/session"
-	"swifttiller/standing"
 	"swifttiller/tenant"
 	"swifttiller/verdict"
 	"swifttiller/wire"
@@ -23,17 +23,17 @@
 	Path              string
 	// Retried is set where the caller says that it sent this request before.
 	Retried bool
-	// Patience is the caller's limit on the time in the queue; 0 means the limit of the
+	// QueueTimeout is the caller's limit on the time in the queue; 0 means the limit of the
 	// settings.
-	Patience time.Duration
+	QueueTimeout time.Duration
 	// Bytes and Answer determine the cost; Prefix is the hash of the beginning of the
 	// prompt.
-	Bytes, Answer int
-	Prefix        uint64
+	Bytes, MaxAnswerTokens int
+	Prefix                 uint64
 
-	retry  bool // the caller says that it is a retry, or its request id was seen recently
-	barred *ticketKey
-	bound  string // home of the placement, which restricts the regions besides Home
+	isRetry       bool // the caller says that it is a retry, or its request id was seen recently
+	ticketKey     *ticketKey
+	placementHome string // home of the placement, which restricts the regions besides Home
 }
 
 // Selection is the replica that an attempt of a request is sent to.
@@ -44,16 +44,16 @@
 	Serial                    uint64
 	Cost                      int
 	Trial, Spill, Affine      bool
-	// Foreseen is the predicted time to first token of a routed request.
-	Foreseen time.Duration
-	// Vouched is when the replica last showed that it is alive, as of the selection.
-	Vouched time.Duration
-	// Doubted is set if the circuit breaker of the region is open and this attempt probes it.
-	Doubted bool
+	// PredictedTTFT is the predicted time to first token of a routed request.
+	PredictedTTFT time.Duration
+	// LastAlive is when the replica last showed that it is alive, as of the selection.
+	LastAlive time.Duration
+	// IsRegionProbe is set if the circuit breaker of the region is open and this attempt probes it.
+	IsRegionProbe bool
 
 	routed   *Routed
 	choice   *Choice // nil unless Options.Traced is set
-	seat     *engine
+	state    *replicaState
 	uncached int
 	sent     time.Duration
 	hasBegun bool
@@ -70,31 +70,31 @@
 
 // Options configures a Decider.
 type Options struct {
-	World  loop.World
-	Net    wire.Net
-	Holder func() *permit.View
-	Self   session.Member
-	// Began is when this incarnation started, on the clock of World.
-	Began time.Duration
+	World loop.World
+	Net   wire.Net
+	View  func() *lease.View
+	Self  session.Member
+	// StartedAt is when this incarnation started, on the clock of World.
+	StartedAt time.Duration
 	// Quota, if set, enforces the rate limits of tenants.
 	Quota Quota
-	// Traced, if set, receives the choice behind each attempt of a routed request once the
+	// OnChoice, if set, receives the choice behind each attempt of a routed request once the
 	// attempt has ended.
-	Traced func(Choice)
+	OnChoice func(Choice)
 }
 
 // Quota limits the request rate of tenants.
 type Quota interface {
-	// Ask reports whether a request is within the tenant's limit, and if not, when to retry.
-	Ask(tenant string) (retryAfter time.Duration, isAllowed bool)
-	// Return refunds a request that Ask allowed and that was not run.
-	Return(tenant string)
+	// Take reports whether a request is within the tenant's limit, and if not, when to retry.
+	Take(tenant string) (retryAfter time.Duration, isAllowed bool)
+	// Refund refunds a request that Ask allowed and that was not run.
+	Refund(tenant string)
 }
 
-// use is what this daemon has running at a replica: the cost, and the attempts by model and version.
-type use struct {
+// usage is what this daemon has running at a replica: the cost, and the attempts by model and version.
+type usage struct {
 	units int
-	rows  map[standing.Held]int
+	rows  map[routing.ReplicaVersion]int
 }
 
 // suspect is a replica whose connection broke, and until when it gets nothing.
@@ -103,11 +103,11 @@
 	region string
 }
 
-// waiter is a queued request.
-type waiter struct {
-	box   loop.Mailbox
-	model string
-	cost  int
+// queuedRequest is a queued request.
+type queuedRequest struct {
+	mailbox loop.Mailbox
+	model   string
+	cost    int
 }
 
 // Decider holds the routing and admission state of a data daemon.
@@ -118,46 +118,46 @@
 // in the current view.
 type Decider struct {
 	Options
-	guard   sync.Mutex
-	uses    map[string]*use
-	queue   []*waiter
-	stopped bool
-	came    time.Duration // when the last request was admitted, on the clock of World
-	budget  budget
+	mu           sync.Mutex
+	uses         map[string]*usage
+	queue        []*queuedRequest
+	stopped      bool
+	lastAdmitted time.Duration // when the last request was admitted, on the clock of World
+	budget       retryBudget
 	// repeatBudgets are the retry budgets of routed requests by model, each earned by the
 	// demand for that model alone.
-	repeatBudgets map[string]*budget
-	judging       judging
+	repeatBudgets map[string]*retryBudget
+	trialMonitor  trialMonitor
 	window        window
-	demand        map[string]*flow
+	demand        map[string]*smoothedRate
 	// released is the smoothed rate of cost units that end per second, by model.
-	released map[string]*flow
+	released map[string]*smoothedRate
 	// suspects are the replicas whose connections broke, and until when they get nothing: by
 	// then a maintained routing table shows whether they restarted and are cold.
 	suspects map[string]suspect
 	// fullUntil is until when replicas that rejected a request for lack of capacity get nothing.
 	fullUntil map[string]time.Duration
-	// past is the ended boot of each replica whose new connection showed that it restarted;
+	// endedBoots is the ended boot of each replica whose new connection showed that it restarted;
 	// the routing table may still list that boot.
-	past map[string]string
-	// wary is until when replicas without a recent sign of life are avoided.
-	wary    time.Duration
-	counts  Counts
-	tickets tickets
-	// engines is the state of each replica for routed requests, by replica id.
-	engines  map[string]*engine
+	endedBoots map[string]string
+	// cautiousUntil is until when replicas without a recent sign of life are avoided.
+	cautiousUntil time.Duration
+	counts        Counts
+	tickets       tickets
+	// replicas is the state of each replica for routed requests, by replica id.
+	replicas map[string]*replicaState
 	breakers map[string]*regionBreaker // of other regions, by region
 	// lastProbes is when unreachable replicas of a region were last probed, by region.
 	lastProbes map[string]time.Duration
 	// noReplicaSince is since when no replica has been available for a route, by route name.
 	noReplicaSince map[string]time.Duration
-	// repeatable is when a model last received a request that may be repeated.
-	repeatable map[string]time.Duration
+	// lastRepeatable is when a model last received a request that may be repeated.
+	lastRepeatable map[string]time.Duration
 	// outbound are the health reports that are to be sent to peers.
 	outbound outbound
-	// wanted is when a request last found a replica rate limited as cold only because no leader
+	// lastThrottled is when a request last found a replica rate limited as cold only because no leader
 	// maintains the routing table of its region.
-	wanted time.Duration
+	lastThrottled time.Duration
 	// learnedPrefillRate is the learned prefill rate of the replicas in tokens per
 	// millisecond, zero until learned.
 	learnedPrefillRate float64
@@ -166,7 +166,7 @@
 	// digests are the digests of the routing tables last reported on, by region.
 	digests map[string]*digest
 	// tenants counts requests for the reports on heavy tenants.
-	tenants tenant.Counter
+	tenants tenant.WindowCounter
 }
 
 // Counts are the counters that operators monitor.
@@ -179,43 +179,43 @@
 
 // New returns a Decider without any requests.
 func New(options Options) *Decider {
-	decider := &Decider{Options: options, uses: map[string]*use{}, judging: newJudging(), demand: map[string]*flow{}, released: map[string]*flow{}, suspects: map[string]suspect{}, fullUntil: map[string]time.Duration{}, past: map[string]string{}, engines: map[string]*engine{}, breakers: map[string]*regionBreaker{}, lastProbes: map[string]time.Duration{}, noReplicaSince: map[string]time.Duration{}, repeatable: map[string]time.Duration{}, repeatBudgets: map[string]*budget{}, digests: map[string]*digest{}}
+	decider := &Decider{Options: options, uses: map[string]*usage{}, trialMonitor: newJudging(), demand: map[string]*smoothedRate{}, released: map[string]*smoothedRate{}, suspects: map[string]suspect{}, fullUntil: map[string]time.Duration{}, endedBoots: map[string]string{}, replicas: map[string]*replicaState{}, breakers: map[string]*regionBreaker{}, lastProbes: map[string]time.Duration{}, noReplicaSince: map[string]time.Duration{}, lastRepeatable: map[string]time.Duration{}, repeatBudgets: map[string]*retryBudget{}, digests: map[string]*digest{}}
 	decider.counts.Declined = map[string]uint64{}
-	decider.window.totals = map[standing.Outcome]standing.Outcome{}
+	decider.window.totals = map[routing.Outcome]routing.Outcome{}
 	decider.tickets.init()
 	return decider
 }
 
-// decline counts and returns the rejection of a request that was not run.
-func (decider *Decider) decline(status int, code, message string, retryAfter time.Duration) *verdict.Mishap {
+// reject counts and returns the rejection of a request that was not run.
+func (decider *Decider) reject(status int, code, message string, retryAfter time.Duration) *verdict.Error {
 	decider.counts.Declined[code]++
-	return verdict.Decline(status, code, message, retryAfter)
+	return verdict.Reject(status, code, message, retryAfter)
 }
 
 // Gate is the last check before bytes are sent to a replica. It returns the version of the
 // configuration that the attempt is made under.
-func (decider *Decider) Gate(selection *Selection) (uint64, *verdict.Mishap) {
-	view := decider.Holder()
-	decider.guard.Lock()
-	defer decider.guard.Unlock()
+func (decider *Decider) Gate(selection *Selection) (uint64, *verdict.Error) {
+	view := decider.View()
+	decider.mu.Lock()
+	defer decider.mu.Unlock()
 	// A stop still admits what was allowed before it; a lost lease does not.
-	isServing := view.Stands(decider.World.Now()) || selection.routed != nil && view.Serves(decider.World.Now())
+	isServing := view.IsValid(decider.World.Now()) || selection.routed != nil && view.MayServe(decider.World.Now())
 	if !isServing {
-		return 0, decider.decline(503, "no_permit", "the lease expired before the attempt", time.Second)
+		return 0, decider.reject(503, "no_permit", "the lease expired before the attempt", time.Second)
 	}
 	if row, _ := findRow(view, selection); row == nil {
-		return 0, decider.decline(503, "moved_on", "the replica is no longer in use for this model and version", 0)
+		return 0, decider.reject(503, "moved_on", "the replica is no longer in use for this model and version", 0)
 	}
 	selection.Serial = view.Serial
-	if selection.seat != nil {
-		selection.seat.isUnreachable = false // the connection is established
+	if selection.state != nil {
+		selection.state.isUnreachable = false // the connection is established
 	}
 	return view.Serial, nil
 }
 
 // findRow looks up the row and endpoint of a selection in a view; nil if it is no longer in use.
-func findRow(view *permit.View, selection *Selection) (*standing.Row, *standing.Place) {
-	table, known := view.Standings[selection.Region]
+func findRow(view *lease.View, selection *Selection) (*routing.Row, *routing.Endpoint) {
+	table, known := view.RoutingTables[selection.Region]
 	if !known {
 		return nil, nil
 	}
@@ -234,33 +234,33 @@
 	return nil, nil
 }
 
-// Wake makes all queued requests look at a new view.
-func (decider *Decider) Wake() {
-	decider.guard.Lock()
-	defer decider.guard.Unlock()
+// WakeQueue makes all queued requests look at a new view.
+func (decider *Decider) WakeQueue() {
+	decider.mu.Lock()
+	defer decider.mu.Unlock()
 	for _, waiting := range decider.queue {
-		waiting.box.Put(nil)
+		waiting.mailbox.Put(nil)
 	}
 }
 
 // Stop rejects all new requests; those already admitted go on.
 func (decider *Decider) Stop() {
-	decider.guard.Lock()
-	defer decider.guard.Unlock()
+	decider.mu.Lock()
+	defer decider.mu.Unlock()
 	decider.stopped = true
 }
 
-// Quiet returns how long ago the last request was admitted.
-func (decider *Decider) Quiet() time.Duration {
-	decider.guard.Lock()
-	defer decider.guard.Unlock()
-	return decider.World.Now() - decider.came
+// IdleTime returns how long ago the last request was admitted.
+func (decider *Decider) IdleTime() time.Duration {
+	decider.mu.Lock()
+	defer decider.mu.Unlock()
+	return decider.World.Now() - decider.lastAdmitted
 }
 
 // Running returns the number of running attempts and queued requests.
 func (decider *Decider) Running() int {
-	decider.guard.Lock()
-	defer decider.guard.Unlock()
+	decider.mu.Lock()
+	defer decider.mu.Unlock()
 	running := len(decider.queue)
 	for _, used := range decider.uses {
 		for _, count := range used.rows {
@@ -272,8 +272,8 @@
 
 // Count returns a copy of the counters.
 func (decider *Decider) Count() Counts {
-	decider.guard.Lock()
-	defer decider.guard.Unlock()
+	decider.mu.Lock()
+	defer decider.mu.Unlock()
 	counts := decider.counts
 	counts.Declined = map[string]uint64{}
 	for code, count := range decider.counts.Declined {
@@ -283,10 +283,10 @@
 }
 
 // flow returns the rate of a model in the table, which it creates if need be.
-func (decider *Decider) flow(table map[string]*flow, model string) *flow {
+func (decider *Decider) flow(table map[string]*smoothedRate, model string) *smoothedRate {
 	rate := table[model]
 	if rate == nil {
-		rate = &flow{}
+		rate = &smoothedRate{}
 		table[model] = rate
 	}
 	return rate
