--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -10,12 +10,12 @@
 	. "github.com/smartystreets/goconvey/convey"
 
 	"swifttiller/decide"
+	"swifttiller/lease"
 	"swifttiller/loop"
-	"swifttiller/permit"
+	"swifttiller/routing"
 	"swifttiller/session"
 	"swifttiller/settings"
 	"swifttiller/sim"
-	"swifttiller/standing"
 	"swifttiller/verdict"
 	"swifttiller/wire"
 )
@@ -25,32 +25,32 @@
 
 // view returns a view with three replicas in region a and one in region b, at which each daemon
 // has the given credit. With trial set, the replica r1 also has a version on trial.
-func view(daemons []string, credit int, trial bool) *permit.View {
+func view(daemons []string, credit int, trial bool) *lease.View {
 	tree, problems := settings.Parse([]byte(document))
 	if len(problems) > 0 {
 		panic(problems)
 	}
-	out := &permit.View{Serial: 3, Tree: tree, Expiry: loop.Forever, Evacuated: map[string]bool{}, Standings: map[string]standing.Standing{}}
+	out := &lease.View{Serial: 3, Tree: tree, Deadline: loop.Forever, Evacuated: map[string]bool{}, RoutingTables: map[string]routing.Table{}}
 	for _, endpoint := range []struct{ region, zone, id string }{{"a", "a-1", "r1"}, {"a", "a-1", "r2"}, {"a", "a-2", "r3"}, {"b", "b-1", "far"}} {
-		table := out.Standings[endpoint.region]
+		table := out.RoutingTables[endpoint.region]
 		table.Region = endpoint.region
 		credits := map[string]int{}
 		for _, name := range daemons {
 			credits[name] = credit
 		}
-		table.Places = append(table.Places, standing.Place{ID: endpoint.id, Address: endpoint.id, Zone: endpoint.zone, Region: endpoint.region, Capacity: 8, Whole: 8, Warm: 1, Credits: credits})
-		table.Rows = append(table.Rows, standing.Row{Replica: endpoint.id, Model: "m", Version: "v1"})
+		table.Places = append(table.Places, routing.Endpoint{ID: endpoint.id, Address: endpoint.id, Zone: endpoint.zone, Region: endpoint.region, Capacity: 8, Whole: 8, Warm: 1, Credits: credits})
+		table.Rows = append(table.Rows, routing.Row{Replica: endpoint.id, Model: "m", Version: "v1"})
 		if trial && endpoint.id == "r1" {
-			table.Rows = append(table.Rows, standing.Row{Replica: endpoint.id, Model: "m", Version: "v2", Trial: true})
+			table.Rows = append(table.Rows, routing.Row{Replica: endpoint.id, Model: "m", Version: "v2", Trial: true})
 		}
-		out.Standings[endpoint.region] = table
+		out.RoutingTables[endpoint.region] = table
 	}
 	return out
 }
 
 func call(id string) *decide.Call {
 	ticket := decide.Ticket{ID: "own", Daemon: "x", Incarnation: "x#1", Wire: "x", Expiry: time.Minute}
-	return &decide.Call{ID: id, Ticket: ticket.Seal(), Model: "m", Kind: "k", Bytes: 100, Answer: 10, Prefix: 7}
+	return &decide.Call{ID: id, Ticket: ticket.Seal(), Model: "m", Kind: "k", Bytes: 100, MaxAnswerTokens: 10, Prefix: 7}
 }
 
 // service exposes the methods that are called over the network.
@@ -60,7 +60,7 @@
 	return service.decider.Settle(claim, claimed)
 }
 
-func (service service) Inherit(bequest decide.Bequest, taken *bool) error {
+func (service service) Inherit(bequest decide.TicketHandover, taken *bool) error {
 	return service.decider.Inherit(bequest, taken)
 }
 
@@ -68,15 +68,15 @@
 	return service.decider.Inherits(incarnation, successor)
 }
 
-// bench simulates a few data daemons, each with a decider; now is the view of them all.
-type bench struct {
+// testCluster simulates a few data daemons, each with a decider; now is the view of them all.
+type testCluster struct {
 	*sim.Sim
 	deciders map[string]*decide.Decider
-	now      *permit.View
+	now      *lease.View
 }
 
-func newBench(names ...string) *bench {
-	bench := &bench{Sim: sim.New(1), deciders: map[string]*decide.Decider{}, now: view(names, 4, false)}
+func newTestCluster(names ...string) *testCluster {
+	bench := &testCluster{Sim: sim.New(1), deciders: map[string]*decide.Decider{}, now: view(names, 4, false)}
 	for _, name := range names {
 		bench.now.Members = append(bench.now.Members, session.Member{Name: name, Incarnation: name + "#1", Role: session.Data, Region: "a", Zone: "a-1", Wire: name, HTTP: name})
 		bench.start(name, 1)
@@ -84,10 +84,10 @@
 	return bench
 }
 
-func (bench *bench) start(name string, incarnation int) {
+func (bench *testCluster) start(name string, incarnation int) {
 	bench.Start(name, func(node *sim.Node) {
 		self := session.Member{Name: name, Incarnation: fmt.Sprint(name, "#", incarnation), Role: session.Data, Region: "a", Zone: "a-1", Wire: name, HTTP: name}
-		decider := decide.New(decide.Options{World: node, Net: sim.Net{Node: node}, Holder: func() *permit.View { return bench.now }, Self: self, Began: node.Now()})
+		decider := decide.New(decide.Options{World: node, Net: sim.Net{Node: node}, View: func() *lease.View { return bench.now }, Self: self, StartedAt: node.Now()})
 		bench.deciders[name] = decider
 		server := rpc.NewServer()
 		if err := server.RegisterName("Ticket", service{decider}); err != nil {
@@ -98,13 +98,13 @@
 	bench.Run(10 * time.Millisecond)
 }
 
-func (bench *bench) do(name string, run func(*decide.Decider)) {
+func (bench *testCluster) do(name string, run func(*decide.Decider)) {
 	bench.Node(name).Go(func() { run(bench.deciders[name]) })
 	bench.Run(1500 * time.Millisecond)
 }
 
-// allow sends a call with the ticket and request id to a daemon and returns whether it is admitted.
-func (bench *bench) allow(name, ticket, id string) (admitted *decide.Call, failure *verdict.Mishap) {
+// admit sends a call with the ticket and request id to a daemon and returns whether it is admitted.
+func (bench *testCluster) admit(name, ticket, id string) (admitted *decide.Call, failure *verdict.Error) {
 	admitted = call(id)
 	admitted.Ticket = ticket
 	bench.do(name, func(decider *decide.Decider) { failure = decider.Allow(admitted) })
@@ -114,7 +114,7 @@
 // TestTicketsRunOnceAnywhere guards against a request that runs twice under one ticket, or that is
 // reported as not run although it runs or ran, when its tries reach several daemons.
 func TestTicketsRunOnceAnywhere(t *testing.T) {
-	locate := func(bench *bench) (ticket string, first string) {
+	locate := func(bench *testCluster) (ticket string, first string) {
 		bench.do("x", func(decider *decide.Decider) {
 			members, located, _, _ := decider.Locate("m", "k", "", "a-1", 7)
 			ticket, first = located.Seal(), members[0].Name
@@ -131,73 +131,73 @@
 	}
 	// A ticket's daemon hands the right to run an unseen request to the daemon that claims it.
 	Convey("given away along a chain, a request that never ran may run at one place only", t, func() {
-		bench := newBench("x", "y", "z")
+		bench := newTestCluster("x", "y", "z")
 		defer bench.Close()
 		ticket, first := locate(bench)
 		rest := others(first)
-		at, failure := bench.allow(rest[0], ticket, "q")
+		at, failure := bench.admit(rest[0], ticket, "q")
 		So(failure, ShouldBeNil)
-		_, failure = bench.allow(first, ticket, "q")
+		_, failure = bench.admit(first, ticket, "q")
 		So(failure.Code, ShouldEqual, "elsewhere")
-		_, failure = bench.allow(rest[1], ticket, "q")
+		_, failure = bench.admit(rest[1], ticket, "q")
 		So(failure.Verdict, ShouldEqual, verdict.MayHaveRun)
 		So(failure.Code, ShouldEqual, "running")
 		// It is rejected as not run there, and that reply is final.
 		bench.do(rest[0], func(decider *decide.Decider) {
-			decider.Settled(at, verdict.Decline(503, "queue_full", "", 0))
+			decider.Settled(at, verdict.Reject(503, "queue_full", "", 0))
 		})
 		for _, name := range rest {
-			_, failure = bench.allow(name, ticket, "q")
+			_, failure = bench.admit(name, ticket, "q")
 			if failure == nil || failure.Code != "declined_before" || failure.Verdict != verdict.NotRun {
 				t.Errorf("twice: replied not_run, and then %v at %s", failure, name)
 			}
 		}
-		at, failure = bench.allow(rest[1], ticket, "r")
+		at, failure = bench.admit(rest[1], ticket, "r")
 		So(failure, ShouldBeNil)
 		bench.do(rest[1], func(decider *decide.Decider) { decider.Settled(at, nil) })
-		_, failure = bench.allow(rest[1], ticket, "r")
+		_, failure = bench.admit(rest[1], ticket, "r")
 		So(failure.Verdict, ShouldEqual, verdict.Ran)
-		_, failure = bench.allow(rest[0], ticket, "r")
+		_, failure = bench.admit(rest[0], ticket, "r")
 		So(failure.Code, ShouldEqual, "ran")
 	})
 	Convey("when the daemon of the ticket is gone, or another life of it answers, it is never run", t, func() {
-		bench := newBench("x", "y", "z")
+		bench := newTestCluster("x", "y", "z")
 		defer bench.Close()
 		ticket, first := locate(bench)
 		bench.Kill(first)
-		_, failure := bench.allow(others(first)[0], ticket, "q")
+		_, failure := bench.admit(others(first)[0], ticket, "q")
 		So(failure.Code, ShouldEqual, "daemon_gone")
 		So(failure.Verdict, ShouldEqual, verdict.MayHaveRun)
 		bench.start(first, 2)
-		_, failure = bench.allow(first, ticket, "q")
+		_, failure = bench.admit(first, ticket, "q")
 		So(failure.Code, ShouldEqual, "daemon_gone")
-		_, failure = bench.allow(others(first)[1], ticket, "q")
+		_, failure = bench.admit(others(first)[1], ticket, "q")
 		So(failure.Code, ShouldEqual, "daemon_gone")
 	})
 	// In a planned stop, a daemon hands its ticket rows over to one successor.
 	Convey("a daemon that stops leaves what it knows to one heir, which alone decides about what was never seen", t, func() {
-		bench := newBench("x", "y", "z")
+		bench := newTestCluster("x", "y", "z")
 		defer bench.Close()
 		ticket, first := locate(bench)
-		ran, failure := bench.allow(first, ticket, "ran")
+		ran, failure := bench.admit(first, ticket, "ran")
 		So(failure, ShouldBeNil)
 		bench.do(first, func(decider *decide.Decider) { decider.Settled(ran, nil) })
-		unrun, _ := bench.allow(first, ticket, "unrun")
-		bench.do(first, func(decider *decide.Decider) { decider.Settled(unrun, verdict.Decline(503, "queue_full", "", 0)) })
+		unrun, _ := bench.admit(first, ticket, "unrun")
+		bench.do(first, func(decider *decide.Decider) { decider.Settled(unrun, verdict.Reject(503, "queue_full", "", 0)) })
 		var isLeft bool
 		bench.do(first, func(decider *decide.Decider) {
 			decider.Stop()
-			isLeft = decider.Bequeath()
+			isLeft = decider.HandOverTickets()
 		})
 		So(isLeft, ShouldBeTrue)
 		// While it still runs, it must not admit requests that its successor does not know of.
-		_, failure = bench.allow(first, ticket, "late")
+		_, failure = bench.admit(first, ticket, "late")
 		So(failure.Code, ShouldEqual, "stopping")
 		bench.Kill(first)
 		bench.start(first, 2)
 		bench.now.Members[map[string]int{"x": 0, "y": 1, "z": 2}[first]].Incarnation = first + "#2"
 		code := func(name, id string) string {
-			if _, failure := bench.allow(name, ticket, id); failure != nil {
+			if _, failure := bench.admit(name, ticket, id); failure != nil {
 				return failure.Code
 			}
 			return ""
@@ -216,12 +216,12 @@
 		}
 	})
 	Convey("an expired ticket is declined, and nothing is promised", t, func() {
-		bench := newBench("x", "y", "z")
+		bench := newTestCluster("x", "y", "z")
 		defer bench.Close()
 		ticket, first := locate(bench)
 		bench.Run(2 * time.Minute)
 		for _, name := range []string{first, others(first)[0]} {
-			_, failure := bench.allow(name, ticket, "q")
+			_, failure := bench.admit(name, ticket, "q")
 			So(failure.Code, ShouldEqual, "ticket_expired")
 			So(failure.Verdict, ShouldEqual, verdict.MayHaveRun)
 		}
@@ -231,17 +231,17 @@
 // TestDecisions checks the admission, the selection and the retry budget of ticketed requests.
 func TestDecisions(t *testing.T) {
 	Convey("without a permit, in an evacuated zone, or outside a home everything is declined as not run", t, func() {
-		bench := newBench("x")
+		bench := newTestCluster("x")
 		defer bench.Close()
 		count := 0
-		code := func(change func(*permit.View), home string) string {
+		code := func(change func(*lease.View), home string) string {
 			next := view([]string{"x"}, 4, false)
 			change(next)
 			bench.now = next
 			count++
 			request := call(fmt.Sprint("q", count))
 			request.Home = home
-			var failure *verdict.Mishap
+			var failure *verdict.Error
 			bench.do("x", func(decider *decide.Decider) { failure = decider.Allow(request) })
 			if failure == nil {
 				return ""
@@ -249,13 +249,13 @@
 			So(failure.Verdict, ShouldEqual, verdict.NotRun)
 			return failure.Code
 		}
-		So(code(func(*permit.View) {}, "inland"), ShouldEqual, "")
-		So(code(func(view *permit.View) { view.Expiry = 0 }, ""), ShouldEqual, "no_permit")
-		So(code(func(view *permit.View) { view.Evacuated["a-1"] = true }, ""), ShouldEqual, "evacuated")
-		So(code(func(*permit.View) {}, "moon"), ShouldEqual, "outside_home")
+		So(code(func(*lease.View) {}, "inland"), ShouldEqual, "")
+		So(code(func(view *lease.View) { view.Deadline = 0 }, ""), ShouldEqual, "no_permit")
+		So(code(func(view *lease.View) { view.Evacuated["a-1"] = true }, ""), ShouldEqual, "evacuated")
+		So(code(func(*lease.View) {}, "moon"), ShouldEqual, "outside_home")
 	})
 	Convey("a header's home and the placement's own both bind, in spill too", t, func() {
-		bench := newBench("x")
+		bench := newTestCluster("x")
 		defer bench.Close()
 		tree, problems := settings.Parse([]byte(`{"whole":{"placements":{"m":{"version":"v1","home":"inland"}},"homes":{"inland":["a"],"wide":["a","b"]}},"regions":{"a":{"zones":{"a-1":{},"a-2":{}}},"b":{"zones":{"b-1":{}}}}}`))
 		So(problems, ShouldBeEmpty)
@@ -278,16 +278,16 @@
 		So(used, ShouldResemble, map[string]int{"r1": 1, "r2": 1, "r3": 1})
 	})
 	Convey("a ticket that names an address of no member is not asked there", t, func() {
-		bench := newBench("x", "y")
+		bench := newTestCluster("x", "y")
 		defer bench.Close()
 		bench.do("x", func(*decide.Decider) {})
 		claims := bench.Messages["Ticket.Settle"]
-		_, failure := bench.allow("x", decide.Ticket{ID: "i", Daemon: "evil", Incarnation: "n", Wire: "elsewhere", Expiry: time.Hour}.Seal(), "q")
+		_, failure := bench.admit("x", decide.Ticket{ID: "i", Daemon: "evil", Incarnation: "n", Wire: "elsewhere", Expiry: time.Hour}.Seal(), "q")
 		So(failure.Code, ShouldEqual, "daemon_gone")
 		So(bench.Messages["Ticket.Settle"], ShouldEqual, claims)
 	})
 	Convey("a retry of what ran already costs no retry", t, func() {
-		bench := newBench("x")
+		bench := newTestCluster("x")
 		defer bench.Close()
 		var ticket string
 		bench.do("x", func(decider *decide.Decider) {
@@ -309,7 +309,7 @@
 		})
 	})
 	Convey("the gate declines a selection whose permit ran out, or whose replica is no longer to be used", t, func() {
-		bench := newBench("x")
+		bench := newTestCluster("x")
 		defer bench.Close()
 		bench.do("x", func(decider *decide.Decider) {
 			selection, _ := decider.Select(call("q"), nil)
@@ -322,14 +322,14 @@
 				panic("passed the gate")
 			}
 			bench.now = view([]string{"x"}, 4, false)
-			bench.now.Expiry = 0
+			bench.now.Deadline = 0
 			if _, failure := decider.Gate(selection); failure == nil || failure.Code != "no_permit" {
 				panic("passed the gate")
 			}
 		})
 	})
 	Convey("credits bind, home goes before spill, and what can't be placed in time is declined at once or at its expiry", t, func() {
-		bench := newBench("x")
+		bench := newTestCluster("x")
 		defer bench.Close()
 		used := map[string]int{}
 		codes := map[string]int{}
@@ -360,7 +360,7 @@
 		So(far.Spill, ShouldBeTrue)
 	})
 	Convey("a trial gets its small share of a kind and no more, and nothing once it plainly fails", t, func() {
-		bench := newBench("x")
+		bench := newTestCluster("x")
 		defer bench.Close()
 		bench.now = view([]string{"x"}, 4, true)
 		trials := 0
@@ -377,11 +377,11 @@
 					if failure != nil {
 						return
 					}
-					var end *verdict.Mishap
+					var end *verdict.Error
 					if selection.Version == "v2" {
 						trials++
 						if fails {
-							end = &verdict.Mishap{Verdict: verdict.Ran, Code: "replica_failed"}
+							end = &verdict.Error{Verdict: verdict.Ran, Code: "replica_failed"}
 						}
 					}
 					decider.Release(selection, end, time.Millisecond)
@@ -396,7 +396,7 @@
 		So(trials, ShouldBeLessThanOrEqualTo, 16)
 	})
 	Convey("retries are let in up to a fifth of the real demand of the last seconds; nothing else is saved up", t, func() {
-		bench := newBench("x")
+		bench := newTestCluster("x")
 		defer bench.Close()
 		count := 0
 		allow := func(isRetry bool) bool {
@@ -433,16 +433,16 @@
 	})
 	Convey("no decline promises not_run while another try of the request runs or ran", t, func() {
 		type rejectionCase struct {
-			change func(bench *bench)
+			change func(bench *testCluster)
 			code   string
 		}
 		for name, rejection := range map[string]rejectionCase{
-			"no permit":    {func(bench *bench) { bench.now.Expiry = 0 }, "no_permit"},
-			"evacuated":    {func(bench *bench) { bench.now.Evacuated["a-1"] = true }, "evacuated"},
-			"stopping":     {func(bench *bench) { bench.deciders["x"].Stop() }, "stopping"},
-			"no such home": {func(bench *bench) { bench.now.Tree = treeOf(`"homes":{"inland":["b"]}`) }, "outside_home"},
-			"no model":     {func(bench *bench) { bench.now.Tree = treeOf(`"placements":{"other":{"version":"v1"}}`) }, "no_model"},
-			"retry budget": {func(bench *bench) {
+			"no permit":    {func(bench *testCluster) { bench.now.Deadline = 0 }, "no_permit"},
+			"evacuated":    {func(bench *testCluster) { bench.now.Evacuated["a-1"] = true }, "evacuated"},
+			"stopping":     {func(bench *testCluster) { bench.deciders["x"].Stop() }, "stopping"},
+			"no such home": {func(bench *testCluster) { bench.now.Tree = treeOf(`"homes":{"inland":["b"]}`) }, "outside_home"},
+			"no model":     {func(bench *testCluster) { bench.now.Tree = treeOf(`"placements":{"other":{"version":"v1"}}`) }, "no_model"},
+			"retry budget": {func(bench *testCluster) {
 				for index := 0; index < 3; index++ {
 					spent := call(fmt.Sprint("spent", index))
 					spent.Retried = true
@@ -450,7 +450,7 @@
 				}
 			}, "retry_budget"},
 		} {
-			bench := newBench("x")
+			bench := newTestCluster("x")
 			bench.now = view([]string{"x"}, 4, false)
 			home := ""
 			if name == "no such home" {
@@ -485,9 +485,9 @@
 		}
 	})
 	Convey("a try without a ticket is not run, and nothing is said of others", t, func() {
-		bench := newBench("x")
+		bench := newTestCluster("x")
 		defer bench.Close()
-		_, failure := bench.allow("x", "", "q")
+		_, failure := bench.admit("x", "", "q")
 		So(failure.Code, ShouldEqual, "ticket_needed")
 		So(failure.Verdict, ShouldEqual, verdict.MayHaveRun)
 	})
@@ -513,12 +513,12 @@
 func BenchmarkDecision(b *testing.B) {
 	world := loop.NewMachine()
 	now := view([]string{"x"}, 8, false)
-	decider := decide.New(decide.Options{World: world, Net: &wire.TCP{World: world}, Holder: func() *permit.View { return now }, Self: session.Member{Name: "x", Incarnation: "x#1", Region: "a", Zone: "a-1"}})
+	decider := decide.New(decide.Options{World: world, Net: &wire.TCP{World: world}, View: func() *lease.View { return now }, Self: session.Member{Name: "x", Incarnation: "x#1", Region: "a", Zone: "a-1"}})
 	body := []byte(`{"model":"m","stream":true,"max_tokens":16,"prompt":"` + fmt.Sprintf("%06000d", 7) + `"}`)
 	b.ReportAllocs()
 	for b.Loop() {
 		request := &decide.Call{ID: "q", Model: "m", Kind: "k"}
-		if failure := decider.Weigh(request, body); failure != nil {
+		if failure := decider.ReadCost(request, body); failure != nil {
 			b.Fatal(failure)
 		}
 		selection, failure := decider.Select(request, nil)
--- a/decide/doors.go
+++ b/decide/entry_daemons.go
@@ -6,19 +6,19 @@
 
 // Doors: the addresses at which callers enter.
 
-// Doors returns the daemons that callers in the zone may send requests for the host to, from
+// EntryDaemons returns the daemons that callers in the zone may send requests for the host to, from
 // the nearest of these groups that is not empty: those in the zone; those in the region;
 // those in regions that are a home of all the host's routes; those of the caller's region,
 // then of such homes, that are shutting down and still serve late requests; any other that
 // is not shutting down. It returns none while this daemon has no valid lease.
-func (decider *Decider) Doors(host, region, zone string) []session.Member {
-	view := decider.Holder()
-	if !view.Serves(decider.World.Now()) {
+func (decider *Decider) EntryDaemons(host, region, zone string) []session.Member {
+	view := decider.View()
+	if !view.MayServe(decider.World.Now()) {
 		return nil
 	}
 	homes := map[string]bool{}
 	for _, home := range view.Tree.Regions() {
-		homes[home] = view.Tree.AtHome(host, home)
+		homes[home] = view.Tree.HostAllowed(host, home)
 	}
 	const none = 6
 	distance := func(member session.Member) int {
--- a/decide/doors_test.go
+++ b/decide/entry_daemons_test.go
@@ -5,17 +5,17 @@
 	"testing"
 
 	"swifttiller/decide"
+	"swifttiller/lease"
 	"swifttiller/loop"
-	"swifttiller/permit"
 	"swifttiller/session"
 	"swifttiller/settings"
 	"swifttiller/sim"
 )
 
-// TestDoorsLeadHome: if all daemons of a caller's region are leaving, callers are sent to
+// TestEntryDaemonsPreferHomeRegions: if all daemons of a caller's region are leaving, callers are sent to
 // the home regions of their host's routes, or to those of their own region that still serve;
 // to other regions only if there are none of these. Otherwise requests would leave their home.
-func TestDoorsLeadHome(t *testing.T) {
+func TestEntryDaemonsPreferHomeRegions(t *testing.T) {
 	tree, problems := settings.Parse([]byte(`{"whole":{"placements":{"m":{"version":"any","capacity":64}}},"engines":{"m":{"probe_path":"/vitals"}},
  "routes":[{"name":"r","host":"home.example","prefix":"/x/","kind":"safe","timeout_ms":1000,"homes":["a","b"],"shares":[{"model":"m","weight":1}]},
   {"name":"s","host":"home.example","prefix":"/y/","kind":"safe","timeout_ms":1000,"homes":["b","a"],"shares":[{"model":"m","weight":1}]},
@@ -46,7 +46,7 @@
 		{name: "an unknown host like one without homes", host: "other.example", region: "b", zone: "b-1", leaving: []string{"b1", "b2"}, want: []string{"a1", "a2", "c1"}},
 		{name: "the caller's own region if all are leaving", host: "any.example", region: "c", zone: "c-1", leaving: []string{"a1", "a2", "b1", "b2", "c1"}, want: []string{"c1"}},
 	} {
-		view := &permit.View{Tree: tree, Expiry: loop.Forever}
+		view := &lease.View{Tree: tree, Deadline: loop.Forever}
 		for _, member := range members {
 			member.Role, member.Door, member.Leaving = session.Data, member.Name, slices.Contains(test.leaving, member.Name)
 			if !slices.Contains(test.gone, member.Name) {
@@ -55,8 +55,8 @@
 		}
 		var got []string
 		world.Start("asked", func(node *sim.Node) {
-			decider := decide.New(decide.Options{World: node, Holder: func() *permit.View { return view }, Self: view.Members[0]})
-			for _, member := range decider.Doors(test.host, test.region, test.zone) {
+			decider := decide.New(decide.Options{World: node, View: func() *lease.View { return view }, Self: view.Members[0]})
+			for _, member := range decider.EntryDaemons(test.host, test.region, test.zone) {
 				got = append(got, member.Door)
 			}
 		})
--- a/decide/inquiry.go
+++ b/decide/health_query.go
@@ -4,20 +4,20 @@
 	"sort"
 	"time"
 
-	"swifttiller/permit"
+	"swifttiller/lease"
+	"swifttiller/routing"
 	"swifttiller/settings"
-	"swifttiller/standing"
 )
 
-// Inquiry is a replica whose health endpoint is to be queried directly: this daemon's routing
+// HealthQuery is a replica whose health endpoint is to be queried directly: this daemon's routing
 // table shows it as warm, and no leader keeps that table up to date.
-type Inquiry struct{ Replica, Address, Boot, Path string }
+type HealthQuery struct{ Replica, Address, Boot, Path string }
 
-// word is a replica's reply to a direct query by this daemon.
+// queryReply is a replica's reply to a direct query by this daemon.
 //
 // Invariant: a reply is valid for the run (boot) that sent it, and for the length of a lease
 // from when it was asked for; a routing table that is kept up to date may lag as much.
-type word struct {
+type queryReply struct {
 	boot   string
 	sentAt time.Duration
 	isWarm bool
@@ -31,7 +31,7 @@
 )
 
 // confirmsWarm reports whether the replica recently answered that it is not cold.
-func (word word) confirmsWarm(boot string, now, span time.Duration) bool {
+func (word queryReply) confirmsWarm(boot string, now, span time.Duration) bool {
 	return word.isWarm && word.boot == boot && now-word.sentAt < span
 }
 
@@ -39,39 +39,39 @@
 // routing table, is a reason for queries.
 const demandSpan = time.Second
 
-// Inquiries lists the replicas to be queried now, those of this daemon's own region first.
+// HealthQueries lists the replicas to be queried now, those of this daemon's own region first.
 // Each is listed again only after a while, and none is listed unless requests need them. The
 // results are passed to Inquired.
-func (decider *Decider) Inquiries() (list []Inquiry) {
-	view := decider.Holder()
+func (decider *Decider) HealthQueries() (list []HealthQuery) {
+	view := decider.View()
 	now := decider.World.Now()
-	decider.guard.Lock()
-	defer decider.guard.Unlock()
-	if view.Tree == nil || decider.wanted == 0 || now-decider.wanted >= demandSpan {
+	decider.mu.Lock()
+	defer decider.mu.Unlock()
+	if view.Tree == nil || decider.lastThrottled == 0 || now-decider.lastThrottled >= demandSpan {
 		return nil
 	}
-	span := view.Tree.Span("permit_ms", "")
+	span := view.Tree.Duration("permit_ms", "")
 	isNear := map[string]bool{}
-	for region := range view.Unkept {
-		table := view.Standings[region]
+	for region := range view.Unconfirmed {
+		table := view.RoutingTables[region]
 		known := enginesByReplica(view.Tree, table)
 		for at := range table.Places {
 			place := &table.Places[at]
-			state, engine := decider.engine(place.ID), known[place.ID]
+			state, engine := decider.replicaState(place.ID), known[place.ID]
 			wait := recheckUnknown
-			if state.word.isWarm {
+			if state.queryReply.isWarm {
 				wait = recheckWarm
 			}
-			if engine == nil || place.Warm < 1 || view.Evacuated[place.Zone] || state.inquired > 0 && now-state.inquired < time.Duration(wait*float64(span)) {
+			if engine == nil || place.Warm < 1 || view.Evacuated[place.Zone] || state.lastQuery > 0 && now-state.lastQuery < time.Duration(wait*float64(span)) {
 				continue
 			}
-			state.inquired = now
+			state.lastQuery = now
 			isNear[place.ID] = region == decider.Self.Region
-			list = append(list, Inquiry{Replica: place.ID, Address: place.Address, Boot: place.Boot, Path: engine.ProbePath})
+			list = append(list, HealthQuery{Replica: place.ID, Address: place.Address, Boot: place.Boot, Path: engine.ProbePath})
 		}
 	}
 	// The order differs between daemons, so that they do not all query the same replicas first.
-	ownKey := nameKey(decider.Self.Name)
+	ownKey := nameHash(decider.Self.Name)
 	sort.Slice(list, func(a, b int) bool {
 		x, y := list[a].Replica, list[b].Replica
 		if isNear[x] != isNear[y] {
@@ -83,7 +83,7 @@
 }
 
 // enginesByReplica maps the ids of a routing table's replicas to their engines.
-func enginesByReplica(tree *settings.Tree, table standing.Standing) map[string]*settings.Engine {
+func enginesByReplica(tree *settings.Tree, table routing.Table) map[string]*settings.Engine {
 	known := map[string]*settings.Engine{}
 	for _, row := range table.Rows {
 		known[row.Replica] = tree.Engine(row.Model)
@@ -91,25 +91,25 @@
 	return known
 }
 
-// Inquired records the result of an inquiry that was sent at the given time.
-func (decider *Decider) Inquired(inquiry Inquiry, sentAt time.Duration, isWarm bool) {
-	decider.guard.Lock()
-	defer decider.guard.Unlock()
-	state := decider.engine(inquiry.Replica)
-	if sentAt < state.word.sentAt {
+// RecordHealthQuery records the result of an inquiry that was sent at the given time.
+func (decider *Decider) RecordHealthQuery(inquiry HealthQuery, sentAt time.Duration, isWarm bool) {
+	decider.mu.Lock()
+	defer decider.mu.Unlock()
+	state := decider.replicaState(inquiry.Replica)
+	if sentAt < state.queryReply.sentAt {
 		return
 	}
-	state.word = word{boot: inquiry.Boot, sentAt: sentAt, isWarm: isWarm}
+	state.queryReply = queryReply{boot: inquiry.Boot, sentAt: sentAt, isWarm: isWarm}
 	if !isWarm {
 		return
 	}
 	for _, waiting := range decider.queue {
-		waiting.box.Put(nil)
+		waiting.mailbox.Put(nil)
 	}
 }
 
 // isCold reports whether a replica counts as cold: its routing table says so, or nobody keeps
 // that up to date and the replica has not recently answered otherwise.
-func (decider *Decider) isCold(view *permit.View, place *standing.Place, state *engine, now time.Duration) bool {
-	return place.Warm < 1 || view.Unkept[place.Region] && !state.word.confirmsWarm(place.Boot, now, view.Tree.Span("permit_ms", ""))
+func (decider *Decider) isCold(view *lease.View, place *routing.Endpoint, state *replicaState, now time.Duration) bool {
+	return place.Warm < 1 || view.Unconfirmed[place.Region] && !state.queryReply.confirmsWarm(place.Boot, now, view.Tree.Duration("permit_ms", ""))
 }
--- a/decide/peerreport.go
+++ b/decide/health_reports.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
+	"swifttiller/lease"
 	"swifttiller/loop"
-	"swifttiller/permit"
 	"swifttiller/session"
 )
 
@@ -74,9 +74,9 @@
 	isSending bool
 }
 
-// report queues a report to the peers about the replica of a selection. The caller holds
+// queueReport queues a report to the peers about the replica of a selection. The caller holds
 // guard.
-func (decider *Decider) report(selection *Selection) {
+func (decider *Decider) queueReport(selection *Selection) {
 	if len(decider.reportPeers()) == 0 {
 		return
 	}
@@ -95,7 +95,7 @@
 	if decider.Net == nil {
 		return nil
 	}
-	for _, member := range decider.Holder().Members {
+	for _, member := range decider.View().Members {
 		if member.Role == session.Data && member.Region == decider.Self.Region && member.Name != decider.Self.Name && !member.Leaving && member.Wire != "" {
 			list = append(list, member)
 		}
@@ -125,19 +125,19 @@
 
 // takeOutbound returns the queued reports; if there are none, it ends the sending.
 func (decider *Decider) takeOutbound() (reports HealthReports, has bool) {
-	decider.guard.Lock()
-	defer decider.guard.Unlock()
+	decider.mu.Lock()
+	defer decider.mu.Unlock()
 	now := decider.World.Now()
 	reports.From, reports.Zone = decider.Self.Name, decider.Self.Zone
 	for _, id := range slices.Sorted(maps.Keys(decider.outbound.replicas)) {
-		report, state := decider.outbound.replicas[id], decider.engines[id]
+		report, state := decider.outbound.replicas[id], decider.replicas[id]
 		if state == nil {
 			continue
 		}
 		health := &state.health
 		health.decay(now)
-		report.Bad = health.bad
-		if health.isHeld {
+		report.Bad = health.failures
+		if health.isEjected {
 			report.Held = max(0, health.ejectedUntil-now)
 		}
 		reports.Replicas = append(reports.Replicas, report)
@@ -154,10 +154,10 @@
 // after its start, or after the replica has served a probe. No more replicas are ejected than
 // mayEject allows.
 func (decider *Decider) TakeReports(reports HealthReports) {
-	view := decider.Holder()
+	view := decider.View()
 	now := decider.World.Now()
-	decider.guard.Lock()
-	defer decider.guard.Unlock()
+	decider.mu.Lock()
+	defer decider.mu.Unlock()
 	for _, report := range reports.Replicas {
 		if boot, isShown := shownBoot(view, report.Region, report.Replica); !isShown || boot != report.Boot || !(report.Bad >= 0) {
 			continue // another run of the replica, one this daemon sends nothing to, or no valid count
@@ -166,8 +166,8 @@
 	}
 }
 
-func (decider *Decider) takeReport(view *permit.View, reports HealthReports, report HealthReport, now time.Duration) {
-	state := decider.engine(report.Replica)
+func (decider *Decider) takeReport(view *lease.View, reports HealthReports, report HealthReport, now time.Duration) {
+	state := decider.replicaState(report.Replica)
 	if state.reports == nil {
 		state.reports = map[string]healthReport{}
 	}
@@ -177,16 +177,16 @@
 		return
 	}
 	health := &state.health
-	if health.isHeld {
+	if health.isEjected {
 		if health.probeSuccesses == 0 {
 			// A random delay keeps the peers from probing it all at the same moment.
-			health.extend(now + remaining + time.Duration(decider.World.Draw(int64(remaining/2)+1)))
+			health.extend(now + remaining + time.Duration(decider.World.RandN(int64(remaining/2)+1)))
 		}
 		return
 	}
 	health.decay(now)
 	reported := state.reported(report.Boot, now)
-	isSeen := health.bad >= minOutlierFailures || reported >= minReportedFailures
+	isSeen := health.failures >= minOutlierFailures || reported >= minReportedFailures
 	if isSeen && health.isOutlier(decider.usualFailureShare(state, report.Region, report.Model, now), reported) && decider.mayEject(view, report.Region, report.Model) {
 		state.region, state.model = report.Region, report.Model
 		health.eject(now)
@@ -195,8 +195,8 @@
 }
 
 // shownBoot returns the run (boot) of a replica that the region's routing table shows.
-func shownBoot(view *permit.View, region, replica string) (boot string, isShown bool) {
-	places := view.Standings[region].Places
+func shownBoot(view *lease.View, region, replica string) (boot string, isShown bool) {
+	places := view.RoutingTables[region].Places
 	for at := range places {
 		if places[at].ID == replica {
 			return places[at].Boot, true
@@ -207,14 +207,14 @@
 
 // reported sums what peers report against the present run of the replica, in failures, and
 // forgets reports that no longer count.
-func (engine *engine) reported(boot string, now time.Duration) (failures float64) {
+func (engine *replicaState) reported(boot string, now time.Duration) (failures float64) {
 	if len(engine.reports) == 0 {
 		return 0
 	}
 	zones := map[string]float64{}
 	for from, report := range engine.reports {
 		remaining := report.remaining(now)
-		if report.boot != boot || remaining < leastBad && now >= report.until {
+		if report.boot != boot || remaining < minFailures && now >= report.until {
 			delete(engine.reports, from)
 			continue
 		}
--- a/decide/peerreport_test.go
+++ b/decide/health_reports_test.go
@@ -28,16 +28,16 @@
 }
 
 // takeReports passes a peer's reports to the clinic's daemon.
-func (clinic *clinic) takeReports(from, zone string, replicas ...decide.HealthReport) {
+func (clinic *healthBench) takeReports(from, zone string, replicas ...decide.HealthReport) {
 	clinic.decider.TakeReports(decide.HealthReports{From: from, Zone: zone, Replicas: replicas})
 }
 
-// TestReportsOfOneZoneHoldNothing: if only the network path from one zone is broken, its
+// TestReportsOfOneZoneEjectNothing: if only the network path from one zone is broken, its
 // daemons report a replica that works for others. However many peers of one zone report it,
 // and however often, it stays in use; with a report from a second zone, or after a failure
 // of this daemon's own there, it is ejected.
-func TestReportsOfOneZoneHoldNothing(t *testing.T) {
-	clinic := newClinic(t, 30, resumedPath)
+func TestReportsOfOneZoneEjectNothing(t *testing.T) {
+	clinic := newHealthBench(t, 30, resumedPath)
 	clinic.Run(3 * time.Second)
 	busiest := clinic.busiest()
 	unused := newReport("i-0", 1, 4*time.Second)
@@ -54,12 +54,12 @@
 		t.Errorf("worth: by reports of two zones %v is ejected, want only %s", held, busiest)
 	}
 
-	clinic = newClinic(t, 30, resumedPath)
+	clinic = newHealthBench(t, 30, resumedPath)
 	clinic.Run(3 * time.Second)
 	busiest = clinic.busiest()
 	clinic.takeReports("d", "a-1", newReport(busiest, 1, 4*time.Second))
 	failed := 0
-	clinic.fails = func(replica string) *verdict.Mishap {
+	clinic.fails = func(replica string) *verdict.Error {
 		if replica == busiest {
 			failed++
 			return badAnswer
@@ -72,10 +72,10 @@
 	}
 }
 
-// TestReportsAreOfOneLife: reports about an earlier run of a replica, or about one that the
+// TestReportsAboutOtherBootsAreIgnored: reports about an earlier run of a replica, or about one that the
 // region's routing table does not show, change nothing.
-func TestReportsAreOfOneLife(t *testing.T) {
-	clinic := newClinic(t, 30, resumedPath)
+func TestReportsAboutOtherBootsAreIgnored(t *testing.T) {
+	clinic := newHealthBench(t, 30, resumedPath)
 	clinic.Run(3 * time.Second)
 	former := newReport(clinic.busiest(), 1, 4*time.Second)
 	former.Boot = "former"
@@ -89,13 +89,13 @@
 	}
 }
 
-// TestReportsExtendAHold: a daemon does not probe an ejected replica while a peer's probes
+// TestReportsExtendAnEjection: a daemon does not probe an ejected replica while a peer's probes
 // fail, but only up to the bound.
-func TestReportsExtendAHold(t *testing.T) {
-	clinic := newClinic(t, 30, resumedPath)
+func TestReportsExtendAnEjection(t *testing.T) {
+	clinic := newHealthBench(t, 30, resumedPath)
 	clinic.Run(3 * time.Second)
 	failing := clinic.busiest()
-	clinic.fails = func(replica string) *verdict.Mishap {
+	clinic.fails = func(replica string) *verdict.Error {
 		if replica == failing {
 			return badAnswer
 		}
@@ -105,7 +105,7 @@
 		clinic.Run(10 * time.Millisecond)
 	}
 	began := clinic.Now()
-	clinic.fails = func(string) *verdict.Mishap { return nil } // it has recovered, though the peer still reports failures
+	clinic.fails = func(string) *verdict.Error { return nil } // it has recovered, though the peer still reports failures
 	sent := len(clinic.sent[failing])
 	for clinic.Now() < began+15*time.Second {
 		clinic.takeReports("d", "a-1", newReport(failing, 1, 8*time.Second))
@@ -128,7 +128,7 @@
 // no effect any more soon after.
 func TestAnyReports(t *testing.T) {
 	rapid.Check(t, func(draw *rapid.T) {
-		clinic := newClinic(t, 30, rapid.SampledFrom([]string{resumedPath, oncePath}).Draw(draw, "path"))
+		clinic := newHealthBench(t, 30, rapid.SampledFrom([]string{resumedPath, oncePath}).Draw(draw, "path"))
 		defer clinic.Close()
 		clinic.Run(time.Second)
 		for range rapid.IntRange(1, 30).Draw(draw, "reports") {
--- a/decide/health_test.go
+++ b/decide/health_test.go
@@ -6,29 +6,29 @@
 	"time"
 
 	"swifttiller/decide"
+	"swifttiller/lease"
 	"swifttiller/loop"
-	"swifttiller/permit"
 	"swifttiller/session"
 	"swifttiller/sim"
 	"swifttiller/verdict"
 )
 
-// clinic is a decider in a simulation with many replicas, some of which fail.
-type clinic struct {
+// healthBench is a decider in a simulation with many replicas, some of which fail.
+type healthBench struct {
 	*sim.Sim
 	t       *testing.T
 	decider *decide.Decider
 	// fails returns the outcome of a request at the replica; nil is a success.
-	fails func(replica string) *verdict.Mishap
-	// hears, if set, takes the place of fails and gets the whole selection.
-	hears func(selection *decide.Selection) *verdict.Mishap
+	fails func(replica string) *verdict.Error
+	// failsSelection, if set, takes the place of fails and gets the whole selection.
+	failsSelection func(selection *decide.Selection) *verdict.Error
 	// declines, if set, gets the rejections of requests that no replica was found for.
-	declines func(mishap *verdict.Mishap)
-	view     *permit.View
+	declines func(mishap *verdict.Error)
+	view     *lease.View
 	// sent holds the times of the requests to each replica; failed and all count requests
 	// since the last takeCounts.
-	sent        map[string][]time.Duration
-	failed, all int
+	sent          map[string][]time.Duration
+	failed, total int
 }
 
 // Routes of a clinic: the requests of the first may be repeated, those of the other not.
@@ -37,13 +37,13 @@
 	oncePath    = "/once/y"
 )
 
-func newClinic(t *testing.T, replicas int, path string) *clinic {
-	clinic := &clinic{Sim: sim.New(1), t: t, sent: map[string][]time.Duration{}, fails: func(string) *verdict.Mishap { return nil }}
+func newHealthBench(t *testing.T, replicas int, path string) *healthBench {
+	clinic := &healthBench{Sim: sim.New(1), t: t, sent: map[string][]time.Duration{}, fails: func(string) *verdict.Error { return nil }}
 	t.Cleanup(clinic.Close)
 	view := routedView(replicas)
 	clinic.view = view
 	clinic.Start("x", func(node *sim.Node) {
-		clinic.decider = decide.New(decide.Options{World: node, Holder: func() *permit.View { return view }, Self: session.Member{Name: "x", Role: session.Data, Region: "a", Zone: "a-1"}})
+		clinic.decider = decide.New(decide.Options{World: node, View: func() *lease.View { return view }, Self: session.Member{Name: "x", Role: session.Data, Region: "a", Zone: "a-1"}})
 		for {
 			loop.Sleep(node, 10*time.Millisecond)
 			node.Go(func() { clinic.request(node, path) })
@@ -53,9 +53,9 @@
 }
 
 // request sends one request of 30 ms to the replica that the decider selects.
-func (clinic *clinic) request(node *sim.Node, path string) {
-	routed := &decide.Routed{ID: "r", Host: "h.example", Path: path, Tokens: 100, Most: 40, Expiry: node.Now() + 10*time.Second}
-	if mishap := clinic.decider.Direct(routed); mishap != nil {
+func (clinic *healthBench) request(node *sim.Node, path string) {
+	routed := &decide.Routed{ID: "r", Host: "h.example", Path: path, Tokens: 100, MaxAnswerTokens: 40, Deadline: node.Now() + 10*time.Second}
+	if mishap := clinic.decider.Resolve(routed); mishap != nil {
 		clinic.t.Error(mishap.Code)
 		return
 	}
@@ -68,30 +68,30 @@
 		clinic.t.Errorf("%s at %v", mishap.Code, node.Now())
 		return
 	}
-	clinic.all++
+	clinic.total++
 	clinic.sent[selection.Replica] = append(clinic.sent[selection.Replica], node.Now())
 	mishap = clinic.fails(selection.Replica)
-	if clinic.hears != nil {
-		mishap = clinic.hears(selection)
+	if clinic.failsSelection != nil {
+		mishap = clinic.failsSelection(selection)
 	}
 	loop.Sleep(node, 30*time.Millisecond)
 	if mishap == nil {
-		clinic.decider.Heard(selection, nil)
-		clinic.decider.Begun(selection, true)
+		clinic.decider.NoteAlive(selection, nil)
+		clinic.decider.NoteFirstChunk(selection, true)
 	} else {
 		clinic.failed++
 	}
-	clinic.decider.Unseat(selection, mishap, 30*time.Millisecond)
+	clinic.decider.EndRouted(selection, mishap, 30*time.Millisecond)
 }
 
-func (clinic *clinic) takeCounts() (failed, all int) {
-	failed, all = clinic.failed, clinic.all
-	clinic.failed, clinic.all = 0, 0
+func (clinic *healthBench) takeCounts() (failed, all int) {
+	failed, all = clinic.failed, clinic.total
+	clinic.failed, clinic.total = 0, 0
 	return failed, all
 }
 
 // idle lists the replicas that got no request in the span before now.
-func (clinic *clinic) idle(span time.Duration) (names []string) {
+func (clinic *healthBench) idle(span time.Duration) (names []string) {
 	for name, sent := range clinic.sent {
 		if clinic.Now()-sent[len(sent)-1] > span {
 			names = append(names, name)
@@ -101,7 +101,7 @@
 }
 
 // busiest returns the replica that got the most requests.
-func (clinic *clinic) busiest() (most string) {
+func (clinic *healthBench) busiest() (most string) {
 	for name, sent := range clinic.sent {
 		if count := len(clinic.sent[most]); len(sent) > count || len(sent) == count && name < most {
 			most = name
@@ -110,17 +110,17 @@
 	return most
 }
 
-var badAnswer = &verdict.Mishap{Verdict: verdict.Ran, Code: "replica_failed", Status: 502}
+var badAnswer = &verdict.Error{Verdict: verdict.Ran, Code: "replica_failed", Status: 502}
 
-// TestMishapsKeepReplicasOut: a replica that fails 4 of 10 requests is ejected, longer
+// TestFailingReplicasAreEjected: a replica that fails 4 of 10 requests is ejected, longer
 // each time, so that few requests fail; it serves again soon after it has recovered.
-func TestMishapsKeepReplicasOut(t *testing.T) {
+func TestFailingReplicasAreEjected(t *testing.T) {
 	for _, path := range []string{resumedPath, oncePath} {
-		clinic := newClinic(t, 30, path)
+		clinic := newHealthBench(t, 30, path)
 		clinic.Run(3 * time.Second)
 		clinic.takeCounts()
 		failing := clinic.busiest()
-		clinic.fails = func(replica string) *verdict.Mishap {
+		clinic.fails = func(replica string) *verdict.Error {
 			if replica == failing && clinic.Draw(10) < 4 {
 				return badAnswer
 			}
@@ -144,7 +144,7 @@
 		if len(gaps) < 3 || slices.Max(gaps[2:]) <= gaps[1] || slices.Max(gaps) > 11*time.Second {
 			t.Errorf("%s: gaps between requests to the failing replica are %v, want growing ones of at most 11 s", path, gaps)
 		}
-		clinic.fails = func(string) *verdict.Mishap { return nil }
+		clinic.fails = func(string) *verdict.Error { return nil }
 		clinic.Run(15 * time.Second)
 		if names := clinic.idle(time.Second); len(names) > 0 {
 			t.Errorf("%s: %v still get no requests after they have recovered", path, names)
@@ -152,13 +152,13 @@
 	}
 }
 
-// TestReplicasAreTriedGently: the first requests to a replica after its ejection are at
+// TestEjectedReplicasAreProbedSlowly: the first requests to a replica after its ejection are at
 // least 140 ms apart, so that few fail if it has not recovered.
-func TestReplicasAreTriedGently(t *testing.T) {
-	clinic := newClinic(t, 30, resumedPath)
+func TestEjectedReplicasAreProbedSlowly(t *testing.T) {
+	clinic := newHealthBench(t, 30, resumedPath)
 	clinic.Run(2 * time.Second)
 	failing := clinic.busiest()
-	clinic.fails = func(replica string) *verdict.Mishap {
+	clinic.fails = func(replica string) *verdict.Error {
 		if replica == failing {
 			return badAnswer
 		}
@@ -180,13 +180,13 @@
 	}
 }
 
-// TestMostReplicasAreNeverOut: however many replicas fail, at most two in five of a region's
+// TestEjectedShareIsBounded: however many replicas fail, at most two in five of a region's
 // are ejected, and of two none is. Ejecting more would overload the rest.
-func TestMostReplicasAreNeverOut(t *testing.T) {
+func TestEjectedShareIsBounded(t *testing.T) {
 	for _, replicas := range []int{2, 3, 12, 30, 60} {
-		clinic := newClinic(t, replicas, oncePath)
+		clinic := newHealthBench(t, replicas, oncePath)
 		clinic.Run(3 * time.Second)
-		clinic.fails = func(string) *verdict.Mishap {
+		clinic.fails = func(string) *verdict.Error {
 			if clinic.Draw(10) < 3 {
 				return badAnswer
 			}
--- a/decide/keys_test.go
+++ b/decide/keys_test.go
@@ -6,14 +6,14 @@
 	"time"
 
 	"swifttiller/decide"
+	"swifttiller/lease"
 	"swifttiller/loop"
-	"swifttiller/permit"
 	"swifttiller/session"
 	"swifttiller/settings"
 )
 
 // keyedView returns a routed view with parts of its configuration replaced.
-func keyedView(t *testing.T, changes ...string) *permit.View {
+func keyedView(t *testing.T, changes ...string) *lease.View {
 	t.Helper()
 	view := routedView(30)
 	tree, problems := settings.Parse([]byte(strings.NewReplacer(changes...).Replace(string(view.Tree.Document()))))
@@ -34,9 +34,9 @@
 	moved := keyedView(t, `"regions"`, `"tenants":[{"name":"one","keys":["k2"]},{"name":"two","keys":["k1"]}],"regions"`)
 	view := tenanted
 	world := loop.NewMachine()
-	decider := decide.New(decide.Options{World: world, Holder: func() *permit.View { return view }, Self: session.Member{Name: "x", Role: session.Data, Region: "a", Zone: "a-1"}})
+	decider := decide.New(decide.Options{World: world, View: func() *lease.View { return view }, Self: session.Member{Name: "x", Role: session.Data, Region: "a", Zone: "a-1"}})
 	for _, test := range []struct {
-		view         *permit.View
+		view         *lease.View
 		path, key    string
 		status       int
 		tenant, code string
@@ -58,12 +58,12 @@
 		{routedView(30), resumedPath, "k1", 0, "", ""},
 	} {
 		view = test.view
-		routed := &decide.Routed{Host: "h.example", Path: test.path, Key: test.key, Expiry: world.Now() + time.Minute}
-		mishap := decider.Direct(routed)
+		routed := &decide.Routed{Host: "h.example", Path: test.path, Key: test.key, Deadline: world.Now() + time.Minute}
+		mishap := decider.Resolve(routed)
 		switch {
 		case (mishap != nil) != (test.status != 0), mishap != nil && (mishap.Status != test.status || mishap.Code != test.code):
 			t.Errorf("%s with key %q: unexpected outcome %+v", test.path, test.key, mishap)
-		case mishap == nil && routed.IsTenanted != test.view.Tree.Tenanted():
+		case mishap == nil && routed.IsTenanted != test.view.Tree.HasTenants():
 			t.Errorf("%s with key %q: IsTenanted is %v, unlike the configuration", test.path, test.key, routed.IsTenanted)
 		}
 		got := ""
@@ -76,40 +76,40 @@
 	}
 }
 
-// TestTenantBindsToo: a request goes only to regions that are homes of both its route and its
+// TestTenantRestrictsRegions: a request goes only to regions that are homes of both its route and its
 // tenant, and its urgency is the tenant's if that has one, else the route's.
-func TestTenantBindsToo(t *testing.T) {
+func TestTenantRestrictsRegions(t *testing.T) {
 	view := keyedView(t, `"regions"`, tenantsJSON, `"name":"o"`, `"homes":["b","c"],"urgency":4,"name":"o"`, `"name":"r"`, `"urgency":4,"name":"r"`)
 	world := loop.NewMachine()
 	for _, own := range []string{"a", "b", "c"} {
-		decider := decide.New(decide.Options{World: world, Holder: func() *permit.View { return view }, Self: session.Member{Name: "x", Role: session.Data, Region: own, Zone: own + "-1"}})
+		decider := decide.New(decide.Options{World: world, View: func() *lease.View { return view }, Self: session.Member{Name: "x", Role: session.Data, Region: own, Zone: own + "-1"}})
 		for _, test := range []struct {
 			path, key, allowed string
 			urgency            int
 		}{{resumedPath, "k1", "ab", 0}, {resumedPath, "k3", "abc", 4}, {oncePath, "k1", "b", 0}, {oncePath, "k3", "bc", 4}} {
 			for index := range 200 {
-				routed := &decide.Routed{Host: "h.example", Path: test.path, Key: test.key, Tokens: 17020, Most: 48, Expiry: world.Now() + time.Minute,
+				routed := &decide.Routed{Host: "h.example", Path: test.path, Key: test.key, Tokens: 17020, MaxAnswerTokens: 48, Deadline: world.Now() + time.Minute,
 					Parts: []decide.Part{{ID: uint64(1 + index%12), Tokens: 13300}, {ID: uint64(1000 + index), Tokens: 3720}}}
-				if mishap := decider.Direct(routed); mishap != nil {
+				if mishap := decider.Resolve(routed); mishap != nil {
 					t.Fatal(mishap.Code)
 				}
 				selection, mishap := decider.Route(routed, nil)
 				if mishap != nil {
 					t.Fatal(mishap.Code)
 				}
-				decider.Begun(selection, true)
+				decider.NoteFirstChunk(selection, true)
 				if !strings.Contains(test.allowed, selection.Region) || routed.Urgency() != test.urgency {
 					t.Fatalf("home: %s with key %s from region %s went to %s, with urgency %d", test.path, test.key, own, selection.Region, routed.Urgency())
 				}
-				decider.Unseat(selection, nil, time.Millisecond)
+				decider.EndRouted(selection, nil, time.Millisecond)
 			}
 		}
 	}
 	// If the two have no region in common, the request is rejected.
 	view = keyedView(t, `"regions"`, tenantsJSON, `"name":"o"`, `"homes":["c"],"name":"o"`)
-	decider := decide.New(decide.Options{World: world, Holder: func() *permit.View { return view }, Self: session.Member{Name: "x", Role: session.Data, Region: "a", Zone: "a-1"}})
-	routed := &decide.Routed{Host: "h.example", Path: oncePath, Key: "k1", Tokens: 100, Most: 40, Expiry: world.Now() + time.Minute}
-	if mishap := decider.Direct(routed); mishap != nil {
+	decider := decide.New(decide.Options{World: world, View: func() *lease.View { return view }, Self: session.Member{Name: "x", Role: session.Data, Region: "a", Zone: "a-1"}})
+	routed := &decide.Routed{Host: "h.example", Path: oncePath, Key: "k1", Tokens: 100, MaxAnswerTokens: 40, Deadline: world.Now() + time.Minute}
+	if mishap := decider.Resolve(routed); mishap != nil {
 		t.Fatal(mishap.Code)
 	}
 	if selection, mishap := decider.Route(routed, nil); mishap == nil || mishap.Status != 503 {
--- a/decide/crowd.go
+++ b/decide/load.go
@@ -28,7 +28,7 @@
 const loadLifetime = 2 * time.Second
 
 // freshness is the weight of the last load report: one if it is new, zero once it is too old.
-func (state *engine) freshness(now time.Duration) float64 {
+func (state *replicaState) freshness(now time.Duration) float64 {
 	if state.loadAt == 0 {
 		return 0
 	}
@@ -36,7 +36,7 @@
 }
 
 // add adds the load report of a replica.
-func (load *regionLoad) add(state *engine, now time.Duration) {
+func (load *regionLoad) add(state *replicaState, now time.Duration) {
 	fresh := state.freshness(now)
 	load.running += fresh * float64(state.load.Running)
 	load.waiting += fresh * float64(state.load.Waiting)
@@ -47,7 +47,7 @@
 // report, mixed with the mean of its region the older the report is. A daemon among many
 // hears from each replica seldom, so a replica without a recent report is assumed to be as busy
 // as the others, not idle.
-func (load *regionLoad) estimate(state *engine, now time.Duration) (running, waiting float64) {
+func (load *regionLoad) estimate(state *replicaState, now time.Duration) (running, waiting float64) {
 	if load.weight > 0 {
 		fresh := state.freshness(now)
 		running = fresh*float64(state.load.Running) + (1-fresh)*load.running/load.weight
--- a/decide/window.go
+++ b/decide/outcome_window.go
@@ -4,18 +4,18 @@
 	"sort"
 	"time"
 
-	"swifttiller/standing"
+	"swifttiller/routing"
 )
 
-// flow is a rate, smoothed over about two seconds.
-type flow struct {
+// smoothedRate is a rate, smoothed over about two seconds.
+type smoothedRate struct {
 	value float64
 	at    time.Duration
 }
 
 const smoothingSpan = 2 * time.Second
 
-func (flow *flow) decay(now time.Duration) {
+func (flow *smoothedRate) decay(now time.Duration) {
 	if now <= flow.at {
 		return
 	}
@@ -28,13 +28,13 @@
 	flow.at = now
 }
 
-func (flow *flow) add(now time.Duration, amount float64) {
+func (flow *smoothedRate) add(now time.Duration, amount float64) {
 	flow.decay(now)
 	flow.value += amount
 }
 
 // rate returns the rate per second.
-func (flow *flow) rate(now time.Duration) float64 {
+func (flow *smoothedRate) rate(now time.Duration) float64 {
 	flow.decay(now)
 	return flow.value / smoothingSpan.Seconds()
 }
@@ -42,24 +42,24 @@
 // window keeps the outcomes of the last seconds, in slices, and the totals since the start.
 type window struct {
 	slices [windowSlices]windowSlice
-	totals map[standing.Outcome]standing.Outcome
+	totals map[routing.Outcome]routing.Outcome
 }
 
 type windowSlice struct {
 	number int64
-	counts map[standing.Outcome]standing.Outcome
+	counts map[routing.Outcome]routing.Outcome
 }
 
 const (
 	windowSlices = 12
-	sliceSpan    = standing.Window / windowSlices
+	sliceSpan    = routing.RecentWindow / windowSlices
 )
 
-func (window *window) add(now time.Duration, outcome standing.Outcome, region string) {
+func (window *window) add(now time.Duration, outcome routing.Outcome, region string) {
 	number := int64(now / sliceSpan)
 	slot := &window.slices[number%windowSlices]
 	if slot.number != number || slot.counts == nil {
-		*slot = windowSlice{number, map[standing.Outcome]standing.Outcome{}}
+		*slot = windowSlice{number, map[routing.Outcome]routing.Outcome{}}
 	}
 	key := outcome.Key()
 	sum, known := slot.counts[key]
@@ -77,9 +77,9 @@
 	window.totals[key] = total
 }
 
-func (window *window) recent(now time.Duration) map[standing.Outcome]standing.Outcome {
+func (window *window) recent(now time.Duration) map[routing.Outcome]routing.Outcome {
 	number := int64(now / sliceSpan)
-	out := map[standing.Outcome]standing.Outcome{}
+	out := map[routing.Outcome]routing.Outcome{}
 	for _, slot := range window.slices {
 		if number-slot.number >= windowSlices {
 			continue
@@ -96,8 +96,8 @@
 	return out
 }
 
-func ordered(table map[standing.Outcome]standing.Outcome) []standing.Outcome {
-	out := make([]standing.Outcome, 0, len(table))
+func ordered(table map[routing.Outcome]routing.Outcome) []routing.Outcome {
+	out := make([]routing.Outcome, 0, len(table))
 	for _, outcome := range table {
 		out = append(out, outcome)
 	}
@@ -108,12 +108,12 @@
 	return out
 }
 
-// budget counts first tries and retries of the last seconds, in slices.
-type budget [budgetSlices]budgetSlice
+// retryBudget counts first tries and retries of the last seconds, in slices.
+type retryBudget [budgetSlices]budgetSlice
 
 type budgetSlice struct {
-	number         int64
-	fresh, retries int
+	number              int64
+	firstTries, retries int
 }
 
 const (
@@ -123,8 +123,8 @@
 	budgetSpan = 10 * time.Second
 )
 
-// count returns the slice for the time, emptied if it was of an earlier span.
-func (budget *budget) count(now time.Duration) *budgetSlice {
+// slice returns the slice for the time, emptied if it was of an earlier span.
+func (budget *retryBudget) slice(now time.Duration) *budgetSlice {
 	number := int64(now / (budgetSpan / budgetSlices))
 	slot := &budget[number%budgetSlices]
 	if slot.number != number {
@@ -134,11 +134,11 @@
 }
 
 // sums returns the first tries and retries within the span that ends now.
-func (budget *budget) sums(now time.Duration) (fresh, retries int) {
+func (budget *retryBudget) sums(now time.Duration) (fresh, retries int) {
 	number := int64(now / (budgetSpan / budgetSlices))
 	for _, slot := range budget {
 		if number-slot.number < budgetSlices {
-			fresh += slot.fresh
+			fresh += slot.firstTries
 			retries += slot.retries
 		}
 	}
--- a/decide/owner.go
+++ b/decide/owner.go
@@ -3,7 +3,7 @@
 import (
 	"strconv"
 
-	"swifttiller/standing"
+	"swifttiller/routing"
 )
 
 // Owners of shared prompt parts: rendezvous hashing by slots, which all daemons rank alike.
@@ -31,8 +31,8 @@
 // parts whose owner is cold, held or gone are prefilled again at one replica and not by each
 // daemon at another one. If the tenant's placement has a home with candidates, only those are
 // considered.
-func assignOwners(routed *Routed, candidates []routeCandidate, home string, isNear func(*standing.Place) bool) {
-	if routed.owner == 0 && home == "" {
+func assignOwners(routed *Routed, candidates []routeCandidate, home string, isNear func(*routing.Endpoint) bool) {
+	if routed.sharedKey == 0 && home == "" {
 		return
 	}
 	var owner, successor *routeCandidate
@@ -44,7 +44,7 @@
 		if isHome && !isPlaced {
 			isPlaced, owner, successor = true, nil, nil
 		}
-		if isPlaced && !isHome || !isPlaced && (!isNear(candidate.endpoint) || routed.owner == 0) {
+		if isPlaced && !isHome || !isPlaced && (!isNear(candidate.endpoint) || routed.sharedKey == 0) {
 			continue
 		}
 		switch score := slotScore(routed.ownerKey, candidate.endpoint); {
@@ -63,6 +63,6 @@
 }
 
 // slotScore returns the rendezvous weight of a key at an endpoint's slot.
-func slotScore(key uint64, endpoint *standing.Place) uint64 {
+func slotScore(key uint64, endpoint *routing.Endpoint) uint64 {
 	return score(key, endpoint.Region+"/"+strconv.Itoa(endpoint.Slot))
 }
--- a/decide/forecast.go
+++ b/decide/prediction.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"swifttiller/permit"
+	"swifttiller/lease"
 )
 
 // Prediction of the time to first token.
@@ -16,13 +16,13 @@
 	crossRegionKiB float64
 }
 
-func (decider *Decider) routingCosts(view *permit.View, model string) routingCosts {
+func (decider *Decider) routingCosts(view *lease.View, model string) routingCosts {
 	zone := decider.Self.Zone
 	berths := 0
 	if config := view.Tree.Engine(model); config != nil {
-		berths = config.Berths
+		berths = config.Slots
 	}
-	return routingCosts{berths: berths, crossRegion: view.Tree.Span("far_ms", zone), duplicatePrefill: view.Tree.Span("again_ms", zone), crossRegionKiB: view.Tree.Limit("far_kb_ms", zone)}
+	return routingCosts{berths: berths, crossRegion: view.Tree.Duration("far_ms", zone), duplicatePrefill: view.Tree.Duration("again_ms", zone), crossRegionKiB: view.Tree.Limit("far_kb_ms", zone)}
 }
 
 // contention returns the delay of the first chunk by running requests: a little for each, and
@@ -42,7 +42,7 @@
 	own, shared := state.uncachedTokens(routed.Parts, routed.Tokens, candidate.isOwner)
 	candidate.uncached, candidate.uncachedShared = own+shared, shared
 	candidate.running, candidate.waiting = running, waiting
-	candidate.ttft = decider.baseLatency + decider.reading(state.prefillTokens) + decider.reading(candidate.uncached) + costs.contention(running) + time.Duration(waiting*float64(delayPerWaiting)) + state.decayedLag(now)
+	candidate.ttft = decider.baseLatency + decider.prefillTime(state.prefillTokens) + decider.prefillTime(candidate.uncached) + costs.contention(running) + time.Duration(waiting*float64(delayPerWaiting)) + state.decayedLag(now)
 	duplicateCost := float64(shared) / 1000 * float64(costs.duplicatePrefill)
 	if candidate.isSuccessor {
 		duplicateCost *= successorCostShare
@@ -61,17 +61,17 @@
 	if candidate.endpoint.Warm < 1 {
 		candidate.cost += coldPenalty
 	}
-	candidate.cost += state.health.penalty(now, routed.Route.Repeatable(), state.reported(candidate.endpoint.Boot, now))
-	if !routed.Route.Repeatable() && now < decider.wary && now-state.vouched > livenessLifetime && state.health.bad < leastBad {
+	candidate.cost += state.health.penalty(now, routed.Route.Idempotent(), state.reported(candidate.endpoint.Boot, now))
+	if !routed.Route.Idempotent() && now < decider.cautiousUntil && now-state.lastAlive > livenessLifetime && state.health.failures < minFailures {
 		candidate.cost += staleLivenessPenalty
 	}
 	// A random amount spreads requests over candidates of equal cost.
-	candidate.cost += time.Duration(decider.World.Draw(int64(time.Millisecond)))
+	candidate.cost += time.Duration(decider.World.RandN(int64(time.Millisecond)))
 }
 
-// reading returns the prefill time of a prompt: a constant for each token, and a little for each
+// prefillTime returns the prefill time of a prompt: a constant for each token, and a little for each
 // token that precedes it.
-func (decider *Decider) reading(tokens int) time.Duration {
+func (decider *Decider) prefillTime(tokens int) time.Duration {
 	pairs := float64(tokens) * float64(tokens) / 2
 	return time.Duration((float64(tokens)/decider.prefillRate() + pairs*msPerTokenPair) * float64(time.Millisecond))
 }
@@ -89,7 +89,7 @@
 const (
 	staleLivenessPenalty = 10 * time.Millisecond
 	livenessLifetime     = time.Second
-	warySpan             = 4 * time.Second
+	cautionSpan          = 4 * time.Second
 )
 
 // prefillRate returns the learned prefill rate in tokens per millisecond.
--- a/decide/release.go
+++ b/decide/release.go
@@ -3,20 +3,20 @@
 import (
 	"time"
 
-	"swifttiller/permit"
+	"swifttiller/lease"
 	"swifttiller/replica"
-	"swifttiller/standing"
+	"swifttiller/routing"
 	"swifttiller/verdict"
 )
 
 // Ends of attempts, of calls with tickets and of routed requests.
 
 // dispatched counts a selection that is about to be returned.
-func (decider *Decider) dispatched(view *permit.View, selection *Selection) {
+func (decider *Decider) dispatched(view *lease.View, selection *Selection) {
 	decider.addUse(selection, 1)
 	decider.counts.Dispatches++
 	decider.accrue(view, selection)
-	decider.judging.waiting[selection] = decider.World.Now()
+	decider.trialMonitor.waiting[selection] = decider.World.Now()
 	if selection.Trial {
 		decider.counts.Trials++
 	}
@@ -31,10 +31,10 @@
 func (decider *Decider) addUse(selection *Selection, sign int) {
 	used := decider.uses[selection.Replica]
 	if used == nil {
-		used = &use{rows: map[standing.Held]int{}}
+		used = &usage{rows: map[routing.ReplicaVersion]int{}}
 		decider.uses[selection.Replica] = used
 	}
-	held := standing.Held{Replica: selection.Replica, Model: selection.call.Model, Version: selection.Version}
+	held := routing.ReplicaVersion{Replica: selection.Replica, Model: selection.call.Model, Version: selection.Version}
 	used.units += sign * selection.Cost
 	used.rows[held] += sign
 	if used.rows[held] == 0 {
@@ -47,11 +47,11 @@
 
 // Release returns a selection with its outcome. first is the time to the first token, 0 if
 // there was none.
-func (decider *Decider) Release(selection *Selection, mishap *verdict.Mishap, first time.Duration) {
+func (decider *Decider) Release(selection *Selection, mishap *verdict.Error, first time.Duration) {
 	now := decider.World.Now()
-	outcome := standing.Outcome{Replica: selection.Replica, Model: selection.call.Model, Version: selection.Version, Kind: selection.call.Kind, Boot: selection.Boot}
-	decider.guard.Lock()
-	defer decider.guard.Unlock()
+	outcome := routing.Outcome{Replica: selection.Replica, Model: selection.call.Model, Version: selection.Version, Kind: selection.call.Kind, Boot: selection.Boot}
+	decider.mu.Lock()
+	defer decider.mu.Unlock()
 	switch {
 	case mishap == nil:
 		outcome.OK, outcome.Least = 1, first
@@ -61,10 +61,10 @@
 		if decider.isSlow(selection, first-selection.Allowance) {
 			outcome.Slow = 1
 		}
-	case mishap.Code == "caller_gone" && !decider.late(selection, now) || mishap.Code == "no_permit" || mishap.Code == "moved_on" || mishap.Code == "replica_rejected":
+	case mishap.Code == "caller_gone" && !decider.isLate(selection, now) || mishap.Code == "no_permit" || mishap.Code == "moved_on" || mishap.Code == "replica_rejected":
 		// No evidence about the replica.
-	case mishap.Code == replica.AnewCode:
-		decider.past[selection.Replica] = selection.Boot
+	case mishap.Code == replica.RestartedCode:
+		decider.endedBoots[selection.Replica] = selection.Boot
 	case mishap.Code == "replica_unreached":
 		outcome.Unreached = 1
 	case mishap.Code == "replica_declined":
@@ -77,9 +77,9 @@
 		outcome.Mishaps = 1
 	}
 	if mishap != nil && mishap.Verdict == verdict.NotRun {
-		decider.refund(decider.Holder(), selection)
+		decider.refund(decider.View(), selection)
 	}
-	delete(decider.judging.waiting, selection)
+	delete(decider.trialMonitor.waiting, selection)
 	if outcome.OK > 0 && outcome.Late == 0 && !(selection.Trial && outcome.Slow > 0) {
 		decider.learnUsual(selection, max(0, first-selection.Allowance))
 	}
@@ -87,28 +87,28 @@
 	decider.flow(decider.released, selection.call.Model).add(now, float64(selection.Cost))
 	if outcome.Full > 0 {
 		// It gets nothing for a tick, after which the routing table shows it as full too.
-		if view := decider.Holder(); view.Tree != nil {
-			decider.fullUntil[selection.Replica] = now + standing.Tick(view.Tree.Span("permit_ms", ""))
+		if view := decider.View(); view.Tree != nil {
+			decider.fullUntil[selection.Replica] = now + routing.RecomputeInterval(view.Tree.Duration("permit_ms", ""))
 		}
 	}
 	if mishap != nil && (mishap.Code == "replica_unreached" || mishap.Code == "replica_cut" || mishap.Code == "cut") {
-		if view := decider.Holder(); view.Tree != nil {
-			decider.suspects[selection.Replica] = suspect{now + view.Tree.Span("dark_ms", decider.Self.Zone) + view.Tree.Span("permit_ms", "")/2, selection.Region}
+		if view := decider.View(); view.Tree != nil {
+			decider.suspects[selection.Replica] = suspect{now + view.Tree.Duration("dark_ms", decider.Self.Zone) + view.Tree.Duration("permit_ms", "")/2, selection.Region}
 		}
 	}
 	decider.window.add(now, outcome, selection.Region)
 	for _, waiting := range decider.queue {
-		waiting.box.Put(nil)
+		waiting.mailbox.Put(nil)
 	}
 }
 
 // Redispatch reports whether an attempt that did not run may be repeated; that uses a retry
 // from the budget.
 func (decider *Decider) Redispatch() bool {
-	decider.guard.Lock()
-	defer decider.guard.Unlock()
-	view := decider.Holder()
-	if view.Tree == nil || !decider.spend(view, &decider.budget) {
+	decider.mu.Lock()
+	defer decider.mu.Unlock()
+	view := decider.View()
+	if view.Tree == nil || !decider.takeRetry(view, &decider.budget) {
 		return false
 	}
 	decider.counts.Redispatches++
--- a/decide/engine.go
+++ b/decide/replica_state.go
@@ -51,12 +51,12 @@
 	}
 }
 
-// engine is the state that this daemon has about one boot of a replica: the attempts that
+// replicaState is the state that this daemon has about one boot of a replica: the attempts that
 // it runs there, the load last reported, and how long requests have waited for an answer.
 //
 // Invariants: running and prefillTokens count this daemon's own attempts alone. While an
 // attempt waits for its first chunk, silent is since when nothing has come from the replica.
-type engine struct {
+type replicaState struct {
 	running int
 	// prefillTokens is the number of prompt tokens sent whose answer has not begun.
 	prefillTokens int
@@ -71,24 +71,24 @@
 	// coldShare is this daemon's share of the rate limit while the replica is cold; nil while
 	// it is warm.
 	coldShare     *coldShare
-	silent        time.Duration
+	silentSince   time.Duration
 	awaitingFirst int
-	// shunned is until when the replica gets nothing, in backoff after a connection failure, a
+	// backOffUntil is until when the replica gets nothing, in backoff after a connection failure, a
 	// silence or a rejection; strikes is the number of these in a row.
-	shunned time.Duration
-	strikes int
+	backOffUntil  time.Duration
+	failuresInRow int
 	// isUnreachable is set if a connection could not be opened and none has been since.
 	isUnreachable bool
-	// vouched is when the replica last showed that it is alive.
-	vouched time.Duration
-	// flowing is the number of streams that have begun and not ended.
-	flowing int
+	// lastAlive is when the replica last showed that it is alive.
+	lastAlive time.Duration
+	// streams is the number of streams that have begun and not ended.
+	streams int
 	health  health
 	// reports are the health reports of peers, by peer name.
 	reports map[string]healthReport
-	// word is the replica's last reply to a probe of its warmth, inquired when it was last probed.
-	word     word
-	inquired time.Duration
+	// queryReply is the replica's last reply to a probe of its warmth, inquired when it was last probed.
+	queryReply queryReply
+	lastQuery  time.Duration
 	// region and model are those of the last attempt, or of the peer report that made it held.
 	region, model string
 }
@@ -96,15 +96,15 @@
 // admits reports whether a replica without a sign of life since its last backoff may get a
 // request: one at a time, and after a second strike only requests that may be repeated
 // elsewhere, unless the backoff ended more than mostShun ago.
-func (engine *engine) admits(now time.Duration, isRepeatable bool) bool {
-	if engine.strikes == 0 {
+func (engine *replicaState) admits(now time.Duration, isRepeatable bool) bool {
+	if engine.failuresInRow == 0 {
 		return true
 	}
-	return engine.awaitingFirst == 0 && (engine.strikes == 1 || isRepeatable || now-engine.shunned > mostShun)
+	return engine.awaitingFirst == 0 && (engine.failuresInRow == 1 || isRepeatable || now-engine.backOffUntil > maxBackOff)
 }
 
 // decayedLag returns the lag, halved for each half second since it was measured, as queues drain.
-func (engine *engine) decayedLag(now time.Duration) time.Duration {
+func (engine *replicaState) decayedLag(now time.Duration) time.Duration {
 	lag := engine.lag
 	for span := now - engine.lagAt; span > 0 && lag >= minLag; span -= lagHalfLife {
 		lag /= 2
@@ -141,21 +141,21 @@
 	cacheFillShare = 0.8
 )
 
-// filled returns the number of running requests as a share of half of the replica's slots, at
+// utilization returns the number of running requests as a share of half of the replica's slots, at
 // most one: beyond half of the slots, streams are slow.
-func (engine *engine) filled(config *settings.Engine, now time.Duration) float64 {
-	if config == nil || config.Berths <= 0 {
+func (engine *replicaState) utilization(config *settings.Engine, now time.Duration) float64 {
+	if config == nil || config.Slots <= 0 {
 		return 0
 	}
 	running := engine.running
 	if now-engine.loadAt < time.Second {
 		running = max(running, engine.load.Running+engine.load.Waiting)
 	}
-	return min(1, 2*float64(running)/float64(config.Berths))
+	return min(1, 2*float64(running)/float64(config.Slots))
 }
 
 // sentWithin returns the number of attempts in the span before now and drops older ones.
-func (engine *engine) sentWithin(now, span time.Duration) int {
+func (engine *replicaState) sentWithin(now, span time.Duration) int {
 	for len(engine.sent) > 0 && now-engine.sent[0] >= span {
 		engine.sent = engine.sent[1:]
 	}
@@ -165,7 +165,7 @@
 // uncachedTokens returns how many prompt tokens the replica would have to prefill: those from
 // the first part on that is not assumed to be cached. At the owner, only a quarter of a shared
 // part counts, since peers send requests with that part there too.
-func (engine *engine) uncachedTokens(parts []Part, tokens int, isOwner bool) (own, shared int) {
+func (engine *replicaState) uncachedTokens(parts []Part, tokens int, isOwner bool) (own, shared int) {
 	sum, isMiss := 0, false
 	for index, part := range parts {
 		sum += part.Tokens
--- a/decide/report.go
+++ b/decide/report.go
@@ -5,37 +5,39 @@
 	"maps"
 	"slices"
 
-	"swifttiller/permit"
-	"swifttiller/standing"
+	"swifttiller/lease"
+	"swifttiller/routing"
 )
 
 // Reports to the control plane.
 
 // Report is this daemon's report to the routing tables' leaders: its load, demand, outcomes and
 // lack of capacity.
-func (decider *Decider) Report() standing.Report {
+func (decider *Decider) Report() routing.Report {
 	now := decider.World.Now()
-	decider.guard.Lock()
-	defer decider.guard.Unlock()
+	decider.mu.Lock()
+	defer decider.mu.Unlock()
 	// The view is read under the guard, as in Select, so that attempts under an older routing
 	// table than the reported one are in the report.
-	view := decider.Holder()
-	report := standing.Report{
-		Config: view.Serial, Standing: map[string]uint64{}, Permit: view.Expiry - now, Demand: map[string]float64{}, Overflow: map[string]float64{},
-		InFlight: map[string]int{}, Streams: map[standing.Held]int{}, Queue: len(decider.queue),
+	view := decider.View()
+	report := routing.Report{
+		Config: view.Serial, Standing: map[string]uint64{}, Permit: view.Deadline - now, Demand: map[string]float64{}, Overflow: map[string]float64{},
+		InFlight: map[string]int{}, Streams: map[routing.ReplicaVersion]int{}, Queue: len(decider.queue),
 		Demanded: decider.counts.Demanded, Retries: decider.counts.Retries, Allowed: decider.counts.Allowed + decider.counts.Redispatches, Declined: map[string]uint64{},
 	}
-	for region, table := range view.Standings {
+	for region, table := range view.RoutingTables {
 		report.Standing[region] = table.Serial
 	}
-	maps.DeleteFunc(decider.digests, func(region string, _ *digest) bool { _, isShown := view.Standings[region]; return !isShown })
+	maps.DeleteFunc(decider.digests, func(region string, _ *digest) bool { _, isShown := view.RoutingTables[region]; return !isShown })
 	if view.Tree != nil {
-		report.Tenants = decider.tenants.Turn(now, view.Tree.Span("tenant_ms", ""))
+		report.Tenants = decider.tenants.Close(now, view.Tree.Duration("tenant_ms", ""))
 	}
-	for version := range decider.judging.failed {
+	for version := range decider.trialMonitor.failed {
 		report.Failed = append(report.Failed, version)
 	}
-	slices.SortFunc(report.Failed, func(a, b standing.Held) int { return cmp.Compare(a.Model+"|"+a.Version, b.Model+"|"+b.Version) })
+	slices.SortFunc(report.Failed, func(a, b routing.ReplicaVersion) int {
+		return cmp.Compare(a.Model+"|"+a.Version, b.Model+"|"+b.Version)
+	})
 	isSteady := decider.steadyModels(view)
 	for _, outcome := range ordered(decider.recent(now)) {
 		if isSteady(outcome.Model) {
@@ -53,7 +55,7 @@
 		report.Declined[code] = count
 	}
 	localCredits, localReplicas := map[string]float64{}, map[string]bool{}
-	if table, known := view.Standings[decider.Self.Region]; known {
+	if table, known := view.RoutingTables[decider.Self.Region]; known {
 		digest := decider.digest(decider.Self.Region, table)
 		localCredits, localReplicas = digest.credits, digest.replicas
 	}
@@ -102,8 +104,8 @@
 // digest is what Report needs to know of a region's routing table. It is immutable.
 type digest struct {
 	// rows and places are those that the digest was made of.
-	rows   []standing.Row
-	places []standing.Place
+	rows   []routing.Row
+	places []routing.Endpoint
 	// versions has one version of each model. mixed has the models with several versions,
 	// or with rows that are on trial or stand by for a rollback.
 	versions map[string]string
@@ -116,7 +118,7 @@
 // digest returns the digest of a region's routing table; the caller holds guard. A new view
 // shares the rows and places of the previous one where nothing has changed, and these are
 // immutable, so most often the digest is cached.
-func (decider *Decider) digest(region string, table standing.Standing) *digest {
+func (decider *Decider) digest(region string, table routing.Table) *digest {
 	cached := decider.digests[region]
 	if cached != nil && isSameSlice(cached.rows, table.Rows) && isSameSlice(cached.places, table.Places) {
 		return cached
@@ -151,13 +153,13 @@
 // the report. Three conditions must hold: the model has an engine, so that no credits are
 // allocated for it; its placement allows any version in all regions, so that no rollout can be
 // about it; and all its replicas hold the same version.
-func (decider *Decider) steadyModels(view *permit.View) func(model string) bool {
+func (decider *Decider) steadyModels(view *lease.View) func(model string) bool {
 	if view.Tree == nil {
 		return func(string) bool { return false }
 	}
 	versions := map[string]string{}
 	unsteady := map[string]bool{}
-	for region, table := range view.Standings {
+	for region, table := range view.RoutingTables {
 		digest := decider.digest(region, table)
 		for model, version := range digest.versions {
 			if other, known := versions[model]; known && other != version || digest.mixed[model] {
@@ -172,7 +174,7 @@
 		if !isKnown {
 			isSteady = view.Tree.Engine(model) != nil && !unsteady[model]
 			for _, region := range view.Tree.Regions() {
-				if placement, placed := view.Tree.Placement(model, region); placed && !placement.Any() {
+				if placement, placed := view.Tree.Placement(model, region); placed && !placement.AcceptsAnyVersion() {
 					isSteady = false
 				}
 			}
--- a/decide/report_bench_test.go
+++ b/decide/report_bench_test.go
@@ -6,11 +6,11 @@
 	"time"
 
 	"swifttiller/decide"
+	"swifttiller/lease"
 	"swifttiller/loop"
-	"swifttiller/permit"
+	"swifttiller/routing"
 	"swifttiller/session"
 	"swifttiller/settings"
-	"swifttiller/standing"
 )
 
 // BenchmarkReport makes reports without load at 16 regions, 22 models and 3,500 replicas. Every
@@ -29,27 +29,27 @@
 	if len(problems) > 0 {
 		b.Fatal(problems)
 	}
-	view := &permit.View{Serial: 1, Tree: tree, Standings: map[string]standing.Standing{}, Expiry: time.Hour}
+	view := &lease.View{Serial: 1, Tree: tree, RoutingTables: map[string]routing.Table{}, Deadline: time.Hour}
 	for index := range 16 {
 		region := fmt.Sprintf("g%d", index)
-		table := standing.Standing{Region: region, Serial: 1}
+		table := routing.Table{Region: region, Serial: 1}
 		for at := range 219 {
 			id := fmt.Sprintf("%s-r%d", region, at)
-			table.Rows = append(table.Rows, standing.Row{Replica: id, Model: fmt.Sprintf("m%d", at%22), Version: "v1"})
-			table.Places = append(table.Places, standing.Place{ID: id, Zone: region + "-1", Region: region, Warm: 1, Credits: map[string]int{"d1": 3}})
+			table.Rows = append(table.Rows, routing.Row{Replica: id, Model: fmt.Sprintf("m%d", at%22), Version: "v1"})
+			table.Places = append(table.Places, routing.Endpoint{ID: id, Zone: region + "-1", Region: region, Warm: 1, Credits: map[string]int{"d1": 3}})
 		}
-		view.Standings[region] = table
+		view.RoutingTables[region] = table
 	}
 	world := loop.NewMachine()
 	defer world.End()
-	decider := decide.New(decide.Options{World: world, Self: session.Member{Name: "d1", Region: "g0"}, Holder: func() *permit.View { return view }})
+	decider := decide.New(decide.Options{World: world, Self: session.Member{Name: "d1", Region: "g0"}, View: func() *lease.View { return view }})
 	turn := 0
 	for b.Loop() {
 		if turn++; turn%3 == 0 {
 			next := *view
-			next.Standings = map[string]standing.Standing{}
-			for region, table := range view.Standings {
-				next.Standings[region] = table
+			next.RoutingTables = map[string]routing.Table{}
+			for region, table := range view.RoutingTables {
+				next.RoutingTables[region] = table
 			}
 			view = &next
 		}
--- a/decide/report_test.go
+++ b/decide/report_test.go
@@ -13,7 +13,7 @@
 // of this daemon's own region while those of other regions stay.
 func TestReportFollowsStandings(t *testing.T) {
 	Convey("A daemon that holds a request", t, func() {
-		bench := newBench("x")
+		bench := newTestCluster("x")
 		defer bench.Close()
 		var selection *decide.Selection
 		bench.do("x", func(decider *decide.Decider) {
@@ -29,7 +29,7 @@
 		Convey("lacks credits once a new standing gives it none", func() {
 			other := view([]string{"x"}, 0, false)
 			next := *bench.now
-			next.Standings = other.Standings
+			next.RoutingTables = other.RoutingTables
 			bench.now = &next
 			if overflow := bench.deciders["x"].Report().Overflow["m"]; overflow <= 0 {
 				t.Errorf("control traffic: the report follows the previous routing table: its overflow is %v", overflow)
--- a/decide/route.go
+++ b/decide/route.go
@@ -13,15 +13,15 @@
 	ID, Host, Path string
 	// Tokens is the length of the prompt and Most the limit on the answer, in tokens. Parts
 	// are the pieces of the prompt; all but the last may be shared with other requests.
-	Tokens, Most int
-	Parts        []Part
-	Bytes        int
-	// Expiry is the caller's deadline, on the clock of the world.
-	Expiry time.Duration
+	Tokens, MaxAnswerTokens int
+	Parts                   []Part
+	Bytes                   int
+	// Deadline is the caller's deadline, on the clock of the world.
+	Deadline time.Duration
 	// Key is the caller's API key, empty for none.
 	Key string
-	// Came is when the request was read.
-	Came time.Duration
+	// ReceivedAt is when the request was read.
+	ReceivedAt time.Duration
 
 	// Route, Model and Tenant are set by Direct. Tenant is nil for requests on a keyless
 	// route, and for all requests if the configuration has no tenants.
@@ -31,80 +31,80 @@
 	// IsTenanted reports whether the configuration has tenants at all.
 	IsTenanted bool
 	call       Call
-	// owner is the hash that requests with the same shared parts have in common; ownerKey is
+	// sharedKey is the hash that requests with the same shared parts have in common; ownerKey is
 	// the key by which the owner of these parts is found.
-	owner, ownerKey uint64
+	sharedKey, ownerKey uint64
 	// isQuotaCharged is set while the request counts against its tenant's limit.
 	isQuotaCharged bool
 }
 
-// Direct finds the route and the model of a request by the configuration of the current
+// Resolve finds the route and the model of a request by the configuration of the current
 // lease, or rejects the request.
 //
 // A request above its tenant's limit is rejected. The check may wait for another daemon's
 // reply, so it runs outside of the lock.
-func (decider *Decider) Direct(routed *Routed) *verdict.Mishap {
+func (decider *Decider) Resolve(routed *Routed) *verdict.Error {
 	if failure := decider.resolve(routed); failure != nil {
 		return failure
 	}
 	if decider.Quota == nil || routed.Tenant == nil {
 		return nil
 	}
-	retryAfter, isAllowed := decider.Quota.Ask(routed.Tenant.Name)
+	retryAfter, isAllowed := decider.Quota.Take(routed.Tenant.Name)
 	if routed.isQuotaCharged = isAllowed; isAllowed {
 		return nil
 	}
-	decider.guard.Lock()
-	defer decider.guard.Unlock()
-	return decider.decline(429, "over_quota", "the tenant is above its rate limit", retryAfter)
+	decider.mu.Lock()
+	defer decider.mu.Unlock()
+	return decider.reject(429, "over_quota", "the tenant is above its rate limit", retryAfter)
 }
 
-// Unran refunds a request that was admitted by Direct and not run to its tenant's limit.
-func (decider *Decider) Unran(routed *Routed) {
+// RefundQuota refunds a request that was admitted by Direct and not run to its tenant's limit.
+func (decider *Decider) RefundQuota(routed *Routed) {
 	if routed.isQuotaCharged {
 		routed.isQuotaCharged = false
-		decider.Quota.Return(routed.Tenant.Name)
+		decider.Quota.Refund(routed.Tenant.Name)
 	}
 }
 
-func (decider *Decider) resolve(routed *Routed) *verdict.Mishap {
-	view := decider.Holder()
+func (decider *Decider) resolve(routed *Routed) *verdict.Error {
+	view := decider.View()
 	now := decider.World.Now()
-	decider.guard.Lock()
-	defer decider.guard.Unlock()
+	decider.mu.Lock()
+	defer decider.mu.Unlock()
 	switch {
 	case decider.stopped:
-		return decider.decline(503, "stopping", "this daemon is stopping", retryAfterSoon)
-	case !view.Serves(now):
-		return decider.decline(503, "no_permit", "this daemon has no lease to serve; try another", retryAfterRestart)
+		return decider.reject(503, "stopping", "this daemon is stopping", retryAfterSoon)
+	case !view.MayServe(now):
+		return decider.reject(503, "no_permit", "this daemon has no lease to serve; try another", retryAfterRestart)
 	}
 	route := view.Tree.Route(routed.Host, routed.Path)
 	if route == nil {
-		return decider.decline(404, "no_route", "no route matches this host and path", 0)
+		return decider.reject(404, "no_route", "no route matches this host and path", 0)
 	}
-	routed.Tenant, routed.IsTenanted = nil, view.Tree.Tenanted()
+	routed.Tenant, routed.IsTenanted = nil, view.Tree.HasTenants()
 	if routed.IsTenanted && !route.Keyless {
-		if routed.Tenant = view.Tree.KeyHolder(routed.Key); routed.Tenant == nil {
-			return decider.decline(401, "unknown_key", "no tenant has the API key of this request", 0)
+		if routed.Tenant = view.Tree.TenantByKey(routed.Key); routed.Tenant == nil {
+			return decider.reject(401, "unknown_key", "no tenant has the API key of this request", 0)
 		}
 	}
-	routed.Route, routed.Came = route, now
-	decider.came = now
+	routed.Route, routed.ReceivedAt = route, now
+	decider.lastAdmitted = now
 	routed.Model = decider.pickModel(route)
-	if route.Repeatable() {
-		decider.repeatable[routed.Model] = now
+	if route.Idempotent() {
+		decider.lastRepeatable[routed.Model] = now
 	}
-	if limit := now + route.Timeout; route.Timeout > 0 && (routed.Expiry == 0 || routed.Expiry > limit) {
-		routed.Expiry = limit
+	if limit := now + route.Timeout; route.Timeout > 0 && (routed.Deadline == 0 || routed.Deadline > limit) {
+		routed.Deadline = limit
 	}
-	if routed.Expiry <= now {
-		return decider.decline(503, "too_late", "the caller's deadline has passed", 0)
+	if routed.Deadline <= now {
+		return decider.reject(503, "too_late", "the caller's deadline has passed", 0)
 	}
 	routed.call = Call{ID: routed.ID, Model: routed.Model, Kind: route.Name, Path: routed.Path, Bytes: routed.Bytes}
-	routed.owner = sharedPrefixKey(routed)
-	decider.note(view, routed)
+	routed.sharedKey = sharedPrefixKey(routed)
+	decider.countTenantRequest(view, routed)
 	decider.counts.Demanded++
-	decider.repeatBudget(routed.Model).count(now).fresh++
+	decider.repeatBudget(routed.Model).slice(now).firstTries++
 	decider.flow(decider.demand, routed.Model).add(now, 1)
 	return nil
 }
@@ -112,7 +112,7 @@
 // within reports whether the request may be served in the region: the homes of its route and
 // those of its tenant, where set, must both include it.
 func (routed *Routed) within(region string) bool {
-	return routed.Route.Within(region) && routed.Tenant.Within(region)
+	return routed.Route.AllowedIn(region) && routed.Tenant.AllowedIn(region)
 }
 
 // Urgency returns the priority of the request, 0 first: that of its tenant if set, else that of its route.
@@ -124,20 +124,20 @@
 }
 
 // repeatBudget returns the retry budget for the routed requests of a model.
-func (decider *Decider) repeatBudget(model string) *budget {
+func (decider *Decider) repeatBudget(model string) *retryBudget {
 	if decider.repeatBudgets[model] == nil {
-		decider.repeatBudgets[model] = &budget{}
+		decider.repeatBudgets[model] = &retryBudget{}
 	}
 	return decider.repeatBudgets[model]
 }
 
-// Repeat reports whether a routed request may be sent to one more replica. If so, it takes
+// AllowRetry reports whether a routed request may be sent to one more replica. If so, it takes
 // one retry from the budget of the model.
-func (decider *Decider) Repeat(routed *Routed) bool {
-	decider.guard.Lock()
-	defer decider.guard.Unlock()
-	view := decider.Holder()
-	if view.Tree == nil || !decider.spend(view, decider.repeatBudget(routed.Model)) {
+func (decider *Decider) AllowRetry(routed *Routed) bool {
+	decider.mu.Lock()
+	defer decider.mu.Unlock()
+	view := decider.View()
+	if view.Tree == nil || !decider.takeRetry(view, decider.repeatBudget(routed.Model)) {
 		return false
 	}
 	decider.counts.Redispatches++
@@ -156,7 +156,7 @@
 	for _, share := range route.Shares {
 		total += share.Weight
 	}
-	drawn := float64(decider.World.Draw(1<<30)) / (1 << 30) * total
+	drawn := float64(decider.World.RandN(1<<30)) / (1 << 30) * total
 	for _, share := range route.Shares {
 		if drawn -= share.Weight; drawn < 0 {
 			return share.Model
@@ -167,45 +167,45 @@
 
 // Route selects a replica for a request that was admitted by Direct. If none is available
 // now, it waits for a short time. The caller must end the selection with Unseat.
-func (decider *Decider) Route(routed *Routed, avoid Avoid) (*Selection, *verdict.Mishap) {
+func (decider *Decider) Route(routed *Routed, avoid Avoid) (*Selection, *verdict.Error) {
 	until := decider.World.Now() + min(routed.Route.Target/queueWaitDivisor, maxQueueWait)
 	for {
-		decider.guard.Lock()
-		view := decider.Holder()
+		decider.mu.Lock()
+		view := decider.View()
 		now := decider.World.Now()
-		if !view.Serves(now) {
-			failure := decider.decline(503, "no_permit", "this daemon has no lease to serve; try another", retryAfterSoon)
-			decider.guard.Unlock()
+		if !view.MayServe(now) {
+			failure := decider.reject(503, "no_permit", "this daemon has no lease to serve; try another", retryAfterSoon)
+			decider.mu.Unlock()
 			return nil, failure
 		}
 		best, candidates, wait := decider.routeCandidates(view, routed, avoid, now)
-		if best != nil && best.ttft > time.Duration(maxTimeoutShare*float64(routed.Expiry-now)) {
+		if best != nil && best.ttft > time.Duration(maxTimeoutShare*float64(routed.Deadline-now)) {
 			// The caller would give up before the answer begins, and the request would delay others meanwhile.
-			failure := decider.decline(503, "too_late", "no replica can begin to answer in time", min(best.ttft/2, maxRetryAfter))
-			decider.guard.Unlock()
+			failure := decider.reject(503, "too_late", "no replica can begin to answer in time", min(best.ttft/2, maxRetryAfter))
+			decider.mu.Unlock()
 			return nil, failure
 		}
 		if best != nil {
 			selection := decider.reserve(view, routed, best, now)
 			selection.choice = decider.recordChoice(routed, best, candidates, now)
-			decider.guard.Unlock()
+			decider.mu.Unlock()
 			return selection, nil
 		}
 		if wait == 0 || now+wait > until {
-			failure := decider.decline(503, "no_replica", "no replica can serve this now", max(retryAfterSoon, min(wait, retryAfterLater)))
+			failure := decider.reject(503, "no_replica", "no replica can serve this now", max(retryAfterSoon, min(wait, retryAfterLater)))
 			if wait == 0 {
 				failure.ComeBack = decider.noReplicaRetryAfter(routed.Route.Name, now)
 			}
-			decider.guard.Unlock()
+			decider.mu.Unlock()
 			return nil, failure
 		}
-		entry := &waiter{box: decider.World.Mailbox(), model: routed.Model, cost: 1}
+		entry := &queuedRequest{mailbox: decider.World.Mailbox(), model: routed.Model, cost: 1}
 		decider.queue = append(decider.queue, entry)
-		decider.guard.Unlock()
-		entry.box.Take(min(wait, until-now))
-		decider.guard.Lock()
+		decider.mu.Unlock()
+		entry.mailbox.Take(min(wait, until-now))
+		decider.mu.Lock()
 		decider.dequeue(entry)
-		decider.guard.Unlock()
+		decider.mu.Unlock()
 	}
 }
 
@@ -236,7 +236,7 @@
 )
 
 // dequeue removes a request from the queue.
-func (decider *Decider) dequeue(entry *waiter) {
+func (decider *Decider) dequeue(entry *queuedRequest) {
 	for index, waiting := range decider.queue {
 		if waiting == entry {
 			decider.queue = append(decider.queue[:index:index], decider.queue[index+1:]...)
--- a/decide/spread_test.go
+++ b/decide/spread_test.go
@@ -6,19 +6,19 @@
 	"time"
 
 	"swifttiller/decide"
+	"swifttiller/lease"
 	"swifttiller/loop"
-	"swifttiller/permit"
+	"swifttiller/routing"
 	"swifttiller/session"
 	"swifttiller/sim"
-	"swifttiller/standing"
 )
 
 // TestShortPromptsUseAllReplicas checks that, where replicas don't report their load, the short
 // prompts of a region are spread over all its replicas, whatever long prompts these also get.
 func TestShortPromptsUseAllReplicas(t *testing.T) {
-	clinic := newClinic(t, 30, oncePath)
+	clinic := newHealthBench(t, 30, oncePath)
 	clinic.Run(20 * time.Second)
-	most, least := 0, clinic.all
+	most, least := 0, clinic.total
 	for index := range 30 {
 		if region := index % 6; region > 2 {
 			continue // in another region
@@ -27,7 +27,7 @@
 		most, least = max(most, count), min(least, count)
 	}
 	if least == 0 || most > 4*least {
-		t.Errorf("the busiest of 15 replicas got %d of %d requests, the least busy %d", most, clinic.all, least)
+		t.Errorf("the busiest of 15 replicas got %d of %d requests, the least busy %d", most, clinic.total, least)
 	}
 }
 
@@ -39,9 +39,9 @@
 	t.Cleanup(world.Close)
 	var suspicions []decide.Suspicion
 	world.Start("x", func(node *sim.Node) {
-		decider := decide.New(decide.Options{World: node, Holder: func() *permit.View { return view }, Self: session.Member{Name: "x", Role: session.Data, Region: "a", Zone: "a-1"}})
-		routed := &decide.Routed{ID: "r", Host: "h.example", Path: resumedPath, Tokens: 17020, Most: 48, Expiry: node.Now() + time.Minute}
-		if failure := decider.Direct(routed); failure != nil {
+		decider := decide.New(decide.Options{World: node, View: func() *lease.View { return view }, Self: session.Member{Name: "x", Role: session.Data, Region: "a", Zone: "a-1"}})
+		routed := &decide.Routed{ID: "r", Host: "h.example", Path: resumedPath, Tokens: 17020, MaxAnswerTokens: 48, Deadline: node.Now() + time.Minute}
+		if failure := decider.Resolve(routed); failure != nil {
 			t.Error(failure.Code)
 			return
 		}
@@ -52,12 +52,12 @@
 		}
 		suspectAfter := func(span time.Duration) {
 			loop.Sleep(node, span)
-			suspicions = append(suspicions, decider.Suspect(selection))
+			suspicions = append(suspicions, decider.Suspicion(selection))
 		}
 		suspectAfter(100 * time.Millisecond)
 		suspectAfter(10 * time.Second)
 		others := *view
-		others.Standings = map[string]standing.Standing{"a": {Region: "a"}}
+		others.RoutingTables = map[string]routing.Table{"a": {Region: "a"}}
 		view = &others
 		suspectAfter(time.Second)
 	})
--- a/decide/suspicion.go
+++ b/decide/suspicion.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"swifttiller/permit"
+	"swifttiller/lease"
 )
 
 // Suspicion about replicas that send nothing.
@@ -24,63 +24,63 @@
 	Failing
 )
 
-// Suspect returns the suspicion against the replica of a selection. A replica that has been
+// Suspicion returns the suspicion against the replica of a selection. A replica that has been
 // silent for too long gets no requests for a while.
-func (decider *Decider) Suspect(selection *Selection) Suspicion {
+func (decider *Decider) Suspicion(selection *Selection) Suspicion {
 	now := decider.World.Now()
-	decider.guard.Lock()
-	defer decider.guard.Unlock()
-	state := selection.seat
+	decider.mu.Lock()
+	defer decider.mu.Unlock()
+	state := selection.state
 	if decider.overdueAt(selection, now) {
 		return Failing
 	}
-	if now-max(state.silent, state.vouched) < state.silenceLimit(selection) {
+	if now-max(state.silentSince, state.lastAlive) < state.silenceLimit(selection) {
 		return Unsuspected
 	}
-	decider.wary = now + warySpan
-	decider.shun(state, now)
-	decider.missed(state, now)
-	if decider.isDoubted(selection.Region) || !isListed(decider.Holder(), selection) {
+	decider.cautiousUntil = now + cautionSpan
+	decider.backOff(state, now)
+	decider.noteUnreachable(state, now)
+	if decider.isBreakerOpen(selection.Region) || !isListed(decider.View(), selection) {
 		return Failing
 	}
 	return Silent
 }
 
 // isListed reports whether this run (boot) of the selection's replica is in the routing table.
-func isListed(view *permit.View, selection *Selection) bool {
-	placed := places{list: view.Standings[selection.Region].Places}
+func isListed(view *lease.View, selection *Selection) bool {
+	placed := endpointIndex{list: view.RoutingTables[selection.Region].Places}
 	place := placed.of(selection.Replica)
 	return place != nil && place.Boot == selection.Boot
 }
 
 // silenceLimit is how long a replica may send nothing at all while a response is expected from
 // it. It is short while streams are running, as their chunks come one after the other.
-func (engine *engine) silenceLimit(selection *Selection) time.Duration {
-	if engine.flowing > 0 {
+func (engine *replicaState) silenceLimit(selection *Selection) time.Duration {
+	if engine.streams > 0 {
 		return streamSilence
 	}
-	return minSilence + silenceFactor*selection.Foreseen
+	return minSilence + silenceFactor*selection.PredictedTTFT
 }
 
 const (
-	streamSilence = 400 * time.Millisecond
-	minSilence    = 300 * time.Millisecond
-	silenceFactor = 3
-	firstShun     = 300 * time.Millisecond
-	mostShun      = 3 * time.Second
+	streamSilence  = 400 * time.Millisecond
+	minSilence     = 300 * time.Millisecond
+	silenceFactor  = 3
+	initialBackOff = 300 * time.Millisecond
+	maxBackOff     = 3 * time.Second
 )
 
-// shun keeps requests from a replica for a while, longer each time in a row, up to mostShun.
-func (decider *Decider) shun(state *engine, now time.Duration) {
-	if now < state.shunned {
+// backOff keeps requests from a replica for a while, longer each time in a row, up to mostShun.
+func (decider *Decider) backOff(state *replicaState, now time.Duration) {
+	if now < state.backOffUntil {
 		return
 	}
-	state.shunned = now + min(firstShun<<min(state.strikes, 8), mostShun)
-	state.strikes++
+	state.backOffUntil = now + min(initialBackOff<<min(state.failuresInRow, 8), maxBackOff)
+	state.failuresInRow++
 }
 
 // Overdue is the time after its attempt by which a first token should have come. After that a
 // repeatable request is worth sending to another replica.
 func (decider *Decider) Overdue(selection *Selection) time.Duration {
-	return minSilence + silenceFactor*max(selection.Foreseen, decider.reading(selection.routed.Tokens))
+	return minSilence + silenceFactor*max(selection.PredictedTTFT, decider.prefillTime(selection.routed.Tokens))
 }
--- a/decide/tenant.go
+++ b/decide/tenant.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"swifttiller/permit"
+	"swifttiller/lease"
 	"swifttiller/tenant"
 )
 
@@ -13,11 +13,11 @@
 
 // isLong reports whether the request's prompt is long.
 func (decider *Decider) isLong(routed *Routed) bool {
-	return decider.reading(routed.Tokens) >= routed.Route.Target/longPromptDivisor
+	return decider.prefillTime(routed.Tokens) >= routed.Route.Target/longPromptDivisor
 }
 
-// note counts a request for its tenant, if tenant placement is enabled (tenant_ms).
-func (decider *Decider) note(view *permit.View, routed *Routed) {
+// countTenantRequest counts a request for its tenant, if tenant placement is enabled (tenant_ms).
+func (decider *Decider) countTenantRequest(view *lease.View, routed *Routed) {
 	if view.Tree.Limit("tenant_ms", "") <= 0 {
 		return
 	}
@@ -25,20 +25,20 @@
 	for _, part := range routed.Parts[:max(0, len(routed.Parts)-1)] {
 		shared += part.Tokens
 	}
-	decider.tenants.Note(tenant.Request{Tenant: routed.Route.Address(), Model: routed.Model, Key: routed.owner, Prompt: routed.Tokens, Shared: shared, Answer: routed.Most, Bytes: routed.Bytes, Long: decider.isLong(routed)})
+	decider.tenants.Count(tenant.Request{Tenant: routed.Route.Address(), Model: routed.Model, Key: routed.sharedKey, Prompt: routed.Tokens, Shared: shared, Answer: routed.MaxAnswerTokens, Bytes: routed.Bytes, Long: decider.isLong(routed)})
 }
 
-// noteEnd counts the end of a routed request for its tenant.
-func (decider *Decider) noteEnd(selection *Selection, now time.Duration) {
+// countTenantEnd counts the end of a routed request for its tenant.
+func (decider *Decider) countTenantEnd(selection *Selection, now time.Duration) {
 	if !decider.tenants.IsEmpty() {
-		decider.tenants.Ended(selection.routed.Route.Address(), now-selection.sent)
+		decider.tenants.CountEnd(selection.routed.Route.Address(), now-selection.sent)
 	}
 }
 
 // placement returns the tenant placement that determines the owners of the request's
 // shared prompt parts. It is nil if the request has none, or no placement applies.
-func (decider *Decider) placement(view *permit.View, routed *Routed, now time.Duration) *tenant.Placement {
-	if routed.owner == 0 || view.Placed == nil || view.Tree.Limit("tenant_ms", "") <= 0 {
+func (decider *Decider) placement(view *lease.View, routed *Routed, now time.Duration) *tenant.Placement {
+	if routed.sharedKey == 0 || view.Placements == nil || view.Tree.Limit("tenant_ms", "") <= 0 {
 		return nil
 	}
 	return view.Placement(routed.Route.Address(), now)
--- a/decide/ticket.go
+++ b/decide/ticket.go
@@ -7,8 +7,8 @@
 	"strconv"
 	"time"
 
+	"swifttiller/lease"
 	"swifttiller/loop"
-	"swifttiller/permit"
 	"swifttiller/session"
 	"swifttiller/verdict"
 	"swifttiller/wire"
@@ -113,17 +113,17 @@
 
 // Locate returns the daemons that a call may be sent to, best first, and a ticket
 // for the first one with its lifetime.
-func (decider *Decider) Locate(model, kind, home, zone string, prefix uint64) ([]session.Member, *Ticket, time.Duration, *verdict.Mishap) {
-	view := decider.Holder()
+func (decider *Decider) Locate(model, kind, home, zone string, prefix uint64) ([]session.Member, *Ticket, time.Duration, *verdict.Error) {
+	view := decider.View()
 	now := decider.World.Now()
-	decider.guard.Lock()
-	defer decider.guard.Unlock()
-	if !view.Stands(now) {
-		return nil, nil, 0, decider.decline(503, "no_permit", "this daemon holds no valid lease and can't locate others; try another daemon", time.Second)
+	decider.mu.Lock()
+	defer decider.mu.Unlock()
+	if !view.IsValid(now) {
+		return nil, nil, 0, decider.reject(503, "no_permit", "this daemon holds no valid lease and can't locate others; try another daemon", time.Second)
 	}
 	list := eligibleDaemons(view, model, home)
 	if len(list) == 0 {
-		return nil, nil, 0, decider.decline(503, "nowhere", "no daemon can currently serve this model within this home", retryDelay(view))
+		return nil, nil, 0, decider.reject(503, "nowhere", "no daemon can currently serve this model within this home", retryDelay(view))
 	}
 	if zone == "" {
 		zone = decider.Self.Zone
@@ -151,7 +151,7 @@
 		}
 		return score(prefix, list[a].Name) > score(prefix, list[b].Name)
 	})
-	lifetime := view.Tree.Span("ticket_ms", "")
+	lifetime := view.Tree.Duration("ticket_ms", "")
 	first := list[0]
 	ticket := &Ticket{
 		ID:     decider.Self.Incarnation + "." + strconv.FormatUint(decider.counts.located, 36),
@@ -162,7 +162,7 @@
 
 // eligibleDaemons lists the daemons that may serve the model for requests with the
 // home tag.
-func eligibleDaemons(view *permit.View, model, home string) (list []session.Member) {
+func eligibleDaemons(view *lease.View, model, home string) (list []session.Member) {
 	for _, member := range view.Members {
 		if member.Role != session.Data || member.Leaving || view.Evacuated[member.Zone] {
 			continue
@@ -176,18 +176,18 @@
 }
 
 // settle makes sure that a (ticket, request id) runs at most once on any daemon.
-func (decider *Decider) settle(call *Call) *verdict.Mishap {
+func (decider *Decider) settle(call *Call) *verdict.Error {
 	now := decider.World.Now()
 	ticket, ok := Open(call.Ticket)
 	if !ok {
-		decider.guard.Lock()
-		defer decider.guard.Unlock()
-		return decider.decline(400, "bad_ticket", "the ticket can't be decoded; call /v1/locate again", 0)
+		decider.mu.Lock()
+		defer decider.mu.Unlock()
+		return decider.reject(400, "bad_ticket", "the ticket can't be decoded; call /v1/locate again", 0)
 	}
 	key := ticketKey{ticket.ID, call.ID}
-	decider.guard.Lock()
+	decider.mu.Lock()
 	successor, isOurs := decider.tickets.successor, decider.decidesFor(ticket)
-	decider.guard.Unlock()
+	decider.mu.Unlock()
 	if isOurs && successor == nil {
 		return decider.admitOwn(call, ticket, key)
 	}
@@ -209,8 +209,8 @@
 			timeLeft, mishap = decider.claim(ticket, call.ID, successor.Wire, successor.Incarnation, 0)
 		}
 	}
-	decider.guard.Lock()
-	defer decider.guard.Unlock()
+	decider.mu.Lock()
+	defer decider.mu.Unlock()
 	if mishap != nil {
 		decider.counts.Declined[mishap.Code]++
 		return mishap
@@ -219,9 +219,9 @@
 }
 
 // checkLocal returns the outcome by this daemon's own row for the key, if it has one.
-func (decider *Decider) checkLocal(call *Call, key ticketKey) (*verdict.Mishap, bool) {
-	decider.guard.Lock()
-	defer decider.guard.Unlock()
+func (decider *Decider) checkLocal(call *Call, key ticketKey) (*verdict.Error, bool) {
+	decider.mu.Lock()
+	defer decider.mu.Unlock()
 	row, known := decider.tickets.rows[key]
 	if !known {
 		return nil, false
@@ -230,30 +230,30 @@
 }
 
 // rejectRepeated returns the rejection for a call whose key already has a row.
-func (decider *Decider) rejectRepeated(call *Call, key ticketKey, row ticketRow) *verdict.Mishap {
+func (decider *Decider) rejectRepeated(call *Call, key ticketKey, row ticketRow) *verdict.Error {
 	switch row.state {
 	case rejectedUnrun:
-		return decider.decline(503, "declined_before", "this request was already rejected without running under this ticket; call /v1/locate for a new one", 0)
+		return decider.reject(503, "declined_before", "this request was already rejected without running under this ticket; call /v1/locate for a new one", 0)
 	case running:
 		decider.counts.Declined["running"]++
-		return &verdict.Mishap{Verdict: verdict.MayHaveRun, Code: "running", Message: "this request is already running", Status: 409}
+		return &verdict.Error{Verdict: verdict.MayHaveRun, Code: "running", Message: "this request is already running", Status: 409}
 	case ended:
 		decider.counts.Declined["ran"]++
 		verdictOf := verdict.MayHaveRun
 		if row.ran {
 			verdictOf = verdict.Ran
 		}
-		return &verdict.Mishap{Verdict: verdictOf, Code: "ran", Message: "this request has already run and is never run again", Status: 409}
+		return &verdict.Error{Verdict: verdictOf, Code: "ran", Message: "this request has already run and is never run again", Status: 409}
 	}
 	decider.counts.Declined["elsewhere"]++
-	return &verdict.Mishap{Verdict: verdict.MayHaveRun, Code: "elsewhere", Message: "this request was transferred to daemon " + row.ownerWire, Status: 409}
+	return &verdict.Error{Verdict: verdict.MayHaveRun, Code: "elsewhere", Message: "this request was transferred to daemon " + row.ownerWire, Status: 409}
 }
 
 // admitOwn decides about a ticket that is bound to this incarnation or to one whose
 // rows it inherited.
-func (decider *Decider) admitOwn(call *Call, ticket Ticket, key ticketKey) *verdict.Mishap {
-	decider.guard.Lock()
-	defer decider.guard.Unlock()
+func (decider *Decider) admitOwn(call *Call, ticket Ticket, key ticketKey) *verdict.Error {
+	decider.mu.Lock()
+	defer decider.mu.Unlock()
 	if decider.tickets.successor != nil {
 		return daemonGone() // a successor has taken over since the caller checked
 	}
@@ -274,21 +274,21 @@
 func (decider *Decider) timeLeft(ticket Ticket) time.Duration {
 	began, isInherited := decider.tickets.inherited[ticket.Incarnation]
 	if !isInherited {
-		began = decider.Began
+		began = decider.StartedAt
 	}
 	left := ticket.Expiry - (decider.World.Now() - began)
-	if view := decider.Holder(); view.Tree != nil && left > 2*view.Tree.Span("ticket_ms", "") {
+	if view := decider.View(); view.Tree != nil && left > 2*view.Tree.Duration("ticket_ms", "") {
 		return 0
 	}
 	return left
 }
 
-func ticketExpired() *verdict.Mishap {
-	return &verdict.Mishap{Verdict: verdict.MayHaveRun, Code: "ticket_expired", Message: "the ticket has expired, and with it the record of whether this request ran; call /v1/locate again, and use a new request id only if running twice does no harm", Status: 409}
+func ticketExpired() *verdict.Error {
+	return &verdict.Error{Verdict: verdict.MayHaveRun, Code: "ticket_expired", Message: "the ticket has expired, and with it the record of whether this request ran; call /v1/locate again, and use a new request id only if running twice does no harm", Status: 409}
 }
 
 // admit adds a row for a key that has none yet.
-func (decider *Decider) admit(call *Call, key ticketKey, deadline time.Duration) *verdict.Mishap {
+func (decider *Decider) admit(call *Call, key ticketKey, deadline time.Duration) *verdict.Error {
 	now := decider.World.Now()
 	decider.tickets.sweep(now)
 	if row, known := decider.tickets.rows[key]; known {
@@ -297,31 +297,31 @@
 	if len(decider.tickets.rows) >= maxTickets {
 		// Without a row, a second run of this request could not be prevented.
 		decider.counts.Declined["tickets_full"]++
-		return &verdict.Mishap{Verdict: verdict.MayHaveRun, Code: "tickets_full", Message: "the table of recent requests is full; retry later", Status: 503, ComeBack: 5 * time.Second}
+		return &verdict.Error{Verdict: verdict.MayHaveRun, Code: "tickets_full", Message: "the table of recent requests is full; retry later", Status: 503, ComeBack: 5 * time.Second}
 	}
 	decider.tickets.rows[key] = ticketRow{state: running, deadline: deadline}
 	if len(decider.tickets.recentIDs) < maxTickets {
 		decider.tickets.recentIDs[call.ID] = deadline
 	}
-	call.barred = &key
+	call.ticketKey = &key
 	return nil
 }
 
 // Settled records the outcome of a call that Allow admitted.
-func (decider *Decider) Settled(call *Call, mishap *verdict.Mishap) {
-	if call.barred == nil {
+func (decider *Decider) Settled(call *Call, mishap *verdict.Error) {
+	if call.ticketKey == nil {
 		return
 	}
-	decider.guard.Lock()
-	defer decider.guard.Unlock()
-	row := decider.tickets.rows[*call.barred]
+	decider.mu.Lock()
+	defer decider.mu.Unlock()
+	row := decider.tickets.rows[*call.ticketKey]
 	switch {
 	case mishap != nil && mishap.Verdict == verdict.NotRun:
 		row.state = rejectedUnrun
 	default:
 		row.state, row.ran = ended, mishap == nil || mishap.Verdict == verdict.Ran
 	}
-	decider.tickets.rows[*call.barred] = row
+	decider.tickets.rows[*call.ticketKey] = row
 }
 
 // Claim is a request by another daemon to take over a (ticket, request id).
@@ -348,8 +348,8 @@
 // Settle answers a claim. After a transfer this daemon never runs the request itself.
 func (decider *Decider) Settle(claim Claim, claimed *Claimed) error {
 	now := decider.World.Now()
-	decider.guard.Lock()
-	defer decider.guard.Unlock()
+	decider.mu.Lock()
+	defer decider.mu.Unlock()
 	claimed.Incarnation = decider.Self.Incarnation
 	key := ticketKey{claim.Ticket.ID, claim.Request}
 	row, known := decider.tickets.rows[key]
@@ -396,12 +396,12 @@
 // that has just started waits for its first lease, before which it knows no members.
 func (decider *Decider) boundDaemon(ticket Ticket) *session.Member {
 	deadline := decider.World.Now() + claimTimeout
-	for decider.Holder().Tree == nil && decider.World.Now() < deadline {
+	for decider.View().Tree == nil && decider.World.Now() < deadline {
 		if !loop.Sleep(decider.World, claimTimeout/20) {
 			return nil
 		}
 	}
-	for _, member := range decider.Holder().Members {
+	for _, member := range decider.View().Members {
 		if member.Role == session.Data && member.Incarnation == ticket.Incarnation && member.Wire == ticket.Wire && member.Wire != decider.Self.Wire {
 			return &member
 		}
@@ -412,7 +412,7 @@
 // findSuccessor asks the other daemons which one has inherited the ticket's rows.
 func (decider *Decider) findSuccessor(ticket Ticket) *session.Member {
 	var others []session.Member
-	for _, member := range decider.Holder().Members {
+	for _, member := range decider.View().Members {
 		if member.Role == session.Data && member.Wire != decider.Self.Wire {
 			others = append(others, member)
 		}
@@ -433,29 +433,29 @@
 	return found
 }
 
-// Bequest is everything that a daemon remembers about tickets. In a planned shutdown,
+// TicketHandover is everything that a daemon remembers about tickets. In a planned shutdown,
 // once nothing runs any more, it is handed to a successor.
-type Bequest struct {
+type TicketHandover struct {
 	// Uptimes holds the uptimes of the incarnations whose tickets the daemon
 	// decides about.
 	Uptimes map[string]time.Duration
-	Rows    []Bequeathed
+	Rows    []TicketHandoverRow
 }
 
-// Bequeathed is one row of a Bequest.
-type Bequeathed struct {
+// TicketHandoverRow is one row of a Bequest.
+type TicketHandoverRow struct {
 	Ticket, Request     string
 	Unrun, Ran          bool
 	Holder, Incarnation string // the daemon that owns it, if it was transferred
 	Left                time.Duration
 }
 
-// Bequeath hands all rows over to a peer, trying those of its own region first, and
+// HandOverTickets hands all rows over to a peer, trying those of its own region first, and
 // reports whether one has accepted them. From then on this daemon decides about no
 // unseen request itself.
-func (decider *Decider) Bequeath() bool {
+func (decider *Decider) HandOverTickets() bool {
 	var near, far []session.Member
-	for _, member := range decider.Holder().Members {
+	for _, member := range decider.View().Members {
 		switch {
 		case member.Role != session.Data || member.Leaving || member.Incarnation == decider.Self.Incarnation:
 		case member.Region == decider.Self.Region:
@@ -465,33 +465,33 @@
 		}
 	}
 	for _, member := range append(near, far...) {
-		decider.guard.Lock()
+		decider.mu.Lock()
 		decider.tickets.successor = &member
 		bequest := decider.bequest()
-		decider.guard.Unlock()
+		decider.mu.Unlock()
 		var taken bool
 		// A peer that received the call and did not reply may have accepted. It stays
 		// the successor, so that there are never two.
 		err := decider.Net.Call(member.Wire, "Ticket.Inherit", bequest, &taken, claimTimeout)
-		if err == nil && taken || err != nil && !wire.Unsent(err) {
+		if err == nil && taken || err != nil && !wire.NotSent(err) {
 			return err == nil
 		}
 	}
-	decider.guard.Lock()
+	decider.mu.Lock()
 	decider.tickets.successor = nil
-	decider.guard.Unlock()
+	decider.mu.Unlock()
 	return false
 }
 
-func (decider *Decider) bequest() Bequest {
+func (decider *Decider) bequest() TicketHandover {
 	now := decider.World.Now()
-	out := Bequest{Uptimes: map[string]time.Duration{decider.Self.Incarnation: now - decider.Began}}
+	out := TicketHandover{Uptimes: map[string]time.Duration{decider.Self.Incarnation: now - decider.StartedAt}}
 	for incarnation, began := range decider.tickets.inherited {
 		out.Uptimes[incarnation] = now - began
 	}
 	for key, row := range decider.tickets.rows {
 		if row.deadline > now {
-			out.Rows = append(out.Rows, Bequeathed{Ticket: key.ticket, Request: key.request, Unrun: row.state == rejectedUnrun, Ran: row.ran, Holder: row.ownerWire, Incarnation: row.incarnation, Left: row.deadline - now})
+			out.Rows = append(out.Rows, TicketHandoverRow{Ticket: key.ticket, Request: key.request, Unrun: row.state == rejectedUnrun, Ran: row.ran, Holder: row.ownerWire, Incarnation: row.incarnation, Left: row.deadline - now})
 		}
 	}
 	return out
@@ -499,17 +499,17 @@
 
 // Inherit takes over the rows of a peer that shuts down. Rows that this daemon already
 // has are kept, as they are newer.
-func (decider *Decider) Inherit(bequest Bequest, taken *bool) error {
+func (decider *Decider) Inherit(bequest TicketHandover, taken *bool) error {
 	now := decider.World.Now()
-	decider.guard.Lock()
-	defer decider.guard.Unlock()
+	decider.mu.Lock()
+	defer decider.mu.Unlock()
 	if decider.stopped || decider.tickets.successor != nil || len(decider.tickets.rows)+len(bequest.Rows) > maxTickets {
 		return nil
 	}
 	for incarnation, uptime := range bequest.Uptimes {
 		decider.tickets.inherited[incarnation] = now - uptime
-		if view := decider.Holder(); view.Tree != nil {
-			decider.tickets.inheritedUntil[incarnation] = now + 2*view.Tree.Span("ticket_ms", "")
+		if view := decider.View(); view.Tree != nil {
+			decider.tickets.inheritedUntil[incarnation] = now + 2*view.Tree.Duration("ticket_ms", "")
 		}
 	}
 	for _, entry := range bequest.Rows {
@@ -535,8 +535,8 @@
 // Inherits replies with this daemon's incarnation if it has inherited the rows of the
 // given incarnation.
 func (decider *Decider) Inherits(incarnation string, successor *string) error {
-	decider.guard.Lock()
-	defer decider.guard.Unlock()
+	decider.mu.Lock()
+	defer decider.mu.Unlock()
 	if _, isInherited := decider.tickets.inherited[incarnation]; isInherited {
 		*successor = decider.Self.Incarnation
 	}
@@ -545,8 +545,8 @@
 
 const daemonGoneCode = "daemon_gone"
 
-func daemonGone() *verdict.Mishap {
-	return &verdict.Mishap{Verdict: verdict.MayHaveRun, Code: daemonGoneCode, Message: "the daemon that the ticket is bound to is gone or unreachable; the request may have run there", Status: 409}
+func daemonGone() *verdict.Error {
+	return &verdict.Error{Verdict: verdict.MayHaveRun, Code: daemonGoneCode, Message: "the daemon that the ticket is bound to is gone or unreachable; the request may have run there", Status: 409}
 }
 
 // maxHops bounds how many transfers of a request are followed from daemon to daemon.
@@ -554,9 +554,9 @@
 
 // claim asks the daemon at the address to transfer the request, and returns how long
 // the ticket is still valid.
-func (decider *Decider) claim(ticket Ticket, request, address, incarnation string, hops int) (time.Duration, *verdict.Mishap) {
-	unknown := func(code, message string) (time.Duration, *verdict.Mishap) {
-		return 0, &verdict.Mishap{Verdict: verdict.MayHaveRun, Code: code, Message: message, Status: 409}
+func (decider *Decider) claim(ticket Ticket, request, address, incarnation string, hops int) (time.Duration, *verdict.Error) {
+	unknown := func(code, message string) (time.Duration, *verdict.Error) {
+		return 0, &verdict.Error{Verdict: verdict.MayHaveRun, Code: code, Message: message, Status: 409}
 	}
 	claim := Claim{Ticket: ticket, Request: request, Daemon: decider.Self.Name, Incarnation: decider.Self.Incarnation, Wire: decider.Self.Wire}
 	var claimed Claimed
@@ -567,7 +567,7 @@
 	case claimed.Given && claimed.Left > 0:
 		return claimed.Left, nil
 	case claimed.Unrun:
-		return 0, verdict.Decline(503, "declined_before", "this request was already rejected without running under this ticket; call /v1/locate for a new one", 0)
+		return 0, verdict.Reject(503, "declined_before", "this request was already rejected without running under this ticket; call /v1/locate for a new one", 0)
 	case claimed.Running:
 		return unknown("running", "this request is already running at another daemon")
 	case claimed.Ran:
@@ -582,12 +582,12 @@
 
 // awaitInheritance handles a claim that leads back to this daemon: it is the
 // successor, and the rows may still be in transit.
-func (decider *Decider) awaitInheritance(ticket Ticket) (time.Duration, *verdict.Mishap) {
+func (decider *Decider) awaitInheritance(ticket Ticket) (time.Duration, *verdict.Error) {
 	deadline := decider.World.Now() + claimTimeout
 	for {
-		decider.guard.Lock()
+		decider.mu.Lock()
 		isOurs, left := decider.decidesFor(ticket), decider.timeLeft(ticket)
-		decider.guard.Unlock()
+		decider.mu.Unlock()
 		switch {
 		case isOurs && left > 0:
 			return left, nil
--- a/decide/judge.go
+++ b/decide/trials.go
@@ -3,12 +3,12 @@
 import (
 	"time"
 
-	"swifttiller/permit"
+	"swifttiller/lease"
+	"swifttiller/routing"
 	"swifttiller/settings"
-	"swifttiller/standing"
 )
 
-// judging is what a data daemon knows about versions on trial, and about versions that
+// trialMonitor is what a data daemon knows about versions on trial, and about versions that
 // are watched after a rollout has moved a route to them. By its own counts alone, without
 // asking other daemons, it stops sending requests to a version that plainly fails.
 //
@@ -18,13 +18,13 @@
 // Requests that are rejected, or go to another region, earn no tokens. A version stays in
 // failed until a view of all regions shows it neither on trial nor watched; the decay of
 // the counts does not clear it.
-type judging struct {
-	view     *permit.View      // the view that trials and watches were read from
+type trialMonitor struct {
+	view     *lease.View       // the view that trials and watches were read from
 	trials   map[string]string // by region/model: the version on trial
 	watches  map[string]string // by region/model: the version that is watched
 	previous map[string]string // by region/model: the version to go back to
 	buckets  map[string]*tokenBucket
-	failed   map[standing.Held]bool
+	failed   map[routing.ReplicaVersion]bool
 	// sharedBuckets are the buckets of models whose placement allows any version, by
 	// region/model.
 	sharedBuckets map[string]*sharedBucket
@@ -39,7 +39,7 @@
 // are spent in bursts, since a version may fail only under load.
 type tokenBucket struct {
 	value      float64
-	rate       flow
+	rate       smoothedRate
 	isSpending bool
 }
 
@@ -60,7 +60,7 @@
 // kindBucket is the part of one kind of requests in a sharedBucket.
 type kindBucket struct {
 	value  float64 // attempts that the kind may still give, at most maxKindShare of its own
-	rate   flow
+	rate   smoothedRate
 	trials int
 }
 
@@ -78,17 +78,17 @@
 }
 
 // accrueShared counts an attempt in the shared bucket of its region and model.
-func (decider *Decider) accrueShared(view *permit.View, selection *Selection) {
+func (decider *Decider) accrueShared(view *lease.View, selection *Selection) {
 	key := selection.Region + "/" + selection.call.Model
 	version := decider.refreshTrials(view).trials[key]
 	if version == "" {
-		delete(decider.judging.sharedBuckets, key)
+		delete(decider.trialMonitor.sharedBuckets, key)
 		return
 	}
-	bucket := decider.judging.sharedBuckets[key]
+	bucket := decider.trialMonitor.sharedBuckets[key]
 	if bucket == nil || bucket.version != version {
 		bucket = &sharedBucket{version: version, kinds: map[string]*kindBucket{}}
-		decider.judging.sharedBuckets[key] = bucket
+		decider.trialMonitor.sharedBuckets[key] = bucket
 	}
 	now := decider.World.Now()
 	kind := bucket.bucketOf(selection.call.Kind)
@@ -104,8 +104,8 @@
 }
 
 // refundShared reverses accrueShared for an attempt that did not run.
-func (decider *Decider) refundShared(view *permit.View, selection *Selection) {
-	bucket := decider.judging.sharedBuckets[selection.Region+"/"+selection.call.Model]
+func (decider *Decider) refundShared(view *lease.View, selection *Selection) {
+	bucket := decider.trialMonitor.sharedBuckets[selection.Region+"/"+selection.call.Model]
 	if bucket == nil || selection.Trial && selection.Version != bucket.version {
 		return
 	}
@@ -154,24 +154,24 @@
 	return shared.isSpending
 }
 
-func newJudging() judging {
-	return judging{sharedBuckets: map[string]*sharedBucket{}, buckets: map[string]*tokenBucket{}, failed: map[standing.Held]bool{}, waiting: map[*Selection]time.Duration{}, usualFirst: map[string]time.Duration{}, firstSamples: map[string]int{}}
+func newJudging() trialMonitor {
+	return trialMonitor{sharedBuckets: map[string]*sharedBucket{}, buckets: map[string]*tokenBucket{}, failed: map[routing.ReplicaVersion]bool{}, waiting: map[*Selection]time.Duration{}, usualFirst: map[string]time.Duration{}, firstSamples: map[string]int{}}
 }
 
 // refreshTrials reads the trials and the watched versions from the view if it is new.
-func (decider *Decider) refreshTrials(view *permit.View) *judging {
-	judging := &decider.judging
+func (decider *Decider) refreshTrials(view *lease.View) *trialMonitor {
+	judging := &decider.trialMonitor
 	if judging.view == view {
 		return judging
 	}
 	judging.view = view
 	judging.trials, judging.watches, judging.previous = map[string]string{}, map[string]string{}, map[string]string{}
-	shown := map[standing.Held]bool{}
-	for region, table := range view.Standings {
+	shown := map[routing.ReplicaVersion]bool{}
+	for region, table := range view.RoutingTables {
 		for _, row := range table.Rows {
 			if row.Trial {
 				judging.trials[region+"/"+row.Model] = row.Version
-				shown[standing.Held{Model: row.Model, Version: row.Version}] = true
+				shown[routing.ReplicaVersion{Model: row.Model, Version: row.Version}] = true
 			}
 			if row.Back {
 				judging.previous[region+"/"+row.Model] = row.Version
@@ -180,18 +180,18 @@
 		for _, row := range table.Rows {
 			if key := region + "/" + row.Model; judging.previous[key] != "" && !row.Back && !row.Trial {
 				judging.watches[key] = row.Version
-				shown[standing.Held{Model: row.Model, Version: row.Version}] = true
+				shown[routing.ReplicaVersion{Model: row.Model, Version: row.Version}] = true
 			}
 		}
 	}
-	for _, table := range view.Standings {
+	for _, table := range view.RoutingTables {
 		for _, version := range table.Failed {
 			judging.failed[version] = true
 		}
 	}
 	isWhole := true // a region without a routing table may still have the version
 	for _, region := range view.Tree.Regions() {
-		_, has := view.Standings[region]
+		_, has := view.RoutingTables[region]
 		isWhole = isWhole && has
 	}
 	for version := range judging.failed {
@@ -207,20 +207,20 @@
 
 // accrue adds small_share of an attempt to the bucket of the trial of its model in the
 // region, if there is one, and removes a token if the attempt went to the trial itself.
-func (decider *Decider) accrue(view *permit.View, selection *Selection) {
+func (decider *Decider) accrue(view *lease.View, selection *Selection) {
 	if decider.allowsAnyVersion(view, selection.call.Model) {
 		decider.accrueShared(view, selection)
 		return
 	}
 	call, key := selection.call, tokenKey(selection.Region, selection.call)
 	if decider.refreshTrials(view).trials[selection.Region+"/"+call.Model] == "" {
-		delete(decider.judging.buckets, key)
+		delete(decider.trialMonitor.buckets, key)
 		return
 	}
-	bucket := decider.judging.buckets[key]
+	bucket := decider.trialMonitor.buckets[key]
 	if bucket == nil {
 		bucket = &tokenBucket{}
-		decider.judging.buckets[key] = bucket
+		decider.trialMonitor.buckets[key] = bucket
 	}
 	bucket.rate.add(decider.World.Now(), 1)
 	bucket.value += view.Tree.Limit("small_share", decider.Self.Zone)
@@ -230,7 +230,7 @@
 }
 
 // refund reverses accrue for an attempt that did not run.
-func (decider *Decider) refund(view *permit.View, selection *Selection) {
+func (decider *Decider) refund(view *lease.View, selection *Selection) {
 	if view.Tree == nil {
 		return
 	}
@@ -238,7 +238,7 @@
 		decider.refundShared(view, selection)
 		return
 	}
-	bucket := decider.judging.buckets[tokenKey(selection.Region, selection.call)]
+	bucket := decider.trialMonitor.buckets[tokenKey(selection.Region, selection.call)]
 	if bucket == nil {
 		return
 	}
@@ -250,21 +250,21 @@
 
 // burst is the number of attempts to save up before any is spent: as many as a third of
 // the trial's time brings in.
-func (decider *Decider) burst(view *permit.View, bucket *tokenBucket) float64 {
+func (decider *Decider) burst(view *lease.View, bucket *tokenBucket) float64 {
 	rate := bucket.rate.rate(decider.World.Now()) * view.Tree.Limit("small_share", decider.Self.Zone)
-	return max(1, rate*view.Tree.Span("trial_ms", decider.Self.Region).Seconds()/3)
+	return max(1, rate*view.Tree.Duration("trial_ms", decider.Self.Region).Seconds()/3)
 }
 
 // allowsAnyVersion reports whether the model's placement allows any version.
-func (decider *Decider) allowsAnyVersion(view *permit.View, model string) bool {
+func (decider *Decider) allowsAnyVersion(view *lease.View, model string) bool {
 	placement, _ := view.Tree.Placement(model, decider.Self.Zone)
-	return placement.Any()
+	return placement.AcceptsAnyVersion()
 }
 
 // opensTrial returns the version of the call's model that is on trial in the region, empty
 // if there is none, and whether this request should go to it now rather than to any other
 // version there. The caller holds guard, and counts what it selects through dispatched.
-func (decider *Decider) opensTrial(view *permit.View, call *Call, region string) (version string, open bool) {
+func (decider *Decider) opensTrial(view *lease.View, call *Call, region string) (version string, open bool) {
 	version = decider.refreshTrials(view).trials[region+"/"+call.Model]
 	return version, version != "" && decider.allowsTrial(view, call, region, settings.AnyVersion, version)
 }
@@ -280,7 +280,7 @@
 // opensTrial has opened it for the request at hand: it is on trial; or it is watched after
 // a rollout and plainly fails by this daemon's own counts; or it is the previous version,
 // which stands by while the watched one does not fail. The caller holds guard.
-func (decider *Decider) barred(view *permit.View, region, model, version string) bool {
+func (decider *Decider) barred(view *lease.View, region, model, version string) bool {
 	judging := decider.refreshTrials(view)
 	key := region + "/" + model
 	switch {
@@ -289,22 +289,22 @@
 	case judging.watches[key] == "":
 		return false
 	case judging.watches[key] == version:
-		return decider.fails(view, region, model)
+		return decider.watchedFails(view, region, model)
 	}
-	return !decider.fails(view, region, model)
+	return !decider.watchedFails(view, region, model)
 }
 
 // allowsTrial reports whether the kind may give the region's trial an attempt now.
-func (decider *Decider) allowsTrial(view *permit.View, call *Call, region, current, trial string) bool {
+func (decider *Decider) allowsTrial(view *lease.View, call *Call, region, current, trial string) bool {
 	if decider.allowsAnyVersion(view, call.Model) {
-		shared := decider.judging.sharedBuckets[region+"/"+call.Model]
-		if shared == nil || shared.version != trial || call.retry || decider.plainlyFails(call.Model, current, trial) {
+		shared := decider.trialMonitor.sharedBuckets[region+"/"+call.Model]
+		if shared == nil || shared.version != trial || call.isRetry || decider.plainlyFails(call.Model, current, trial) {
 			return false
 		}
 		return shared.allows(call.Kind, view.Tree.Limit("small_share", decider.Self.Zone), decider.World.Now())
 	}
-	bucket := decider.judging.buckets[tokenKey(region, call)]
-	if bucket == nil || call.retry || decider.plainlyFails(call.Model, current, trial) {
+	bucket := decider.trialMonitor.buckets[tokenKey(region, call)]
+	if bucket == nil || call.isRetry || decider.plainlyFails(call.Model, current, trial) {
 		return false
 	}
 	switch {
@@ -318,24 +318,24 @@
 
 // plainlyFails reports whether a version plainly fails by this daemon's own counts.
 func (decider *Decider) plainlyFails(model, current, version string) bool {
-	modelVersion := standing.Held{Model: model, Version: version}
-	if !decider.judging.failed[modelVersion] && standing.TrialFails(model, standing.Route{Version: current, Trial: version}, decider.recent(decider.World.Now())) {
-		decider.judging.failed[modelVersion] = true
+	modelVersion := routing.ReplicaVersion{Model: model, Version: version}
+	if !decider.trialMonitor.failed[modelVersion] && routing.TrialFails(model, routing.Route{Version: current, Trial: version}, decider.recent(decider.World.Now())) {
+		decider.trialMonitor.failed[modelVersion] = true
 	}
-	return decider.judging.failed[modelVersion]
+	return decider.trialMonitor.failed[modelVersion]
 }
 
 // watchedVersion returns the version that the region's route moved to recently, or an empty
 // string if there is no previous version to go back to.
-func (decider *Decider) watchedVersion(view *permit.View, region, model string) string {
+func (decider *Decider) watchedVersion(view *lease.View, region, model string) string {
 	return decider.refreshTrials(view).watches[region+"/"+model]
 }
 
-// fails reports whether the region's watched version plainly fails, so that the previous
+// watchedFails reports whether the region's watched version plainly fails, so that the previous
 // one is to be used.
-func (decider *Decider) fails(view *permit.View, region, model string) bool {
+func (decider *Decider) watchedFails(view *lease.View, region, model string) bool {
 	version := decider.watchedVersion(view, region, model)
-	previous := decider.judging.previous[region+"/"+model]
+	previous := decider.trialMonitor.previous[region+"/"+model]
 	if decider.allowsAnyVersion(view, model) {
 		previous = settings.AnyVersion // the rollout may have replaced several versions
 	}
@@ -346,7 +346,7 @@
 // its rows replace all others of the region if the placement allows any version, else only
 // those of the same replicas; where it is not open, its rows are dropped. A trial is open
 // while the small share allows it and the version does not plainly fail.
-func (decider *Decider) trial(view *permit.View, call *Call, free []candidate) []candidate {
+func (decider *Decider) trial(view *lease.View, call *Call, free []candidate) []candidate {
 	trialVersions, currentVersions := map[string]string{}, map[string]string{} // by region
 	replicasOnTrial := map[string]bool{}
 	for _, option := range free {
@@ -382,9 +382,9 @@
 
 // First notes that an attempt got its first token.
 func (decider *Decider) First(selection *Selection) {
-	decider.guard.Lock()
-	defer decider.guard.Unlock()
-	delete(decider.judging.waiting, selection)
+	decider.mu.Lock()
+	defer decider.mu.Unlock()
+	delete(decider.trialMonitor.waiting, selection)
 }
 
 // Factors of the time after which a first token is late: the longer one of stall_ms divided
@@ -395,16 +395,16 @@
 )
 
 func (decider *Decider) lateBound(selection *Selection) time.Duration {
-	bound := decider.judging.usualFirst[selection.call.Model+"/"+selection.call.Kind] * overdueUsualFactor
-	if view := decider.Holder(); view.Tree != nil {
-		bound = max(bound, view.Tree.Span("stall_ms", decider.Self.Zone)/overdueStallShare)
+	bound := decider.trialMonitor.usualFirst[selection.call.Model+"/"+selection.call.Kind] * overdueUsualFactor
+	if view := decider.View(); view.Tree != nil {
+		bound = max(bound, view.Tree.Duration("stall_ms", decider.Self.Zone)/overdueStallShare)
 	}
 	return bound
 }
 
-// late reports whether the attempt has waited too long for a first token.
-func (decider *Decider) late(selection *Selection, now time.Duration) bool {
-	since, waits := decider.judging.waiting[selection]
+// isLate reports whether the attempt has waited too long for a first token.
+func (decider *Decider) isLate(selection *Selection, now time.Duration) bool {
+	since, waits := decider.trialMonitor.waiting[selection]
 	since += selection.Allowance
 	return waits && now-since > decider.lateBound(selection)
 }
@@ -415,28 +415,28 @@
 // isSlow reports whether a first token took plainly longer than is usual for the kind.
 func (decider *Decider) isSlow(selection *Selection, first time.Duration) bool {
 	key := selection.call.Model + "/" + selection.call.Kind
-	usual := decider.judging.usualFirst[key]
-	return decider.judging.firstSamples[key] >= minFirstSamples && float64(first) > standing.SlowUsual*float64(usual)
+	usual := decider.trialMonitor.usualFirst[key]
+	return decider.trialMonitor.firstSamples[key] >= minFirstSamples && float64(first) > routing.SlowFactor*float64(usual)
 }
 
 // learnUsual adds a sample to the smoothed time to first token.
 func (decider *Decider) learnUsual(selection *Selection, first time.Duration) {
 	key := selection.call.Model + "/" + selection.call.Kind
-	usual := decider.judging.usualFirst[key]
-	decider.judging.usualFirst[key] = usual + (first-usual)/16
-	decider.judging.firstSamples[key]++
+	usual := decider.trialMonitor.usualFirst[key]
+	decider.trialMonitor.usualFirst[key] = usual + (first-usual)/16
+	decider.trialMonitor.firstSamples[key]++
 }
 
 // recent returns the outcomes of the last seconds, counting overdue attempts as late.
-func (decider *Decider) recent(now time.Duration) map[standing.Outcome]standing.Outcome {
+func (decider *Decider) recent(now time.Duration) map[routing.Outcome]routing.Outcome {
 	out := decider.window.recent(now)
 	decider.addLate(now, out, false)
 	return out
 }
 
 // totals returns all outcomes, counting overdue attempts as late.
-func (decider *Decider) totals(now time.Duration) map[standing.Outcome]standing.Outcome {
-	out := map[standing.Outcome]standing.Outcome{}
+func (decider *Decider) totals(now time.Duration) map[routing.Outcome]routing.Outcome {
+	out := map[routing.Outcome]routing.Outcome{}
 	for key, outcome := range decider.window.totals {
 		out[key] = outcome
 	}
@@ -444,12 +444,12 @@
 	return out
 }
 
-func (decider *Decider) addLate(now time.Duration, out map[standing.Outcome]standing.Outcome, byRegion bool) {
-	for selection := range decider.judging.waiting {
-		if !decider.late(selection, now) {
+func (decider *Decider) addLate(now time.Duration, out map[routing.Outcome]routing.Outcome, byRegion bool) {
+	for selection := range decider.trialMonitor.waiting {
+		if !decider.isLate(selection, now) {
 			continue
 		}
-		key := standing.Outcome{Replica: selection.Replica, Model: selection.call.Model, Version: selection.Version, Kind: selection.call.Kind, Boot: selection.Boot}
+		key := routing.Outcome{Replica: selection.Replica, Model: selection.call.Model, Version: selection.Version, Kind: selection.call.Kind, Boot: selection.Boot}
 		if byRegion {
 			key.Replica, key.Boot = selection.Region, ""
 		}
--- a/decide/open_test.go
+++ b/decide/trials_test.go
@@ -7,53 +7,53 @@
 	"time"
 
 	"swifttiller/decide"
-	"swifttiller/permit"
+	"swifttiller/lease"
+	"swifttiller/routing"
 	"swifttiller/settings"
-	"swifttiller/standing"
 	"swifttiller/verdict"
 )
 
-// openView has a placement of any version, with r1 to r3 at v1 and r4 and r5 as newer sets them.
-func openView(newer func(row *standing.Row), older func(row *standing.Row)) *permit.View {
+// anyVersionView has a placement of any version, with r1 to r3 at v1 and r4 and r5 as newer sets them.
+func anyVersionView(newer func(row *routing.Row), older func(row *routing.Row)) *lease.View {
 	out := view([]string{"x"}, 64, false)
 	tree, problems := settings.Parse([]byte(strings.NewReplacer(`"version":"v1"`, `"version":"any"`, `"queue_ms":400`, `"queue_ms":400,"stall_ms":2000`).Replace(document)))
 	if len(problems) > 0 {
 		panic(problems)
 	}
 	out.Tree = tree
-	table := out.Standings["a"]
+	table := out.RoutingTables["a"]
 	if older != nil {
 		for index := range table.Rows {
 			older(&table.Rows[index])
 		}
 	}
 	for _, id := range []string{"r4", "r5"} {
-		table.Places = append(table.Places, standing.Place{ID: id, Address: id, Zone: "a-1", Region: "a", Capacity: 64, Whole: 64, Warm: 1, Credits: map[string]int{"x": 64}})
-		row := standing.Row{Replica: id, Model: "m", Version: "v2"}
+		table.Places = append(table.Places, routing.Endpoint{ID: id, Address: id, Zone: "a-1", Region: "a", Capacity: 64, Whole: 64, Warm: 1, Credits: map[string]int{"x": 64}})
+		row := routing.Row{Replica: id, Model: "m", Version: "v2"}
 		newer(&row)
 		table.Rows = append(table.Rows, row)
 	}
-	out.Standings["a"] = table
+	out.RoutingTables["a"] = table
 	return out
 }
 
-func onTrial(row *standing.Row) { row.Trial = true }
+func onTrial(row *routing.Row) { row.Trial = true }
 
 // serveOne runs one request of the kind, with the time to first token that first gives for its
 // version, and returns its selection; a negative time makes the request fail.
-func serveOne(t *testing.T, bench *bench, kind string, first func(version string) time.Duration) *decide.Selection {
+func serveOne(t *testing.T, bench *testCluster, kind string, first func(version string) time.Duration) *decide.Selection {
 	t.Helper()
 	var selection *decide.Selection
 	bench.Node("x").Go(func() {
 		request := call("q")
 		request.Kind = kind
-		var mishap *verdict.Mishap
+		var mishap *verdict.Error
 		if selection, mishap = bench.deciders["x"].Select(request, nil); mishap != nil {
 			t.Errorf("request rejected: %v", mishap)
 			return
 		}
 		if took := first(selection.Version); took < 0 {
-			bench.deciders["x"].Release(selection, &verdict.Mishap{Verdict: verdict.MayHaveRun, Code: "replica_failed"}, 0)
+			bench.deciders["x"].Release(selection, &verdict.Error{Verdict: verdict.MayHaveRun, Code: "replica_failed"}, 0)
 		} else {
 			bench.deciders["x"].Release(selection, nil, took)
 		}
@@ -70,8 +70,8 @@
 // requests goes to it, so that a bad version harms few. A rare kind gets an early trial request,
 // and all trial requests go to few replicas.
 func TestOpenTrialKeepsItsShare(t *testing.T) {
-	bench := newBench("x")
-	bench.now = openView(onTrial, nil)
+	bench := newTestCluster("x")
+	bench.now = anyVersionView(onTrial, nil)
 	trials, rareTrials, rareTotal := 0, 0, 0
 	byReplica := map[string]int{}
 	for total := 1; total <= 2000; total++ {
@@ -103,12 +103,12 @@
 	}
 }
 
-// TestOpenTrialIsShutByItsOwnCounts: a daemon closes a trial that fails by its own counts, and
+// TestFailingTrialIsClosed: a daemon closes a trial that fails by its own counts, and
 // goes back from a failed version that it watches. The test calls opensTrial and barred as the
 // selection of routed requests does.
-func TestOpenTrialIsShutByItsOwnCounts(t *testing.T) {
-	bench := newBench("x")
-	bench.now = openView(onTrial, nil)
+func TestFailingTrialIsClosed(t *testing.T) {
+	bench := newTestCluster("x")
+	bench.now = anyVersionView(onTrial, nil)
 	decider := bench.deciders["x"]
 	if !decider.Barred(bench.now, "a", "m", "v2") || decider.Barred(bench.now, "a", "m", "v1") || decider.Barred(bench.now, "b", "m", "v1") {
 		t.Error("the version on trial is not barred, or another one is")
@@ -136,7 +136,7 @@
 	if isOpened == 0 || failed < 3 || failed > 6 {
 		t.Errorf("the trial was opened %d times and failed %d requests, want at least 1 opening and 3 to 6 failures", isOpened, failed)
 	}
-	bench.now = openView(func(*standing.Row) {}, func(row *standing.Row) { row.Back = true })
+	bench.now = anyVersionView(func(*routing.Row) {}, func(row *routing.Row) { row.Back = true })
 	if !decider.Barred(bench.now, "a", "m", "v2") || decider.Barred(bench.now, "a", "m", "v1") {
 		t.Error("the failed version that is watched is not barred, or the previous one is")
 	}
@@ -154,8 +154,8 @@
 		part            int // one in this many of its answers takes that long
 		want            bool
 	}{{300 * time.Millisecond, 0, 1, true}, {300 * time.Millisecond, 0, 3, true}, {500 * time.Millisecond, 0, 1, true}, {100 * time.Millisecond, 0, 1, false}, {180 * time.Millisecond, 0, 1, false}, {400 * time.Millisecond, 300 * time.Millisecond, 1, false}} {
-		bench := newBench("x")
-		bench.now = openView(onTrial, nil)
+		bench := newTestCluster("x")
+		bench.now = anyVersionView(onTrial, nil)
 		decider := bench.deciders["x"]
 		answers, isNoticed := 0, false
 		for turn := 0; turn < 2000 && answers < 50 && !isNoticed; turn++ {
@@ -175,7 +175,7 @@
 				decider.Release(selection, nil, took)
 			})
 			bench.Run(5 * time.Millisecond)
-			var trial, other standing.Outcome
+			var trial, other routing.Outcome
 			for _, outcome := range decider.Report().Total {
 				if outcome.Version == "v2" {
 					trial.Add(outcome)
@@ -183,7 +183,7 @@
 					other.Add(outcome)
 				}
 			}
-			isNoticed = standing.Slower(trial, other) || standing.PlainVersion(trial, other)
+			isNoticed = routing.IsSlower(trial, other) || routing.VersionFailsClearly(trial, other)
 		}
 		if isNoticed != test.want {
 			t.Errorf("%+v: found slower: %v, after %d answers", test, isNoticed, answers)
--- a/disk/disk.go
+++ b/disk/disk.go
@@ -38,16 +38,16 @@
 	Close() error
 }
 
-// Real is the path of a folder in the machine's file system.
-type Real string
+// OSFolder is the path of a folder in the machine's file system.
+type OSFolder string
 
 // Read returns the contents of a file.
-func (root Real) Read(name string) ([]byte, error) {
+func (root OSFolder) Read(name string) ([]byte, error) {
 	return os.ReadFile(filepath.Join(string(root), name))
 }
 
 // Open opens a file for appending, creating or truncating it as needed.
-func (root Real) Open(name string, truncate bool) (File, error) {
+func (root OSFolder) Open(name string, truncate bool) (File, error) {
 	flags := os.O_CREATE | os.O_WRONLY | os.O_APPEND
 	if truncate {
 		flags |= os.O_TRUNC
@@ -56,7 +56,7 @@
 }
 
 // Sync syncs the folder itself.
-func (root Real) Sync() error {
+func (root OSFolder) Sync() error {
 	folder, err := os.Open(string(root))
 	if err != nil {
 		return err
@@ -65,15 +65,15 @@
 	return folder.Sync()
 }
 
-// Corrupt is the error that the data on the disk differs from what was synced to it.
+// CorruptError is the error that the data on the disk differs from what was synced to it.
 // The store never repairs this by discarding data: the operator decides.
-type Corrupt struct {
+type CorruptError struct {
 	File   string
 	Reason string
 }
 
 // Error returns a one-line message that tells the operator what to do.
-func (corrupt *Corrupt) Error() string {
+func (corrupt *CorruptError) Error() string {
 	return fmt.Sprintf("disk: %s: %s; the data on this disk can't be trusted: move the data folder away, restart with an empty one, and let the core admit the new acceptor", corrupt.File, corrupt.Reason)
 }
 
@@ -101,9 +101,9 @@
 	// Records must be idempotent: replaying any of them, in order, onto the snapshot
 	// must result in the same value.
 	Snapshot func() []byte
-	// Folded, if set, is called when the latest result of Snapshot has become durable. The
+	// SnapshotDurable, if set, is called when the latest result of Snapshot has become durable. The
 	// writing task calls it before it writes any later record.
-	Folded func()
+	SnapshotDurable func()
 }
 
 // Store consists of two snapshot slots and their logs.
@@ -203,7 +203,7 @@
 		if generation, _, _, _, ok := unframe(recordMagic, data); ok {
 			inUse = true
 			if generation > newest {
-				return nil, nil, nil, false, &Corrupt{slotName(generation), fmt.Sprintf("the log follows the snapshot of generation %d, but that slot is corrupt", generation)}
+				return nil, nil, nil, false, &CorruptError{slotName(generation), fmt.Sprintf("the log follows the snapshot of generation %d, but that slot is corrupt", generation)}
 			}
 		}
 	}
@@ -211,7 +211,7 @@
 		// A torn first slot without a log is left by a crash during the first snapshot; no
 		// data was ever acknowledged.
 		if inUse && (len(logs[0]) > 0 || len(logs[1]) > 0) {
-			return nil, nil, nil, false, &Corrupt{"slot-0, slot-1", "both slots are corrupt"}
+			return nil, nil, nil, false, &CorruptError{"slot-0, slot-1", "both slots are corrupt"}
 		}
 		return store, nil, nil, true, nil
 	}
@@ -244,7 +244,7 @@
 		// The log is of an older generation, or its header was not written completely.
 		for offset := 1; ok == false && offset+headSize <= len(data); offset++ {
 			if recordGeneration, _, _, _, isGood := unframe(recordMagic, data[offset:]); isGood && recordGeneration == generation {
-				return nil, 0, &Corrupt{logName(generation), "the log header is corrupt, with valid records after it"}
+				return nil, 0, &CorruptError{logName(generation), "the log header is corrupt, with valid records after it"}
 			}
 		}
 		return nil, 0, nil
@@ -254,7 +254,7 @@
 		if !ok || recordGeneration != generation || recordNumber != number {
 			for offset := goodLength + 1; offset+headSize <= len(data); offset++ {
 				if recordGeneration, recordNumber, _, _, isGood := unframe(recordMagic, data[offset:]); isGood && recordGeneration == generation && recordNumber >= number {
-					return nil, 0, &Corrupt{logName(generation), fmt.Sprintf("corrupt bytes at offset %d, with valid records after them", goodLength)}
+					return nil, 0, &CorruptError{logName(generation), fmt.Sprintf("corrupt bytes at offset %d, with valid records after them", goodLength)}
 				}
 			}
 			return records, goodLength, nil
@@ -351,7 +351,7 @@
 		store.lastRewrite = store.World.Now()
 	}
 	store.guard.Unlock()
-	if !isDue || store.Fold() != nil {
+	if !isDue || store.Compact() != nil {
 		return broken
 	}
 	store.guard.Lock()
@@ -364,7 +364,7 @@
 // nil records, writes nothing.
 func (store *Store) write(batch [][]byte) error {
 	if store.logLength > store.LogBytes {
-		if err := store.Fold(); err != nil {
+		if err := store.Compact(); err != nil {
 			return err
 		}
 	}
@@ -386,9 +386,9 @@
 	return store.log.Sync()
 }
 
-// Fold writes the whole value into the other slot and starts a new log. Only the writing
+// Compact writes the whole value into the other slot and starts a new log. Only the writing
 // task may call it, or the caller of Open before it uses the fresh store.
-func (store *Store) Fold() error {
+func (store *Store) Compact() error {
 	next, oldLog := store.generation+1, store.log
 	value := store.Snapshot()
 	slot, err := store.Folder.Open(slotName(next), true)
@@ -417,14 +417,14 @@
 	if err := store.writeLogHeader(); err != nil {
 		return err
 	}
-	if store.Folded != nil {
-		store.Folded()
+	if store.SnapshotDurable != nil {
+		store.SnapshotDurable()
 	}
 	return nil
 }
 
-// Vitals is the health of a store, as the doctor command reports it.
-type Vitals struct {
+// Health is the health of a store, as the doctor command reports it.
+type Health struct {
 	Broken   string
 	LastSync time.Duration
 	// Syncs counts the syncs requested since the store was opened, including those of the folder.
@@ -432,11 +432,11 @@
 	TornTail bool
 }
 
-// Vitals returns the present health of the store.
-func (store *Store) Vitals() Vitals {
+// Health returns the present health of the store.
+func (store *Store) Health() Health {
 	store.guard.Lock()
 	defer store.guard.Unlock()
-	health := Vitals{LastSync: store.lastSync, Syncs: store.syncs.Load(), TornTail: store.tornTail}
+	health := Health{LastSync: store.lastSync, Syncs: store.syncs.Load(), TornTail: store.tornTail}
 	if store.broken != nil {
 		health.Broken = store.broken.Error()
 	}
--- a/docs/platform_test.go
+++ b/docs/platform_test.go
@@ -16,7 +16,7 @@
 
 // translated are the packages whose words the adapter may translate to.
 var translated = map[string]bool{
-	"controlplane": true, "dataplane": true, "decide": true, "listing": true, "permit": true, "replica": true,
+	"controlplane": true, "dataplane": true, "decide": true, "lease": true, "listing": true, "replica": true,
 	"serve": true, "settings": true, "verdict": true, "workflow": true,
 }
 
--- a/docs/words_test.go
+++ b/docs/words_test.go
@@ -26,24 +26,18 @@
 // declarations. A count is only ever lowered; a folder without any leaves the list, and
 // none joins it.
 var packagesToDo = map[string]int{
-	"controlplane": 6,
-	"decide":       31,
-	"disk":         2,
-	"duty":         2,
-	"execute":      1,
+	"controlplane": 4,
+	"decide":       27,
 	"fleet":        501,
+	"lease":        18,
 	"listing":      1,
-	"permit":       26,
-	"quota":        3,
-	"register":     3,
-	"replica":      6,
-	"rollout":      3,
-	"session":      5,
+	"quota":        1,
+	"register":     2,
+	"replica":      2,
+	"routing":      7,
+	"session":      2,
 	"sim":          2,
-	"standing":     9,
-	"verdict":      2,
-	"wire":         1,
-	"workflow":     3,
+	"workflow":     1,
 }
 
 var camel = regexp.MustCompile(`[A-Z]?[a-z]+|[A-Z]+`)
--- a/doctor/doctor.go
+++ b/doctor/doctor.go
@@ -11,9 +11,9 @@
 
 	"swifttiller/controlplane"
 	"swifttiller/rollout"
+	"swifttiller/routing"
 	"swifttiller/session"
 	"swifttiller/settings"
-	"swifttiller/standing"
 	"swifttiller/workflow"
 )
 
@@ -32,14 +32,14 @@
 	Advice   string `json:"advice"`
 }
 
-// Look is the status of the system at one moment.
-type Look struct {
+// Snapshot is the status of the system at one moment.
+type Snapshot struct {
 	At     time.Time
 	Status controlplane.Status
 }
 
 type exam struct {
-	first, last Look
+	first, last Snapshot
 	tree        *settings.Tree
 	sessions    map[string]session.Session
 	findings    []Finding
@@ -51,7 +51,7 @@
 
 // Examine compares two status snapshots taken some time apart and returns the findings, the most
 // severe first. A condition that clears by itself between the snapshots is not a finding.
-func Examine(first, last Look) []Finding {
+func Examine(first, last Snapshot) []Finding {
 	exam := &exam{first: first, last: last, sessions: sessions(last.Status)}
 	if len(last.Status.Document) > 0 {
 		exam.tree, _ = settings.Parse(last.Status.Document)
@@ -245,12 +245,12 @@
 	if exam.tree == nil || !exam.last.Status.Majority {
 		return
 	}
-	names := []string{controlplane.JanitorDuty}
+	names := []string{controlplane.JanitorElection}
 	for _, region := range exam.tree.Regions() {
-		names = append(names, controlplane.RegionDuty+region)
+		names = append(names, controlplane.RegionElection+region)
 	}
 	if exam.tree.Limit("tenant_ms", "") > 0 {
-		names = append(names, controlplane.TenantDuty)
+		names = append(names, controlplane.TenantElection)
 	}
 	for _, name := range names {
 		isLive, holder, serial := false, "", uint64(0)
@@ -349,12 +349,12 @@
 }
 
 // missingVersions finds versions that a replica should have loaded and is not even loading.
-func (exam *exam) missingVersions(region string, replica standing.Replica) {
+func (exam *exam) missingVersions(region string, replica routing.Replica) {
 	for _, model := range slices.Sorted(maps.Keys(exam.last.Status.Models)) {
 		for _, version := range slices.Sorted(maps.Keys(exam.last.Status.Models[model].Versions)) {
 			desired := exam.last.Status.Models[model].Versions[version].Regions[region]
 			wanted := desired.State == rollout.RUNNING && (len(desired.Only) == 0 || slices.Contains(desired.Only, replica.ID))
-			if state := replica.Held[model+"/"+version]; wanted && state != standing.Ready && state != standing.Loading && exam.last.At.Sub(desired.Since) > 5*time.Second {
+			if state := replica.Held[model+"/"+version]; wanted && state != routing.Ready && state != routing.Loading && exam.last.At.Sub(desired.Since) > 5*time.Second {
 				exam.find("version wanted but not held", Warning, "check that replica's log for why it does not load the version", "%s should have version %s of model %s loaded, but its state is %q", replica.ID, version, model, state)
 			}
 		}
@@ -402,7 +402,7 @@
 			if count := len(run.Steps); count > 0 {
 				since, last = run.Steps[count-1].At, run.Steps[count-1].Name
 			}
-			bound := max(exam.tree.Span("load_ms", region), exam.tree.Span("trial_most_ms", region), exam.tree.Span("watch_ms", region))
+			bound := max(exam.tree.Duration("load_ms", region), exam.tree.Duration("trial_most_ms", region), exam.tree.Duration("watch_ms", region))
 			if run.Mishaps >= 3 {
 				exam.find("roll-out stuck", Warning, "fix the cause of the failures; the rollout continues by itself", "run %s of %s in %s: step %s failed %d times: %s", run.ID, model, region, run.At, run.Mishaps, run.Last)
 			} else if stood := exam.last.At.Sub(since); stood > bound+bound/4 {
@@ -420,7 +420,7 @@
 		exam.find("settings clash", Warning, "change the limits of that region", "%s: %s", place, fmt.Sprintf(evidence, values...))
 	}
 	for _, region := range exam.tree.Regions() {
-		limit := func(name string) time.Duration { return exam.tree.Span(name, region) }
+		limit := func(name string) time.Duration { return exam.tree.Duration(name, region) }
 		if limit("trial_ms") > limit("trial_most_ms") {
 			clash(region, "trial_ms (%v) is above trial_most_ms (%v)", limit("trial_ms"), limit("trial_most_ms"))
 		}
--- a/doctor/doctor_test.go
+++ b/doctor/doctor_test.go
@@ -10,7 +10,7 @@
 	"swifttiller/controlplane"
 	"swifttiller/decide"
 	"swifttiller/doctor"
-	"swifttiller/duty"
+	"swifttiller/election"
 	"swifttiller/fleet"
 	"swifttiller/loop"
 	"swifttiller/register"
@@ -19,14 +19,14 @@
 )
 
 // look requests the status of a control daemon and passes it through JSON, as the command does.
-func look(cluster *fleet.Park, at string) doctor.Look {
-	var out doctor.Look
+func look(cluster *fleet.Park, at string) doctor.Snapshot {
+	var out doctor.Snapshot
 	if err := cluster.Do(at, 30*time.Second, func(daemon *controlplane.Daemon) error {
 		body, err := json.Marshal(daemon.Status())
 		if err != nil {
 			return err
 		}
-		out.At = cluster.Node(at).Wall()
+		out.At = cluster.Node(at).WallTime()
 		return json.Unmarshal(body, &out.Status)
 	}); err != nil {
 		panic(err)
@@ -93,13 +93,13 @@
 			// The core can't query the acceptor, so it does not add it.
 			dropCalls(cluster, "c3", "Register.Describe")
 			cluster.Crash("c3")
-			cluster.Node("c3").Disk.Lose()
+			cluster.Node("c3").Disk.Wipe()
 			cluster.StartControl("c3")
 			cluster.Run(4 * time.Second)
 		}, nil, ""},
 		{"disk does not keep", func(cluster *fleet.Park) { cluster.Node("c3").Disk.Full = true; cluster.Run(3 * time.Second) }, nil, ""},
 		{"slow disk", func(cluster *fleet.Park) {
-			cluster.Node("c3").Disk.Slow = 400 * time.Millisecond
+			cluster.Node("c3").Disk.SyncDelay = 400 * time.Millisecond
 			cluster.Run(3 * time.Second)
 		}, nil, ""},
 		{"clock apart", func(cluster *fleet.Park) { cluster.Node("c2").Skew = time.Minute }, nil, ""},
@@ -174,7 +174,7 @@
 			// messages of the new core.
 			dropCalls(cluster, "c2", "Register.Install", "Register.Fetch", "Register.Digest")
 			cluster.Crash("c3")
-			cluster.Node("c3").Disk.Lose()
+			cluster.Node("c3").Disk.Wipe()
 			cluster.StartControl("c3")
 			cluster.Run(6 * time.Second)
 		}, nil, ""},
@@ -229,14 +229,14 @@
 	}
 }
 
-func TestVacantDuty(t *testing.T) {
+func TestVacantLeadership(t *testing.T) {
 	cluster := fleet.NewPark(3, fleet.Sahayogi())
 	defer cluster.Close()
 	cluster.Run(6 * time.Second)
 	// The leader for east crashes; until another one is elected, the duty is vacant.
 	leader := ""
 	for _, name := range []string{"c1", "c2", "c3", "c4"} {
-		if _, held := cluster.Controls[name].Duties.Held(controlplane.RegionDuty + "east"); held {
+		if _, held := cluster.Controls[name].Elections.Term(controlplane.RegionElection + "east"); held {
 			leader = name
 		}
 	}
@@ -265,11 +265,11 @@
 	}
 }
 
-func TestCopiesThatStoodStill(t *testing.T) {
+func TestDivergedAcceptor(t *testing.T) {
 	cluster := fleet.NewPark(4, fleet.Sahayogi())
 	defer cluster.Close()
 	cluster.Run(6 * time.Second)
-	isReported := func(first, last doctor.Look) bool {
+	isReported := func(first, last doctor.Snapshot) bool {
 		for _, finding := range doctor.Examine(first, last) {
 			if finding.Name == "acceptors disagree" {
 				return true
@@ -307,10 +307,10 @@
 	cluster.OnCall = func(from, to, method string) sim.Fate {
 		for _, prefix := range methods {
 			if (from == name || to == name) && strings.HasPrefix(method, prefix) {
-				return sim.IsLost
+				return sim.RequestLost
 			}
 		}
-		return sim.Passes
+		return sim.Delivered
 	}
 }
 
@@ -346,17 +346,17 @@
 	}
 }
 
-func TestFlappingDuty(t *testing.T) {
+func TestFlappingLeadership(t *testing.T) {
 	cluster := fleet.NewPark(5, fleet.Sahayogi())
 	defer cluster.Close()
 	cluster.Run(6 * time.Second)
 	// Each leader in turn gives up its leadership, as when control daemons lose contact.
 	for turn := 0; turn < 8; turn++ {
 		for _, name := range []string{"c1", "c2", "c3", "c4"} {
-			if term, held := cluster.Controls[name].Duties.Held(controlplane.RegionDuty + "east"); held {
+			if term, held := cluster.Controls[name].Elections.Term(controlplane.RegionElection + "east"); held {
 				cluster.Must(name, func(daemon *controlplane.Daemon) error {
-					_, err := daemon.Change(duty.Prefix+controlplane.RegionDuty+"east", func(register.Value) ([]byte, error) {
-						return json.Marshal(duty.Duty{Serial: term})
+					_, err := daemon.Update(election.Prefix+controlplane.RegionElection+"east", func(register.Value) ([]byte, error) {
+						return json.Marshal(election.Leadership{Serial: term})
 					})
 					return err
 				})
--- a/duty/duty.go
+++ b/election/election.go
@@ -1,6 +1,6 @@
-// Package duty elects a leader among the daemons for each task that only one daemon may do.
+// Package election elects a leader among the daemons for each task that only one daemon may do.
 // Whenever a leadership is vacant, a compare-and-set on its register decides who gets it next.
-package duty
+package election
 
 import (
 	"encoding/json"
@@ -17,11 +17,11 @@
 // Prefix is the key prefix of the registers of leaderships.
 const Prefix = "duty/"
 
-// Duty is the content of a leadership's register.
+// Leadership is the content of a leadership's register.
 //
 // Invariant: Serial is the term. It increases by one with every change of the leader and never
 // decreases, and it fences every write that the leader makes.
-type Duty struct {
+type Leadership struct {
 	Holder      string `json:"holder"`
 	Incarnation string `json:"incarnation"`
 	Serial      uint64 `json:"serial"`
@@ -30,22 +30,22 @@
 // Options configures an elector.
 type Options struct {
 	World       loop.World
-	Keeper      *register.Keeper
+	Registers   *register.Client
 	Name        string
 	Incarnation string
-	// Span returns the session timeout.
-	Span func() time.Duration
-	// Alive reports whether the daemon of that incarnation is a member. It is called only after
+	// SessionTimeout returns the session timeout.
+	SessionTimeout func() time.Duration
+	// IsAlive reports whether the daemon of that incarnation is a member. It is called only after
 	// the membership has been watched for long enough.
-	Alive func(name, incarnation string) bool
+	IsAlive func(name, incarnation string) bool
 	// Claims reports whether the daemon, a member, announces itself that it holds the leadership.
-	Claims func(name string, duty Duty) bool
-	// Reborn reports whether another incarnation of the daemon is a member.
-	Reborn func(name, incarnation string) bool
+	Claims func(name string, duty Leadership) bool
+	// HasRestarted reports whether another incarnation of the daemon is a member.
+	HasRestarted func(name, incarnation string) bool
 	// Watched returns for how long the membership has been watched.
 	Watched func() time.Duration
-	// IsBack reports that the daemon was a member of a core before it restarted.
-	IsBack bool
+	// HasRestartedSelf reports that the daemon was a member of a core before it restarted.
+	HasRestartedSelf bool
 	// Wanted returns the names of all leaderships, those first that this daemon should preferably
 	// hold.
 	Wanted func() []string
@@ -56,40 +56,40 @@
 	confirmedAt time.Duration // when a majority last confirmed it
 }
 
-// Keeper campaigns for vacant leaderships and knows which ones this daemon holds.
+// Elector campaigns for vacant leaderships and knows which ones this daemon holds.
 //
 // Invariant: held contains a leadership only if, no longer than a session timeout ago by this
 // daemon's clock, the register named this incarnation as its leader.
-type Keeper struct {
+type Elector struct {
 	Options
 	mu         sync.Mutex
 	held       map[string]leadership
 	isResigned bool
 	// Changes counts the changes of the leader, by which the doctor recognizes flapping.
 	Changes  map[string]int
-	lastRead map[string]Duty
+	lastRead map[string]Leadership
 	// changedAt is when the content in lastRead was first read.
 	changedAt map[string]time.Duration
 }
 
-// Held returns the term of the leadership if this daemon holds it now.
-func (elector *Keeper) Held(name string) (uint64, bool) {
+// Term returns the term of the leadership if this daemon holds it now.
+func (elector *Elector) Term(name string) (uint64, bool) {
 	elector.mu.Lock()
 	defer elector.mu.Unlock()
 	own, ok := elector.held[name]
-	if !ok || elector.World.Now()-own.confirmedAt > elector.Span() {
+	if !ok || elector.World.Now()-own.confirmedAt > elector.SessionTimeout() {
 		return 0, false
 	}
 	return own.term, true
 }
 
-// Holds returns the terms of all leaderships that this daemon holds now.
-func (elector *Keeper) Holds() map[string]uint64 {
+// Terms returns the terms of all leaderships that this daemon holds now.
+func (elector *Elector) Terms() map[string]uint64 {
 	elector.mu.Lock()
 	defer elector.mu.Unlock()
 	out := map[string]uint64{}
 	for name, own := range elector.held {
-		if elector.World.Now()-own.confirmedAt <= elector.Span() {
+		if elector.World.Now()-own.confirmedAt <= elector.SessionTimeout() {
 			out[name] = own.term
 		}
 	}
@@ -97,19 +97,19 @@
 }
 
 // Last returns a leadership as last read.
-func (elector *Keeper) Last(name string) (Duty, bool) {
+func (elector *Elector) Last(name string) (Leadership, bool) {
 	elector.mu.Lock()
 	defer elector.mu.Unlock()
 	duty, isKnown := elector.lastRead[name]
 	return duty, isKnown
 }
 
-// Seen returns all leaderships as last read, and how often this daemon saw each of them change its
+// Snapshot returns all leaderships as last read, and how often this daemon saw each of them change its
 // leader.
-func (elector *Keeper) Seen() (map[string]Duty, map[string]int) {
+func (elector *Elector) Snapshot() (map[string]Leadership, map[string]int) {
 	elector.mu.Lock()
 	defer elector.mu.Unlock()
-	duties, changes := map[string]Duty{}, map[string]int{}
+	duties, changes := map[string]Leadership{}, map[string]int{}
 	for name, duty := range elector.lastRead {
 		duties[name] = duty
 		changes[name] = elector.Changes[name]
@@ -119,20 +119,20 @@
 
 // Run watches the leaderships and campaigns for vacant ones. A restarted daemon checks more often
 // at first, as it can take back at once what it held before the restart.
-func (elector *Keeper) Run() {
+func (elector *Elector) Run() {
 	loop.Every(elector.World, func() time.Duration {
-		if elector.IsBack && elector.Watched() < 3*elector.Span()/2 {
-			return elector.Span() / 16
+		if elector.HasRestartedSelf && elector.Watched() < 3*elector.SessionTimeout()/2 {
+			return elector.SessionTimeout() / 16
 		}
-		return elector.Span() / 4
+		return elector.SessionTimeout() / 4
 	}, func() bool {
-		elector.Turn()
+		elector.CheckAll()
 		return true
 	})
 }
 
-// Turn checks every leadership once.
-func (elector *Keeper) Turn() {
+// CheckAll checks every leadership once.
+func (elector *Elector) CheckAll() {
 	names := elector.Wanted()
 	keys := make([]string, len(names))
 	for index, name := range names {
@@ -142,14 +142,14 @@
 		return
 	}
 	now := elector.World.Now()
-	values, err := elector.Keeper.ReadMany(keys...)
+	values, err := elector.Registers.ReadMany(keys...)
 	if err != nil {
 		return // leaderships that this daemon holds expire by themselves
 	}
-	reclaimable := map[string]Duty{}
+	reclaimable := map[string]Leadership{}
 	var ownNames []string
 	for index, name := range names {
-		var duty Duty
+		var duty Leadership
 		if value := values[keys[index]]; value.Serial > 0 {
 			_ = json.Unmarshal(value.Data, &duty)
 		}
@@ -171,11 +171,11 @@
 }
 
 // record updates the local state from the register's content.
-func (elector *Keeper) record(name string, duty Duty, readAt time.Duration) {
+func (elector *Elector) record(name string, duty Leadership, readAt time.Duration) {
 	elector.mu.Lock()
 	defer elector.mu.Unlock()
 	if elector.held == nil {
-		elector.held, elector.lastRead, elector.Changes, elector.changedAt = map[string]leadership{}, map[string]Duty{}, map[string]int{}, map[string]time.Duration{}
+		elector.held, elector.lastRead, elector.Changes, elector.changedAt = map[string]leadership{}, map[string]Leadership{}, map[string]int{}, map[string]time.Duration{}
 	}
 	previous, isKnown := elector.lastRead[name]
 	if isKnown && previous.Serial != duty.Serial {
@@ -195,7 +195,7 @@
 // isVacant reports whether the leadership, as just read, is vacant. A leader that is alive but
 // does not claim its leadership can't reach a majority and so can't act as leader; a new leader is
 // given time to announce its claim.
-func (elector *Keeper) isVacant(name string, duty Duty) bool {
+func (elector *Elector) isVacant(name string, duty Leadership) bool {
 	elector.mu.Lock()
 	isResigned, unchanged := elector.isResigned, elector.World.Now()-elector.changedAt[name]
 	elector.mu.Unlock()
@@ -208,31 +208,31 @@
 	}
 	// A daemon that has just started does not know the members yet. It could neither judge whether
 	// the leader is gone nor act well as leader.
-	if elector.Watched() < elector.Span() {
+	if elector.Watched() < elector.SessionTimeout() {
 		return false
 	}
-	if duty.Holder == "" || elector.Reborn(duty.Holder, duty.Incarnation) {
+	if duty.Holder == "" || elector.HasRestarted(duty.Holder, duty.Incarnation) {
 		return true
 	}
-	if elector.Watched() <= 2*elector.Span() {
+	if elector.Watched() <= 2*elector.SessionTimeout() {
 		return false
 	}
-	return !elector.Alive(duty.Holder, duty.Incarnation) || unchanged > 2*elector.Span() && !elector.Claims(name, duty)
+	return !elector.IsAlive(duty.Holder, duty.Incarnation) || unchanged > 2*elector.SessionTimeout() && !elector.Claims(name, duty)
 }
 
 var errChanged = errors.New("taken")
 
 // campaign tries to take over a leadership whose register was observed with the given content.
-func (elector *Keeper) campaign(name string, observed Duty) {
+func (elector *Elector) campaign(name string, observed Leadership) {
 	// A random delay keeps the daemons from campaigning all at once; the register decides in any
 	// case.
 	if observed.Holder != elector.Name {
-		loop.Sleep(elector.World, time.Duration(elector.World.Draw(int64(elector.Span()/10))))
+		loop.Sleep(elector.World, time.Duration(elector.World.RandN(int64(elector.SessionTimeout()/10))))
 	}
 	startedAt := elector.World.Now()
-	next := Duty{Holder: elector.Name, Incarnation: elector.Incarnation, Serial: observed.Serial + 1}
-	_, err := elector.Keeper.Change(Prefix+name, func(value register.Value) ([]byte, error) {
-		var duty Duty
+	next := Leadership{Holder: elector.Name, Incarnation: elector.Incarnation, Serial: observed.Serial + 1}
+	_, err := elector.Registers.Update(Prefix+name, func(value register.Value) ([]byte, error) {
+		var duty Leadership
 		if value.Serial > 0 {
 			_ = json.Unmarshal(value.Data, &duty)
 		}
@@ -247,7 +247,7 @@
 }
 
 // Resign gives up every leadership, for a planned shutdown.
-func (elector *Keeper) Resign() {
+func (elector *Elector) Resign() {
 	elector.mu.Lock()
 	elector.isResigned = true
 	held := elector.held
@@ -255,13 +255,13 @@
 	elector.mu.Unlock()
 	for _, name := range slices.Sorted(maps.Keys(held)) {
 		own := held[name]
-		_, _ = elector.Keeper.Change(Prefix+name, func(value register.Value) ([]byte, error) {
-			var duty Duty
+		_, _ = elector.Registers.Update(Prefix+name, func(value register.Value) ([]byte, error) {
+			var duty Leadership
 			_ = json.Unmarshal(value.Data, &duty)
 			if duty.Serial != own.term {
 				return nil, errChanged
 			}
-			return json.Marshal(Duty{Serial: own.term})
+			return json.Marshal(Leadership{Serial: own.term})
 		})
 	}
 }
--- a/execute/execute.go
+++ b/execute/execute.go
@@ -13,8 +13,8 @@
 	"go.uber.org/zap"
 
 	"swifttiller/decide"
+	"swifttiller/lease"
 	"swifttiller/loop"
-	"swifttiller/permit"
 	"swifttiller/replica"
 	"swifttiller/verdict"
 )
@@ -24,23 +24,23 @@
 // function that was bound last is run once, so that an attempt that waits for its replica ends.
 type Sink interface {
 	Event(event []byte) error
-	Gone() bool
-	Bind(abort func())
+	IsDisconnected() bool
+	OnAbort(abort func())
 }
 
-// Leaver is the part of a sink that tracks whether the caller has disconnected and holds the
+// CallerState is the part of a sink that tracks whether the caller has disconnected and holds the
 // function that aborts the running attempt.
 //
 // Invariant: abort runs with mu held and only while it is bound. After Bind(nil) the abort function
 // of an ended attempt is never called.
-type Leaver struct {
+type CallerState struct {
 	mu    sync.Mutex
 	gone  bool
 	abort func()
 }
 
-// Leave records that the caller has disconnected and aborts the running attempt, if one is bound.
-func (leaver *Leaver) Leave() {
+// Disconnect records that the caller has disconnected and aborts the running attempt, if one is bound.
+func (leaver *CallerState) Disconnect() {
 	leaver.mu.Lock()
 	defer leaver.mu.Unlock()
 	leaver.gone = true
@@ -50,16 +50,16 @@
 	}
 }
 
-// Gone reports whether the caller has disconnected.
-func (leaver *Leaver) Gone() bool {
+// IsDisconnected reports whether the caller has disconnected.
+func (leaver *CallerState) IsDisconnected() bool {
 	leaver.mu.Lock()
 	defer leaver.mu.Unlock()
 	return leaver.gone
 }
 
-// Bind sets the function to run when the caller disconnects, or clears it if abort is nil. If the
+// OnAbort sets the function to run when the caller disconnects, or clears it if abort is nil. If the
 // caller is already gone, abort runs at once.
-func (leaver *Leaver) Bind(abort func()) {
+func (leaver *CallerState) OnAbort(abort func()) {
 	leaver.mu.Lock()
 	defer leaver.mu.Unlock()
 	leaver.abort = abort
@@ -74,12 +74,12 @@
 	World   loop.World
 	Decider *decide.Decider
 	Client  replica.Client
-	// Relayer, if set, sends routed requests.
-	Relayer Relayer
-	Holder  func() *permit.View
-	Log     *zap.Logger
-	// Traced, if set, is called with the record of every finished request.
-	Traced func(Record)
+	// ProxyClient, if set, sends routed requests.
+	ProxyClient ProxyClient
+	Holder      func() *lease.View
+	Log         *zap.Logger
+	// OnFinished, if set, is called with the record of every finished request.
+	OnFinished func(Record)
 }
 
 // Record describes one finished request and the attempts that were made for it.
@@ -88,13 +88,13 @@
 	Began, Took, First    time.Duration
 	At                    time.Time
 	Events                int
-	Dispatches            []Dispatch
+	Dispatches            []Attempt
 	Verdict               string
 	Code                  string
 }
 
-// Dispatch is one attempt at a replica.
-type Dispatch struct {
+// Attempt is one attempt at a replica.
+type Attempt struct {
 	Replica, Version, Region string
 	Serial                   uint64
 	Trial, Spill, Affine     bool
@@ -119,8 +119,8 @@
 // Serve runs an admitted call. When it returns, the sink has received every event that the caller
 // is to get. A failure after the first event means that the answer was cut off, which must be made
 // visible to the caller.
-func (executor *Executor) Serve(call *decide.Call, body []byte, sink Sink) *verdict.Mishap {
-	record := Record{ID: call.ID, Model: call.Model, Kind: call.Kind, Home: call.Home, Began: executor.World.Now(), At: executor.World.Wall()}
+func (executor *Executor) Serve(call *decide.Call, body []byte, sink Sink) *verdict.Error {
+	record := Record{ID: call.ID, Model: call.Model, Kind: call.Kind, Home: call.Home, Began: executor.World.Now(), At: executor.World.WallTime()}
 	failure := executor.serve(call, body, sink, &record)
 	executor.Decider.Settled(call, failure)
 	record.Took = executor.World.Now() - record.Began
@@ -132,14 +132,14 @@
 	return failure
 }
 
-func (executor *Executor) serve(call *decide.Call, body []byte, sink Sink, record *Record) *verdict.Mishap {
+func (executor *Executor) serve(call *decide.Call, body []byte, sink Sink, record *Record) *verdict.Error {
 	avoid := map[string]bool{}
 	for {
 		selection, failure := executor.Decider.Select(call, avoid)
 		if failure != nil {
 			return failure
 		}
-		if sink.Gone() {
+		if sink.IsDisconnected() {
 			executor.Decider.Release(selection, callerGone(verdict.NotRun, nil), 0)
 			return callerGone(verdict.NotRun, nil)
 		}
@@ -149,7 +149,7 @@
 		if events > 0 {
 			record.First = first
 		}
-		attempt := Dispatch{Replica: selection.Replica, Version: selection.Version, Region: selection.Region, Serial: selection.Serial, Trial: selection.Trial, Spill: selection.Spill, Affine: selection.Affine, Verdict: verdict.Ran.String(), Code: "ok"}
+		attempt := Attempt{Replica: selection.Replica, Version: selection.Version, Region: selection.Region, Serial: selection.Serial, Trial: selection.Trial, Spill: selection.Spill, Affine: selection.Affine, Verdict: verdict.Ran.String(), Code: "ok"}
 		if failure != nil {
 			attempt.Verdict, attempt.Code = failure.Verdict.String(), failure.Code
 		}
@@ -160,7 +160,7 @@
 		// No model has run the request, so another replica may get it, within the retry budget. A
 		// rejection by the gate, or by a replica that has restarted since it was selected, put no
 		// load on a replica and is not charged.
-		if failure.Code != "moved_on" && failure.Code != replica.AnewCode {
+		if failure.Code != "moved_on" && failure.Code != replica.RestartedCode {
 			avoid[selection.Replica] = true
 			if !executor.Decider.Redispatch() {
 				return failure
@@ -170,45 +170,45 @@
 }
 
 // attemptOn makes one attempt at the selected replica.
-func (executor *Executor) attemptOn(call *decide.Call, selection *decide.Selection, body []byte, sink Sink) (first time.Duration, events int, failure *verdict.Mishap) {
-	renamed, ok := replica.Rename(body, replica.Name(call.Model, selection.Version))
+func (executor *Executor) attemptOn(call *decide.Call, selection *decide.Selection, body []byte, sink Sink) (first time.Duration, events int, failure *verdict.Error) {
+	renamed, ok := replica.ReplaceModel(body, replica.VersionName(call.Model, selection.Version))
 	if !ok {
-		return 0, 0, verdict.Decline(400, "bad_request", "the request body has no model field", 0)
+		return 0, 0, verdict.Reject(400, "bad_request", "the request body has no model field", 0)
 	}
 	tree := executor.Holder().Tree
 	began := executor.World.Now()
 	stream, failure := executor.Client.Dispatch(replica.Request{
 		Replica: selection.Replica, Address: selection.Address, Path: call.Path, Body: renamed, Model: call.Model, Version: selection.Version,
 		Kind: call.Kind, Home: call.Home, ID: call.ID,
-		Gate:     func() (uint64, *verdict.Mishap) { return executor.Decider.Gate(selection) },
-		Patience: tree.Span("request_ms", ""), Stall: tree.Span("stall_ms", ""), Bind: sink.Bind,
-		Boot: selection.Boot, Greet: tree.Span("dark_ms", "") / 2,
+		Gate:    func() (uint64, *verdict.Error) { return executor.Decider.Gate(selection) },
+		Timeout: tree.Duration("request_ms", ""), StallTimeout: tree.Duration("stall_ms", ""), OnAbort: sink.OnAbort,
+		Boot: selection.Boot, IdentifyTimeout: tree.Duration("dark_ms", "") / 2,
 	})
-	defer sink.Bind(nil)
+	defer sink.OnAbort(nil)
 	if failure != nil {
-		if failure.Verdict != verdict.NotRun && sink.Gone() {
+		if failure.Verdict != verdict.NotRun && sink.IsDisconnected() {
 			return 0, 0, callerGone(failure.Verdict, failure.Cause)
 		}
 		return 0, 0, failure
 	}
 	defer stream.Close()
-	defer sink.Bind(nil) // runs before stream.Close returns the connection to the pool
+	defer sink.OnAbort(nil) // runs before stream.Close returns the connection to the pool
 	for {
 		event, err := stream.Next()
 		switch {
 		case errors.Is(err, io.EOF):
 			return first, events, nil
-		case err != nil && sink.Gone():
+		case err != nil && sink.IsDisconnected():
 			return first, events, callerGone(verdict.MayHaveRun, err)
 		case err != nil:
-			return first, events, &verdict.Mishap{Verdict: verdict.MayHaveRun, Code: "cut", Message: "the replica's answer ended early", Status: 502, Cause: err}
+			return first, events, &verdict.Error{Verdict: verdict.MayHaveRun, Code: "cut", Message: "the replica's answer ended early", Status: 502, Cause: err}
 		}
 		if events == 0 {
 			first = executor.World.Now() - began
 			executor.Decider.First(selection)
 		}
 		if code := invalidEvent(event, events); code != "" {
-			return first, events, &verdict.Mishap{Verdict: verdict.MayHaveRun, Code: code, Message: "the replica sent an invalid answer", Status: 502}
+			return first, events, &verdict.Error{Verdict: verdict.MayHaveRun, Code: code, Message: "the replica sent an invalid answer", Status: 502}
 		}
 		events++
 		if err := sink.Event(event); err != nil {
@@ -218,15 +218,15 @@
 }
 
 // callerGone is the failure of a request whose caller disconnected.
-func callerGone(ran verdict.Verdict, cause error) *verdict.Mishap {
-	return &verdict.Mishap{Verdict: ran, Code: "caller_gone", Message: "the caller disconnected", Status: 499, Cause: cause}
+func callerGone(ran verdict.Verdict, cause error) *verdict.Error {
+	return &verdict.Error{Verdict: ran, Code: "caller_gone", Message: "the caller disconnected", Status: 499, Cause: cause}
 }
 
 // invalidEvent returns the failure code of an invalid event, or "" if the event is valid. An event
 // whose data is not JSON, or a terminal event without any event before it, is not passed on to the
 // caller.
 func invalidEvent(event []byte, earlierEvents int) string {
-	if replica.Terminal(event) {
+	if replica.IsTerminalEvent(event) {
 		if earlierEvents == 0 {
 			return "replica_empty"
 		}
@@ -241,8 +241,8 @@
 }
 
 // RecordRejected records a request that was rejected before it was run.
-func (executor *Executor) RecordRejected(call *decide.Call, failure *verdict.Mishap) {
-	executor.addRecord(Record{ID: call.ID, Model: call.Model, Kind: call.Kind, Home: call.Home, Began: executor.World.Now(), At: executor.World.Wall(), Verdict: failure.Verdict.String(), Code: failure.Code})
+func (executor *Executor) RecordRejected(call *decide.Call, failure *verdict.Error) {
+	executor.addRecord(Record{ID: call.ID, Model: call.Model, Kind: call.Kind, Home: call.Home, Began: executor.World.Now(), At: executor.World.WallTime(), Verdict: failure.Verdict.String(), Code: failure.Code})
 }
 
 func (executor *Executor) addRecord(record Record) {
@@ -263,8 +263,8 @@
 		}
 		executor.Log.Info("request", fields...)
 	}
-	if executor.Traced != nil {
-		executor.Traced(record)
+	if executor.OnFinished != nil {
+		executor.OnFinished(record)
 	}
 }
 
--- a/execute/relay.go
+++ b/execute/proxy.go
@@ -28,8 +28,8 @@
 	answer    *replica.Answer
 	executor  *Executor
 	routed    *decide.Routed
-	request   replica.Ask
-	leaver    *Leaver
+	request   replica.RoutedRequest
+	leaver    *CallerState
 	selection *decide.Selection
 	avoid     decide.Avoid
 	record    Record
@@ -62,15 +62,15 @@
 	gapFactor = 3
 )
 
-// Relay sends a routed request to a replica and returns its answer, retrying at other replicas
+// Proxy sends a routed request to a replica and returns its answer, retrying at other replicas
 // while that is allowed. The leaver tells whether the caller has disconnected.
-func (executor *Executor) Relay(routed *decide.Routed, request replica.Ask, leaver *Leaver) (*Response, *verdict.Mishap) {
+func (executor *Executor) Proxy(routed *decide.Routed, request replica.RoutedRequest, leaver *CallerState) (*Response, *verdict.Error) {
 	response := &Response{executor: executor, routed: routed, request: request, leaver: leaver, avoid: decide.Avoid{}}
-	response.record = Record{ID: routed.ID, Model: routed.Model, Kind: routed.Route.Name, Began: routed.Came, At: executor.World.Wall()}
+	response.record = Record{ID: routed.ID, Model: routed.Model, Kind: routed.Route.Name, Began: routed.ReceivedAt, At: executor.World.WallTime()}
 	if failure := response.send(); failure != nil {
 		response.finish(failure)
 		if failure.Verdict == verdict.NotRun {
-			executor.Decider.Unran(routed)
+			executor.Decider.RefundQuota(routed)
 		}
 		return nil, failure
 	}
@@ -78,17 +78,17 @@
 }
 
 // send sends the request, or the rest of a resumed one, until a replica has begun to answer.
-func (response *Response) send() *verdict.Mishap {
+func (response *Response) send() *verdict.Error {
 	executor, routed := response.executor, response.routed
 	// mayHaveRun is the latest failure after which the request ran or may have run.
-	var mayHaveRun *verdict.Mishap
+	var mayHaveRun *verdict.Error
 	// result is the failure that the caller gets: it says that nothing ran only if no attempt can
 	// have run the request.
-	result := func(failure *verdict.Mishap) *verdict.Mishap {
+	result := func(failure *verdict.Error) *verdict.Error {
 		if failure.Verdict == verdict.NotRun && mayHaveRun != nil {
 			return mayHaveRun
 		}
-		if (failure.Code == "replica_declined" || failure.Code == replica.AnewCode) && failure.ComeBack == 0 {
+		if (failure.Code == "replica_declined" || failure.Code == replica.RestartedCode) && failure.ComeBack == 0 {
 			// A retry by the caller will be routed to another replica.
 			withDelay := *failure
 			withDelay.ComeBack = rejectedRetryDelay
@@ -101,40 +101,40 @@
 		if failure != nil {
 			return result(failure)
 		}
-		if response.leaver.Gone() {
-			executor.Decider.Unseat(selection, callerGone(verdict.NotRun, nil), 0)
+		if response.leaver.IsDisconnected() {
+			executor.Decider.EndRouted(selection, callerGone(verdict.NotRun, nil), 0)
 			return result(callerGone(verdict.NotRun, nil))
 		}
 		response.selection = selection
 		now := executor.World.Now()
 		request := &response.request
 		request.Replica, request.Address, request.ID = selection.Replica, selection.Address, routed.ID
-		request.Left, request.Urgency, request.Version = routed.Expiry-now, routed.Urgency(), ""
+		request.Remaining, request.Urgency, request.Version = routed.Deadline-now, routed.Urgency(), ""
 		if routed.Tenant != nil {
 			request.Tenant = routed.Tenant.Name
 		}
-		request.Once = !routed.Route.Repeatable()
-		request.Bind, request.Connect, request.Unheard = response.leaver.Bind, connectTimeout, unackedTimeout
+		request.NotRepeatable = !routed.Route.Idempotent()
+		request.OnAbort, request.ConnectTimeout, request.UnackedTimeout = response.leaver.OnAbort, connectTimeout, unackedTimeout
 		if selection.Spill {
-			request.Connect *= 3
+			request.ConnectTimeout *= 3
 		}
 		// A request that must not be sent twice is lost if the replica has just gone away. A new
 		// connection detects that before anything is sent, and costs little within the region. It
 		// is also used for another region if the network path there is in doubt.
-		request.Anew = request.Once && (selection.Doubted || !selection.Spill && now-selection.Vouched > aliveValidity)
-		request.Gate = func() *verdict.Mishap {
+		request.NewConnection = request.NotRepeatable && (selection.IsRegionProbe || !selection.Spill && now-selection.LastAlive > aliveValidity)
+		request.Gate = func() *verdict.Error {
 			_, failure := executor.Decider.Gate(selection)
 			return failure
 		}
-		request.Span, request.Silent = silenceCheckInterval, response.silenceCheck(now)
-		answer, failure := executor.Relayer.Send(request)
+		request.SilenceInterval, request.OnSilence = silenceCheckInterval, response.silenceCheck(now)
+		answer, failure := executor.ProxyClient.Send(request)
 		if failure == nil {
 			response.sent++
 			var load *decide.Load
 			if answer.HasLoad {
 				load = &decide.Load{Running: answer.Running, Waiting: answer.Waiting, Slots: answer.Slots}
 			}
-			executor.Decider.Heard(selection, load)
+			executor.Decider.NoteAlive(selection, load)
 			if failure := replicaFailed(); answer.Status >= 500 && response.takeRetry(failure) {
 				answer.Close()
 				response.release(failure)
@@ -152,7 +152,7 @@
 			mayHaveRun = failure
 		}
 		response.release(failure)
-		if response.leaver.Gone() {
+		if response.leaver.IsDisconnected() {
 			return result(callerGone(failure.Verdict, failure.Cause))
 		}
 		switch failure.Code {
@@ -160,12 +160,12 @@
 			continue // nothing was sent
 		case "no_permit":
 			return result(failure)
-		case replica.AnewCode, "replica_unreached":
+		case replica.RestartedCode, "replica_unreached":
 			// Nothing ran, and nothing arrived except at a replica that has restarted. That request
 			// counts as one more arrival at the replica, and the next attempt as a retry like any
 			// other.
 			response.avoid[selection.Replica] = true
-			if response.unreached++; response.unreached >= maxUnreached || failure.Code == replica.AnewCode && !executor.Decider.Repeat(routed) {
+			if response.unreached++; response.unreached >= maxUnreached || failure.Code == replica.RestartedCode && !executor.Decider.AllowRetry(routed) {
 				return result(failure)
 			}
 			continue
@@ -178,9 +178,9 @@
 	}
 }
 
-// Relayer is the client that sends routed requests to replicas.
-type Relayer interface {
-	Send(request *replica.Ask) (*replica.Answer, *verdict.Mishap)
+// ProxyClient is the client that sends routed requests to replicas.
+type ProxyClient interface {
+	Send(request *replica.RoutedRequest) (*replica.Answer, *verdict.Error)
 }
 
 // silenceCheck returns the function that is called while a replica sends nothing; it reports
@@ -189,11 +189,11 @@
 	selection, route := response.selection, response.routed.Route
 	return func(hasBegun bool) bool {
 		now := response.executor.World.Now()
-		suspicion := response.executor.Decider.Suspect(selection)
+		suspicion := response.executor.Decider.Suspicion(selection)
 		if hasBegun {
 			return route.Resume && route.Gap > 0 && now-response.lastAt > gapFactor*route.Gap && response.mayRetry()
 		}
-		if !route.Repeatable() || !response.mayRetry() {
+		if !route.Idempotent() || !response.mayRetry() {
 			return false
 		}
 		overdue := response.executor.Decider.Overdue(selection)
@@ -204,7 +204,7 @@
 // mayRetry reports whether the request may be sent to another replica, not counting the retry
 // budget.
 func (response *Response) mayRetry() bool {
-	return response.sent+1 < response.routed.Route.Tries && response.routed.Expiry-response.executor.World.Now() > 2*connectTimeout
+	return response.sent+1 < response.routed.Route.MaxAttempts && response.routed.Deadline-response.executor.World.Now() > 2*connectTimeout
 }
 
 // takeRetry reports whether the request may be sent to another replica after the failure, and takes
@@ -212,32 +212,32 @@
 //
 // Invariant: a request that may have run is sent again only on a route whose requests may run more
 // than once.
-func (response *Response) takeRetry(failure *verdict.Mishap) bool {
+func (response *Response) takeRetry(failure *verdict.Error) bool {
 	route := response.routed.Route
-	if failure.Verdict != verdict.NotRun && !route.Repeatable() || response.sent >= route.Tries ||
-		response.routed.Expiry-response.executor.World.Now() <= 0 || failure.Code == "expired" {
+	if failure.Verdict != verdict.NotRun && !route.Idempotent() || response.sent >= route.MaxAttempts ||
+		response.routed.Deadline-response.executor.World.Now() <= 0 || failure.Code == "expired" {
 		return false
 	}
-	return response.executor.Decider.Repeat(response.routed)
+	return response.executor.Decider.AllowRetry(response.routed)
 }
 
 // release returns the selection to the decider and records the attempt.
-func (response *Response) release(failure *verdict.Mishap) {
+func (response *Response) release(failure *verdict.Error) {
 	if response.selection == nil {
 		return
 	}
 	first := time.Duration(0)
 	if response.firstAt > 0 {
-		first = max(1, response.firstAt-response.routed.Came)
+		first = max(1, response.firstAt-response.routed.ReceivedAt)
 	}
 	selection := response.selection
 	response.selection = nil
-	attempt := Dispatch{Replica: selection.Replica, Version: selection.Version, Region: selection.Region, Serial: selection.Serial, Trial: selection.Trial, Spill: selection.Spill, Verdict: verdict.Ran.String(), Code: "ok"}
+	attempt := Attempt{Replica: selection.Replica, Version: selection.Version, Region: selection.Region, Serial: selection.Serial, Trial: selection.Trial, Spill: selection.Spill, Verdict: verdict.Ran.String(), Code: "ok"}
 	if failure != nil {
 		attempt.Verdict, attempt.Code = failure.Verdict.String(), failure.Code
 	}
 	response.record.Dispatches = append(response.record.Dispatches, attempt)
-	response.executor.Decider.Unseat(selection, failure, first)
+	response.executor.Decider.EndRouted(selection, failure, first)
 }
 
 // Read reads the next bytes of the body.
@@ -262,11 +262,11 @@
 	case err == nil:
 		if response.firstAt == 0 {
 			response.firstAt = now
-			response.record.First = now - response.routed.Came
+			response.record.First = now - response.routed.ReceivedAt
 		}
 		response.lastAt = now
-		response.executor.Decider.Begun(response.selection, response.answer.Status < 500)
-		response.executor.Decider.Flowed(response.selection)
+		response.executor.Decider.NoteFirstChunk(response.selection, response.answer.Status < 500)
+		response.executor.Decider.NoteChunk(response.selection)
 		if response.Events {
 			response.record.Events++
 			if id := lastID(piece); id != "" {
@@ -284,14 +284,14 @@
 		response.finish(nil)
 	default:
 		response.answer.Close()
-		failure := &verdict.Mishap{Verdict: verdict.MayHaveRun, Code: "cut", Message: "the replica's answer ended early", Status: 502, Cause: err}
-		if response.leaver.Gone() {
+		failure := &verdict.Error{Verdict: verdict.MayHaveRun, Code: "cut", Message: "the replica's answer ended early", Status: 502, Cause: err}
+		if response.leaver.IsDisconnected() {
 			failure = callerGone(verdict.MayHaveRun, err)
 		}
 		selection := response.selection
 		response.release(failure)
 		// A resumable stream continues at another replica after the last whole event.
-		if !response.leaver.Gone() && response.Events && response.routed.Route.Resume && response.Status < 300 && response.takeRetry(failure) {
+		if !response.leaver.IsDisconnected() && response.Events && response.routed.Route.Resume && response.Status < 300 && response.takeRetry(failure) {
 			response.avoid[selection.Replica] = true
 			if response.send() == nil && response.isContinuable() {
 				return
@@ -313,8 +313,8 @@
 }
 
 // replicaFailed is the failure of a replica that answered with a server error.
-func replicaFailed() *verdict.Mishap {
-	return &verdict.Mishap{Verdict: verdict.Ran, Code: "replica_failed", Message: "the replica failed to serve the request", Status: 502}
+func replicaFailed() *verdict.Error {
+	return &verdict.Error{Verdict: verdict.Ran, Code: "replica_failed", Message: "the replica failed to serve the request", Status: 502}
 }
 
 // lastID returns the id of the last event in the piece, or "" if it has none.
@@ -345,7 +345,7 @@
 }
 
 // finish releases the replica and stores the record of the request.
-func (response *Response) finish(failure *verdict.Mishap) {
+func (response *Response) finish(failure *verdict.Error) {
 	response.release(failure)
 	record := &response.record
 	record.Took = response.executor.World.Now() - record.Began
