--- a/execute/relay_test.go
+++ b/execute/proxy_test.go
@@ -11,18 +11,18 @@
 
 	"swifttiller/decide"
 	"swifttiller/execute"
+	"swifttiller/lease"
 	"swifttiller/loop"
-	"swifttiller/permit"
 	"swifttiller/replica"
+	"swifttiller/routing"
 	"swifttiller/session"
 	"swifttiller/settings"
-	"swifttiller/standing"
 	"swifttiller/verdict"
 )
 
 // scriptedReply is how a scripted replica answers one attempt.
 type scriptedReply struct {
-	failure *verdict.Mishap
+	failure *verdict.Error
 	status  int
 	events  []string
 	err     error // returned after the events; nil for a clean end
@@ -56,7 +56,7 @@
 }
 
 // Send returns the next scripted reply.
-func (relayer *scriptedRelayer) Send(request *replica.Ask) (*replica.Answer, *verdict.Mishap) {
+func (relayer *scriptedRelayer) Send(request *replica.RoutedRequest) (*replica.Answer, *verdict.Error) {
 	if failure := request.Gate(); failure != nil {
 		return nil, failure
 	}
@@ -84,7 +84,7 @@
 
 // newDaemon makes the decider of a data daemon with the given number of replicas, after 100
 // requests, whose retry budget allows 20 retries.
-func newDaemon(t *testing.T, replicas int) (loop.World, *decide.Decider, func() *permit.View) {
+func newDaemon(t *testing.T, replicas int) (loop.World, *decide.Decider, func() *lease.View) {
 	t.Helper()
 	tree, problems := settings.Parse([]byte(`{"whole":{"placements":{"m":{"version":"any","capacity":64}}},"engines":{"m":{"probe_path":"/vitals","berths":64}},
  "routes":[{"name":"r","host":"h.example","prefix":"/resumed/","kind":"streamed","timeout_ms":10000,"target_ms":1000,"tries":3,"resume":true,"shares":[{"model":"m","weight":1}]},
@@ -94,30 +94,30 @@
 	if len(problems) > 0 {
 		t.Fatal(problems)
 	}
-	table := standing.Standing{Region: "a"}
+	table := routing.Table{Region: "a"}
 	for index := range replicas {
 		id := fmt.Sprint("i-", index)
-		table.Places = append(table.Places, standing.Place{ID: id, Address: id, Zone: "a-1", Region: "a", Boot: id, Capacity: 64, Whole: 64, Warm: 1})
-		table.Rows = append(table.Rows, standing.Row{Replica: id, Model: "m", Version: "v1"})
+		table.Places = append(table.Places, routing.Endpoint{ID: id, Address: id, Zone: "a-1", Region: "a", Boot: id, Capacity: 64, Whole: 64, Warm: 1})
+		table.Rows = append(table.Rows, routing.Row{Replica: id, Model: "m", Version: "v1"})
 	}
-	view := &permit.View{Serial: 1, Tree: tree, Expiry: loop.Forever, Evacuated: map[string]bool{}, Standings: map[string]standing.Standing{"a": table}}
+	view := &lease.View{Serial: 1, Tree: tree, Deadline: loop.Forever, Evacuated: map[string]bool{}, RoutingTables: map[string]routing.Table{"a": table}}
 	world := loop.NewMachine()
-	holder := func() *permit.View { return view }
-	decider := decide.New(decide.Options{World: world, Holder: holder, Self: session.Member{Name: "x", Role: session.Data, Region: "a", Zone: "a-1"}})
+	holder := func() *lease.View { return view }
+	decider := decide.New(decide.Options{World: world, View: holder, Self: session.Member{Name: "x", Role: session.Data, Region: "a", Zone: "a-1"}})
 	for range 100 {
-		_ = decider.Direct(&decide.Routed{Host: "h.example", Key: "k", Path: "/once/x", Expiry: world.Now() + time.Minute})
+		_ = decider.Resolve(&decide.Routed{Host: "h.example", Key: "k", Path: "/once/x", Deadline: world.Now() + time.Minute})
 	}
 	return world, decider, holder
 }
 
-// TestPassages checks the outcome that the caller gets for a routed request, by what its attempts
+// TestRoutedOutcomes checks the outcome that the caller gets for a routed request, by what its attempts
 // met: in particular that "not run" is reported only if no attempt may have run the request, that a
 // resumed stream has each event once, and that no replica gets a request twice.
-func TestPassages(t *testing.T) {
-	cut := &verdict.Mishap{Verdict: verdict.MayHaveRun, Code: "replica_cut", Status: 502}
-	silent := &verdict.Mishap{Verdict: verdict.MayHaveRun, Code: "replica_silent", Status: 502}
-	unreached := &verdict.Mishap{Verdict: verdict.NotRun, Code: "replica_unreached", Status: 503}
-	rejected := &verdict.Mishap{Verdict: verdict.NotRun, Code: "replica_declined", Status: 503}
+func TestRoutedOutcomes(t *testing.T) {
+	cut := &verdict.Error{Verdict: verdict.MayHaveRun, Code: "replica_cut", Status: 502}
+	silent := &verdict.Error{Verdict: verdict.MayHaveRun, Code: "replica_silent", Status: 502}
+	unreached := &verdict.Error{Verdict: verdict.NotRun, Code: "replica_unreached", Status: 503}
+	rejected := &verdict.Error{Verdict: verdict.NotRun, Code: "replica_declined", Status: 503}
 	errBroken := errors.New("cut")
 	for _, test := range []struct {
 		name       string
@@ -146,12 +146,12 @@
 		t.Run(test.name, func(t *testing.T) {
 			world, decider, holder := newDaemon(t, 9)
 			script := &scriptedRelayer{replies: test.replies, replicas: map[string]int{}}
-			executor := &execute.Executor{Options: execute.Options{World: world, Decider: decider, Relayer: script, Holder: holder}}
-			routed := &decide.Routed{ID: "q", Host: "h.example", Key: "k", Path: test.path + "x", Expiry: world.Now() + time.Minute}
-			if failure := decider.Direct(routed); failure != nil {
+			executor := &execute.Executor{Options: execute.Options{World: world, Decider: decider, ProxyClient: script, Holder: holder}}
+			routed := &decide.Routed{ID: "q", Host: "h.example", Key: "k", Path: test.path + "x", Deadline: world.Now() + time.Minute}
+			if failure := decider.Resolve(routed); failure != nil {
 				t.Fatal(failure.Code)
 			}
-			response, failure := executor.Relay(routed, replica.Ask{}, &execute.Leaver{})
+			response, failure := executor.Proxy(routed, replica.RoutedRequest{}, &execute.CallerState{})
 			switch {
 			case failure != nil && (test.verdict == succeeded || failure.Verdict != test.verdict || failure.Status != test.status):
 				t.Errorf("caller got verdict %v, code %s, status %d", failure.Verdict, failure.Code, failure.Status)
@@ -186,21 +186,21 @@
 	}
 }
 
-// TestArrivalsAtFormerLives checks that attempts which are rejected because the replica has
+// TestRestartedReplicaUsesRetryBudget checks that attempts which are rejected because the replica has
 // restarted since it was selected draw on the retry budget: each of them arrived at a replica and
 // is load there.
-func TestArrivalsAtFormerLives(t *testing.T) {
+func TestRestartedReplicaUsesRetryBudget(t *testing.T) {
 	const requests, budgeted = 100, 20
 	world, decider, holder := newDaemon(t, 1000)
-	restarted := &verdict.Mishap{Verdict: verdict.NotRun, Code: replica.AnewCode, Status: 503}
+	restarted := &verdict.Error{Verdict: verdict.NotRun, Code: replica.RestartedCode, Status: 503}
 	script := &scriptedRelayer{replies: []*scriptedReply{{failure: restarted}}, replicas: map[string]int{}}
-	executor := &execute.Executor{Options: execute.Options{World: world, Decider: decider, Relayer: script, Holder: holder}}
+	executor := &execute.Executor{Options: execute.Options{World: world, Decider: decider, ProxyClient: script, Holder: holder}}
 	for index := range requests {
-		routed := &decide.Routed{ID: fmt.Sprint("q", index), Host: "h.example", Key: "k", Path: "/once/x", Expiry: world.Now() + time.Minute}
-		if failure := decider.Direct(routed); failure != nil {
+		routed := &decide.Routed{ID: fmt.Sprint("q", index), Host: "h.example", Key: "k", Path: "/once/x", Deadline: world.Now() + time.Minute}
+		if failure := decider.Resolve(routed); failure != nil {
 			t.Fatal(failure.Code)
 		}
-		_, failure := executor.Relay(routed, replica.Ask{}, &execute.Leaver{})
+		_, failure := executor.Proxy(routed, replica.RoutedRequest{}, &execute.CallerState{})
 		if failure == nil || failure.Verdict != verdict.NotRun || failure.ComeBack <= 0 {
 			t.Fatalf("caller got %+v", failure)
 		}
--- a/fleet/anew_test.go
+++ b/fleet/anew_test.go
@@ -38,7 +38,7 @@
 			isKnown := func() bool {
 				for _, daemon := range park.Datas {
 					known := 0
-					for _, place := range daemon.Holder.View().Standings["east"].Places {
+					for _, place := range daemon.Holder.View().RoutingTables["east"].Places {
 						if lives[place.ID] {
 							known++
 						}
--- a/fleet/bytes_test.go
+++ b/fleet/bytes_test.go
@@ -23,8 +23,8 @@
 // distant is a park whose regions are the way between apart from the very start.
 func distant(seed uint64, plan fleet.Plan) *fleet.Park {
 	park := fleet.NewPark(seed, plan)
-	for _, from := range park.Names() {
-		for _, to := range park.Names() {
+	for _, from := range park.NodeNames() {
+		for _, to := range park.NodeNames() {
 			if fleet.Region(park.Zone(from)) != fleet.Region(park.Zone(to)) {
 				park.Delay(from, to, between)
 			}
@@ -74,7 +74,7 @@
 	park.Run(15 * time.Second)
 	within(t, "after a power cut", again, map[string]int{"Permit.Renew": 130e3, "Register.Fetch": 50e3})
 	for name, daemon := range park.Datas {
-		if view := daemon.Holder.View(); !view.Stands(park.Now()) || len(view.Members) != len(controls)+len(datas) {
+		if view := daemon.Holder.View(); !view.IsValid(park.Now()) || len(view.Members) != len(controls)+len(datas) {
 			t.Errorf("%s knows %d members", name, len(view.Members))
 		}
 	}
--- a/fleet/call.go
+++ b/fleet/call.go
@@ -46,7 +46,7 @@
 	At                      []string
 	Model, Kind, Home, Zone string
 	Count, Workers          int
-	Bytes, Tokens, Rosters  int
+	Bytes, Tokens, Prefixes int
 	Retries                 int
 	Pause                   time.Duration
 	Show                    bool
@@ -184,7 +184,7 @@
 func (caller *caller) send(id string, number, try int) (code, word string, foreign bool) {
 	options := caller.options
 	path := "/v1/completions"
-	body := Prompt(options.Model, number%max(1, options.Rosters), options.Bytes, options.Tokens, id)
+	body := Prompt(options.Model, number%max(1, options.Prefixes), options.Bytes, options.Tokens, id)
 	ask, _ := http.NewRequest("POST", "http://"+caller.addresses[0]+path, bytes.NewReader(body))
 	ask.Header.Set("Content-Type", "application/json")
 	for name, value := range map[string]string{"Request-Id": id, "Ticket": caller.ticket, "Model": options.Model, "Kind": options.Kind, "Home": options.Home} {
@@ -223,14 +223,14 @@
 	buffer := make([]byte, 4096)
 	for {
 		for {
-			event, rest := replica.Split(pending)
+			event, rest := replica.SplitEvent(pending)
 			if event == nil {
 				break
 			}
 			pending = rest
 			events++
 			switch {
-			case replica.Terminal(event):
+			case replica.IsTerminalEvent(event):
 				done = true
 			case bytes.HasPrefix(event, []byte("event: error")):
 				_, data, _ := strings.Cut(string(event), "data: ")
--- a/fleet/chatter_test.go
+++ b/fleet/chatter_test.go
@@ -59,8 +59,8 @@
 func listenFor(seed uint64, plan fleet.Plan, seconds int) (out chatter) {
 	park := fleet.NewPark(seed, plan)
 	defer park.Close()
-	for _, from := range park.Names() {
-		for _, to := range park.Names() {
+	for _, from := range park.NodeNames() {
+		for _, to := range park.NodeNames() {
 			if fleet.Region(park.Zone(from)) != fleet.Region(park.Zone(to)) {
 				park.Delay(from, to, between)
 			}
@@ -87,13 +87,13 @@
 	queries := park.Messages["Register.Query"]
 	before := map[string]uint64{}
 	for name, daemon := range park.Controls {
-		before[name] = daemon.Rounded().Reads
+		before[name] = daemon.RoundCounters().Reads
 	}
 	park.Run(time.Duration(seconds) * time.Second)
 	span := float64(seconds)
 	out.queries = float64(park.Messages["Register.Query"]-queries) / span
 	for name, daemon := range park.Controls {
-		out.rounds = max(out.rounds, float64(daemon.Rounded().Reads-before[name])/span)
+		out.rounds = max(out.rounds, float64(daemon.RoundCounters().Reads-before[name])/span)
 	}
 	for name := range each {
 		out.each, out.messages = max(out.each, each[name]/span), max(out.messages, messages[name]/span)
@@ -193,7 +193,7 @@
 				}
 				isOut := func() bool {
 					for _, daemon := range park.Datas {
-						for _, one := range daemon.Holder.View().Standings {
+						for _, one := range daemon.Holder.View().RoutingTables {
 							for _, row := range one.Rows {
 								if row.Replica == leaving {
 									return false
--- a/fleet/checker_test.go
+++ b/fleet/checker_test.go
@@ -177,7 +177,7 @@
 			park.Run(warm)
 			region := park.Regions()[0]
 			gone := park.Holder(region)
-			ends := park.Lose(park.Names())
+			ends := park.Lose(park.NodeNames())
 			park.Run(3 * time.Second)
 			park.Return(slices.DeleteFunc(ends, func(name string) bool { return name == gone }))
 			back := park.Now()
--- a/fleet/checkrouted.go
+++ b/fleet/checkrouted.go
@@ -266,10 +266,10 @@
 	switch route := book.Tree.Route(crowd.Host, crowd.Path); {
 	case route == nil:
 		return nil, false
-	case route.Keyless || !book.Tree.Tenanted():
+	case route.Keyless || !book.Tree.HasTenants():
 		return nil, true
 	}
-	holder = book.Tree.KeyHolder(try.Key)
+	holder = book.Tree.TenantByKey(try.Key)
 	return holder, holder != nil
 }
 
@@ -321,7 +321,7 @@
 		try := park.tried[run.ID]
 		isTenanted, isHolder := false, false
 		for _, book := range facts.books(try.Sent, run.At) {
-			isTenanted = isTenanted || book.Tree.Tenanted()
+			isTenanted = isTenanted || book.Tree.HasTenants()
 			if holder, may := book.holderOf(try); may {
 				isHolder = isHolder || holder == nil && run.Tenant == "" || holder != nil && holder.Name == run.Tenant
 			}
@@ -364,7 +364,7 @@
 			// A lower limit binds a window after it is in force everywhere.
 			most := 0.0
 			for _, book := range facts.books(max(0, run.At-2*quotaWindow), run.At) {
-				holder := book.Tree.TenantNamed(name)
+				holder := book.Tree.TenantByName(name)
 				if holder == nil || holder.PerSecond <= 0 {
 					most = math.Inf(1)
 					break
@@ -396,7 +396,7 @@
 				holder, _ := book.holderOf(try)
 				region := Region(park.zones[run.Engine])
 				isBound = isBound || len(route.Homes) > 0 || holder != nil && len(holder.Homes) > 0
-				isHome = isHome || route.Within(region) && holder.Within(region)
+				isHome = isHome || route.AllowedIn(region) && holder.AllowedIn(region)
 			}
 		}
 		if !isBound {
--- a/fleet/copies_test.go
+++ b/fleet/copies_test.go
@@ -53,9 +53,9 @@
 	cluster.OnCall = func(from, to, method string) sim.Fate {
 		isOfCopies := strings.HasPrefix(method, "Register.") && method != "Register.Digest" && method != "Register.Describe"
 		if isOfCopies && (to == "c3" || from == "c3") {
-			return sim.IsLost
+			return sim.RequestLost
 		}
-		return sim.Passes
+		return sim.Delivered
 	}
 	change := func() {
 		cluster.Must("c1", func(daemon *controlplane.Daemon) error {
--- a/fleet/days.go
+++ b/fleet/days.go
@@ -89,7 +89,7 @@
 // part cuts some from the rest for a while.
 func (day *day) part(inside []string) bool {
 	var outside []string
-	for _, name := range day.Names() {
+	for _, name := range day.NodeNames() {
 		if !slices.Contains(inside, name) {
 			outside = append(outside, name)
 		}
@@ -275,7 +275,7 @@
 // moves notes when a region's route is first seen to have moved to the bad version.
 func (day *day) moves() {
 	for _, name := range day.datas() {
-		for region, one := range day.Datas[name].Holder.View().Standings {
+		for region, one := range day.Datas[name].Holder.View().RoutingTables {
 			for _, row := range one.Rows {
 				if row.Version == day.facts.Bad && !row.Trial && !row.Back && day.facts.Moved[region] == 0 {
 					day.facts.Moved[region] = day.Now()
@@ -320,7 +320,7 @@
 		if day.draw.IntN(4) > 0 {
 			return false
 		}
-		ends := day.Lose(day.Names())
+		ends := day.Lose(day.NodeNames())
 		for _, name := range ends {
 			day.back(day.span(500*time.Millisecond, 3*time.Second), name)
 		}
@@ -328,13 +328,13 @@
 	}},
 	{"disk slow", func(day *day) bool {
 		slow := day.span(100*time.Millisecond, time.Second)
-		return day.disk(func(disk *sim.Disk) { disk.Slow = slow }, func(disk *sim.Disk) { disk.Slow = 0 }, false)
+		return day.disk(func(disk *sim.Disk) { disk.SyncDelay = slow }, func(disk *sim.Disk) { disk.SyncDelay = 0 }, false)
 	}},
 	{"disk full", func(day *day) bool {
 		return day.disk(func(disk *sim.Disk) { disk.Full = true }, func(disk *sim.Disk) { disk.Full = false }, true)
 	}},
 	{"disk sick", func(day *day) bool {
-		return day.disk(func(disk *sim.Disk) { disk.Sick = true }, func(disk *sim.Disk) { disk.Sick = false }, true)
+		return day.disk(func(disk *sim.Disk) { disk.FailSyncs = true }, func(disk *sim.Disk) { disk.FailSyncs = false }, true)
 	}},
 	{"disk lost", func(day *day) bool {
 		up := day.running(day.seeds())
@@ -344,13 +344,13 @@
 		day.isLost = true
 		name := day.one(up)
 		day.Crash(name)
-		day.Node(name).Disk.Lose()
+		day.Node(name).Disk.Wipe()
 		day.back(day.span(300*time.Millisecond, 3*time.Second), name)
 		return true
 	}},
 	{"calls mistreated", func(day *day) bool {
-		day.Unruly = sim.Unruly{Lost: 0.05, Repeated: 0.1, Late: 0.1, Latest: 1500 * time.Millisecond}
-		day.At(day.span(time.Second, 8*time.Second), func() { day.Unruly = sim.Unruly{} })
+		day.Faults = sim.NetworkFaults{Lost: 0.05, Duplicated: 0.1, Delayed: 0.1, MaxDelay: 1500 * time.Millisecond}
+		day.At(day.span(time.Second, 8*time.Second), func() { day.Faults = sim.NetworkFaults{} })
 		return true
 	}},
 	{"a configuration", func(day *day) bool { return day.operate(day.apply) }},
@@ -412,7 +412,7 @@
 	}},
 	{"clocks part", func(day *day) bool {
 		for _, name := range day.daemons() {
-			day.Node(name).SetPace(float64(day.draw.IntN(5)-2) / 100)
+			day.Node(name).SetClockRate(float64(day.draw.IntN(5)-2) / 100)
 			day.Node(name).Skew = time.Duration(day.draw.IntN(7200)-3600) * time.Second
 		}
 		return true
@@ -436,9 +436,9 @@
 	}
 	park.Run(span + 15*time.Second)
 	// The machines come back by themselves; the rest is for operators.
-	park.Unruly = sim.Unruly{}
+	park.Faults = sim.NetworkFaults{}
 	for _, name := range day.daemons() {
-		park.Node(name).SetPace(0)
+		park.Node(name).SetClockRate(0)
 		park.Node(name).Skew = 0
 	}
 	facts.Must("every machine is back", park.Until(20*time.Second, func() bool {
--- a/fleet/duel_test.go
+++ b/fleet/duel_test.go
@@ -32,7 +32,7 @@
 			for range 60 {
 				park.Run(20 * time.Millisecond)
 				for _, daemon := range park.Datas {
-					least = min(least, daemon.Holder.View().Expiry-park.Now())
+					least = min(least, daemon.Holder.View().Deadline-park.Now())
 				}
 			}
 		}
--- a/fleet/editions_test.go
+++ b/fleet/editions_test.go
@@ -141,7 +141,7 @@
 	park.Crash("d2")
 	park.StartData("d2")
 	park.Run(5 * time.Second)
-	if view := park.Datas["d2"].Holder.View(); seen.copies["d2"] != 1 || !view.Stands(park.Now()) || view.Config().Label() != label {
+	if view := park.Datas["d2"].Holder.View(); seen.copies["d2"] != 1 || !view.IsValid(park.Now()) || view.Config().Label() != label {
 		t.Errorf("%d %s: a daemon that begins anew gets %d copies, and goes by %d", count, what, seen.copies["d2"], view.Config().Label())
 	}
 }
@@ -152,7 +152,7 @@
 	t.Parallel()
 	skipLong(t)
 	for _, method := range []string{"Permit.Take", "Permit.Fetch"} {
-		for name, fate := range map[string]sim.Fate{"lost": sim.IsLost, "answer lost": sim.AnswerLost, "late": sim.IsLate, "twice": sim.IsRepeated} {
+		for name, fate := range map[string]sim.Fate{"lost": sim.RequestLost, "answer lost": sim.ResponseLost, "late": sim.RequestDelayed, "twice": sim.RequestDuplicated} {
 			for _, count := range []int{1, 2} { // how many in a row
 				park := routedFleet(21)
 				if _, err := replace(park, "c1", tenants(park.Document, 1, 300, -1), 0); err != nil {
@@ -165,14 +165,14 @@
 						struck++
 						return fate
 					}
-					return sim.Passes
+					return sim.Delivered
 				}
 				document := tenants(park.Document, 2, 300, 7)
 				began := park.Now()
 				applied, err := replace(park, "c1", document, 1)
 				took := park.Now() - began
 				for data, daemon := range park.Datas {
-					if view := daemon.Holder.View(); view.Serves(park.Now()) && view.Serial < applied.Serial {
+					if view := daemon.Holder.View(); view.MayServe(park.Now()) && view.Serial < applied.Serial {
 						t.Errorf("old config: %s %s, %d times: %s serves by serial %d, and %d is acknowledged", method, name, count, data, view.Serial, applied.Serial)
 					}
 				}
@@ -201,7 +201,7 @@
 		}
 		park.Run(time.Second)
 		park.Freeze("d1", 14*time.Second)
-		park.Split([]string{"d2"}, park.Names()[:len(park.Plan.Controls)], true)
+		park.Split([]string{"d2"}, park.NodeNames()[:len(park.Plan.Controls)], true)
 		var document []byte
 		for label := uint64(2); label <= 6; label++ {
 			document = tenants(park.Document, label, 300, int(label)*40)
@@ -217,14 +217,14 @@
 			}
 		}
 		seen := follow(park)
-		if view := park.Datas["d2"].Holder.View(); view.Config().Label() != 1 || view.Serves(park.Now()) {
+		if view := park.Datas["d2"].Holder.View(); view.Config().Label() != 1 || view.MayServe(park.Now()) {
 			t.Errorf("vacuous: %s: one that was cut off goes by %d", name, view.Config().Label())
 		}
-		park.Split([]string{"d2"}, park.Names()[:len(park.Plan.Controls)], false)
+		park.Split([]string{"d2"}, park.NodeNames()[:len(park.Plan.Controls)], false)
 		park.Run(16 * time.Second)
 		going(t, park, document)
 		for _, one := range []string{"d1", "d2"} {
-			if !park.Datas[one].Holder.View().Stands(park.Now()) || seen.copies[one] != 1 {
+			if !park.Datas[one].Holder.View().IsValid(park.Now()) || seen.copies[one] != 1 {
 				t.Errorf("%s: %s got %d copies", name, one, seen.copies[one])
 			}
 			if isSmall := seen.bytes[one] < 1500; isSmall == isAnew {
@@ -260,7 +260,7 @@
 	}
 	park.Run(2 * time.Second)
 	going(t, park, document)
-	if view := park.Datas["d1"].Holder.View(); spoiled != 1 || seen.copies["d1"] != 2 || seen.copies["d2"] != 1 || !view.Stands(park.Now()) {
+	if view := park.Datas["d1"].Holder.View(); spoiled != 1 || seen.copies["d1"] != 2 || seen.copies["d2"] != 1 || !view.IsValid(park.Now()) {
 		t.Errorf("%d spoiled, %d copies to it, %d to another", spoiled, seen.copies["d1"], seen.copies["d2"])
 	}
 	// From then on it has all of it again.
@@ -289,7 +289,7 @@
 		seen := follow(park)
 		zone := park.Zone(park.Plan.Replicas[0].ID)
 		began, ended, taken := 0, 0, 0
-		park.Unruly = sim.Unruly{Lost: 0.02, Repeated: 0.02, Late: 0.02, Latest: 800 * time.Millisecond}
+		park.Faults = sim.NetworkFaults{Lost: 0.02, Duplicated: 0.02, Delayed: 0.02, MaxDelay: 800 * time.Millisecond}
 		for index := range 60 {
 			at := fmt.Sprintf("c%d", 1+index%3)
 			park.At(time.Duration(index)*70*time.Millisecond, func() {
@@ -320,7 +320,7 @@
 		if !park.Until(40*time.Second, func() bool { return began >= 60 && ended == began }) {
 			t.Fatalf("seed %d: %d of %d ended", seed, ended, began)
 		}
-		park.Unruly = sim.Unruly{}
+		park.Faults = sim.NetworkFaults{}
 		_, err := replace(park, "c2", tenants(park.Document, 1000, 200, 3), mustLabel(t, park))
 		if err != nil {
 			t.Fatal(err)
@@ -353,7 +353,7 @@
 // written counts the writes of registers that went through.
 func written(park *fleet.Park) (count int) {
 	for _, daemon := range park.Controls {
-		count += int(daemon.Keeper.Rounded().Writes)
+		count += int(daemon.Client.RoundCounters().Writes)
 	}
 	return count
 }
@@ -375,9 +375,9 @@
 	park.OnCall = func(_, to, method string) sim.Fate {
 		if method == "Permit.Renew" {
 			asks++
-			return sim.AnswerLost
+			return sim.ResponseLost
 		}
-		return sim.Passes
+		return sim.Delivered
 	}
 	var names []string
 	for name := range park.Datas {
@@ -403,7 +403,7 @@
 	park.OnCall = nil
 	if !park.Until(6*time.Second, func() bool {
 		for _, name := range names {
-			if !park.Datas[name].Holder.View().Stands(park.Now()) {
+			if !park.Datas[name].Holder.View().IsValid(park.Now()) {
 				return false
 			}
 		}
@@ -435,8 +435,8 @@
 		return err
 	})
 	park.Run(10 * time.Second)
-	for _, from := range park.Names() {
-		for _, to := range park.Names() {
+	for _, from := range park.NodeNames() {
+		for _, to := range park.NodeNames() {
 			if fleet.Region(park.Zone(from)) != fleet.Region(park.Zone(to)) {
 				park.Delay(from, to, between)
 			}
@@ -452,7 +452,7 @@
 	if !park.Until(10*time.Second, func() bool {
 		stand = 0
 		for _, daemon := range park.Datas {
-			if daemon.Holder.View().Stands(park.Now()) {
+			if daemon.Holder.View().IsValid(park.Now()) {
 				stand++
 			}
 		}
--- a/fleet/emptied_test.go
+++ b/fleet/emptied_test.go
@@ -39,7 +39,7 @@
 					}
 				}
 				for name, daemon := range park.Datas {
-					for region, one := range daemon.Holder.View().Standings {
+					for region, one := range daemon.Holder.View().RoutingTables {
 						if len(one.Places) == 0 {
 							t.Fatalf("emptied: seed %d, %v: %s goes by a standing of %s without replicas", seed, park.Now(), name, region)
 						}
--- a/fleet/ends_test.go
+++ b/fleet/ends_test.go
@@ -32,9 +32,9 @@
 		if told[limit] {
 			continue
 		}
-		for end, value := range map[string]float64{"least": bound.Least, "most": bound.Most} {
+		for end, value := range map[string]float64{"least": bound.Min, "most": bound.Max} {
 			if limit == "probe_ms" {
-				value = min(value, settings.Limits["dark_ms"].Most/2)
+				value = min(value, settings.Limits["dark_ms"].Max/2)
 			}
 			for seed := *first; seed < *first+uint64(*seeds); seed++ {
 				name := names[(seed+uint64(len(limit)))%2]
--- a/fleet/engine_test.go
+++ b/fleet/engine_test.go
@@ -18,7 +18,7 @@
 	first, last, pause time.Duration // since it was sent
 	events             int
 	err                error
-	mishap             *verdict.Mishap
+	mishap             *verdict.Error
 	head               replica.Head
 }
 
@@ -47,7 +47,7 @@
 	lone.askedOf[id] = asked{parts, most}
 	lone.Node("d").Go(func() {
 		sent := lone.Now()
-		ask := &replica.Ask{Replica: lone.Engines["e"].Life, Address: "e", ID: id, Left: left, Urgency: urgency, Connect: time.Second, Unheard: 2 * time.Second, Gate: func() *verdict.Mishap { return nil }}
+		ask := &replica.RoutedRequest{Replica: lone.Engines["e"].Life, Address: "e", ID: id, Remaining: left, Urgency: urgency, ConnectTimeout: time.Second, UnackedTimeout: 2 * time.Second, Gate: func() *verdict.Error { return nil }}
 		answer, mishap := lone.relayer.Send(ask)
 		if mishap != nil {
 			out.mishap = mishap
@@ -221,13 +221,13 @@
 		lone.Crash("e")
 		lone.StartEngine(lone.Engines["e"].EngineOptions)
 		lone.Run(10 * time.Millisecond)
-		var mishap *verdict.Mishap
+		var mishap *verdict.Error
 		lone.askedOf["x"] = asked{most: 1}
 		lone.Node("d").Go(func() {
-			_, mishap = lone.relayer.Send(&replica.Ask{Replica: meant, Address: "e", ID: "x", Left: someTime, Connect: time.Second, Gate: func() *verdict.Mishap { return nil }})
+			_, mishap = lone.relayer.Send(&replica.RoutedRequest{Replica: meant, Address: "e", ID: "x", Remaining: someTime, ConnectTimeout: time.Second, Gate: func() *verdict.Error { return nil }})
 		})
 		lone.Run(100 * time.Millisecond)
-		if mishap == nil || mishap.Code != replica.AnewCode || !lone.Runs[2].Elsewhere {
+		if mishap == nil || mishap.Code != replica.RestartedCode || !lone.Runs[2].Elsewhere {
 			t.Errorf("meant for another life: %v", mishap)
 		}
 		for id := range uint64(100) {
--- a/fleet/faults.go
+++ b/fleet/faults.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"swifttiller/controlplane"
-	"swifttiller/permit"
+	"swifttiller/lease"
 	"swifttiller/settings"
 	"swifttiller/sim"
 )
@@ -68,7 +68,7 @@
 		facts.Acked = map[uint64]Ack{}
 	}
 	ack := Ack{At: park.Now()}
-	if at, config, _ := daemon.Office.Current(); at == serial {
+	if at, config, _ := daemon.Issuer.Current(); at == serial {
 		ack.Mark = mark(config)
 	}
 	facts.Acked[serial] = ack
@@ -207,7 +207,7 @@
 }
 
 func (park *Park) rest(name string) (others []string) {
-	for _, other := range park.Names() {
+	for _, other := range park.NodeNames() {
 		if other != name {
 			others = append(others, other)
 		}
@@ -216,7 +216,7 @@
 }
 
 func (park *Park) inRegion(region string) (inside, outside []string) {
-	for _, name := range park.Names() {
+	for _, name := range park.NodeNames() {
 		if Region(park.zones[name]) == region {
 			inside = append(inside, name)
 		} else {
@@ -397,10 +397,10 @@
 	}, nil},
 	{"slow disk", false, func(park *Park, facts *Facts) {
 		name, _ := split(park.Plan.Controls[park.Draw(3)])
-		park.Node(name).Disk.Slow = 900 * time.Millisecond
+		park.Node(name).Disk.SyncDelay = 900 * time.Millisecond
 		park.Run(8 * time.Second)
 		facts.Need("apply", park.Apply(facts, park.control()))
-		park.Node(name).Disk.Slow = 0
+		park.Node(name).Disk.SyncDelay = 0
 	}, nil},
 	{"full disk", false, func(park *Park, facts *Facts) {
 		name, _ := split(park.Plan.Controls[park.Draw(3)])
@@ -416,7 +416,7 @@
 		name, _ := split(park.Plan.Controls[park.Draw(3)])
 		facts.Need("apply", park.Apply(facts, park.control()))
 		park.Crash(name)
-		park.Node(name).Disk.Lose()
+		park.Node(name).Disk.Wipe()
 		park.Run(time.Second)
 		park.StartControl(name)
 		park.Run(4 * time.Second)
@@ -429,7 +429,7 @@
 				continue
 			}
 			park.StopControl(name)
-			park.Node(name).Disk.Lose()
+			park.Node(name).Disk.Wipe()
 			park.Run(500 * time.Millisecond)
 			park.StartControl(name)
 			park.Run(4 * time.Second)
@@ -616,11 +616,11 @@
 		facts.Must("the holder lived through it", park.Node(holder).Up())
 	}, []string{"flooded"}},
 	{"all core disks slow at once", true, func(park *Park, facts *Facts) {
-		park.disks(func(name string) { park.Node(name).Disk.Slow = 400 * time.Millisecond })
+		park.disks(func(name string) { park.Node(name).Disk.SyncDelay = 400 * time.Millisecond })
 		// Whether it is decided in time may remain unknown; serving goes on.
 		_ = park.Apply(facts, park.control())
 		park.Run(8 * time.Second)
-		park.disks(func(name string) { park.Node(name).Disk.Slow = 0 })
+		park.disks(func(name string) { park.Node(name).Disk.SyncDelay = 0 })
 		facts.Need("apply", park.Apply(facts, park.control()))
 	}, []string{"old config", "lost"}},
 	{"all core disks full at once", false, func(park *Park, facts *Facts) {
@@ -638,10 +638,10 @@
 	}, []string{"old config", "fallback"}},
 	{"disk that fails on sync only", false, func(park *Park, facts *Facts) {
 		name := park.seeds()[park.Draw(3)]
-		park.Node(name).Disk.Sick = true
+		park.Node(name).Disk.FailSyncs = true
 		facts.Need("apply", park.Apply(facts, park.control()))
 		park.Run(5 * time.Second)
-		park.Node(name).Disk.Sick = false
+		park.Node(name).Disk.FailSyncs = false
 		park.Crash(name)
 		park.Run(time.Second)
 		park.StartControl(name)
@@ -682,18 +682,18 @@
 	}, []string{"retries"}},
 	{"clocks of unequal pace, calendars that jump", true, func(park *Park, facts *Facts) {
 		for index, name := range append(park.controls(), park.datas()...) {
-			park.Node(name).SetPace([]float64{0.02, -0.02, 0}[index%3])
+			park.Node(name).SetClockRate([]float64{0.02, -0.02, 0}[index%3])
 			park.Node(name).Skew = time.Duration(index%3-1) * time.Hour
 		}
 		facts.Need("apply", park.Apply(facts, park.control()))
 		park.Run(10 * time.Second)
 		for _, name := range append(park.controls(), park.datas()...) {
-			park.Node(name).SetPace(0)
+			park.Node(name).SetClockRate(0)
 			park.Node(name).Skew = 0
 		}
 	}, []string{"old config", "lost"}},
 	{"calls lost, repeated and late", false, func(park *Park, facts *Facts) {
-		park.Unruly = sim.Unruly{Lost: 0.05, Repeated: 0.1, Late: 0.1, Latest: 1500 * time.Millisecond}
+		park.Faults = sim.NetworkFaults{Lost: 0.05, Duplicated: 0.1, Delayed: 0.1, MaxDelay: 1500 * time.Millisecond}
 		for turn := 0; turn < 3; turn++ {
 			// What got no answer is looked up, never guessed.
 			if err := park.Apply(facts, park.control()); err != nil {
@@ -701,7 +701,7 @@
 			}
 			park.Run(2 * time.Second)
 		}
-		park.Unruly = sim.Unruly{}
+		park.Faults = sim.NetworkFaults{}
 		facts.Need("apply", park.Apply(facts, park.control()))
 	}, []string{"old config"}},
 	{"homes narrowed under traffic", false, func(park *Park, facts *Facts) {
@@ -922,8 +922,8 @@
 	}, []string{"flooded"}},
 	{"regions return one after another after a full loss, a core disk gone", false, func(park *Park, facts *Facts) {
 		facts.Need("apply", park.Apply(facts, park.control()))
-		ends := park.Lose(park.Names())
-		park.Node(park.seeds()[0]).Disk.Lose()
+		ends := park.Lose(park.NodeNames())
+		park.Node(park.seeds()[0]).Disk.Wipe()
 		crowd := park.Plan.Callers[0]
 		crowd.Name, crowd.Every, crowd.Eager, crowd.Retries, crowd.Until = fmt.Sprint("return-", park.Now().Milliseconds()), crowd.Every/4, true, 6, park.Now()+12*time.Second
 		park.crowd(&crowd)
@@ -1032,7 +1032,7 @@
 func (park *Park) Holder(region string) string {
 	for _, name := range park.controls() {
 		if park.Node(name).Up() && park.Controls[name] != nil {
-			if _, held := park.Controls[name].Duties.Held(controlplane.RegionDuty + region); held {
+			if _, held := park.Controls[name].Elections.Term(controlplane.RegionElection + region); held {
 				return name
 			}
 		}
@@ -1048,7 +1048,7 @@
 }
 
 // reload is an operator's command at some control daemon.
-func (park *Park) reload(name string) (out settings.Reloaded, err error) {
+func (park *Park) reload(name string) (out settings.ReloadResult, err error) {
 	err = park.Do(park.control(), 5*time.Second, func(daemon *controlplane.Daemon) error {
 		var err error
 		out, err = daemon.Reload(name)
@@ -1103,7 +1103,7 @@
 			if err == nil {
 				park.acknowledge(facts, daemon, applied.Serial)
 			}
-			ends = append(ends, ending{applied.Serial, err, mark(permit.Config{Document: document, Evacuated: park.out(facts)})})
+			ends = append(ends, ending{applied.Serial, err, mark(lease.Config{Document: document, Evacuated: park.out(facts)})})
 		})
 	}
 	facts.Must("both operators were answered", park.Until(12*time.Second, func() bool { return len(ends) == started }))
@@ -1187,7 +1187,7 @@
 				gone = append(gone, member.ID)
 			}
 		}
-		_, err := daemon.ChangeVotes([]string{fresh}, gone)
+		_, err := daemon.ChangeCoreMembers([]string{fresh}, gone)
 		return err
 	})
 }
--- a/fleet/faultsrouted.go
+++ b/fleet/faultsrouted.go
@@ -152,7 +152,7 @@
 // hubs are the data daemons that count for others.
 func (park *Park) hubs() (names []string) {
 	for _, word := range park.Plan.Datas {
-		if name, _ := split(word); park.Node(name).Up() && park.Datas[name].Meter.Status().Hub == name {
+		if name, _ := split(word); park.Node(name).Up() && park.Datas[name].Limiter.Status().Aggregator == name {
 			names = append(names, name)
 		}
 	}
@@ -464,9 +464,9 @@
 	{"answers lost", false, troubled(Troubles{Loses: 0.1}, 6*time.Second), []string{"rerun"}},
 	{"answers failed", false, troubled(Troubles{Fails: 0.15}, 6*time.Second), []string{"rerun", "routed retries"}},
 	{"calls lost, repeated and late", false, func(park *Park, _ *Facts) {
-		park.Unruly = sim.Unruly{Lost: 0.05, Repeated: 0.1, Late: 0.1, Latest: 1500 * time.Millisecond}
+		park.Faults = sim.NetworkFaults{Lost: 0.05, Duplicated: 0.1, Delayed: 0.1, MaxDelay: 1500 * time.Millisecond}
 		park.Run(6 * time.Second)
-		park.Unruly = sim.Unruly{}
+		park.Faults = sim.NetworkFaults{}
 	}, []string{"whole"}},
 }
 
--- a/fleet/grey_test.go
+++ b/fleet/grey_test.go
@@ -151,7 +151,7 @@
 }
 
 func others(park *fleet.Park, name string) []string {
-	return slices.DeleteFunc(slices.Clone(park.Names()), func(other string) bool { return other == name })
+	return slices.DeleteFunc(slices.Clone(park.NodeNames()), func(other string) bool { return other == name })
 }
 
 // TestFlapping: engines that go down and up by turns cost few requests, and are used
--- a/fleet/grown_test.go
+++ b/fleet/grown_test.go
@@ -19,8 +19,8 @@
 // apartBy is apart with so long a way between regions.
 func apartBy(way time.Duration, seed uint64, plan fleet.Plan) *fleet.Park {
 	park := fleet.NewPark(seed, plan)
-	for _, from := range park.Names() {
-		for _, to := range park.Names() {
+	for _, from := range park.NodeNames() {
+		for _, to := range park.NodeNames() {
 			if fleet.Region(park.Zone(from)) != fleet.Region(park.Zone(to)) {
 				park.Delay(from, to, way)
 			}
@@ -90,7 +90,7 @@
 		if most > len(document)/2 || most > 45e3 || far > 8*len(document) {
 			t.Errorf("a document of %d bytes: %d bytes to a data daemon, %d between regions", len(document), most, far)
 		}
-		if read, config := newest(t, park, "c5"); read != label || string(config.Whole()) != tight(document) {
+		if read, config := newest(t, park, "c5"); read != label || string(config.WithOrigin()) != tight(document) {
 			t.Error("it does not come back as it was sent")
 		}
 	}
@@ -137,17 +137,17 @@
 	}
 	var live []session.Member
 	park.Must("c1", func(daemon *controlplane.Daemon) error {
-		for _, one := range daemon.Table.Live("") {
+		for _, one := range daemon.Sessions.Live("") {
 			live = append(live, one.Member)
 		}
 		return nil
 	})
 	for name, daemon := range park.Datas {
 		view := daemon.Holder.View()
-		if session.Sum(view.Members) != session.Sum(live) {
+		if session.Checksum(view.Members) != session.Checksum(live) {
 			t.Errorf("%s has %d members of %d, or others", name, len(view.Members), len(live))
 		}
-		for region, one := range view.Standings {
+		for region, one := range view.RoutingTables {
 			for _, place := range one.Places {
 				if place.ID == gone {
 					t.Errorf("%s still has %s in %s", name, gone, region)
@@ -213,7 +213,7 @@
 	holder := ""
 	for name, daemon := range park.Controls {
 		controls = append(controls, name)
-		if _, held := daemon.Duties.Held(controlplane.RegionDuty + "east"); held {
+		if _, held := daemon.Elections.Term(controlplane.RegionElection + "east"); held {
 			holder = name
 		}
 	}
@@ -223,7 +223,7 @@
 	shown := func() uint64 {
 		least := uint64(0)
 		for name, daemon := range park.Datas {
-			one := daemon.Holder.View().Standings["east"]
+			one := daemon.Holder.View().RoutingTables["east"]
 			if len(one.Places) == 0 {
 				t.Fatalf("at %v %s sees no replica in the region, by serial %d", park.Now(), name, one.Serial)
 			}
@@ -274,7 +274,7 @@
 		for range 100 {
 			park.Run(50 * time.Millisecond)
 			for name, daemon := range park.Datas {
-				if one := daemon.Holder.View().Standings["east"]; len(one.Places) == 0 {
+				if one := daemon.Holder.View().RoutingTables["east"]; len(one.Places) == 0 {
 					t.Fatalf("answered for %v: at %v %s sees no replica in the region, by serial %d", answered, park.Now(), name, one.Serial)
 				}
 			}
--- a/fleet/heavy_test.go
+++ b/fleet/heavy_test.go
@@ -60,7 +60,7 @@
 	}
 	queries, accepts, _ := far("a core machine that lost its disk, 10 s", func() {
 		park.Crash("c3")
-		park.Node("c3").Disk.Lose()
+		park.Node("c3").Disk.Wipe()
 		park.Run(time.Second)
 		park.StartControl("c3")
 		park.Run(9 * time.Second)
@@ -108,7 +108,7 @@
 		t.Errorf("control traffic: %d bytes of shares between regions in 4 s while replicas fail, %d in calm", failing, calm)
 	}
 	var west, rest []string
-	for _, name := range park.Names() {
+	for _, name := range park.NodeNames() {
 		if fleet.Region(park.Zone(name)) == "west" {
 			west = append(west, name)
 		} else {
@@ -132,7 +132,7 @@
 	defer park.Close()
 	serials := func() map[string]uint64 {
 		out := map[string]uint64{}
-		for region, one := range park.Datas["d1"].Holder.View().Standings {
+		for region, one := range park.Datas["d1"].Holder.View().RoutingTables {
 			out[region] = one.Serial
 		}
 		return out
--- a/fleet/leaving_test.go
+++ b/fleet/leaving_test.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"swifttiller/fleet"
+	"swifttiller/routing"
 	"swifttiller/sim"
-	"swifttiller/standing"
 )
 
 // Limits of a deployment that allows 5 s between a notice and the last request.
@@ -25,7 +25,7 @@
 	t.Helper()
 	isOut := func() bool {
 		for _, name := range names {
-			for _, one := range park.Datas[name].Holder.View().Standings {
+			for _, one := range park.Datas[name].Holder.View().RoutingTables {
 				for _, row := range one.Rows {
 					if row.Replica == replica {
 						return false
@@ -119,8 +119,8 @@
 		park.Split([]string{name}, others(park, name), false)
 		isBack := func() bool {
 			for _, daemon := range park.Datas {
-				one := daemon.Holder.View().Standings[fleet.Region(park.Zone(name))]
-				if !slices.ContainsFunc(one.Places, func(place standing.Place) bool { return place.ID == name }) {
+				one := daemon.Holder.View().RoutingTables[fleet.Region(park.Zone(name))]
+				if !slices.ContainsFunc(one.Places, func(place routing.Endpoint) bool { return place.ID == name }) {
 					return false
 				}
 			}
@@ -158,9 +158,9 @@
 				if isLost {
 					park.OnCall = func(_, _, method string) sim.Fate {
 						if method == "Permit.Heed" {
-							return sim.IsLost
+							return sim.RequestLost
 						}
-						return sim.Passes
+						return sim.Delivered
 					}
 				}
 				one := park.Used().ID
--- a/fleet/lives_test.go
+++ b/fleet/lives_test.go
@@ -21,7 +21,7 @@
 		park.Run(warmRouted)
 		facts := park.BeginRouted()
 		var inside []string
-		for _, name := range park.Names() {
+		for _, name := range park.NodeNames() {
 			if fleet.Region(park.Zone(name)) == "sea" {
 				inside = append(inside, name)
 			}
--- a/fleet/losses_test.go
+++ b/fleet/losses_test.go
@@ -104,9 +104,9 @@
 					}
 				})
 				cluster.Run(time.Duration(5+cluster.Draw(395)) * time.Millisecond)
-				ends := cluster.Lose(cluster.Names())
+				ends := cluster.Lose(cluster.NodeNames())
 				for _, name := range list[:tolerated] {
-					cluster.Node(name).Disk.Lose()
+					cluster.Node(name).Disk.Wipe()
 					since[name] = cluster.Now()
 				}
 				cluster.Return(ends)
@@ -156,7 +156,7 @@
 		defer func() { cluster.OnBytes = nil }()
 		began := cluster.Now()
 		if lost {
-			cluster.Node("c3").Disk.Lose()
+			cluster.Node("c3").Disk.Wipe()
 		}
 		cluster.StartControl("c3")
 		// It answers for the newest, or not at all.
--- a/fleet/measure_more_test.go
+++ b/fleet/measure_more_test.go
@@ -8,12 +8,12 @@
 	"time"
 
 	"swifttiller/fleet"
-	"swifttiller/permit"
-	"swifttiller/standing"
+	"swifttiller/lease"
+	"swifttiller/routing"
 )
 
 // everyView tells whether the question holds for every data daemon's view.
-func everyView(park *fleet.Park, isIt func(view *permit.View) bool) bool {
+func everyView(park *fleet.Park, isIt func(view *lease.View) bool) bool {
 	for _, daemon := range park.Datas {
 		if !isIt(daemon.Holder.View()) {
 			return false
@@ -23,8 +23,8 @@
 }
 
 // slowMarks counts the places that a view calls slow.
-func slowMarks(view *permit.View) (count int) {
-	for _, one := range view.Standings {
+func slowMarks(view *lease.View) (count int) {
+	for _, one := range view.RoutingTables {
 		for _, place := range one.Places {
 			if place.Slow {
 				count++
@@ -48,12 +48,12 @@
 			park := fleet.NewPark(seed, make())
 			park.Run(20 * time.Second)
 			dark := park.Plan.Replicas[1].ID
-			others := slices.DeleteFunc(slices.Clone(park.Names()), func(name string) bool { return name == dark })
+			others := slices.DeleteFunc(slices.Clone(park.NodeNames()), func(name string) bool { return name == dark })
 			began := park.Now()
 			park.Split([]string{dark}, others, true)
 			park.Until(10*time.Second, func() bool {
-				return everyView(park, func(view *permit.View) bool {
-					return !slices.ContainsFunc(view.Standings[fleet.Region(park.Zone(dark))].Rows, func(row standing.Row) bool { return row.Replica == dark })
+				return everyView(park, func(view *lease.View) bool {
+					return !slices.ContainsFunc(view.RoutingTables[fleet.Region(park.Zone(dark))].Rows, func(row routing.Row) bool { return row.Replica == dark })
 				})
 			})
 			add(name+": dark replica, until no data daemon may send to it, s", (park.Now() - began).Seconds())
@@ -85,7 +85,7 @@
 			park.Run(24 * time.Second)
 			add(name+": repair while copies agree, digests asked for per second", float64(park.Messages["Register.Digest"]-digests)/(park.Now()-at).Seconds())
 			park.Crash("c3")
-			park.Node("c3").Disk.Lose()
+			park.Node("c3").Disk.Wipe()
 			park.Run(time.Second)
 			park.StartControl("c3")
 			park.Run(4 * time.Second)
--- a/fleet/measure_test.go
+++ b/fleet/measure_test.go
@@ -185,7 +185,7 @@
 
 // loseAndReturn crashes every daemon and replica and starts all again 3 s later.
 func loseAndReturn(park *fleet.Park) (back time.Duration) {
-	ends := park.Lose(park.Names())
+	ends := park.Lose(park.NodeNames())
 	park.Run(3 * time.Second)
 	back = park.Now()
 	park.Return(ends)
--- a/fleet/oneway_test.go
+++ b/fleet/oneway_test.go
@@ -17,7 +17,7 @@
 		if !node.Up() {
 			continue
 		}
-		if view := daemon.Holder.View(); view.Serves(node.Now()) && view.Serial < version {
+		if view := daemon.Holder.View(); view.MayServe(node.Now()) && view.Serial < version {
 			return fmt.Sprintf("%s serves under %d", name, view.Serial)
 		}
 	}
--- a/fleet/operators_test.go
+++ b/fleet/operators_test.go
@@ -82,7 +82,7 @@
 		err := order.call(daemon)
 		status := 200
 		if err != nil {
-			status = controlplane.Answer(err).Status
+			status = controlplane.OperatorError(err).Status
 		}
 		switch {
 		case status == 200:
@@ -105,7 +105,7 @@
 		return nil
 	}
 	// What it builds on may be old by the time that it comes.
-	_, config, _ := cluster.Controls[at].Office.Current()
+	_, config, _ := cluster.Controls[at].Issuer.Current()
 	base := config.Label()
 	order := &simulatedOrder{label: base + 1 + uint64(cluster.Draw(2)), base: base, mark: fmt.Sprint(operator.name, len(operator.ended))}
 	document := labelled(cluster, order.label, order.mark)
--- a/fleet/order_test.go
+++ b/fleet/order_test.go
@@ -11,8 +11,8 @@
 
 	"swifttiller/controlplane"
 	"swifttiller/fleet"
+	"swifttiller/lease"
 	"swifttiller/loop"
-	"swifttiller/permit"
 )
 
 // answerBound is within which a control daemon answers an operator, whose call goes on to
@@ -69,7 +69,7 @@
 				took := cluster.Now() - began
 				if err == nil {
 					t.Errorf("order: %v into the cut: %s: answered without a majority", since, one.name)
-				} else if status := controlplane.Answer(err).Status; status < 500 {
+				} else if status := controlplane.OperatorError(err).Status; status < 500 {
 					t.Errorf("order: %v into the cut: %s: answered %d: %v", since, one.name, status, err)
 				}
 				if took > answerBound {
@@ -212,29 +212,29 @@
 	zone := cluster.Zone(cluster.Plan.Replicas[0].ID)
 	for name, order := range map[string]func(daemon *controlplane.Daemon) error{
 		"replace": func(daemon *controlplane.Daemon) error {
-			_, err := daemon.For(gone).Replace(labelled(cluster, 3, "a"), 0)
+			_, err := daemon.OperatorFor(gone).Replace(labelled(cluster, 3, "a"), 0)
 			return err
 		},
 		"apply": func(daemon *controlplane.Daemon) error {
-			_, err := daemon.For(gone).Apply(labelled(cluster, 3, "a"), nil, false)
+			_, err := daemon.OperatorFor(gone).Apply(labelled(cluster, 3, "a"), nil, false)
 			return err
 		},
 		"evacuate": func(daemon *controlplane.Daemon) error {
-			_, err := daemon.For(gone).Evacuate(zone, false)
+			_, err := daemon.OperatorFor(gone).Evacuate(zone, false)
 			return err
 		},
 		"roll-out": func(daemon *controlplane.Daemon) error {
-			return daemon.For(gone).BeginRollout(cluster.Model, "v2", term)
+			return daemon.OperatorFor(gone).BeginRollout(cluster.Model, "v2", term)
 		},
 	} {
 		err := cluster.Do("c1", 10*time.Second, order)
-		if answer := controlplane.Answer(err); err == nil || answer.Status != 503 || answer.Code != "abandoned" {
+		if answer := controlplane.OperatorError(err); err == nil || answer.Status != 503 || answer.Code != "abandoned" {
 			t.Errorf("order: %s: %v", name, err)
 		}
 	}
 	// One that lies long between its arrival and its carrying out, as in a freeze.
 	if err := cluster.Do("c1", 10*time.Second, func(daemon *controlplane.Daemon) error {
-		operator := daemon.For(controlplane.Caller{})
+		operator := daemon.OperatorFor(controlplane.Caller{})
 		loop.Sleep(daemon.World, 1100*time.Millisecond)
 		_, err := operator.Evacuate(zone, false)
 		return err
@@ -272,14 +272,14 @@
 		}
 	}
 	_, config := newest(t, cluster, "c1")
-	if len(config.Taken) > permit.Remembered+permit.Remembered/2 {
+	if len(config.Taken) > lease.MaxMarks+lease.MaxMarks/2 {
 		t.Errorf("the configuration itself names %d orders", len(config.Taken))
 	}
 	cluster.Crash("c2")
 	cluster.Run(time.Second)
 	cluster.StartControl("c2")
 	// It knows nothing of the configuration yet, and must ask.
-	if _, err := replace(cluster, "c2", labelled(cluster, changes, "a"), changes-1); err != nil && controlplane.Answer(err).Status < 500 {
+	if _, err := replace(cluster, "c2", labelled(cluster, changes, "a"), changes-1); err != nil && controlplane.OperatorError(err).Status < 500 {
 		t.Error("order: a repeat at a daemon that has just begun:", err)
 	}
 	cluster.Run(3 * time.Second)
@@ -309,14 +309,14 @@
 		t.Fatal(err)
 	}
 	// The registers as they are after so many orders that the first pages were replaced.
-	const archived = permit.HistoryPages + 3
+	const archived = lease.HistoryPages + 3
 	forget := func(daemon *controlplane.Daemon) error {
 		for number := uint64(3); number < archived; number++ {
-			if err := permit.WritePage(daemon.Keeper, time.Second, permit.HistoryPage{Number: number, Marks: []permit.Mark{permit.Mark(fmt.Sprintf("%d/x", 100+number))}}); err != nil {
+			if err := lease.WritePage(daemon.Client, time.Second, lease.HistoryPage{Number: number, Marks: []lease.OrderMark{lease.OrderMark(fmt.Sprintf("%d/x", 100+number))}}); err != nil {
 				return err
 			}
 		}
-		_, err := daemon.Office.Change(nil, func(config permit.Config) (permit.Config, error) {
+		_, err := daemon.Issuer.Change(nil, func(config lease.Config) (lease.Config, error) {
 			config.Archived = archived
 			return config, nil
 		})
@@ -327,7 +327,7 @@
 	}
 	for label, want := range map[uint64]int{102: 503, 103: 409, 200: 409} {
 		_, err := replace(cluster, "c2", labelled(cluster, label, "b"), label-1)
-		if got := controlplane.Answer(err).Status; got != want {
+		if got := controlplane.OperatorError(err).Status; got != want {
 			t.Errorf("order: %d is answered %d (%v), not %d", label, got, err, want)
 		}
 	}
@@ -337,26 +337,26 @@
 // can't be written for a while.
 func TestAMinorityDoesNotArchive(t *testing.T) {
 	t.Parallel()
-	full := permit.Config{}
-	for label := 1; label <= 2*permit.Remembered; label++ {
-		next, err := full.Take([]byte("{}"), permit.Mark(fmt.Sprintf("%d/x", label)), 0)
+	full := lease.Config{}
+	for label := 1; label <= 2*lease.MaxMarks; label++ {
+		next, err := full.WithDocument([]byte("{}"), lease.OrderMark(fmt.Sprintf("%d/x", label)), 0)
 		if err != nil {
 			t.Fatalf("order %d: %v", label, err)
 		}
 		full = next
 	}
-	if _, err := full.Take([]byte("{}"), "999/x", 0); !errors.Is(err, permit.ErrHistoryFull) {
+	if _, err := full.WithDocument([]byte("{}"), "999/x", 0); !errors.Is(err, lease.ErrHistoryFull) {
 		t.Error("order: one more than can be remembered:", err)
 	}
-	next, err := full.Take([]byte("{}"), "999/x", 1)
-	if err != nil || next.Archived != 1 || len(next.Taken) != len(full.Taken)-permit.Remembered/2+1 {
+	next, err := full.WithDocument([]byte("{}"), "999/x", 1)
+	if err != nil || next.Archived != 1 || len(next.Taken) != len(full.Taken)-lease.MaxMarks/2+1 {
 		t.Error("order: after a page was written:", err, next.Archived, len(next.Taken))
 	}
 	packed, err := next.Pack()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if back, err := permit.Unpack(packed); err != nil || back.Archived != 1 || !bytes.Equal(back.Document, next.Document) {
+	if back, err := lease.Unpack(packed); err != nil || back.Archived != 1 || !bytes.Equal(back.Document, next.Document) {
 		t.Error(back.Archived, err)
 	}
 }
--- a/fleet/park.go
+++ b/fleet/park.go
@@ -190,11 +190,11 @@
 func (park *Park) Ready() bool {
 	for _, daemon := range park.Datas {
 		view := daemon.Holder.View()
-		if !view.Stands(park.Now()) {
+		if !view.IsValid(park.Now()) {
 			return false
 		}
 		for _, region := range view.Tree.Regions() {
-			if len(view.Standings[region].Rows) == 0 {
+			if len(view.RoutingTables[region].Rows) == 0 {
 				return false
 			}
 		}
@@ -270,7 +270,7 @@
 	life := fmt.Sprint(park.lives)
 	park.born(name)
 	park.Start(name, func(node *sim.Node) {
-		options := dataplane.Options{World: node, Net: sim.Net{Node: node}, Process: park.process(name), Live: park.live(name), Incarnation: life, Replicas: &client{park, node, map[string][]idleLine{}}, Relayer: &relayer{park, node, map[string][]*wireLine{}}}
+		options := dataplane.Options{World: node, Net: sim.Net{Node: node}, Process: park.process(name), Live: park.live(name), Incarnation: life, Replicas: &client{park, node, map[string][]idleLine{}}, ProxyClient: &relayer{park, node, map[string][]*wireLine{}}}
 		if len(park.Plan.Engines) > 0 {
 			options.Probe = engineDialect{client: &client{park, node, nil}}.Probe
 		}
@@ -386,10 +386,10 @@
 }
 
 // List asks the stand-in platform.
-func (list *list) List(region string, _ []string, patience time.Duration) ([]listing.Listed, error) {
+func (list *list) List(region string, _ []string, patience time.Duration) ([]listing.Instance, error) {
 	loop.Sleep(list.node, 2*time.Millisecond)
 	status, body := list.park.Platform.List(strings.TrimPrefix(region, "http://"))
-	listed, err := listing.Answered(status, "", body)
+	listed, err := listing.ParseResponse(status, "", body)
 	for _, one := range listed {
 		if one.Leaving {
 			list.park.learnLeaving(one.ID, list.park.marked[one.ID])
@@ -450,7 +450,7 @@
 type piece struct {
 	event    []byte
 	err      error
-	declined *verdict.Mishap
+	declined *verdict.Error
 	begun    bool
 }
 
@@ -469,11 +469,11 @@
 }
 
 // Dispatch sends a request to a stand-in.
-func (client *client) Dispatch(request replica.Request) (replica.Stream, *verdict.Mishap) {
+func (client *client) Dispatch(request replica.Request) (replica.Stream, *verdict.Error) {
 	park, node := client.park, client.node
-	unreached := func(wait time.Duration) (replica.Stream, *verdict.Mishap) {
+	unreached := func(wait time.Duration) (replica.Stream, *verdict.Error) {
 		loop.Sleep(node, wait)
-		return nil, &verdict.Mishap{Verdict: verdict.NotRun, Code: "replica_unreached", Status: 502}
+		return nil, &verdict.Error{Verdict: verdict.NotRun, Code: "replica_unreached", Status: 502}
 	}
 	boot, isKept := client.idle(request.Address)
 	if !isKept {
@@ -487,27 +487,27 @@
 			return unreached(delay + back)
 		}
 		loop.Sleep(node, delay+back)
-		greeting, err := client.small(request.Address, request.Greet, func(stand *Replica) (int, []byte) { return 200, stand.Probe() })
+		greeting, err := client.small(request.Address, request.IdentifyTimeout, func(stand *Replica) (int, []byte) { return 200, stand.Probe() })
 		if err != nil {
 			return unreached(0)
 		}
-		vitals, _ := replica.ReadVitals(greeting.body)
+		vitals, _ := replica.ParseHealth(greeting.body)
 		boot = vitals.Boot
 		park.Greeted++
 	}
 	if boot != request.Boot {
 		client.keep(request.Address, boot)
-		return nil, replica.Anew()
+		return nil, replica.Restarted()
 	}
 	serial, mishap := request.Gate()
 	if mishap != nil {
 		return nil, mishap
 	}
-	stream := &simStream{client: client, boot: boot, park: park, box: node.Mailbox(), from: node, to: request.Address, stall: request.Stall, expiry: node.Now() + request.Patience}
+	stream := &simStream{client: client, boot: boot, park: park, box: node.Mailbox(), from: node, to: request.Address, stall: request.StallTimeout, expiry: node.Now() + request.Timeout}
 	park.streams[request.Address] = append(park.streams[request.Address], stream)
 	park.streams[node.Name] = append(park.streams[node.Name], stream)
-	if request.Bind != nil {
-		request.Bind(func() { stream.box.Put(piece{err: errReset}) })
+	if request.OnAbort != nil {
+		request.OnAbort(func() { stream.box.Put(piece{err: errReset}) })
 	}
 	body := bytes.Clone(request.Body)
 	try, sent := park.tries(request.ID), park.Now()
@@ -522,12 +522,12 @@
 			answer.served.Sent = sent
 		}
 		park.Arrivals = append(park.Arrivals, Arrival{At: park.Now(), Sent: sent, Replica: request.Address, Boot: stand.Boot, Daemon: node.Name, ID: request.ID, Home: request.Home, Taken: answer != nil, Try: try})
-		var lane sim.Lane
+		var lane sim.Stream
 		send := func(one piece) {
 			park.Send(&lane, at, node.Name, func(*sim.Node) { stream.box.Put(one) })
 		}
 		if answer == nil {
-			send(piece{declined: replica.Answered(status, "", declined)})
+			send(piece{declined: replica.FailureFromAnswer(status, "", declined)})
 			return
 		}
 		stream.answer = answer
@@ -540,7 +540,7 @@
 			event, err := answer.Next()
 			if err != nil {
 				if first {
-					send(piece{declined: replica.Answered(500, "", []byte(`{"error":{"message":"failed"}}`))})
+					send(piece{declined: replica.FailureFromAnswer(500, "", []byte(`{"error":{"message":"failed"}}`))})
 				} else {
 					send(piece{err: err})
 				}
@@ -551,9 +551,9 @@
 		}
 	})
 	got, ok := stream.box.Take(min(stream.stall, stream.expiry-node.Now()))
-	doubt := func(code string) (replica.Stream, *verdict.Mishap) {
+	doubt := func(code string) (replica.Stream, *verdict.Error) {
 		stream.Close()
-		return nil, &verdict.Mishap{Verdict: verdict.MayHaveRun, Code: code, Status: 502}
+		return nil, &verdict.Error{Verdict: verdict.MayHaveRun, Code: code, Status: 502}
 	}
 	if !ok {
 		return doubt("replica_cut")
@@ -577,7 +577,7 @@
 	}
 	if head := stream.head; head != nil {
 		stream.head = nil
-		stream.ended = replica.Terminal(head.event)
+		stream.ended = replica.IsTerminalEvent(head.event)
 		return head.event, nil
 	}
 	got, ok := stream.box.Take(min(stream.stall, stream.expiry-stream.from.Now()))
@@ -591,7 +591,7 @@
 	if errors.Is(one.err, io.EOF) {
 		return nil, io.EOF
 	}
-	stream.ended = replica.Terminal(one.event)
+	stream.ended = replica.IsTerminalEvent(one.event)
 	return one.event, nil
 }
 
@@ -620,12 +620,12 @@
 }
 
 // Probe asks a stand-in how it does.
-func (client *client) Probe(address string, patience time.Duration) (replica.Vitals, error) {
+func (client *client) Probe(address string, patience time.Duration) (replica.Health, error) {
 	body, err := client.small(address, patience, func(stand *Replica) (int, []byte) { return 200, stand.Probe() })
 	if err != nil {
-		return replica.Vitals{}, err
+		return replica.Health{}, err
 	}
-	vitals, err := replica.ReadVitals(body.body)
+	vitals, err := replica.ParseHealth(body.body)
 	if err == nil && vitals.Leaving {
 		client.park.learnLeaving(address, vitals.Boot)
 	}
@@ -644,7 +644,7 @@
 	if err != nil {
 		return err
 	}
-	return replica.Ordered(got.status, "", got.body)
+	return replica.OrderError(got.status, "", got.body)
 }
 
 type small struct {
@@ -867,12 +867,12 @@
 
 // sink brings events to a caller.
 type sink struct {
-	execute.Leaver
+	execute.CallerState
 	park *Park
 	at   *sim.Node
 	to   *sim.Node
 	box  loop.Mailbox
-	lane *sim.Lane
+	lane *sim.Stream
 	gone *bool
 }
 
@@ -921,7 +921,7 @@
 			sim := park.Node(address)
 			park.At(200*time.Millisecond, func() {
 				if sim.Up() {
-					sim.Go(seen.Leave)
+					sim.Go(seen.Disconnect)
 				}
 			})
 		}
@@ -932,7 +932,7 @@
 			park.Entered = append(park.Entered, Entered{At: park.Now(), ID: one.ID, Daemon: address, Home: crowd.Home})
 			return Prompt(park.modelOf(crowd), number%max(1, crowd.Rosters), crowd.Bytes, crowd.Tokens, one.ID)
 		})
-		var lane sim.Lane
+		var lane sim.Stream
 		if mishap == nil {
 			end = &sink{park: park, at: at, to: node, box: box, lane: &lane, gone: &gone}
 			mishap = daemon.Executor.Serve(call, text, end)
@@ -951,11 +951,11 @@
 		switch got := got.(type) {
 		case piece:
 			return "cut", "reset"
-		case *verdict.Mishap:
+		case *verdict.Error:
 			return got.Verdict.String(), got.Code
 		case []byte:
 			events++
-			if replica.Terminal(got) {
+			if replica.IsTerminalEvent(got) {
 				one.Wholes++
 				one.Whole = events == (crowd.Tokens+Chunk-1)/Chunk+1
 				return "ok", "ok"
--- a/fleet/points_test.go
+++ b/fleet/points_test.go
@@ -30,7 +30,7 @@
 	}},
 	{"core change", func(park *fleet.Park, _ *fleet.Facts) {
 		park.Crash("c3")
-		park.Node("c3").Disk.Lose()
+		park.Node("c3").Disk.Wipe()
 		park.StartControl("c3")
 		park.Run(2 * time.Second)
 		_ = park.Readd("c3")
@@ -101,28 +101,28 @@
 	}
 	struck := false
 	if fate == diskDies {
-		park.Hook("disk.sync", func(node *sim.Node, _ int) {
+		park.SetHook("disk.sync", func(node *sim.Node, _ int) {
 			if total++; total == point {
 				struck = true
-				park.Killed(node.Name)
+				park.ScheduleKill(node.Name)
 			}
 		})
 	} else {
 		park.OnCall = func(from, to, method string) sim.Fate {
 			if !counted(method) {
-				return sim.Passes
+				return sim.Delivered
 			}
 			if total++; total == point {
 				struck = true
 				return fate
 			}
-			return sim.Passes
+			return sim.Delivered
 		}
 	}
 	one.run(park, &facts)
 	count := total
 	park.OnCall = nil
-	park.Hook("disk.sync", nil)
+	park.SetHook("disk.sync", nil)
 	if point == 0 {
 		return count
 	}
@@ -156,11 +156,11 @@
 	if testing.Short() {
 		t.Skip("a long simulation; the race detector has one task at a time to look at")
 	}
-	fates := map[string]sim.Fate{"call lost": sim.IsLost, "answer lost": sim.AnswerLost, "late": sim.IsLate, "twice": sim.IsRepeated, "sender dies": sim.SenderDies, "receiver dies": sim.ReceiverDies, "dies at the disk": diskDies}
+	fates := map[string]sim.Fate{"call lost": sim.RequestLost, "answer lost": sim.ResponseLost, "late": sim.RequestDelayed, "twice": sim.RequestDuplicated, "sender dies": sim.SenderKilled, "receiver dies": sim.ReceiverKilled, "dies at the disk": diskDies}
 	for _, one := range steps {
 		t.Run(one.name, func(t *testing.T) {
 			t.Parallel()
-			calls, disks := pointed(t, one, sim.Passes, 0), pointed(t, one, diskDies, 0)
+			calls, disks := pointed(t, one, sim.Delivered, 0), pointed(t, one, diskDies, 0)
 			t.Logf("%s: %d calls, %d disk steps", one.name, calls, disks)
 			if calls == 0 || disks == 0 {
 				t.Fatal("vacuous: nothing to put a fault at")
--- a/fleet/power_test.go
+++ b/fleet/power_test.go
@@ -45,7 +45,7 @@
 			return func() bool {
 				for _, daemon := range park.Datas {
 					view := daemon.Holder.View()
-					if !view.Stands(park.Now()) || isKept && (len(view.Standings) < 3 || len(view.Unkept) > 0) {
+					if !view.IsValid(park.Now()) || isKept && (len(view.RoutingTables) < 3 || len(view.Unconfirmed) > 0) {
 						return false
 					}
 				}
@@ -108,7 +108,7 @@
 	}
 	has := func() bool {
 		for _, daemon := range park.Datas {
-			if !daemon.Holder.View().Stands(park.Now()) {
+			if !daemon.Holder.View().IsValid(park.Now()) {
 				return false
 			}
 		}
@@ -149,7 +149,7 @@
 	if !park.Until(10*time.Second, func() bool {
 		stand = 0
 		for _, daemon := range park.Datas {
-			if daemon.Holder.View().Stands(park.Now()) {
+			if daemon.Holder.View().IsValid(park.Now()) {
 				stand++
 			}
 		}
--- a/fleet/relay.go
+++ b/fleet/relay.go
@@ -47,7 +47,7 @@
 	one     *work
 	line    *wireLine
 	relayer *relayer
-	ask     *replica.Ask
+	ask     *replica.RoutedRequest
 	expiry  time.Duration
 	// cutAt is when the kernel gives the connection up, as nothing that was sent was
 	// heard of; zero while all was.
@@ -69,7 +69,7 @@
 }
 
 // take gives a waiting connection, or makes one.
-func (relayer *relayer) take(ask *replica.Ask) *wireLine {
+func (relayer *relayer) take(ask *replica.RoutedRequest) *wireLine {
 	park, node := relayer.park, relayer.node
 	for {
 		waiting := relayer.idle[ask.Address]
@@ -78,7 +78,7 @@
 		}
 		last := waiting[len(waiting)-1]
 		relayer.idle[ask.Address] = waiting[:len(waiting)-1]
-		if ask.Anew {
+		if ask.NewConnection {
 			break
 		}
 		engine := park.Engines[ask.Address]
@@ -92,10 +92,10 @@
 	target := park.Node(ask.Address)
 	switch {
 	case !isOpen || !isOpenBack || target.Frozen():
-		loop.Sleep(node, ask.Connect)
+		loop.Sleep(node, ask.ConnectTimeout)
 		return nil
-	case delay+back > ask.Connect:
-		loop.Sleep(node, ask.Connect)
+	case delay+back > ask.ConnectTimeout:
+		loop.Sleep(node, ask.ConnectTimeout)
 		return nil
 	}
 	loop.Sleep(node, delay+back)
@@ -112,31 +112,31 @@
 }
 
 // Send sends a routed request to an engine and waits for the head of its answer.
-func (relayer *relayer) Send(ask *replica.Ask) (*replica.Answer, *verdict.Mishap) {
+func (relayer *relayer) Send(ask *replica.RoutedRequest) (*replica.Answer, *verdict.Error) {
 	park, node := relayer.park, relayer.node
 	line := relayer.take(ask)
 	if line == nil {
-		return nil, &verdict.Mishap{Verdict: verdict.NotRun, Code: "replica_unreached", Status: 503}
+		return nil, &verdict.Error{Verdict: verdict.NotRun, Code: "replica_unreached", Status: 503}
 	}
 	if mishap := ask.Gate(); mishap != nil {
 		relayer.give(ask.Address, line)
 		return nil, mishap
 	}
 	sent := node.Now()
-	hop := &hop{park: park, box: node.Mailbox(), from: node, to: ask.Address, relayer: relayer, line: line, ask: ask, expiry: sent + ask.Left}
+	hop := &hop{park: park, box: node.Mailbox(), from: node, to: ask.Address, relayer: relayer, line: line, ask: ask, expiry: sent + ask.Remaining}
 	park.hops[ask.Address] = append(park.hops[ask.Address], hop)
 	park.hops[node.Name] = append(park.hops[node.Name], hop)
-	if ask.Bind != nil {
-		ask.Bind(func() { hop.box.Put(wirePiece{err: errReset}) })
+	if ask.OnAbort != nil {
+		ask.OnAbort(func() { hop.box.Put(wirePiece{err: errReset}) })
 	}
 	if _, isOpen := park.Reach(node.Name, ask.Address); !isOpen {
-		hop.cutAt = sent + ask.Unheard
+		hop.cutAt = sent + ask.UnackedTimeout
 	}
 	asked, meant, after := park.asked(ask.ID), ask.Replica, tokenOf(ask.After)
-	urgency, left, tenant := ask.Urgency, ask.Left, ask.Tenant
+	urgency, left, tenant := ask.Urgency, ask.Remaining, ask.Tenant
 	park.Deliver(node, ask.Address, func(at *sim.Node) {
 		engine := park.Engines[ask.Address]
-		var lane sim.Lane
+		var lane sim.Stream
 		send := func(piece wirePiece) {
 			if engine.Gone == 0 && !hop.isClosed {
 				park.Send(&lane, at, node.Name, func(*sim.Node) { hop.box.Put(piece) })
@@ -148,14 +148,14 @@
 		}
 		if line.late > 0 {
 			line.late--
-			send(wirePiece{head: &replica.Head{Status: 200, Foreign: true}})
+			send(wirePiece{head: &replica.Head{Status: 200, OtherRequest: true}})
 		}
 		run := &Run{ID: ask.ID, Engine: ask.Address, Life: engine.Life, Model: engine.Model, Version: engine.Version, Daemon: node.Name, Tenant: tenant, Sent: sent, At: park.Now(), After: after}
 		if engine.Life != meant {
 			run.Elsewhere = true
 			park.Runs = append(park.Runs, run)
 			head := engine.load()
-			head.Status, head.Elsewhere, head.Events = 421, true, false
+			head.Status, head.OtherReplica, head.Events = 421, true, false
 			send(wirePiece{head: &head})
 			return
 		}
@@ -179,12 +179,12 @@
 			park.FarPrompt += tokenBytes * part.Tokens
 		}
 	}
-	cut := func(code string) (*replica.Answer, *verdict.Mishap) {
-		if ask.Bind != nil {
-			ask.Bind(nil)
+	cut := func(code string) (*replica.Answer, *verdict.Error) {
+		if ask.OnAbort != nil {
+			ask.OnAbort(nil)
 		}
 		hop.close()
-		return nil, &verdict.Mishap{Verdict: verdict.MayHaveRun, Code: code, Status: 502}
+		return nil, &verdict.Error{Verdict: verdict.MayHaveRun, Code: code, Status: 502}
 	}
 	for passed := 0; ; passed++ {
 		piece, err := hop.wait(false)
@@ -197,20 +197,20 @@
 			return cut("replica_cut")
 		}
 		head := *piece.head
-		if head.Foreign {
+		if head.OtherRequest {
 			if passed >= mostPassed {
 				return cut("replica_garbled")
 			}
 			continue
 		}
 		hop.closes = piece.closing
-		if head.NotRun || head.Elsewhere {
+		if head.NotRun || head.OtherReplica {
 			hop.isEnded = true
 			hop.Close()
-			if head.Elsewhere {
-				return nil, replica.Anew()
+			if head.OtherReplica {
+				return nil, replica.Restarted()
 			}
-			return nil, &verdict.Mishap{Verdict: verdict.NotRun, Code: "replica_declined", Status: 503}
+			return nil, &verdict.Error{Verdict: verdict.NotRun, Code: "replica_declined", Status: 503}
 		}
 		return &replica.Answer{Head: head, Header: &fasthttp.ResponseHeader{}, Length: -1, Source: hop}, nil
 	}
@@ -225,8 +225,8 @@
 		if left <= 0 {
 			return wirePiece{}, errExpired
 		}
-		if hop.ask.Silent != nil && hop.ask.Span > 0 {
-			left = min(left, hop.ask.Span)
+		if hop.ask.OnSilence != nil && hop.ask.SilenceInterval > 0 {
+			left = min(left, hop.ask.SilenceInterval)
 		}
 		if hop.cutAt > 0 {
 			left = min(left, max(time.Microsecond, hop.cutAt-hop.from.Now()))
@@ -237,7 +237,7 @@
 		if hop.cutAt > 0 && hop.from.Now() >= hop.cutAt {
 			return wirePiece{}, errReset
 		}
-		if hop.ask.Silent != nil && hop.ask.Silent(hasBegun) {
+		if hop.ask.OnSilence != nil && hop.ask.OnSilence(hasBegun) {
 			return wirePiece{}, replica.ErrSilent
 		}
 	}
@@ -272,8 +272,8 @@
 
 // Close ends it; the connection is kept only after a clean end.
 func (hop *hop) Close() {
-	if hop.ask.Bind != nil {
-		hop.ask.Bind(nil)
+	if hop.ask.OnAbort != nil {
+		hop.ask.OnAbort(nil)
 	}
 	hop.close()
 }
@@ -307,7 +307,7 @@
 
 // probed is what a probe brings.
 type probed struct {
-	vitals replica.Vitals
+	vitals replica.Health
 	isFull bool
 	// saysIll is a false word.
 	saysIll bool
@@ -320,12 +320,12 @@
 }
 
 // Probe asks an engine how it does.
-func (dialect engineDialect) Probe(target replica.Target, patience time.Duration) (replica.Vitals, error) {
+func (dialect engineDialect) Probe(target replica.Target, patience time.Duration) (replica.Health, error) {
 	park, node := dialect.client.park, dialect.client.node
 	box := node.Mailbox()
 	if park.Node(target.Address) == nil || !park.Node(target.Address).Up() {
 		loop.Sleep(node, time.Millisecond)
-		return replica.Vitals{}, errReset
+		return replica.Health{}, errReset
 	}
 	park.Deliver(node, target.Address, func(at *sim.Node) {
 		engine := park.Engines[target.Address]
@@ -334,23 +334,23 @@
 			loop.Sleep(at, 10*time.Millisecond)
 		}
 		isFull, saysIll := len(engine.waiting) >= engine.Queue, engine.SaysIll
-		vitals := replica.Vitals{Boot: engine.Life, Load: -1, Leaving: engine.Leaving, Cold: max(0, engine.ColdUntil-park.Now())}
+		vitals := replica.Health{Boot: engine.Life, Load: -1, Leaving: engine.Leaving, Cold: max(0, engine.ColdUntil-park.Now())}
 		park.Deliver(at, node.Name, func(*sim.Node) { box.Put(probed{vitals, isFull, saysIll}) })
 	})
 	got, has := box.Take(patience)
 	if !has {
-		return replica.Vitals{}, errors.New("no answer")
+		return replica.Health{}, errors.New("no answer")
 	}
 	vitals, isFull := got.(probed).vitals, got.(probed).isFull
 	switch {
 	case vitals.Boot != target.ID:
-		return replica.Vitals{}, replica.Anew()
+		return replica.Health{}, replica.Restarted()
 	case isFull:
 		// As the real dialect: a status that is no 200 is no answer.
 		return vitals, errors.New("the probe was answered 503")
 	}
 	// Whether it leaves only the list tells.
-	vitals.Ill, vitals.Leaving = vitals.Leaving || got.(probed).saysIll, false
+	vitals.Unhealthy, vitals.Leaving = vitals.Leaving || got.(probed).saysIll, false
 	return vitals, nil
 }
 
@@ -409,7 +409,7 @@
 }
 
 // List asks the stand-in.
-func (asks *engineList) List(address string, _ []string, _ time.Duration) ([]listing.Listed, error) {
+func (asks *engineList) List(address string, _ []string, _ time.Duration) ([]listing.Instance, error) {
 	park, region := asks.park, strings.TrimPrefix(address, "http://")
 	loop.Sleep(asks.node, 2*time.Millisecond)
 	now := park.Now()
@@ -418,16 +418,16 @@
 		return nil, errors.New("the platform is broken")
 	}
 	if last, isKnown := register.asked[region]; isKnown && now-last < park.Plan.Least {
-		return nil, &listing.Limited{ComeBack: park.Plan.Least}
+		return nil, &listing.RateLimitedError{RetryAfter: park.Plan.Least}
 	}
 	register.asked[region] = now
-	var out []listing.Listed
+	var out []listing.Instance
 	for _, one := range register.entries {
 		engine := one.engine
 		if Region(engine.Zone) != region || one.at > now || one.until <= now {
 			continue
 		}
-		entry := listing.Listed{ID: engine.Life, Address: engine.Name, Zone: engine.Zone, Model: engine.Model, Version: engine.Version, Cold: max(0, engine.ColdUntil-now), Leaving: one.leaving <= now}
+		entry := listing.Instance{ID: engine.Life, Address: engine.Name, Zone: engine.Zone, Model: engine.Model, Version: engine.Version, Cold: max(0, engine.ColdUntil-now), Leaving: one.leaving <= now}
 		if entry.Leaving {
 			park.learnLeaving(engine.Name, engine.Life)
 		}
--- a/fleet/repeated_test.go
+++ b/fleet/repeated_test.go
@@ -24,9 +24,9 @@
 				t.Fatalf("seed %d: vacuous: %d data daemons", seed, len(names))
 			}
 			lost := names[0]
-			length := time.Duration(1.05 * float64(park.Datas[lost].Holder.View().Tree.Span("permit_ms", "")))
+			length := time.Duration(1.05 * float64(park.Datas[lost].Holder.View().Tree.Duration("permit_ms", "")))
 			if isCut {
-				park.Split([]string{lost}, park.Names(), true)
+				park.Split([]string{lost}, park.NodeNames(), true)
 			} else {
 				park.Crash(lost)
 			}
@@ -48,8 +48,8 @@
 				t.Errorf("order: seed %d: acknowledged %v after the first try; permits are over after %v", seed, acknowledged-began, length)
 			}
 			if isCut {
-				if view := park.Datas[lost].Holder.View(); acknowledged < view.Expiry {
-					t.Errorf("order: seed %d: acknowledged at %v, but a daemon that was cut off served under the configuration before until %v", seed, acknowledged, view.Expiry)
+				if view := park.Datas[lost].Holder.View(); acknowledged < view.Deadline {
+					t.Errorf("order: seed %d: acknowledged at %v, but a daemon that was cut off served under the configuration before until %v", seed, acknowledged, view.Deadline)
 				}
 			}
 			park.Close()
@@ -69,7 +69,7 @@
 		t.Fatal(err)
 	}
 	park.Run(2 * time.Second)
-	if _, config, _ := park.Controls["c2"].Office.Current(); len(config.Taken) == 0 {
+	if _, config, _ := park.Controls["c2"].Issuer.Current(); len(config.Taken) == 0 {
 		t.Fatal("vacuous: c2 does not know of the change")
 	}
 	count := func() int { return park.Messages["Register.Prepare"] + park.Messages["Register.Accept"] }
--- a/fleet/replace_test.go
+++ b/fleet/replace_test.go
@@ -11,7 +11,7 @@
 
 	"swifttiller/controlplane"
 	"swifttiller/fleet"
-	"swifttiller/permit"
+	"swifttiller/lease"
 	"swifttiller/register"
 	"swifttiller/session"
 	"swifttiller/settings"
@@ -35,7 +35,7 @@
 }
 
 // replace has a control daemon replace the configuration.
-func replace(park *fleet.Park, at string, document []byte, expect uint64) (applied permit.Applied, err error) {
+func replace(park *fleet.Park, at string, document []byte, expect uint64) (applied lease.Applied, err error) {
 	err = park.Do(at, 30*time.Second, func(daemon *controlplane.Daemon) (err error) {
 		applied, err = daemon.Replace(document, expect)
 		return err
@@ -44,15 +44,15 @@
 }
 
 // newest is what stands, as a majority tells it.
-func newest(t *testing.T, park *fleet.Park, at string) (label uint64, config permit.Config) {
+func newest(t *testing.T, park *fleet.Park, at string) (label uint64, config lease.Config) {
 	t.Helper()
 	if err := park.Do(at, 10*time.Second, func(daemon *controlplane.Daemon) error {
 		document, read, err := daemon.Current()
 		if err != nil {
 			return err
 		}
-		_, config, _ = daemon.Office.Current()
-		if label = read; string(document) != string(config.Whole()) {
+		_, config, _ = daemon.Issuer.Current()
+		if label = read; string(document) != string(config.WithOrigin()) {
 			return errors.New("the document is not that of the configuration")
 		}
 		return nil
@@ -64,7 +64,7 @@
 
 func isOutdated(err error, have, want uint64) bool {
 	var outdated *controlplane.Outdated
-	return errors.As(err, &outdated) && *outdated == controlplane.Outdated{Have: have, Want: want} && controlplane.Answer(err).Status == 409
+	return errors.As(err, &outdated) && *outdated == controlplane.Outdated{Have: have, Want: want} && controlplane.OperatorError(err).Status == 409
 }
 
 func hasProblem(err error, path string) bool {
@@ -107,8 +107,8 @@
 			t.Error("order:", what, "is not told so")
 		}
 	}
-	if label, config := newest(t, park, "c3"); label != 3 || string(config.Whole()) != tight(third) {
-		t.Errorf("label %d, %s", label, config.Whole())
+	if label, config := newest(t, park, "c3"); label != 3 || string(config.WithOrigin()) != tight(third) {
+		t.Errorf("label %d, %s", label, config.WithOrigin())
 	}
 	if _, err := replace(park, "c3", fifth, 3); err != nil {
 		t.Error(err)
@@ -116,17 +116,17 @@
 	if _, err := replace(park, "c1", third, 0); err != nil {
 		t.Error("a repeat after a newer one:", err)
 	}
-	if label, config := newest(t, park, "c2"); label != 5 || string(config.Whole()) != tight(fifth) {
-		t.Errorf("label %d, %s", label, config.Whole())
+	if label, config := newest(t, park, "c2"); label != 5 || string(config.WithOrigin()) != tight(fifth) {
+		t.Errorf("label %d, %s", label, config.WithOrigin())
 	}
 	// All are remembered, by the configuration itself or by the history before it.
-	for label := uint64(6); label < 6+2*permit.Remembered; label++ {
+	for label := uint64(6); label < 6+2*lease.MaxMarks; label++ {
 		if _, err := replace(park, "c1", labelled(park, label, "a"), label-1); err != nil {
 			t.Fatal(err)
 		}
 	}
-	last := uint64(5 + 2*permit.Remembered)
-	if _, config := newest(t, park, "c2"); len(config.Taken) > permit.Remembered || config.Archived == 0 || strings.HasPrefix(string(config.Taken[0]), "3/") {
+	last := uint64(5 + 2*lease.MaxMarks)
+	if _, config := newest(t, park, "c2"); len(config.Taken) > lease.MaxMarks || config.Archived == 0 || strings.HasPrefix(string(config.Taken[0]), "3/") {
 		t.Errorf("remembered by the configuration itself: %v", config.Taken)
 	}
 	for _, one := range [][]byte{third, fifth, labelled(park, 6, "a")} {
@@ -194,7 +194,7 @@
 	t.Parallel()
 	park := ordering(12)
 	defer park.Close()
-	evacuate := func(at, zone string, back bool) (applied permit.Applied, err error) {
+	evacuate := func(at, zone string, back bool) (applied lease.Applied, err error) {
 		err = park.Do(at, 30*time.Second, func(daemon *controlplane.Daemon) (err error) {
 			applied, err = daemon.Evacuate(zone, back)
 			return err
@@ -228,7 +228,7 @@
 		t.Error(again, err)
 	}
 	for _, isBack := range []bool{false, true} {
-		var mishap *verdict.Mishap
+		var mishap *verdict.Error
 		if _, err := evacuate("c1", "nowhere-1", isBack); !errors.As(err, &mishap) || mishap.Status != 404 {
 			t.Error("a zone that is not known:", err)
 		}
@@ -261,7 +261,7 @@
 		if errs[winner] != nil || !isOutdated(errs[1-winner], labels[winner], 0) {
 			t.Errorf("seed %d: %v, %v", seed, errs[0], errs[1])
 		}
-		if label, config := newest(t, park, "c3"); label != labels[winner] || !strings.Contains(string(config.Whole()), fmt.Sprintf(`"mark":"c%d"`, winner+1)) {
+		if label, config := newest(t, park, "c3"); label != labels[winner] || !strings.Contains(string(config.WithOrigin()), fmt.Sprintf(`"mark":"c%d"`, winner+1)) {
 			t.Errorf("seed %d: label %d stands, and c%d's was taken", seed, label, winner+1)
 		}
 		once(t, park)
@@ -297,12 +297,12 @@
 		case err == nil: // decided before it went deaf, and acknowledged when older permits were over
 			decided++
 		case errors.Is(err, register.ErrUncertain):
-			if open++; controlplane.Answer(err).Status != 504 {
-				t.Errorf("seed %d: %v", seed, controlplane.Answer(err))
+			if open++; controlplane.OperatorError(err).Status != 504 {
+				t.Errorf("seed %d: %v", seed, controlplane.OperatorError(err))
 			}
 		case errors.Is(err, register.ErrNoMajority):
-			if unwritten++; controlplane.Answer(err).Status != 503 {
-				t.Errorf("seed %d: %v", seed, controlplane.Answer(err))
+			if unwritten++; controlplane.OperatorError(err).Status != 503 {
+				t.Errorf("seed %d: %v", seed, controlplane.OperatorError(err))
 			}
 			// Nothing was written, so it never comes to stand by itself.
 			park.Run(3 * time.Second)
@@ -352,7 +352,7 @@
 		// is the one that may offer the wrong one.
 		park.At(400*time.Millisecond+time.Duration(seed)*8*time.Millisecond, func() { deaf(false) })
 		done := false
-		var applied permit.Applied
+		var applied lease.Applied
 		var err error
 		park.Node("c1").Go(func() {
 			applied, err = park.Controls["c1"].Replace(labelled(park, 7, "a"), 0)
@@ -362,7 +362,7 @@
 		later, laterErr := replace(park, "c2", labelled(park, 8, "b"), 7)
 		park.Until(10*time.Second, func() bool { return done })
 		// It may have no time left to find out, and then says so.
-		if !done || err != nil && controlplane.Answer(err).Status < 500 {
+		if !done || err != nil && controlplane.OperatorError(err).Status < 500 {
 			t.Errorf("seed %d: %v", seed, err)
 		}
 		if laterErr == nil && applied.Serial == later.Serial {
@@ -472,16 +472,16 @@
 		// No other data daemon gets through to c1; the late one asks there first.
 		late := ""
 		for at := 0; late == ""; at++ {
-			client := &session.Client{World: park.Node("c3"), Seeds: func() []string { return []string{"c1", "c2", "c3"} }, Span: func() time.Duration { return time.Second }, Name: fmt.Sprintf("late-%d", at)}
+			client := &session.Client{World: park.Node("c3"), Seeds: func() []string { return []string{"c1", "c2", "c3"} }, SessionTimeout: func() time.Duration { return time.Second }, Name: fmt.Sprintf("late-%d", at)}
 			if client.Controls()[0] == "c1" {
 				late = client.Name
 			}
 		}
 		park.OnCall = func(from, to, method string) sim.Fate {
 			if to == "c1" && park.Datas[from] != nil && from != late && strings.HasPrefix(method, "Permit.") {
-				return sim.IsLost
+				return sim.RequestLost
 			}
-			return sim.Passes
+			return sim.Delivered
 		}
 		park.Run(4*time.Second + time.Duration(seed)*97*time.Millisecond)
 		applied, err := replace(park, "c3", labelled(park, 1, "a"), 0)
@@ -490,7 +490,7 @@
 		}
 		park.Place(late, park.Zone("c1"))
 		park.StartData(late)
-		if serial, _, _ := park.Controls["c1"].Office.Current(); serial < applied.Serial {
+		if serial, _, _ := park.Controls["c1"].Issuer.Current(); serial < applied.Serial {
 			unknown++
 		}
 		park.Run(time.Millisecond)
--- a/fleet/rollout_test.go
+++ b/fleet/rollout_test.go
@@ -12,8 +12,8 @@
 	"swifttiller/fleet"
 	"swifttiller/loop"
 	"swifttiller/rollout"
+	"swifttiller/routing"
 	"swifttiller/sim"
-	"swifttiller/standing"
 	"swifttiller/workflow"
 )
 
@@ -177,7 +177,7 @@
 	{name: "errors after the move, and no core disk writes", after: true, plainly: func(park *fleet.Park) {
 		slow := func(span time.Duration) {
 			for _, name := range []string{"c1", "c2", "c3"} {
-				park.Node(name).Disk.Slow = span
+				park.Node(name).Disk.SyncDelay = span
 			}
 		}
 		slow(5 * time.Second)
@@ -328,11 +328,11 @@
 			defer park.Close()
 			park.Run(6 * time.Second)
 			crashed := ""
-			park.Hook(step, func(node *sim.Node, _ int) {
+			park.SetHook(step, func(node *sim.Node, _ int) {
 				if crashed == "" {
 					crashed = node.Name
 					park.At(0, func() { park.Crash(node.Name) })
-					node.Halt()
+					node.Crash()
 				}
 			})
 			begin(park, "h1", "east")
@@ -389,7 +389,7 @@
 			defer park.Close()
 			park.Run(6 * time.Second)
 			paused := ""
-			park.Hook(step, func(node *sim.Node, _ int) {
+			park.SetHook(step, func(node *sim.Node, _ int) {
 				if paused == "" {
 					paused = node.Name
 					park.Freeze(node.Name, 12*time.Second)
@@ -517,8 +517,8 @@
 			}
 		}
 		// since is how long the route's state lasts, from when it is first seen.
-		lasts := func(what string, isIt func(route standing.Route) bool) (span time.Duration) {
-			route := func() standing.Route { return status(park).Routes["east"] }
+		lasts := func(what string, isIt func(route routing.Route) bool) (span time.Duration) {
+			route := func() routing.Route { return status(park).Routes["east"] }
 			if !park.Until(30*time.Second, func() bool { return isIt(route()) }) {
 				t.Fatalf("vacuous: %s never came", what)
 			}
@@ -529,10 +529,10 @@
 			}
 			return park.Now() - began
 		}
-		if span := lasts("a trial", func(route standing.Route) bool { return route.Trial == "v2" }); span < 5500*time.Millisecond {
+		if span := lasts("a trial", func(route routing.Route) bool { return route.Trial == "v2" }); span < 5500*time.Millisecond {
 			t.Errorf("bad version: a trial of 6 s was over after %v, as the calendars had jumped by %v", span, jump)
 		}
-		if span := lasts("a watch", func(route standing.Route) bool { return route.Version == "v2" && route.Watched }); span < 7500*time.Millisecond {
+		if span := lasts("a watch", func(route routing.Route) bool { return route.Version == "v2" && route.Watched }); span < 7500*time.Millisecond {
 			t.Errorf("bad version: a watch of 8 s was over after %v, as the calendars had jumped by %v", span, jump)
 		}
 		park.Close()
--- a/fleet/routed.go
+++ b/fleet/routed.go
@@ -194,13 +194,13 @@
 		park.Deliver(node, name, func(at *sim.Node) {
 			var out []string
 			daemon := park.Datas[name]
-			for _, one := range daemon.Decider.Doors(caller.crowd.Host, Region(zone), zone) {
+			for _, one := range daemon.Decider.EntryDaemons(caller.crowd.Host, Region(zone), zone) {
 				out = append(out, one.Door)
 			}
 			park.Deliver(at, node.Name, func(*sim.Node) { box.Put(out) })
 		})
 		if got, has := box.Take(doorPatience); has && len(got.([]string)) > 0 {
-			caller.doors, caller.until = got.([]string), node.Now()+park.Datas[name].DoorSpan()*time.Duration(max(1, caller.crowd.Holds))
+			caller.doors, caller.until = got.([]string), node.Now()+park.Datas[name].LocateTTL()*time.Duration(max(1, caller.crowd.Holds))
 			return
 		}
 	}
@@ -255,7 +255,7 @@
 type doorHead struct{ status int }
 
 type doorEnd struct {
-	mishap *verdict.Mishap // of a request that was declined; nil behind a head
+	mishap *verdict.Error // of a request that was declined; nil behind a head
 	err    error
 }
 
@@ -289,7 +289,7 @@
 	}
 	link := &link{box: node.Mailbox(), node: node}
 	park.links[name] = append(park.links[name], link)
-	leaver := &execute.Leaver{}
+	leaver := &execute.CallerState{}
 	defer func() {
 		link.gone = true
 		for at, other := range park.links[name] {
@@ -304,7 +304,7 @@
 		daemon, life := park.Node(name), park.Datas[name]
 		park.At(leaveSeen, func() {
 			if daemon.Up() && park.Datas[name] == life {
-				daemon.Go(leaver.Leave)
+				daemon.Go(leaver.Disconnect)
 			}
 		})
 	}()
@@ -315,18 +315,18 @@
 	}
 	left := expiry - node.Now()
 	park.Deliver(node, name, func(at *sim.Node) {
-		var lane sim.Lane
+		var lane sim.Stream
 		send := func(piece any) {
 			if !link.gone {
 				park.Send(&lane, at, node.Name, func(*sim.Node) { link.box.Put(piece) })
 			}
 		}
-		routed := &decide.Routed{ID: try.ID, Host: crowd.Host, Path: crowd.Path, Key: try.Key, Most: ask.most, Parts: ask.parts, Expiry: at.Now() + left}
+		routed := &decide.Routed{ID: try.ID, Host: crowd.Host, Path: crowd.Path, Key: try.Key, MaxAnswerTokens: ask.most, Parts: ask.parts, Deadline: at.Now() + left}
 		for _, part := range ask.parts {
 			routed.Tokens += part.Tokens
 		}
 		routed.Bytes = tokenBytes * routed.Tokens
-		serveRouted(park.Datas[name], routed, replica.Ask{Method: []byte("POST"), Host: []byte(crowd.Host), URI: []byte(crowd.Path), After: after}, leaver, send)
+		serveRouted(park.Datas[name], routed, replica.RoutedRequest{Method: []byte("POST"), Host: []byte(crowd.Host), URI: []byte(crowd.Path), After: after}, leaver, send)
 	})
 	silence := max(leastSilence, targetSilence*crowd.Target, gapSilence*crowd.Gap)
 	for {
@@ -397,12 +397,12 @@
 }
 
 // serveRouted does what a daemon's door does with a request, without sockets.
-func serveRouted(daemon *dataplane.Daemon, routed *decide.Routed, ask replica.Ask, leaver *execute.Leaver, send func(any)) {
-	if mishap := daemon.Decider.Direct(routed); mishap != nil {
+func serveRouted(daemon *dataplane.Daemon, routed *decide.Routed, ask replica.RoutedRequest, leaver *execute.CallerState, send func(any)) {
+	if mishap := daemon.Decider.Resolve(routed); mishap != nil {
 		send(doorEnd{mishap: mishap})
 		return
 	}
-	passage, mishap := daemon.Executor.Relay(routed, ask, leaver)
+	passage, mishap := daemon.Executor.Proxy(routed, ask, leaver)
 	if mishap != nil {
 		send(doorEnd{mishap: mishap})
 		return
--- a/fleet/scale.go
+++ b/fleet/scale.go
@@ -467,10 +467,10 @@
 		stand = 0
 		for _, one := range scale.hollows {
 			rows := 0
-			for _, standing := range one.Holder.View().Standings {
+			for _, standing := range one.Holder.View().RoutingTables {
 				rows += len(standing.Rows)
 			}
-			if one.Holder.View().Stands(one.world.Now()) && rows == scale.size.Replicas {
+			if one.Holder.View().IsValid(one.world.Now()) && rows == scale.size.Replicas {
 				stand++
 			}
 		}
@@ -479,10 +479,10 @@
 		held, most := 0, 0
 		for _, one := range scale.hollows {
 			rows := 0
-			for _, standing := range one.Holder.View().Standings {
+			for _, standing := range one.Holder.View().RoutingTables {
 				rows += len(standing.Rows)
 			}
-			if one.Holder.View().Stands(one.world.Now()) {
+			if one.Holder.View().IsValid(one.world.Now()) {
 				held++
 			}
 			most = max(most, rows)
@@ -515,13 +515,13 @@
 	at            time.Time
 	usages        map[string]usage
 	own           usage
-	made          map[string][]wire.Calls // by control daemon; "" for the hollow ones'
+	made          map[string][]wire.CallStats // by control daemon; "" for the hollow ones'
 	syncs, reads  map[string]float64
 	asked, probed float64
 }
 
 func (scale *scale) read() reading {
-	out := reading{at: time.Now(), usages: map[string]usage{}, own: usageOf(os.Getpid()), made: map[string][]wire.Calls{"": scale.counter.Snapshot()}, syncs: map[string]float64{}, reads: map[string]float64{}, asked: float64(scale.probes.asked.Load()), probed: float64(scale.probes.bytes.Load())}
+	out := reading{at: time.Now(), usages: map[string]usage{}, own: usageOf(os.Getpid()), made: map[string][]wire.CallStats{"": scale.counter.Snapshot()}, syncs: map[string]float64{}, reads: map[string]float64{}, asked: float64(scale.probes.asked.Load()), probed: float64(scale.probes.bytes.Load())}
 	for _, one := range append(slices.Clone(scale.datas), scale.controls...) {
 		out.usages[one.name] = usageOf(one.command.Process.Pid)
 	}
@@ -531,7 +531,7 @@
 			continue
 		}
 		var got struct {
-			Calls  []wire.Calls
+			Calls  []wire.CallStats
 			Syncs  float64 `json:"disk_syncs"`
 			Rounds struct{ Reads, Writes, Conflicts float64 }
 		}
@@ -584,14 +584,14 @@
 		if caller == "" {
 			role, times = "data", whole
 		}
-		old := map[[2]string]wire.Calls{}
+		old := map[[2]string]wire.CallStats{}
 		for _, row := range before.made[caller] {
 			old[[2]string{row.Address, row.Method}] = row
 		}
 		for _, row := range rows {
 			was := old[[2]string{row.Address, row.Method}]
-			calls := float64(row.Calls-was.Calls) / span * times
-			moved := float64(row.Sent+row.Received-was.Sent-was.Received) / span * times
+			calls := float64(row.Requests-was.Requests) / span * times
+			moved := float64(row.SentBytes+row.ReceivedBytes-was.SentBytes-was.ReceivedBytes) / span * times
 			key := role + " " + row.Method
 			if prefix == "" {
 				sum := point.Calls[key]
@@ -716,7 +716,7 @@
 	}
 	stand := 0
 	for _, one := range scale.hollows {
-		if one.Holder.View().Stands(one.world.Now()) {
+		if one.Holder.View().IsValid(one.world.Now()) {
 			stand++
 		}
 	}
--- a/fleet/seen.go
+++ b/fleet/seen.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"swifttiller/permit"
+	"swifttiller/lease"
 	"swifttiller/settings"
 )
 
@@ -92,7 +92,7 @@
 }
 
 // mark is a hash of a configuration's contents.
-func mark(config permit.Config) uint64 {
+func mark(config lease.Config) uint64 {
 	sum := fnv.New64a()
 	var tight bytes.Buffer // white space is not content
 	_ = json.Compact(&tight, config.Document)
@@ -104,7 +104,7 @@
 }
 
 // mark is that of the contents, kept for the next time.
-func (seen *Seen) mark(config permit.Config) uint64 {
+func (seen *Seen) mark(config lease.Config) uint64 {
 	key := string(config.Document) + "|" + strings.Join(config.Evacuated, "|")
 	out, isKnown := seen.marks[key]
 	if !isKnown {
@@ -155,7 +155,7 @@
 	}
 	var serial uint64
 	var tree *settings.Tree
-	var config func() permit.Config
+	var config func() lease.Config
 	var life, out string
 	if daemon := park.Datas[name]; daemon != nil {
 		view := daemon.Holder.View()
@@ -166,9 +166,9 @@
 		if daemon == nil {
 			return
 		}
-		var have permit.Config
-		serial, have, tree = daemon.Office.Current()
-		config, life, out = func() permit.Config { return have }, daemon.Incarnation, strings.Join(have.Evacuated, "|")
+		var have lease.Config
+		serial, have, tree = daemon.Issuer.Current()
+		config, life, out = func() lease.Config { return have }, daemon.Incarnation, strings.Join(have.Evacuated, "|")
 	}
 	if node.Frozen() {
 		began, known := park.frozen[name]
--- a/fleet/size_test.go
+++ b/fleet/size_test.go
@@ -49,7 +49,7 @@
 						park.Run(warm)
 						region := park.Regions()[index]
 						var inside []string
-						for _, one := range park.Names() {
+						for _, one := range park.NodeNames() {
 							if fleet.Region(park.Zone(one)) == region {
 								inside = append(inside, one)
 							}
--- a/fleet/split_test.go
+++ b/fleet/split_test.go
@@ -22,7 +22,7 @@
 		for turn := 0; turn < 40; turn++ {
 			park.Run(250 * time.Millisecond)
 			for name, daemon := range park.Datas {
-				if !daemon.Holder.View().Stands(park.Now()) {
+				if !daemon.Holder.View().IsValid(park.Now()) {
 					without[name]++
 				}
 			}
--- a/fleet/stop_test.go
+++ b/fleet/stop_test.go
@@ -48,7 +48,7 @@
 				}
 			}
 		}
-		span := park.Datas[other].DoorSpan()
+		span := park.Datas[other].LocateTTL()
 		for _, sent := range declined {
 			lost++
 			if slices.ContainsFunc(came, func(before time.Duration) bool { return before < sent && before >= sent-span+100*time.Millisecond }) {
--- a/fleet/tenants_test.go
+++ b/fleet/tenants_test.go
@@ -59,8 +59,8 @@
 // tenantPark starts it.
 func tenantPark(seed uint64, window time.Duration, again float64) *fleet.Park {
 	park := fleet.NewPark(seed, tenantPlan(window, again))
-	for _, from := range park.Names() {
-		for _, to := range park.Names() {
+	for _, from := range park.NodeNames() {
+		for _, to := range park.NodeNames() {
 			if fleet.Region(park.Zone(from)) != fleet.Region(park.Zone(to)) {
 				park.Delay(from, to, 55*time.Millisecond)
 			}
@@ -183,15 +183,15 @@
 			daemon := park.Datas[name]
 			view := daemon.Holder.View()
 			now := daemon.World.Now()
-			if park.Node(name).Frozen() || !park.Node(name).Up() || !view.Stands(now) {
+			if park.Node(name).Frozen() || !park.Node(name).Up() || !view.IsValid(now) {
 				continue
 			}
-			if _, known := first[view.PlacedSerial]; !known {
-				first[view.PlacedSerial] = park.Now()
+			if _, known := first[view.PlacementsVersion]; !known {
+				first[view.PlacementsVersion] = park.Now()
 			}
 			for serial, at := range first {
-				if serial > view.PlacedSerial && park.Now() > at+bound {
-					t.Errorf("at %v %s goes by placements %d, and %d are in force since %v", park.Now(), name, view.PlacedSerial, serial, at)
+				if serial > view.PlacementsVersion && park.Now() > at+bound {
+					t.Errorf("at %v %s goes by placements %d, and %d are in force since %v", park.Now(), name, view.PlacementsVersion, serial, at)
 					return
 				}
 			}
@@ -202,7 +202,7 @@
 // tenantHolder is the control daemon that holds the duty.
 func tenantHolder(park *fleet.Park) string {
 	for _, name := range slices.Sorted(maps.Keys(park.Controls)) {
-		if _, held := park.Controls[name].Duties.Held(controlplane.TenantDuty); held && park.Node(name).Up() {
+		if _, held := park.Controls[name].Elections.Term(controlplane.TenantElection); held && park.Node(name).Up() {
 			return name
 		}
 	}
@@ -237,13 +237,13 @@
 	var faults []fault
 	// The change is noticed in the third turn or so, the move begins two later, and goes on
 	// for some; each turn of it writes once.
-	for point, numbers := range map[string][]int{controlplane.PointRead: {1, 8}, controlplane.PointPlanned: {1, 6, 8}, controlplane.PointWritten: {1, 2, 3}, controlplane.PointUsual: {1}} {
+	for point, numbers := range map[string][]int{controlplane.PointRead: {1, 8}, controlplane.PointPlanned: {1, 6, 8}, controlplane.PointWritten: {1, 2, 3}, controlplane.PointBaselineWritten: {1}} {
 		for _, nth := range numbers {
 			faults = append(faults, fault{fmt.Sprintf("killed at %s %d", point, nth), point, nth, kill, true}, fault{fmt.Sprintf("paused at %s %d", point, nth), point, nth, pause, true})
 		}
 	}
 	names := func(park *fleet.Park, isIn func(name string) bool) (in, out []string) {
-		for _, name := range park.Names() {
+		for _, name := range park.NodeNames() {
 			if isIn(name) {
 				in = append(in, name)
 			} else if !strings.HasPrefix(name, "caller") {
@@ -274,7 +274,7 @@
 			facts := park.BeginRouted()
 			facts.Planned = one.isCalm
 			passed, struck := 0, time.Duration(0)
-			park.Hook(one.point, func(node *sim.Node, _ int) {
+			park.SetHook(one.point, func(node *sim.Node, _ int) {
 				if passed++; passed == one.nth && struck == 0 {
 					struck = park.Now()
 					one.strike(park, node.Name)
@@ -401,8 +401,8 @@
 		for _, name := range slices.Sorted(maps.Keys(park.Datas)) {
 			park.Node(name).Go(func() {
 				for index := range 30000 {
-					routed := &decide.Routed{ID: fmt.Sprint(index), Host: fmt.Sprintf("t%d.example", index%tenants), Path: "/x/y", Tokens: 1000, Most: 50, Bytes: 4000, Parts: []decide.Part{{ID: 1, Tokens: 500}, {ID: uint64(index + 2), Tokens: 500}}, Expiry: park.Now() + time.Minute}
-					if mishap := park.Datas[name].Decider.Direct(routed); mishap != nil {
+					routed := &decide.Routed{ID: fmt.Sprint(index), Host: fmt.Sprintf("t%d.example", index%tenants), Path: "/x/y", Tokens: 1000, MaxAnswerTokens: 50, Bytes: 4000, Parts: []decide.Part{{ID: 1, Tokens: 500}, {ID: uint64(index + 2), Tokens: 500}}, Deadline: park.Now() + time.Minute}
+					if mishap := park.Datas[name].Decider.Resolve(routed); mishap != nil {
 						t.Errorf("declined: %v", mishap)
 						return
 					}
@@ -421,7 +421,7 @@
 		park.Run(time.Duration(seconds) * time.Second)
 		return data / float64(len(park.Datas)), control / float64(len(park.Controls))
 	}
-	few, many := tenant.Heavy, 21000
+	few, many := tenant.MaxCounted, 21000
 	if testing.Short() {
 		many = 2100
 	}
@@ -440,7 +440,7 @@
 		if !strings.HasPrefix(name, "tenant_") {
 			continue
 		}
-		for _, value := range []float64{bound.Least, bound.Most} {
+		for _, value := range []float64{bound.Min, bound.Max} {
 			shape := fleet.RoutedShapes["small"]
 			shape.Limits = map[string]float64{"tenant_ms": 500, name: value}
 			park := fleet.NewPark(11, shape.Plan())
--- a/fleet/tender_test.go
+++ b/fleet/tender_test.go
@@ -51,7 +51,7 @@
 // tending is the running daemon that holds the core's duty.
 func tending(park *fleet.Park) string {
 	for name, daemon := range park.Controls {
-		if _, held := daemon.Duties.Held(controlplane.CoreDuty); held && park.Node(name).Up() {
+		if _, held := daemon.Elections.Term(controlplane.CoreElection); held && park.Node(name).Up() {
 			return name
 		}
 	}
@@ -61,9 +61,9 @@
 // serial is the configuration's at a majority, 0 if there is none.
 func serial(park *fleet.Park, at string) (serial uint64) {
 	_ = park.Do(at, 10*time.Second, func(daemon *controlplane.Daemon) error {
-		err := daemon.Office.Refresh()
+		err := daemon.Issuer.Refresh()
 		if err == nil {
-			serial, _, _ = daemon.Office.Current()
+			serial, _, _ = daemon.Issuer.Current()
 		}
 		return err
 	})
@@ -73,7 +73,7 @@
 // wipe starts a machine again that lost its disk.
 func wipe(park *fleet.Park, name string) {
 	park.Crash(name)
-	park.Node(name).Disk.Lose()
+	park.Node(name).Disk.Wipe()
 	park.StartControl(name)
 	park.Run(50 * time.Millisecond)
 }
@@ -102,7 +102,7 @@
 			members := core(park).Members
 			// All of it again, from the disks; the file still says that it is the first time.
 			park.Plan.First = true
-			park.Return(park.Lose(park.Names()))
+			park.Return(park.Lose(park.NodeNames()))
 			park.Run(4 * time.Second)
 			if now := core(park); len(now.Members) != votes || !now.Has(members[0].ID) || serial(park, "c1") == 0 {
 				t.Errorf("seed %d: after a restart the core is %v, the configuration %d", seed, now, serial(park, "c1"))
@@ -140,8 +140,8 @@
 				t.Fatalf("seed %d: %v", seed, err)
 			}
 			acknowledged := serial(park, "c1")
-			ends := park.Lose(park.Names())
-			park.Node(lost).Disk.Lose()
+			ends := park.Lose(park.NodeNames())
+			park.Node(lost).Disk.Wipe()
 			park.Return(ends)
 			park.Run(50 * time.Millisecond)
 			if !park.Until(catchUp, func() bool { return park.Votes(lost) }) {
@@ -260,7 +260,7 @@
 
 // running are the control daemons with a disk that run.
 func running(park *fleet.Park) (names []string) {
-	for _, name := range park.Names() {
+	for _, name := range park.NodeNames() {
 		if daemon := park.Controls[name]; daemon != nil && daemon.Acceptor != nil && park.Node(name).Up() {
 			names = append(names, name)
 		}
@@ -272,7 +272,7 @@
 func allLive(park *fleet.Park, votes int) bool {
 	for _, name := range running(park) {
 		count := 0
-		for _, one := range park.Controls[name].Table.Live(session.Control) {
+		for _, one := range park.Controls[name].Sessions.Live(session.Control) {
 			if one.Member.Acceptor != "" {
 				count++
 			}
@@ -295,7 +295,7 @@
 			if holder == "c1" {
 				lost = "c2"
 			}
-			park.Hook("tender.change", func(node *sim.Node, _ int) {
+			park.SetHook("tender.change", func(node *sim.Node, _ int) {
 				if killed == "" {
 					killed = node.Name
 					park.At(time.Duration(at)*2*time.Millisecond, func() { park.Crash(killed) })
@@ -303,7 +303,7 @@
 			})
 			wipe(park, lost)
 			park.Run(catchUp)
-			park.Hook("tender.change", nil)
+			park.SetHook("tender.change", nil)
 			if killed == "" {
 				t.Fatalf("seed %d: vacuous: nobody was killed in a change", seed)
 			}
@@ -329,14 +329,14 @@
 		cut, isCut := fmt.Sprint("c", 1+seed%3), false
 		lost := fmt.Sprint("c", 1+(seed+1)%3)
 		rest := func() (rest []string) {
-			for _, name := range park.Names() {
+			for _, name := range park.NodeNames() {
 				if name != cut {
 					rest = append(rest, name)
 				}
 			}
 			return rest
 		}
-		park.Hook("tender.change", func(*sim.Node, int) {
+		park.SetHook("tender.change", func(*sim.Node, int) {
 			if !isCut {
 				isCut = true
 				park.At(time.Duration(park.Draw(int64(20*time.Millisecond))), func() { park.Split([]string{cut}, rest(), true) })
@@ -344,7 +344,7 @@
 		})
 		wipe(park, lost)
 		park.Run(6 * time.Second)
-		park.Hook("tender.change", nil)
+		park.SetHook("tender.change", nil)
 		if !isCut {
 			t.Fatalf("seed %d: vacuous: no change was cut", seed)
 		}
@@ -369,11 +369,11 @@
 		kept := *disk
 		park.Crash("c1") // both at once: one after the other, the first is whole before
 		wipe(park, "c2")
-		park.Node("c1").Disk.Lose()
+		park.Node("c1").Disk.Wipe()
 		park.StartControl("c1")
 		park.Run(20 * time.Second)
 		// No majority remembers: nothing is decided, and above all nothing new is made.
-		if now := core(park); now.Epoch != before.Epoch || park.Controls["c3"].Keeper.Core().Epoch != before.Epoch {
+		if now := core(park); now.Epoch != before.Epoch || park.Controls["c3"].Client.Core().Epoch != before.Epoch {
 			t.Errorf("seed %d: the core moved without a majority: %v", seed, now)
 		}
 		if err := park.Do("c3", 8*time.Second, func(daemon *controlplane.Daemon) error {
@@ -406,7 +406,7 @@
 		// alone, and a diskless daemon knows one seed.
 		park.Crash("c2")
 		park.Place("c2-moved", "middle-1")
-		park.Node("c2-moved").Disk.Take(park.Node("c2").Disk)
+		park.Node("c2-moved").Disk.MoveFrom(park.Node("c2").Disk)
 		park.StartControl("c2-moved")
 		moved := func() bool {
 			for _, member := range core(park).Members {
--- a/fleet/term_test.go
+++ b/fleet/term_test.go
@@ -98,7 +98,7 @@
 				t.Errorf("%d answers ran on the old replicas when they were stopped", cut)
 			}
 			return state.State, took
-		case rollout.GoneBack:
+		case rollout.RolledBack:
 			took := park.Now() - began
 			t.Logf("taken back after %v: %s", took, state.Reason)
 			park.Run(2 * time.Second)
@@ -174,17 +174,17 @@
 	{name: "good", want: rollout.Moved},
 	{name: "good, with replicas that come up late", late: 3 * time.Second, want: rollout.Moved},
 	{name: "good, with none in one region", without: func(zone string) bool { return zone == "west-1" || zone == "sea-1" }, want: rollout.Moved},
-	{name: "with no replicas at all", without: func(string) bool { return true }, want: rollout.GoneBack},
-	{name: "bad at once", bad: func(time.Duration, string, int) bool { return true }, want: rollout.GoneBack},
-	{name: "bad on one kind", bad: func(_ time.Duration, kind string, _ int) bool { return thin(kind) }, want: rollout.GoneBack},
-	{name: "bad after 5 s", bad: func(since time.Duration, _ string, _ int) bool { return since > 5*time.Second }, want: rollout.GoneBack},
-	{name: "bad after 8 s", bad: func(since time.Duration, _ string, _ int) bool { return since > 8*time.Second }, want: rollout.GoneBack},
-	{name: "bad under load", bad: func(_ time.Duration, _ string, running int) bool { return running >= 2 }, want: rollout.GoneBack},
-	{name: "hangs", how: fleet.Hangs, bad: func(time.Duration, string, int) bool { return true }, want: rollout.GoneBack},
-	{name: "cuts its streams", how: fleet.Cut, bad: func(time.Duration, string, int) bool { return true }, want: rollout.GoneBack},
-	{name: "four times slower", slower: 4, want: rollout.GoneBack},
-	{name: "bad after the move only", after: true, bad: func(time.Duration, string, int) bool { return true }, want: rollout.GoneBack},
-	{name: "three times slower", slower: 3, want: rollout.GoneBack},
+	{name: "with no replicas at all", without: func(string) bool { return true }, want: rollout.RolledBack},
+	{name: "bad at once", bad: func(time.Duration, string, int) bool { return true }, want: rollout.RolledBack},
+	{name: "bad on one kind", bad: func(_ time.Duration, kind string, _ int) bool { return thin(kind) }, want: rollout.RolledBack},
+	{name: "bad after 5 s", bad: func(since time.Duration, _ string, _ int) bool { return since > 5*time.Second }, want: rollout.RolledBack},
+	{name: "bad after 8 s", bad: func(since time.Duration, _ string, _ int) bool { return since > 8*time.Second }, want: rollout.RolledBack},
+	{name: "bad under load", bad: func(_ time.Duration, _ string, running int) bool { return running >= 2 }, want: rollout.RolledBack},
+	{name: "hangs", how: fleet.Hangs, bad: func(time.Duration, string, int) bool { return true }, want: rollout.RolledBack},
+	{name: "cuts its streams", how: fleet.Cut, bad: func(time.Duration, string, int) bool { return true }, want: rollout.RolledBack},
+	{name: "four times slower", slower: 4, want: rollout.RolledBack},
+	{name: "bad after the move only", after: true, bad: func(time.Duration, string, int) bool { return true }, want: rollout.RolledBack},
+	{name: "three times slower", slower: 3, want: rollout.RolledBack},
 }
 
 // TestRolloutsUnderATerm: replicas of the version start next to the old ones; a good
@@ -205,7 +205,7 @@
 			t.Run(fmt.Sprintf("%s/bad in a fifth of its answers/%d", name, seed), func(t *testing.T) {
 				t.Parallel()
 				count := 0
-				tryOpen(t, name, openCase{bad: func(time.Duration, string, int) bool { count++; return count%5 == 0 }, want: rollout.GoneBack}, seed)
+				tryOpen(t, name, openCase{bad: func(time.Duration, string, int) bool { count++; return count%5 == 0 }, want: rollout.RolledBack}, seed)
 			})
 		}
 	}
@@ -224,7 +224,7 @@
 	}
 	isMoved := !one.after
 	if one.after {
-		park.Hook("settle", func(*sim.Node, int) { isMoved = true })
+		park.SetHook("settle", func(*sim.Node, int) { isMoved = true })
 	}
 	fresh := joins(park, func(options *fleet.ReplicaOptions) {
 		if one.without != nil && one.without(options.Zone) {
@@ -239,7 +239,7 @@
 	if err := order(park, "v2"); err != nil {
 		t.Errorf("the same order again: %v", err)
 	}
-	var mishap *verdict.Mishap
+	var mishap *verdict.Error
 	if err := order(park, "v3"); stands(park).State == rollout.Moving && (!errors.As(err, &mishap) || mishap.Status != 409) {
 		t.Errorf("another order meanwhile: %v", err)
 	}
@@ -250,7 +250,7 @@
 	}
 	if one.want == rollout.Moved {
 		for _, route := range status(park).Routes {
-			moved = min(moved, began+route.Moved.Sub(park.Node("c1").Wall())+park.Now()-began)
+			moved = min(moved, began+route.Moved.Sub(park.Node("c1").WallTime())+park.Now()-began)
 		}
 	}
 	park.Run(8 * time.Second)
@@ -268,9 +268,9 @@
 			t.Fatalf("%s served %s at %v, after the end", served.Replica, served.Version, served.At-began)
 		}
 	}
-	mine, whole := exposed(t, park, began, moved, one.want == rollout.GoneBack)
+	mine, whole := exposed(t, park, began, moved, one.want == rollout.RolledBack)
 	t.Logf("%s after %v; v2 got %d of %d", state, took, mine, whole)
-	if one.want == rollout.GoneBack && one.without == nil && mine == 0 {
+	if one.want == rollout.RolledBack && one.without == nil && mine == 0 {
 		t.Error("vacuous: v2 was never tried")
 	}
 }
@@ -323,7 +323,7 @@
 		"its runner is killed": func(park *fleet.Park, node *sim.Node) {
 			park.At(0, func() { park.Crash(node.Name) })
 			park.At(6*time.Second, func() { park.StartControl(node.Name) })
-			node.Halt()
+			node.Crash()
 		},
 		"its runner sleeps": func(park *fleet.Park, node *sim.Node) { park.Freeze(node.Name, 7*time.Second) },
 		"the core is killed": func(park *fleet.Park, node *sim.Node) {
@@ -337,7 +337,7 @@
 					park.StartControl(name)
 				}
 			})
-			node.Halt()
+			node.Crash()
 		},
 	}
 	for what, lose := range losses {
@@ -377,7 +377,7 @@
 	if err := order(park, "v2"); err != nil {
 		t.Fatal(err)
 	}
-	park.Hook(step, func(node *sim.Node, _ int) {
+	park.SetHook(step, func(node *sim.Node, _ int) {
 		if !isLost {
 			isLost = true
 			lose(park, node)
@@ -390,7 +390,7 @@
 	})
 	want := rollout.Moved
 	if isBad {
-		want = rollout.GoneBack
+		want = rollout.RolledBack
 	}
 	state, took := obey(t, park, began, 3*term, fresh)
 	if state != want || !isLost {
@@ -399,7 +399,7 @@
 	moved := began + took
 	for _, route := range status(park).Routes {
 		if state == rollout.Moved {
-			moved = min(moved, park.Now()+route.Moved.Sub(park.Node("c1").Wall()))
+			moved = min(moved, park.Now()+route.Moved.Sub(park.Node("c1").WallTime()))
 		}
 	}
 	park.Run(12 * time.Second)
--- a/fleet/way_test.go
+++ b/fleet/way_test.go
@@ -20,7 +20,7 @@
 		park.Run(warmRouted)
 		facts := park.BeginRouted()
 		var inside, outside []string
-		for _, name := range park.Names() {
+		for _, name := range park.NodeNames() {
 			if fleet.Region(park.Zone(name)) == "sea" {
 				inside = append(inside, name)
 			} else {
--- a/permit/acknowledge.go
+++ b/lease/acknowledge.go
@@ -1,4 +1,4 @@
-package permit
+package lease
 
 import (
 	"errors"
@@ -12,27 +12,27 @@
 	"swifttiller/settings"
 )
 
-// Again acknowledges a document once more if this issuer knows that it was accepted before;
+// ReacknowledgeDocument acknowledges a document once more if this issuer knows that it was accepted before;
 // otherwise it returns false. It needs no quorum round for that: what an issuer knows was
 // decided, and a document remains accepted. A change would take two rounds, with ballots
 // that preempt those of the very daemons whose writes it waits for.
-func (issuer *Office) Again(mark Mark) (applied Applied, isTaken bool, err error) {
+func (issuer *Issuer) ReacknowledgeDocument(mark OrderMark) (applied Applied, isTaken bool, err error) {
 	serial, config, tree := issuer.Current()
 	seenAt, olderLeaseSpan, isKnown := issuer.firstSeen(serial)
 	if mark == "" || !isKnown || !slices.Contains(config.Taken, mark) {
 		return Applied{}, false, nil
 	}
-	applied, err = issuer.acknowledge(serial, seenAt, max(tree.Span("permit_ms", ""), olderLeaseSpan))
+	applied, err = issuer.acknowledge(serial, seenAt, max(tree.Duration("permit_ms", ""), olderLeaseSpan))
 	return applied, true, err
 }
 
-// Stands acknowledges the effect of an order that is already in force, if that holds for
+// AcknowledgeInForce acknowledges the effect of an order that is already in force, if that holds for
 // the configuration that a majority has. It only reads: a repeated order doesn't preempt
 // the ballots of changes in progress. If isInForce is false, a change is needed. The error
 // is that of the read.
 //
 // Invariant: what it acknowledges was in force at some time after the call.
-func (issuer *Office) Stands(holds func(*settings.Tree, Config) bool) (applied Applied, isInForce bool, err error) {
+func (issuer *Issuer) AcknowledgeInForce(holds func(*settings.Tree, Config) bool) (applied Applied, isInForce bool, err error) {
 	if _, config, tree := issuer.Current(); tree == nil || !holds(tree, config) {
 		return Applied{}, false, nil // the order is new, as far as this issuer knows
 	}
@@ -47,7 +47,7 @@
 	if !isKnown {
 		return Applied{}, false, nil // the configuration is changing right now
 	}
-	applied, err = issuer.acknowledge(serial, seenAt, max(tree.Span("permit_ms", ""), olderLeaseSpan))
+	applied, err = issuer.acknowledge(serial, seenAt, max(tree.Duration("permit_ms", ""), olderLeaseSpan))
 	return applied, true, err
 }
 
@@ -60,9 +60,9 @@
 	Expired []string `json:"expired,omitempty"`
 }
 
-// ErrSame is returned by a revise function if its effect is already in force. Nothing is
+// ErrAlreadyInForce is returned by a revise function if its effect is already in force. Nothing is
 // written then, and the present configuration is acknowledged again.
-var ErrSame = errors.New("permit: the change is already in force")
+var ErrAlreadyInForce = errors.New("permit: the change is already in force")
 
 // ErrUnconfirmed tells that the change is decided, but that this process ends before every
 // holder has applied it or lost its lease.
@@ -70,12 +70,12 @@
 
 // Change revises the configuration and returns once it is acknowledged: every recorded
 // holder has applied it, or its lease has expired.
-func (issuer *Office) Change(expect *uint64, revise func(Config) (Config, error)) (Applied, error) {
+func (issuer *Issuer) Change(expect *uint64, revise func(Config) (Config, error)) (Applied, error) {
 	var base register.Value // the value that the last revision was based on
-	value, err := issuer.Keeper.ChangeWithin(ConfigKey, issuer.orderTimeout(), func(value register.Value) ([]byte, error) {
+	value, err := issuer.Registers.UpdateWithin(ConfigKey, issuer.orderTimeout(), func(value register.Value) ([]byte, error) {
 		base = value
 		if expect != nil && *expect != value.Serial {
-			return nil, &register.Stale{Key: ConfigKey, Have: value.Serial, Want: *expect}
+			return nil, &register.SerialMismatch{Key: ConfigKey, Current: value.Serial, Expected: *expect}
 		}
 		current, err := openConfig(value)
 		if err != nil {
@@ -87,7 +87,7 @@
 		}
 		return next.Pack()
 	})
-	if err != nil && !errors.Is(err, ErrSame) {
+	if err != nil && !errors.Is(err, ErrAlreadyInForce) {
 		return Applied{Serial: value.Serial}, err
 	}
 	decidedAt := issuer.World.Now()
@@ -103,15 +103,15 @@
 		return Applied{Serial: value.Serial}, err
 	}
 	_, _, tree := issuer.Current()
-	leaseSpan := tree.Span("permit_ms", "")
+	leaseSpan := tree.Duration("permit_ms", "")
 	if before != nil {
-		leaseSpan = max(leaseSpan, before.Span("permit_ms", ""))
+		leaseSpan = max(leaseSpan, before.Duration("permit_ms", ""))
 	}
 	if base.Serial > serial && base.Serial < value.Serial {
 		// Leases were granted under this configuration, which this issuer has not seen.
 		if current, err := openConfig(base); err == nil {
 			if tree, problems := before.Revise(current.Document); len(problems) == 0 {
-				leaseSpan = max(leaseSpan, tree.Span("permit_ms", ""))
+				leaseSpan = max(leaseSpan, tree.Duration("permit_ms", ""))
 			}
 		}
 	}
@@ -128,22 +128,22 @@
 // answer: the longest of these lasts for leaseSpan by its holder's clock. An offer names
 // the version and can be repeated freely: the holder fetches what it lacks. The only error
 // is ErrUnconfirmed.
-func (issuer *Office) acknowledge(serial uint64, decidedAt, leaseSpan time.Duration) (Applied, error) {
+func (issuer *Issuer) acknowledge(serial uint64, decidedAt, leaseSpan time.Duration) (Applied, error) {
 	applied := Applied{Serial: serial}
-	leaseSpan += time.Duration(Drift * float64(leaseSpan))
+	leaseSpan += time.Duration(MaxClockDrift * float64(leaseSpan))
 	deadline := decidedAt + leaseSpan
 	edition := issuer.offerEdition(serial)
 	// confirmed has, by name, the incarnations that apply this version or a later one.
 	confirmed := map[string]string{}
 	sendOffer := func(address string, timeout time.Duration) string {
-		var reply Taken
+		var reply OfferReply
 		offer := Offer{Serial: serial, Edition: edition, Patience: timeout * 4 / 5} // leaves time for the reply to arrive
 		if issuer.Net.Call(address, "Permit.Take", offer, &reply, timeout) != nil || reply.Serial < serial {
 			return ""
 		}
 		return reply.Incarnation
 	}
-	var holders map[string]Record
+	var holders map[string]HolderRecord
 	for round := 0; !issuer.isAcknowledged(serial) && (round > 0 || issuer.World.Now() < deadline); round++ {
 		// The members with a session get their offers while the records are read, which
 		// tell about further holders.
@@ -155,7 +155,7 @@
 		if round == 0 {
 			timeout = min(leaseSpan/4, timeout)
 		}
-		var found map[string]Record
+		var found map[string]HolderRecord
 		err := register.ErrNoMajority
 		pending := 1 + len(sessions)
 		loop.Gather(issuer.World, 1+len(sessions), timeout, func(index int) (out ackResult) {
@@ -210,12 +210,12 @@
 
 // ackResult is the result of reading the holders' records, or of an offer sent meanwhile.
 type ackResult struct {
-	holders     map[string]Record
+	holders     map[string]HolderRecord
 	err         error
 	incarnation string // of the holder that took the offer
 }
 
-func (issuer *Office) isAcknowledged(serial uint64) bool {
+func (issuer *Issuer) isAcknowledged(serial uint64) bool {
 	issuer.mutex.Lock()
 	defer issuer.mutex.Unlock()
 	return issuer.acknowledged >= serial
@@ -223,7 +223,7 @@
 
 // unconfirmed lists the holders whose recorded incarnation hasn't confirmed, sorted by
 // name.
-func (Applied) unconfirmed(holders map[string]Record, confirmed map[string]string) (names []string) {
+func (Applied) unconfirmed(holders map[string]HolderRecord, confirmed map[string]string) (names []string) {
 	for name, record := range holders {
 		if confirmed[name] != record.Incarnation {
 			names = append(names, name)
--- a/permit/config.go
+++ b/lease/config.go
@@ -1,4 +1,4 @@
-package permit
+package lease
 
 import (
 	"encoding/json"
@@ -19,17 +19,17 @@
 	Evacuated []string        `json:"evacuated,omitempty"`
 	// Taken has the marks of the last documents that were accepted with a label, newest
 	// last. Archived is how many history pages hold the marks before them.
-	Taken    []Mark `json:"taken,omitempty"`
-	Archived uint64 `json:"archived,omitempty"`
+	Taken    []OrderMark `json:"taken,omitempty"`
+	Archived uint64      `json:"archived,omitempty"`
 }
 
-// Mark identifies an accepted document: the operator's label, a slash and a digest of what
+// OrderMark identifies an accepted document: the operator's label, a slash and a digest of what
 // was sent. It distinguishes a repeated order from a new one. It is short, as every lease
 // grant reads the configuration.
-type Mark string
+type OrderMark string
 
 // Label returns the label of the marked document.
-func (mark Mark) Label() uint64 {
+func (mark OrderMark) Label() uint64 {
 	label, _, _ := strings.Cut(string(mark), "/")
 	number, _ := strconv.ParseUint(label, 10, 64) // marks are always made with a number
 	return number
--- a/permit/pack.go
+++ b/lease/config_encoding.go
@@ -1,4 +1,4 @@
-package permit
+package lease
 
 import (
 	"bytes"
@@ -18,20 +18,20 @@
 	if err := gob.NewEncoder(&text).Encode(config); err != nil {
 		return nil, err
 	}
-	return wire.Pack(text.Bytes(), nil), nil
+	return wire.Compress(text.Bytes(), nil), nil
 }
 
 // Unpack decodes a packed configuration.
 func Unpack(packed []byte) (config Config, err error) {
-	text, err := wire.Unpack(packed, nil)
+	text, err := wire.Decompress(packed, nil)
 	if err != nil {
 		return config, err
 	}
 	return config, gob.NewDecoder(bytes.NewReader(text)).Decode(&config)
 }
 
-// Whole returns the document with its origin inserted again, as it was submitted.
-func (config Config) Whole() json.RawMessage {
+// WithOrigin returns the document with its origin inserted again, as it was submitted.
+func (config Config) WithOrigin() json.RawMessage {
 	if len(config.Origin) == 0 || len(config.Document) == 0 {
 		return config.Document
 	}
@@ -48,9 +48,9 @@
 	return out.Bytes()
 }
 
-// Apart splits the origin, from which a document was generated, off the document, and
+// SplitOrigin splits the origin, from which a document was generated, off the document, and
 // removes white space from both. Invalid JSON is returned unchanged; the parser reports it.
-func Apart(document []byte) (rest, origin json.RawMessage) {
+func SplitOrigin(document []byte) (rest, origin json.RawMessage) {
 	var out bytes.Buffer
 	found := gjson.GetBytes(document, "origin")
 	if !gjson.ValidBytes(document) {
--- a/permit/edition.go
+++ b/lease/config_update.go
@@ -1,4 +1,4 @@
-package permit
+package lease
 
 import (
 	"bufio"
@@ -12,12 +12,12 @@
 	"swifttiller/wire"
 )
 
-// Edition is the transferred form of a configuration: a delta against the configuration of
+// ConfigUpdate is the transferred form of a configuration: a delta against the configuration of
 // version Base, which the data daemon has, or all of it if Base is zero.
 //
 // Invariant: an edition whose assembled chunks don't have the digest Sum is rejected. So no
 // daemon applies a mix of two versions, whatever it had before.
-type Edition struct {
+type ConfigUpdate struct {
 	Serial, Base uint64
 	Sum          [sha256.Size]byte // of the whole configuration
 	// Index has the digest and length of each chunk, packed against the index of the base.
@@ -86,7 +86,7 @@
 
 // newEdition returns an edition of the chunks for a receiver that has the chunks of the
 // base; base is nil if it has none. The caller sets the versions, the zones and the digest.
-func newEdition(chunks, base []*settings.Chunk) *Edition {
+func newEdition(chunks, base []*settings.Chunk) *ConfigUpdate {
 	baseChunks, newChunks := chunksByDigest(base), chunksByDigest(chunks)
 	var texts strings.Builder
 	for _, chunk := range chunks {
@@ -98,20 +98,20 @@
 	if base != nil {
 		index = encodeIndex(base)
 	}
-	return &Edition{
-		Index: wire.Pack(encodeIndex(chunks), index),
-		Texts: wire.Pack([]byte(texts.String()), removedTexts(base, func(digest settings.Digest) bool { return newChunks[digest] != nil })),
+	return &ConfigUpdate{
+		Index: wire.Compress(encodeIndex(chunks), index),
+		Texts: wire.Compress([]byte(texts.String()), removedTexts(base, func(digest settings.Digest) bool { return newChunks[digest] != nil })),
 	}
 }
 
 // assemble returns the configuration's tree, given the chunks of the base that the edition
 // names. It returns an error if the edition doesn't match the base or the digest.
-func (edition *Edition) assemble(base []*settings.Chunk) (*settings.Tree, error) {
+func (edition *ConfigUpdate) assemble(base []*settings.Chunk) (*settings.Tree, error) {
 	var index []byte
 	if base != nil {
 		index = encodeIndex(base)
 	}
-	indexData, err := wire.Unpack(edition.Index, index)
+	indexData, err := wire.Decompress(edition.Index, index)
 	if err != nil {
 		return nil, err
 	}
@@ -123,7 +123,7 @@
 	for _, item := range entries {
 		isInIndex[item.Digest] = true
 	}
-	texts, err := wire.Unpack(edition.Texts, removedTexts(base, func(digest settings.Digest) bool { return isInIndex[digest] }))
+	texts, err := wire.Decompress(edition.Texts, removedTexts(base, func(digest settings.Digest) bool { return isInIndex[digest] }))
 	if err != nil {
 		return nil, err
 	}
@@ -169,7 +169,7 @@
 
 // keepVersion keeps the chunks of the current configuration, and drops the oldest versions
 // beyond the limits of maxVersions and maxVersionBytes. The caller holds the mutex.
-func (issuer *Office) keepVersion() {
+func (issuer *Issuer) keepVersion() {
 	newest := configVersion{serial: issuer.serial, chunks: issuer.tree.Chunks(), evacuated: issuer.config.Evacuated}
 	whole := 0
 	for _, chunk := range newest.chunks {
@@ -192,11 +192,11 @@
 		first--
 	}
 	issuer.versions = append([]configVersion{}, issuer.versions[first:]...)
-	issuer.editions = map[uint64]*Edition{}
+	issuer.editions = map[uint64]*ConfigUpdate{}
 }
 
-// Want is a data daemon's request for a configuration, of version Serial or later.
-type Want struct {
+// FetchRequest is a data daemon's request for a configuration, of version Serial or later.
+type FetchRequest struct {
 	Serial uint64
 	Base   uint64 // version that it has and wants a delta against; zero for none
 }
@@ -208,7 +208,7 @@
 // before it. Only an evacuation, which changes no chunk, is carried. For all other changes
 // it returns nil, and every holder fetches them once, from an issuer near it. It also
 // returns nil if this issuer's newest configuration is another one.
-func (issuer *Office) offerEdition(serial uint64) *Edition {
+func (issuer *Issuer) offerEdition(serial uint64) *ConfigUpdate {
 	issuer.mutex.Lock()
 	count := len(issuer.versions)
 	if count < 2 || issuer.serial != serial {
@@ -221,8 +221,8 @@
 	if !isSame {
 		return nil
 	}
-	edition := new(Edition)
-	if issuer.Fetch(Want{Serial: serial, Base: base}, edition) != nil || edition.Serial != serial || edition.Base != base {
+	edition := new(ConfigUpdate)
+	if issuer.Fetch(FetchRequest{Serial: serial, Base: base}, edition) != nil || edition.Serial != serial || edition.Base != base {
 		return nil
 	}
 	if len(edition.Index)+len(edition.Texts) > maxOfferBytes {
@@ -239,7 +239,7 @@
 // Fetch returns the newest configuration as a delta against the requested base, or in full
 // if that base is not kept. It is packed once for all holders with the same base. The
 // version of the edition is zero if there is none as new as requested.
-func (issuer *Office) Fetch(request Want, edition *Edition) error {
+func (issuer *Issuer) Fetch(request FetchRequest, edition *ConfigUpdate) error {
 	if serial, _, _ := issuer.Current(); serial < request.Serial {
 		if err := issuer.Refresh(); err != nil {
 			return err
--- a/permit/edition_test.go
+++ b/lease/config_update_test.go
@@ -1,4 +1,4 @@
-package permit
+package lease
 
 import (
 	"bytes"
@@ -30,9 +30,9 @@
 
 // newTestIssuer returns a lease issuer that has seen the documents, with versions from 1
 // on.
-func newTestIssuer(t *testing.T, documents ...[]byte) *Office {
+func newTestIssuer(t *testing.T, documents ...[]byte) *Issuer {
 	t.Helper()
-	issuer := &Office{Options: Options{World: loop.NewMachine()}}
+	issuer := &Issuer{IssuerOptions: IssuerOptions{World: loop.NewMachine()}}
 	for index, document := range documents {
 		if err := issuer.applyConfig(uint64(index+1), Config{Document: document, Evacuated: []string{"a-1"}[:index%2]}); err != nil {
 			t.Fatal(err)
@@ -41,10 +41,10 @@
 	return issuer
 }
 
-func (issuer *Office) mustFetch(t *testing.T, serial, base uint64) *Edition {
+func (issuer *Issuer) mustFetch(t *testing.T, serial, base uint64) *ConfigUpdate {
 	t.Helper()
-	edition := &Edition{}
-	if err := issuer.Fetch(Want{Serial: serial, Base: base}, edition); err != nil || edition.Serial < serial {
+	edition := &ConfigUpdate{}
+	if err := issuer.Fetch(FetchRequest{Serial: serial, Base: base}, edition); err != nil || edition.Serial < serial {
 		t.Fatal(edition.Serial, err)
 	}
 	return edition
@@ -82,8 +82,8 @@
 			t.Error("the edition is packed again for each request")
 		}
 	}
-	none := &Edition{}
-	if err := (&Office{}).Fetch(Want{}, none); err != nil || none.Serial != 0 {
+	none := &ConfigUpdate{}
+	if err := (&Issuer{}).Fetch(FetchRequest{}, none); err != nil || none.Serial != 0 {
 		t.Error("an issuer without a configuration returned one:", err)
 	}
 	if odd := issuer.mustFetch(t, 6, 77); odd.Base != 0 {
@@ -91,9 +91,9 @@
 	}
 }
 
-// TestNoMix guards against a daemon that applies a configuration that was never decided,
+// TestCorruptUpdatesAreRejected guards against a daemon that applies a configuration that was never decided,
 // because the edition or its own chunks were corrupted, and against panics on such input.
-func TestNoMix(t *testing.T) {
+func TestCorruptUpdatesAreRejected(t *testing.T) {
 	documents := [][]byte{routesDocument(1, 400, 7), routesDocument(2, 400, 300), routesDocument(3, 380, 20)}
 	issuer := newTestIssuer(t, documents...)
 	chunksOf := func(at int) []*settings.Chunk {
@@ -117,7 +117,7 @@
 		return out
 	}
 	count := 0
-	check := func(damage string, edition Edition, base []*settings.Chunk) {
+	check := func(damage string, edition ConfigUpdate, base []*settings.Chunk) {
 		if tree, err := edition.assemble(base); err == nil && !bytes.Equal(tree.Document(), documents[2]) {
 			t.Errorf("mix: %s: assembled a configuration that was not decided", damage)
 		} else if err != nil {
@@ -159,9 +159,9 @@
 	}
 }
 
-// TestKeptEditions guards against an issuer that keeps too many old configurations as bases
+// TestBasesAreBounded guards against an issuer that keeps too many old configurations as bases
 // for deltas: more than maxVersions, or more bytes than the newest one has.
-func TestKeptEditions(t *testing.T) {
+func TestBasesAreBounded(t *testing.T) {
 	var small, large [][]byte
 	for label := range maxVersions + 9 {
 		small = append(small, routesDocument(label, 500, label))
@@ -200,8 +200,8 @@
 	}
 	world := loop.NewMachine()
 	holder := NewHolder(HolderOptions{World: world, Self: func() session.Member { return session.Member{Incarnation: "i"} }})
-	holder.view.Store(&View{Serial: 1, Tree: tree, Expiry: loop.Forever})
-	reply := &Taken{}
+	holder.view.Store(&View{Serial: 1, Tree: tree, Deadline: loop.Forever})
+	reply := &OfferReply{}
 	if err := holder.Take(Offer{Serial: 2, Edition: edition, Patience: time.Second}, reply); err != nil || reply.Serial != 2 {
 		t.Fatalf("reply to the offer: %+v, error: %v", reply, err)
 	}
--- a/permit/notice.go
+++ b/lease/departure.go
@@ -1,19 +1,19 @@
-package permit
+package lease
 
 import (
 	"time"
 
-	"swifttiller/standing"
+	"swifttiller/routing"
 )
 
-// Leaver is one incarnation of a replica that is about to end.
-type Leaver struct{ Replica, Boot string }
+// DepartingReplica is one incarnation of a replica that is about to end.
+type DepartingReplica struct{ Replica, Boot string }
 
-// Notice tells a data daemon which replica incarnations get no more requests, before a
+// DepartureNotice tells a data daemon which replica incarnations get no more requests, before a
 // lease renewal brings a routing table without them.
-type Notice struct {
+type DepartureNotice struct {
 	Region  string
-	Leavers []Leaver
+	Leavers []DepartingReplica
 	// Serial is the version of the first routing table without them, if that is already
 	// written; later versions may include them again. Zero means that they are shutting
 	// down and are in no later version.
@@ -34,11 +34,11 @@
 // Heed handles a notice: from now on no view contains the incarnations that it names, in
 // routing tables below its version. A late notice is still correct, as an incarnation that
 // shuts down never returns. It does not extend the lease.
-func (holder *Holder) Heed(notice Notice, acknowledged *bool) error {
+func (holder *Holder) Heed(notice DepartureNotice, acknowledged *bool) error {
 	now := holder.World.Now()
 	holder.mutex.Lock()
 	if holder.departed == nil {
-		holder.departed = map[Leaver]departure{}
+		holder.departed = map[DepartingReplica]departure{}
 	}
 	for leaver, known := range holder.departed {
 		if now >= known.forgetAt {
@@ -53,41 +53,41 @@
 	}
 	current := holder.View()
 	next := *current
-	next.Standings = make(map[string]standing.Standing, len(current.Standings))
-	for region, table := range current.Standings {
+	next.RoutingTables = make(map[string]routing.Table, len(current.RoutingTables))
+	for region, table := range current.RoutingTables {
 		if region == notice.Region {
 			table = holder.withoutDeparted(table)
 		}
-		next.Standings[region] = table
+		next.RoutingTables[region] = table
 	}
 	holder.view.Store(&next)
 	holder.mutex.Unlock()
 	*acknowledged = true
-	if holder.Changed != nil {
-		holder.Changed(&next)
+	if holder.OnChange != nil {
+		holder.OnChange(&next)
 	}
 	return nil
 }
 
 // withoutDeparted returns the routing table without the departed incarnations. It doesn't
 // modify its argument, which others may be reading. The caller holds the mutex.
-func (holder *Holder) withoutDeparted(table standing.Standing) standing.Standing {
+func (holder *Holder) withoutDeparted(table routing.Table) routing.Table {
 	isRemoved := map[string]bool{}
 	for _, endpoint := range table.Places {
-		if known, isKnown := holder.departed[Leaver{endpoint.ID, endpoint.Boot}]; isKnown && (known.belowSerial == 0 || table.Serial < known.belowSerial) {
+		if known, isKnown := holder.departed[DepartingReplica{endpoint.ID, endpoint.Boot}]; isKnown && (known.belowSerial == 0 || table.Serial < known.belowSerial) {
 			isRemoved[endpoint.ID] = true
 		}
 	}
 	if len(isRemoved) == 0 {
 		return table
 	}
-	endpoints := make([]standing.Place, 0, len(table.Places))
+	endpoints := make([]routing.Endpoint, 0, len(table.Places))
 	for _, endpoint := range table.Places {
 		if !isRemoved[endpoint.ID] {
 			endpoints = append(endpoints, endpoint)
 		}
 	}
-	rows := make([]standing.Row, 0, len(table.Rows))
+	rows := make([]routing.Row, 0, len(table.Rows))
 	for _, row := range table.Rows {
 		if !isRemoved[row.Replica] {
 			rows = append(rows, row)
--- a/permit/notice_test.go
+++ b/lease/departure_test.go
@@ -1,48 +1,48 @@
-package permit
+package lease
 
 import (
 	"encoding/json"
 	"testing"
 	"time"
 
+	"swifttiller/routing"
 	"swifttiller/session"
 	"swifttiller/sim"
-	"swifttiller/standing"
 	"swifttiller/wire"
 )
 
-// TestNoticesLeaveOut guards against replica incarnations that reappear in a view after a
+// TestNoticesRemoveIncarnations guards against replica incarnations that reappear in a view after a
 // notice removed them. One that shuts down must be in no later view; one that a written
 // routing table no longer has must be in no older table. Other incarnations of the same
 // replica stay, and a weaker notice must not replace a stronger one.
-func TestNoticesLeaveOut(t *testing.T) {
+func TestNoticesRemoveIncarnations(t *testing.T) {
 	cluster := sim.New(1)
 	cluster.Start("d", func(*sim.Node) {})
 	holder := NewHolder(HolderOptions{World: cluster.Node("d"), Self: func() session.Member { return session.Member{Name: "d"} }})
-	applyStanding := func(serial uint64, incarnations ...Leaver) {
-		table := standing.Standing{Region: "r", Serial: serial}
+	applyStanding := func(serial uint64, incarnations ...DepartingReplica) {
+		table := routing.Table{Region: "r", Serial: serial}
 		for _, incarnation := range incarnations {
-			table.Places = append(table.Places, standing.Place{ID: incarnation.Replica, Boot: incarnation.Boot})
-			table.Rows = append(table.Rows, standing.Row{Replica: incarnation.Replica})
+			table.Places = append(table.Places, routing.Endpoint{ID: incarnation.Replica, Boot: incarnation.Boot})
+			table.Rows = append(table.Rows, routing.Row{Replica: incarnation.Replica})
 		}
 		text, err := json.Marshal(table)
 		if err != nil {
 			t.Fatal(err)
 		}
-		grant := &Grant{Length: time.Second, Kept: map[string]time.Duration{"r": 0}, Standings: []Told{{Region: "r", Serial: serial, Packed: wire.Pack(text, nil)}}}
+		grant := &Grant{Length: time.Second, Kept: map[string]time.Duration{"r": 0}, Standings: []TableUpdate{{Region: "r", Serial: serial, Packed: wire.Compress(text, nil)}}}
 		if !holder.applyGrant(grant, cluster.Now()) {
 			t.Fatal("the grant was rejected")
 		}
 	}
-	notify := func(serial uint64, incarnation Leaver) {
+	notify := func(serial uint64, incarnation DepartingReplica) {
 		acknowledged := false
-		if err := holder.Heed(Notice{Region: "r", Leavers: []Leaver{incarnation}, Serial: serial}, &acknowledged); err != nil || !acknowledged {
+		if err := holder.Heed(DepartureNotice{Region: "r", Leavers: []DepartingReplica{incarnation}, Serial: serial}, &acknowledged); err != nil || !acknowledged {
 			t.Fatal(err)
 		}
 	}
 	expectReplicas := func(when string, want ...string) {
 		t.Helper()
-		table := holder.View().Standings["r"]
+		table := holder.View().RoutingTables["r"]
 		var got []string
 		for at, endpoint := range table.Places {
 			got = append(got, endpoint.ID)
@@ -59,7 +59,7 @@
 			}
 		}
 	}
-	a, b, c := Leaver{"a", "1"}, Leaver{"b", "1"}, Leaver{"c", "1"}
+	a, b, c := DepartingReplica{"a", "1"}, DepartingReplica{"b", "1"}, DepartingReplica{"c", "1"}
 	applyStanding(1, a, b, c)
 	expectReplicas("before any notice", "a", "b", "c")
 	notify(0, a)
@@ -73,7 +73,7 @@
 	expectReplicas("b is in version 3 again", "b", "c")
 	notify(2, b)
 	expectReplicas("an outdated notice arrives late", "b", "c")
-	applyStanding(10, Leaver{"a", "2"}, b, c)
+	applyStanding(10, DepartingReplica{"a", "2"}, b, c)
 	expectReplicas("another incarnation of a", "a", "b", "c")
 	applyStanding(11, a, b, c)
 	expectReplicas("a that shuts down is in no later version", "b", "c")
--- a/permit/fuzz_test.go
+++ b/lease/fuzz_test.go
@@ -1,4 +1,4 @@
-package permit
+package lease
 
 import (
 	"bytes"
@@ -8,7 +8,7 @@
 // FuzzUnpack checks that arbitrary bytes either decode to a configuration that survives
 // another round trip, or give an error, without a panic.
 func FuzzUnpack(f *testing.F) {
-	for _, config := range []Config{{}, {Document: []byte(`{"label":3}`), Origin: []byte(`{}`), Evacuated: []string{"east-1"}, Taken: []Mark{"3/x"}, Archived: 7}} {
+	for _, config := range []Config{{}, {Document: []byte(`{"label":3}`), Origin: []byte(`{}`), Evacuated: []string{"east-1"}, Taken: []OrderMark{"3/x"}, Archived: 7}} {
 		packed, err := config.Pack()
 		if err != nil {
 			f.Fatal(err)
--- a/permit/history.go
+++ b/lease/history.go
@@ -1,4 +1,4 @@
-package permit
+package lease
 
 import (
 	"encoding/json"
@@ -14,11 +14,11 @@
 // lease grant reads the configuration, older ones are moved to separate registers, a page
 // at a time.
 const (
-	// Remembered is how many marks a configuration keeps. It keeps up to twice as many
+	// MaxMarks is how many marks a configuration keeps. It keeps up to twice as many
 	// while no page can be written.
-	Remembered = 64
+	MaxMarks = 64
 	// marksPerPage is how many marks a history page has.
-	marksPerPage = Remembered / 2
+	marksPerPage = MaxMarks / 2
 	// HistoryPages is how many pages are kept. Page registers are reused in turn: a page
 	// overwrites the one that is HistoryPages older.
 	HistoryPages = 128
@@ -32,14 +32,14 @@
 // configuration only in the order in which they were added, a page at a time. So any daemon
 // may write a page, any number of times, before the configuration drops its marks.
 type HistoryPage struct {
-	Number uint64 `json:"number"` // counted from zero
-	Marks  []Mark `json:"marks"`
+	Number uint64      `json:"number"` // counted from zero
+	Marks  []OrderMark `json:"marks"`
 }
 
 // Errors of lookups in the history and of additions to it.
 var (
-	// ErrForgotten tells that the order is older than the whole history.
-	ErrForgotten = errors.New("permit: the order is older than the recorded history of accepted orders")
+	// ErrBeforeHistory tells that the order is older than the whole history.
+	ErrBeforeHistory = errors.New("permit: the order is older than the recorded history of accepted orders")
 	// ErrHistoryFull tells that the configuration has no room for another mark, because
 	// older ones could not be moved to the history yet.
 	ErrHistoryFull = errors.New("permit: cannot write the history of accepted orders at present")
@@ -49,19 +49,19 @@
 	return fmt.Sprintf("%s%03d", HistoryPrefix, number%HistoryPages)
 }
 
-// Take returns the configuration with another document, and remembers the document's mark
+// WithDocument returns the configuration with another document, and remembers the document's mark
 // if it has one. Evacuations are kept. The parameter archived is how many pages of the
 // history are known to be written.
-func (config Config) Take(document []byte, mark Mark, archived uint64) (Config, error) {
-	config.Document, config.Origin = Apart(document)
+func (config Config) WithDocument(document []byte, mark OrderMark, archived uint64) (Config, error) {
+	config.Document, config.Origin = SplitOrigin(document)
 	if mark == "" {
 		return config, nil
 	}
-	if len(config.Taken) >= Remembered && config.Archived < archived {
+	if len(config.Taken) >= MaxMarks && config.Archived < archived {
 		config.Taken = config.Taken[marksPerPage:]
 		config.Archived++
 	}
-	if len(config.Taken) >= 2*Remembered {
+	if len(config.Taken) >= 2*MaxMarks {
 		return config, ErrHistoryFull
 	}
 	config.Taken = append(slices.Clone(config.Taken), mark)
@@ -70,13 +70,13 @@
 
 // Archive writes the next history page if the configuration that this issuer knows has
 // enough marks for one. It returns how many pages are known to be written.
-func (issuer *Office) Archive() uint64 {
+func (issuer *Issuer) Archive() uint64 {
 	_, config, _ := issuer.Current()
-	if len(config.Taken) < Remembered {
+	if len(config.Taken) < MaxMarks {
 		return config.Archived
 	}
 	page := HistoryPage{Number: config.Archived, Marks: config.Taken[:marksPerPage]}
-	err := WritePage(issuer.Keeper, issuer.orderTimeout(), page)
+	err := WritePage(issuer.Registers, issuer.orderTimeout(), page)
 	if err != nil {
 		return config.Archived // the configuration can keep more marks for a while
 	}
@@ -84,29 +84,29 @@
 }
 
 // WritePage writes a history page, unless its register holds that page or a newer one.
-func WritePage(keeper *register.Keeper, timeout time.Duration, page HistoryPage) error {
-	_, err := keeper.ChangeWithin(historyKey(page.Number), timeout, func(value register.Value) ([]byte, error) {
+func WritePage(keeper *register.Client, timeout time.Duration, page HistoryPage) error {
+	_, err := keeper.UpdateWithin(historyKey(page.Number), timeout, func(value register.Value) ([]byte, error) {
 		var stored HistoryPage
 		if value.Serial > 0 {
 			if err := json.Unmarshal(value.Data, &stored); err != nil {
 				return nil, err
 			}
 			if stored.Number >= page.Number {
-				return nil, ErrSame
+				return nil, ErrAlreadyInForce
 			}
 		}
 		return json.Marshal(page)
 	})
-	if errors.Is(err, ErrSame) {
+	if errors.Is(err, ErrAlreadyInForce) {
 		return nil
 	}
 	return err
 }
 
-// Recall tells whether an order is in the part of the history that was moved out of the
+// InHistory tells whether an order is in the part of the history that was moved out of the
 // given configuration, which must be a decided one. It returns ErrForgotten or an error of
 // the registers.
-func (issuer *Office) Recall(config Config, mark Mark, timeout time.Duration) (bool, error) {
+func (issuer *Issuer) InHistory(config Config, mark OrderMark, timeout time.Duration) (bool, error) {
 	first := uint64(0)
 	if config.Archived > HistoryPages {
 		first = config.Archived - HistoryPages
@@ -126,14 +126,14 @@
 	}
 	oldest := issuer.pages[first]
 	if first > 0 && (len(oldest) == 0 || mark.Label() < oldest[0].Label()) {
-		return false, ErrForgotten
+		return false, ErrBeforeHistory
 	}
 	return false, nil
 }
 
 // missingPages lists the pages that were not read yet, and drops cached pages before the
 // first.
-func (issuer *Office) missingPages(first, end uint64) (missing []uint64) {
+func (issuer *Issuer) missingPages(first, end uint64) (missing []uint64) {
 	issuer.mutex.Lock()
 	defer issuer.mutex.Unlock()
 	for number := range issuer.pages {
@@ -151,19 +151,19 @@
 
 // readPages reads pages that a decided configuration refers to. Pages that newer ones have
 // overwritten are left empty.
-func (issuer *Office) readPages(numbers []uint64, timeout time.Duration) error {
+func (issuer *Issuer) readPages(numbers []uint64, timeout time.Duration) error {
 	keys := make([]string, len(numbers))
 	for index, number := range numbers {
 		keys[index] = historyKey(number)
 	}
-	values, err := issuer.Keeper.ReadManyWithin(timeout, keys...)
+	values, err := issuer.Registers.ReadManyWithin(timeout, keys...)
 	if err != nil {
 		return err
 	}
 	issuer.mutex.Lock()
 	defer issuer.mutex.Unlock()
 	if issuer.pages == nil {
-		issuer.pages = map[uint64][]Mark{}
+		issuer.pages = map[uint64][]OrderMark{}
 	}
 	for index, number := range numbers {
 		var page HistoryPage
--- a/permit/holder.go
+++ b/lease/holder.go
@@ -1,4 +1,4 @@
-package permit
+package lease
 
 import (
 	"errors"
@@ -11,9 +11,9 @@
 	"time"
 
 	"swifttiller/loop"
+	"swifttiller/routing"
 	"swifttiller/session"
 	"swifttiller/settings"
-	"swifttiller/standing"
 	"swifttiller/tenant"
 )
 
@@ -23,13 +23,13 @@
 	Serial uint64
 	// Edition, if set, is the configuration as a delta against the previous one. It must
 	// stay small, as an offer is repeated to every holder that does not answer.
-	Edition *Edition
+	Edition *ConfigUpdate
 	// Patience is how long the holder may take to answer.
 	Patience time.Duration
 }
 
-// Taken is the holder's reply to an offer: the configuration that it applies from now on.
-type Taken struct {
+// OfferReply is the holder's reply to an offer: the configuration that it applies from now on.
+type OfferReply struct {
 	Incarnation string
 	Serial      uint64
 }
@@ -42,42 +42,42 @@
 // lapse of the lease has only routing tables that were confirmed to be up to date since
 // then: during the lapse, this daemon was not informed of what became of the replicas.
 type View struct {
-	Serial    uint64
-	Tree      *settings.Tree
-	Evacuated map[string]bool
-	Standings map[string]standing.Standing
-	// Kept has, by region, the latest time at which the routing table is known to have been
+	Serial        uint64
+	Tree          *settings.Tree
+	Evacuated     map[string]bool
+	RoutingTables map[string]routing.Table
+	// ConfirmedAt has, by region, the latest time at which the routing table is known to have been
 	// up to date.
-	Kept map[string]time.Duration
-	// Unkept has the regions whose routing table was not confirmed to be up to date since
+	ConfirmedAt map[string]time.Duration
+	// Unconfirmed has the regions whose routing table was not confirmed to be up to date since
 	// this daemon received it. Their replicas may have restarted, so they count as cold.
-	Unkept map[string]bool
+	Unconfirmed map[string]bool
 	// Members have their uptimes as of membersAt. The uptimes of all members were last
 	// received at uptimesAt.
-	Members []session.Member
-	Expiry  time.Duration
-	// IsMoving tells whether some routing table has a version on trial, or a former version
+	Members  []session.Member
+	Deadline time.Duration
+	// HasVersionChange tells whether some routing table has a version on trial, or a former version
 	// that is kept on standby.
-	IsMoving       bool
-	membersSum     uint64
-	evacuatedZones []string // as received
-	membersAt      time.Duration
-	uptimesAt      time.Duration
-	standingTexts  map[string]standingText // the last ones received, by region
-	// Placed has the tenants' placements with the version PlacedSerial; nil until the first
+	HasVersionChange bool
+	membersSum       uint64
+	evacuatedZones   []string // as received
+	membersAt        time.Duration
+	uptimesAt        time.Duration
+	standingTexts    map[string]standingText // the last ones received, by region
+	// Placements has the tenants' placements with the version PlacedSerial; nil until the first
 	// ones arrive.
-	Placed       *tenant.Book
-	PlacedSerial uint64
+	Placements        *tenant.Placements
+	PlacementsVersion uint64
 }
 
 // Placement returns the tenant's placement, or nil if there is none or the lease has
 // expired. After that the placement in force is unknown. So an old and a new placement are
 // in force together for one lease length at most.
 func (view *View) Placement(name string, now time.Duration) *tenant.Placement {
-	if view.Placed == nil || !view.Stands(now) {
+	if view.Placements == nil || !view.IsValid(now) {
 		return nil
 	}
-	return view.Placed.Find(name)
+	return view.Placements.Find(name)
 }
 
 // Config returns the configuration as it was distributed to data daemons.
@@ -88,16 +88,16 @@
 	return out
 }
 
-// Stands tells whether the lease is valid at the time.
-func (view *View) Stands(now time.Duration) bool {
-	return view != nil && view.Tree != nil && now < view.Expiry
+// IsValid tells whether the lease is valid at the time.
+func (view *View) IsValid(now time.Duration) bool {
+	return view != nil && view.Tree != nil && now < view.Deadline
 }
 
-// Serves tells whether routed requests may be served at the time: while the lease is valid,
+// MayServe tells whether routed requests may be served at the time: while the lease is valid,
 // and for alone_ms after it expired where the settings allow that. Such a daemon may serve
 // by outdated state, but never returns to an older one.
-func (view *View) Serves(now time.Duration) bool {
-	return view != nil && view.Tree != nil && now < view.Expiry+view.Tree.Span("alone_ms", "")
+func (view *View) MayServe(now time.Duration) bool {
+	return view != nil && view.Tree != nil && now < view.Deadline+view.Tree.Duration("alone_ms", "")
 }
 
 // HolderOptions are the options of a Holder.
@@ -106,8 +106,8 @@
 	Client *session.Client
 	// Self describes the daemon at the time of the call.
 	Self func() session.Member
-	// Changed is called after each new view.
-	Changed func(view *View)
+	// OnChange is called after each new view.
+	OnChange func(view *View)
 }
 
 // Holder maintains a data daemon's lease.
@@ -123,7 +123,7 @@
 	minSerial uint64
 	// departed has the replica incarnations that get no more requests, as notices
 	// announced.
-	departed map[Leaver]departure
+	departed map[DepartingReplica]departure
 	view     atomic.Pointer[View]
 	waker    *loop.Waker
 	// failedRenewals counts the consecutive renewals that failed.
@@ -132,13 +132,13 @@
 	// result. The mutex guards both.
 	isFetching   bool
 	fetchWaiters []loop.Mailbox
-	Declined     atomic.Pointer[string]
+	RejectReason atomic.Pointer[string]
 }
 
 // NewHolder returns a holder without a lease, as after a restart of the daemon.
 func NewHolder(options HolderOptions) *Holder {
 	holder := &Holder{HolderOptions: options, waker: loop.NewWaker(options.World)}
-	holder.view.Store(&View{Standings: map[string]standing.Standing{}})
+	holder.view.Store(&View{RoutingTables: map[string]routing.Table{}})
 	return holder
 }
 
@@ -156,11 +156,11 @@
 			// Without a first lease nothing is served, so the retries are frequent. They
 			// back off exponentially: when all daemons start at once and there is no
 			// configuration yet, frequent retries would only slow each other down.
-			return min(holder.leaseLength()/18<<min(holder.failedRenewals.Load(), 8)/2, holder.leaseLength()/Renewals)
-		case holder.failedRenewals.Load() > 0 || len(holder.View().Unkept) > 0, holder.View().IsMoving:
+			return min(holder.leaseLength()/18<<min(holder.failedRenewals.Load(), 8)/2, holder.leaseLength()/RenewalsPerLease)
+		case holder.failedRenewals.Load() > 0 || len(holder.View().Unconfirmed) > 0, holder.View().HasVersionChange:
 			return holder.leaseLength() / 6
 		}
-		return holder.leaseLength() / Renewals
+		return holder.leaseLength() / RenewalsPerLease
 	}, func() bool {
 		if holder.Renew() {
 			holder.failedRenewals.Store(0)
@@ -173,7 +173,7 @@
 
 // hasMovingVersions tells whether a version is on trial or on standby in any of the routing
 // tables.
-func hasMovingVersions(standings map[string]standing.Standing) bool {
+func hasMovingVersions(standings map[string]routing.Table) bool {
 	for _, table := range standings {
 		for _, row := range table.Rows {
 			if row.Trial || row.Back {
@@ -188,11 +188,11 @@
 // between they are extrapolated with the local clock, and clocks drift apart.
 const uptimesMaxAge = 30 * time.Second
 
-// Renewals is how often a lease is renewed within its length.
-const Renewals = 3
+// RenewalsPerLease is how often a lease is renewed within its length.
+const RenewalsPerLease = 3
 
 func (holder *Holder) leaseLength() time.Duration {
-	return holder.View().Tree.Span("permit_ms", "")
+	return holder.View().Tree.Duration("permit_ms", "")
 }
 
 // Renew makes one attempt to renew the lease. The new lease counts from before the request
@@ -200,29 +200,29 @@
 func (holder *Holder) Renew() bool {
 	sentAt := holder.World.Now()
 	current := holder.View()
-	request := Ask{Holder: holder.Self(), Config: current.Serial, Standings: map[string]uint64{}, Placed: current.PlacedSerial, Members: current.membersSum, IsStale: sentAt-current.uptimesAt >= uptimesMaxAge}
-	for region, table := range current.Standings {
+	request := Request{Holder: holder.Self(), Config: current.Serial, Standings: map[string]uint64{}, Placed: current.PlacementsVersion, Members: current.membersSum, IsStale: sentAt-current.uptimesAt >= uptimesMaxAge}
+	for region, table := range current.RoutingTables {
 		if current.standingTexts[region].serial == table.Serial {
 			request.Standings[region] = table.Serial
 		}
 	}
-	reply, err := holder.Client.Ask("Permit.Renew", request, func() any { return new(Grant) }, func(reply any) bool { return reply.(*Grant).Declined == "" || reply.(*Grant).IsQueued }, holder.leaseLength()/2)
+	reply, err := holder.Client.Call("Permit.Renew", request, func() any { return new(Grant) }, func(reply any) bool { return reply.(*Grant).Declined == "" || reply.(*Grant).IsQueued }, holder.leaseLength()/2)
 	if err != nil {
 		reason := err.Error()
-		holder.Declined.Store(&reason)
+		holder.RejectReason.Store(&reason)
 		return false
 	}
 	grant := reply.(*Grant)
 	if grant.Declined != "" {
-		holder.Declined.Store(&grant.Declined)
+		holder.RejectReason.Store(&grant.Declined)
 		return false
 	}
 	if err := grant.unpackMembers(); err != nil {
 		reason := err.Error()
-		holder.Declined.Store(&reason)
+		holder.RejectReason.Store(&reason)
 		return false
 	}
-	holder.Declined.Store(nil)
+	holder.RejectReason.Store(nil)
 	return holder.applyGrant(grant, sentAt)
 }
 
@@ -236,7 +236,7 @@
 		var err error
 		if config, err = holder.awaitFetch(grant.Serial, loop.Forever); err != nil {
 			reason := err.Error()
-			holder.Declined.Store(&reason)
+			holder.RejectReason.Store(&reason)
 			return false
 		}
 	}
@@ -252,10 +252,10 @@
 		holder.mutex.Unlock()
 		return false
 	}
-	next.Standings = map[string]standing.Standing{}
-	for region, table := range current.Standings {
-		if _, isKept := grant.Kept[region]; isKept || current.Serves(sentAt) {
-			next.Standings[region] = table
+	next.RoutingTables = map[string]routing.Table{}
+	for region, table := range current.RoutingTables {
+		if _, isKept := grant.Kept[region]; isKept || current.MayServe(sentAt) {
+			next.RoutingTables[region] = table
 		}
 	}
 	next.standingTexts = maps.Clone(current.standingTexts)
@@ -263,47 +263,47 @@
 		next.standingTexts = map[string]standingText{}
 	}
 	for _, update := range grant.Standings {
-		if update.Serial > next.Standings[update.Region].Serial {
+		if update.Serial > next.RoutingTables[update.Region].Serial {
 			if table, isRead := next.unpackStanding(update); isRead {
-				next.Standings[table.Region] = table
+				next.RoutingTables[table.Region] = table
 			} else {
 				delete(grant.Kept, update.Region) // the grant confirms a version that could not be read
 			}
 		}
 	}
-	next.Unkept = map[string]bool{}
+	next.Unconfirmed = map[string]bool{}
 	for _, update := range grant.Unkept {
-		if held, known := next.Standings[update.Region]; !known || update.Serial > held.Serial {
+		if held, known := next.RoutingTables[update.Region]; !known || update.Serial > held.Serial {
 			if table, isRead := next.unpackStanding(update); isRead {
-				next.Standings[table.Region] = table
+				next.RoutingTables[table.Region] = table
 			}
 		}
 	}
-	for region := range next.Standings {
-		if _, isKept := grant.Kept[region]; !isKept && (current.Unkept[region] || current.Standings[region].Serial == 0) {
-			next.Unkept[region] = true
+	for region := range next.RoutingTables {
+		if _, isKept := grant.Kept[region]; !isKept && (current.Unconfirmed[region] || current.RoutingTables[region].Serial == 0) {
+			next.Unconfirmed[region] = true
 		}
 	}
-	next.Kept = map[string]time.Duration{}
-	for region, keptAt := range current.Kept {
-		next.Kept[region] = keptAt
+	next.ConfirmedAt = map[string]time.Duration{}
+	for region, keptAt := range current.ConfirmedAt {
+		next.ConfirmedAt[region] = keptAt
 	}
 	for region, age := range grant.Kept {
-		next.Kept[region] = max(next.Kept[region], sentAt-age)
+		next.ConfirmedAt[region] = max(next.ConfirmedAt[region], sentAt-age)
 	}
-	for region, table := range next.Standings {
-		next.Standings[region] = holder.withoutDeparted(table)
+	for region, table := range next.RoutingTables {
+		next.RoutingTables[region] = holder.withoutDeparted(table)
 	}
-	if placements, isRead := OpenPlaced(grant.Placed); isRead && grant.PlacedSerial > current.PlacedSerial {
-		next.Placed, next.PlacedSerial = &placements, grant.PlacedSerial
+	if placements, isRead := DecodePlacements(grant.Placed); isRead && grant.PlacedSerial > current.PlacementsVersion {
+		next.Placements, next.PlacementsVersion = &placements, grant.PlacedSerial
 	}
-	next.membersAt, next.IsMoving = holder.World.Now(), hasMovingVersions(next.Standings)
+	next.membersAt, next.HasVersionChange = holder.World.Now(), hasMovingVersions(next.RoutingTables)
 	next.updateMembers(current, grant)
-	next.Expiry = max(current.Expiry, sentAt+grant.Length)
+	next.Deadline = max(current.Deadline, sentAt+grant.Length)
 	holder.view.Store(&next)
 	holder.mutex.Unlock()
-	if holder.Changed != nil {
-		holder.Changed(&next)
+	if holder.OnChange != nil {
+		holder.OnChange(&next)
 	}
 	return true
 }
@@ -332,7 +332,7 @@
 	}
 	slices.SortFunc(view.Members, func(a, b session.Member) int { return strings.Compare(a.Name, b.Name) })
 	view.membersSum = grant.Sum
-	if grant.Base != 0 && (grant.Base != previous.membersSum || session.Sum(view.Members) != grant.Sum) {
+	if grant.Base != 0 && (grant.Base != previous.membersSum || session.Checksum(view.Members) != grant.Sum) {
 		view.membersSum = 0 // the list was replaced meanwhile; the next renewal requests it in full
 	}
 	if view.membersSum == grant.Sum && len(grant.Uptimes) == len(view.Members) {
@@ -426,11 +426,11 @@
 			// the timeout was too short, the next one is longer.
 			timeout = holder.leaseLength() << min(holder.failedRenewals.Load(), 2)
 		}
-		reply, err := holder.Client.Ask("Permit.Fetch", Want{Serial: serial, Base: base}, func() any { return new(Edition) }, func(reply any) bool { return reply.(*Edition).Serial >= serial }, timeout)
+		reply, err := holder.Client.Call("Permit.Fetch", FetchRequest{Serial: serial, Base: base}, func() any { return new(ConfigUpdate) }, func(reply any) bool { return reply.(*ConfigUpdate).Serial >= serial }, timeout)
 		if err != nil {
 			return nil, err
 		}
-		edition := reply.(*Edition)
+		edition := reply.(*ConfigUpdate)
 		if edition.Serial < serial {
 			return nil, errNotFetched
 		}
@@ -455,7 +455,7 @@
 // new one. That does not extend the lease. A holder without a lease serves nothing and
 // applies nothing until a grant brings the newest configuration; it is enough for the
 // sender of the offer to know that the holder rejects all grants below the offered version.
-func (holder *Holder) Take(offer Offer, reply *Taken) error {
+func (holder *Holder) Take(offer Offer, reply *OfferReply) error {
 	deadline := holder.World.Now() + offer.Patience
 	holder.mutex.Lock()
 	holder.minSerial = max(holder.minSerial, offer.Serial)
@@ -464,7 +464,7 @@
 	for {
 		current := holder.View()
 		now := holder.World.Now()
-		if current.Serial >= offer.Serial || !current.Serves(now) || now >= deadline {
+		if current.Serial >= offer.Serial || !current.MayServe(now) || now >= deadline {
 			break
 		}
 		config := offer.assemble(current)
@@ -476,7 +476,7 @@
 			}
 		}
 		holder.mutex.Lock()
-		if current = holder.View(); config.serial > current.Serial && current.Serves(holder.World.Now()) {
+		if current = holder.View(); config.serial > current.Serial && current.MayServe(holder.World.Now()) {
 			next := *current
 			next.applyConfig(config)
 			holder.view.Store(&next)
@@ -485,13 +485,13 @@
 	}
 	holder.mutex.Lock()
 	view := holder.View()
-	*reply = Taken{Incarnation: holder.Self().Incarnation, Serial: view.Serial}
-	if !view.Serves(holder.World.Now()) {
+	*reply = OfferReply{Incarnation: holder.Self().Incarnation, Serial: view.Serial}
+	if !view.MayServe(holder.World.Now()) {
 		reply.Serial = max(view.Serial, holder.minSerial)
 	}
 	holder.mutex.Unlock()
-	if view != before && holder.Changed != nil {
-		holder.Changed(view)
+	if view != before && holder.OnChange != nil {
+		holder.OnChange(view)
 	}
 	if before.Serial < offer.Serial {
 		holder.waker.Wake()
--- a/permit/holder_test.go
+++ b/lease/holder_test.go
@@ -1,11 +1,11 @@
-package permit_test
+package lease_test
 
 import (
 	"net/rpc"
 	"testing"
 	"time"
 
-	"swifttiller/permit"
+	"swifttiller/lease"
 	"swifttiller/session"
 	"swifttiller/sim"
 )
@@ -22,22 +22,22 @@
 }
 
 // Renew rejects every request.
-func (service unconfiguredService) Renew(_ permit.Ask, grant *permit.Grant) error {
+func (service unconfiguredService) Renew(_ lease.Request, grant *lease.Grant) error {
 	service.renewTimes = append(service.renewTimes, service.node.Now())
 	grant.Declined = "there is no configuration yet"
 	return nil
 }
 
 // Fetch returns no configuration.
-func (service unconfiguredService) Fetch(permit.Want, *permit.Edition) error {
+func (service unconfiguredService) Fetch(lease.FetchRequest, *lease.ConfigUpdate) error {
 	service.fetchCount++
 	return nil
 }
 
-// TestAsksThatBringNothing guards against wrong retry intervals of a daemon without a
+// TestRenewalBackoffWithoutConfiguration guards against wrong retry intervals of a daemon without a
 // configuration: it must retry soon at first and then back off, but not beyond the usual
 // renewal interval. An offer triggers an immediate renewal, but no fetch.
-func TestAsksThatBringNothing(t *testing.T) {
+func TestRenewalBackoffWithoutConfiguration(t *testing.T) {
 	cluster := sim.New(1)
 	control := &unconfiguredControl{}
 	cluster.Start("c", func(node *sim.Node) {
@@ -47,10 +47,10 @@
 		}
 		node.Serve(server)
 	})
-	var holder *permit.Holder
+	var holder *lease.Holder
 	cluster.Start("d", func(node *sim.Node) {
-		client := &session.Client{World: node, Net: sim.Net{Node: node}, Seeds: func() []string { return []string{"c"} }, Span: func() time.Duration { return time.Second }}
-		holder = permit.NewHolder(permit.HolderOptions{World: node, Client: client, Self: func() session.Member { return session.Member{Name: "d"} }})
+		client := &session.Client{World: node, Net: sim.Net{Node: node}, Seeds: func() []string { return []string{"c"} }, SessionTimeout: func() time.Duration { return time.Second }}
+		holder = lease.NewHolder(lease.HolderOptions{World: node, Client: client, Self: func() session.Member { return session.Member{Name: "d"} }})
 		holder.Run()
 	})
 	cluster.Run(20 * time.Second)
@@ -70,7 +70,7 @@
 	cluster.Run(100 * time.Millisecond)
 	before := len(control.renewTimes)
 	cluster.Node("d").Go(func() {
-		if err := holder.Take(permit.Offer{Serial: 1, Patience: time.Second}, &permit.Taken{}); err != nil {
+		if err := holder.Take(lease.Offer{Serial: 1, Patience: time.Second}, &lease.OfferReply{}); err != nil {
 			t.Error(err)
 		}
 	})
--- a/permit/office.go
+++ b/lease/issuer.go
@@ -1,7 +1,7 @@
-// Package permit implements the leases that allow data daemons to serve. A lease consists
+// Package lease implements the leases that allow data daemons to serve. A lease consists
 // of a configuration version, the regions' routing tables with their capacity allocations,
 // and a deadline.
-package permit
+package lease
 
 import (
 	"bytes"
@@ -14,26 +14,26 @@
 
 	"swifttiller/loop"
 	"swifttiller/register"
+	"swifttiller/routing"
 	"swifttiller/session"
 	"swifttiller/settings"
-	"swifttiller/standing"
 	"swifttiller/wire"
 )
 
 // Keys of the registers that a lease is made of.
 const (
-	ConfigKey      = "config"
-	HolderPrefix   = "holder/"
-	StandingPrefix = "standing/"
-	// PlacedKey holds the placements of tenants (tenant.Book).
-	PlacedKey = "tenants/placed"
+	ConfigKey          = "config"
+	HolderPrefix       = "holder/"
+	RoutingTablePrefix = "standing/"
+	// PlacementsKey holds the placements of tenants (tenant.Book).
+	PlacementsKey = "tenants/placed"
 )
 
-// Drift is the largest drift between two clocks within a lease, as a ratio.
-const Drift = 0.05
+// MaxClockDrift is the largest drift between two clocks within a lease, as a ratio.
+const MaxClockDrift = 0.05
 
-// Ask is a data daemon's request for a lease.
-type Ask struct {
+// Request is a data daemon's request for a lease.
+type Request struct {
 	Holder session.Member
 	// Config and Standings are the versions that it already has.
 	Config    uint64
@@ -49,14 +49,14 @@
 // Grant is a lease. Its length counts from before the request was sent.
 type Grant struct {
 	Serial    uint64 // version of the configuration that it is granted under, which the holder fetches
-	Standings []Told
+	Standings []TableUpdate
 	// Kept has the regions whose routing table, in the version that the holder has after
 	// this grant, is kept up to date, and how long ago that was confirmed. Only these
 	// tables are handed out in Standings.
 	Kept map[string]time.Duration
 	// Unkept has the last routing tables of regions whose tables are not kept up to date
 	// now.
-	Unkept []Told
+	Unkept []TableUpdate
 	// Members are omitted if the holder has the same list, which the checksum tells. They
 	// don't include what only control daemons exchange among themselves. If Base is not
 	// zero, Members has only those that are not in the list with the checksum Base, which
@@ -82,32 +82,32 @@
 	IsQueued bool
 }
 
-// Options of a lease issuer.
-type Options struct {
-	World  loop.World
-	Net    wire.Net
-	Keeper *register.Keeper
-	Table  *session.Table
-	// Kept tells whether the region's routing table is kept up to date, and how long ago
+// IssuerOptions of a lease issuer.
+type IssuerOptions struct {
+	World     loop.World
+	Net       wire.Net
+	Registers *register.Client
+	Table     *session.Table
+	// ConfirmedAge tells whether the region's routing table is kept up to date, and how long ago
 	// that was confirmed.
-	Kept func(region string, read standing.Standing) (time.Duration, bool)
-	// Silence is how long an operator's order is retried while no majority of the core
+	ConfirmedAge func(region string, read routing.Table) (time.Duration, bool)
+	// OrderTimeout is how long an operator's order is retried while no majority of the core
 	// answers. Zero stands for the timeout of the register client.
-	Silence time.Duration
+	OrderTimeout time.Duration
 }
 
 // orderTimeout returns Silence or its default.
-func (issuer *Office) orderTimeout() time.Duration {
-	if issuer.Silence > 0 {
-		return issuer.Silence
+func (issuer *Issuer) orderTimeout() time.Duration {
+	if issuer.OrderTimeout > 0 {
+		return issuer.OrderTimeout
 	}
-	return issuer.Keeper.Patience
+	return issuer.Registers.Patience
 }
 
-// Office is a lease issuer: it grants leases and has data daemons acknowledge
+// Issuer is a lease issuer: it grants leases and has data daemons acknowledge
 // configurations. Every control daemon has one.
-type Office struct {
-	Options
+type Issuer struct {
+	IssuerOptions
 	// learnMutex serializes the parsing of a new configuration, so that many concurrent
 	// requests have it parsed once. No I/O or waiting happens while it is locked.
 	learnMutex sync.Mutex
@@ -122,12 +122,12 @@
 	// versions are the last configurations seen, in ascending order, so that the last one
 	// is config. editions are the packed forms of config, by base version.
 	versions []configVersion
-	editions map[uint64]*Edition
+	editions map[uint64]*ConfigUpdate
 	// parsedTree is the last result of Parse without problems, of parsedDocument.
 	parsedTree     *settings.Tree
 	parsedDocument []byte
 	// writtenRecords are the holder records that this issuer wrote last, by key.
-	writtenRecords map[string]Record
+	writtenRecords map[string]HolderRecord
 	recordQueue    recordQueue
 	// absentSince has the time since when a holder has had no session.
 	absentSince map[string]time.Duration
@@ -138,29 +138,29 @@
 	// acknowledgement of all versions before it.
 	acknowledged uint64
 	// standings are the routing tables last read, by region. They are immutable.
-	standings     map[string]standing.Standing
+	standings     map[string]routing.Table
 	standingTexts map[string]*textHistory // their encoded forms, by region
 	memberHistory memberHistory           // the member lists last sent
 	// pages are the history pages that were read, by number. They are immutable.
-	pages map[uint64][]Mark
+	pages map[uint64][]OrderMark
 }
 
 // Current returns the newest configuration that this daemon has read.
-func (issuer *Office) Current() (uint64, Config, *settings.Tree) {
+func (issuer *Issuer) Current() (uint64, Config, *settings.Tree) {
 	issuer.mutex.Lock()
 	defer issuer.mutex.Unlock()
 	return issuer.serial, issuer.config, issuer.tree
 }
 
 // Grants returns the number of leases granted here.
-func (issuer *Office) Grants() uint64 {
+func (issuer *Issuer) Grants() uint64 {
 	issuer.mutex.Lock()
 	defer issuer.mutex.Unlock()
 	return issuer.granted
 }
 
-// Learn adopts a configuration that was read from its register.
-func (issuer *Office) Learn(value register.Value) error {
+// Adopt adopts a configuration that was read from its register.
+func (issuer *Issuer) Adopt(value register.Value) error {
 	if value.Serial == 0 {
 		return nil
 	}
@@ -177,7 +177,7 @@
 }
 
 // applyConfig adopts a configuration that its register held as the given version.
-func (issuer *Office) applyConfig(serial uint64, config Config) error {
+func (issuer *Issuer) applyConfig(serial uint64, config Config) error {
 	tree, problems := issuer.Parse(config.Document)
 	if len(problems) > 0 {
 		return problems
@@ -185,9 +185,9 @@
 	issuer.mutex.Lock()
 	defer issuer.mutex.Unlock()
 	if serial > issuer.serial {
-		now, olderLeaseSpan := issuer.World.Now(), tree.Span("permit_ms", "")
+		now, olderLeaseSpan := issuer.World.Now(), tree.Duration("permit_ms", "")
 		if issuer.tree != nil {
-			olderLeaseSpan = max(olderLeaseSpan, issuer.tree.Span("permit_ms", ""), issuer.seenAt+issuer.olderLeaseSpan-now)
+			olderLeaseSpan = max(olderLeaseSpan, issuer.tree.Duration("permit_ms", ""), issuer.seenAt+issuer.olderLeaseSpan-now)
 		}
 		issuer.seenAt, issuer.olderLeaseSpan = now, olderLeaseSpan
 		issuer.serial, issuer.config, issuer.tree = serial, config, tree
@@ -199,7 +199,7 @@
 // firstSeen returns when the configuration of the given version was first seen here, and
 // for how long after that leases under older ones may still be valid. It returns false if
 // that version is not the issuer's current one.
-func (issuer *Office) firstSeen(serial uint64) (seenAt, olderLeaseSpan time.Duration, isKnown bool) {
+func (issuer *Issuer) firstSeen(serial uint64) (seenAt, olderLeaseSpan time.Duration, isKnown bool) {
 	issuer.mutex.Lock()
 	defer issuer.mutex.Unlock()
 	return issuer.seenAt, issuer.olderLeaseSpan, issuer.serial == serial
@@ -207,7 +207,7 @@
 
 // Parse is settings.Parse with a cache of the last document without problems. The new tree
 // shares the unchanged parts with the previous one.
-func (issuer *Office) Parse(document []byte) (*settings.Tree, settings.Problems) {
+func (issuer *Issuer) Parse(document []byte) (*settings.Tree, settings.Problems) {
 	issuer.mutex.Lock()
 	lastTree, lastDocument := issuer.parsedTree, issuer.parsedDocument
 	issuer.mutex.Unlock()
@@ -225,18 +225,18 @@
 
 // Refresh reads the configuration from a majority of acceptors. Without a majority it gives
 // up after the timeout for orders.
-func (issuer *Office) Refresh() error {
-	value, err := issuer.Keeper.ReadWithin(ConfigKey, issuer.orderTimeout())
+func (issuer *Issuer) Refresh() error {
+	value, err := issuer.Registers.ReadWithin(ConfigKey, issuer.orderTimeout())
 	if err != nil {
 		return err
 	}
-	return issuer.Learn(value)
+	return issuer.Adopt(value)
 }
 
 // Renew grants a lease, or returns the reason for the rejection.
-func (issuer *Office) Renew(request Ask, grant *Grant) error {
+func (issuer *Issuer) Renew(request Request, grant *Grant) error {
 	startedAt := issuer.World.Now()
-	record := Record{Incarnation: request.Holder.Incarnation, Wire: request.Holder.Wire}
+	record := HolderRecord{Incarnation: request.Holder.Incarnation, Wire: request.Holder.Wire}
 	holderKey := HolderPrefix + request.Holder.Name
 	// The record must be stored before the configuration is read; see Record for the reason.
 	if err := issuer.ensureRecord(holderKey, record, request.Config == 0); err != nil {
@@ -248,16 +248,16 @@
 		keys := []string{ConfigKey}
 		if tree != nil {
 			for _, region := range tree.Regions() {
-				keys = append(keys, StandingPrefix+region)
+				keys = append(keys, RoutingTablePrefix+region)
 			}
 			if tree.Limit("tenant_ms", "") > 0 {
-				keys = append(keys, PlacedKey)
+				keys = append(keys, PlacementsKey)
 			}
 		}
-		values, unsettled, err := issuer.Keeper.ReadSettled(keys...)
+		values, unsettled, err := issuer.Registers.ReadSettled(keys...)
 		value := values[ConfigKey]
 		if err == nil && slices.Contains(unsettled, ConfigKey) {
-			value, err = issuer.Keeper.Read(ConfigKey)
+			value, err = issuer.Registers.Read(ConfigKey)
 		}
 		if err != nil {
 			grant.Declined = err.Error()
@@ -267,7 +267,7 @@
 			grant.Declined = "there is no configuration yet"
 			return nil
 		}
-		if err := issuer.Learn(value); err != nil {
+		if err := issuer.Adopt(value); err != nil {
 			grant.Declined = err.Error()
 			return nil
 		}
@@ -280,9 +280,9 @@
 		// So a later grant is never under an older configuration than an earlier one.
 		grant.Serial, grant.Kept = serial, map[string]time.Duration{}
 		for _, region := range newest.Regions() {
-			value := values[StandingPrefix+region]
+			value := values[RoutingTablePrefix+region]
 			table, isRead := issuer.readStanding(region, value)
-			if slices.Contains(unsettled, StandingPrefix+region) {
+			if slices.Contains(unsettled, RoutingTablePrefix+region) {
 				// It is being written. The previous table applies until the write
 				// completes.
 				table, isRead = issuer.lastStanding(region)
@@ -292,7 +292,7 @@
 			if !isRead {
 				continue
 			}
-			age, isKept := issuer.Kept(region, table)
+			age, isKept := issuer.ConfirmedAge(region, table)
 			if table.Serial <= request.Standings[region] {
 				if isKept {
 					grant.Kept[region] = age
@@ -309,10 +309,10 @@
 				grant.Unkept = append(grant.Unkept, update)
 			}
 		}
-		if placements := values[PlacedKey]; placements.Serial > request.Placed {
+		if placements := values[PlacementsKey]; placements.Serial > request.Placed {
 			grant.Placed, grant.PlacedSerial = placements.Data, placements.Serial
 		}
-		if grant.Sum = issuer.Table.Sum(""); grant.Sum != request.Members || request.IsStale {
+		if grant.Sum = issuer.Table.Checksum(""); grant.Sum != request.Members || request.IsStale {
 			members := issuer.Table.Members("")
 			issuer.fillMembers(members, request.Members, grant)
 			if request.IsStale && (grant.Base != 0 || grant.Sum == request.Members) {
@@ -321,7 +321,7 @@
 				}
 			}
 		}
-		grant.Length = newest.Span("permit_ms", "")
+		grant.Length = newest.Duration("permit_ms", "")
 		// If this process was suspended between its reads, the configuration may have been
 		// replaced long ago. The holder counts the lease from before its request, so such a
 		// lease has already expired and need not be granted.
@@ -340,18 +340,18 @@
 
 // readStanding returns the routing table that a region's register holds. Each version is
 // decoded once.
-func (issuer *Office) readStanding(region string, value register.Value) (standing.Standing, bool) {
+func (issuer *Issuer) readStanding(region string, value register.Value) (routing.Table, bool) {
 	issuer.mutex.Lock()
 	cached, known := issuer.standings[region]
 	issuer.mutex.Unlock()
 	if known && value.Serial > 0 && cached.Serial >= value.Serial {
 		return cached, true // a newer version was also decided before now
 	}
-	var table standing.Standing
+	var table routing.Table
 	if value.Serial == 0 {
 		return table, false
 	}
-	table, text, err := OpenStanding(value)
+	table, text, err := DecodeRoutingTable(value)
 	if err != nil {
 		return table, false
 	}
@@ -359,7 +359,7 @@
 	defer issuer.mutex.Unlock()
 	issuer.keepText(region, value.Serial, text)
 	if issuer.standings == nil {
-		issuer.standings = map[string]standing.Standing{}
+		issuer.standings = map[string]routing.Table{}
 	}
 	if issuer.standings[region].Serial < table.Serial {
 		issuer.standings[region] = table
@@ -368,7 +368,7 @@
 }
 
 // lastStanding returns the region's routing table that was read last.
-func (issuer *Office) lastStanding(region string) (standing.Standing, bool) {
+func (issuer *Issuer) lastStanding(region string) (routing.Table, bool) {
 	issuer.mutex.Lock()
 	defer issuer.mutex.Unlock()
 	table, isRead := issuer.standings[region]
@@ -376,7 +376,7 @@
 }
 
 // leaseLength returns the configured length of a lease.
-func (issuer *Office) leaseLength() time.Duration {
+func (issuer *Issuer) leaseLength() time.Duration {
 	_, _, tree := issuer.Current()
-	return tree.Span("permit_ms", "")
+	return tree.Duration("permit_ms", "")
 }
--- a/permit/enrol.go
+++ b/lease/record_queue.go
@@ -1,4 +1,4 @@
-package permit
+package lease
 
 import (
 	"encoding/json"
@@ -26,7 +26,7 @@
 // recordWrite is a record to be written, or one that was written.
 type recordWrite struct {
 	key    string
-	record Record
+	record HolderRecord
 }
 
 // recordQueue has the records that wait to be written, in order of arrival, and those that
@@ -56,7 +56,7 @@
 // the record isn't written within the timeout, but others were meanwhile, it returns
 // errQueued; otherwise it waits up to four times the timeout in all. In either case the
 // record may still be written later.
-func (issuer *Office) writeRecord(write recordWrite, timeout time.Duration) error {
+func (issuer *Issuer) writeRecord(write recordWrite, timeout time.Duration) error {
 	mailbox := issuer.World.Mailbox()
 	issuer.mutex.Lock()
 	queue := &issuer.recordQueue
@@ -86,7 +86,7 @@
 }
 
 // startBatch schedules the next batch if there is one to write. The caller holds the mutex.
-func (issuer *Office) startBatch() {
+func (issuer *Issuer) startBatch() {
 	queue := &issuer.recordQueue
 	if queue.isBatchScheduled || queue.activeBatches == maxBatches || !slices.ContainsFunc(queue.pending, queue.canStart) {
 		return
@@ -118,7 +118,7 @@
 func (queue *recordQueue) canStart(write recordWrite) bool { return !queue.writingKeys[write.key] }
 
 // writeBatch writes a batch of records and notifies the requests that wait for them.
-func (issuer *Office) writeBatch(batch []recordWrite) {
+func (issuer *Issuer) writeBatch(batch []recordWrite) {
 	data, writes := map[string][]byte{}, map[string]recordWrite{}
 	for _, write := range batch {
 		encoded, err := json.Marshal(write.record)
@@ -128,13 +128,13 @@
 		data[write.key], writes[write.key] = encoded, write
 	}
 	queue := &issuer.recordQueue
-	issuer.Keeper.WriteAll(data, func(key string, err error) {
+	issuer.Registers.WriteAll(data, func(key string, err error) {
 		write := writes[key]
 		issuer.mutex.Lock()
 		if err == nil {
 			queue.writtenCount++
 			if issuer.writtenRecords == nil {
-				issuer.writtenRecords = map[string]Record{}
+				issuer.writtenRecords = map[string]HolderRecord{}
 			}
 			issuer.writtenRecords[key] = write.record
 		}
--- a/permit/records.go
+++ b/lease/records.go
@@ -1,4 +1,4 @@
-package permit
+package lease
 
 import (
 	"encoding/json"
@@ -13,12 +13,12 @@
 	"swifttiller/session"
 )
 
-// Record is the content of a lease holder's register.
+// HolderRecord is the content of a lease holder's register.
 //
 // Invariant: a lease is granted only to an incarnation that is recorded and not retired,
 // and its record is read before the configuration is. So whoever decides a configuration
 // and reads the records afterwards sees every holder that may still serve by an older one.
-type Record struct {
+type HolderRecord struct {
 	Incarnation string `json:"incarnation"`
 	Wire        string `json:"wire"`
 	Retired     bool   `json:"retired,omitempty"`
@@ -28,16 +28,16 @@
 // can't have a matching record, so its record is written without reading it first, but only
 // once: such daemons may send many requests before their first lease, and all at the same
 // time. From then on the record is written only if a read shows a different one.
-func (issuer *Office) ensureRecord(key string, record Record, isNew bool) error {
+func (issuer *Issuer) ensureRecord(key string, record HolderRecord, isNew bool) error {
 	issuer.mutex.Lock()
 	isNew = isNew && issuer.writtenRecords[key] != record
 	issuer.mutex.Unlock()
 	if !isNew {
-		value, err := issuer.Keeper.Read(key)
+		value, err := issuer.Registers.Read(key)
 		if err != nil {
 			return err
 		}
-		var stored Record
+		var stored HolderRecord
 		if value.Serial > 0 {
 			_ = json.Unmarshal(value.Data, &stored)
 		}
@@ -56,7 +56,7 @@
 // acknowledgement of an order waits for the result.
 //
 // Invariant: the result was listed and read after the call began.
-func (issuer *Office) Holders() (map[string]Record, error) {
+func (issuer *Issuer) Holders() (map[string]HolderRecord, error) {
 	type part struct {
 		keys   []string
 		values map[string]register.Value
@@ -68,9 +68,9 @@
 	var listed, early part
 	isComplete := loop.Gather(issuer.World, 2, loop.Forever, func(index int) (out part) {
 		if index == 0 {
-			out.keys, out.err = issuer.Keeper.List(HolderPrefix)
+			out.keys, out.err = issuer.Registers.List(HolderPrefix)
 		} else if len(knownKeys) > 0 {
-			out.values, out.err = issuer.Keeper.ReadMany(knownKeys...)
+			out.values, out.err = issuer.Registers.ReadMany(knownKeys...)
 		}
 		return out
 	}, func(index int, out part) bool {
@@ -97,7 +97,7 @@
 		}
 	}
 	if len(missing) > 0 {
-		more, err := issuer.Keeper.ReadMany(missing...)
+		more, err := issuer.Registers.ReadMany(missing...)
 		if err != nil {
 			return nil, err
 		}
@@ -106,9 +106,9 @@
 	issuer.mutex.Lock()
 	issuer.holderKeys = listed.keys
 	issuer.mutex.Unlock()
-	holders := map[string]Record{}
+	holders := map[string]HolderRecord{}
 	for key, value := range values {
-		var record Record
+		var record HolderRecord
 		if value.Serial > 0 && json.Unmarshal(value.Data, &record) == nil && record.Wire != "" {
 			holders[strings.TrimPrefix(key, HolderPrefix)] = record
 		}
@@ -118,17 +118,17 @@
 
 var errRecordChanged = errors.New("the holder's record has changed")
 
-// Sweep retires the records of holders that have been gone for long, and clears them once
+// RetireRecords retires the records of holders that have been gone for long, and clears them once
 // no lease of theirs can be valid any more. It is called by the leader elected for this
 // task.
-func (issuer *Office) Sweep() {
+func (issuer *Issuer) RetireRecords() {
 	_, _, tree := issuer.Current()
 	if tree == nil {
 		return
 	}
-	grace := 2 * tree.Span("permit_ms", "")
+	grace := 2 * tree.Duration("permit_ms", "")
 	holders, err := issuer.Holders()
-	if err != nil || issuer.Table.Watched() < 10*grace {
+	if err != nil || issuer.Table.Age() < 10*grace {
 		return
 	}
 	alive := map[string]bool{}
@@ -160,13 +160,13 @@
 		if alive[key] || !isTracked || now-absentSince < 5*grace {
 			continue
 		}
-		next := Record{} // clears the record
+		next := HolderRecord{} // clears the record
 		if !record.Retired {
 			next = record
 			next.Retired = true
 		}
-		_, err := issuer.Keeper.Change(HolderPrefix+name, func(value register.Value) ([]byte, error) {
-			var stored Record
+		_, err := issuer.Registers.Update(HolderPrefix+name, func(value register.Value) ([]byte, error) {
+			var stored HolderRecord
 			_ = json.Unmarshal(value.Data, &stored)
 			if stored != record {
 				return nil, errRecordChanged
--- a/permit/renew_bench_test.go
+++ b/lease/renew_bench_test.go
@@ -1,32 +1,32 @@
-package permit_test
+package lease_test
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
+	"swifttiller/lease"
 	"swifttiller/loop"
-	"swifttiller/permit"
+	"swifttiller/routing"
 	"swifttiller/session"
-	"swifttiller/standing"
 )
 
 // fixedGrantNet answers every request with the same grant.
-type fixedGrantNet struct{ grant permit.Grant }
+type fixedGrantNet struct{ grant lease.Grant }
 
 // Call answers a lease request.
 func (net *fixedGrantNet) Call(_, _ string, _, reply any, _ time.Duration) error {
-	*reply.(*permit.Grant) = net.grant
+	*reply.(*lease.Grant) = net.grant
 	return nil
 }
 
 // largeStanding returns the routing table of a region with the given number of replicas.
-func largeStanding(region string, serial uint64, replicas int) standing.Standing {
-	out := standing.Standing{Region: region, Serial: serial, Duty: 1, Daemons: 420}
+func largeStanding(region string, serial uint64, replicas int) routing.Table {
+	out := routing.Table{Region: region, Serial: serial, Duty: 1, Daemons: 420}
 	for index := range replicas {
 		id := fmt.Sprintf("%s-r%d", region, index+1)
-		out.Rows = append(out.Rows, standing.Row{Replica: id, Model: fmt.Sprintf("m%d", index%22), Version: "v1"})
-		out.Places = append(out.Places, standing.Place{ID: id, Address: "127.0.0.1:40000", Zone: region + "-1", Region: region, Boot: "b-" + id, Capacity: 64, Whole: 64, Warm: 1, Slot: index})
+		out.Rows = append(out.Rows, routing.Row{Replica: id, Model: fmt.Sprintf("m%d", index%22), Version: "v1"})
+		out.Places = append(out.Places, routing.Endpoint{ID: id, Address: "127.0.0.1:40000", Zone: region + "-1", Region: region, Boot: "b-" + id, Capacity: 64, Whole: 64, Warm: 1, Slot: index})
 	}
 	return out
 }
@@ -38,18 +38,18 @@
 		b.Run(fmt.Sprint(updates, " told"), func(b *testing.B) {
 			world := loop.NewMachine()
 			defer world.End()
-			net := &fixedGrantNet{permit.Grant{Kept: map[string]time.Duration{}, Length: time.Minute, Sum: 1}}
+			net := &fixedGrantNet{lease.Grant{Kept: map[string]time.Duration{}, Length: time.Minute, Sum: 1}}
 			for index := range 420 {
 				net.grant.Members = append(net.grant.Members, session.Member{Name: fmt.Sprintf("d%d", index), Role: session.Data})
 			}
-			client := &session.Client{World: world, Net: net, Seeds: func() []string { return []string{"c"} }, Span: func() time.Duration { return time.Second }}
-			holder := permit.NewHolder(permit.HolderOptions{World: world, Client: client, Self: func() session.Member { return session.Member{Name: "d"} }})
+			client := &session.Client{World: world, Net: net, Seeds: func() []string { return []string{"c"} }, SessionTimeout: func() time.Duration { return time.Second }}
+			holder := lease.NewHolder(lease.HolderOptions{World: world, Client: client, Self: func() session.Member { return session.Member{Name: "d"} }})
 			addStanding := func(region string, serial uint64) {
-				packed, err := permit.PackStanding(largeStanding(region, serial, 219))
+				packed, err := lease.EncodeRoutingTable(largeStanding(region, serial, 219))
 				if err != nil {
 					b.Fatal(err)
 				}
-				net.grant.Standings = append(net.grant.Standings, permit.Told{Region: region, Serial: serial, Packed: packed})
+				net.grant.Standings = append(net.grant.Standings, lease.TableUpdate{Region: region, Serial: serial, Packed: packed})
 			}
 			for index := range 16 {
 				region := fmt.Sprintf("g%d", index+1)
--- a/permit/ending_test.go
+++ b/lease/shutdown_test.go
@@ -1,4 +1,4 @@
-package permit_test
+package lease_test
 
 import (
 	"errors"
@@ -10,8 +10,8 @@
 	"time"
 
 	"swifttiller/disk"
+	"swifttiller/lease"
 	"swifttiller/loop"
-	"swifttiller/permit"
 	"swifttiller/register"
 	"swifttiller/session"
 	"swifttiller/settings"
@@ -34,7 +34,7 @@
 		default:
 		}
 		<-time.After(timeout)
-		return &wire.Mishap{Address: address, Method: method, Sent: true, Cause: wire.ErrExpired}
+		return &wire.CallError{Address: address, Method: method, Sent: true, Cause: wire.ErrTimeout}
 	}
 	return net.client.Call(method, args, reply)
 }
@@ -42,7 +42,7 @@
 // testIssuer is a control daemon that runs on the real clock and is the only member of its
 // core.
 type testIssuer struct {
-	*permit.Office
+	*lease.Issuer
 	machine *loop.Machine
 	net     *localNet
 }
@@ -57,7 +57,7 @@
 func newIssuer(t *testing.T) *testIssuer {
 	t.Helper()
 	machine := loop.NewMachine()
-	acceptor, err := register.OpenAcceptor(disk.Options{World: machine, Folder: disk.Real(t.TempDir()), LogBytes: 1 << 20}, "control-1")
+	acceptor, err := register.OpenAcceptor(disk.Options{World: machine, Folder: disk.OSFolder(t.TempDir()), LogBytes: 1 << 20}, "control-1")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -68,18 +68,18 @@
 	near, far := net.Pipe()
 	go server.ServeConn(far)
 	wires := &localNet{client: rpc.NewClient(near), offered: make(chan struct{}, 1)}
-	proposer := &register.Keeper{Options: register.Options{World: machine, Net: wires, Self: "control.1", Patience: 2 * time.Second, Own: acceptor.ID()}}
+	proposer := &register.Client{Options: register.Options{World: machine, Net: wires, Self: "control.1", Patience: 2 * time.Second, Own: acceptor.ID()}}
 	if _, err := proposer.Init([]string{"control"}); err != nil {
 		t.Fatal(err)
 	}
 	span := func() time.Duration { return time.Second }
-	table := session.NewTable(session.Options{World: machine, Net: wires, Self: session.Member{Name: "control", Role: session.Control, Wire: "control"}, Seeds: func() []string { return nil }, Span: span, Keeper: proposer})
-	return &testIssuer{machine: machine, net: wires, Office: &permit.Office{Options: permit.Options{World: machine, Net: wires, Keeper: proposer, Table: table}}}
+	table := session.NewTable(session.Options{World: machine, Net: wires, Self: session.Member{Name: "control", Role: session.Control, Wire: "control"}, Seeds: func() []string { return nil }, SessionTimeout: span, Registers: proposer})
+	return &testIssuer{machine: machine, net: wires, Issuer: &lease.Issuer{IssuerOptions: lease.IssuerOptions{World: machine, Net: wires, Registers: proposer, Table: table}}}
 }
 
-func (issuer *testIssuer) change(label int) (permit.Applied, error) {
-	return issuer.Change(nil, func(config permit.Config) (permit.Config, error) {
-		return config.Take(document(label), permit.Mark(fmt.Sprintf("%d/x", label)), 0)
+func (issuer *testIssuer) change(label int) (lease.Applied, error) {
+	return issuer.Change(nil, func(config lease.Config) (lease.Config, error) {
+		return config.WithDocument(document(label), lease.OrderMark(fmt.Sprintf("%d/x", label)), 0)
 	})
 }
 
@@ -102,11 +102,11 @@
 // machine a grant may exceed its time limit and is then requested again, as data daemons
 // do.
 func (issuer *testIssuer) lease(t *testing.T) (granted time.Duration) {
-	ask := permit.Ask{Holder: session.Member{Name: "data", Incarnation: "1", Role: session.Data, Wire: "data"}}
+	ask := lease.Request{Holder: session.Member{Name: "data", Incarnation: "1", Role: session.Data, Wire: "data"}}
 	began := issuer.machine.Now()
 	for {
 		granted = issuer.machine.Now()
-		grant := new(permit.Grant)
+		grant := new(lease.Grant)
 		if err := issuer.Renew(ask, grant); err == nil && grant.Declined == "" {
 			return granted
 		} else if granted-began > time.Minute {
@@ -117,8 +117,8 @@
 }
 
 // repeat sends the second change again, like an operator whose first call got no answer.
-func (issuer *testIssuer) repeat() (permit.Applied, error) {
-	applied, isTaken, err := issuer.Again("2/x")
+func (issuer *testIssuer) repeat() (lease.Applied, error) {
+	applied, isTaken, err := issuer.ReacknowledgeDocument("2/x")
 	if !isTaken {
 		return applied, errors.New("the issuer does not know the change")
 	}
@@ -126,8 +126,8 @@
 }
 
 // stands acknowledges the second change if it is already in force.
-func (issuer *testIssuer) stands() (permit.Applied, error) {
-	applied, isSo, err := issuer.Stands(func(tree *settings.Tree, _ permit.Config) bool { return tree.Label() == 2 })
+func (issuer *testIssuer) stands() (lease.Applied, error) {
+	applied, isSo, err := issuer.AcknowledgeInForce(func(tree *settings.Tree, _ lease.Config) bool { return tree.Label() == 2 })
 	if !isSo {
 		return applied, errors.New("the change is not in force")
 	}
@@ -152,7 +152,7 @@
 				<-issuer.net.offered
 				issuer.machine.End()
 			}()
-			orders := []func() (permit.Applied, error){func() (permit.Applied, error) { return issuer.change(2) }}
+			orders := []func() (lease.Applied, error){func() (lease.Applied, error) { return issuer.change(2) }}
 			if run%3 > 0 {
 				go func() {
 					for !issuer.machine.Ended() {
--- a/permit/storm_test.go
+++ b/lease/slow_fetch_test.go
@@ -1,4 +1,4 @@
-package permit
+package lease
 
 import (
 	"fmt"
@@ -13,21 +13,21 @@
 
 // slowControl is a control daemon that answers each fetch with a delay.
 type slowControl struct {
-	issuer *Office
+	issuer *Issuer
 	node   *sim.Node
 	delay  time.Duration
 }
 
 // Renew grants a lease under the newest configuration.
-func (control *slowControl) Renew(_ Ask, grant *Grant) error {
+func (control *slowControl) Renew(_ Request, grant *Grant) error {
 	serial, _, tree := control.issuer.Current()
-	*grant = Grant{Serial: serial, Length: tree.Span("permit_ms", "")}
+	*grant = Grant{Serial: serial, Length: tree.Duration("permit_ms", "")}
 	return nil
 }
 
 // Fetch returns the configuration that was the newest at the time of the request, after the
 // delay.
-func (control *slowControl) Fetch(want Want, edition *Edition) error {
+func (control *slowControl) Fetch(want FetchRequest, edition *ConfigUpdate) error {
 	if err := control.issuer.Fetch(want, edition); err != nil {
 		return err
 	}
@@ -39,7 +39,7 @@
 type holderService struct{ holder *Holder }
 
 // Take handles an offer.
-func (service holderService) Take(offer Offer, reply *Taken) error {
+func (service holderService) Take(offer Offer, reply *OfferReply) error {
 	return service.holder.Take(offer, reply)
 }
 
@@ -68,7 +68,7 @@
 		decided[serial] = world.Now()
 	}
 	world.Start("control", func(node *sim.Node) {
-		control.issuer, control.node = &Office{Options: Options{World: node}}, node
+		control.issuer, control.node = &Issuer{IssuerOptions: IssuerOptions{World: node}}, node
 		server := rpc.NewServer()
 		if err := server.RegisterName("Permit", control); err != nil {
 			panic(err)
@@ -79,7 +79,7 @@
 	change(1)
 	var holder *Holder
 	world.Start("data", func(node *sim.Node) {
-		client := &session.Client{World: node, Net: sim.Net{Node: node}, Seeds: func() []string { return []string{"control"} }, Span: func() time.Duration { return time.Second }}
+		client := &session.Client{World: node, Net: sim.Net{Node: node}, Seeds: func() []string { return []string{"control"} }, SessionTimeout: func() time.Duration { return time.Second }}
 		holder = NewHolder(HolderOptions{World: node, Client: client, Self: func() session.Member { return session.Member{Name: "data"} }})
 		server := rpc.NewServer()
 		if err := server.RegisterName("Permit", holderService{holder}); err != nil {
@@ -98,7 +98,7 @@
 		control.node.Go(func() {
 			// Like acknowledge: repeats the offer until older leases have expired.
 			for deadline := control.node.Now() + lease + lease/20; control.node.Now() < deadline; {
-				reply := new(Taken)
+				reply := new(OfferReply)
 				timeout := lease / 4
 				if (sim.Net{Node: control.node}).Call("data", "Permit.Take", Offer{Serial: serial, Patience: timeout * 4 / 5}, reply, timeout) == nil && reply.Serial >= serial {
 					return
