--- a/permit/told.go
+++ b/lease/table_update.go
@@ -1,4 +1,4 @@
-package permit
+package lease
 
 import (
 	"encoding/json"
@@ -6,34 +6,34 @@
 	"time"
 
 	"swifttiller/register"
+	"swifttiller/routing"
 	"swifttiller/session"
-	"swifttiller/standing"
 	"swifttiller/tenant"
 	"swifttiller/wire"
 )
 
-// Told is the transferred form of a region's routing table: its encoded form, packed
+// TableUpdate is the transferred form of a region's routing table: its encoded form, packed
 // against that of an older table, which the holder has with the version Base. Base is zero
 // for none.
-type Told struct {
+type TableUpdate struct {
 	Region       string
 	Serial, Base uint64
 	Packed       []byte
 }
 
-// PackStanding encodes a routing table for its register.
-func PackStanding(table standing.Standing) ([]byte, error) {
+// EncodeRoutingTable encodes a routing table for its register.
+func EncodeRoutingTable(table routing.Table) ([]byte, error) {
 	text, err := json.Marshal(table)
 	if err != nil {
 		return nil, err
 	}
-	return wire.Pack(text, nil), nil
+	return wire.Compress(text, nil), nil
 }
 
-// OpenStanding decodes a routing table from its register, which must have been written. It
+// DecodeRoutingTable decodes a routing table from its register, which must have been written. It
 // also returns the unpacked JSON text.
-func OpenStanding(value register.Value) (table standing.Standing, text []byte, err error) {
-	if text, err = wire.Unpack(value.Data, nil); err != nil {
+func DecodeRoutingTable(value register.Value) (table routing.Table, text []byte, err error) {
+	if text, err = wire.Decompress(value.Data, nil); err != nil {
 		return table, nil, err
 	}
 	if err = json.Unmarshal(text, &table); err != nil {
@@ -43,18 +43,18 @@
 	return table, text, nil
 }
 
-// PackPlaced encodes the tenants' placements for their register and for transfer.
-func PackPlaced(placements tenant.Book) ([]byte, error) {
+// EncodePlacements encodes the tenants' placements for their register and for transfer.
+func EncodePlacements(placements tenant.Placements) ([]byte, error) {
 	text, err := json.Marshal(placements)
 	if err != nil {
 		return nil, err
 	}
-	return wire.Pack(text, nil), nil
+	return wire.Compress(text, nil), nil
 }
 
-// OpenPlaced decodes the tenants' placements. It returns false if there are none.
-func OpenPlaced(data []byte) (placements tenant.Book, isRead bool) {
-	text, err := wire.Unpack(data, nil)
+// DecodePlacements decodes the tenants' placements. It returns false if there are none.
+func DecodePlacements(data []byte) (placements tenant.Placements, isRead bool) {
+	text, err := wire.Decompress(data, nil)
 	return placements, len(data) > 0 && err == nil && json.Unmarshal(text, &placements) == nil
 }
 
@@ -73,7 +73,7 @@
 }
 
 // keepText adds a version to the region's history. The caller holds the mutex.
-func (issuer *Office) keepText(region string, serial uint64, text []byte) {
+func (issuer *Issuer) keepText(region string, serial uint64, text []byte) {
 	if issuer.standingTexts == nil {
 		issuer.standingTexts = map[string]*textHistory{}
 	}
@@ -93,22 +93,22 @@
 
 // packStanding packs a routing table for a holder that has the version baseSerial. It
 // returns false if the table's encoded form is not kept.
-func (issuer *Office) packStanding(table standing.Standing, baseSerial uint64) (Told, bool) {
+func (issuer *Issuer) packStanding(table routing.Table, baseSerial uint64) (TableUpdate, bool) {
 	issuer.mutex.Lock()
 	defer issuer.mutex.Unlock()
 	history := issuer.standingTexts[table.Region]
 	if history == nil || history.serials[len(history.serials)-1] != table.Serial {
-		return Told{}, false
+		return TableUpdate{}, false
 	}
 	var base []byte
-	update := Told{Region: table.Region, Serial: table.Serial}
+	update := TableUpdate{Region: table.Region, Serial: table.Serial}
 	for index, serial := range history.serials {
 		if serial == baseSerial && baseSerial < table.Serial {
 			base, update.Base = history.texts[index], baseSerial
 		}
 	}
 	if history.packed[update.Base] == nil {
-		history.packed[update.Base] = wire.Pack(history.texts[len(history.texts)-1], base)
+		history.packed[update.Base] = wire.Compress(history.texts[len(history.texts)-1], base)
 	}
 	update.Packed = history.packed[update.Base]
 	return update, true
@@ -116,14 +116,14 @@
 
 // unpackStanding decodes a received routing table, given the ones that the view has, and
 // keeps its encoded form.
-func (view *View) unpackStanding(update Told) (table standing.Standing, isRead bool) {
+func (view *View) unpackStanding(update TableUpdate) (table routing.Table, isRead bool) {
 	var base standingText
 	if update.Base > 0 {
 		if base = view.standingTexts[update.Region]; base.serial != update.Base {
 			return table, false
 		}
 	}
-	data, err := wire.Unpack(update.Packed, base.data)
+	data, err := wire.Decompress(update.Packed, base.data)
 	if err != nil || json.Unmarshal(data, &table) != nil || table.Region != update.Region {
 		return table, false
 	}
@@ -181,7 +181,7 @@
 	history.revision++
 	isPresent := make(map[string]bool, len(members))
 	for index := range members {
-		memberSum := session.Sum(members[index : index+1])
+		memberSum := session.Checksum(members[index : index+1])
 		isPresent[members[index].Name] = true
 		if history.present[members[index].Name].sum != memberSum {
 			history.present[members[index].Name] = memberRevision{memberSum, history.revision}
@@ -213,7 +213,7 @@
 // have just started need them; the list is packed once for many requests.
 func (history *memberHistory) packAll(members []session.Member, now time.Duration) ([]byte, time.Duration) {
 	if history.packedSum != history.lastSum || now-history.packedAt > uptimesMaxAge {
-		history.packed, history.packedSum, history.packedAt = wire.PackValue(members), history.lastSum, now
+		history.packed, history.packedSum, history.packedAt = wire.EncodeCompressed(members), history.lastSum, now
 	}
 	return history.packed, now - history.packedAt
 }
@@ -224,7 +224,7 @@
 	if len(grant.Rolled) == 0 {
 		return nil
 	}
-	if err := wire.UnpackValue(grant.Rolled, &grant.Members); err != nil {
+	if err := wire.DecodeCompressed(grant.Rolled, &grant.Members); err != nil {
 		return err
 	}
 	for index := range grant.Members {
@@ -235,8 +235,8 @@
 
 // fillMembers adds the changes to the grant that lead from the holder's list of members,
 // identified by its checksum, to the present one. Unknown lists are replaced in full.
-func (issuer *Office) fillMembers(members []session.Member, baseSum uint64, grant *Grant) {
-	grant.Sum = session.Sum(members)
+func (issuer *Issuer) fillMembers(members []session.Member, baseSum uint64, grant *Grant) {
+	grant.Sum = session.Checksum(members)
 	issuer.mutex.Lock()
 	defer issuer.mutex.Unlock()
 	history := &issuer.memberHistory
@@ -259,7 +259,7 @@
 			}
 		}
 		if len(grant.Members) >= minPackedMembers {
-			grant.Rolled, grant.Members = wire.PackValue(grant.Members), nil
+			grant.Rolled, grant.Members = wire.EncodeCompressed(grant.Members), nil
 		}
 	}
 }
--- a/permit/told_test.go
+++ b/lease/table_update_test.go
@@ -1,4 +1,4 @@
-package permit
+package lease
 
 import (
 	"fmt"
@@ -11,14 +11,14 @@
 	"swifttiller/sim"
 )
 
-// TestListsFollow guards against deltas of the member list that don't lead to the present
+// TestMemberListDeltas guards against deltas of the member list that don't lead to the present
 // list, whichever of some hundred earlier lists a daemon has, and against sending unchanged
 // members again.
-func TestListsFollow(t *testing.T) {
+func TestMemberListDeltas(t *testing.T) {
 	cluster := sim.New(1)
 	defer cluster.Close()
-	var issuer *Office
-	cluster.Start("c", func(node *sim.Node) { issuer = &Office{Options: Options{World: node}} })
+	var issuer *Issuer
+	cluster.Start("c", func(node *sim.Node) { issuer = &Issuer{IssuerOptions: IssuerOptions{World: node}} })
 	cluster.Run(1)
 	random := rand.New(rand.NewPCG(1, 2))
 	var members []session.Member
@@ -58,7 +58,7 @@
 		}
 		next := *previous
 		next.updateMembers(previous, grant)
-		if next.membersSum != session.Sum(members) || session.Sum(next.Members) != next.membersSum || len(next.Members) != len(members) {
+		if next.membersSum != session.Checksum(members) || session.Checksum(next.Members) != next.membersSum || len(next.Members) != len(members) {
 			t.Fatalf("assembled list has %d members or a wrong checksum, want %d members", len(next.Members), len(members))
 		}
 		views = append(views, &next)
--- a/listing/listing.go
+++ b/listing/listing.go
@@ -12,8 +12,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Listed is a replica as listed by the platform.
-type Listed struct {
+// Instance is a replica as listed by the platform.
+type Instance struct {
 	ID, Address, Zone string
 	Leaving           bool
 	// Model and Version are what the replica has loaded from its start, if the platform reports
@@ -23,25 +23,25 @@
 	Cold time.Duration
 }
 
-// Limited is the error of a rate-limited request; ComeBack is the delay before a retry.
-type Limited struct{ ComeBack time.Duration }
+// RateLimitedError is the error of a rate-limited request; ComeBack is the delay before a retry.
+type RateLimitedError struct{ RetryAfter time.Duration }
 
 // Error implements error with a message of one line.
-func (limited *Limited) Error() string {
-	return "the platform wants to be asked again in " + limited.ComeBack.String()
+func (limited *RateLimitedError) Error() string {
+	return "the platform wants to be asked again in " + limited.RetryAfter.String()
 }
 
 // Client requests a list of replicas.
 type Client interface {
 	// List requests the replicas of the zones; a platform may return more than those.
-	List(address string, zones []string, patience time.Duration) ([]Listed, error)
+	List(address string, zones []string, patience time.Duration) ([]Instance, error)
 }
 
 // HTTP is the client that requests lists over the network.
 type HTTP struct{}
 
 // List sends one request, without retries.
-func (HTTP) List(address string, _ []string, timeout time.Duration) ([]Listed, error) {
+func (HTTP) List(address string, _ []string, timeout time.Duration) ([]Instance, error) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
@@ -49,34 +49,34 @@
 	if err := fasthttp.DoTimeout(request, response, timeout); err != nil {
 		return nil, err
 	}
-	return Answered(response.StatusCode(), string(response.Header.Peek("Retry-After")), response.Body())
+	return ParseResponse(response.StatusCode(), string(response.Header.Peek("Retry-After")), response.Body())
 }
 
-// Answered parses a response of the platform.
-func Answered(status int, retryAfter string, body []byte) ([]Listed, error) {
+// ParseResponse parses a response of the platform.
+func ParseResponse(status int, retryAfter string, body []byte) ([]Instance, error) {
 	switch status {
 	case 200:
-		return Read(body)
+		return ParseList(body)
 	case 429:
 		seconds, err := strconv.Atoi(retryAfter)
 		if err != nil {
 			seconds = 1
 		}
-		return nil, &Limited{time.Duration(seconds) * time.Second}
+		return nil, &RateLimitedError{time.Duration(seconds) * time.Second}
 	}
 	return nil, fmt.Errorf("the platform responded with status %d", status)
 }
 
-// Read parses a list. It skips entries without an id or address, and keeps all others.
-func Read(body []byte) ([]Listed, error) {
+// ParseList parses a list. It skips entries without an id or address, and keeps all others.
+func ParseList(body []byte) ([]Instance, error) {
 	list := gjson.GetBytes(body, "replicas")
 	if !gjson.ValidBytes(body) || !list.IsArray() {
 		return nil, errors.New("the platform's response is not a valid list of replicas")
 	}
-	var out []Listed
+	var out []Instance
 	for _, element := range list.Array() {
 		// The strings are copied, because the HTTP library reuses the buffer of the body.
-		entry := Listed{ID: clone(element.Get("id")), Address: clone(element.Get("address")), Zone: clone(element.Get("zone")), Model: clone(element.Get("model")), Version: clone(element.Get("version")), Leaving: element.Get("state").String() == "leaving"}
+		entry := Instance{ID: clone(element.Get("id")), Address: clone(element.Get("address")), Zone: clone(element.Get("zone")), Model: clone(element.Get("model")), Version: clone(element.Get("version")), Leaving: element.Get("state").String() == "leaving"}
 		if entry.ID != "" && entry.Address != "" {
 			out = append(out, entry)
 		}
--- a/loop/loop.go
+++ b/loop/loop.go
@@ -23,15 +23,15 @@
 type World interface {
 	// Now is a monotonic clock that also counts time during which the machine is suspended.
 	Now() time.Duration
-	// Wall is the wall clock; only durable sleeps use it.
-	Wall() time.Time
+	// WallTime is the wall clock; only durable sleeps use it.
+	WallTime() time.Time
 	// Go starts a task in the world's task group.
 	Go(task func())
 	// Mailbox returns a new, empty mailbox.
 	Mailbox() Mailbox
-	// Draw returns a random number from 0 up to, but not including, below, from the
+	// RandN returns a random number from 0 up to, but not including, below, from the
 	// world's own seeded source.
-	Draw(below int64) int64
+	RandN(below int64) int64
 	// Ended reports whether the world has been asked to end.
 	Ended() bool
 }
@@ -68,7 +68,7 @@
 }
 
 func jittered(world World, interval time.Duration) time.Duration {
-	return interval - interval/10 + time.Duration(world.Draw(int64(interval)/5+1))
+	return interval - interval/10 + time.Duration(world.RandN(int64(interval)/5+1))
 }
 
 // Waker is a periodic loop that can also be woken before its interval is over.
@@ -128,8 +128,8 @@
 //
 // Invariant: a panic in one task ends all others too; Panicked does not return.
 type Machine struct {
-	// Panicked ends the process after a panic of a task and reports its value and stack.
-	Panicked func(recovered any, stack []byte)
+	// OnPanic ends the process after a panic of a task and reports its value and stack.
+	OnPanic func(recovered any, stack []byte)
 
 	group conc.WaitGroup
 	end   chan struct{}
@@ -139,7 +139,7 @@
 // NewMachine returns a World for this process. A panic of a task prints its stack and
 // exits with status 2.
 func NewMachine() *Machine {
-	return &Machine{end: make(chan struct{}), Panicked: func(recovered any, stack []byte) {
+	return &Machine{end: make(chan struct{}), OnPanic: func(recovered any, stack []byte) {
 		fmt.Fprintf(os.Stderr, "panic: %v\n%s", recovered, stack)
 		os.Exit(2)
 	}}
@@ -154,8 +154,8 @@
 	return time.Duration(spec.Nano())
 }
 
-// Wall returns the time of the wall clock.
-func (machine *Machine) Wall() time.Time { return time.Now() }
+// WallTime returns the time of the wall clock.
+func (machine *Machine) WallTime() time.Time { return time.Now() }
 
 // Go starts a task in the group.
 func (machine *Machine) Go(task func()) {
@@ -163,15 +163,15 @@
 		// The group would hold the panic back until its Wait is called.
 		defer func() {
 			if recovered := recover(); recovered != nil {
-				machine.Panicked(recovered, debug.Stack())
+				machine.OnPanic(recovered, debug.Stack())
 			}
 		}()
 		task()
 	})
 }
 
-// Draw returns a random number below the limit, or 0 if the limit is 1 or less.
-func (machine *Machine) Draw(limit int64) int64 {
+// RandN returns a random number below the limit, or 0 if the limit is 1 or less.
+func (machine *Machine) RandN(limit int64) int64 {
 	if limit <= 1 {
 		return 0
 	}
--- a/loop/loop_test.go
+++ b/loop/loop_test.go
@@ -11,10 +11,10 @@
 	"swifttiller/loop"
 )
 
-// TestAPanicEndsTheProcess guards against a daemon that keeps running, and stays leader,
+// TestTaskPanicEndsProcess guards against a daemon that keeps running, and stays leader,
 // after one of its loops has panicked: the task group holds a panic back until its Wait
 // is called. The test runs its own binary as the process.
-func TestAPanicEndsTheProcess(t *testing.T) {
+func TestTaskPanicEndsProcess(t *testing.T) {
 	if os.Getenv("LOOP_PANICS") != "" {
 		machine := loop.NewMachine()
 		machine.Go(func() { panic("a table is not as it should be") })
@@ -22,7 +22,7 @@
 		fmt.Println("goes on all the same")
 		os.Exit(0)
 	}
-	command := exec.Command(os.Args[0], "-test.run", "TestAPanicEndsTheProcess")
+	command := exec.Command(os.Args[0], "-test.run", "TestTaskPanicEndsProcess")
 	command.Env = append(os.Environ(), "LOOP_PANICS=1")
 	out, err := command.CombinedOutput()
 	if err == nil || strings.Contains(string(out), "all the same") {
--- a/modelcheck/explore.go
+++ b/modelcheck/explore.go
@@ -65,21 +65,21 @@
 
 // Report is the result of a search.
 type Report struct {
-	World      string
-	Runs       int
-	States     int             // distinct states visited
-	Depth      int             // steps of the longest run
-	Deviations int             // all runs with up to this many deviations were explored
-	Unexplored int             // runs that were found but not explored
-	Broken     *Counterexample // nil if no invariant was violated
+	World          string
+	Runs           int
+	States         int             // distinct states visited
+	Depth          int             // steps of the longest run
+	Deviations     int             // all runs with up to this many deviations were explored
+	Unexplored     int             // runs that were found but not explored
+	Counterexample *Counterexample // nil if no invariant was violated
 }
 
 // String returns a summary in one line, followed by the counterexample if there is one.
 func (report Report) String() string {
 	line := fmt.Sprintf("%s: %d runs, %d states, longest run %d steps; explored all runs of up to %d deviations, left out %d runs",
 		report.World, report.Runs, report.States, report.Depth, report.Deviations, report.Unexplored)
-	if report.Broken != nil {
-		line += "\n" + report.Broken.String()
+	if report.Counterexample != nil {
+		line += "\n" + report.Counterexample.String()
 	}
 	return line
 }
@@ -129,7 +129,7 @@
 			points, steps, err := play(world, deviations, bounds.Steps, visited, nil)
 			report.Depth = max(report.Depth, steps)
 			if err != nil {
-				report.Broken = Replay(world, deviations, bounds.Steps)
+				report.Counterexample = Replay(world, deviations, bounds.Steps)
 				report.States = len(visited)
 				return report
 			}
--- a/modelcheck/explore_test.go
+++ b/modelcheck/explore_test.go
@@ -28,7 +28,7 @@
 			}
 			report := Explore(world, bounds)
 			t.Log(report)
-			if report.Broken != nil {
+			if report.Counterexample != nil {
 				t.Errorf("broken promise: %s", name)
 			}
 			if report.States < 100 {
--- a/modelcheck/leases.go
+++ b/modelcheck/leases.go
@@ -7,10 +7,10 @@
 	"time"
 
 	"swifttiller/disk"
-	"swifttiller/permit"
+	"swifttiller/lease"
 	"swifttiller/register"
+	"swifttiller/routing"
 	"swifttiller/session"
-	"swifttiller/standing"
 )
 
 // LeaseWorlds are the worlds of leases, by name: data daemons hold leases, control daemons issue
@@ -37,7 +37,7 @@
 			fleet := startLeases(run, leaseLength)
 			fleet.issuer("c1")
 			fleet.issuer("c2")
-			run.node("d1").rate = 1 / (1 + permit.Drift)
+			run.node("d1").rate = 1 / (1 + lease.MaxClockDrift)
 			fleet.holder("d1", "c2")
 			run.isLate = func(message *message) bool { return message.isReply && message.method == "Permit.Renew" }
 			fleet.change("c1", document(leaseLength, 2))
@@ -123,8 +123,8 @@
 type leaseFleet struct {
 	run           *Run
 	core          register.Core
-	issuers       map[string]*permit.Office
-	holders       map[string]*permit.Holder
+	issuers       map[string]*lease.Issuer
+	holders       map[string]*lease.Holder
 	seeds         map[string]string // control daemon to connect to, by holder
 	servedVersion map[string]uint64 // highest version served under, by holder's incarnation
 	// acknowledged is the highest acknowledged version; changes counts the unfinished changes.
@@ -136,7 +136,7 @@
 
 // startLeases creates a core that holds a configuration with the length of leases.
 func startLeases(run *Run, length time.Duration) *leaseFleet {
-	fleet := &leaseFleet{run: run, issuers: map[string]*permit.Office{}, holders: map[string]*permit.Holder{}, seeds: map[string]string{}, servedVersion: map[string]uint64{}}
+	fleet := &leaseFleet{run: run, issuers: map[string]*lease.Issuer{}, holders: map[string]*lease.Holder{}, seeds: map[string]string{}, servedVersion: map[string]uint64{}}
 	store := run.node("a1")
 	store.Go(func() {
 		acceptor, err := register.OpenAcceptor(disk.Options{World: store, Folder: store.folder, LogBytes: 1 << 20}, "a1-1")
@@ -155,8 +155,8 @@
 			panic(err)
 		}
 		fleet.core = core
-		_, err = proposer.Change(permit.ConfigKey, func(register.Value) ([]byte, error) {
-			return permit.Config{Document: document(length, 1)}.Pack()
+		_, err = proposer.Update(lease.ConfigKey, func(register.Value) ([]byte, error) {
+			return lease.Config{Document: document(length, 1)}.Pack()
 		})
 		isReady = err == nil
 	})
@@ -168,25 +168,25 @@
 }
 
 // proposer returns a register client of the node, which knows the core if there is one yet.
-func (fleet *leaseFleet) proposer(name string) *register.Keeper {
+func (fleet *leaseFleet) proposer(name string) *register.Client {
 	node := fleet.run.node(name)
-	proposer := &register.Keeper{Options: register.Options{World: node, Net: network{node}, Self: name, Patience: timeout}}
+	proposer := &register.Client{Options: register.Options{World: node, Net: network{node}, Self: name, Patience: timeout}}
 	if fleet.core.Epoch > 0 {
-		proposer.Learn(fleet.core)
+		proposer.LearnCore(fleet.core)
 	}
 	return proposer
 }
 
 // leaseService is the RPC service of a control daemon for lease holders.
-type leaseService struct{ issuer *permit.Office }
+type leaseService struct{ issuer *lease.Issuer }
 
 // Renew grants or extends a lease.
-func (service leaseService) Renew(request permit.Ask, grant *permit.Grant) error {
+func (service leaseService) Renew(request lease.Request, grant *lease.Grant) error {
 	return service.issuer.Renew(request, grant)
 }
 
 // Fetch returns a configuration.
-func (service leaseService) Fetch(request permit.Want, edition *permit.Edition) error {
+func (service leaseService) Fetch(request lease.FetchRequest, edition *lease.ConfigUpdate) error {
 	return service.issuer.Fetch(request, edition)
 }
 
@@ -195,10 +195,10 @@
 	node := fleet.run.node(name)
 	node.Go(func() {
 		proposer := fleet.proposer(name)
-		table := session.NewTable(session.Options{World: node, Net: network{node}, Seeds: func() []string { return nil }, Span: func() time.Duration { return leaseLength }, Keeper: proposer})
-		issuer := &permit.Office{Options: permit.Options{
-			World: node, Net: network{node}, Keeper: proposer, Table: table,
-			Kept: func(string, standing.Standing) (time.Duration, bool) { return 0, false },
+		table := session.NewTable(session.Options{World: node, Net: network{node}, Seeds: func() []string { return nil }, SessionTimeout: func() time.Duration { return leaseLength }, Registers: proposer})
+		issuer := &lease.Issuer{IssuerOptions: lease.IssuerOptions{
+			World: node, Net: network{node}, Registers: proposer, Table: table,
+			ConfirmedAge: func(string, routing.Table) (time.Duration, bool) { return 0, false },
 		}}
 		fleet.issuers[name] = issuer
 		node.services["Permit"] = leaseService{issuer}
@@ -221,7 +221,7 @@
 func (fleet *leaseFleet) holder(name, seed string) {
 	fleet.seeds[name] = seed
 	fleet.Restart(fleet.run, name)
-	if !fleet.run.drain(func() bool { return fleet.holders[name].View().Stands(fleet.run.node(name).Now()) }) {
+	if !fleet.run.drain(func() bool { return fleet.holders[name].View().IsValid(fleet.run.node(name).Now()) }) {
 		panic("modelcheck: the first lease was not granted")
 	}
 }
@@ -231,9 +231,9 @@
 	node := run.node(name)
 	node.Go(func() {
 		incarnation := fmt.Sprintf("%s-%d", name, node.incarnation)
-		holder := permit.NewHolder(permit.HolderOptions{
+		holder := lease.NewHolder(lease.HolderOptions{
 			World:  node,
-			Client: &session.Client{World: node, Net: network{node}, Seeds: func() []string { return []string{fleet.seeds[name]} }, Span: func() time.Duration { return leaseLength }},
+			Client: &session.Client{World: node, Net: network{node}, Seeds: func() []string { return []string{fleet.seeds[name]} }, SessionTimeout: func() time.Duration { return leaseLength }},
 			Self: func() session.Member {
 				return session.Member{Name: name, Incarnation: incarnation, Role: session.Data, Wire: name}
 			},
@@ -249,7 +249,7 @@
 func (fleet *leaseFleet) change(name string, next json.RawMessage) {
 	fleet.changes++
 	fleet.run.node(name).Go(func() {
-		applied, err := fleet.issuers[name].Change(nil, func(config permit.Config) (permit.Config, error) {
+		applied, err := fleet.issuers[name].Change(nil, func(config lease.Config) (lease.Config, error) {
 			config.Document = next
 			return config, nil
 		})
@@ -275,7 +275,7 @@
 	for name, holder := range fleet.holders {
 		node := run.node(name)
 		view := holder.View()
-		if !view.Serves(node.Now()) {
+		if !view.MayServe(node.Now()) {
 			continue
 		}
 		if view.Serial < fleet.acknowledged {
--- a/modelcheck/net.go
+++ b/modelcheck/net.go
@@ -45,7 +45,7 @@
 	node.run.send(&message{from: node.name, to: address, method: method, body: encode(args), replies: replies})
 	received, ok := replies.Take(timeout)
 	if !ok {
-		return &wire.Mishap{Address: address, Method: method, Sent: true, Cause: errTimeout}
+		return &wire.CallError{Address: address, Method: method, Sent: true, Cause: errTimeout}
 	}
 	return decode(received.([]byte), reply)
 }
--- a/modelcheck/orders.go
+++ b/modelcheck/orders.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"swifttiller/controlplane"
+	"swifttiller/lease"
 	"swifttiller/loop"
-	"swifttiller/permit"
 	"swifttiller/settings"
 )
 
@@ -103,14 +103,14 @@
 
 // Replace executes a replacement.
 func (service orderService) Replace(order replacement, reply *orderReply) error {
-	_, err := service.daemon.For(controlplane.Caller{}).Replace(order.Document, order.BasedOn)
+	_, err := service.daemon.OperatorFor(controlplane.Caller{}).Replace(order.Document, order.BasedOn)
 	reply.Status = statusOf(err)
 	return nil
 }
 
 // Evacuate executes an evacuation.
 func (service orderService) Evacuate(order evacuation, reply *orderReply) error {
-	_, err := service.daemon.For(controlplane.Caller{}).Evacuate(order.Zone, order.IsBack)
+	_, err := service.daemon.OperatorFor(controlplane.Caller{}).Evacuate(order.Zone, order.IsBack)
 	reply.Status = statusOf(err)
 	return nil
 }
@@ -142,7 +142,7 @@
 			if err != nil {
 				panic(err)
 			}
-			daemon.Learn(fleet.core)
+			daemon.LearnCore(fleet.core)
 			node.services["Operator"] = orderService{daemon}
 		})
 	}
@@ -241,14 +241,14 @@
 	}) {
 		return errors.New("an operator or a message does not complete")
 	}
-	var config permit.Config
+	var config lease.Config
 	isRead := false
 	auditor := run.node("auditor")
 	auditor.Go(func() {
 		proposer := fleet.proposer("auditor")
-		value, err := proposer.Read(permit.ConfigKey)
+		value, err := proposer.Read(lease.ConfigKey)
 		if err == nil {
-			config, err = permit.Unpack(value.Data)
+			config, err = lease.Unpack(value.Data)
 		}
 		isRead = err == nil
 	})
--- a/modelcheck/run.go
+++ b/modelcheck/run.go
@@ -110,11 +110,11 @@
 	return loop.Forever
 }
 
-// Wall returns a wall clock that advances with the run's clock.
-func (node *node) Wall() time.Time { return time.Unix(0, 0).Add(node.run.now) }
+// WallTime returns a wall clock that advances with the run's clock.
+func (node *node) WallTime() time.Time { return time.Unix(0, 0).Add(node.run.now) }
 
-// Draw returns deterministic numbers in [0, below) that differ between nodes and between draws.
-func (node *node) Draw(below int64) int64 {
+// RandN returns deterministic numbers in [0, below) that differ between nodes and between draws.
+func (node *node) RandN(below int64) int64 {
 	if below <= 1 {
 		return 0
 	}
--- a/modelcheck/symmetry.go
+++ b/modelcheck/symmetry.go
@@ -48,7 +48,7 @@
 	for name, node := range run.nodes {
 		line := fmt.Sprint("node ", name, " ", node.incarnation, " ")
 		if acceptor, isAcceptor := node.services["Register"].(*register.Acceptor); isAcceptor {
-			var about register.About
+			var about register.Status
 			_ = acceptor.Describe(struct{}{}, &about)
 			text, err := json.Marshal(acceptor.Cells())
 			if err != nil {
--- a/modelcheck/worlds.go
+++ b/modelcheck/worlds.go
@@ -183,15 +183,15 @@
 func (cluster *cluster) Restart(_ *Run, name string) { cluster.open(name) }
 
 // proposer returns a proposer on the node that knows the first core.
-func (cluster *cluster) proposer(name string) *register.Keeper {
+func (cluster *cluster) proposer(name string) *register.Client {
 	node := cluster.run.node(name)
-	proposer := &register.Keeper{Options: register.Options{World: node, Net: network{node}, Self: name, Patience: timeout}}
-	proposer.Learn(cluster.core)
+	proposer := &register.Client{Options: register.Options{World: node, Net: network{node}, Self: name, Patience: timeout}}
+	proposer.LearnCore(cluster.core)
 	return proposer
 }
 
 // client runs the work in a task on the node.
-func (cluster *cluster) client(name string, work func(proposer *register.Keeper)) {
+func (cluster *cluster) client(name string, work func(proposer *register.Client)) {
 	cluster.clientsLeft++
 	proposer := cluster.proposer(name)
 	cluster.run.node(name).Go(func() {
@@ -216,11 +216,11 @@
 }
 
 // append appends the tag with the proposer and records the outcome.
-func (cluster *cluster) append(proposer *register.Keeper, tag string) {
+func (cluster *cluster) append(proposer *register.Client, tag string) {
 	begin := cluster.timestamp()
 	cluster.unreturned = append(cluster.unreturned, &operation{tag})
 	pending := cluster.unreturned[len(cluster.unreturned)-1]
-	value, err := proposer.Change(key, func(value register.Value) ([]byte, error) {
+	value, err := proposer.Update(key, func(value register.Value) ([]byte, error) {
 		return append(append([]byte{}, value.Data...), tag...), nil
 	})
 	pending.tag = "" // it has returned
@@ -237,7 +237,7 @@
 
 // write runs a client that appends the tags, one after the other.
 func (cluster *cluster) write(name string, tags ...string) {
-	cluster.client(name, func(proposer *register.Keeper) {
+	cluster.client(name, func(proposer *register.Client) {
 		for _, tag := range tags {
 			cluster.append(proposer, tag)
 		}
@@ -246,7 +246,7 @@
 
 // read runs a client that reads the register the given number of times.
 func (cluster *cluster) read(name string, times int) {
-	cluster.client(name, func(proposer *register.Keeper) {
+	cluster.client(name, func(proposer *register.Client) {
 		for range times {
 			begin := cluster.timestamp()
 			if value, err := proposer.Read(key); err == nil {
@@ -257,7 +257,7 @@
 }
 
 // change replaces the old member of the core by the added node, whose acceptor must be running.
-func (cluster *cluster) change(proposer *register.Keeper, old, added string) error {
+func (cluster *cluster) change(proposer *register.Client, old, added string) error {
 	newcomer := register.Member{ID: cluster.run.node(added).services["Register"].(*register.Acceptor).ID(), Address: added}
 	_, err := proposer.ChangeCore(func(core register.Core) (members []register.Member, err error) {
 		for _, member := range core.Members {
@@ -272,11 +272,11 @@
 }
 
 func (cluster *cluster) replace(name, old, added string) {
-	cluster.client(name, func(proposer *register.Keeper) { _ = cluster.change(proposer, old, added) })
+	cluster.client(name, func(proposer *register.Client) { _ = cluster.change(proposer, old, added) })
 }
 
 func (cluster *cluster) writeThenReplace(name, tag, old, added string) {
-	cluster.client(name, func(proposer *register.Keeper) {
+	cluster.client(name, func(proposer *register.Client) {
 		cluster.append(proposer, tag)
 		cluster.isReplaced = cluster.change(proposer, old, added) == nil
 	})
@@ -320,7 +320,7 @@
 		}
 	}
 	isRead := false
-	cluster.client("auditor", func(proposer *register.Keeper) {
+	cluster.client("auditor", func(proposer *register.Client) {
 		for attempt := 0; attempt < 20 && !isRead; attempt++ {
 			begin := cluster.timestamp()
 			if value, err := proposer.Read(key); err == nil {
--- a/quota/hub.go
+++ b/quota/aggregator.go
@@ -25,8 +25,8 @@
 	IsBare bool
 }
 
-// Word is an aggregator's reply to a report.
-type Word struct {
+// ReportReply is an aggregator's reply to a report.
+type ReportReply struct {
 	Hub string
 	// Granted is the number of requests granted for each entry of Report.Wants, in the same order.
 	// Waits is the time in ms after which the next request may be granted, where some were rejected.
@@ -43,8 +43,8 @@
 	Share  float64
 }
 
-// Letter is a gossip message from one aggregator to another.
-type Letter struct {
+// GossipMessage is a gossip message from one aggregator to another.
+type GossipMessage struct {
 	From, Address string
 	Seq, Since    uint64
 	Sums          Sums
@@ -61,9 +61,9 @@
 	Pressure Pressure
 }
 
-// Heard is the reply to a gossip message. Table, sent only to a new aggregator, holds all buckets
+// GossipReply is the reply to a gossip message. Table, sent only to a new aggregator, holds all buckets
 // that are not full.
-type Heard struct {
+type GossipReply struct {
 	From  string
 	Table *Pressure
 }
@@ -381,7 +381,7 @@
 
 // report processes a daemon's report and returns the reply. isUrgent means that peers should be
 // informed before the next interval.
-func (agg *aggregator) report(now time.Duration, report Report) (reply Word, isUrgent bool) {
+func (agg *aggregator) report(now time.Duration, report Report) (reply ReportReply, isUrgent bool) {
 	agg.mutex.Lock()
 	defer agg.mutex.Unlock()
 	agg.activate(now)
@@ -429,7 +429,7 @@
 }
 
 // receiveGossip processes a gossip message from another aggregator.
-func (agg *aggregator) receiveGossip(now time.Duration, message Letter) (reply Heard) {
+func (agg *aggregator) receiveGossip(now time.Duration, message GossipMessage) (reply GossipReply) {
 	agg.mutex.Lock()
 	defer agg.mutex.Unlock()
 	if agg.isActive && now-agg.lastUpdate > agg.limits.unreachableAfter() {
@@ -507,21 +507,21 @@
 
 // composeGossip returns the next message to a peer. isActive is false if no daemon reports to this
 // aggregator, in which case there is nothing to send.
-func (agg *aggregator) composeGossip(now time.Duration, address, ownAddress string) (message Letter, isActive bool) {
+func (agg *aggregator) composeGossip(now time.Duration, address, ownAddress string) (message GossipMessage, isActive bool) {
 	agg.mutex.Lock()
 	defer agg.mutex.Unlock()
 	if !agg.isActive {
-		return Letter{}, false
+		return GossipMessage{}, false
 	}
 	peer := agg.peer(now, address)
-	message = Letter{From: agg.id(), Address: ownAddress, Count: agg.countReporters(now), InTouch: agg.reachable, IsTouched: agg.isReachable(now, peer), IsParted: agg.isIsolated(now), Pressure: agg.pressure(now), Age: uint64((now - agg.activated) / time.Millisecond)}
+	message = GossipMessage{From: agg.id(), Address: ownAddress, Count: agg.countReporters(now), InTouch: agg.reachable, IsTouched: agg.isReachable(now, peer), IsParted: agg.isIsolated(now), Pressure: agg.pressure(now), Age: uint64((now - agg.activated) / time.Millisecond)}
 	message.IsNew = !agg.hasTable && now-agg.activated < agg.limits.unreachableAfter()
 	message.Seq, message.Since, message.Sums = peer.out.compose()
 	return message, true
 }
 
 // confirmGossip processes a peer's reply, which confirms the message.
-func (agg *aggregator) confirmGossip(now time.Duration, address string, message Letter, reply Heard) {
+func (agg *aggregator) confirmGossip(now time.Duration, address string, message GossipMessage, reply GossipReply) {
 	agg.mutex.Lock()
 	defer agg.mutex.Unlock()
 	peer := agg.peers[address]
--- a/quota/core_test.go
+++ b/quota/aggregator_test.go
@@ -10,7 +10,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-var terms = Terms{Window: 5 * time.Second, Excess: 0.1, Slack: 20, Reserve: time.Minute}
+var terms = Accuracy{Window: 5 * time.Second, Excess: 0.1, Slack: 20, Reserve: time.Minute}
 
 const startTime = 10 * time.Second
 
@@ -39,7 +39,7 @@
 	return agg, now
 }
 
-func TestLetters(t *testing.T) {
+func TestMessageCounts(t *testing.T) {
 	sum := func(counts map[uint64]usage) (used int64, requested uint64) {
 		for _, entry := range counts {
 			used, requested = used+entry.used, requested+entry.requested
@@ -95,10 +95,10 @@
 	})
 }
 
-func TestHub(t *testing.T) {
-	limits := Index(terms, []Limit{{"one", 100, 100}, {"two", 1, 1}, {"free", 0, 5}})
+func TestAggregator(t *testing.T) {
+	limits := NewLimits(terms, []Limit{{"one", 100, 100}, {"two", 1, 1}, {"free", 0, 5}})
 	limit := limits.byName["one"]
-	request := func(agg *aggregator, now time.Duration, from string, count uint64) Word {
+	request := func(agg *aggregator, now time.Duration, from string, count uint64) ReportReply {
 		agg.mutex.Lock()
 		seq := uint64(1)
 		if in := agg.reporters[from]; in != nil {
@@ -207,7 +207,7 @@
 	Convey("a lower limit takes effect at the next update", t, func() {
 		agg, now := filledAggregator("a", 4, 4, limits)
 		request(agg, now, "a0", 10)
-		agg.update(now, Index(terms, []Limit{{"one", 10, 10}}), 4, false, false)
+		agg.update(now, NewLimits(terms, []Limit{{"one", 10, 10}}), 4, false, false)
 		So(request(agg, now, "a0", 1000).Granted[0], ShouldBeLessThanOrEqualTo, 10+uint64(limit.errorPart))
 	})
 	Convey("aggregators accept concurrent calls", t, func() {
@@ -220,8 +220,8 @@
 				for range 200 {
 					a.report(now, Report{From: fmt.Sprint("a", index%2), Keys: []uint64{limit.key}, Wants: []uint64{1}})
 					message, _ := a.composeGossip(now, "b", "a")
-					a.confirmGossip(now, "b", message, Heard{})
-					a.receiveGossip(now, Letter{From: fmt.Sprint("c", index), Address: "c"})
+					a.confirmGossip(now, "b", message, GossipReply{})
+					a.receiveGossip(now, GossipMessage{From: fmt.Sprint("c", index), Address: "c"})
 					a.update(now, limits, 4, false, false)
 				}
 			}()
@@ -232,11 +232,11 @@
 	})
 }
 
-// TestAhead guards against an overshoot when several aggregators grant at the same time: they know of
+// TestConcurrentGrants guards against an overshoot when several aggregators grant at the same time: they know of
 // one another's demand, but not yet of the grants. Together they may grant no more than one bucket
 // holds plus a part of the error.
-func TestAhead(t *testing.T) {
-	limits := Index(terms, []Limit{{"one", 100, 100}})
+func TestConcurrentGrants(t *testing.T) {
+	limits := NewLimits(terms, []Limit{{"one", 100, 100}})
 	limit := limits.byName["one"]
 	var aggregators []*aggregator
 	now := startTime
@@ -278,10 +278,10 @@
 	}
 }
 
-// TestYoung guards against grants by a daemon that has only just received its first member list. The
+// TestStartingAggregator guards against grants by a daemon that has only just received its first member list. The
 // list may be short because it is incomplete, and the daemon would take too large a share.
-func TestYoung(t *testing.T) {
-	limits := Index(terms, []Limit{{"one", 100, 100}})
+func TestStartingAggregator(t *testing.T) {
+	limits := NewLimits(terms, []Limit{{"one", 100, 100}})
 	agg, now, granted := newAggregator("a", limits), startTime, uint64(0)
 	agg.update(now, limits, 1, true, false)
 	for seq := range uint64(5) {
--- a/quota/town_test.go
+++ b/quota/cluster_test.go
@@ -24,8 +24,8 @@
 // terms are those of a deployment; enforced are the stricter ones with which the meters are
 // configured, as the data daemon does it.
 var (
-	terms    = quota.Terms{Window: 5 * time.Second, Excess: 0.1, Slack: 20, Reserve: 60 * time.Second}
-	enforced = quota.Terms{Window: terms.Window, Excess: 0.8 * terms.Excess, Slack: 0.8 * terms.Slack, Reserve: terms.Reserve}
+	terms    = quota.Accuracy{Window: 5 * time.Second, Excess: 0.1, Slack: 20, Reserve: 60 * time.Second}
+	enforced = quota.Accuracy{Window: terms.Window, Excess: 0.8 * terms.Excess, Slack: 0.8 * terms.Slack, Reserve: terms.Reserve}
 )
 
 // cluster is a simulated test cluster: the meters of data daemons in several regions, and callers of
@@ -34,7 +34,7 @@
 	*sim.Sim
 	names  []string
 	region map[string]string
-	meters map[string]*quota.Meter
+	meters map[string]*quota.Limiter
 	starts int
 	// lists are the member lists that each daemon received, listedUntil until when they are valid.
 	// While the control daemons are down, no daemon receives a list.
@@ -83,7 +83,7 @@
 }
 
 func newClusterOf(seed uint64, counts []int, perSecond float64, tenants int, isEven bool) *cluster {
-	cluster := &cluster{Sim: sim.New(seed), region: map[string]string{}, meters: map[string]*quota.Meter{}, lists: map[string][]session.Member{}, listedUntil: map[string]time.Duration{}, isolated: map[string]bool{}, leaving: map[string]bool{}, rates: map[string]float64{}, hotFactor: 1, changes: map[string][]limitChange{}}
+	cluster := &cluster{Sim: sim.New(seed), region: map[string]string{}, meters: map[string]*quota.Limiter{}, lists: map[string][]session.Member{}, listedUntil: map[string]time.Duration{}, isolated: map[string]bool{}, leaving: map[string]bool{}, rates: map[string]float64{}, hotFactor: 1, changes: map[string][]limitChange{}}
 	cluster.Latency, cluster.Jitter = 300*time.Microsecond, 600*time.Microsecond
 	for at, count := range counts {
 		for index := range count {
@@ -125,7 +125,7 @@
 }
 
 func (cluster *cluster) applyLimits() {
-	cluster.limits = quota.Index(enforced, cluster.list)
+	cluster.limits = quota.NewLimits(enforced, cluster.list)
 	for _, limit := range cluster.list {
 		cluster.changes[limit.Tenant] = append(cluster.changes[limit.Tenant], limitChange{cluster.Now(), limit})
 	}
@@ -136,7 +136,7 @@
 	incarnation := fmt.Sprint(name, "-", cluster.starts)
 	cluster.lists[name] = nil
 	cluster.Start(name, func(node *sim.Node) {
-		meter := quota.NewMeter(quota.Options{
+		meter := quota.NewLimiter(quota.Options{
 			World: node, Net: sim.Net{Node: node}, Limits: func() *quota.Limits { return cluster.limits },
 			Self:    session.Member{Name: name, Incarnation: incarnation, Role: session.Data, Region: cluster.region[name], Wire: name},
 			Members: func() ([]session.Member, time.Duration) { return cluster.lists[name], cluster.listedUntil[name] },
@@ -218,7 +218,7 @@
 	name := up[cluster.Draw(int64(len(up)))]
 	at := cluster.Now()
 	cluster.Node(name).Go(func() {
-		retryAfter, isAllowed := cluster.meters[name].Ask(tenant)
+		retryAfter, isAllowed := cluster.meters[name].Take(tenant)
 		cluster.attempts = append(cluster.attempts, attempt{at, cluster.Now(), tenant, name, isRetry, isAllowed})
 		if !isAllowed && !isRetry {
 			cluster.At(retryAfter, func() { cluster.call(tenant, true) })
@@ -365,7 +365,7 @@
 	votes, best := map[string]int{}, ""
 	for _, name := range cluster.names {
 		if cluster.region[name] == region && cluster.Node(name).Up() {
-			address := cluster.meters[name].Status().Hub
+			address := cluster.meters[name].Status().Aggregator
 			if votes[address]++; votes[address] > votes[best] {
 				best = address
 			}
@@ -540,9 +540,9 @@
 			}
 		}
 	}, 0.03},
-	{"calls lost", func(cluster *cluster) { cluster.Unruly = sim.Unruly{Lost: 0.05} }, 0.2},
-	{"calls repeated", func(cluster *cluster) { cluster.Unruly = sim.Unruly{Repeated: 0.05, Latest: time.Second} }, 0.03},
-	{"calls late", func(cluster *cluster) { cluster.Unruly = sim.Unruly{Late: 0.05, Latest: time.Second} }, 0.12},
+	{"calls lost", func(cluster *cluster) { cluster.Faults = sim.NetworkFaults{Lost: 0.05} }, 0.2},
+	{"calls repeated", func(cluster *cluster) { cluster.Faults = sim.NetworkFaults{Duplicated: 0.05, MaxDelay: time.Second} }, 0.03},
+	{"calls late", func(cluster *cluster) { cluster.Faults = sim.NetworkFaults{Delayed: 0.05, MaxDelay: time.Second} }, 0.12},
 	{"daemons die in their calls", func(cluster *cluster) {
 		until := cluster.Now() + 6*time.Second
 		cluster.OnKill = func(name string) {
@@ -553,9 +553,9 @@
 		}
 		cluster.OnCall = func(_, to, _ string) sim.Fate {
 			if cluster.Now() > until || cluster.Draw(300) > 0 {
-				return sim.Passes
+				return sim.Delivered
 			}
-			return []sim.Fate{sim.SenderDies, sim.ReceiverDies, sim.AnswerLost}[cluster.Draw(3)]
+			return []sim.Fate{sim.SenderKilled, sim.ReceiverKilled, sim.ResponseLost}[cluster.Draw(3)]
 		}
 	}, 0.25},
 	{"leaving in order", func(cluster *cluster) {
@@ -579,9 +579,9 @@
 	return cluster, cluster.evaluate(from)
 }
 
-// TestTroubles guards against limits exceeded beyond the terms, and against rejections below the limit,
+// TestScenarios guards against limits exceeded beyond the terms, and against rejections below the limit,
 // in each scenario of failures while one tenant makes a multiple of its usual requests.
-func TestTroubles(t *testing.T) {
+func TestScenarios(t *testing.T) {
 	for _, scenario := range scenarios {
 		for name, counts := range map[string][]int{"many": {29, 31, 28}, "few": {2, 2, 2}, "wide": {2, 2, 2, 2, 2, 2, 2, 2, 2, 2, 2, 2}} {
 			if name == "wide" && !slices.Contains([]string{"calm", "hub killed", "region cut", "two regions cut from one another", "power lost"}, scenario.name) {
@@ -694,15 +694,15 @@
 	}
 }
 
-// BenchmarkAsk measures a request of a tenant that is not near its limit.
-func BenchmarkAsk(b *testing.B) {
+// BenchmarkTake measures a request of a tenant that is not near its limit.
+func BenchmarkTake(b *testing.B) {
 	cluster := newCluster(1, []int{2, 2, 2}, 800)
 	cluster.Run(5 * time.Second)
 	done := false
 	cluster.Node("a0").Go(func() {
 		for range b.N {
-			cluster.meters["a0"].Ask("tenant0")
-			cluster.meters["a0"].Return("tenant0")
+			cluster.meters["a0"].Take("tenant0")
+			cluster.meters["a0"].Refund("tenant0")
 		}
 		done = true
 	})
--- a/quota/meter.go
+++ b/quota/limiter.go
@@ -24,13 +24,13 @@
 	Members func() (members []session.Member, listed time.Duration)
 }
 
-// Meter is the rate limiter of a daemon: it decides whether a tenant's request is within its limit.
+// Limiter is the rate limiter of a daemon: it decides whether a tenant's request is within its limit.
 //
 // Invariants: for a tenant not known to be near its limit, the daemon lets requests through without
 // asking only while at most unreportedLimit of them are unconfirmed by its aggregator; for a tenant
 // near its limit, it lets through what the aggregator granted. A request that was let through but did
 // not run is returned once.
-type Meter struct {
+type Limiter struct {
 	Options
 	aggregator *aggregator
 
@@ -91,16 +91,16 @@
 	isListed      bool
 }
 
-// NewMeter returns a rate limiter; Run starts its reports.
-func NewMeter(options Options) *Meter {
-	meter := &Meter{Options: options, aggregator: newAggregator(options.Self.Incarnation, options.Limits()), unresponsive: map[string]bool{}, avoidUntil: map[string]time.Duration{}, exchanges: map[string]*peerExchange{}}
+// NewLimiter returns a rate limiter; Run starts its reports.
+func NewLimiter(options Options) *Limiter {
+	meter := &Limiter{Options: options, aggregator: newAggregator(options.Self.Incarnation, options.Limits()), unresponsive: map[string]bool{}, avoidUntil: map[string]time.Duration{}, exchanges: map[string]*peerExchange{}}
 	meter.members = map[string]*daemon{}
 	return meter
 }
 
-// Ask reports whether a request of the tenant may proceed and, if not, after what time it may be
+// Take reports whether a request of the tenant may proceed and, if not, after what time it may be
 // retried. It may wait for the aggregator's reply.
-func (meter *Meter) Ask(tenant string) (retryAfter time.Duration, isAllowed bool) {
+func (meter *Limiter) Take(tenant string) (retryAfter time.Duration, isAllowed bool) {
 	limits := meter.Limits()
 	limit := limits.byName[tenant]
 	if limit == nil {
@@ -124,7 +124,7 @@
 	}
 	result := value.(decision)
 	if !result.isAllowed {
-		result.retryAfter += time.Duration(meter.World.Draw(int64(result.retryAfter) + 1))
+		result.retryAfter += time.Duration(meter.World.RandN(int64(result.retryAfter) + 1))
 	}
 	return result.retryAfter, result.isAllowed
 }
@@ -134,12 +134,12 @@
 
 // unreportedLimit returns how many requests of a tenant that is not near its limit may be unconfirmed
 // by the aggregator.
-func (meter *Meter) unreportedLimit(limit *tenantLimit) int64 {
+func (meter *Limiter) unreportedLimit(limit *tenantLimit) int64 {
 	return max(1, int64(limit.errorPart/float64(max(1, len(meter.members)))))
 }
 
-// Return gives back a request that was allowed but did not run.
-func (meter *Meter) Return(tenant string) {
+// Refund gives back a request that was allowed but did not run.
+func (meter *Limiter) Refund(tenant string) {
 	if limit := meter.Limits().byName[tenant]; limit != nil {
 		meter.mutex.Lock()
 		meter.out.add(limit.key, -1, 0)
@@ -149,7 +149,7 @@
 
 // startReport starts a report to the aggregator, or has the one in progress followed by another. The
 // caller holds the mutex.
-func (meter *Meter) startReport() {
+func (meter *Limiter) startReport() {
 	if meter.isReporting {
 		meter.isReportDue = true
 		return
@@ -163,13 +163,13 @@
 
 // reportOnce sends one report to the aggregator and gives the waiters their decisions. It returns
 // whether another report is due.
-func (meter *Meter) reportOnce() bool {
+func (meter *Limiter) reportOnce() bool {
 	limits := meter.Limits()
 	meter.mutex.Lock()
 	waiters := meter.waiters
 	meter.waiters, meter.isReportDue = nil, false
 	meter.mutex.Unlock()
-	var reply *Word
+	var reply *ReportReply
 	report := Report{From: meter.Self.Incarnation}
 	wants := map[*tenantLimit]uint64{}
 	var order []*tenantLimit
@@ -251,12 +251,12 @@
 }
 
 // send sends a report to an aggregator and returns its reply, or nil if there was none.
-func (meter *Meter) send(address string, report Report, limits *Limits) *Word {
+func (meter *Limiter) send(address string, report Report, limits *Limits) *ReportReply {
 	if address == meter.Self.Wire {
 		reply := meter.report(report)
 		return &reply
 	}
-	reply := new(Word)
+	reply := new(ReportReply)
 	if meter.Net.Call(address, "Quota.Report", report, reply, limits.replyTimeout()) != nil {
 		return nil
 	}
@@ -269,7 +269,7 @@
 
 // bestAggregator returns the address to report to: the first of the region's daemons that is not
 // unresponsive, or this daemon itself.
-func (meter *Meter) bestAggregator() string {
+func (meter *Limiter) bestAggregator() string {
 	for _, address := range meter.regions[meter.Self.Region] {
 		if address == meter.Self.Wire && meter.isSelfReady || address != meter.Self.Wire && !meter.unresponsive[address] {
 			return address
@@ -281,7 +281,7 @@
 // updateMembers takes over a new member list. A daemon that left gracefully is removed at once. A daemon
 // that is no longer listed may still run in isolation, so it keeps its share for the reserve, and for
 // longer while the mutually reachable daemons are not a majority.
-func (meter *Meter) updateMembers(now time.Duration, list []session.Member, reserve time.Duration, hasMajority bool) {
+func (meter *Limiter) updateMembers(now time.Duration, list []session.Member, reserve time.Duration, hasMajority bool) {
 	if len(list) != len(meter.list) || len(list) > 0 && &list[0] != &meter.list[0] {
 		meter.list, meter.regions = list, map[string][]string{}
 		for _, member := range meter.members {
@@ -325,7 +325,7 @@
 
 // Run sends reports to the aggregator and, as an aggregator, gossip to the peers. It returns only
 // when its World ends.
-func (meter *Meter) Run() {
+func (meter *Limiter) Run() {
 	loop.Every(meter.World, func() time.Duration { return meter.Limits().reportInterval() }, func() bool {
 		meter.tick()
 		return true
@@ -333,7 +333,7 @@
 }
 
 // tick performs one round of Run.
-func (meter *Meter) tick() {
+func (meter *Limiter) tick() {
 	limits := meter.Limits()
 	now := meter.World.Now()
 	list, validUntil := meter.Members()
@@ -374,7 +374,7 @@
 
 // unresponsiveAggregators returns the aggregators to probe: of those that precede the current one and
 // did not answer, the first and a random selection of the others.
-func (meter *Meter) unresponsiveAggregators() (out []string) {
+func (meter *Limiter) unresponsiveAggregators() (out []string) {
 	for _, address := range meter.regions[meter.Self.Region] {
 		if address == meter.Self.Wire && !meter.isSelfReady {
 			continue
@@ -385,7 +385,7 @@
 		out = append(out, address)
 	}
 	for i := 1; i < len(out); i++ {
-		other := i + int(meter.World.Draw(int64(len(out)-i)))
+		other := i + int(meter.World.RandN(int64(len(out)-i)))
 		out[i], out[other] = out[other], out[i]
 	}
 	return out[:min(len(out), maxProbes)]
@@ -395,7 +395,7 @@
 const maxProbes = 4
 
 // probe checks an unresponsive aggregator and makes it eligible again if it answers.
-func (meter *Meter) probe(address string, timeout time.Duration) {
+func (meter *Limiter) probe(address string, timeout time.Duration) {
 	answered := ""
 	if meter.Net.Call(address, "Quota.Hail", meter.Self.Incarnation, &answered, timeout) == nil {
 		meter.mutex.Lock()
@@ -406,7 +406,7 @@
 
 // peerAddresses returns the peers to send gossip to: the first responsive daemon of each region that
 // precedes this one in its order. gossip adds those that this aggregator heard from recently.
-func (meter *Meter) peerAddresses(now time.Duration) (out []string) {
+func (meter *Limiter) peerAddresses(now time.Duration) (out []string) {
 	for _, addresses := range meter.regions {
 		for _, address := range addresses {
 			if address == meter.Self.Wire {
@@ -422,7 +422,7 @@
 }
 
 // gossip sends a message to each peer. If one is already in progress, the next follows it.
-func (meter *Meter) gossip() {
+func (meter *Limiter) gossip() {
 	now := meter.World.Now()
 	meter.aggregator.mutex.Lock()
 	isActive := meter.aggregator.isActive
@@ -460,13 +460,13 @@
 }
 
 // gossipOnce sends one message to a peer and returns whether another one is due.
-func (meter *Meter) gossipOnce(address string, exchange *peerExchange) bool {
+func (meter *Limiter) gossipOnce(address string, exchange *peerExchange) bool {
 	limits := meter.Limits()
 	meter.mutex.Lock()
 	exchange.isDue = false
 	meter.mutex.Unlock()
 	message, isActive := meter.aggregator.composeGossip(meter.World.Now(), address, meter.Self.Wire)
-	var reply Heard
+	var reply GossipReply
 	if isActive {
 		err := meter.Net.Call(address, "Quota.Share", message, &reply, limits.unreachableAfter()/2)
 		now := meter.World.Now()
@@ -486,7 +486,7 @@
 }
 
 // report processes a report as the aggregator and, if it is urgent, sends gossip at once.
-func (meter *Meter) report(report Report) Word {
+func (meter *Limiter) report(report Report) ReportReply {
 	reply, isUrgent := meter.aggregator.report(meter.World.Now(), report)
 	if isUrgent {
 		meter.gossip()
@@ -500,17 +500,17 @@
 
 // isStarting reports whether the daemon has no member list yet, or has had one for too short a time
 // for the list to be complete.
-func (meter *Meter) isStarting() bool {
+func (meter *Limiter) isStarting() bool {
 	meter.mutex.Lock()
 	defer meter.mutex.Unlock()
 	return meter.firstListed == 0 || meter.World.Now()-meter.firstListed < meter.Limits().unreachableAfter()
 }
 
 // Service holds the methods that daemons call on one another.
-type Service struct{ Meter *Meter }
+type Service struct{ Meter *Limiter }
 
 // Report processes a daemon's report.
-func (service Service) Report(report Report, reply *Word) error {
+func (service Service) Report(report Report, reply *ReportReply) error {
 	if service.Meter.isStarting() {
 		return errNotReady
 	}
@@ -519,7 +519,7 @@
 }
 
 // Share processes another aggregator's gossip message.
-func (service Service) Share(message Letter, reply *Heard) error {
+func (service Service) Share(message GossipMessage, reply *GossipReply) error {
 	*reply = service.Meter.aggregator.receiveGossip(service.Meter.World.Now(), message)
 	return nil
 }
@@ -546,20 +546,20 @@
 
 // Status is a daemon's view of the limits.
 type Status struct {
-	// Hub is the wire address of the daemon's aggregator, Age the time since its last reply.
-	Hub string `json:"hub"`
-	Age int64  `json:"age_ms"`
+	// Aggregator is the wire address of the daemon's aggregator, Age the time since its last reply.
+	Aggregator string `json:"hub"`
+	Age        int64  `json:"age_ms"`
 	// Share is the fraction of the limits that this group of mutually reachable daemons uses.
 	Share     float64  `json:"share"`
 	NearLimit []Tenant `json:"near_limit"`
 }
 
 // Status returns the daemon's current view of the limits.
-func (meter *Meter) Status() Status {
+func (meter *Limiter) Status() Status {
 	limits := meter.Limits()
 	meter.mutex.Lock()
 	defer meter.mutex.Unlock()
-	status := Status{Hub: meter.aggregatorAddress, Age: (meter.World.Now() - meter.lastReply).Milliseconds(), Share: meter.lastPressure.Share, NearLimit: []Tenant{}}
+	status := Status{Aggregator: meter.aggregatorAddress, Age: (meter.World.Now() - meter.lastReply).Milliseconds(), Share: meter.lastPressure.Share, NearLimit: []Tenant{}}
 	for i, key := range meter.lastPressure.Keys {
 		if limit := limits.byKey[key]; limit != nil {
 			status.NearLimit = append(status.NearLimit, Tenant{limit.Tenant, meter.lastPressure.Levels[i], limit.PerSecond, limit.Burst})
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -19,9 +19,9 @@
 	PerSecond, Burst float64
 }
 
-// Terms set the accuracy with which limits are enforced: within any span of Window, a tenant makes
+// Accuracy set the accuracy with which limits are enforced: within any span of Window, a tenant makes
 // at most (PerSecond x Window + Burst) x (1 + Excess) + Slack requests.
-type Terms struct {
+type Accuracy struct {
 	Window        time.Duration
 	Excess, Slack float64
 	// Reserve is for how long a daemon that is no longer heard from keeps its share of the limits.
@@ -43,13 +43,13 @@
 // do not know of yet; and the tokens with which an aggregator without prior state starts.
 const errorParts = 4
 
-func (terms Terms) reportInterval() time.Duration   { return terms.Window / reportParts }
-func (terms Terms) replyTimeout() time.Duration     { return terms.Window / replyTimeoutParts }
-func (terms Terms) unreachableAfter() time.Duration { return terms.Window / unreachableParts }
+func (terms Accuracy) reportInterval() time.Duration   { return terms.Window / reportParts }
+func (terms Accuracy) replyTimeout() time.Duration     { return terms.Window / replyTimeoutParts }
+func (terms Accuracy) unreachableAfter() time.Duration { return terms.Window / unreachableParts }
 
 // Limits are the limits that a daemon enforces. They are immutable.
 type Limits struct {
-	Terms
+	Accuracy
 	byName map[string]*tenantLimit
 	byKey  map[uint64]*tenantLimit
 }
@@ -70,20 +70,20 @@
 func keyOf(name string) uint64 {
 	sum := fnv.New64a()
 	_, _ = sum.Write([]byte(name))
-	return session.Spread(sum.Sum64()) & (1<<keyBits - 1)
+	return session.MixHash(sum.Sum64()) & (1<<keyBits - 1)
 }
 
 // weight is the rendezvous hashing weight of a name for a key: names with a higher weight come first.
 func weight(key uint64, name string) uint64 {
 	sum := fnv.New64a()
 	_, _ = sum.Write([]byte(name))
-	return session.Spread(sum.Sum64() ^ session.Spread(key))
+	return session.MixHash(sum.Sum64() ^ session.MixHash(key))
 }
 
-// Index builds the lookup tables for a list of limits. A tenant whose PerSecond is not positive
+// NewLimits builds the lookup tables for a list of limits. A tenant whose PerSecond is not positive
 // has no limit.
-func Index(terms Terms, list []Limit) *Limits {
-	index := &Limits{Terms: terms, byName: map[string]*tenantLimit{}, byKey: map[uint64]*tenantLimit{}}
+func NewLimits(terms Accuracy, list []Limit) *Limits {
+	index := &Limits{Accuracy: terms, byName: map[string]*tenantLimit{}, byKey: map[uint64]*tenantLimit{}}
 	for _, entry := range list {
 		if entry.PerSecond <= 0 {
 			continue
--- a/register/acceptor.go
+++ b/register/acceptor.go
@@ -143,17 +143,17 @@
 // disk is new. A new acceptor belongs to no core and grants no votes.
 func OpenAcceptor(options disk.Options, id string) (*Acceptor, error) {
 	acceptor := &Acceptor{state: state{ID: id, Cells: map[string]Cell{}}, pending: map[string]*pendingKey{}}
-	options.Snapshot, options.Folded = acceptor.snapshot, acceptor.snapshotWritten
+	options.Snapshot, options.SnapshotDurable = acceptor.snapshot, acceptor.snapshotWritten
 	store, value, records, fresh, err := disk.Open(options)
 	if err != nil {
 		return nil, err
 	}
 	acceptor.store = store
 	if fresh {
-		return acceptor, store.Fold()
+		return acceptor, store.Compact()
 	}
 	if err := decode(value, &acceptor.state); err != nil {
-		return nil, &disk.Corrupt{File: "slot", Reason: err.Error()}
+		return nil, &disk.CorruptError{File: "slot", Reason: err.Error()}
 	}
 	if acceptor.state.Cells == nil {
 		acceptor.state.Cells = map[string]Cell{}
@@ -161,7 +161,7 @@
 	for _, data := range records {
 		var entry record
 		if err := entry.unpack(data); err != nil {
-			return nil, &disk.Corrupt{File: "log", Reason: err.Error()}
+			return nil, &disk.CorruptError{File: "log", Reason: err.Error()}
 		}
 		if entry.Whole != nil {
 			acceptor.state = *entry.Whole
@@ -487,15 +487,15 @@
 	return nil
 }
 
-// About describes an acceptor, also one whose disk has failed.
-type About struct {
+// Status describes an acceptor, also one whose disk has failed.
+type Status struct {
 	ID     string
 	Name   string
 	Core   Core
 	Sealed bool
 	Next   Core
 	Keys   int
-	Disk   disk.Vitals
+	Disk   disk.Health
 }
 
 // Cells returns a copy of all cells, for checks of the acceptor's invariants.
@@ -506,10 +506,10 @@
 }
 
 // Describe returns a description of the acceptor. It never waits for the disk.
-func (acceptor *Acceptor) Describe(_ struct{}, status *About) error {
+func (acceptor *Acceptor) Describe(_ struct{}, status *Status) error {
 	acceptor.mu.Lock()
 	defer acceptor.mu.Unlock()
 	state := &acceptor.state
-	*status = About{ID: state.ID, Name: acceptor.Name, Core: state.Core, Sealed: state.Sealed, Next: state.Next, Keys: len(state.Cells), Disk: acceptor.store.Vitals()}
+	*status = Status{ID: state.ID, Name: acceptor.Name, Core: state.Core, Sealed: state.Sealed, Next: state.Next, Keys: len(state.Cells), Disk: acceptor.store.Health()}
 	return nil
 }
--- a/register/many.go
+++ b/register/batch.go
@@ -70,7 +70,7 @@
 // together; writing many records one by one costs every acceptor two calls per record. Keys that
 // get no majority because of competing writers are retried together. As soon as the outcome of a
 // key is known, done is called with nil or the error that Change would return.
-func (client *Keeper) WriteAll(data map[string][]byte, done func(key string, err error)) {
+func (client *Client) WriteAll(data map[string][]byte, done func(key string, err error)) {
 	deadline := client.World.Now() + client.Patience
 	remaining := slices.Sorted(maps.Keys(data))
 	failure := ErrNoMajority
@@ -81,7 +81,7 @@
 			failure = ErrNoCore
 			break
 		}
-		batch := &batch{Keeper: client, core: core, ballot: client.ballot(core, highestBallot), highestBallot: highestBallot}
+		batch := &batch{Client: client, core: core, ballot: client.ballot(core, highestBallot), highestBallot: highestBallot}
 		written, isSent := batch.write(remaining, data)
 		if isSent {
 			failure = ErrUncertain
@@ -118,7 +118,7 @@
 // batch is one attempt to write several keys under one ballot. A ballot can be shared because
 // ballots of different keys are unrelated.
 type batch struct {
-	*Keeper
+	*Client
 	core   Core
 	ballot Ballot
 	// highestBallot is the highest ballot that the batch was rejected for. epochVote is a reply
@@ -180,7 +180,7 @@
 	majority := batch.core.Majority()
 	counts, isMajority := make([]int, len(requests.Asks)), make([]bool, len(requests.Asks))
 	replies, missing := 0, len(counts)
-	broadcast(batch.Keeper, batch.core, method, requests, batch.Patience/4, func(votes *Votes, err error) bool {
+	broadcast(batch.Client, batch.core, method, requests, batch.Patience/4, func(votes *Votes, err error) bool {
 		if err != nil || len(votes.Votes) != len(counts) {
 			return false
 		}
--- a/register/keeper.go
+++ b/register/client.go
@@ -25,18 +25,18 @@
 	Own string
 }
 
-// Keeper is a register client: it proposes changes and reads registers. All access to the
+// Client is a register client: it proposes changes and reads registers. All access to the
 // registers goes through it.
 //
 // Invariant: core.Epoch never decreases.
-type Keeper struct {
+type Client struct {
 	Options
 	mu          sync.Mutex
 	core        Core
 	previous    Core // the core known before, which may contain an unfinished change
 	lastRound   uint64
 	changeCount uint64
-	counters    Rounds
+	counters    RoundCounters
 	cache       valueCache
 	// queuedReads wait for the next read round. isReading is true exactly while a task runs read
 	// rounds; the task ends only when no reads are queued.
@@ -53,11 +53,11 @@
 	fetching map[fetchKey][]loop.Mailbox
 }
 
-// Rounds counts completed reads and writes, and attempts that had to be retried.
-type Rounds struct{ Reads, Writes, Conflicts uint64 }
+// RoundCounters counts completed reads and writes, and attempts that had to be retried.
+type RoundCounters struct{ Reads, Writes, Conflicts uint64 }
 
-// Rounded returns the counters.
-func (client *Keeper) Rounded() Rounds {
+// RoundCounters returns the counters.
+func (client *Client) RoundCounters() RoundCounters {
 	client.mu.Lock()
 	defer client.mu.Unlock()
 	return client.counters
@@ -73,27 +73,27 @@
 	ErrNoCore = errors.New("register: no core is known; create one with `controlplane init`")
 )
 
-// Stale is the error of a Swap whose expected serial is not the current one.
-type Stale struct {
-	Key  string
-	Have uint64
-	Want uint64
+// SerialMismatch is the error of a Swap whose expected serial is not the current one.
+type SerialMismatch struct {
+	Key      string
+	Current  uint64
+	Expected uint64
 }
 
 // Error returns the message in one line.
-func (stale *Stale) Error() string {
-	return fmt.Sprintf("register %s: expected serial %d, but the current serial is %d", stale.Key, stale.Want, stale.Have)
+func (stale *SerialMismatch) Error() string {
+	return fmt.Sprintf("register %s: expected serial %d, but the current serial is %d", stale.Key, stale.Expected, stale.Current)
 }
 
 // Core returns the newest core that this client knows.
-func (client *Keeper) Core() Core {
+func (client *Client) Core() Core {
 	client.mu.Lock()
 	defer client.mu.Unlock()
 	return client.core
 }
 
-// Learn records a core if its epoch is newer than that of the known core.
-func (client *Keeper) Learn(core Core) {
+// LearnCore records a core if its epoch is newer than that of the known core.
+func (client *Client) LearnCore(core Core) {
 	client.mu.Lock()
 	defer client.mu.Unlock()
 	if core.Epoch > client.core.Epoch {
@@ -101,7 +101,7 @@
 	}
 }
 
-func (client *Keeper) address(member Member) string {
+func (client *Client) address(member Member) string {
 	if client.Locate != nil {
 		if address := client.Locate(member.ID); address != "" {
 			return address
@@ -110,7 +110,7 @@
 	return member.Address
 }
 
-func (client *Keeper) ballot(core Core, above Ballot) Ballot {
+func (client *Client) ballot(core Core, above Ballot) Ballot {
 	client.mu.Lock()
 	defer client.mu.Unlock()
 	client.lastRound = max(client.lastRound, above.Round) + 1
@@ -118,8 +118,8 @@
 }
 
 // The replies identify the acceptor that sent them.
-func (vote *Vote) identity() string   { return vote.ID }
-func (about *About) identity() string { return about.ID }
+func (vote *Vote) identity() string    { return vote.ID }
+func (about *Status) identity() string { return about.ID }
 
 // errWrongAcceptor means that another acceptor replied at the member's address.
 var errWrongAcceptor = errors.New("register: another acceptor replies at the address of a member")
@@ -144,13 +144,13 @@
 
 // broadcast calls the method at every member of the core in parallel and passes each reply to
 // isEnough, until that returns true or the timeout expires.
-func broadcast[A any](client *Keeper, core Core, method string, args any, timeout time.Duration, isEnough func(answer *A, err error) bool) {
+func broadcast[A any](client *Client, core Core, method string, args any, timeout time.Duration, isEnough func(answer *A, err error) bool) {
 	broadcastRetry(client, core, method, args, func(*A) any { return nil }, timeout, isEnough)
 }
 
 // broadcastRetry is broadcast with follow-up calls: while followUp returns new arguments for a
 // member's reply, that member is called again with them.
-func broadcastRetry[A any](client *Keeper, core Core, method string, args any, followUp func(reply *A) any, timeout time.Duration, isEnough func(reply *A, err error) bool) {
+func broadcastRetry[A any](client *Client, core Core, method string, args any, followUp func(reply *A) any, timeout time.Duration, isEnough func(reply *A, err error) bool) {
 	type result struct {
 		reply *A
 		err   error
@@ -174,33 +174,33 @@
 }
 
 // followEpoch learns the core that a WrongEpoch reply points to.
-func (client *Keeper) followEpoch(core Core, vote *Vote) {
-	client.Learn(vote.Core)
+func (client *Client) followEpoch(core Core, vote *Vote) {
+	client.LearnCore(vote.Core)
 	if vote.Core.Epoch == core.Epoch && vote.Sealed {
-		client.Learn(vote.Next)
+		client.LearnCore(vote.Next)
 	}
 }
 
 // Read reads one key.
-func (client *Keeper) Read(key string) (Value, error) {
+func (client *Client) Read(key string) (Value, error) {
 	values, err := client.ReadMany(key)
 	return values[key], err
 }
 
 // ReadWithin is Read with a timeout of its own, after which it gives up if no majority replies.
-func (client *Keeper) ReadWithin(key string, timeout time.Duration) (Value, error) {
+func (client *Client) ReadWithin(key string, timeout time.Duration) (Value, error) {
 	values, err := client.ReadManyWithin(timeout, key)
 	return values[key], err
 }
 
 // backoff sleeps for an exponentially growing time with jitter from the world's seeded source.
-func (client *Keeper) backoff(attempt int) {
+func (client *Client) backoff(attempt int) {
 	span := client.Patience / 100 * time.Duration(1<<min(attempt, 4))
-	loop.Sleep(client.World, span/2+time.Duration(client.World.Draw(int64(span))))
+	loop.Sleep(client.World, span/2+time.Duration(client.World.RandN(int64(span))))
 }
 
 // retryBefore backs off and reports whether there is time left for another attempt.
-func (client *Keeper) retryBefore(deadline time.Duration, attempt int) bool {
+func (client *Client) retryBefore(deadline time.Duration, attempt int) bool {
 	client.backoff(attempt)
 	return client.World.Now() < deadline && !client.World.Ended()
 }
@@ -208,28 +208,28 @@
 // errUnchanged is returned by a revise function to keep the value as it is.
 var errUnchanged = errors.New("keep")
 
-// Swap writes the data if the register's current serial is the expected one.
-func (client *Keeper) Swap(key string, expected uint64, data []byte) (Value, error) {
-	return client.Change(key, func(value Value) ([]byte, error) {
+// CompareAndSwap writes the data if the register's current serial is the expected one.
+func (client *Client) CompareAndSwap(key string, expected uint64, data []byte) (Value, error) {
+	return client.Update(key, func(value Value) ([]byte, error) {
 		if value.Serial != expected {
-			return nil, &Stale{Key: key, Have: value.Serial, Want: expected}
+			return nil, &SerialMismatch{Key: key, Current: value.Serial, Expected: expected}
 		}
 		return data, nil
 	})
 }
 
-// Change replaces the register's value by what revise returns for it, in two rounds. revise may be
+// Update replaces the register's value by what revise returns for it, in two rounds. revise may be
 // called several times and must depend on its argument alone. If it returns an error, the change
 // is rejected: Change returns the current value and the error, and nothing of this change was or
 // will be written. Only ErrUncertain leaves open whether it was.
-func (client *Keeper) Change(key string, revise func(Value) ([]byte, error)) (Value, error) {
-	return client.ChangeWithin(key, client.Patience, revise)
+func (client *Client) Update(key string, revise func(Value) ([]byte, error)) (Value, error) {
+	return client.UpdateWithin(key, client.Patience, revise)
 }
 
-// ChangeWithin is Change with a separate timeout for the time in which no majority of the core
+// UpdateWithin is Change with a separate timeout for the time in which no majority of the core
 // replies, so that the caller can turn to another daemon that reaches a majority. revise may
 // reject a change that is no longer wanted, since it is called right before each write.
-func (client *Keeper) ChangeWithin(key string, silenceTimeout time.Duration, revise func(Value) ([]byte, error)) (Value, error) {
+func (client *Client) UpdateWithin(key string, silenceTimeout time.Duration, revise func(Value) ([]byte, error)) (Value, error) {
 	startedAt := client.World.Now()
 	change := &change{key: key, id: client.newChangeID(), revise: revise, silenceTimeout: silenceTimeout, deadline: startedAt + client.Patience, silenceDeadline: startedAt + silenceTimeout}
 	for attempt := 0; ; attempt++ {
@@ -267,13 +267,13 @@
 }
 
 // roundTimeout returns how long a round that starts now may take.
-func (change *change) roundTimeout(client *Keeper) time.Duration {
+func (change *change) roundTimeout(client *Client) time.Duration {
 	now := client.World.Now()
 	return min(client.Patience/4, change.deadline-now, change.silenceDeadline-now)
 }
 
 // countReplies postpones silenceDeadline if a majority of the members replied to a round.
-func (change *change) countReplies(client *Keeper, core Core, replies int) {
+func (change *change) countReplies(client *Client, core Core, replies int) {
 	if replies >= core.Majority() {
 		change.silenceDeadline = client.World.Now() + change.silenceTimeout
 	}
@@ -281,7 +281,7 @@
 
 // attempt runs the prepare round and, if a majority promises, the accept round. isDone is false
 // when another attempt is needed.
-func (client *Keeper) attempt(core Core, change *change) (value Value, err error, isDone bool) {
+func (client *Client) attempt(core Core, change *change) (value Value, err error, isDone bool) {
 	ballot := client.ballot(core, change.highestBallot)
 	var newest Cell
 	promises, replies := 0, 0
@@ -322,7 +322,7 @@
 }
 
 // newChangeID returns a unique identifier for the trails of values.
-func (client *Keeper) newChangeID() string {
+func (client *Client) newChangeID() string {
 	client.mu.Lock()
 	defer client.mu.Unlock()
 	client.changeCount++
@@ -330,7 +330,7 @@
 }
 
 // propose runs the accept round. isDone is false when another attempt is needed.
-func (client *Keeper) propose(core Core, change *change, ballot Ballot, current Value) (Value, error, bool) {
+func (client *Client) propose(core Core, change *change, ballot Ballot, current Value) (Value, error, bool) {
 	key := change.key
 	next := current
 	var rejection error
@@ -400,7 +400,7 @@
 }
 
 // List returns the keys with the prefix that any acceptor of a majority holds.
-func (client *Keeper) List(prefix string) ([]string, error) {
+func (client *Client) List(prefix string) ([]string, error) {
 	deadline := client.World.Now() + client.Patience
 	for attempt := 0; ; attempt++ {
 		core := client.Core()
--- a/register/core.go
+++ b/register/core.go
@@ -17,7 +17,7 @@
 
 // ChangeCore decides the next core in the current epoch and installs it. revise receives the
 // current core and returns the members of the next one.
-func (client *Keeper) ChangeCore(revise func(Core) ([]Member, error)) (Core, error) {
+func (client *Client) ChangeCore(revise func(Core) ([]Member, error)) (Core, error) {
 	current := client.Core()
 	if current.Epoch == 0 {
 		return Core{}, ErrNoCore
@@ -34,7 +34,7 @@
 	}
 	// The first decided value of an epoch is final: a proposer that comes second finishes the
 	// first one's change and returns ErrCoreChange.
-	value, err := client.Change(coreKey, func(value Value) ([]byte, error) {
+	value, err := client.Update(coreKey, func(value Value) ([]byte, error) {
 		var decided Core
 		if value.Serial > 0 {
 			if err := json.Unmarshal(value.Data, &decided); err != nil {
@@ -63,9 +63,9 @@
 // finishCoreChange completes a decided change: it seals a majority of the old core and installs
 // the sealed state at a majority of the new one. Every step is idempotent, so any control daemon
 // may run it, repeatedly or concurrently.
-func (client *Keeper) finishCoreChange(old, next Core) error {
+func (client *Client) finishCoreChange(old, next Core) error {
 	if client.isInstalled(next) {
-		client.Learn(next)
+		client.LearnCore(next)
 		return nil
 	}
 	sealed, err := client.seal(old, next)
@@ -89,7 +89,7 @@
 	if installed < next.Majority() {
 		return fmt.Errorf("core %d is decided but not yet installed at a majority of its members: %w", next.Epoch, ErrNoMajority)
 	}
-	client.Learn(next)
+	client.LearnCore(next)
 	return nil
 }
 
@@ -134,7 +134,7 @@
 // seal seals a majority of the old core. This daemon's own acceptor goes first, if it is a member
 // of that core and replies within an eighth of the timeout; the others then send only what it
 // lacks.
-func (client *Keeper) seal(old, next Core) (sealedState, error) {
+func (client *Client) seal(old, next Core) (sealedState, error) {
 	sealed := sealedState{merged: map[string]Cell{}, heldBy: map[string]map[string]Ballot{}}
 	request := SealRequest{Epoch: old.Epoch, Next: next, Have: map[BallotHash]bool{}}
 	known, accepted := map[BallotHash]string{}, map[string]Ballot{}
@@ -164,9 +164,9 @@
 }
 
 // isInstalled reports whether a majority of the core has installed it already.
-func (client *Keeper) isInstalled(core Core) bool {
+func (client *Client) isInstalled(core Core) bool {
 	installed := 0
-	broadcast(client, core, "Describe", struct{}{}, client.Patience/4, func(status *About, err error) bool {
+	broadcast(client, core, "Describe", struct{}{}, client.Patience/4, func(status *Status, err error) bool {
 		if err == nil && status.Core.Epoch >= core.Epoch {
 			installed++
 		}
@@ -179,11 +179,11 @@
 // members of the known core, and finishes it. Usually the client that decided the change is about
 // to finish it. It gets a short time to do so, since two clients that finish the same change send
 // every copy twice.
-func (client *Keeper) finishPendingChange() {
+func (client *Client) finishPendingChange() {
 	if old, next := client.findPendingChange(); next.Epoch == 0 || client.Core().Epoch > next.Epoch {
 		return
 	} else if loop.Sleep(client.World, client.Patience/pendingChangeWait); client.isInstalled(next) {
-		client.Learn(next)
+		client.LearnCore(next)
 	} else if client.Core().Epoch <= next.Epoch {
 		_ = client.finishCoreChange(old, next) // the caller's next attempt shows whether this succeeded
 	}
@@ -195,19 +195,19 @@
 
 // findPendingChange looks for a sealed epoch at the members of the current and the previous known
 // core, and returns its core and the core that it was sealed for. It also learns newer cores.
-func (client *Keeper) findPendingChange() (old, next Core) {
+func (client *Client) findPendingChange() (old, next Core) {
 	client.mu.Lock()
 	core, previous := client.core, client.previous
 	client.mu.Unlock()
 	combined := Core{Epoch: core.Epoch, Members: append(append([]Member{}, core.Members...), previous.Members...)}
-	broadcast(client, combined, "Describe", struct{}{}, client.Patience/4, func(status *About, err error) bool {
+	broadcast(client, combined, "Describe", struct{}{}, client.Patience/4, func(status *Status, err error) bool {
 		if err != nil && !errors.Is(err, errWrongAcceptor) {
 			return false
 		}
 		if status.Sealed && status.Core.Epoch >= old.Epoch {
 			old, next = status.Core, status.Next
 		} else if status.Core.Epoch > core.Epoch {
-			client.Learn(status.Core)
+			client.LearnCore(status.Core)
 		}
 		return false
 	})
@@ -216,11 +216,11 @@
 
 // Init creates the first core from the acceptors at the addresses. All of them must reply, and
 // must be new or belong to the very core that this call creates, as after an interrupted Init.
-func (client *Keeper) Init(addresses []string) (Core, error) {
+func (client *Client) Init(addresses []string) (Core, error) {
 	core := Core{Epoch: 1}
 	existing := Core{}
 	for _, address := range addresses {
-		var status About
+		var status Status
 		if err := client.Net.Call(address, "Register.Describe", struct{}{}, &status, client.Patience/4); err != nil {
 			return Core{}, fmt.Errorf("every seed must reply to create a core: %w", err)
 		}
@@ -251,14 +251,14 @@
 			return Core{}, fmt.Errorf("the acceptor at %s rejected the core (%s); run init again", member.Address, vote.Mishap)
 		}
 	}
-	client.Learn(core)
+	client.LearnCore(core)
 	return core, nil
 }
 
 // Repair compares this acceptor's copies with those of its peers, bucket by bucket, and replaces
 // older ones by newer ones. It returns the number of repaired cells.
-func (client *Keeper) Repair(acceptor *Acceptor) (repaired int, err error) {
-	var status About
+func (client *Client) Repair(acceptor *Acceptor) (repaired int, err error) {
+	var status Status
 	_ = acceptor.Describe(struct{}{}, &status)
 	if status.Sealed {
 		return 0, client.finishCoreChange(status.Core, status.Next)
@@ -321,7 +321,7 @@
 				if vote.Kind == Rejected {
 					// A higher ballot was promised since: decide the register's value under a new
 					// one.
-					if _, err := client.Change(key, func(Value) ([]byte, error) { return nil, errUnchanged }); err != nil {
+					if _, err := client.Update(key, func(Value) ([]byte, error) { return nil, errUnchanged }); err != nil {
 						continue
 					}
 				}
@@ -332,9 +332,9 @@
 	return repaired, nil
 }
 
-// Compare returns the digests of every acceptor, by identity, to show whether copies differ.
+// CompareDigests returns the digests of every acceptor, by identity, to show whether copies differ.
 // Acceptors that do not reply are left out.
-func (client *Keeper) Compare() map[string][]string {
+func (client *Client) CompareDigests() map[string][]string {
 	core := client.Core()
 	out := map[string][]string{}
 	broadcast(client, core, "Digest", Query{Epoch: core.Epoch}, client.Patience/4, func(digests *Digests, err error) bool {
@@ -350,7 +350,7 @@
 
 // catchUp joins this acceptor to a core that lists it as a member but whose installation it
 // missed. The first core started empty, so a member of it that never joined lacks nothing.
-func (client *Keeper) catchUp(acceptor *Acceptor, core Core) (int, error) {
+func (client *Client) catchUp(acceptor *Acceptor, core Core) (int, error) {
 	if core.Epoch == 1 {
 		var vote Vote
 		return 0, acceptor.Install(InstallRequest{Core: core}, &vote)
@@ -382,12 +382,12 @@
 	return len(merged), nil
 }
 
-// InStep reports which acceptors of the core have installed its epoch, are able to vote in it now,
+// UpToDate reports which acceptors of the core have installed its epoch, are able to vote in it now,
 // and reply under their own identity. It also returns how many acceptors reply under their own
 // identity at all.
-func (client *Keeper) InStep(core Core) (inStep map[string]bool, replies int) {
+func (client *Client) UpToDate(core Core) (inStep map[string]bool, replies int) {
 	inStep = map[string]bool{}
-	broadcast(client, core, "Describe", struct{}{}, client.Patience/4, func(status *About, err error) bool {
+	broadcast(client, core, "Describe", struct{}{}, client.Patience/4, func(status *Status, err error) bool {
 		if err == nil {
 			replies++
 			if status.Core.Epoch == core.Epoch && !status.Sealed && status.Disk.Broken == "" {
@@ -401,16 +401,16 @@
 
 // Discover asks the daemons at the addresses for their core and learns it. If no core is known
 // yet, it stops at the first reply that has one.
-func (client *Keeper) Discover(addresses []string) {
+func (client *Client) Discover(addresses []string) {
 	hasNoCore := client.Core().Epoch == 0
 	loop.Gather(client.World, len(addresses), client.Patience/4, func(index int) Core {
-		var status About
+		var status Status
 		if client.Net.Call(addresses[index], "Register.Describe", struct{}{}, &status, client.Patience/4) != nil {
 			return Core{}
 		}
 		return status.Core
 	}, func(_ int, core Core) bool {
-		client.Learn(core)
+		client.LearnCore(core)
 		return hasNoCore && core.Epoch > 0
 	})
 }
--- a/register/epoch_test.go
+++ b/register/epoch_test.go
@@ -11,7 +11,7 @@
 
 // member returns the core member for the acceptor that runs on the node now.
 func (cluster *testCluster) member(name string) register.Member {
-	var about register.About
+	var about register.Status
 	_ = cluster.acceptors[name].Describe(struct{}{}, &about)
 	return register.Member{ID: about.ID, Address: name}
 }
@@ -19,7 +19,7 @@
 // replaceMember replaces one acceptor of the core by another, or only adds it if no member is to
 // be replaced.
 func (cluster *testCluster) replaceMember(name string, out, in register.Member) (err error) {
-	cluster.runOn(name, 20*time.Second, func(client *register.Keeper) {
+	cluster.runOn(name, 20*time.Second, func(client *register.Client) {
 		_, err = client.ChangeCore(func(core register.Core) ([]register.Member, error) {
 			members := []register.Member{in}
 			for _, member := range core.Members {
@@ -34,11 +34,11 @@
 }
 
 func (cluster *testCluster) read(name, key string) (value register.Value, err error) {
-	cluster.runOn(name, 20*time.Second, func(client *register.Keeper) { value, err = client.Read(key) })
+	cluster.runOn(name, 20*time.Second, func(client *register.Client) { value, err = client.Read(key) })
 	return value, err
 }
 
-func TestCoreChangeForgetsNothingThatWasSeen(t *testing.T) {
+func TestCoreChangeKeepsReadValues(t *testing.T) {
 	Convey("a value read in a newer core isn't undone by a value that an acceptor accepted in an older core", t, func() {
 		for seed := uint64(1); seed <= 5; seed++ {
 			cluster := newTestCluster(seed)
@@ -46,7 +46,7 @@
 			cluster.start("x", core)
 			vote := func(name string, isAccept bool, round uint64, data string) {
 				var vote register.Vote
-				cluster.runOn(name, time.Second, func(*register.Keeper) {
+				cluster.runOn(name, time.Second, func(*register.Client) {
 					request := register.VoteRequest{Epoch: 1, Key: "k", Ballot: register.Ballot{Epoch: 1, Round: round, Proposer: "p"}, Value: register.Value{Serial: 1, Data: []byte(data)}}
 					if isAccept {
 						_ = cluster.acceptors[name].Accept(request, &vote)
@@ -91,14 +91,14 @@
 	})
 }
 
-func TestAnAddressVotesOnce(t *testing.T) {
+func TestReusedAddressVotesOnce(t *testing.T) {
 	Convey("an acceptor at the address of a lost one does not vote for the lost one too", t, func() {
 		cluster := newTestCluster(7)
 		defer cluster.Close()
 		core := cluster.core("a", "b", "c")
 		lost := cluster.member("a")
 		cluster.Kill("a")
-		cluster.Node("a").Disk.Lose()
+		cluster.Node("a").Disk.Wipe()
 		cluster.start("a", core)
 		So(cluster.replaceMember("b", register.Member{}, cluster.member("a")), ShouldBeNil)
 		So(cluster.clients["b"].Core().Has(lost.ID), ShouldBeTrue)
@@ -109,12 +109,12 @@
 			t.Errorf("fallback: two of four acceptors were counted as a majority of a read: %v", err)
 		}
 		var writeErr error
-		ended := cluster.runOn("b", 30*time.Second, func(client *register.Keeper) { _, writeErr = client.Swap("k", 0, []byte("v")) })
+		ended := cluster.runOn("b", 30*time.Second, func(client *register.Client) { _, writeErr = client.CompareAndSwap("k", 0, []byte("v")) })
 		if !ended || writeErr == nil {
 			t.Errorf("fallback: two of four acceptors were counted as a majority of a change: ended %v, error %v", ended, writeErr)
 		}
 		keys, err := []string(nil), error(nil)
-		cluster.runOn("b", 30*time.Second, func(client *register.Keeper) { keys, err = client.List("") })
+		cluster.runOn("b", 30*time.Second, func(client *register.Client) { keys, err = client.List("") })
 		if err != register.ErrNoMajority {
 			t.Errorf("fallback: two of four acceptors were counted as a majority of a listing: keys %v, error %v", keys, err)
 		}
@@ -149,17 +149,17 @@
 		core := register.Core{Epoch: 1, Members: []register.Member{cluster.member("a"), cluster.member("b"), cluster.member("c")}}
 		other := register.Core{Epoch: 1, Members: []register.Member{cluster.member("a"), cluster.member("b")}}
 		var vote register.Vote
-		cluster.runOn("b", time.Second, func(*register.Keeper) { _ = cluster.acceptors["b"].Install(register.InstallRequest{Core: core}, &vote) })
+		cluster.runOn("b", time.Second, func(*register.Client) { _ = cluster.acceptors["b"].Install(register.InstallRequest{Core: core}, &vote) })
 		So(vote.Kind, ShouldEqual, register.Granted)
-		cluster.runOn("b", time.Second, func(*register.Keeper) {
+		cluster.runOn("b", time.Second, func(*register.Client) {
 			_ = cluster.acceptors["b"].Install(register.InstallRequest{Core: other}, &vote)
 		})
 		So(vote.Kind, ShouldEqual, register.WrongEpoch) // an epoch has one core
 		cluster.Kill("a")
-		cluster.Node("a").Disk.Lose()
+		cluster.Node("a").Disk.Wipe()
 		for _, name := range []string{"b", "c"} {
-			cluster.clients[name].Learn(core)
-			cluster.runOn(name, 5*time.Second, func(client *register.Keeper) { _, _ = client.Repair(cluster.acceptors[name]) })
+			cluster.clients[name].LearnCore(core)
+			cluster.runOn(name, 5*time.Second, func(client *register.Client) { _, _ = client.Repair(cluster.acceptors[name]) })
 		}
 		_, err := cluster.read("b", "k")
 		So(err, ShouldBeNil)
--- a/register/many_test.go
+++ b/register/many_test.go
@@ -10,7 +10,7 @@
 	"swifttiller/register"
 )
 
-func TestManyAreWrittenTogether(t *testing.T) {
+func TestBatchWrite(t *testing.T) {
 	Convey("after two concurrent writers of the same keys and a crash, every key has the data and all changes that were reported as written", t, func() {
 		for seed := uint64(1); seed <= uint64(iterations(20, 4)); seed++ {
 			cluster := newTestCluster(seed)
@@ -43,7 +43,7 @@
 			cluster.Run(8 * time.Second)
 			So(cluster.Messages["Register.PrepareAll"]-before, ShouldBeBetween, 5, 200)
 			read := 0
-			cluster.runOn("a", 10*time.Second, func(client *register.Keeper) {
+			cluster.runOn("a", 10*time.Second, func(client *register.Client) {
 				for key := range data {
 					if value, err := client.Read(key); err == nil && string(value.Data) == "v" && value.Serial >= uint64(written[key]) {
 						read++
--- a/register/names_bench_test.go
+++ b/register/names_bench_test.go
@@ -40,9 +40,9 @@
 	cluster.Run(time.Hour)
 }
 
-// BenchmarkForgottenNames measures the cost of registers whose names are never used again: a
+// BenchmarkUnusedNames measures the cost of registers whose names are never used again: a
 // digest of all of them, a list of their names, and a start from the disk.
-func BenchmarkForgottenNames(b *testing.B) {
+func BenchmarkUnusedNames(b *testing.B) {
 	for _, count := range []int{1000, 10000, 100000} {
 		b.Run(fmt.Sprint(count, "/digest"), func(b *testing.B) {
 			withRegisters(b, count, func(_ *sim.Node, acceptor *register.Acceptor, core register.Core) {
--- a/register/read.go
+++ b/register/read.go
@@ -62,14 +62,14 @@
 }
 
 // addToCache adds a cell with its value to the cache.
-func (client *Keeper) addToCache(key string, cell Cell) {
+func (client *Client) addToCache(key string, cell Cell) {
 	client.mu.Lock()
 	defer client.mu.Unlock()
 	client.cache.add(key, cell)
 }
 
 // cached returns the cached cell of a key, and the digest of its value if that is long.
-func (client *Keeper) cached(key string) (Cell, Sum) {
+func (client *Client) cached(key string) (Cell, Sum) {
 	client.mu.Lock()
 	defer client.mu.Unlock()
 	return client.cache.cells[key], client.cache.sums[key]
@@ -97,13 +97,13 @@
 // Requests that arrive shortly after a round started are combined in the next round. A key whose
 // copies differ is completed first, in two rounds of its own. Callers must not modify the result,
 // since it may be shared with other callers.
-func (client *Keeper) ReadMany(keys ...string) (map[string]Value, error) {
+func (client *Client) ReadMany(keys ...string) (map[string]Value, error) {
 	return client.ReadManyWithin(client.Patience, keys...)
 }
 
 // ReadManyWithin is ReadMany with a timeout of its own, after which it gives up if no majority
 // replies.
-func (client *Keeper) ReadManyWithin(timeout time.Duration, keys ...string) (map[string]Value, error) {
+func (client *Client) ReadManyWithin(timeout time.Duration, keys ...string) (map[string]Value, error) {
 	result, err := client.requestRead(keys, timeout)
 	if err != nil {
 		return nil, err
@@ -131,7 +131,7 @@
 
 // ReadSettled reads several keys in one round. Keys that are being written, whose copies differ so
 // that only a change that keeps the value would reveal it, are left out and returned as undecided.
-func (client *Keeper) ReadSettled(keys ...string) (values map[string]Value, undecided []string, err error) {
+func (client *Client) ReadSettled(keys ...string) (values map[string]Value, undecided []string, err error) {
 	result, err := client.requestRead(keys, client.Patience)
 	if err != nil {
 		return nil, nil, err
@@ -142,7 +142,7 @@
 
 // requestRead queues a read of several keys and waits for the round that answers it together with
 // the other queued reads.
-func (client *Keeper) requestRead(keys []string, timeout time.Duration) (readResult, error) {
+func (client *Client) requestRead(keys []string, timeout time.Duration) (readResult, error) {
 	request := &readRequest{keys: keys, deadline: client.World.Now() + timeout, replies: client.World.Mailbox()}
 	client.mu.Lock()
 	client.queuedReads = append(client.queuedReads, request)
@@ -194,7 +194,7 @@
 
 // complete makes sure that the newest value of a key whose copies differ is decided. Concurrent
 // calls for a key share one completion, if it starts after they arrived.
-func (client *Keeper) complete(key string) (Value, error) {
+func (client *Client) complete(key string) (Value, error) {
 	replies := client.World.Mailbox()
 	client.mu.Lock()
 	if client.completing == nil {
@@ -215,7 +215,7 @@
 				}
 				client.completing[key] = nil
 				client.mu.Unlock()
-				value, err := client.Change(key, func(Value) ([]byte, error) { return nil, errUnchanged })
+				value, err := client.Update(key, func(Value) ([]byte, error) { return nil, errUnchanged })
 				if errors.Is(err, errUnchanged) {
 					err = nil
 				}
@@ -239,7 +239,7 @@
 }
 
 // runReads runs read rounds while requests are queued.
-func (client *Keeper) runReads() {
+func (client *Client) runReads() {
 	for {
 		client.mu.Lock()
 		requests := client.queuedReads
@@ -271,7 +271,7 @@
 
 // readInterval returns the time between the starts of two read rounds: the time that the nearest
 // majority takes to reply, within bounds, since callers wait for it.
-func (client *Keeper) readInterval(core Core) time.Duration {
+func (client *Client) readInterval(core Core) time.Duration {
 	_, hedgeDelay := client.nearest(core)
 	return max(minReadInterval, min(hedgeDelay/hedgeFactor, maxReadInterval))
 }
@@ -286,7 +286,7 @@
 
 // serveReads runs one round for the requests. Requests that it can't answer are queued for a later
 // round until their deadlines.
-func (client *Keeper) serveReads(core Core, keys []string, requests []*readRequest) {
+func (client *Client) serveReads(core Core, keys []string, requests []*readRequest) {
 	result, epochVote := client.readRound(core, keys)
 	if result.err == nil {
 		for _, request := range requests {
@@ -319,7 +319,7 @@
 
 // nearest returns the acceptors in the order of their latencies, this daemon's own first, and how
 // long to wait for the first majority of them.
-func (client *Keeper) nearest(core Core) (order []int, hedgeDelay time.Duration) {
+func (client *Client) nearest(core Core) (order []int, hedgeDelay time.Duration) {
 	client.mu.Lock()
 	defer client.mu.Unlock()
 	latency := func(index int) time.Duration {
@@ -337,7 +337,7 @@
 }
 
 // recordLatency updates an acceptor's latency after a reply or a missing reply.
-func (client *Keeper) recordLatency(id string, latency time.Duration, hasReplied bool) {
+func (client *Client) recordLatency(id string, latency time.Duration, hasReplied bool) {
 	client.mu.Lock()
 	defer client.mu.Unlock()
 	if client.latencies == nil {
@@ -368,7 +368,7 @@
 
 // fetch returns a long value from one of the members that hold it under the ballot, the nearest
 // first. Concurrent calls for the same value share one fetch.
-func (client *Keeper) fetch(core Core, key fetchKey, accepted Ballot, holders []Member) (Value, bool) {
+func (client *Client) fetch(core Core, key fetchKey, accepted Ballot, holders []Member) (Value, bool) {
 	replies := client.World.Mailbox()
 	client.mu.Lock()
 	if client.cache.sums[key.key] == key.sum {
@@ -426,7 +426,7 @@
 
 // loadValue fetches the candidate's value if it is left out. It returns false if no holder sent
 // the value.
-func (client *Keeper) loadValue(core Core, key string, candidate *candidate) bool {
+func (client *Client) loadValue(core Core, key string, candidate *candidate) bool {
 	if candidate.isBrief {
 		value, isFound := client.fetch(core, fetchKey{key, candidate.sum}, candidate.cell.Accepted, candidate.holders)
 		if !isFound {
@@ -442,7 +442,7 @@
 // ballot: whatever was decided before the round started is held by at least one member of every
 // majority, under that ballot or a higher one. Long values come from this daemon's own acceptor or
 // from one of the acceptors that hold them.
-func (client *Keeper) readRound(core Core, keys []string) (readResult, *Vote) {
+func (client *Client) readRound(core Core, keys []string) (readResult, *Vote) {
 	query := Query{Epoch: core.Epoch, Keys: keys, Marks: make([]BallotHash, len(keys))}
 	cached := make([]Cell, len(keys))
 	for index, key := range keys {
--- a/register/read_test.go
+++ b/register/read_test.go
@@ -39,7 +39,7 @@
 					op := &operation{begin: node.Now(), write: true, value: name + strconv.Itoa(turn) + padding, uncertain: true}
 					entries = append(entries, op)
 					keyOf[op] = key
-					_, err := client.Change(key, func(value register.Value) ([]byte, error) {
+					_, err := client.Update(key, func(value register.Value) ([]byte, error) {
 						op.previous = string(value.Data)
 						return []byte(op.value), nil
 					})
@@ -49,7 +49,7 @@
 					} else if !errors.Is(err, register.ErrUncertain) {
 						op.value = "never"
 					}
-					loop.Sleep(node, time.Duration(node.Draw(int64(60*time.Millisecond))))
+					loop.Sleep(node, time.Duration(node.RandN(int64(60*time.Millisecond))))
 				}
 			})
 		}
@@ -66,7 +66,7 @@
 							keyOf[op] = key
 						}
 					}
-					loop.Sleep(node, time.Duration(node.Draw(int64(20*time.Millisecond))))
+					loop.Sleep(node, time.Duration(node.RandN(int64(20*time.Millisecond))))
 				}
 			})
 		}
@@ -81,12 +81,12 @@
 	}
 	rounds := uint64(0)
 	for _, name := range names {
-		rounds += cluster.clients[name].Rounded().Reads
+		rounds += cluster.clients[name].RoundCounters().Reads
 	}
 	return history, reads, rounds
 }
 
-func TestSharedReadsAreLinear(t *testing.T) {
+func TestSharedReadsAreLinearizable(t *testing.T) {
 	Convey("the history of each key is linearizable when reads share rounds and use cached values", t, func() {
 		reads, rounds := 0, uint64(0)
 		for seed := uint64(1); seed <= uint64(iterations(25, 5)); seed++ {
@@ -102,7 +102,7 @@
 					cluster.Run(time.Second)
 					cluster.Split([]string{"a"}, []string{"b", "c"}, false)
 				case 3:
-					cluster.Unruly.Late, cluster.Unruly.Repeated, cluster.Unruly.Lost, cluster.Unruly.Latest = 0.05, 0.05, 0.02, 400*time.Millisecond
+					cluster.Faults.Delayed, cluster.Faults.Duplicated, cluster.Faults.Lost, cluster.Faults.MaxDelay = 0.05, 0.05, 0.02, 400*time.Millisecond
 				}
 			})
 			reads += readCount
@@ -127,15 +127,15 @@
 		write := func(at string, first byte) {
 			big[0] = first
 			err := errors.New("not done")
-			cluster.runOn(at, 5*time.Second, func(client *register.Keeper) {
-				_, err = client.Change("k", func(register.Value) ([]byte, error) { return append([]byte{}, big...), nil })
+			cluster.runOn(at, 5*time.Second, func(client *register.Client) {
+				_, err = client.Update("k", func(register.Value) ([]byte, error) { return append([]byte{}, big...), nil })
 			})
 			So(err, ShouldBeNil)
 		}
 		read := func(at string) (value register.Value, bytes int) {
 			before := cluster.Bytes["Register.Query"]
 			err := errors.New("not done")
-			cluster.runOn(at, 5*time.Second, func(client *register.Keeper) { value, err = client.Read("k") })
+			cluster.runOn(at, 5*time.Second, func(client *register.Client) { value, err = client.Read("k") })
 			So(err, ShouldBeNil)
 			return value, cluster.Bytes["Register.Query"] - before
 		}
@@ -175,7 +175,7 @@
 					for turn := 0; turn < turns; turn++ {
 						startedAt := cluster.Now()
 						err := errors.New("not done")
-						cluster.runOn("a", 5*time.Second, func(client *register.Keeper) { _, err = client.Read("k") })
+						cluster.runOn("a", 5*time.Second, func(client *register.Client) { _, err = client.Read("k") })
 						So(err, ShouldBeNil)
 						span = max(span, cluster.Now()-startedAt)
 					}
@@ -220,10 +220,10 @@
 	})
 }
 
-// TestReadersLetTheWriterEnd guards against readers that outvote a writer. While a key is written,
+// TestReadersDoNotOutvoteWriter guards against readers that outvote a writer. While a key is written,
 // many distant daemons read it and must wait for the writer to finish. If each of them completed
 // the key by a change of its own, they would outvote each other and the writer for seconds.
-func TestReadersLetTheWriterEnd(t *testing.T) {
+func TestReadersDoNotOutvoteWriter(t *testing.T) {
 	const far, gap = 55 * time.Millisecond, 40 * time.Millisecond
 	names := []string{"a", "b", "c", "d", "e", "f"}
 	worst, slowest, failed := time.Duration(0), time.Duration(0), 0
@@ -242,7 +242,7 @@
 			client, node := cluster.clients[name], cluster.Node(name)
 			node.Go(func() {
 				for node.Now() < until {
-					loop.Sleep(node, gap/2+time.Duration(node.Draw(int64(gap))))
+					loop.Sleep(node, gap/2+time.Duration(node.RandN(int64(gap))))
 					node.Go(func() {
 						began := node.Now()
 						if _, err := client.ReadMany("key"); err != nil {
@@ -255,8 +255,8 @@
 		}
 		for turn := 0; cluster.Now() < until; turn++ {
 			began := cluster.Now()
-			if !cluster.runOn(names[turn%len(names)], 5*time.Second, func(client *register.Keeper) {
-				if _, err := client.Swap("key", uint64(turn), []byte("v")); err != nil {
+			if !cluster.runOn(names[turn%len(names)], 5*time.Second, func(client *register.Client) {
+				if _, err := client.CompareAndSwap("key", uint64(turn), []byte("v")); err != nil {
 					failed++
 				}
 			}) {
@@ -281,11 +281,11 @@
 		defer cluster.Close()
 		core := cluster.core("a", "b", "c")
 		data := []byte(strings.Repeat("held ", 200))
-		cluster.runOn("a", 10*time.Second, func(client *register.Keeper) { _, _ = client.Swap("k", 0, data) })
+		cluster.runOn("a", 10*time.Second, func(client *register.Client) { _, _ = client.CompareAndSwap("k", 0, data) })
 		cluster.Run(time.Second)
 		var vote register.Vote
 		request := register.VoteRequest{Epoch: core.Epoch, Key: "k", Ballot: register.Ballot{Epoch: core.Epoch, Round: 99, Proposer: "p"}, Sum: register.Sum{1}}
-		cluster.runOn("b", time.Second, func(*register.Keeper) { _ = cluster.acceptors["b"].Accept(request, &vote) })
+		cluster.runOn("b", time.Second, func(*register.Client) { _ = cluster.acceptors["b"].Accept(request, &vote) })
 		if vote.Kind != register.ValueMissing {
 			t.Errorf("not linear: a value was accepted by the digest of another value: vote kind %d", vote.Kind)
 		}
@@ -295,7 +295,7 @@
 	})
 }
 
-func TestKeysTravelByTheirEnds(t *testing.T) {
+func TestKeysEncoding(t *testing.T) {
 	keys := register.Keys{"config", "holder/counter-some-hall-1", "holder/counter-some-hall-12", "holder/counter-some-hall-2", "", "standing/some", "standing/some"}
 	text, err := keys.GobEncode()
 	if err != nil || len(text) > 70 {
--- a/register/record_test.go
+++ b/register/record_test.go
@@ -38,7 +38,7 @@
 	})
 }
 
-func TestLogsFromBeforeAreRead(t *testing.T) {
+func TestOldLogFormat(t *testing.T) {
 	Convey("log records in the older gob format can be read", t, func() {
 		cluster := newTestCluster(1)
 		defer cluster.Close()
@@ -68,7 +68,7 @@
 		cluster.start("a", core)
 		So(cluster.openErrors["a"], ShouldBeNil)
 		read := ""
-		cluster.runOn("a", 5*time.Second, func(client *register.Keeper) {
+		cluster.runOn("a", 5*time.Second, func(client *register.Client) {
 			values, err := client.ReadMany("k", "l")
 			read = fmt.Sprintf("%s %s %v", values["k"].Data, values["l"].Data, err)
 		})
--- a/register/register_test.go
+++ b/register/register_test.go
@@ -29,7 +29,7 @@
 // testCluster is a set of simulated control machines that run nothing but registers.
 type testCluster struct {
 	*sim.Sim
-	clients      map[string]*register.Keeper
+	clients      map[string]*register.Client
 	acceptors    map[string]*register.Acceptor
 	openErrors   map[string]error
 	incarnations int
@@ -37,7 +37,7 @@
 }
 
 func newTestCluster(seed uint64) *testCluster {
-	return &testCluster{Sim: sim.New(seed), clients: map[string]*register.Keeper{}, acceptors: map[string]*register.Acceptor{}, openErrors: map[string]error{}, logBytes: 4000}
+	return &testCluster{Sim: sim.New(seed), clients: map[string]*register.Client{}, acceptors: map[string]*register.Acceptor{}, openErrors: map[string]error{}, logBytes: 4000}
 }
 
 func (cluster *testCluster) start(name string, core register.Core) {
@@ -54,15 +54,15 @@
 			panic(err)
 		}
 		node.Serve(server)
-		client := &register.Keeper{Options: register.Options{World: node, Net: sim.Net{Node: node}, Self: fmt.Sprintf("%s.%d", name, incarnation), Patience: operationTimeout}}
-		client.Learn(core)
+		client := &register.Client{Options: register.Options{World: node, Net: sim.Net{Node: node}, Self: fmt.Sprintf("%s.%d", name, incarnation), Patience: operationTimeout}}
+		client.LearnCore(core)
 		cluster.clients[name], cluster.acceptors[name] = client, acceptor
 	})
 	cluster.Run(100 * time.Millisecond)
 }
 
 // runOn runs a task on a node until it ends or the timeout expires, and reports whether it ended.
-func (cluster *testCluster) runOn(name string, timeout time.Duration, run func(client *register.Keeper)) bool {
+func (cluster *testCluster) runOn(name string, timeout time.Duration, run func(client *register.Client)) bool {
 	done := false
 	cluster.Node(name).Go(func() { run(cluster.clients[name]); done = true })
 	for elapsed := time.Duration(0); elapsed < timeout && !done; elapsed += 10 * time.Millisecond {
@@ -76,7 +76,7 @@
 		cluster.start(name, register.Core{})
 	}
 	var core register.Core
-	cluster.runOn(names[0], 5*time.Second, func(client *register.Keeper) {
+	cluster.runOn(names[0], 5*time.Second, func(client *register.Client) {
 		made, err := client.Init(names)
 		if err != nil {
 			panic(err)
@@ -84,7 +84,7 @@
 		core = made
 	})
 	for _, name := range names {
-		cluster.clients[name].Learn(core)
+		cluster.clients[name].LearnCore(core)
 	}
 	return core
 }
@@ -92,9 +92,9 @@
 // write swaps a key count times, starting with serial 0.
 func (cluster *testCluster) write(name string, count int, key string) {
 	var err error
-	done := cluster.runOn(name, 30*time.Second, func(client *register.Keeper) {
+	done := cluster.runOn(name, 30*time.Second, func(client *register.Client) {
 		for index := 0; index < count && err == nil; index++ {
-			_, err = client.Swap(key, uint64(index), []byte("v"))
+			_, err = client.CompareAndSwap(key, uint64(index), []byte("v"))
 		}
 	})
 	So(done, ShouldBeTrue)
@@ -200,7 +200,7 @@
 					op.write = true
 					op.value = name + strconv.Itoa(turn)
 					entries = append(entries, op)
-					_, err = client.Change("k", func(value register.Value) ([]byte, error) {
+					_, err = client.Update("k", func(value register.Value) ([]byte, error) {
 						op.previous = string(value.Data)
 						return []byte(op.value), nil
 					})
@@ -214,7 +214,7 @@
 				} else if !errors.Is(err, register.ErrUncertain) {
 					op.value = "never" // nothing was written, and nothing will be
 				}
-				loop.Sleep(node, time.Duration(node.Draw(int64(30*time.Millisecond))))
+				loop.Sleep(node, time.Duration(node.RandN(int64(30*time.Millisecond))))
 			}
 		}
 		node.Go(run)
@@ -230,7 +230,7 @@
 	// The final value after all faults is read as well.
 	for _, name := range names {
 		if cluster.Node(name).Up() {
-			cluster.runOn(name, 10*time.Second, func(client *register.Keeper) {
+			cluster.runOn(name, 10*time.Second, func(client *register.Client) {
 				begin := cluster.Now()
 				if value, err := client.Read("k"); err == nil {
 					history = append(history, operation{begin: begin, end: cluster.Now(), value: string(value.Data)})
@@ -241,7 +241,7 @@
 	return history
 }
 
-func TestRegisterIsLinear(t *testing.T) {
+func TestRegisterIsLinearizable(t *testing.T) {
 	Convey("the history of contending writers is linearizable under network cuts, freezes and crashes", t, func() {
 		for seed := uint64(1); seed <= uint64(iterations(25, 5)); seed++ {
 			history := contendedHistory(seed, func(cluster *testCluster, core register.Core) {
@@ -277,24 +277,24 @@
 				defer cluster.Close()
 				core := cluster.core("a", "b", "c")
 				reached := 0
-				cluster.Hook(point, func(node *sim.Node, _ int) {
+				cluster.SetHook(point, func(node *sim.Node, _ int) {
 					if node.Name == "b" {
 						if reached++; reached == step {
-							node.Halt()
+							node.Crash()
 						}
 					}
 				})
 				acknowledged := 0
-				cluster.runOn("a", 30*time.Second, func(client *register.Keeper) {
+				cluster.runOn("a", 30*time.Second, func(client *register.Client) {
 					for turn := 1; turn <= 12; turn++ {
-						if _, err := client.Swap("k", uint64(turn-1), make([]byte, 400)); err == nil {
+						if _, err := client.CompareAndSwap("k", uint64(turn-1), make([]byte, 400)); err == nil {
 							acknowledged = turn
 						}
 					}
 				})
 				So(acknowledged, ShouldEqual, 12)
 				if !cluster.Node("b").Up() {
-					cluster.Hook(point, nil)
+					cluster.SetHook(point, nil)
 					cluster.start("b", core)
 					So(cluster.openErrors["b"], ShouldBeNil)
 				}
@@ -302,7 +302,7 @@
 				cluster.Kill("a")
 				var value register.Value
 				var err error
-				So(cluster.runOn("b", 10*time.Second, func(client *register.Keeper) { value, err = client.Read("k") }), ShouldBeTrue)
+				So(cluster.runOn("b", 10*time.Second, func(client *register.Client) { value, err = client.Read("k") }), ShouldBeTrue)
 				So(err, ShouldBeNil)
 				So(value.Serial, ShouldEqual, 12)
 			}
@@ -310,7 +310,7 @@
 	})
 }
 
-func TestSpoiledDiskIsNotEmptiness(t *testing.T) {
+func TestCorruptDiskFailsStart(t *testing.T) {
 	Convey("a corrupt byte in a slot or in the middle of the log fails the start with an error", t, func() {
 		for _, fault := range []struct {
 			name       string
@@ -320,9 +320,9 @@
 			core := cluster.core("a", "b", "c")
 			cluster.write("a", fault.writes, "k")
 			cluster.Kill("b")
-			So(cluster.Node("b").Disk.Spoil(fault.name, fault.at), ShouldBeTrue)
+			So(cluster.Node("b").Disk.Corrupt(fault.name, fault.at), ShouldBeTrue)
 			cluster.start("b", core)
-			var corrupt *disk.Corrupt
+			var corrupt *disk.CorruptError
 			So(errors.As(cluster.openErrors["b"], &corrupt), ShouldBeTrue)
 		}
 	})
@@ -331,25 +331,25 @@
 		cluster.core("a", "b", "c")
 		cluster.Node("b").Disk.Full = true
 		cluster.write("a", 1, "k")
-		var about register.About
+		var about register.Status
 		So(cluster.acceptors["b"].Describe(struct{}{}, &about), ShouldBeNil)
 		So(about.Disk.Broken, ShouldContainSubstring, "no space left")
 		cluster.Node("b").Disk.Full = false
 		var vote register.Vote
-		cluster.runOn("b", time.Second, func(*register.Keeper) {
+		cluster.runOn("b", time.Second, func(*register.Client) {
 			_ = cluster.acceptors["b"].Prepare(register.VoteRequest{Epoch: 1, Key: "k", Ballot: register.Ballot{Round: 99}}, &vote)
 		})
 		So(vote.Kind, ShouldEqual, register.DiskFailed) // no votes until the whole state is written again
 	})
 	Convey("an acceptor votes again once its disk accepts writes, and keeps all its promises, also after a restart", t, func() {
-		for _, fault := range []func(disk *sim.Disk, is bool){func(disk *sim.Disk, is bool) { disk.Full = is }, func(disk *sim.Disk, is bool) { disk.Sick = is }} {
+		for _, fault := range []func(disk *sim.Disk, is bool){func(disk *sim.Disk, is bool) { disk.Full = is }, func(disk *sim.Disk, is bool) { disk.FailSyncs = is }} {
 			cluster := newTestCluster(5)
 			core := cluster.core("a", "b", "c")
 			cluster.write("a", 2, "k")
 			fault(cluster.Node("b").Disk, true)
 			cluster.write("a", 3, "during")
 			prepare := func(round uint64) (vote register.Vote) {
-				cluster.runOn("b", time.Second, func(*register.Keeper) {
+				cluster.runOn("b", time.Second, func(*register.Client) {
 					_ = cluster.acceptors["b"].Prepare(register.VoteRequest{Epoch: 1, Key: "k", Ballot: register.Ballot{Epoch: 1, Round: round}}, &vote)
 				})
 				return vote
@@ -358,13 +358,13 @@
 			fault(cluster.Node("b").Disk, false)
 			cluster.Run(600 * time.Millisecond)
 			So(prepare(99).Kind, ShouldEqual, register.Granted)
-			var about register.About
+			var about register.Status
 			So(cluster.acceptors["b"].Describe(struct{}{}, &about), ShouldBeNil)
 			So(about.Disk.Broken, ShouldEqual, "")
 			// A query returns durable state only, and that includes everything that the acceptor
 			// holds.
 			var seen register.QueryReply
-			cluster.runOn("b", time.Second, func(*register.Keeper) {
+			cluster.runOn("b", time.Second, func(*register.Client) {
 				_ = cluster.acceptors["b"].Query(register.Query{Epoch: 1, Keys: register.Keys{"k"}}, &seen)
 			})
 			So(seen.Cells["k"], ShouldResemble, cluster.acceptors["b"].Cells()["k"])
@@ -378,7 +378,7 @@
 			cluster.Kill("c")
 			var value register.Value
 			var err error
-			So(cluster.runOn("a", 10*time.Second, func(proposer *register.Keeper) { value, err = proposer.Read("after") }), ShouldBeTrue)
+			So(cluster.runOn("a", 10*time.Second, func(proposer *register.Client) { value, err = proposer.Read("after") }), ShouldBeTrue)
 			So(err, ShouldBeNil)
 			So(value.Serial, ShouldEqual, 4)
 		}
@@ -400,24 +400,24 @@
 	Convey("an acceptor that lost its disk has no vote until it is admitted to the core", t, func() {
 		cluster := newTestCluster(5)
 		core := cluster.core("a", "b", "c")
-		cluster.runOn("a", 9*time.Second, func(client *register.Keeper) { _, _ = client.Swap("k", 0, []byte("v")) })
+		cluster.runOn("a", 9*time.Second, func(client *register.Client) { _, _ = client.CompareAndSwap("k", 0, []byte("v")) })
 		cluster.Kill("c")
-		cluster.Node("c").Disk.Lose()
+		cluster.Node("c").Disk.Wipe()
 		cluster.start("c", core)
 		cluster.Kill("b")
 		var err error
-		cluster.runOn("a", 9*time.Second, func(client *register.Keeper) { _, err = client.Read("k") })
+		cluster.runOn("a", 9*time.Second, func(client *register.Client) { _, err = client.Read("k") })
 		So(err, ShouldEqual, register.ErrNoMajority)
 		cluster.start("b", core)
 		Convey("after its admission its vote and its state count, wherever the daemon that changes the core crashes", func() {
-			var newcomer register.About
+			var newcomer register.Status
 			_ = cluster.acceptors["c"].Describe(struct{}{}, &newcomer)
 			for crashStep := 1; crashStep <= 12; crashStep++ {
 				cluster := newTestCluster(uint64(50 + crashStep))
 				core := cluster.core("a", "b", "c")
-				cluster.runOn("b", 9*time.Second, func(client *register.Keeper) { _, _ = client.Swap("k", 0, []byte("v")) })
+				cluster.runOn("b", 9*time.Second, func(client *register.Client) { _, _ = client.CompareAndSwap("k", 0, []byte("v")) })
 				cluster.Kill("c")
-				cluster.Node("c").Disk.Lose()
+				cluster.Node("c").Disk.Wipe()
 				cluster.start("c", core)
 				_ = cluster.acceptors["c"].Describe(struct{}{}, &newcomer)
 				var lost register.Member
@@ -430,29 +430,29 @@
 				crash := func(node *sim.Node, _ int) {
 					if node.Name == "a" {
 						if steps++; steps == crashStep {
-							node.Halt()
+							node.Crash()
 						}
 					}
 				}
-				cluster.Hook("disk.write", crash)
-				cluster.Hook("disk.synced", crash)
-				cluster.runOn("a", 9*time.Second, func(client *register.Keeper) {
+				cluster.SetHook("disk.write", crash)
+				cluster.SetHook("disk.synced", crash)
+				cluster.runOn("a", 9*time.Second, func(client *register.Client) {
 					_, _ = client.ChangeCore(swapIn(lost, register.Member{ID: newcomer.ID, Address: "c"}))
 				})
-				cluster.Hook("disk.write", nil)
-				cluster.Hook("disk.synced", nil)
+				cluster.SetHook("disk.write", nil)
+				cluster.SetHook("disk.synced", nil)
 				if !cluster.Node("a").Up() {
 					cluster.start("a", core)
 				}
 				var err error
-				cluster.runOn("b", 20*time.Second, func(client *register.Keeper) {
+				cluster.runOn("b", 20*time.Second, func(client *register.Client) {
 					_, err = client.ChangeCore(swapIn(lost, register.Member{ID: newcomer.ID, Address: "c"}))
 				})
 				So(cluster.clients["b"].Core().Has(newcomer.ID), ShouldBeTrue)
 				_ = err // the first change may have won; only the resulting core matters
 				cluster.Kill("a")
 				var value register.Value
-				cluster.runOn("c", 20*time.Second, func(client *register.Keeper) { value, err = client.Read("k") })
+				cluster.runOn("c", 20*time.Second, func(client *register.Client) { value, err = client.Read("k") })
 				So(err, ShouldBeNil)
 				So(string(value.Data), ShouldEqual, "v")
 			}
@@ -465,10 +465,10 @@
 			for _, name := range []string{"d", "e", "f"} {
 				cluster.start(name, core)
 			}
-			cluster.runOn("a", 9*time.Second, func(client *register.Keeper) { _, _ = client.Swap("k", 0, []byte("v")) })
+			cluster.runOn("a", 9*time.Second, func(client *register.Client) { _, _ = client.CompareAndSwap("k", 0, []byte("v")) })
 			var replacements []register.Member
 			for _, name := range []string{"d", "e", "f"} {
-				var about register.About
+				var about register.Status
 				_ = cluster.acceptors[name].Describe(struct{}{}, &about)
 				replacements = append(replacements, register.Member{ID: about.ID, Address: name})
 			}
@@ -478,7 +478,7 @@
 					won++
 				}
 			})
-			cluster.runOn("b", 20*time.Second, func(client *register.Keeper) {
+			cluster.runOn("b", 20*time.Second, func(client *register.Client) {
 				if _, err := client.ChangeCore(swapIn(core.Members[0], replacements[0])); err == nil {
 					won++
 				}
@@ -487,7 +487,7 @@
 			So(won, ShouldEqual, 1)
 			var value register.Value
 			var err error
-			cluster.runOn("f", 20*time.Second, func(client *register.Keeper) { value, err = client.Read("k") })
+			cluster.runOn("f", 20*time.Second, func(client *register.Client) { value, err = client.Read("k") })
 			So(err, ShouldBeNil)
 			So(string(value.Data), ShouldEqual, "v")
 		}
@@ -504,7 +504,7 @@
 		}
 		cluster.Split([]string{"c"}, []string{"a", "b"}, false)
 		repair := func() (repaired int) {
-			cluster.runOn("c", 20*time.Second, func(client *register.Keeper) { repaired, _ = client.Repair(cluster.acceptors["c"]) })
+			cluster.runOn("c", 20*time.Second, func(client *register.Client) { repaired, _ = client.Repair(cluster.acceptors["c"]) })
 			return repaired
 		}
 		So(repair(), ShouldEqual, 10)
--- a/replica/relay.go
+++ b/replica/proxy.go
@@ -22,9 +22,9 @@
 // Field is one header field of a request.
 type Field struct{ Name, Value []byte }
 
-// Ask is a routed request that is sent to a replica. What the caller sent is forwarded byte for
+// RoutedRequest is a routed request that is sent to a replica. What the caller sent is forwarded byte for
 // byte.
-type Ask struct {
+type RoutedRequest struct {
 	// Replica is the id of the replica process that is to run the request; no other may run it.
 	Replica, Address string
 	ID               string
@@ -32,8 +32,8 @@
 	URI              []byte
 	Header           []Field
 	Body             []byte
-	// Left is how long the caller still waits. The replica stops its work after that.
-	Left time.Duration
+	// Remaining is how long the caller still waits. The replica stops its work after that.
+	Remaining time.Duration
 	// Urgency is the priority class, 0 being the most urgent. After is the id of the last event
 	// that the caller has received, empty if the answer is to start at its beginning. Version, if
 	// set, is the only model version that may run the request.
@@ -42,23 +42,23 @@
 	Version string
 	// Tenant is the name of the tenant that the replica is told; empty if the request has none.
 	Tenant string
-	// Once is true if the request must not be sent again after a failure.
-	Once bool
-	// Anew is true if the request must use a new connection, as only connecting shows in advance
+	// NotRepeatable is true if the request must not be sent again after a failure.
+	NotRepeatable bool
+	// NewConnection is true if the request must use a new connection, as only connecting shows in advance
 	// whether the replica is there.
-	Anew bool
+	NewConnection bool
 	// Gate is called right before the first byte is sent, and may still reject the request.
-	Gate func() *verdict.Mishap
-	// Bind, if set, is called with the function that aborts the request from outside, and with nil
+	Gate func() *verdict.Error
+	// OnAbort, if set, is called with the function that aborts the request from outside, and with nil
 	// when nothing is running any more.
-	Bind func(abort func())
-	// Connect is the timeout for a new connection, Unheard how long sent bytes may stay without a
+	OnAbort func(abort func())
+	// ConnectTimeout is the timeout for a new connection, Unheard how long sent bytes may stay without a
 	// TCP acknowledgement.
-	Connect, Unheard time.Duration
-	// Silent, if set, is called each time the replica has sent nothing for another Span, with
+	ConnectTimeout, UnackedTimeout time.Duration
+	// OnSilence, if set, is called each time the replica has sent nothing for another Span, with
 	// whether the answer has begun. If it returns true, the request is given up.
-	Silent func(hasBegun bool) bool
-	Span   time.Duration
+	OnSilence       func(hasBegun bool) bool
+	SilenceInterval time.Duration
 }
 
 // ErrSilent is the error of a request that was given up because its replica was silent.
@@ -67,31 +67,31 @@
 // Head is the head of a replica's answer, as decoded by a Dialect.
 type Head struct {
 	Status int
-	// Foreign is true for an answer to another request, which is skipped.
-	Foreign bool
+	// OtherRequest is true for an answer to another request, which is skipped.
+	OtherRequest bool
 	// NotRun is true if the replica states that it did not run the request, Elsewhere if another
 	// replica now has its address.
-	NotRun, Elsewhere bool
-	// Unsound says why the answer is invalid and must not be passed on; empty if it is valid.
-	Unsound string
+	NotRun, OtherReplica bool
+	// Invalid says why the answer is invalid and must not be passed on; empty if it is valid.
+	Invalid string
 	// Running, Waiting and Slots are the load that the replica reports, if HasLoad.
 	HasLoad                 bool
 	Running, Waiting, Slots int
-	// Keep is how long the replica keeps the connection open; zero if it does not say.
-	Keep   time.Duration
-	Events bool // the body is an event stream
+	// KeepAlive is how long the replica keeps the connection open; zero if it does not say.
+	KeepAlive time.Duration
+	Events    bool // the body is an event stream
 }
 
 // Dialect encodes routed requests in a protocol and decodes the answers. It only translates and
 // takes no decisions.
 type Dialect interface {
 	// Write fills in the HTTP request for the replica.
-	Write(request *Ask, httpRequest *fasthttp.Request)
+	Write(request *RoutedRequest, httpRequest *fasthttp.Request)
 	// Read decodes the head of the answer to a request.
-	Read(request *Ask, httpResponse *fasthttp.Response) Head
+	Read(request *RoutedRequest, httpResponse *fasthttp.Response) Head
 	// Probe checks the health of a replica. The error is Anew if another replica answers at its
 	// address, which means that this one has ended.
-	Probe(target Target, timeout time.Duration) (Vitals, error)
+	Probe(target Target, timeout time.Duration) (Health, error)
 }
 
 // Target is a replica that is to be probed.
@@ -99,12 +99,12 @@
 	ID, Address, Path string
 }
 
-// Relay sends routed requests to replicas over pooled connections.
+// Proxy sends routed requests to replicas over pooled connections.
 //
 // Invariants: a connection is in idle only if every answer on it so far ended cleanly and was read
 // to its end. A connection whose request did not end like that is closed, so that its late bytes
 // reach nobody.
-type Relay struct {
+type Proxy struct {
 	World   loop.World
 	Dialect Dialect
 	mu      sync.Mutex
@@ -140,10 +140,10 @@
 type answerReader struct {
 	events       bool
 	keep         time.Duration
-	relay        *Relay
+	relay        *Proxy
 	conn         *connection
 	httpResponse *fasthttp.Response // kept because its buffers stay in use until the end
-	request      *Ask
+	request      *RoutedRequest
 	deadline     time.Duration
 	body         io.Reader
 	buffer       []byte
@@ -183,20 +183,20 @@
 
 // isReusable reports whether the connection was used recently enough to send the request on it. The
 // caller holds mu.
-func (relay *Relay) isReusable(request *Ask, conn *connection, now time.Duration) bool {
+func (relay *Proxy) isReusable(request *RoutedRequest, conn *connection, now time.Duration) bool {
 	learned := relay.idleLimits[request.Address]
 	reuseUntil := conn.expiresAt
 	if now < learned.forgetAt {
 		reuseUntil = min(reuseUntil, conn.lastUsed+learned.limit)
 	}
-	if request.Once && now < relay.cautiousUntil {
+	if request.NotRepeatable && now < relay.cautiousUntil {
 		reuseUntil = min(reuseUntil, conn.lastUsed+cautiousIdleLimit)
 	}
 	return now < reuseUntil
 }
 
 // noteDropped records that a replica dropped a connection that had been idle for the given time.
-func (relay *Relay) noteDropped(address string, idle time.Duration) {
+func (relay *Proxy) noteDropped(address string, idle time.Duration) {
 	if idle < minLearnedIdle {
 		return // idleness was not the cause
 	}
@@ -217,7 +217,7 @@
 // maxIdleRouted limits the idle connections per replica.
 const maxIdleRouted = 32
 
-func (relay *Relay) acquire(request *Ask) (*connection, bool, error) {
+func (relay *Proxy) acquire(request *RoutedRequest) (*connection, bool, error) {
 	now := relay.World.Now()
 	for {
 		relay.mu.Lock()
@@ -230,7 +230,7 @@
 		relay.idle[request.Address] = idle[:len(idle)-1]
 		isReusable := relay.isReusable(request, conn, now)
 		relay.mu.Unlock()
-		if request.Anew {
+		if request.NewConnection {
 			conn.Close() // the new connection takes its place
 			break
 		}
@@ -239,9 +239,9 @@
 		}
 		conn.Close()
 	}
-	dialer := net.Dialer{Timeout: request.Connect, KeepAlive: -1, Control: func(_, _ string, raw syscall.RawConn) error {
+	dialer := net.Dialer{Timeout: request.ConnectTimeout, KeepAlive: -1, Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(descriptor uintptr) {
-			_ = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(request.Unheard/time.Millisecond))
+			_ = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(request.UnackedTimeout/time.Millisecond))
 		})
 	}}
 	tcpConn, err := dialer.Dial("tcp", request.Address)
@@ -254,7 +254,7 @@
 	return &connection{Conn: tcpConn, reader: bufio.NewReaderSize(tcpConn, 4<<10), boot: request.Replica}, false, nil
 }
 
-func (relay *Relay) putIdle(address string, conn *connection, keep time.Duration) {
+func (relay *Proxy) putIdle(address string, conn *connection, keep time.Duration) {
 	now := relay.World.Now()
 	if keep <= 0 {
 		keep = maxIdleTime
@@ -273,7 +273,7 @@
 }
 
 // Sweep closes connections that have been idle for too long.
-func (relay *Relay) Sweep() {
+func (relay *Proxy) Sweep() {
 	now := relay.World.Now()
 	relay.mu.Lock()
 	defer relay.mu.Unlock()
@@ -298,29 +298,29 @@
 
 // Send sends the request and waits for the head of its answer. A failure with verdict NotRun means
 // that no replica has run the request or will run it.
-func (relay *Relay) Send(request *Ask) (*Answer, *verdict.Mishap) {
+func (relay *Proxy) Send(request *RoutedRequest) (*Answer, *verdict.Error) {
 	conn, reused, err := relay.acquire(request)
 	idle := relay.World.Now() - conn.lastUse()
 	if err != nil {
-		return nil, &verdict.Mishap{Verdict: verdict.NotRun, Code: "replica_unreached", Message: "the replica cannot be reached", Status: 503, Cause: err}
+		return nil, &verdict.Error{Verdict: verdict.NotRun, Code: "replica_unreached", Message: "the replica cannot be reached", Status: 503, Cause: err}
 	}
 	if failure := request.Gate(); failure != nil {
 		relay.putIdle(request.Address, conn, 0)
 		return nil, failure
 	}
-	if request.Bind != nil {
-		request.Bind(func() { conn.Close() })
+	if request.OnAbort != nil {
+		request.OnAbort(func() { conn.Close() })
 	}
 	httpRequest := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(httpRequest)
 	relay.Dialect.Write(request, httpRequest)
-	_ = conn.SetDeadline(time.Now().Add(request.Left))
-	mayHaveRun := func(code string, err error) (*Answer, *verdict.Mishap) {
-		if request.Bind != nil {
-			request.Bind(nil)
+	_ = conn.SetDeadline(time.Now().Add(request.Remaining))
+	mayHaveRun := func(code string, err error) (*Answer, *verdict.Error) {
+		if request.OnAbort != nil {
+			request.OnAbort(nil)
 		}
 		conn.Close()
-		return nil, &verdict.Mishap{Verdict: verdict.MayHaveRun, Code: code, Message: "the replica may have run the request", Status: 502, Cause: err}
+		return nil, &verdict.Error{Verdict: verdict.MayHaveRun, Code: code, Message: "the replica may have run the request", Status: 502, Cause: err}
 	}
 	writer := writerPool.Get().(*bufio.Writer)
 	writer.Reset(conn)
@@ -337,7 +337,7 @@
 		return mayHaveRun("replica_cut", err)
 	}
 	sent := relay.World.Now()
-	deadline := sent + request.Left
+	deadline := sent + request.Remaining
 	for skipped := 0; ; skipped++ {
 		if err := relay.waitReadable(request, conn, deadline, false); err != nil {
 			switch {
@@ -365,28 +365,28 @@
 		if stream == nil || httpResponse.Header.ContentLength() == 0 {
 			stream, hasBody = bytes.NewReader(nil), false
 		}
-		if head.Foreign {
+		if head.OtherRequest {
 			// A duplicate answer to an earlier request came before the answer to this one.
 			if _, err := io.Copy(io.Discard, stream); err != nil || skipped >= 2 {
 				return mayHaveRun("replica_garbled", err)
 			}
 			continue
 		}
-		body := &answerReader{events: head.Events, keep: head.Keep, relay: relay, conn: conn, httpResponse: httpResponse, request: request, deadline: deadline, body: stream, ended: !hasBody, mustClose: httpResponse.ConnectionClose()}
+		body := &answerReader{events: head.Events, keep: head.KeepAlive, relay: relay, conn: conn, httpResponse: httpResponse, request: request, deadline: deadline, body: stream, ended: !hasBody, mustClose: httpResponse.ConnectionClose()}
 		result := &Answer{Head: head, Header: &httpResponse.Header, Length: httpResponse.Header.ContentLength(), Source: body}
-		if head.Unsound != "" {
+		if head.Invalid != "" {
 			result.Close()
-			return nil, &verdict.Mishap{Verdict: verdict.MayHaveRun, Code: "replica_garbled", Message: "the replica sent an invalid answer: " + head.Unsound, Status: 502}
+			return nil, &verdict.Error{Verdict: verdict.MayHaveRun, Code: "replica_garbled", Message: "the replica sent an invalid answer: " + head.Invalid, Status: 502}
 		}
-		if head.NotRun || head.Elsewhere {
+		if head.NotRun || head.OtherReplica {
 			if _, err := io.Copy(io.Discard, io.LimitReader(body.body, 64<<10)); err == nil {
 				body.ended = true
 			}
 			result.Close()
-			if head.Elsewhere {
-				return nil, Anew()
+			if head.OtherReplica {
+				return nil, Restarted()
 			}
-			return nil, &verdict.Mishap{Verdict: verdict.NotRun, Code: "replica_declined", Message: fmt.Sprintf("the replica answered %d without running it", head.Status), Status: 503}
+			return nil, &verdict.Error{Verdict: verdict.NotRun, Code: "replica_declined", Message: fmt.Sprintf("the replica answered %d without running it", head.Status), Status: 503}
 		}
 		return result, nil
 	}
@@ -394,14 +394,14 @@
 
 // waitReadable waits until a byte can be read, and calls request.Silent after each Span without
 // one.
-func (relay *Relay) waitReadable(request *Ask, conn *connection, deadline time.Duration, hasBegun bool) error {
+func (relay *Proxy) waitReadable(request *RoutedRequest, conn *connection, deadline time.Duration, hasBegun bool) error {
 	for conn.reader.Buffered() == 0 {
 		remaining := deadline - relay.World.Now()
 		if remaining <= 0 {
 			return os.ErrDeadlineExceeded
 		}
-		if request.Silent != nil && request.Span > 0 {
-			remaining = min(remaining, request.Span)
+		if request.OnSilence != nil && request.SilenceInterval > 0 {
+			remaining = min(remaining, request.SilenceInterval)
 		}
 		_ = conn.SetReadDeadline(time.Now().Add(remaining))
 		if _, err := conn.reader.Peek(1); err == nil {
@@ -409,7 +409,7 @@
 		} else if !isExpired(err) {
 			return err
 		}
-		if request.Silent != nil && request.Silent(hasBegun) {
+		if request.OnSilence != nil && request.OnSilence(hasBegun) {
 			return ErrSilent
 		}
 	}
@@ -474,8 +474,8 @@
 // Close ends the answer. The connection is reused only after a clean end.
 func (reader *answerReader) Close() {
 	reader.closed.Do(func() {
-		if reader.request.Bind != nil {
-			reader.request.Bind(nil)
+		if reader.request.OnAbort != nil {
+			reader.request.OnAbort(nil)
 		}
 		if reader.ended && !reader.mustClose && len(reader.partial) == 0 && reader.conn.reader.Buffered() == 0 {
 			_ = reader.conn.SetDeadline(time.Time{})
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -32,24 +32,24 @@
 	Kind, Home, ID   string
 	// Gate is called right before the first byte is sent, and may still reject the attempt. It
 	// returns the version of the configuration under which the attempt is made.
-	Gate func() (uint64, *verdict.Mishap)
-	// Bind, if set, is called with the function that aborts the attempt from outside.
-	Bind func(abort func())
-	// Patience is the timeout of the whole attempt, Stall that of each wait for bytes within it.
-	Patience, Stall time.Duration
+	Gate func() (uint64, *verdict.Error)
+	// OnAbort, if set, is called with the function that aborts the attempt from outside.
+	OnAbort func(abort func())
+	// Timeout is the timeout of the whole attempt, Stall that of each wait for bytes within it.
+	Timeout, StallTimeout time.Duration
 	// Boot is the boot id of the replica process that the attempt is meant for, and Greet the
 	// timeout for learning the boot id behind a new connection.
-	Boot  string
-	Greet time.Duration
+	Boot            string
+	IdentifyTimeout time.Duration
 }
 
-// AnewCode is the code of the failure of an attempt whose replica has restarted, so that another
+// RestartedCode is the code of the failure of an attempt whose replica has restarted, so that another
 // process than the intended one is reached. Nothing was sent.
-const AnewCode = "replica_anew"
+const RestartedCode = "replica_anew"
 
-// Anew returns the failure with the code AnewCode.
-func Anew() *verdict.Mishap {
-	return verdict.Decline(503, AnewCode, "the replica has restarted since it was last seen", 0)
+// Restarted returns the failure with the code AnewCode.
+func Restarted() *verdict.Error {
+	return verdict.Reject(503, RestartedCode, "the replica has restarted since it was last seen", 0)
 }
 
 // Stream is an answer that is being received. Next returns whole events, and io.EOF only after the
@@ -78,37 +78,37 @@
 	Drop    = "gone"
 )
 
-// Vitals is the health that a replica reports in reply to a probe. Load is negative if the replica
+// Health is the health that a replica reports in reply to a probe. Load is negative if the replica
 // reports none.
-type Vitals struct {
+type Health struct {
 	Boot    string
 	Leaving bool
 	Held    map[string]string
 	Load    float64
 	// Cold is how much longer the replica stays cold, if it reports that.
 	Cold time.Duration
-	// Ill is true if the replica replied that it is unhealthy.
-	Ill bool
-	// Declined is true if the replica rejected the probe for lack of capacity and reported nothing
+	// Unhealthy is true if the replica replied that it is unhealthy.
+	Unhealthy bool
+	// Rejected is true if the replica rejected the probe for lack of capacity and reported nothing
 	// else.
-	Declined bool
+	Rejected bool
 }
 
 // Client is the interface through which the daemons use replicas.
 type Client interface {
-	Dispatch(request Request) (Stream, *verdict.Mishap)
-	Probe(address string, timeout time.Duration) (Vitals, error)
+	Dispatch(request Request) (Stream, *verdict.Error)
+	Probe(address string, timeout time.Duration) (Health, error)
 	// Order returns a RateLimited error if it is to be retried later, and a Rejected error if a
 	// retry cannot help.
 	Order(address string, order Order, timeout time.Duration) error
 }
 
 // RateLimited is the error of a call that may be retried after ComeBack.
-type RateLimited struct{ ComeBack time.Duration }
+type RateLimited struct{ RetryAfter time.Duration }
 
 // Error implements error.
 func (limited *RateLimited) Error() string {
-	return "rate limited; retry in " + limited.ComeBack.String()
+	return "rate limited; retry in " + limited.RetryAfter.String()
 }
 
 // Rejected is the error of a call that must not be retried.
@@ -117,12 +117,12 @@
 // Error implements error.
 func (rejected *Rejected) Error() string { return "rejected: " + rejected.Reason }
 
-// Name returns the name under which replicas know a version of a model.
-func Name(model, version string) string { return model + "@" + version }
+// VersionName returns the name under which replicas know a version of a model.
+func VersionName(model, version string) string { return model + "@" + version }
 
-// Rename replaces the value of the body's model field by the name and leaves every other byte
+// ReplaceModel replaces the value of the body's model field by the name and leaves every other byte
 // unchanged. It returns false if there is no such field.
-func Rename(body []byte, name string) ([]byte, bool) {
+func ReplaceModel(body []byte, name string) ([]byte, bool) {
 	model := gjson.GetBytes(body, "model")
 	if !model.Exists() || model.Index == 0 {
 		return nil, false
@@ -181,7 +181,7 @@
 // connection after the answer, the returned connection is a fresh one that is assumed to lead to
 // the same process.
 func (client *HTTP) identify(request Request, conn *connection) (*connection, error) {
-	timeout := min(request.Patience, request.Greet)
+	timeout := min(request.Timeout, request.IdentifyTimeout)
 	httpRequest, httpResponse := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(httpRequest)
 	defer fasthttp.ReleaseResponse(httpResponse)
@@ -198,9 +198,9 @@
 	if err == nil && httpResponse.StatusCode() != fasthttp.StatusOK {
 		err = fmt.Errorf("probe got status %d", httpResponse.StatusCode())
 	}
-	var health Vitals
+	var health Health
 	if err == nil {
-		health, err = ReadVitals(httpResponse.Body())
+		health, err = ParseHealth(httpResponse.Body())
 	}
 	if err == nil && httpResponse.ConnectionClose() {
 		// This replica keeps no connection open after a probe. The process behind the fresh
@@ -264,15 +264,15 @@
 }
 
 // Dispatch sends a request and waits for the head of its answer.
-func (client *HTTP) Dispatch(request Request) (Stream, *verdict.Mishap) {
+func (client *HTTP) Dispatch(request Request) (Stream, *verdict.Error) {
 	var conn *connection
 	for conn == nil {
-		candidate, reused, err := client.acquire(request.Address, request.Patience)
+		candidate, reused, err := client.acquire(request.Address, request.Timeout)
 		if err == nil && !reused {
 			candidate, err = client.identify(request, candidate)
 		}
 		if err != nil {
-			return nil, &verdict.Mishap{Verdict: verdict.NotRun, Code: "replica_unreached", Message: "the replica cannot be reached", Status: 502, Cause: err}
+			return nil, &verdict.Error{Verdict: verdict.NotRun, Code: "replica_unreached", Message: "the replica cannot be reached", Status: 502, Cause: err}
 		}
 		if reused && !candidate.isOpen() {
 			candidate.Close()
@@ -282,7 +282,7 @@
 	}
 	if conn.boot != request.Boot {
 		client.putIdle(request.Address, conn)
-		return nil, Anew()
+		return nil, Restarted()
 	}
 	httpRequest := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(httpRequest)
@@ -295,8 +295,8 @@
 		httpRequest.Header.Set("Swifttiller-Home", request.Home)
 	}
 	httpRequest.SetBodyRaw(request.Body)
-	deadline := time.Now().Add(request.Patience)
-	_ = conn.SetDeadline(earlierDeadline(deadline, request.Stall))
+	deadline := time.Now().Add(request.Timeout)
+	_ = conn.SetDeadline(earlierDeadline(deadline, request.StallTimeout))
 	// No byte of the request has been sent yet.
 	serial, failure := request.Gate()
 	if failure != nil {
@@ -304,12 +304,12 @@
 		return nil, failure
 	}
 	httpRequest.Header.Set("Swifttiller-Serial", strconv.FormatUint(serial, 10))
-	mayHaveRun := func(code string, err error) (Stream, *verdict.Mishap) {
+	mayHaveRun := func(code string, err error) (Stream, *verdict.Error) {
 		conn.Close()
-		return nil, &verdict.Mishap{Verdict: verdict.MayHaveRun, Code: code, Message: "the replica may have run the request", Status: 502, Cause: err}
+		return nil, &verdict.Error{Verdict: verdict.MayHaveRun, Code: code, Message: "the replica may have run the request", Status: 502, Cause: err}
 	}
-	if request.Bind != nil {
-		request.Bind(func() { conn.Close() })
+	if request.OnAbort != nil {
+		request.OnAbort(func() { conn.Close() })
 	}
 	writer := bufio.NewWriterSize(conn, 32<<10)
 	if err := httpRequest.Write(writer); err != nil {
@@ -325,15 +325,15 @@
 	if status := httpResponse.StatusCode(); status != fasthttp.StatusOK {
 		body, _ := io.ReadAll(io.LimitReader(httpResponse.BodyStream(), 64<<10))
 		conn.Close()
-		return nil, Answered(status, string(httpResponse.Header.Peek("Retry-After")), body)
+		return nil, FailureFromAnswer(status, string(httpResponse.Header.Peek("Retry-After")), body)
 	}
 	return &stream{client: client, conn: conn, answer: httpResponse, request: request, deadline: deadline}, nil
 }
 
-// Answered converts an error answer of a replica to a failure. With status 429 or 503 the replica
+// FailureFromAnswer converts an error answer of a replica to a failure. With status 429 or 503 the replica
 // states that it did not accept the request.
-func Answered(status int, retryAfter string, body []byte) *verdict.Mishap {
-	failure := &verdict.Mishap{Verdict: verdict.Ran, Code: "replica_failed", Status: 502, Message: fmt.Sprintf("the replica answered %d: %s", status, errorMessage(body))}
+func FailureFromAnswer(status int, retryAfter string, body []byte) *verdict.Error {
+	failure := &verdict.Error{Verdict: verdict.Ran, Code: "replica_failed", Status: 502, Message: fmt.Sprintf("the replica answered %d: %s", status, errorMessage(body))}
 	switch status {
 	case 429, 503:
 		failure.Verdict, failure.Code, failure.Status = verdict.NotRun, "replica_declined", 503
@@ -384,8 +384,8 @@
 
 var terminalPrefix = []byte("data: [DONE]")
 
-// Split removes one whole event from the front of pending. The event is nil if pending holds none.
-func Split(pending []byte) (event, rest []byte) {
+// SplitEvent removes one whole event from the front of pending. The event is nil if pending holds none.
+func SplitEvent(pending []byte) (event, rest []byte) {
 	end, width := bytes.Index(pending, []byte("\n\n")), 2
 	if crlf := bytes.Index(pending, []byte("\r\n\r\n")); crlf >= 0 && (end < 0 || crlf < end) {
 		end, width = crlf, 4
@@ -396,8 +396,10 @@
 	return pending[:end+width], pending[end+width:]
 }
 
-// Terminal reports whether the event is the terminal event of an answer.
-func Terminal(event []byte) bool { return bytes.HasPrefix(bytes.TrimSpace(event), terminalPrefix) }
+// IsTerminalEvent reports whether the event is the terminal event of an answer.
+func IsTerminalEvent(event []byte) bool {
+	return bytes.HasPrefix(bytes.TrimSpace(event), terminalPrefix)
+}
 
 func (stream *stream) Next() ([]byte, error) {
 	buffer := make([]byte, 8<<10)
@@ -405,9 +407,9 @@
 		if stream.done && len(stream.pending) > 0 {
 			return nil, io.EOF // bytes after the terminal event belong to no answer; Close drops the connection
 		}
-		if event, rest := Split(stream.pending); event != nil {
+		if event, rest := SplitEvent(stream.pending); event != nil {
 			stream.pending = rest
-			stream.done = stream.done || Terminal(event)
+			stream.done = stream.done || IsTerminalEvent(event)
 			return event, nil
 		}
 		if stream.ended {
@@ -416,7 +418,7 @@
 			}
 			return nil, ErrCut
 		}
-		_ = stream.conn.SetReadDeadline(earlierDeadline(stream.deadline, stream.request.Stall))
+		_ = stream.conn.SetReadDeadline(earlierDeadline(stream.deadline, stream.request.StallTimeout))
 		count, err := stream.answer.BodyStream().Read(buffer)
 		stream.pending = append(stream.pending[:len(stream.pending):len(stream.pending)], buffer[:count]...)
 		if err == io.EOF {
@@ -462,24 +464,24 @@
 var shortCalls = &fasthttp.Client{MaxIdleConnDuration: 2 * time.Second, MaxConnsPerHost: 16, MaxResponseBodySize: 1 << 20}
 
 // Probe asks a replica for its health.
-func (client *HTTP) Probe(address string, timeout time.Duration) (Vitals, error) {
+func (client *HTTP) Probe(address string, timeout time.Duration) (Health, error) {
 	status, _, body, err := client.call("GET", address, "/health", nil, timeout)
 	if err != nil {
-		return Vitals{}, err
+		return Health{}, err
 	}
 	if status != 200 {
-		return Vitals{}, fmt.Errorf("probe got status %d", status)
+		return Health{}, fmt.Errorf("probe got status %d", status)
 	}
-	return ReadVitals(body)
+	return ParseHealth(body)
 }
 
-// ReadVitals decodes the reply to a probe.
-func ReadVitals(body []byte) (Vitals, error) {
+// ParseHealth decodes the reply to a probe.
+func ParseHealth(body []byte) (Health, error) {
 	if !gjson.ValidBytes(body) {
-		return Vitals{}, errors.New("probe reply is not JSON")
+		return Health{}, errors.New("probe reply is not JSON")
 	}
 	root := gjson.ParseBytes(body)
-	health := Vitals{Boot: root.Get("boot").String(), Leaving: root.Get("leaving").Bool(), Held: map[string]string{}, Load: -1}
+	health := Health{Boot: root.Get("boot").String(), Leaving: root.Get("leaving").Bool(), Held: map[string]string{}, Load: -1}
 	if load := root.Get("load"); load.Type == gjson.Number {
 		health.Load = load.Num
 	}
@@ -497,11 +499,11 @@
 	if err != nil {
 		return err
 	}
-	return Ordered(status, retryAfter, reply)
+	return OrderError(status, retryAfter, reply)
 }
 
-// Ordered converts the answer to an order to an error, nil if the order was accepted.
-func Ordered(status int, retryAfter string, body []byte) error {
+// OrderError converts the answer to an order to an error, nil if the order was accepted.
+func OrderError(status int, retryAfter string, body []byte) error {
 	switch {
 	case status < 300:
 		return nil
--- a/replica/replica_test.go
+++ b/replica/replica_test.go
@@ -62,18 +62,18 @@
 	}
 }
 
-// TestConnectionsTellWhoseTheyAre checks that a request which is meant for one process of a replica
+// TestRequestReachesOnlyItsProcess checks that a request which is meant for one process of a replica
 // never reaches its successor at the same address, over new or pooled connections.
-func TestConnectionsTellWhoseTheyAre(t *testing.T) {
+func TestRequestReachesOnlyItsProcess(t *testing.T) {
 	Convey("over real connections", t, func() {
 		world := loop.NewMachine()
 		client := &replica.HTTP{World: world}
 		gates := 0
-		send := func(address, boot, id string) (string, *verdict.Mishap) {
+		send := func(address, boot, id string) (string, *verdict.Error) {
 			stream, failure := client.Dispatch(replica.Request{
 				Replica: "r", Address: address, Path: "/v1/completions", Body: []byte(`{"model":"m@v1","prompt":"x","max_tokens":16,"stream":true}`),
-				Model: "m", Version: "v1", Kind: "k", ID: id, Boot: boot, Greet: 5 * time.Second, Patience: 20 * time.Second, Stall: 20 * time.Second,
-				Gate: func() (uint64, *verdict.Mishap) { gates++; return 1, nil },
+				Model: "m", Version: "v1", Kind: "k", ID: id, Boot: boot, IdentifyTimeout: 5 * time.Second, Timeout: 20 * time.Second, StallTimeout: 20 * time.Second,
+				Gate: func() (uint64, *verdict.Error) { gates++; return 1, nil },
 			})
 			if failure != nil {
 				return "", failure
@@ -103,7 +103,7 @@
 			if failure == nil {
 				t.Fatal("flooded: a request meant for another boot id was sent")
 			}
-			So(failure.Code, ShouldEqual, replica.AnewCode)
+			So(failure.Code, ShouldEqual, replica.RestartedCode)
 			So(failure.Verdict, ShouldEqual, verdict.NotRun)
 			So(len(first.Log), ShouldEqual, 3)
 			// The restarted replica listens at the same address; the old connections are closed.
@@ -113,7 +113,7 @@
 			if failure == nil {
 				t.Fatal("flooded: a request meant for the process before the restart was sent")
 			}
-			So(failure.Code, ShouldEqual, replica.AnewCode)
+			So(failure.Code, ShouldEqual, replica.RestartedCode)
 			So(gates, ShouldEqual, before)
 			So(len(second.Log), ShouldEqual, 0)
 			text, failure := send(address, "b", "four")
@@ -130,8 +130,8 @@
 		silent, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		defer silent.Close()
-		stream, failure := client.Dispatch(replica.Request{Address: silent.Addr().String(), Path: "/v1/completions", Boot: "a", Greet: 30 * time.Millisecond, Patience: 20 * time.Second,
-			Gate: func() (uint64, *verdict.Mishap) {
+		stream, failure := client.Dispatch(replica.Request{Address: silent.Addr().String(), Path: "/v1/completions", Boot: "a", IdentifyTimeout: 30 * time.Millisecond, Timeout: 20 * time.Second,
+			Gate: func() (uint64, *verdict.Error) {
 				t.Error("the gate was called for a replica that never answered")
 				return 0, nil
 			}})
--- a/rollout/objects.go
+++ b/rollout/objects.go
@@ -13,7 +13,7 @@
 
 	"swifttiller/loop"
 	"swifttiller/register"
-	"swifttiller/standing"
+	"swifttiller/routing"
 	"swifttiller/workflow"
 )
 
@@ -39,10 +39,10 @@
 // Invariants: it is written by Objects.Change only. Fences never decrease, and a write
 // for a region by a leader whose term is lower than the region's fence is rejected.
 type Model struct {
-	Routes     map[string]standing.Route `json:"routes"`
-	Live       string                    `json:"live"`
-	RolledBack bool                      `json:"isRolledBack"`
-	Fences     map[string]uint64         `json:"fences"`
+	Routes     map[string]routing.Route `json:"routes"`
+	Live       string                   `json:"live"`
+	RolledBack bool                     `json:"isRolledBack"`
+	Fences     map[string]uint64        `json:"fences"`
 	// Failed maps a version to the run whose trial or watch failed clearly. No region
 	// continues that run, and no automatic run starts with the version, until an
 	// operator promotes the model.
@@ -57,8 +57,8 @@
 
 // Objects reads and writes the register objects of roll-outs.
 type Objects struct {
-	World  loop.World
-	Keeper *register.Keeper
+	World     loop.World
+	Registers *register.Client
 	// Name is part of each nonce and makes it unique across daemons.
 	Name string
 	// Changed, if set, is called after every write of a model's object by this daemon.
@@ -72,12 +72,12 @@
 
 // Model reads a model's object.
 func (objects *Objects) Model(model string) (Model, error) {
-	return objects.ModelWithin(model, objects.Keeper.Patience)
+	return objects.ModelWithTimeout(model, objects.Registers.Patience)
 }
 
-// ModelWithin is like Model, but gives up after the timeout if no quorum replies.
-func (objects *Objects) ModelWithin(model string, timeout time.Duration) (Model, error) {
-	value, err := objects.Keeper.ReadWithin(ModelPrefix+model, timeout)
+// ModelWithTimeout is like Model, but gives up after the timeout if no quorum replies.
+func (objects *Objects) ModelWithTimeout(model string, timeout time.Duration) (Model, error) {
+	value, err := objects.Registers.ReadWithin(ModelPrefix+model, timeout)
 	if err != nil {
 		return Model{}, err
 	}
@@ -96,7 +96,7 @@
 
 // OpenModel decodes a model's object from the value of its register.
 func OpenModel(value register.Value) (Model, error) {
-	object := Model{Routes: map[string]standing.Route{}, Fences: map[string]uint64{}, Wanted: map[string]string{}}
+	object := Model{Routes: map[string]routing.Route{}, Fences: map[string]uint64{}, Wanted: map[string]string{}}
 	if value.Serial == 0 {
 		return object, nil
 	}
@@ -107,14 +107,14 @@
 // passes its region and its term as the fence. Operators pass no region: their writes
 // are serialized by the register's compare-and-set alone.
 func (objects *Objects) Change(model, region string, fence uint64, revise func(*Model) error) (Model, error) {
-	return objects.changeWithTimeout(objects.Keeper.Patience, model, region, fence, revise)
+	return objects.changeWithTimeout(objects.Registers.Patience, model, region, fence, revise)
 }
 
 // changeWithTimeout is like Change, but gives up after the timeout if no quorum
 // replies.
 func (objects *Objects) changeWithTimeout(timeout time.Duration, model, region string, fence uint64, revise func(*Model) error) (Model, error) {
 	var object Model
-	_, err := objects.Keeper.ChangeWithin(ModelPrefix+model, timeout, func(value register.Value) ([]byte, error) {
+	_, err := objects.Registers.UpdateWithin(ModelPrefix+model, timeout, func(value register.Value) ([]byte, error) {
 		var err error
 		if object, err = OpenModel(value); err != nil {
 			return nil, err
@@ -138,7 +138,7 @@
 
 // NextSerial returns the region's next serial. Serials of a region only increase.
 func (objects *Objects) NextSerial(region string) (uint64, error) {
-	value, err := objects.Keeper.Change(SerialPrefix+region, func(value register.Value) ([]byte, error) {
+	value, err := objects.Registers.Update(SerialPrefix+region, func(value register.Value) ([]byte, error) {
 		return json.Marshal(value.Serial + 1)
 	})
 	return value.Serial, err
@@ -169,7 +169,7 @@
 
 // Version reads a version's object.
 func (objects *Objects) Version(model, version string) (Version, error) {
-	value, err := objects.Keeper.Read(versionKey(model, version))
+	value, err := objects.Registers.Read(versionKey(model, version))
 	if err != nil {
 		return Version{}, err
 	}
@@ -191,7 +191,7 @@
 // checked.
 func (objects *Objects) mutate(model, version, region string, fence uint64, revise func(*Desired) error) (Desired, error) {
 	var desired Desired
-	_, err := objects.Keeper.Change(versionKey(model, version), func(value register.Value) ([]byte, error) {
+	_, err := objects.Registers.Update(versionKey(model, version), func(value register.Value) ([]byte, error) {
 		object, err := openVersion(value)
 		if err != nil {
 			return nil, err
@@ -216,7 +216,7 @@
 }
 
 func (objects *Objects) nonce() string {
-	return fmt.Sprintf("%s/%d/%x", objects.Name, objects.nonceCount.Add(1), objects.World.Draw(1<<40))
+	return fmt.Sprintf("%s/%d/%x", objects.Name, objects.nonceCount.Add(1), objects.World.RandN(1<<40))
 }
 
 // Want sets a desired state immediately and clears the nonce, which invalidates every
@@ -229,7 +229,7 @@
 		}
 		if desired.State != state || !equalStrings(desired.Only, only) {
 			desired.Order++
-			desired.Since = objects.World.Wall()
+			desired.Since = objects.World.WallTime()
 		}
 		desired.State, desired.Only, desired.Nonce = state, only, ""
 		return nil
@@ -262,8 +262,8 @@
 // carries the nonce, is written first: if the nonce is then never written to the
 // object, the order has no effect.
 func (objects *Objects) Schedule(model, version, region string, fence uint64, state string, delay time.Duration) error {
-	order := Delayed{Version: version, Region: region, State: state, At: objects.World.Wall().Add(delay), Nonce: objects.nonce()}
-	_, err := objects.Keeper.Change(DelayedPrefix+model, func(value register.Value) ([]byte, error) {
+	order := Delayed{Version: version, Region: region, State: state, At: objects.World.WallTime().Add(delay), Nonce: objects.nonce()}
+	_, err := objects.Registers.Update(DelayedPrefix+model, func(value register.Value) ([]byte, error) {
 		orders, err := openDelayed(value)
 		if err != nil {
 			return nil, err
@@ -304,7 +304,7 @@
 		}
 		isFired = true
 		desired.State, desired.Only, desired.Nonce = order.State, nil, ""
-		desired.Since = objects.World.Wall()
+		desired.Since = objects.World.WallTime()
 		desired.Order++
 		return nil
 	})
@@ -314,7 +314,7 @@
 // FireDue applies the region's delayed orders that are due and removes them from the
 // list.
 func (objects *Objects) FireDue(model, region string, fence uint64, archive time.Duration) error {
-	value, err := objects.Keeper.Read(DelayedPrefix + model)
+	value, err := objects.Registers.Read(DelayedPrefix + model)
 	if err != nil {
 		return err
 	}
@@ -322,7 +322,7 @@
 	if err != nil {
 		return err
 	}
-	now := objects.World.Wall()
+	now := objects.World.WallTime()
 	for _, order := range orders {
 		if order.Region != region || now.Before(order.At) {
 			continue
@@ -331,7 +331,7 @@
 		if err != nil {
 			return err
 		}
-		if _, err := objects.Keeper.Change(DelayedPrefix+model, func(value register.Value) ([]byte, error) {
+		if _, err := objects.Registers.Update(DelayedPrefix+model, func(value register.Value) ([]byte, error) {
 			orders, err := openDelayed(value)
 			if err != nil {
 				return nil, err
@@ -359,11 +359,11 @@
 
 // Versions returns the objects of all versions of a model, by version.
 func (objects *Objects) Versions(model string) (map[string]Version, error) {
-	keys, err := objects.Keeper.List(VersionPrefix + model + "/")
+	keys, err := objects.Registers.List(VersionPrefix + model + "/")
 	if err != nil || len(keys) == 0 {
 		return nil, err
 	}
-	values, err := objects.Keeper.ReadMany(keys...)
+	values, err := objects.Registers.ReadMany(keys...)
 	if err != nil {
 		return nil, err
 	}
@@ -378,11 +378,11 @@
 	return versions, nil
 }
 
-// Decline is the error for an operator's step that is rejected in the present state.
-type Decline struct{ Reason string }
+// Rejection is the error for an operator's step that is rejected in the present state.
+type Rejection struct{ Reason string }
 
 // Error returns the reason of the rejection.
-func (rejection *Decline) Error() string { return rejection.Reason }
+func (rejection *Rejection) Error() string { return rejection.Reason }
 
 // Rollback points a model's routes back to the previous version in one write, in the
 // given regions, or in all if none are given. Automatic roll-outs are disabled until a
@@ -431,7 +431,7 @@
 		moved = append(moved, region)
 	}
 	if len(moved) == 0 {
-		return object, &Decline{fmt.Sprintf("no region has a previous version of %q to roll back to", name)}
+		return object, &Rejection{fmt.Sprintf("no region has a previous version of %q to roll back to", name)}
 	}
 	serials := map[string]uint64{}
 	for _, region := range moved {
@@ -447,11 +447,11 @@
 		if err != nil {
 			return Model{}, err
 		}
-		if isRollback && route.Bears(route.Previous) {
-			return object, &Decline{fmt.Sprintf("version %s failed in region %s and cannot be rolled back to; promote it to allow another try", route.Previous, region)}
+		if isRollback && route.IsBanned(route.Previous) {
+			return object, &Rejection{fmt.Sprintf("version %s failed in region %s and cannot be rolled back to; promote it to allow another try", route.Previous, region)}
 		}
 		if desired := version.Regions[region]; desired.State != RUNNING {
-			return object, &Decline{fmt.Sprintf("version %s is %s in region %s and is not loaded; start a handover to it instead", route.Previous, desired.State, region)}
+			return object, &Rejection{fmt.Sprintf("version %s is %s in region %s and is not loaded; start a handover to it instead", route.Previous, desired.State, region)}
 		}
 		// The target version is kept loaded before any route points to it.
 		if _, err := objects.Want(name, route.Previous, region, 0, RUNNING, nil); err != nil {
@@ -465,7 +465,7 @@
 		for _, region := range moved {
 			route, before := model.Routes[region], object.Routes[region]
 			if route.Version != before.Version || route.Previous != before.Previous || route.Trial != before.Trial {
-				return &Decline{"the routes were changed concurrently; check `handover status` and try again"}
+				return &Rejection{"the routes were changed concurrently; check `handover status` and try again"}
 			}
 			if route.Trial != "" {
 				if isRollback && !has(route.Banned, route.Trial) {
@@ -473,7 +473,7 @@
 				}
 			} else {
 				route.Version, route.Previous, route.Watched = route.Previous, route.Version, false
-				route.Moved = objects.World.Wall()
+				route.Moved = objects.World.WallTime()
 			}
 			route.Trial, route.TrialReplicas, route.Run, route.Serial = "", nil, "", serials[region]
 			model.Routes[region] = route
--- a/rollout/run.go
+++ b/rollout/runner.go
@@ -11,8 +11,8 @@
 
 	"swifttiller/loop"
 	"swifttiller/replica"
+	"swifttiller/routing"
 	"swifttiller/settings"
-	"swifttiller/standing"
 	"swifttiller/workflow"
 )
 
@@ -45,25 +45,25 @@
 // Key returns the key of the run store of a model in a region.
 func Key(model, region string) string { return model + "/" + region }
 
-// Scene is the state of a region that a runner works on in one pass.
-type Scene struct {
+// RegionView is the state of a region that a runner works on in one pass.
+type RegionView struct {
 	Region    string
-	Duty      uint64
+	Term      uint64
 	Tree      *settings.Tree
 	Evacuated map[string]bool
-	Replicas  []standing.Replica
-	Daemons   []standing.Daemon
+	Replicas  []routing.Replica
+	Daemons   []routing.Daemon
 	// Incarnations maps each daemon's name to its current incarnation, so that the
 	// counters of a restarted daemon are told apart from those before the restart.
 	Incarnations map[string]string
 	// Routes holds the region's route of each model, as last read.
-	Routes map[string]standing.Route
-	// Standing is the region's routing table as last written, or nil if it is unknown.
-	Standing *standing.Standing
-	// Watched is how long this daemon has been receiving the other daemons' sessions.
+	Routes map[string]routing.Route
+	// RoutingTable is the region's routing table as last written, or nil if it is unknown.
+	RoutingTable *routing.Table
+	// SessionsWatched is how long this daemon has been receiving the other daemons' sessions.
 	// Once it exceeds the session timeout, a data daemon that is missing from Daemons
 	// does not exist.
-	Watched time.Duration
+	SessionsWatched time.Duration
 	// Idle holds the models that have no run, never had one, and for which none can
 	// start without an operator. Their registers are not read.
 	Idle map[string]bool
@@ -74,11 +74,11 @@
 type Runner struct {
 	World   loop.World
 	Objects *Objects
-	Book    *workflow.Book
+	Journal *workflow.Journal
 	Client  replica.Client
-	// Point is a failpoint: if set, it is called with the name of each step before the
+	// Failpoint is a failpoint: if set, it is called with the name of each step before the
 	// step runs, so that tests can inject faults.
-	Point func(name string)
+	Failpoint func(name string)
 
 	openRuns    map[string]*workflow.Log
 	orderSentAt map[string]time.Duration // by replica and version: when the last order was sent
@@ -98,9 +98,9 @@
 	retryAfter time.Duration
 }
 
-// Due returns the delay after which a timed run needs the next call of Turn. It is set
+// RetryAfter returns the delay after which a timed run needs the next call of Turn. It is set
 // by the last call of Turn.
-func (runner *Runner) Due() time.Duration { return runner.retryAfter }
+func (runner *Runner) RetryAfter() time.Duration { return runner.retryAfter }
 
 // wait returns workflow.ErrWait and asks for the next pass after the given delay at the
 // latest.
@@ -113,7 +113,7 @@
 // before the check started, which are not held against the version.
 type guardedRoute struct {
 	serial uint64
-	base   map[string]standing.Outcome
+	base   map[string]routing.Outcome
 }
 
 // waited returns how long this runner has waited under the key. The first call with a
@@ -134,14 +134,14 @@
 }
 
 func (runner *Runner) failpoint(name string) {
-	if runner.Point != nil {
-		runner.Point(name)
+	if runner.Failpoint != nil {
+		runner.Failpoint(name)
 	}
 }
 
-// Turn makes one pass over all models of the region and does whatever can be done
+// RunOnce makes one pass over all models of the region and does whatever can be done
 // without waiting. It returns the last error.
-func (runner *Runner) Turn(scene Scene) error {
+func (runner *Runner) RunOnce(scene RegionView) error {
 	if runner.openRuns == nil {
 		runner.openRuns, runner.orderSentAt, runner.waitStart, runner.guardedRoutes = map[string]*workflow.Log{}, map[string]time.Duration{}, map[string]time.Duration{}, map[string]guardedRoute{}
 		runner.recordedElapsed, runner.movedSerial = map[string]time.Duration{}, map[string]uint64{}
@@ -163,16 +163,16 @@
 // changed if it fails. Without a run, it may roll back a version that fails, or start
 // an automatic run. Then it reconciles the model's replicas, unless the placement allows
 // any version.
-func (runner *Runner) runModel(scene Scene, model string) error {
+func (runner *Runner) runModel(scene RegionView, model string) error {
 	key := Key(model, scene.Region)
 	placement, _ := scene.Tree.Placement(model, scene.Region)
 	log := runner.openRuns[key]
-	if log == nil || log.Run().Fence != scene.Duty {
+	if log == nil || log.Run().Fence != scene.Term {
 		var err error
-		if log, err = runner.Book.Resume(key, scene.Duty); err != nil {
+		if log, err = runner.Journal.Resume(key, scene.Term); err != nil {
 			return err
 		}
-		if log == nil && placement.Any() {
+		if log == nil && placement.AcceptsAnyVersion() {
 			if log, err = runner.startTimed(scene, model); err != nil {
 				return err
 			}
@@ -210,17 +210,17 @@
 		if err != nil && !errors.Is(err, workflow.ErrWait) {
 			return err
 		}
-	} else if placement.Any() {
+	} else if placement.AcceptsAnyVersion() {
 		return nil // with any version placed, the control plane neither loads, guards nor reconciles versions
 	} else if isRolledBack, err := runner.guardRoute(scene, model); err != nil || isRolledBack {
 		return err
 	} else if err := runner.startAutomatic(scene, model); err != nil {
 		return err
 	}
-	if placement.Any() {
+	if placement.AcceptsAnyVersion() {
 		return nil
 	}
-	if err := runner.Objects.FireDue(model, scene.Region, scene.Duty, scene.Tree.Span("archive_ms", scene.Region)); err != nil {
+	if err := runner.Objects.FireDue(model, scene.Region, scene.Term, scene.Tree.Duration("archive_ms", scene.Region)); err != nil {
 		return err
 	}
 	return runner.reconcile(scene, model)
@@ -228,9 +228,9 @@
 
 // startAutomatic starts a run when the configuration places a version other than the
 // one that was last acted on.
-func (runner *Runner) startAutomatic(scene Scene, model string) error {
+func (runner *Runner) startAutomatic(scene RegionView, model string) error {
 	placement, isPlaced := scene.Tree.Placement(model, scene.Region)
-	if !isPlaced || !scene.Tree.Automatic(model, scene.Region) {
+	if !isPlaced || !scene.Tree.AutomaticRollout(model, scene.Region) {
 		return nil
 	}
 	object, err := runner.Objects.Model(model)
@@ -238,11 +238,11 @@
 		return err
 	}
 	route := object.Routes[scene.Region]
-	if object.Wanted[scene.Region] == placement.Version || object.RolledBack || route.Bears(placement.Version) || object.Failed[placement.Version] != "" {
+	if object.Wanted[scene.Region] == placement.Version || object.RolledBack || route.IsBanned(placement.Version) || object.Failed[placement.Version] != "" {
 		return nil
 	}
 	if route.Version == placement.Version {
-		_, err := runner.Objects.Change(model, scene.Region, scene.Duty, func(model *Model) error {
+		_, err := runner.Objects.Change(model, scene.Region, scene.Term, func(model *Model) error {
 			model.Wanted[scene.Region] = placement.Version
 			return nil
 		})
@@ -250,7 +250,7 @@
 	}
 	contents := Contents{Model: model, Region: scene.Region, Version: placement.Version, Automatic: true, Wanted: placement.Version}
 	id := fmt.Sprintf("auto-%s-from-%s-%d", placement.Version, orNone(route.Version), route.Serial)
-	_, _, err = runner.Book.Start(Key(model, scene.Region), id, contents)
+	_, _, err = runner.Journal.Start(Key(model, scene.Region), id, contents)
 	return err
 }
 
@@ -262,7 +262,7 @@
 }
 
 // advance executes the steps of a run that have not been recorded yet.
-func (runner *Runner) advance(scene Scene, log *workflow.Log) error {
+func (runner *Runner) advance(scene RegionView, log *workflow.Log) error {
 	contents, err := readContents(log)
 	if err != nil {
 		return &workflow.Terminal{Reason: err.Error()}
@@ -270,7 +270,7 @@
 	if contents.Over > 0 {
 		return runner.advanceTimed(scene, log, contents)
 	}
-	if placement, _ := scene.Tree.Placement(contents.Model, scene.Region); placement.Any() {
+	if placement, _ := scene.Tree.Placement(contents.Model, scene.Region); placement.AcceptsAnyVersion() {
 		return &workflow.Terminal{Reason: "the placement holds any version, of which none is loaded by order; a roll-out there needs a term"}
 	}
 	var validated struct{ Old string }
@@ -298,8 +298,8 @@
 	}, nil); err != nil {
 		return err
 	}
-	if err := runner.moveRoute(scene, log, contents, validated.Old != "", func(revise func(*standing.Route)) error {
-		return runner.changeRoute(scene, log, contents, func(_ *Model, route *standing.Route) { revise(route) })
+	if err := runner.moveRoute(scene, log, contents, validated.Old != "", func(revise func(*routing.Route)) error {
+		return runner.changeRoute(scene, log, contents, func(_ *Model, route *routing.Route) { revise(route) })
 	}); err != nil {
 		return err
 	}
@@ -309,7 +309,7 @@
 		}
 	}
 	if err := runner.step(log, "live", func() (any, error) {
-		return nil, runner.changeRoute(scene, log, contents, func(model *Model, route *standing.Route) {
+		return nil, runner.changeRoute(scene, log, contents, func(model *Model, route *routing.Route) {
 			model.Live = liveVersion(model)
 			route.Run, route.Watched = "", false
 		})
@@ -320,7 +320,7 @@
 		return nil
 	}
 	return runner.step(log, "standby", func() (any, error) {
-		return nil, runner.Objects.Schedule(contents.Model, validated.Old, scene.Region, scene.Duty, STANDBY, scene.Tree.Span("standby_ms", scene.Region))
+		return nil, runner.Objects.Schedule(contents.Model, validated.Old, scene.Region, scene.Term, STANDBY, scene.Tree.Duration("standby_ms", scene.Region))
 	}, nil)
 }
 
@@ -336,18 +336,18 @@
 // moveRoute points the region's route to the run's version. The new route's serial is
 // recorded in a step of its own first, so that a retry writes the same one. The change
 // callback applies the given revision to the route if the run still owns it.
-func (runner *Runner) moveRoute(scene Scene, log *workflow.Log, contents Contents, isWatched bool, change func(revise func(*standing.Route)) error) error {
+func (runner *Runner) moveRoute(scene RegionView, log *workflow.Log, contents Contents, isWatched bool, change func(revise func(*routing.Route)) error) error {
 	var serial uint64
 	if err := runner.step(log, "serial", func() (any, error) { return runner.Objects.NextSerial(scene.Region) }, &serial); err != nil {
 		return err
 	}
 	return runner.step(log, "route", func() (any, error) {
-		return nil, change(func(route *standing.Route) {
+		return nil, change(func(route *routing.Route) {
 			if route.Version != contents.Version {
 				route.Previous = route.Version
 			}
 			route.Version, route.Trial, route.TrialReplicas = contents.Version, "", nil
-			route.Serial, route.Moved, route.Watched = serial, runner.World.Wall(), isWatched
+			route.Serial, route.Moved, route.Watched = serial, runner.World.WallTime(), isWatched
 		})
 	}, nil)
 }
@@ -358,19 +358,19 @@
 
 // validate checks that the run may proceed and claims the region's route for it. It
 // returns the version that the route points to now.
-func (runner *Runner) validate(scene Scene, log *workflow.Log, contents Contents) (string, error) {
+func (runner *Runner) validate(scene RegionView, log *workflow.Log, contents Contents) (string, error) {
 	if _, isPlaced := scene.Tree.Placement(contents.Model, scene.Region); !isPlaced {
 		return "", &workflow.Terminal{Reason: fmt.Sprintf("model %q is not placed in region %s", contents.Model, scene.Region)}
 	}
 	oldVersion := ""
-	_, err := runner.Objects.Change(contents.Model, scene.Region, scene.Duty, func(model *Model) error {
+	_, err := runner.Objects.Change(contents.Model, scene.Region, scene.Term, func(model *Model) error {
 		route := model.Routes[scene.Region]
 		oldVersion = route.Version
 		if contents.Automatic {
 			if model.RolledBack {
 				return &workflow.Terminal{Reason: "the model was rolled back; automatic roll-outs wait for a promote"}
 			}
-			if route.Bears(contents.Version) || model.Failed[contents.Version] != "" {
+			if route.IsBanned(contents.Version) || model.Failed[contents.Version] != "" {
 				return &workflow.Terminal{Reason: fmt.Sprintf("version %s failed here before; promote to let it be tried again", contents.Version)}
 			}
 			model.Wanted[scene.Region] = contents.Wanted
@@ -383,8 +383,8 @@
 }
 
 // changeRoute revises the region's route, provided that the run still owns it.
-func (runner *Runner) changeRoute(scene Scene, log *workflow.Log, contents Contents, revise func(*Model, *standing.Route)) error {
-	_, err := runner.Objects.Change(contents.Model, scene.Region, scene.Duty, func(model *Model) error {
+func (runner *Runner) changeRoute(scene RegionView, log *workflow.Log, contents Contents, revise func(*Model, *routing.Route)) error {
+	_, err := runner.Objects.Change(contents.Model, scene.Region, scene.Term, func(model *Model) error {
 		route := model.Routes[scene.Region]
 		if err := checkClaim(model, route, log, contents); err != nil {
 			return err
@@ -403,8 +403,8 @@
 // orderLoad sets the version's desired state to RUNNING and sends load orders to the
 // replicas at once. Replicas that miss their order, or are listed later, get it from
 // reconcile.
-func (runner *Runner) orderLoad(scene Scene, contents Contents, only []string) (any, error) {
-	desired, err := runner.Objects.Want(contents.Model, contents.Version, scene.Region, scene.Duty, RUNNING, only)
+func (runner *Runner) orderLoad(scene RegionView, contents Contents, only []string) (any, error) {
+	desired, err := runner.Objects.Want(contents.Model, contents.Version, scene.Region, scene.Term, RUNNING, only)
 	if err != nil {
 		return nil, err
 	}
@@ -419,7 +419,7 @@
 		var rejected *replica.Rejected
 		switch {
 		case errors.As(err, &rateLimited):
-			retryAfter = max(retryAfter, rateLimited.ComeBack)
+			retryAfter = max(retryAfter, rateLimited.RetryAfter)
 		case errors.As(err, &rejected):
 			return nil, &workflow.Terminal{Reason: fmt.Sprintf("replica %s: %v", instance.ID, err)}
 		case err == nil:
@@ -437,23 +437,23 @@
 
 // sendOrder sends an order to one replica. The order's ID is the same on every retry,
 // so that the replica can detect duplicates.
-func (runner *Runner) sendOrder(scene Scene, model, version string, instance standing.Replica, desired Desired, state string) error {
-	order := replica.Order{ID: fmt.Sprintf("%s/%s/%s/%d/%s", model, version, scene.Region, desired.Order, state), Fence: scene.Duty, Model: model, Version: version, State: state}
+func (runner *Runner) sendOrder(scene RegionView, model, version string, instance routing.Replica, desired Desired, state string) error {
+	order := replica.Order{ID: fmt.Sprintf("%s/%s/%s/%d/%s", model, version, scene.Region, desired.Order, state), Fence: scene.Term, Model: model, Version: version, State: state}
 	runner.failpoint("send")
 	runner.orderSentAt[instance.ID+"|"+model+"/"+version] = runner.World.Now()
-	return runner.Client.Order(instance.Address, order, scene.Tree.Span("probe_ms", scene.Region)*2)
+	return runner.Client.Order(instance.Address, order, scene.Tree.Duration("probe_ms", scene.Region)*2)
 }
 
 // awaitLoaded waits until a sufficient share of the replicas has loaded the version.
 // With only, it waits for all replicas named there. It fails after load_ms.
-func (runner *Runner) awaitLoaded(scene Scene, log *workflow.Log, contents Contents, startStep string, only []string) (any, error) {
+func (runner *Runner) awaitLoaded(scene RegionView, log *workflow.Log, contents Contents, startStep string, only []string) (any, error) {
 	var loaded, expected []string
 	for _, instance := range scene.placedReplicas(contents.Model) {
 		if only == nil && (!instance.Alive || instance.Leaving) || only != nil && !has(only, instance.ID) {
 			continue
 		}
 		expected = append(expected, instance.ID)
-		if instance.Alive && instance.Held[contents.Model+"/"+contents.Version] == standing.Ready {
+		if instance.Alive && instance.Held[contents.Model+"/"+contents.Version] == routing.Ready {
 			loaded = append(loaded, instance.ID)
 		}
 	}
@@ -464,7 +464,7 @@
 	if len(loaded) > 0 && float64(len(loaded)) >= share*float64(len(expected)) {
 		return loaded, nil
 	}
-	if timeout := scene.Tree.Span("load_ms", scene.Region); runner.waited(waitKey(log, contents, startStep)) > timeout {
+	if timeout := scene.Tree.Duration("load_ms", scene.Region); runner.waited(waitKey(log, contents, startStep)) > timeout {
 		return nil, &workflow.Terminal{Reason: fmt.Sprintf("only %d of %d replicas loaded %s within %v", len(loaded), len(expected), contents.Version, timeout)}
 	}
 	return nil, workflow.ErrWait
@@ -472,7 +472,7 @@
 
 // runTrial loads the version on a few replicas, sends them their normal load, and
 // compares the version with the old one by kind of request.
-func (runner *Runner) runTrial(scene Scene, log *workflow.Log, contents Contents, old string) error {
+func (runner *Runner) runTrial(scene RegionView, log *workflow.Log, contents Contents, old string) error {
 	var selected []string
 	if err := runner.step(log, "trial-select", func() (any, error) {
 		return runner.selectTrialReplicas(scene, log, contents)
@@ -489,7 +489,7 @@
 	}, nil); err != nil {
 		return err
 	}
-	var base map[string]standing.Outcome
+	var base map[string]routing.Outcome
 	if err := log.Step("trial-base", func() (any, error) { return outcomeTotals(scene, contents, old), nil }, &base); err != nil {
 		return err
 	}
@@ -498,7 +498,7 @@
 		return err
 	}
 	if err := runner.step(log, "trial-route", func() (any, error) {
-		return nil, runner.changeRoute(scene, log, contents, func(_ *Model, route *standing.Route) {
+		return nil, runner.changeRoute(scene, log, contents, func(_ *Model, route *routing.Route) {
 			route.Trial, route.TrialReplicas, route.Serial = contents.Version, selected, serial
 		})
 	}, nil); err != nil {
@@ -511,7 +511,7 @@
 
 // selectTrialReplicas picks the replicas for the trial. A model is on trial in one
 // region at a time, so that its trial replicas stay a small share of all its replicas.
-func (runner *Runner) selectTrialReplicas(scene Scene, log *workflow.Log, contents Contents) ([]string, error) {
+func (runner *Runner) selectTrialReplicas(scene RegionView, log *workflow.Log, contents Contents) ([]string, error) {
 	count := int(scene.Tree.Limit("trial_replicas", scene.Region))
 	var eligible []string
 	for _, instance := range scene.placedReplicas(contents.Model) {
@@ -524,7 +524,7 @@
 	}
 	sort.Strings(eligible)
 	selected := eligible[:min(count, len(eligible))]
-	_, err := runner.Objects.Change(contents.Model, scene.Region, scene.Duty, func(model *Model) error {
+	_, err := runner.Objects.Change(contents.Model, scene.Region, scene.Term, func(model *Model) error {
 		for _, region := range sorted(model.Routes) {
 			if other := model.Routes[region]; region != scene.Region && len(other.TrialReplicas) > 0 {
 				return workflow.ErrWait
@@ -545,8 +545,8 @@
 
 // outcomeTotals returns the outcome counts that the daemons report for the two versions
 // in this region, by daemon incarnation, version and kind.
-func outcomeTotals(scene Scene, contents Contents, old string) map[string]standing.Outcome {
-	sums := map[string]standing.Outcome{}
+func outcomeTotals(scene RegionView, contents Contents, old string) map[string]routing.Outcome {
+	sums := map[string]routing.Outcome{}
 	for _, daemon := range scene.Daemons {
 		for _, outcome := range daemon.Report.Total {
 			if outcome.Model == contents.Model && outcome.Replica == scene.Region && (outcome.Version == contents.Version || outcome.Version == old) {
@@ -559,8 +559,8 @@
 
 // outcomesSince returns, by kind, the outcomes counted since base: those of the run's
 // version and those of the old version.
-func outcomesSince(scene Scene, contents Contents, old string, base map[string]standing.Outcome) (candidate, others map[string]standing.Outcome) {
-	candidate, others = map[string]standing.Outcome{}, map[string]standing.Outcome{}
+func outcomesSince(scene RegionView, contents Contents, old string, base map[string]routing.Outcome) (candidate, others map[string]routing.Outcome) {
+	candidate, others = map[string]routing.Outcome{}, map[string]routing.Outcome{}
 	now := outcomeTotals(scene, contents, old)
 	for _, key := range slices.Sorted(maps.Keys(now)) {
 		outcome, before := now[key], base[key]
@@ -580,17 +580,17 @@
 
 // clearlyFails returns the first kind of request on which the version's failures are
 // statistically clear.
-func clearlyFails(scene Scene, contents Contents, old string, candidate, others map[string]standing.Outcome) (string, bool) {
+func clearlyFails(scene RegionView, contents Contents, old string, candidate, others map[string]routing.Outcome) (string, bool) {
 	for _, kind := range sorted(candidate) {
-		if standing.PlainVersion(candidate[kind], others[kind]) {
+		if routing.VersionFailsClearly(candidate[kind], others[kind]) {
 			return kind, true
 		}
 	}
 	// The outcomes of the last seconds are also checked on their own, because a version
 	// may start to fail only after the load has risen.
-	recent := map[string]standing.Outcome{}
-	recentOld := map[string]standing.Outcome{}
-	for key, outcome := range standing.Gather(scene.Daemons) {
+	recent := map[string]routing.Outcome{}
+	recentOld := map[string]routing.Outcome{}
+	for key, outcome := range routing.SumOutcomes(scene.Daemons) {
 		if key.Model != contents.Model || !isInRegion(scene, key.Replica) {
 			continue
 		}
@@ -605,14 +605,14 @@
 		table[key.Kind] = sum
 	}
 	for _, kind := range sorted(recent) {
-		if standing.PlainVersion(recent[kind], recentOld[kind]) {
+		if routing.VersionFailsClearly(recent[kind], recentOld[kind]) {
 			return kind, true
 		}
 	}
 	return "", false
 }
 
-func isInRegion(scene Scene, id string) bool {
+func isInRegion(scene RegionView, id string) bool {
 	for _, instance := range scene.Replicas {
 		if instance.ID == id {
 			return true
@@ -622,7 +622,7 @@
 }
 
 // placedReplicas returns the replicas in the zones where the model is placed.
-func (scene Scene) placedReplicas(model string) (list []standing.Replica) {
+func (scene RegionView) placedReplicas(model string) (list []routing.Replica) {
 	for _, instance := range scene.Replicas {
 		if _, isPlaced := scene.Tree.Placement(model, instance.Zone); isPlaced {
 			list = append(list, instance)
@@ -640,7 +640,7 @@
 // judgeTrial fails the run if the version clearly fails. Otherwise the trial passes
 // after trial_ms, once every kind that the old version gets has trial_samples requests,
 // or after trial_most_ms at the latest if the few requests do not speak against it.
-func (runner *Runner) judgeTrial(scene Scene, log *workflow.Log, contents Contents, old string, base map[string]standing.Outcome) (any, error) {
+func (runner *Runner) judgeTrial(scene RegionView, log *workflow.Log, contents Contents, old string, base map[string]routing.Outcome) (any, error) {
 	candidate, others := outcomesSince(scene, contents, old, base)
 	if kind, fails := clearlyFails(scene, contents, old, candidate, others); fails {
 		return nil, &VersionFailure{fmt.Sprintf("version %s fails on kind %q: %d of %d", contents.Version, kind, candidate[kind].Mishaps+candidate[kind].Late, max(candidate[kind].Mishaps+candidate[kind].OK, candidate[kind].Mishaps+candidate[kind].Late))}
@@ -649,7 +649,7 @@
 		return nil, err
 	}
 	waited := runner.waited(waitKey(log, contents, "trial-judge"))
-	if waited < scene.Tree.Span("trial_ms", scene.Region) {
+	if waited < scene.Tree.Duration("trial_ms", scene.Region) {
 		return nil, workflow.ErrWait
 	}
 	sparseKind := ""
@@ -659,7 +659,7 @@
 			sparseKind = kind
 		}
 	}
-	if (sparseKind != "" || len(candidate) == 0) && waited < scene.Tree.Span("trial_most_ms", scene.Region) {
+	if (sparseKind != "" || len(candidate) == 0) && waited < scene.Tree.Duration("trial_most_ms", scene.Region) {
 		return nil, workflow.ErrWait
 	}
 	if sparseKind != "" {
@@ -667,7 +667,7 @@
 		// the version either: a version that crashes its replica gets few requests and
 		// answers none.
 		for _, kind := range sorted(candidate) {
-			if standing.Doubtful(candidate[kind], others[kind]) {
+			if routing.MayFail(candidate[kind], others[kind]) {
 				return nil, &VersionFailure{fmt.Sprintf("version %s had too few requests of kind %q, and did not stand the few: %d failed, %d were answered", contents.Version, kind, candidate[kind].Mishaps+candidate[kind].Late, candidate[kind].OK)}
 			}
 		}
@@ -681,7 +681,7 @@
 
 // verifyClaim returns a terminal error if the run no longer owns the region's route,
 // for example because an operator has changed it.
-func (runner *Runner) verifyClaim(scene Scene, log *workflow.Log, contents Contents) error {
+func (runner *Runner) verifyClaim(scene RegionView, log *workflow.Log, contents Contents) error {
 	object, err := runner.Objects.Model(contents.Model)
 	if err != nil {
 		return err
@@ -690,7 +690,7 @@
 }
 
 // checkClaim returns a terminal error if the run may not continue.
-func checkClaim(model *Model, route standing.Route, log *workflow.Log, contents Contents) error {
+func checkClaim(model *Model, route routing.Route, log *workflow.Log, contents Contents) error {
 	if model.Failed[contents.Version] == log.Run().ID {
 		return &workflow.Terminal{Reason: fmt.Sprintf("version %s failed in another region", contents.Version)}
 	}
@@ -702,20 +702,20 @@
 
 // watchVersion monitors the version for watch_ms after the route has moved, and fails
 // the run if the version's failures become clear.
-func (runner *Runner) watchVersion(scene Scene, log *workflow.Log, contents Contents, old string) error {
-	var base map[string]standing.Outcome
+func (runner *Runner) watchVersion(scene RegionView, log *workflow.Log, contents Contents, old string) error {
+	var base map[string]routing.Outcome
 	if err := log.Step("watch-base", func() (any, error) { return outcomeTotals(scene, contents, old), nil }, &base); err != nil {
 		return err
 	}
 	return runner.step(log, "watch", func() (any, error) {
 		candidate, _ := outcomesSince(scene, contents, old, base)
-		if kind, fails := clearlyFails(scene, contents, old, candidate, map[string]standing.Outcome{}); fails {
+		if kind, fails := clearlyFails(scene, contents, old, candidate, map[string]routing.Outcome{}); fails {
 			return nil, &VersionFailure{fmt.Sprintf("version %s fails on kind %q after the route moved", contents.Version, kind)}
 		}
 		if err := runner.verifyClaim(scene, log, contents); err != nil {
 			return nil, err
 		}
-		if runner.waited(waitKey(log, contents, "watch")) < scene.Tree.Span("watch_ms", scene.Region) {
+		if runner.waited(waitKey(log, contents, "watch")) < scene.Tree.Duration("watch_ms", scene.Region) {
 			return nil, workflow.ErrWait
 		}
 		return "no plain failures", nil
@@ -728,16 +728,16 @@
 // may fail on exactly these. It considers all outcomes counted since the daemons
 // started, so that a version that has long answered a kind is not rolled back because
 // of a few broken streams. It reports whether it rolled back.
-func (runner *Runner) guardRoute(scene Scene, model string) (bool, error) {
+func (runner *Runner) guardRoute(scene RegionView, model string) (bool, error) {
 	route, hasRoute := scene.Routes[model]
-	if !hasRoute || route.Run != "" || route.Previous == "" || route.Bears(route.Previous) || route.Trial != "" {
+	if !hasRoute || route.Run != "" || route.Previous == "" || route.IsBanned(route.Previous) || route.Trial != "" {
 		return false, nil
 	}
 	contents := Contents{Model: model, Region: scene.Region, Version: route.Version}
-	failing := func(base map[string]standing.Outcome) string {
+	failing := func(base map[string]routing.Outcome) string {
 		current, _ := outcomesSince(scene, contents, route.Previous, base)
 		for _, kind := range sorted(current) {
-			if outcome := current[kind]; standing.PlainVersion(outcome, standing.Outcome{}) && outcome.Mishaps+outcome.Late > outcome.OK {
+			if outcome := current[kind]; routing.VersionFailsClearly(outcome, routing.Outcome{}) && outcome.Mishaps+outcome.Late > outcome.OK {
 				return kind
 			}
 		}
@@ -760,7 +760,7 @@
 	if err != nil || version.Regions[scene.Region].State != RUNNING {
 		return false, err
 	}
-	store, _, err := runner.Book.Read(Key(model, scene.Region))
+	store, _, err := runner.Journal.Read(Key(model, scene.Region))
 	if err != nil || store.Run == nil || store.Run.State == workflow.Running {
 		return false, err
 	}
@@ -779,7 +779,7 @@
 // route. If the version's failures are clear, the version is rolled back in all regions
 // at once, so that the users of other regions are not exposed to it. Each part is an
 // upsert, so a retry is safe.
-func (runner *Runner) undoRun(scene Scene, effects runEffects, contents Contents, isVersionFailure bool) error {
+func (runner *Runner) undoRun(scene RegionView, effects runEffects, contents Contents, isVersionFailure bool) error {
 	object, err := runner.Objects.Model(contents.Model)
 	if err != nil {
 		return err
@@ -814,7 +814,7 @@
 			return err
 		}
 	}
-	_, err = runner.Objects.Change(contents.Model, scene.Region, scene.Duty, func(model *Model) error {
+	_, err = runner.Objects.Change(contents.Model, scene.Region, scene.Term, func(model *Model) error {
 		if isVersionFailure {
 			if model.Failed == nil {
 				model.Failed = map[string]string{}
@@ -826,7 +826,7 @@
 			if region == scene.Region && route.Run != effects.runID && !isVersionFailure {
 				continue
 			}
-			if isVersionFailure && !route.Bears(contents.Version) {
+			if isVersionFailure && !route.IsBanned(contents.Version) {
 				route.Banned = append(route.Banned, contents.Version)
 			}
 			if region == scene.Region || route.Trial == contents.Version {
@@ -834,7 +834,7 @@
 			}
 			if target := fallback[region]; target != "" && route.Version == contents.Version && route.Previous == target {
 				route.Version, route.Previous, route.Run, route.Watched = target, contents.Version, "", false
-				route.Moved = runner.World.Wall()
+				route.Moved = runner.World.WallTime()
 				model.RolledBack = true
 			}
 			route.Serial = serials[region]
@@ -848,7 +848,7 @@
 	}
 	for _, region := range sorted(serials) {
 		if fallback[region] != "" {
-			err = runner.Objects.Schedule(contents.Model, contents.Version, region, 0, STANDBY, scene.Tree.Span("standby_ms", region))
+			err = runner.Objects.Schedule(contents.Model, contents.Version, region, 0, STANDBY, scene.Tree.Duration("standby_ms", region))
 		} else if region != scene.Region || effects.orderedLoad {
 			_, err = runner.Objects.Want(contents.Model, contents.Version, region, 0, ARCHIVED, nil)
 		}
@@ -862,12 +862,12 @@
 // reconcile compares the state of each replica with the desired state and orders what
 // differs. A version is unloaded once no stream runs on it, or unload_wait_ms after it
 // stopped being desired there.
-func (runner *Runner) reconcile(scene Scene, model string) error {
+func (runner *Runner) reconcile(scene RegionView, model string) error {
 	versions, err := runner.Objects.Versions(model)
 	if err != nil {
 		return err
 	}
-	streams := map[standing.Held]int{}
+	streams := map[routing.ReplicaVersion]int{}
 	for _, daemon := range scene.Daemons {
 		for held, count := range daemon.Report.Streams {
 			streams[held] += count
@@ -885,15 +885,15 @@
 			}
 			target := targetState(desired, instance.ID)
 			actual := instance.Held[model+"/"+version]
-			if actual == target || actual == standing.Loading && target == replica.Load || actual == "" && target != replica.Load {
+			if actual == target || actual == routing.Loading && target == replica.Load || actual == "" && target != replica.Load {
 				continue
 			}
 			unloadKey := fmt.Sprintf("unload %s/%s/%d/%s", model, version, desired.Order, instance.ID)
-			if target != replica.Load && streams[standing.Held{Replica: instance.ID, Model: model, Version: version}] > 0 &&
-				runner.waited(unloadKey) < scene.Tree.Span("unload_wait_ms", scene.Region) {
+			if target != replica.Load && streams[routing.ReplicaVersion{Replica: instance.ID, Model: model, Version: version}] > 0 &&
+				runner.waited(unloadKey) < scene.Tree.Duration("unload_wait_ms", scene.Region) {
 				continue
 			}
-			if last, sent := runner.orderSentAt[instance.ID+"|"+model+"/"+version]; sent && now-last < 4*scene.Tree.Span("probe_ms", scene.Region) {
+			if last, sent := runner.orderSentAt[instance.ID+"|"+model+"/"+version]; sent && now-last < 4*scene.Tree.Duration("probe_ms", scene.Region) {
 				continue // the probes may not show the effect of the last order yet
 			}
 			delete(runner.waitStart, unloadKey)
