--- a/rollout/term.go
+++ b/rollout/timed.go
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
+	"swifttiller/routing"
 	"swifttiller/settings"
-	"swifttiller/standing"
 	"swifttiller/workflow"
 )
 
@@ -44,9 +44,9 @@
 
 // States of an order.
 const (
-	Moving   = "running"
-	Moved    = "done"
-	GoneBack = "back"
+	Moving     = "running"
+	Moved      = "done"
+	RolledBack = "back"
 )
 
 // State returns the state of the order over the regions where the model is still
@@ -54,7 +54,7 @@
 // done.
 func (order *Order) State(placed []string) string {
 	if order.Back != "" {
-		return GoneBack
+		return RolledBack
 	}
 	isAny := false
 	for _, region := range order.Regions {
@@ -66,7 +66,7 @@
 		}
 	}
 	if !isAny {
-		return GoneBack // the model is no longer placed in any of the order's regions
+		return RolledBack // the model is no longer placed in any of the order's regions
 	}
 	return Moved
 }
@@ -99,14 +99,14 @@
 // of all regions name the trial version, so that a new replica is never treated as one
 // of the established version. It returns a Decline if another order is in progress.
 func (objects *Objects) Begin(model, version string, duration time.Duration, regions []string) (Order, error) {
-	return objects.BeginWithin(Fence{}, model, version, duration, regions)
+	return objects.BeginWithLimits(WriteLimits{}, model, version, duration, regions)
 }
 
-// Fence limits the writing of an operator's order.
-type Fence struct {
-	// Silence is the timeout while no quorum of the core replies; 0 stands for the
+// WriteLimits limits the writing of an operator's order.
+type WriteLimits struct {
+	// Timeout is the timeout while no quorum of the core replies; 0 stands for the
 	// default timeout of the register client.
-	Silence time.Duration
+	Timeout time.Duration
 	// IsAbandoned, if set, reports that the order must no longer be written.
 	IsAbandoned func() bool
 }
@@ -115,16 +115,16 @@
 // was written.
 var ErrAbandoned = errors.New("rollout: the order was abandoned before it was written")
 
-// BeginWithin is like Begin, with a fence that is checked right before the write.
-func (objects *Objects) BeginWithin(fence Fence, model, version string, duration time.Duration, regions []string) (Order, error) {
-	if fence.Silence == 0 {
-		fence.Silence = objects.Keeper.Patience
+// BeginWithLimits is like Begin, with a fence that is checked right before the write.
+func (objects *Objects) BeginWithLimits(fence WriteLimits, model, version string, duration time.Duration, regions []string) (Order, error) {
+	if fence.Timeout == 0 {
+		fence.Timeout = objects.Registers.Patience
 	}
-	object, err := objects.ModelWithin(model, fence.Silence)
+	object, err := objects.ModelWithTimeout(model, fence.Timeout)
 	if err != nil {
 		return Order{}, err
 	}
-	if isRepeat, err := object.isRepeat(version, duration, regions, objects.World.Wall()); isRepeat || err != nil {
+	if isRepeat, err := object.isRepeat(version, duration, regions, objects.World.WallTime()); isRepeat || err != nil {
 		return *orEmpty(object.Order), err
 	}
 	serials := map[string]uint64{}
@@ -134,8 +134,8 @@
 		}
 	}
 	var order Order
-	_, err = objects.changeWithTimeout(fence.Silence, model, "", 0, func(model *Model) error {
-		if isRepeat, err := model.isRepeat(version, duration, regions, objects.World.Wall()); err != nil {
+	_, err = objects.changeWithTimeout(fence.Timeout, model, "", 0, func(model *Model) error {
+		if isRepeat, err := model.isRepeat(version, duration, regions, objects.World.WallTime()); err != nil {
 			return err
 		} else if isRepeat {
 			order = *model.Order
@@ -184,7 +184,7 @@
 		return isSame && now.Sub(order.Ended).Abs() < repeatWindow, nil
 	}
 	if !isSame {
-		return false, &Decline{fmt.Sprintf("a roll-out of %s within %v is already in progress", order.Version, order.Over)}
+		return false, &Rejection{fmt.Sprintf("a roll-out of %s within %v is already in progress", order.Version, order.Over)}
 	}
 	return true, nil
 }
@@ -215,7 +215,7 @@
 // startTimed starts or resumes the region's run of the model's order. If there is
 // nothing to run, it lifts the bars on versions that no replica is listed with any
 // more.
-func (runner *Runner) startTimed(scene Scene, model string) (*workflow.Log, error) {
+func (runner *Runner) startTimed(scene RegionView, model string) (*workflow.Log, error) {
 	object, err := runner.Objects.Model(model)
 	if err != nil {
 		return nil, err
@@ -226,14 +226,14 @@
 	}
 	key := Key(model, scene.Region)
 	contents := Contents{Model: model, Region: scene.Region, Version: order.Version, Over: order.Over, Proved: order.Proved}
-	run, joined, err := runner.Book.Start(key, order.ID, contents)
+	run, joined, err := runner.Journal.Start(key, order.ID, contents)
 	if err != nil {
 		return nil, err
 	}
 	if joined && run.State != workflow.Running {
 		return nil, runner.revertOrder(scene, order.ID, contents, "its run is over: "+run.Reason, false)
 	}
-	return runner.Book.Resume(key, scene.Duty)
+	return runner.Journal.Resume(key, scene.Term)
 }
 
 // Multiples of dark_ms after which the bar on a version that is no longer listed is
@@ -246,7 +246,7 @@
 
 // forgetAbsent lifts the bars on versions that no replica of the region has been listed
 // with for long enough.
-func (runner *Runner) forgetAbsent(scene Scene, model string, object Model) error {
+func (runner *Runner) forgetAbsent(scene RegionView, model string, object Model) error {
 	listed := map[string]bool{}
 	for _, replica := range scene.placedReplicas(model) {
 		for _, version := range replica.Versions(model) {
@@ -259,7 +259,7 @@
 			delete(runner.waitStart, key)
 			return false
 		}
-		return runner.waited(key) > ratio*scene.Tree.Span("dark_ms", scene.Region)
+		return runner.waited(key) > ratio*scene.Tree.Duration("dark_ms", scene.Region)
 	}
 	retain := func(barred []string, ratio time.Duration) (kept []string) {
 		for _, version := range barred {
@@ -274,7 +274,7 @@
 	if len(left) == len(route.Left) && len(banned) == len(route.Banned) {
 		return nil
 	}
-	_, err := runner.Objects.Change(model, scene.Region, scene.Duty, func(model *Model) error {
+	_, err := runner.Objects.Change(model, scene.Region, scene.Term, func(model *Model) error {
 		current := model.Routes[scene.Region]
 		if current.Serial != route.Serial || current.Run != route.Run {
 			return workflow.ErrWait // the route changed in the meantime; the next pass reads it again
@@ -322,10 +322,10 @@
 }
 
 // advanceTimed executes the remaining steps of a timed roll-out.
-func (runner *Runner) advanceTimed(scene Scene, log *workflow.Log, contents Contents) error {
-	var base map[string]standing.Outcome
+func (runner *Runner) advanceTimed(scene RegionView, log *workflow.Log, contents Contents) error {
+	var base map[string]routing.Outcome
 	if err := runner.step(log, "validate", func() (any, error) {
-		if placement, _ := scene.Tree.Placement(contents.Model, scene.Region); !placement.Any() {
+		if placement, _ := scene.Tree.Placement(contents.Model, scene.Region); !placement.AcceptsAnyVersion() {
 			return nil, &workflow.Terminal{Reason: fmt.Sprintf("model %q is not placed in region %s with any version", contents.Model, scene.Region)}
 		}
 		return versionOutcomes(scene, contents), runner.changeOwned(scene, log, contents, nil)
@@ -361,7 +361,7 @@
 		return err
 	}
 	if err := runner.step(log, "pass", func() (any, error) {
-		return nil, runner.changeOwned(scene, log, contents, func(order *Order, _ *standing.Route) {
+		return nil, runner.changeOwned(scene, log, contents, func(order *Order, _ *routing.Route) {
 			if order.Passed == nil {
 				order.Passed = map[string]string{}
 			}
@@ -375,8 +375,8 @@
 	}, nil); err != nil {
 		return err
 	}
-	if err := runner.moveRoute(scene, log, contents, true, func(revise func(*standing.Route)) error {
-		return runner.changeOwned(scene, log, contents, func(_ *Order, route *standing.Route) { revise(route) })
+	if err := runner.moveRoute(scene, log, contents, true, func(revise func(*routing.Route)) error {
+		return runner.changeOwned(scene, log, contents, func(_ *Order, route *routing.Route) { revise(route) })
 	}); err != nil {
 		return err
 	}
@@ -386,15 +386,15 @@
 		return err
 	}
 	return runner.step(log, "live", func() (any, error) {
-		return nil, runner.changeOwned(scene, log, contents, func(order *Order, route *standing.Route) {
+		return nil, runner.changeOwned(scene, log, contents, func(order *Order, route *routing.Route) {
 			if order.Done == nil {
 				order.Done = map[string]bool{}
 			}
-			order.Done[scene.Region], order.Ended = true, runner.World.Wall()
+			order.Done[scene.Region], order.Ended = true, runner.World.WallTime()
 			route.Previous, route.Watched = "", false
 			for _, replica := range scene.placedReplicas(contents.Model) {
 				for _, version := range replica.Versions(contents.Model) {
-					if version != contents.Version && !has(route.Left, version) && !route.Bears(version) {
+					if version != contents.Version && !has(route.Left, version) && !route.IsBanned(version) {
 						route.Left = append(route.Left, version)
 					}
 				}
@@ -405,8 +405,8 @@
 
 // changeOwned revises the order and the region's route while both belong to this run.
 // Without a revision it only raises the region's fence.
-func (runner *Runner) changeOwned(scene Scene, log *workflow.Log, contents Contents, revise func(*Order, *standing.Route)) error {
-	_, err := runner.Objects.Change(contents.Model, scene.Region, scene.Duty, func(model *Model) error {
+func (runner *Runner) changeOwned(scene RegionView, log *workflow.Log, contents Contents, revise func(*Order, *routing.Route)) error {
+	_, err := runner.Objects.Change(contents.Model, scene.Region, scene.Term, func(model *Model) error {
 		if err := model.checkOwned(scene.Region, log.Run().ID); err != nil {
 			return err
 		}
@@ -441,8 +441,8 @@
 // versionOutcomes returns the outcomes of the version's requests by daemon incarnation,
 // region and kind. It covers all regions: a version that fails in one must not be tried
 // in another.
-func versionOutcomes(scene Scene, contents Contents) map[string]standing.Outcome {
-	outcomes := map[string]standing.Outcome{}
+func versionOutcomes(scene RegionView, contents Contents) map[string]routing.Outcome {
+	outcomes := map[string]routing.Outcome{}
 	for _, daemon := range scene.Daemons {
 		for _, outcome := range daemon.Report.Total {
 			if outcome.Model == contents.Model && outcome.Version == contents.Version {
@@ -455,9 +455,9 @@
 
 // outcomesByKind returns, by kind, the outcomes of the version since base and those of
 // all other versions. The empty kind holds the sum over all kinds.
-func outcomesByKind(scene Scene, contents Contents, base map[string]standing.Outcome) (candidate, others map[string]standing.Outcome) {
-	candidate, others = map[string]standing.Outcome{}, map[string]standing.Outcome{}
-	add := func(table map[string]standing.Outcome, outcome standing.Outcome) {
+func outcomesByKind(scene RegionView, contents Contents, base map[string]routing.Outcome) (candidate, others map[string]routing.Outcome) {
+	candidate, others = map[string]routing.Outcome{}, map[string]routing.Outcome{}
+	add := func(table map[string]routing.Outcome, outcome routing.Outcome) {
 		for _, kind := range []string{outcome.Kind, ""} {
 			sum := table[kind]
 			sum.Add(outcome)
@@ -483,17 +483,17 @@
 }
 
 // checkFailures returns a VersionFailure if the version clearly fails in any region.
-func (runner *Runner) checkFailures(scene Scene, contents Contents, base map[string]standing.Outcome) error {
+func (runner *Runner) checkFailures(scene RegionView, contents Contents, base map[string]routing.Outcome) error {
 	candidate, others := outcomesByKind(scene, contents, base)
 	for _, kind := range sorted(candidate) {
 		outcome := candidate[kind]
-		if standing.PlainVersion(outcome, others[kind]) || standing.Worse(outcome, others[kind]) || standing.Slower(outcome, others[kind]) {
+		if routing.VersionFailsClearly(outcome, others[kind]) || routing.FailsMore(outcome, others[kind]) || routing.IsSlower(outcome, others[kind]) {
 			return &VersionFailure{fmt.Sprintf("version %s fails on kind %q: of %d, %d failed, %d came late and %d slowly", contents.Version, kind, outcome.OK+outcome.Mishaps, outcome.Mishaps, outcome.Late, outcome.Slow)}
 		}
 	}
 	// The outcomes of the last seconds are also checked on their own, because a version
 	// may turn bad later.
-	if standing.TrialFails(contents.Model, standing.Route{Version: settings.AnyVersion, Trial: contents.Version}, standing.Gather(scene.Daemons)) {
+	if routing.TrialFails(contents.Model, routing.Route{Version: settings.AnyVersion, Trial: contents.Version}, routing.SumOutcomes(scene.Daemons)) {
 		return &VersionFailure{fmt.Sprintf("version %s has turned bad", contents.Version)}
 	}
 	return nil
@@ -501,7 +501,7 @@
 
 // awaitReplicas waits for replicas of the version, which start without an order. It
 // returns Empty if there are none by the end of the trial.
-func (runner *Runner) awaitReplicas(scene Scene, log *workflow.Log, contents Contents) (any, error) {
+func (runner *Runner) awaitReplicas(scene RegionView, log *workflow.Log, contents Contents) (any, error) {
 	for _, replica := range scene.placedReplicas(contents.Model) {
 		if replica.Alive && !replica.Leaving && has(replica.Versions(contents.Model), contents.Version) {
 			return Ready, nil
@@ -519,7 +519,7 @@
 
 // judgeTimedTrial ends the trial once most of the duration has passed and every kind
 // that is not rare has been answered.
-func (runner *Runner) judgeTimedTrial(scene Scene, log *workflow.Log, contents Contents, base map[string]standing.Outcome, ending string) (any, error) {
+func (runner *Runner) judgeTimedTrial(scene RegionView, log *workflow.Log, contents Contents, base map[string]routing.Outcome, ending string) (any, error) {
 	if contents.Proved || ending == Empty {
 		return Judgement{true, "nothing was tried"}, nil
 	}
@@ -532,14 +532,14 @@
 	}
 	candidate, others := outcomesByKind(scene, contents, base)
 	for _, kind := range sorted(candidate) {
-		if outcome := candidate[kind]; outcome.OK+outcome.Mishaps < standing.PlainMishaps && standing.Doubtful(outcome, others[kind]) {
+		if outcome := candidate[kind]; outcome.OK+outcome.Mishaps < routing.MinFailures && routing.MayFail(outcome, others[kind]) {
 			return nil, &VersionFailure{fmt.Sprintf("version %s had too few requests of kind %q, and did not stand the few: %d failed, %d were answered", contents.Version, kind, outcome.Mishaps+outcome.Late, outcome.OK)}
 		}
 	}
 	total := candidate[""].OK + candidate[""].Mishaps
 	// Half of the samples that a trial without a time limit needs of each kind, because
 	// a timed one is short.
-	tooFew := total < int(scene.Tree.Limit("trial_samples", scene.Region)/2) || standing.Unclear(candidate[""], others[""])
+	tooFew := total < int(scene.Tree.Limit("trial_samples", scene.Region)/2) || routing.FailsAboveExpected(candidate[""], others[""])
 	for _, kind := range sorted(others) {
 		outcome := others[kind]
 		tooFew = tooFew || float64(outcome.OK) > rareKindShare*float64(others[""].OK) && candidate[kind].OK+candidate[kind].Mishaps == 0
@@ -549,7 +549,7 @@
 		return Judgement{true, "enough answers of every kind"}, nil
 	case elapsed < contents.fraction(judgeEndShare):
 		return nil, runner.wait(contents.fraction(judgeEndShare) - elapsed)
-	case standing.Suspect(candidate[""], others[""]):
+	case routing.MayFailMore(candidate[""], others[""]):
 		return nil, &VersionFailure{fmt.Sprintf("version %s failed too often for what it was tried: of %d, %d failed and %d came late", contents.Version, total, candidate[""].Mishaps, candidate[""].Late)}
 	case total > 0:
 		return Judgement{true, "few answers; what there was did not fail"}, nil
@@ -562,10 +562,12 @@
 }
 
 // knowsAllDaemons reports whether every running data daemon has been heard from.
-func (scene Scene) knowsAllDaemons() bool { return scene.Watched > scene.Tree.Span("session_ms", "") }
+func (scene RegionView) knowsAllDaemons() bool {
+	return scene.SessionsWatched > scene.Tree.Duration("session_ms", "")
+}
 
 // hasDemand reports whether there are requests for the model.
-func hasDemand(scene Scene, model string) bool {
+func hasDemand(scene RegionView, model string) bool {
 	for _, daemon := range scene.Daemons {
 		if daemon.Report.Demand[model] >= 0.5 {
 			return true
@@ -576,18 +578,20 @@
 
 // pollDelay returns when to check again for something that other daemons need a moment
 // for.
-func pollDelay(scene Scene) time.Duration { return standing.Tick(scene.Tree.Span("permit_ms", "")) / 2 }
+func pollDelay(scene RegionView) time.Duration {
+	return routing.RecomputeInterval(scene.Tree.Duration("permit_ms", "")) / 2
+}
 
 // awaitAllRegions waits until the trials of all regions have passed. If no region has
 // replicas of the version, there is nothing to move to and the run fails.
-func (runner *Runner) awaitAllRegions(scene Scene, contents Contents) error {
+func (runner *Runner) awaitAllRegions(scene RegionView, contents Contents) error {
 	object, err := runner.Objects.Model(contents.Model)
 	if err != nil {
 		return err
 	}
 	isReady := false
 	for _, region := range object.Order.Regions {
-		if placement, _ := scene.Tree.Placement(contents.Model, region); !placement.Any() {
+		if placement, _ := scene.Tree.Placement(contents.Model, region); !placement.AcceptsAnyVersion() {
 			continue
 		}
 		switch object.Order.Passed[region] {
@@ -605,10 +609,10 @@
 
 // awaitDrained waits, after the move, until every data daemon uses the new route and
 // nothing runs on the replicas that are about to stop.
-func (runner *Runner) awaitDrained(scene Scene, log *workflow.Log, contents Contents) error {
+func (runner *Runner) awaitDrained(scene RegionView, log *workflow.Log, contents Contents) error {
 	key := waitKey(log, contents, "shown")
 	if _, isKnown := runner.movedSerial[key]; !isKnown && tableMoved(scene, contents) {
-		runner.movedSerial[key] = scene.Standing.Serial
+		runner.movedSerial[key] = scene.RoutingTable.Serial
 	}
 	serial, isApplied := runner.movedSerial[key]
 	if isApplied {
@@ -616,7 +620,7 @@
 		for _, daemon := range scene.Daemons {
 			isEverywhere = isEverywhere && daemon.Report.Standing[scene.Region] >= serial
 		}
-		lease := scene.Tree.Span("permit_ms", "")
+		lease := scene.Tree.Duration("permit_ms", "")
 		isApplied = isEverywhere || runner.waited(key) > lease+lease/4 // all leases on older routing tables have expired
 	}
 	if !isApplied {
@@ -635,11 +639,11 @@
 }
 
 // tableMoved reports whether the region's routing table shows the new route.
-func tableMoved(scene Scene, contents Contents) bool {
-	if scene.Standing == nil {
+func tableMoved(scene RegionView, contents Contents) bool {
+	if scene.RoutingTable == nil {
 		return false
 	}
-	for _, row := range scene.Standing.Rows {
+	for _, row := range scene.RoutingTable.Rows {
 		if row.Model == contents.Model && (row.Trial || row.Version != contents.Version && !row.Back) {
 			return false
 		}
@@ -649,7 +653,7 @@
 
 // hasOldStreams reports whether a stream is running on replicas of other versions in
 // the region.
-func hasOldStreams(scene Scene, contents Contents) bool {
+func hasOldStreams(scene RegionView, contents Contents) bool {
 	for _, daemon := range scene.Daemons {
 		for held, count := range daemon.Report.Streams {
 			if held.Model == contents.Model && held.Version != contents.Version && count > 0 && isInRegion(scene, held.Replica) {
@@ -662,7 +666,7 @@
 
 // revertOrder rolls the order back in all regions with one write. It is an upsert, so a
 // retry is safe.
-func (runner *Runner) revertOrder(scene Scene, id string, contents Contents, reason string, isVersionFailure bool) error {
+func (runner *Runner) revertOrder(scene RegionView, id string, contents Contents, reason string, isVersionFailure bool) error {
 	object, err := runner.Objects.Model(contents.Model)
 	if err != nil {
 		return err
@@ -678,11 +682,11 @@
 			return err
 		}
 	}
-	_, err = runner.Objects.Change(contents.Model, scene.Region, scene.Duty, func(model *Model) error {
+	_, err = runner.Objects.Change(contents.Model, scene.Region, scene.Term, func(model *Model) error {
 		if isOver(orEmpty(model.Order)) {
 			return workflow.ErrWait // rolled back or superseded in the meantime; the next pass reads it again
 		}
-		model.Order.Back, model.Order.Ended = reason, runner.World.Wall()
+		model.Order.Back, model.Order.Ended = reason, runner.World.WallTime()
 		if isVersionFailure {
 			if model.Failed == nil {
 				model.Failed = map[string]string{}
@@ -692,9 +696,9 @@
 		for _, region := range model.Order.Regions {
 			route := model.Routes[region]
 			if route.Version == contents.Version {
-				route.Version, route.Moved = route.Previous, runner.World.Wall()
+				route.Version, route.Moved = route.Previous, runner.World.WallTime()
 			}
-			if !route.Bears(contents.Version) {
+			if !route.IsBanned(contents.Version) {
 				route.Banned = append(route.Banned, contents.Version)
 			}
 			route.Run, route.Trial, route.Previous, route.Watched, route.Left = "", "", "", false, nil
--- a/standing/deal.go
+++ b/routing/credits.go
@@ -1,4 +1,4 @@
-package standing
+package routing
 
 import (
 	"hash/fnv"
@@ -13,7 +13,7 @@
 // that report overflow: what exceeds 1.2 times its own demand, times spill_share. A
 // daemon's credits grow only into capacity that no other daemon may still be using.
 // Endpoints of models with an engine get no credits.
-func allocateCredits(input Input, out *Standing) {
+func allocateCredits(input Input, out *Table) {
 	models := map[string][]string{} // by replica
 	for _, row := range out.Rows {
 		if !slices.Contains(models[row.Replica], row.Model) {
@@ -79,7 +79,7 @@
 // is at least twice the number of local daemons, each of them gets one unit first. A hash
 // of endpoint and daemon influences who gets the units left over by rounding, so that they
 // spread over the daemons across many replicas.
-func splitCapacity(endpoint *Place, localDaemons []string, weights map[string]float64) map[string]int {
+func splitCapacity(endpoint *Endpoint, localDaemons []string, weights map[string]float64) map[string]int {
 	shares := map[string]int{}
 	remaining := endpoint.Capacity
 	if len(localDaemons)*2 <= endpoint.Capacity {
@@ -133,13 +133,13 @@
 	return value ^ value>>33
 }
 
-// Heaviest is the maximum cost of a request, in units.
-const Heaviest = 8
+// MaxRequestCost is the maximum cost of a request, in units.
+const MaxRequestCost = 8
 
-// Alone reports whether the replica is cold and no other daemon may have anything running
+// IsExclusive reports whether the replica is cold and no other daemon may have anything running
 // on it. The daemon may then send it one request of any cost, since every replica can take
 // a single request.
-func (endpoint Place) Alone(daemon string) bool {
+func (endpoint Endpoint) IsExclusive(daemon string) bool {
 	for other, units := range endpoint.InForce {
 		if other != daemon && units > 0 {
 			return false
@@ -150,12 +150,12 @@
 
 // grantCredits decides how many of the wanted credits to grant at an endpoint, and records
 // in InForce which earlier credits daemons may still act on.
-func grantCredits(input Input, endpoint *Place, wanted map[string]int) {
-	var previous Place
+func grantCredits(input Input, endpoint *Endpoint, wanted map[string]int) {
+	var previous Endpoint
 	var serial uint64
-	if input.Before != nil {
-		serial = input.Before.Serial
-		for _, candidate := range input.Before.Places {
+	if input.Previous != nil {
+		serial = input.Previous.Serial
+		for _, candidate := range input.Previous.Places {
 			if candidate.ID == endpoint.ID {
 				previous = candidate
 			}
@@ -167,12 +167,12 @@
 	}
 	// A lease ends at most one lease duration after its daemon was last heard from; 10% is
 	// added as a margin.
-	expireAfter := input.Tree.Span("permit_ms", "")
+	expireAfter := input.Tree.Duration("permit_ms", "")
 	expireAfter += expireAfter / 10
 	if endpoint.Warm < 1 {
 		// Requests of a frozen or partitioned daemon continue on the replica, while those
 		// of a killed daemon end. From here the two cases look the same.
-		expireAfter = max(expireAfter, input.Tree.Span("stall_ms", endpoint.Zone))
+		expireAfter = max(expireAfter, input.Tree.Duration("stall_ms", endpoint.Zone))
 	}
 	inForce := map[string]int{}
 	for name := range unionKeys(previous.Credits, previous.InForce) {
@@ -180,13 +180,13 @@
 		// Until the daemon has applied a routing table in which it is no longer alone, it
 		// may still send one request of any cost.
 		soloUnits := 0
-		if previous.Alone(name) {
-			soloUnits = Heaviest
+		if previous.IsExclusive(name) {
+			soloUnits = MaxRequestCost
 		}
 		switch {
 		case isMember && report.Standing[input.Region] >= serial && serial > 0:
 			inForce[name] = max(soloUnits, previous.Credits[name])
-		case !isMember && input.Gone[name] > expireAfter:
+		case !isMember && input.AbsentFor[name] > expireAfter:
 			continue
 		default:
 			inForce[name] = max(soloUnits, previous.Credits[name], previous.InForce[name])
@@ -234,7 +234,7 @@
 
 // trimCredits reduces the largest credits one by one until their sum fits the capacity,
 // which may have shrunk.
-func trimCredits(endpoint *Place) {
+func trimCredits(endpoint *Endpoint) {
 	sum := 0
 	names := make([]string, 0, len(endpoint.Credits))
 	for name, credit := range endpoint.Credits {
@@ -265,13 +265,13 @@
 	return out
 }
 
-// Same reports whether two routing tables mean the same to data daemons and to the next
+// Equivalent reports whether two routing tables mean the same to data daemons and to the next
 // computation. Small changes of warmth don't count.
-func Same(a, b Standing) bool { return Changed(a, b) == "" }
+func Equivalent(a, b Table) bool { return FirstDifference(a, b) == "" }
 
-// Changed names the first difference between two routing tables that matters to data
+// FirstDifference names the first difference between two routing tables that matters to data
 // daemons or to the next computation. It returns "" if there is none.
-func Changed(a, b Standing) string {
+func FirstDifference(a, b Table) string {
 	switch {
 	case a.Duty != b.Duty:
 		return "duty"
@@ -319,7 +319,7 @@
 	return true
 }
 
-// Tick returns the interval at which a region's routing table is recomputed, an eighth of
+// RecomputeInterval returns the interval at which a region's routing table is recomputed, an eighth of
 // the lease duration. This is often enough to drop a leaving replica from the table well
 // within a second of its notice.
-func Tick(lease time.Duration) time.Duration { return lease / 8 }
+func RecomputeInterval(lease time.Duration) time.Duration { return lease / 8 }
--- a/standing/standing_test.go
+++ b/routing/routing_test.go
@@ -1,4 +1,4 @@
-package standing_test
+package routing_test
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
+	"swifttiller/routing"
 	"swifttiller/settings"
-	"swifttiller/standing"
 )
 
 func tree() *settings.Tree {
@@ -20,9 +20,9 @@
 	return tree
 }
 
-func replicas(count int) (list []standing.Replica) {
+func replicas(count int) (list []routing.Replica) {
 	for index := 0; index < count; index++ {
-		list = append(list, standing.Replica{ID: fmt.Sprint("r", index), Zone: "a-1", Region: "a", Alive: true, Boot: "b", Held: map[string]string{"m/v1": standing.Ready, "m/v2": standing.Ready}})
+		list = append(list, routing.Replica{ID: fmt.Sprint("r", index), Zone: "a-1", Region: "a", Alive: true, Boot: "b", Held: map[string]string{"m/v1": routing.Ready, "m/v2": routing.Ready}})
 	}
 	return list
 }
@@ -40,7 +40,7 @@
 	return &simDaemon{credits: map[string]int{}, running: map[string]int{}, mayRunHeavy: map[string]bool{}, runsHeavy: map[string]bool{}}
 }
 
-func TestCreditsNeverSumAboveWhatAReplicaBears(t *testing.T) {
+func TestCreditsNeverExceedCapacity(t *testing.T) {
 	Convey("in whatever order daemons apply the routing tables, and whichever of them restart", t, func() {
 		heavyRuns := 0
 		defer func() { So(heavyRuns, ShouldBeGreaterThan, 50) }()
@@ -52,31 +52,31 @@
 				daemons[name] = newSimDaemon()
 			}
 			list := replicas(2)
-			var previous *standing.Standing
-			history := []standing.Standing{}
+			var previous *routing.Table
+			history := []routing.Table{}
 			previousMax := map[string]int{}
 			for round := 0; round < 200; round++ {
-				input := standing.Input{Region: "a", Tree: tree(), Replicas: list, Routes: map[string]standing.Route{"m": {Version: "v1"}}, Before: previous, Since: 300 * time.Millisecond, Gone: map[string]time.Duration{}}
+				input := routing.Input{Region: "a", Tree: tree(), Replicas: list, Routes: map[string]routing.Route{"m": {Version: "v1"}}, Previous: previous, Since: 300 * time.Millisecond, AbsentFor: map[string]time.Duration{}}
 				for _, name := range names {
 					daemon := daemons[name]
 					zone, region := "a-1", "a"
 					if name == "d4" {
 						zone, region = "b-1", "b"
 					}
-					report := standing.Report{Standing: map[string]uint64{"a": daemon.serial}, Demand: map[string]float64{"m": float64(random.IntN(12))}, Overflow: map[string]float64{"m": float64(random.IntN(6))}, InFlight: map[string]int{}}
+					report := routing.Report{Standing: map[string]uint64{"a": daemon.serial}, Demand: map[string]float64{"m": float64(random.IntN(12))}, Overflow: map[string]float64{"m": float64(random.IntN(6))}, InFlight: map[string]int{}}
 					for id, units := range daemon.running {
 						report.InFlight[id] = units
 					}
 					for _, replica := range list {
-						report.Recent = append(report.Recent, standing.Outcome{Replica: replica.ID, Model: "m", Version: "v1", Kind: "k", Boot: replica.Boot, OK: random.IntN(40)})
+						report.Recent = append(report.Recent, routing.Outcome{Replica: replica.ID, Model: "m", Version: "v1", Kind: "k", Boot: replica.Boot, OK: random.IntN(40)})
 					}
 					if random.IntN(10) > 0 {
-						input.Daemons = append(input.Daemons, standing.Daemon{Name: name, Zone: zone, Region: region, Report: report})
+						input.Daemons = append(input.Daemons, routing.Daemon{Name: name, Zone: zone, Region: region, Report: report})
 					} else {
-						input.Gone[name] = time.Second // without a session, but its lease may still be valid
+						input.AbsentFor[name] = time.Second // without a session, but its lease may still be valid
 					}
 				}
-				next := standing.Compute(input)
+				next := routing.Compute(input)
 				next.Serial = uint64(round + 1)
 				previous = &next
 				history = append(history, next)
@@ -88,13 +88,13 @@
 						if applied.Serial > daemon.serial {
 							daemon.serial, daemon.credits, daemon.mayRunHeavy = applied.Serial, map[string]int{}, map[string]bool{}
 							for _, endpoint := range applied.Places {
-								daemon.credits[endpoint.ID], daemon.mayRunHeavy[endpoint.ID] = endpoint.Credits[name], endpoint.Alone(name)
+								daemon.credits[endpoint.ID], daemon.mayRunHeavy[endpoint.ID] = endpoint.Credits[name], endpoint.IsExclusive(name)
 							}
 						}
 					}
 					for _, replica := range list {
 						if daemon.running[replica.ID] == 0 && daemon.mayRunHeavy[replica.ID] && random.IntN(3) == 0 {
-							daemon.running[replica.ID], daemon.runsHeavy[replica.ID] = standing.Heaviest, true
+							daemon.running[replica.ID], daemon.runsHeavy[replica.ID] = routing.MaxRequestCost, true
 							heavyRuns++
 						} else if running := daemon.running[replica.ID]; running < daemon.credits[replica.ID] {
 							daemon.running[replica.ID] += random.IntN(daemon.credits[replica.ID] - running + 1)
@@ -119,10 +119,10 @@
 						}
 						if running := daemons[name].running[endpoint.ID]; running > 0 {
 							busyDaemons++
-							hasHeavy = hasHeavy || running > daemons[name].credits[endpoint.ID] && running == standing.Heaviest && daemons[name].runsHeavy[endpoint.ID]
+							hasHeavy = hasHeavy || running > daemons[name].credits[endpoint.ID] && running == routing.MaxRequestCost && daemons[name].runsHeavy[endpoint.ID]
 						}
-						if endpoint.Alone(name) {
-							allowed += standing.Heaviest
+						if endpoint.IsExclusive(name) {
+							allowed += routing.MaxRequestCost
 						}
 						inForce += max(daemons[name].running[endpoint.ID], daemons[name].credits[endpoint.ID])
 						credits += endpoint.Credits[name]
@@ -171,49 +171,49 @@
 	})
 }
 
-func daemonReporting(recent ...standing.Outcome) []standing.Daemon {
-	return []standing.Daemon{{Name: "d1", Zone: "a-1", Region: "a", Report: standing.Report{Recent: recent}}}
+func daemonReporting(recent ...routing.Outcome) []routing.Daemon {
+	return []routing.Daemon{{Name: "d1", Zone: "a-1", Region: "a", Report: routing.Report{Recent: recent}}}
 }
 
-func outcome(id, version, kind string, ok, mishaps int, firstToken time.Duration) standing.Outcome {
-	return standing.Outcome{Replica: id, Model: "m", Version: version, Kind: kind, Boot: "b", OK: ok, Mishaps: mishaps, Least: firstToken}
+func outcome(id, version, kind string, ok, mishaps int, firstToken time.Duration) routing.Outcome {
+	return routing.Outcome{Replica: id, Model: "m", Version: version, Kind: kind, Boot: "b", OK: ok, Mishaps: mishaps, Least: firstToken}
 }
 
-func TestWhoGetsWhat(t *testing.T) {
-	compute := func(change func(*standing.Input)) standing.Standing {
-		input := standing.Input{Region: "a", Tree: tree(), Replicas: replicas(4), Routes: map[string]standing.Route{"m": {Version: "v1"}}, Daemons: daemonReporting()}
+func TestRows(t *testing.T) {
+	compute := func(change func(*routing.Input)) routing.Table {
+		input := routing.Input{Region: "a", Tree: tree(), Replicas: replicas(4), Routes: map[string]routing.Route{"m": {Version: "v1"}}, Daemons: daemonReporting()}
 		change(&input)
-		return standing.Compute(input)
+		return routing.Compute(input)
 	}
-	ids := func(out standing.Standing) (list []string) {
+	ids := func(out routing.Table) (list []string) {
 		for _, row := range out.Rows {
 			list = append(list, row.Replica)
 		}
 		return list
 	}
 	Convey("leaving, unresponsive, evacuated and unloaded replicas get no rows", t, func() {
-		So(ids(compute(func(input *standing.Input) {
+		So(ids(compute(func(input *routing.Input) {
 			input.Replicas[0].Leaving = true
 			input.Replicas[1].Alive = false
-			input.Replicas[2].Held = map[string]string{"m/v1": standing.Loading}
+			input.Replicas[2].Held = map[string]string{"m/v1": routing.Loading}
 		})), ShouldResemble, []string{"r3"})
-		So(ids(compute(func(input *standing.Input) { input.Evacuated = map[string]bool{"a-1": true} })), ShouldBeEmpty)
+		So(ids(compute(func(input *routing.Input) { input.Evacuated = map[string]bool{"a-1": true} })), ShouldBeEmpty)
 	})
 	Convey("a replica that alone fails at a kind is denied that kind; when all fail, none is denied", t, func() {
-		alone := compute(func(input *standing.Input) {
+		alone := compute(func(input *routing.Input) {
 			input.Daemons = daemonReporting(outcome("r0", "v1", "k", 1, 5, 0), outcome("r1", "v1", "k", 20, 0, 0), outcome("r0", "v1", "j", 9, 0, 0))
 		})
 		So(alone.Rows[0].Deny, ShouldResemble, []string{"k"})
 		So(alone.Rows[1].Deny, ShouldBeEmpty)
-		all := compute(func(input *standing.Input) {
+		all := compute(func(input *routing.Input) {
 			input.Daemons = daemonReporting(outcome("r0", "v1", "k", 1, 5, 0), outcome("r1", "v1", "k", 1, 5, 0))
 		})
 		So(all.Rows[0].Deny, ShouldBeEmpty)
 	})
 	Convey("a slow replica is marked; when the whole region slows down, none is", t, func() {
-		withLatencies := func(latencies ...time.Duration) standing.Standing {
-			return compute(func(input *standing.Input) {
-				var list []standing.Outcome
+		withLatencies := func(latencies ...time.Duration) routing.Table {
+			return compute(func(input *routing.Input) {
+				var list []routing.Outcome
 				for index, latency := range latencies {
 					list = append(list, outcome(fmt.Sprint("r", index), "v1", "k", 9, 0, latency))
 				}
@@ -228,7 +228,7 @@
 		}
 	})
 	Convey("a replica with only one prefix cache hit is not slow", t, func() {
-		out := compute(func(input *standing.Input) {
+		out := compute(func(input *routing.Input) {
 			mostlyNew := outcome("r0", "v1", "k", 9, 0, 900*time.Millisecond)
 			mostlyNew.Least = 40 * time.Millisecond
 			input.Daemons = daemonReporting(mostlyNew, outcome("r1", "v1", "k", 9, 0, 30*time.Millisecond), outcome("r2", "v1", "k", 9, 0, 30*time.Millisecond))
@@ -236,9 +236,9 @@
 		So(out.Places[0].Slow, ShouldBeFalse)
 	})
 	Convey("a trial has rows on its replicas until it clearly fails", t, func() {
-		trialRows := func(recent ...standing.Outcome) (rows int) {
-			out := compute(func(input *standing.Input) {
-				input.Routes = map[string]standing.Route{"m": {Version: "v1", Trial: "v2", TrialReplicas: []string{"r1"}}}
+		trialRows := func(recent ...routing.Outcome) (rows int) {
+			out := compute(func(input *routing.Input) {
+				input.Routes = map[string]routing.Route{"m": {Version: "v1", Trial: "v2", TrialReplicas: []string{"r1"}}}
 				input.Daemons = daemonReporting(recent...)
 			})
 			for _, row := range out.Rows {
@@ -258,11 +258,11 @@
 			for index := 0; index < 4; index++ {
 				warmth[fmt.Sprintf("r%d/b", index)] = 1
 			}
-			out := compute(func(input *standing.Input) {
-				input.Before = &standing.Standing{Warmth: warmth}
-				input.Daemons = []standing.Daemon{
-					{Name: "near", Zone: "a-1", Region: "a", Report: standing.Report{Demand: map[string]float64{"m": localDemand}}},
-					{Name: "far", Zone: "b-1", Region: "b", Report: standing.Report{Overflow: map[string]float64{"m": 20}}},
+			out := compute(func(input *routing.Input) {
+				input.Previous = &routing.Table{Warmth: warmth}
+				input.Daemons = []routing.Daemon{
+					{Name: "near", Zone: "a-1", Region: "a", Report: routing.Report{Demand: map[string]float64{"m": localDemand}}},
+					{Name: "far", Zone: "b-1", Region: "b", Report: routing.Report{Overflow: map[string]float64{"m": 20}}},
 				}
 			})
 			for _, endpoint := range out.Places {
@@ -276,33 +276,33 @@
 	})
 }
 
-// TestWhatAFrozenDaemonRunsGoesOn guards against overloading a cold replica: a frozen daemon
+// TestFrozenDaemonKeepsItsCredits guards against overloading a cold replica: a frozen daemon
 // looks like a killed one from outside, but its requests continue on the replica.
-func TestWhatAFrozenDaemonRunsGoesOn(t *testing.T) {
+func TestFrozenDaemonKeepsItsCredits(t *testing.T) {
 	Convey("no other daemon gets credits at a cold replica until the streams there must have ended", t, func() {
-		input := standing.Input{Region: "a", Tree: tree(), Replicas: replicas(1), Routes: map[string]standing.Route{"m": {Version: "v1"}}, Since: 300 * time.Millisecond, Gone: map[string]time.Duration{}}
-		reporting := func(name string, serial uint64, running int) standing.Daemon {
-			return standing.Daemon{Name: name, Zone: "a-1", Region: "a", Report: standing.Report{Standing: map[string]uint64{"a": serial}, Demand: map[string]float64{"m": 4}, InFlight: map[string]int{"r0": running}}}
+		input := routing.Input{Region: "a", Tree: tree(), Replicas: replicas(1), Routes: map[string]routing.Route{"m": {Version: "v1"}}, Since: 300 * time.Millisecond, AbsentFor: map[string]time.Duration{}}
+		reporting := func(name string, serial uint64, running int) routing.Daemon {
+			return routing.Daemon{Name: name, Zone: "a-1", Region: "a", Report: routing.Report{Standing: map[string]uint64{"a": serial}, Demand: map[string]float64{"m": 4}, InFlight: map[string]int{"r0": running}}}
 		}
-		compute := func(daemons ...standing.Daemon) standing.Place {
+		compute := func(daemons ...routing.Daemon) routing.Endpoint {
 			input.Daemons = daemons
 			serial := uint64(1)
-			if input.Before != nil {
-				serial = input.Before.Serial + 1
+			if input.Previous != nil {
+				serial = input.Previous.Serial + 1
 			}
-			next := standing.Compute(input)
+			next := routing.Compute(input)
 			next.Serial = serial
-			input.Before = &next
+			input.Previous = &next
 			return next.Places[0]
 		}
-		So(compute(reporting("d1", 0, 0)).Alone("d1"), ShouldBeTrue)
-		endpoint := compute(reporting("d1", 1, standing.Heaviest))
-		So(endpoint.InForce["d1"], ShouldEqual, standing.Heaviest)
+		So(compute(reporting("d1", 0, 0)).IsExclusive("d1"), ShouldBeTrue)
+		endpoint := compute(reporting("d1", 1, routing.MaxRequestCost))
+		So(endpoint.InForce["d1"], ShouldEqual, routing.MaxRequestCost)
 		for _, absentFor := range []time.Duration{0, time.Second, 4 * time.Second, 9 * time.Second} {
-			input.Gone["d1"] = absentFor
-			So(compute(reporting("d2", input.Before.Serial, 0)).Credits["d2"], ShouldEqual, 0)
+			input.AbsentFor["d1"] = absentFor
+			So(compute(reporting("d2", input.Previous.Serial, 0)).Credits["d2"], ShouldEqual, 0)
 		}
-		input.Gone["d1"] = 11 * time.Second
-		So(compute(reporting("d2", input.Before.Serial, 0)).Credits["d2"], ShouldBeGreaterThan, 0)
+		input.AbsentFor["d1"] = 11 * time.Second
+		So(compute(reporting("d2", input.Previous.Serial, 0)).Credits["d2"], ShouldBeGreaterThan, 0)
 	})
 }
--- a/standing/tables.go
+++ b/routing/table.go
@@ -1,7 +1,7 @@
-// Package standing computes a region's routing table as a pure function of its inputs:
+// Package routing computes a region's routing table as a pure function of its inputs:
 // which replica may receive which requests, how many credits each data daemon may spend
 // there, and how much capacity the region lends to other regions.
-package standing
+package routing
 
 import (
 	"fmt"
@@ -39,8 +39,8 @@
 	return Outcome{Replica: outcome.Replica, Model: outcome.Model, Version: outcome.Version, Kind: outcome.Kind, Boot: outcome.Boot}
 }
 
-// Wrong returns the outcomes that have failed, unreached or late requests.
-func Wrong(outcomes []Outcome) (failed []Outcome) {
+// WithFailures returns the outcomes that have failed, unreached or late requests.
+func WithFailures(outcomes []Outcome) (failed []Outcome) {
 	for _, outcome := range outcomes {
 		if outcome.Mishaps+outcome.Unreached+outcome.Late > 0 {
 			failed = append(failed, outcome)
@@ -49,8 +49,8 @@
 	return failed
 }
 
-// Window is the age up to which outcomes are part of a report's Recent.
-const Window = 6 * time.Second
+// RecentWindow is the age up to which outcomes are part of a report's Recent.
+const RecentWindow = 6 * time.Second
 
 // Add adds the counts of another outcome that has the same key.
 func (outcome *Outcome) Add(other Outcome) {
@@ -76,7 +76,7 @@
 	// InFlight is the cost of its running requests, in cost units, by replica.
 	InFlight map[string]int
 	// Streams counts the running streams by replica, model and version.
-	Streams map[Held]int
+	Streams map[ReplicaVersion]int
 	// Recent covers the last few seconds (see Window). Total covers the time since the
 	// daemon started, with the region in place of the replica.
 	Recent, Total []Outcome
@@ -86,7 +86,7 @@
 	Near []Outcome
 	// Failed lists versions on trial or under watch that clearly fail by the daemon's own
 	// counts.
-	Failed []Held
+	Failed []ReplicaVersion
 	// Demanded, Retries and Allowed count the demanded requests, the retries, and the
 	// retries that the retry budget let through.
 	Demanded, Retries, Allowed uint64
@@ -95,19 +95,19 @@
 	// Tenants holds the heaviest tenants of the last window, in the first report after that
 	// window. In a control daemon's report they are those of all data daemons that send it
 	// heartbeats directly.
-	Tenants *tenant.Told
+	Tenants *tenant.WindowReport
 }
 
-// Held identifies a version of a model on a replica.
-type Held struct{ Replica, Model, Version string }
+// ReplicaVersion identifies a version of a model on a replica.
+type ReplicaVersion struct{ Replica, Model, Version string }
 
 // MarshalText encodes Held as "replica|model|version", so that it can be a key in JSON.
-func (held Held) MarshalText() ([]byte, error) {
+func (held ReplicaVersion) MarshalText() ([]byte, error) {
 	return []byte(held.Replica + "|" + held.Model + "|" + held.Version), nil
 }
 
 // UnmarshalText decodes the text made by MarshalText.
-func (held *Held) UnmarshalText(text []byte) error {
+func (held *ReplicaVersion) UnmarshalText(text []byte) error {
 	parts := strings.SplitN(string(text), "|", 3)
 	if len(parts) != 3 {
 		return fmt.Errorf("%q does not have the form replica|model|version", text)
@@ -171,8 +171,8 @@
 	Left []string
 }
 
-// Bears reports whether the version is banned in this region.
-func (route Route) Bears(version string) bool {
+// IsBanned reports whether the version is banned in this region.
+func (route Route) IsBanned(version string) bool {
 	for _, banned := range route.Banned {
 		if banned == version {
 			return true
@@ -192,12 +192,12 @@
 	Deny []string
 }
 
-// Place is an endpoint of the routing table: a replica with its capacity and its credits.
+// Endpoint is an endpoint of the routing table: a replica with its capacity and its credits.
 //
 // Invariants: the sum of Credits never exceeds Capacity. The sum over all daemons of the
 // greater of Credits and InForce exceeds Capacity only after Capacity itself has shrunk,
 // and then it doesn't grow.
-type Place struct {
+type Endpoint struct {
 	ID, Address, Zone, Region, Boot string
 	Capacity                        int
 	Whole                           int // its capacity when warm
@@ -215,8 +215,8 @@
 	Slow    bool
 }
 
-// Standing is a region's routing table.
-type Standing struct {
+// Table is a region's routing table.
+type Table struct {
 	Region string
 	Serial uint64 // revision of the register that stores the table
 	Duty   uint64 // term of the leader that wrote the table
@@ -226,9 +226,9 @@
 	// Failed lists the versions on trial or under watch that some data daemon found to
 	// clearly fail. The other daemons then need not gather failures of their own, in
 	// particular not after a time without a lease, in which their own counts have expired.
-	Failed []Held
+	Failed []ReplicaVersion
 	Rows   []Row
-	Places []Place
+	Places []Endpoint
 	// Warmth keeps the warmth of replicas that have no rows at present, by ID and boot, so
 	// that a replica that was only unreachable for a while does not count as cold.
 	Warmth map[string]float64
@@ -236,9 +236,9 @@
 	Reserved map[string]int
 }
 
-// Shown returns the names of the replicas in the table for log messages, with cold ones
+// ReplicaNames returns the names of the replicas in the table for log messages, with cold ones
 // marked.
-func (table Standing) Shown() (names []string) {
+func (table Table) ReplicaNames() (names []string) {
 	for _, endpoint := range table.Places {
 		name := endpoint.ID
 		if endpoint.Warm < 1 {
@@ -253,34 +253,34 @@
 type Input struct {
 	Region    string
 	Tree      *settings.Tree
-	Duty      uint64
+	Term      uint64
 	Evacuated map[string]bool
 	Replicas  []Replica
 	Daemons   []Daemon
-	// Gone is the time for which a daemon has had no session.
-	Gone   map[string]time.Duration
-	Routes map[string]Route // of this region, by model
-	Before *Standing
+	// AbsentFor is the time for which a daemon has had no session.
+	AbsentFor map[string]time.Duration
+	Routes    map[string]Route // of this region, by model
+	Previous  *Table
 	// Since is the time since Before was computed.
 	Since time.Duration
 }
 
 // Compute returns the region's next routing table.
-func Compute(input Input) Standing {
-	out := Standing{Region: input.Region, Duty: input.Duty, Daemons: len(input.Daemons)}
-	if input.Before != nil && input.Since < daemonGrace {
-		out.Daemons = max(out.Daemons, input.Before.Daemons)
+func Compute(input Input) Table {
+	out := Table{Region: input.Region, Duty: input.Term, Daemons: len(input.Daemons)}
+	if input.Previous != nil && input.Since < daemonGrace {
+		out.Daemons = max(out.Daemons, input.Previous.Daemons)
 	}
 	replicas := append([]Replica{}, input.Replicas...)
 	sort.Slice(replicas, func(a, b int) bool { return replicas[a].ID < replicas[b].ID })
-	recent := Gather(input.Daemons)
+	recent := SumOutcomes(input.Daemons)
 	slow := slowReplicas(replicas, recent)
 	out.Rows = buildRows(input, replicas, recent)
 	routed := map[string]bool{}
 	for _, row := range out.Rows {
 		routed[row.Replica] = true
 	}
-	warmth, paces := previousWarmth(input.Before)
+	warmth, paces := previousWarmth(input.Previous)
 	for _, replica := range replicas {
 		key := replica.ID + "/" + replica.Boot
 		if routed[replica.ID] {
@@ -300,7 +300,7 @@
 
 // failedVersions returns the versions on trial or under watch that any data daemon reports
 // as failing, without duplicates.
-func failedVersions(input Input) (out []Held) {
+func failedVersions(input Input) (out []ReplicaVersion) {
 	for _, daemon := range input.Daemons {
 		for _, held := range daemon.Report.Failed {
 			route := input.Routes[held.Model]
@@ -310,20 +310,20 @@
 			}
 		}
 	}
-	slices.SortFunc(out, func(a, b Held) int { return strings.Compare(a.Model+"|"+a.Version, b.Model+"|"+b.Version) })
+	slices.SortFunc(out, func(a, b ReplicaVersion) int { return strings.Compare(a.Model+"|"+a.Version, b.Model+"|"+b.Version) })
 	return out
 }
 
 // assignSlots gives every endpoint a slot: its previous one, or the lowest that is free.
 //
 // Invariant: no two endpoints have the same slot, and no endpoint has a reserved one.
-func assignSlots(input Input, replicas []Replica, out *Standing) {
+func assignSlots(input Input, replicas []Replica, out *Table) {
 	previous := map[string]int{}
-	if input.Before != nil {
-		for id, slot := range input.Before.Reserved {
+	if input.Previous != nil {
+		for id, slot := range input.Previous.Reserved {
 			previous[id] = slot
 		}
-		for _, endpoint := range input.Before.Places {
+		for _, endpoint := range input.Previous.Places {
 			previous[endpoint.ID] = endpoint.Slot
 		}
 	}
@@ -359,8 +359,8 @@
 // daemonGrace is the time for which data daemons without a session still count.
 const daemonGrace = 15 * time.Second
 
-// Gather adds up the recent outcomes of all daemons, by Outcome.Key.
-func Gather(daemons []Daemon) map[Outcome]Outcome {
+// SumOutcomes adds up the recent outcomes of all daemons, by Outcome.Key.
+func SumOutcomes(daemons []Daemon) map[Outcome]Outcome {
 	sums := map[Outcome]Outcome{}
 	for _, daemon := range daemons {
 		for _, outcomes := range [][]Outcome{daemon.Report.Recent, daemon.Report.Near} {
@@ -379,12 +379,12 @@
 // baseline: at least PlainMishaps of them, and a share above both MinFailureShare and twice
 // the baseline's.
 func FailsClearly(judged, baseline Outcome) bool {
-	return judged.Mishaps >= PlainMishaps && exceedsFailureShare(judged, baseline)
+	return judged.Mishaps >= MinFailures && exceedsFailureShare(judged, baseline)
 }
 
-// Doubtful is PlainVersion without a minimum number of failures, for versions with few
+// MayFail is PlainVersion without a minimum number of failures, for versions with few
 // outcomes.
-func Doubtful(judged, baseline Outcome) bool {
+func MayFail(judged, baseline Outcome) bool {
 	return judged.lateAsFailed().Mishaps > 0 && exceedsFailureShare(judged.lateAsFailed(), baseline.lateAsFailed())
 }
 
@@ -394,16 +394,16 @@
 func exceedsFailureShare(judged, baseline Outcome) bool {
 	share := float64(judged.Mishaps) / float64(judged.Mishaps+judged.OK)
 	baselineShare := 0.0
-	if total := baseline.Mishaps + baseline.OK; total >= PlainMishaps {
+	if total := baseline.Mishaps + baseline.OK; total >= MinFailures {
 		baselineShare = float64(baseline.Mishaps) / float64(total)
 	}
 	return share > max(MinFailureShare, 2*baselineShare)
 }
 
-// PlainVersion is FailsClearly for judging a version. Late responses count as failures
+// VersionFailsClearly is FailsClearly for judging a version. Late responses count as failures
 // here, since a version that keeps its users waiting fails them. A late replica is just
 // slow, and only gets less capacity.
-func PlainVersion(judged, baseline Outcome) bool {
+func VersionFailsClearly(judged, baseline Outcome) bool {
 	return FailsClearly(judged.lateAsFailed(), baseline.lateAsFailed())
 }
 
@@ -415,10 +415,10 @@
 	return outcome
 }
 
-// PlainMishaps and MinFailureShare are the number of failures and the share of all outcomes
+// MinFailures and MinFailureShare are the number of failures and the share of all outcomes
 // from which on failures are clear.
 const (
-	PlainMishaps    = 3
+	MinFailures     = 3
 	MinFailureShare = 0.15
 )
 
@@ -428,7 +428,7 @@
 	models := input.Tree.Models(input.Region)
 	for _, model := range models {
 		route := input.Routes[model]
-		if placement, _ := input.Tree.Placement(model, input.Region); placement.Any() {
+		if placement, _ := input.Tree.Placement(model, input.Region); placement.AcceptsAnyVersion() {
 			rows = append(rows, buildAnyVersionRows(input, model, route, replicas, recent)...)
 			continue
 		}
@@ -444,7 +444,7 @@
 				rows = append(rows, Row{Replica: replica.ID, Model: model, Version: version, Trial: isTrial, Back: isFallback, Deny: deniedKinds(replica.ID, model, version, recent)})
 			}
 			add(route.Version, false, false)
-			if route.Watched && !route.Bears(route.Previous) {
+			if route.Watched && !route.IsBanned(route.Previous) {
 				add(route.Previous, false, true)
 			}
 			if isTrialActive && slices.Contains(route.TrialReplicas, replica.ID) {
@@ -501,7 +501,7 @@
 			continue
 		}
 		for _, version := range replica.Versions(model) {
-			hasOthers = hasOthers || version != route.Trial && !route.Bears(version) && !slices.Contains(route.Left, version)
+			hasOthers = hasOthers || version != route.Trial && !route.IsBanned(version) && !slices.Contains(route.Left, version)
 		}
 	}
 	isTrialActive := !TrialFails(model, Route{Version: settings.AnyVersion, Trial: route.Trial}, recent)
@@ -512,7 +512,7 @@
 		for _, version := range replica.Versions(model) {
 			row := Row{Replica: replica.ID, Model: model, Version: version}
 			switch isLeft := slices.Contains(route.Left, version) || route.Watched && version != route.Version; {
-			case route.Bears(version), isLeft && !route.Watched, version == route.Trial && !isTrialActive:
+			case route.IsBanned(version), isLeft && !route.Watched, version == route.Trial && !isTrialActive:
 				continue
 			case isLeft:
 				row.Back = true
@@ -526,18 +526,18 @@
 	return rows
 }
 
-// SlowUsual is the multiple of the usual time to first token from which on a response
+// SlowFactor is the multiple of the usual time to first token from which on a response
 // counts as slow. MinSlowAnswers and MinSlowShare are the number of slow responses and
 // their share from which on a version counts as slower than the others.
 const (
-	SlowUsual      = 2.5
+	SlowFactor     = 2.5
 	MinSlowAnswers = 5
 	MinSlowShare   = 0.2
 )
 
-// Slower reports whether the judged version's responses are clearly slower than the
+// IsSlower reports whether the judged version's responses are clearly slower than the
 // baseline's, even if each of them is in time.
-func Slower(judged, baseline Outcome) bool {
+func IsSlower(judged, baseline Outcome) bool {
 	if judged.Slow < MinSlowAnswers || judged.OK == 0 || baseline.OK < 4*MinSlowAnswers {
 		return false
 	}
@@ -545,14 +545,14 @@
 	return float64(judged.Slow)/float64(judged.OK) > max(MinSlowShare, 3*baselineShare)
 }
 
-// Worse reports whether the judged version has significantly more failures than the
+// FailsMore reports whether the judged version has significantly more failures than the
 // baseline's share explains, however small its own share is. It is the test before all
 // traffic moves to the version. A failure share of one percent is always tolerated.
-func Worse(judged, baseline Outcome) bool { return failsMore(judged, baseline, PlainMishaps) }
+func FailsMore(judged, baseline Outcome) bool { return failsMore(judged, baseline, MinFailures) }
 
-// Suspect is Worse with one failure less, for versions with so few requests that they could
+// MayFailMore is Worse with one failure less, for versions with so few requests that they could
 // not show more.
-func Suspect(judged, baseline Outcome) bool { return failsMore(judged, baseline, PlainMishaps-1) }
+func MayFailMore(judged, baseline Outcome) bool { return failsMore(judged, baseline, MinFailures-1) }
 
 // failsMore reports whether there are at least minFailures failures and more than three
 // standard deviations above the expected number.
@@ -562,9 +562,9 @@
 	return judged.Mishaps >= minFailures && float64(judged.Mishaps) > mean+3*math.Sqrt(mean)
 }
 
-// Unclear reports whether the judged version has more failures than the baseline's share
+// FailsAboveExpected reports whether the judged version has more failures than the baseline's share
 // explains, though they may be too few to reject it.
-func Unclear(judged, baseline Outcome) bool {
+func FailsAboveExpected(judged, baseline Outcome) bool {
 	judged, baseline = judged.lateAsFailed(), baseline.lateAsFailed()
 	return float64(judged.Mishaps) > expectedFailures(judged, baseline)
 }
@@ -601,14 +601,14 @@
 			}
 		}
 		for versionKind, judged := range sums {
-			if versionKind[0] == route.Trial && (PlainVersion(judged, others[versionKind[1]]) || Slower(judged, others[versionKind[1]])) {
+			if versionKind[0] == route.Trial && (VersionFailsClearly(judged, others[versionKind[1]]) || IsSlower(judged, others[versionKind[1]])) {
 				return true
 			}
 		}
 		return false
 	}
 	for versionKind, judged := range sums {
-		if versionKind[0] == route.Trial && PlainVersion(judged, sums[[2]string{route.Version, versionKind[1]}]) {
+		if versionKind[0] == route.Trial && VersionFailsClearly(judged, sums[[2]string{route.Version, versionKind[1]}]) {
 			return true
 		}
 	}
@@ -694,7 +694,7 @@
 
 // previousWarmth returns the warmth and the pace of each replica in the previous table, by
 // ID and boot.
-func previousWarmth(previous *Standing) (warmth, paces map[string]float64) {
+func previousWarmth(previous *Table) (warmth, paces map[string]float64) {
 	warmth, paces = map[string]float64{}, map[string]float64{}
 	if previous != nil {
 		for key, warm := range previous.Warmth {
@@ -722,7 +722,7 @@
 
 // newEndpoint computes a replica's present capacity. warmth and pace are its previous
 // values; a warmth of 0 means that the replica is new.
-func newEndpoint(input Input, replica Replica, recent map[Outcome]Outcome, slow bool, warmth, pace float64) Place {
+func newEndpoint(input Input, replica Replica, recent map[Outcome]Outcome, slow bool, warmth, pace float64) Endpoint {
 	fullCapacity := 0
 	for _, model := range input.Tree.Models(replica.Zone) {
 		if placement, placed := input.Tree.Placement(model, replica.Zone); placed {
@@ -730,7 +730,7 @@
 		}
 	}
 	coldShare := input.Tree.Limit("cold_share", replica.Zone)
-	out := Place{ID: replica.ID, Address: replica.Address, Zone: replica.Zone, Region: replica.Region, Boot: replica.Boot, Whole: fullCapacity, Warm: coldShare, Credits: map[string]int{}, InForce: map[string]int{}, Slow: slow}
+	out := Endpoint{ID: replica.ID, Address: replica.Address, Zone: replica.Zone, Region: replica.Region, Boot: replica.Boot, Whole: fullCapacity, Warm: coldShare, Credits: map[string]int{}, InForce: map[string]int{}, Slow: slow}
 	if warmth > 0 {
 		out.Warm = max(warmth, coldShare)
 		answers, full := 0, 0
@@ -742,8 +742,8 @@
 		}
 		// Only responses warm a replica up: warm_answers of them at their present rate for
 		// full warmth, and no faster than within warm_ms.
-		step := float64(answers) * float64(input.Since) / float64(Window) / input.Tree.Limit("warm_answers", replica.Zone)
-		if warm := input.Tree.Span("warm_ms", replica.Zone); warm > 0 {
+		step := float64(answers) * float64(input.Since) / float64(RecentWindow) / input.Tree.Limit("warm_answers", replica.Zone)
+		if warm := input.Tree.Duration("warm_ms", replica.Zone); warm > 0 {
 			step = min(step, float64(input.Since)/float64(warm))
 		}
 		out.Pace = 1
@@ -755,7 +755,7 @@
 			// The replica is at capacity although the settings take it for warmer. Its
 			// warmth shrinks in proportion to the rejections, it doesn't grow until they
 			// stop, and from then on it grows more slowly.
-			part := min(0.5, fullBackoff*float64(full)*float64(input.Since)/float64(Window))
+			part := min(0.5, fullBackoff*float64(full)*float64(input.Since)/float64(RecentWindow))
 			step = -out.Warm * part
 			out.Pace = max(minPace, (1-part)*out.Pace)
 		}
--- a/scripts/ablations/main.go
+++ b/scripts/ablations/main.go
@@ -191,7 +191,7 @@
 			broken += len(result.score.Broken)
 		}
 		mean, spread := summary(gains)
-		fmt.Fprintf(out, "| %s | %s | %d | %+.4f | %.4f | %d |\n", mechanism.Name, mechanism.What, len(gains), mean, spread, broken)
+		fmt.Fprintf(out, "| %s | %s | %d | %+.4f | %.4f | %d |\n", mechanism.Name, mechanism.Description, len(gains), mean, spread, broken)
 	}
 	return out.String()
 }
--- a/scripts/ablations/main_test.go
+++ b/scripts/ablations/main_test.go
@@ -25,7 +25,7 @@
 // runs that exist both with and without it.
 func TestTable(t *testing.T) {
 	first, second := benchmarkRun{"a", "1"}, benchmarkRun{"a", "2"}
-	text := table([]edits.Edit{{Name: "owners", What: "w"}, {Name: "unplayed"}}, []result{
+	text := table([]edits.Edit{{Name: "owners", Description: "w"}, {Name: "unplayed"}}, []result{
 		{mechanism: nothing, run: first, score: score{Value: 0.9}}, {mechanism: nothing, run: second, score: score{Value: 0.8}},
 		{mechanism: "owners", run: first, score: score{Value: 0.7}}, {mechanism: "owners", run: second, score: score{Value: 0.7, Broken: map[string]any{"HOME": 1}}},
 		{mechanism: "owners", run: benchmarkRun{"b", "1"}, score: score{Value: 0.1}},
--- a/scripts/edits/edits.go
+++ b/scripts/edits/edits.go
@@ -18,10 +18,10 @@
 	// Rule and Test are set for mutants: the rule that is violated without the guard, and the
 	// arguments of the `go test` that must report it.
 	Rule, Test string
-	// What is set for ablations: a description of the mechanism.
-	What string
+	// Description is set for ablations: a description of the mechanism.
+	Description string
 	// Old holds the lines that are replaced by Fresh.
-	Old, Fresh string
+	Old, New string
 }
 
 // ErrUnfit is returned for an edit that no longer matches the source.
@@ -39,7 +39,7 @@
 	case "test":
 		return &edit.Test
 	case "what":
-		return &edit.What
+		return &edit.Description
 	}
 	return nil
 }
@@ -56,7 +56,7 @@
 		case line == "<<<<":
 			target = &edit.Old
 		case line == "====":
-			target = &edit.Fresh
+			target = &edit.New
 		case line == ">>>>":
 			for _, key := range append([]string{"name", "file"}, needed...) {
 				if *edit.field(key) == "" {
@@ -67,7 +67,7 @@
 				return nil, fmt.Errorf("line %d: edit %q has no old lines", number+1, edit.Name)
 			}
 			// Without the final newline, the last old line may match the beginning of a longer line.
-			edit.Old, edit.Fresh = strings.TrimSuffix(edit.Old, "\n"), strings.TrimSuffix(edit.Fresh, "\n")
+			edit.Old, edit.New = strings.TrimSuffix(edit.Old, "\n"), strings.TrimSuffix(edit.New, "\n")
 			list, edit, target = append(list, edit), Edit{}, nil
 		case target != nil:
 			*target += line + "\n"
@@ -92,5 +92,5 @@
 	if strings.Count(string(code), edit.Old) != 1 {
 		return nil, ErrUnfit
 	}
-	return []byte(strings.Replace(string(code), edit.Old, edit.Fresh, 1)), nil
+	return []byte(strings.Replace(string(code), edit.Old, edit.New, 1)), nil
 }
--- a/serve/command.go
+++ b/serve/command.go
@@ -24,18 +24,18 @@
 	Apps map[string]*fiber.App
 	// Run starts the daemon's loops. Stop stops it gracefully and reports whether all
 	// work has finished within the grace period. Closed, if set, is called last.
-	Run    func()
-	Stop   func(grace time.Duration) bool
-	Closed func()
+	Run       func()
+	Stop      func(grace time.Duration) bool
+	AfterStop func()
 	// Running, if set, returns the number of requests in progress.
 	Running func() int
-	// Retrace, if set, redirects traces to another file.
-	Retrace func(path string) error
+	// RedirectTraces, if set, redirects traces to another file.
+	RedirectTraces func(path string) error
 }
 
 // Command is a program's run command, which runs its daemon.
 type Command struct {
-	Program, What, More string
+	Program, Title, Help string
 	// Load, if set, replaces the function that reads the settings from this program's own
 	// settings file.
 	Load Load
@@ -50,11 +50,11 @@
 func (*Command) Name() string { return "run" }
 
 // Synopsis returns a description of one line.
-func (command *Command) Synopsis() string { return "run a " + command.What }
+func (command *Command) Synopsis() string { return "run a " + command.Title }
 
 // Usage returns the help text.
 func (command *Command) Usage() string {
-	return command.Program + " run [--settings FILE] [flags]\n  Runs until SIGTERM or SIGINT, then finishes running requests within the grace period.\n  SIGHUP (or controlplane reload NAME, or a change of the file, checked every second) rereads\n  the settings file: seeds, log, grace and traces\n  change in place, the rest needs a restart; after an error the old settings stay in force." + command.More +
+	return command.Program + " run [--settings FILE] [flags]\n  Runs until SIGTERM or SIGINT, then finishes running requests within the grace period.\n  SIGHUP (or controlplane reload NAME, or a change of the file, checked every second) rereads\n  the settings file: seeds, log, grace and traces\n  change in place, the rest needs a restart; after an error the old settings stay in force." + command.Help +
 		"\n  Exit: 0 stopped as requested, 1 failed or not finished within the grace period, 2 the settings are invalid.\n"
 }
 
@@ -78,8 +78,8 @@
 		process.Log.Error("can't create the daemon", zap.Error(err))
 		return subcommands.ExitFailure
 	}
-	if daemon.Closed != nil {
-		defer daemon.Closed()
+	if daemon.AfterStop != nil {
+		defer daemon.AfterStop()
 	}
 	apps := map[string]*fiber.App{process.HTTP: daemon.App}
 	maps.Copy(apps, daemon.Apps)
@@ -88,7 +88,7 @@
 		process.Log.Error("can't open the listeners", zap.Error(err))
 		return subcommands.ExitFailure
 	}
-	process.retrace = daemon.Retrace
+	process.retrace = daemon.RedirectTraces
 	daemon.Run()
 	if process.settingsFile != "" {
 		process.World.Go(func() { Watch(process.World, process.settingsFile, process.initialStamp, process.Reload) })
--- a/serve/serve.go
+++ b/serve/serve.go
@@ -119,7 +119,7 @@
 	if process.Count {
 		out.Net.Counter = new(wire.Counter)
 	}
-	world.Panicked = func(value any, stack []byte) {
+	world.OnPanic = func(value any, stack []byte) {
 		log.Fatal("a task panicked", zap.Any("trouble", value), zap.ByteString("stack", stack))
 	}
 	out.Live = settings.NewLive(settings.LiveOptions{
--- a/serve/signal_test.go
+++ b/serve/signal_test.go
@@ -14,9 +14,9 @@
 	"swifttiller/settings"
 )
 
-// TestAStopIsNotLostBehindReloads guards against a process that keeps running after SIGTERM because the
+// TestStopSignalNotDroppedDuringReloads guards against a process that keeps running after SIGTERM because the
 // signal was dropped: more SIGHUPs than its channel could hold had arrived during a reload.
-func TestAStopIsNotLostBehindReloads(t *testing.T) {
+func TestStopSignalNotDroppedDuringReloads(t *testing.T) {
 	reading, release := make(chan struct{}, 100), make(chan struct{})
 	process := &Process{
 		World: loop.NewMachine(), Log: zap.NewNop(), signals: catchSignals(),
--- a/serve/stopping_test.go
+++ b/serve/stopping_test.go
@@ -39,7 +39,7 @@
 func stoppingDaemon() int {
 	var loading sync.Once
 	command := &Command{
-		Program: "test", What: "daemon",
+		Program: "test", Title: "daemon",
 		Load: func(string, *flag.FlagSet) (*settings.Process, string, error) {
 			loading.Do(func() {
 				fmt.Println("loading")
@@ -130,9 +130,9 @@
 	}
 }
 
-// TestNoSignalEndsAStopEarly guards against requests that are cut off because a SIGHUP or a second signal to
+// TestSignalDoesNotInterruptGracefulStop guards against requests that are cut off because a SIGHUP or a second signal to
 // stop terminates the daemon while its graceful stop waits for requests in progress.
-func TestNoSignalEndsAStopEarly(t *testing.T) {
+func TestSignalDoesNotInterruptGracefulStop(t *testing.T) {
 	for _, late := range []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT} {
 		t.Run(late.String(), func(t *testing.T) {
 			child := startChild(t, os.Stderr)
@@ -149,9 +149,9 @@
 	}
 }
 
-// TestNoReloadEndsAStart guards against a daemon that is terminated by a SIGHUP that arrives while it reads its
+// TestReloadSignalDuringStart guards against a daemon that is terminated by a SIGHUP that arrives while it reads its
 // settings.
-func TestNoReloadEndsAStart(t *testing.T) {
+func TestReloadSignalDuringStart(t *testing.T) {
 	child := startChild(t, os.Stderr)
 	child.await(t, "loading")
 	child.send(t, syscall.SIGHUP)
@@ -159,9 +159,9 @@
 	child.endInOrder(t)
 }
 
-// TestALostLogReaderEndsNothing guards against a daemon that is terminated by SIGPIPE, with requests in progress,
+// TestBrokenLogPipeDoesNotStopDaemon guards against a daemon that is terminated by SIGPIPE, with requests in progress,
 // because it writes to its log after the reader of the log has closed the pipe.
-func TestALostLogReaderEndsNothing(t *testing.T) {
+func TestBrokenLogPipeDoesNotStopDaemon(t *testing.T) {
 	reader, writer, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
--- a/serve/watch_test.go
+++ b/serve/watch_test.go
@@ -30,7 +30,7 @@
 		world := sim.New(1)
 		defer world.Close()
 		stamp, reloads := serve.StampOf(path), 0
-		var last settings.Reloaded
+		var last settings.ReloadResult
 		node := world.Node("c1")
 		world.Start("c1", func(*sim.Node) {
 			serve.Watch(node, path, stamp, func() { reloads++; last = live.Reload() })
--- a/session/session.go
+++ b/session/session.go
@@ -14,7 +14,7 @@
 
 	"swifttiller/loop"
 	"swifttiller/register"
-	"swifttiller/standing"
+	"swifttiller/routing"
 	"swifttiller/tenant"
 	"swifttiller/wire"
 )
@@ -51,15 +51,15 @@
 	Duties map[string]uint64 `json:"duties,omitempty"`
 	// Keeps describes, by region, the routing tables that a control daemon keeps up to
 	// date.
-	Keeps map[string]Keeping `json:"keeps,omitempty"`
+	Keeps map[string]TableStatus `json:"keeps,omitempty"`
 }
 
-// Keeping describes a routing table that the region's leader found up to date or has
+// TableStatus describes a routing table that the region's leader found up to date or has
 // updated.
 //
 // Invariant: the contents of the table were true when Age began. The age of the member's
 // session has to be added to it.
-type Keeping struct {
+type TableStatus struct {
 	Duty   uint64        `json:"duty"`
 	Serial uint64        `json:"serial"`
 	Age    time.Duration `json:"age"`
@@ -68,23 +68,23 @@
 // Session is the content of a member's last heartbeat, and its age when it is passed on.
 type Session struct {
 	Member Member
-	Report standing.Report
+	Report routing.Report
 	Age    time.Duration
 }
 
-// Beat is a heartbeat, which keeps a daemon's session alive.
-type Beat struct {
+// Heartbeat is a heartbeat, which keeps a daemon's session alive.
+type Heartbeat struct {
 	Member Member
-	Report standing.Report
+	Report routing.Report
 	// Known is the checksum (see Sum) of the control daemons that the daemon knows.
 	Known uint64
 	// Over ends the session at once.
 	Over bool
 }
 
-// Answer is the reply to a heartbeat. It lists the control daemons, unless the daemon's
+// HeartbeatReply is the reply to a heartbeat. It lists the control daemons, unless the daemon's
 // checksum shows that it knows them.
-type Answer struct {
+type HeartbeatReply struct {
 	Controls []Member
 	Sum      uint64
 }
@@ -109,16 +109,16 @@
 	Net   wire.Net
 	Self  Member
 	Seeds func() []string
-	// Span is the session timeout: a member without a heartbeat for that long is no longer
+	// SessionTimeout is the session timeout: a member without a heartbeat for that long is no longer
 	// a member.
-	Span func() time.Duration
-	// Keeper's core is exchanged together with the sessions.
-	Keeper *register.Keeper
-	// Tell, if set, adds the leaderships and routing tables that this daemon has now to its
+	SessionTimeout func() time.Duration
+	// Registers's core is exchanged together with the sessions.
+	Registers *register.Client
+	// Describe, if set, adds the leaderships and routing tables that this daemon has now to its
 	// own entry.
-	Tell func(self *Member)
+	Describe func(self *Member)
 	// Tenants, if set, returns the tenant statistics that this daemon announces.
-	Tenants func() *tenant.Told
+	Tenants func() *tenant.WindowReport
 }
 
 // Table is a control daemon's view of all sessions.
@@ -148,7 +148,7 @@
 }
 
 // Beat processes a daemon's heartbeat.
-func (table *Table) Beat(beat Beat, reply *Answer) error {
+func (table *Table) Beat(beat Heartbeat, reply *HeartbeatReply) error {
 	now := table.World.Now()
 	table.mu.Lock()
 	if beat.Over {
@@ -160,9 +160,9 @@
 		table.record(row{Session: Session{Member: beat.Member, Report: beat.Report}, lastHeard: now}, true)
 	}
 	table.mu.Unlock()
-	if reply.Sum = table.Sum(Control); reply.Sum != beat.Known {
+	if reply.Sum = table.Checksum(Control); reply.Sum != beat.Known {
 		reply.Controls = table.Members(Control)
-		reply.Sum = Sum(reply.Controls)
+		reply.Sum = Checksum(reply.Controls)
 	}
 	return nil
 }
@@ -171,8 +171,8 @@
 func (table *Table) self() Member {
 	self := table.Self
 	self.Uptime = table.World.Now() - table.startedAt
-	if table.Tell != nil {
-		table.Tell(&self)
+	if table.Describe != nil {
+		table.Describe(&self)
 	}
 	return self
 }
@@ -186,15 +186,15 @@
 	return out
 }
 
-// FirstHand lists the live sessions of data daemons that recently sent heartbeats directly
+// Direct lists the live sessions of data daemons that recently sent heartbeats directly
 // to this daemon. Except for short moments, each data daemon is listed by exactly one
 // control daemon.
-func (table *Table) FirstHand() (out []Session) {
+func (table *Table) Direct() (out []Session) {
 	now := table.World.Now()
 	table.mu.Lock()
 	defer table.mu.Unlock()
 	for _, row := range table.rows {
-		if row.Member.Role == Data && row.slot > 0 && now-row.lastDirect < table.Span() && now-row.lastHeard < table.Span() {
+		if row.Member.Role == Data && row.slot > 0 && now-row.lastDirect < table.SessionTimeout() && now-row.lastHeard < table.SessionTimeout() {
 			out = append(out, row.Session)
 		}
 	}
@@ -234,8 +234,8 @@
 	return out
 }
 
-// Sum returns Sum of Members without building the list.
-func (table *Table) Sum(role string) (sum uint64) {
+// Checksum returns Sum of Members without building the list.
+func (table *Table) Checksum(role string) (sum uint64) {
 	table.mu.Lock()
 	defer table.mu.Unlock()
 	for _, row := range table.live(role, func() Session { return Session{Member: table.Self} }) {
@@ -246,7 +246,7 @@
 
 // live lists the rows of live sessions, including this daemon's own. The caller holds mu.
 func (table *Table) live(role string, own func() Session) (out []*row) {
-	now, span := table.World.Now(), table.Span()
+	now, span := table.World.Now(), table.SessionTimeout()
 	for _, name := range table.names {
 		if row := table.rows[name]; (role == "" || row.Member.Role == role) && now-row.lastHeard < span {
 			out = append(out, row)
@@ -283,26 +283,26 @@
 	}
 	session := row.Session
 	session.Age = now - row.lastHeard
-	return session, session.Age < table.Span()
+	return session, session.Age < table.SessionTimeout()
 }
 
-// Gone returns for how long each known member has been without a session.
-func (table *Table) Gone() map[string]time.Duration {
+// AbsentFor returns for how long each known member has been without a session.
+func (table *Table) AbsentFor() map[string]time.Duration {
 	now := table.World.Now()
 	table.mu.Lock()
 	defer table.mu.Unlock()
 	out := map[string]time.Duration{}
 	for name, row := range table.rows {
-		if silence := now - row.lastHeard; silence >= table.Span() {
-			out[name] = silence - table.Span()
+		if silence := now - row.lastHeard; silence >= table.SessionTimeout() {
+			out[name] = silence - table.SessionTimeout()
 		}
 	}
 	return out
 }
 
-// Watched returns the age of this table. A table younger than a session can't show that a
+// Age returns the age of this table. A table younger than a session can't show that a
 // member is gone.
-func (table *Table) Watched() time.Duration { return table.World.Now() - table.startedAt }
+func (table *Table) Age() time.Duration { return table.World.Now() - table.startedAt }
 
 // Locate returns the current address of an acceptor, or "" if its daemon is not a recent
 // member.
@@ -313,16 +313,16 @@
 	table.mu.Lock()
 	defer table.mu.Unlock()
 	for _, row := range table.rows {
-		if row.Member.Acceptor == acceptor && table.World.Now()-row.lastHeard < 4*table.Span() {
+		if row.Member.Acceptor == acceptor && table.World.Now()-row.lastHeard < 4*table.SessionTimeout() {
 			return row.Member.Wire
 		}
 	}
 	return ""
 }
 
-// Colleagues returns addresses at which there may be control daemons: those of members, of
+// PeerAddresses returns addresses at which there may be control daemons: those of members, of
 // seeds, and the last known ones of the core's acceptors.
-func (table *Table) Colleagues() []string {
+func (table *Table) PeerAddresses() []string {
 	addresses, _ := table.peerAddresses()
 	return addresses
 }
@@ -346,7 +346,7 @@
 	for _, seed := range table.Seeds() {
 		add(seed)
 	}
-	for _, member := range table.Keeper.Core().Members {
+	for _, member := range table.Registers.Core().Members {
 		if address := table.Locate(member.ID); address != "" {
 			add(address)
 		} else {
@@ -362,22 +362,22 @@
 	table.mu.Lock()
 	defer table.mu.Unlock()
 	for name, row := range table.rows {
-		if now-row.lastHeard > 100*table.Span() {
+		if now-row.lastHeard > 100*table.SessionTimeout() {
 			table.remove(name)
 		}
 	}
 	for incarnation, peer := range table.received {
-		if now-peer.lastHeard > 4*table.Span() {
+		if now-peer.lastHeard > 4*table.SessionTimeout() {
 			delete(table.received, incarnation)
 		}
 	}
 	for address, peer := range table.peers {
-		if now-peer.lastReply > 100*table.Span() {
+		if now-peer.lastReply > 100*table.SessionTimeout() {
 			delete(table.peers, address)
 		}
 	}
 	for incarnation, endedAt := range table.ended {
-		if now-endedAt > 4*table.Span() {
+		if now-endedAt > 4*table.SessionTimeout() {
 			delete(table.ended, incarnation)
 		}
 	}
@@ -385,12 +385,12 @@
 
 // Client keeps a daemon's session with a control daemon.
 type Client struct {
-	World loop.World
-	Net   wire.Net
-	Seeds func() []string
-	Span  func() time.Duration
+	World          loop.World
+	Net            wire.Net
+	Seeds          func() []string
+	SessionTimeout func() time.Duration
 	// Describe returns the daemon's current heartbeat.
-	Describe func() Beat
+	Describe func() Heartbeat
 	// Region and Zone are preferred when there are several control daemons. Name determines
 	// the order in which seeds are tried.
 	Region, Zone, Name string
@@ -466,12 +466,12 @@
 func rendezvousWeight(name, address string) uint64 {
 	sum := fnv.New64a()
 	_, _ = sum.Write([]byte(name + "/" + address))
-	return Spread(sum.Sum64())
+	return MixHash(sum.Sum64())
 }
 
-// Spread mixes the bits of an FNV hash so that it can serve as a rendezvous weight. FNV
+// MixHash mixes the bits of an FNV hash so that it can serve as a rendezvous weight. FNV
 // hashes of texts that differ only in their last bytes are nearly equal.
-func Spread(sum uint64) uint64 {
+func MixHash(sum uint64) uint64 {
 	sum ^= sum >> 32
 	sum *= 0xd6e8feb86659fd93
 	return sum ^ sum>>32
@@ -497,20 +497,20 @@
 	return client.controlsSum == 0 && client.current == ""
 }
 
-// Ask calls the control daemons in turn until one gives an acceptable reply, and prefers
+// Call calls the control daemons in turn until one gives an acceptable reply, and prefers
 // that one from then on. If none does, Ask returns the last unacceptable reply, or the last
 // error if there was no reply at all.
-func (client *Client) Ask(method string, args any, newReply func() any, isAcceptable func(reply any) bool, timeout time.Duration) (any, error) {
+func (client *Client) Call(method string, args any, newReply func() any, isAcceptable func(reply any) bool, timeout time.Duration) (any, error) {
 	var lastErr error
 	var rejected any
 	retryUntil := client.World.Now()
 	if client.isNew() {
-		retryUntil += client.Span() / startRetryShare
+		retryUntil += client.SessionTimeout() / startRetryShare
 	}
 	for _, address := range client.Controls() {
 		reply := newReply()
 		err := client.Net.Call(address, method, args, reply, timeout)
-		for wire.Unsent(err) && client.World.Now() < retryUntil && !client.World.Ended() {
+		for wire.NotSent(err) && client.World.Now() < retryUntil && !client.World.Ended() {
 			loop.Sleep(client.World, startRetryPause)
 			err = client.Net.Call(address, method, args, reply, timeout)
 		}
@@ -532,7 +532,7 @@
 		if client.deprioritizedUntil == nil {
 			client.deprioritizedUntil = map[string]time.Duration{}
 		}
-		client.deprioritizedUntil[address] = client.World.Now() + deprioritizedSpans*client.Span()
+		client.deprioritizedUntil[address] = client.World.Now() + deprioritizedSpans*client.SessionTimeout()
 		client.mu.Unlock()
 	}
 	if rejected != nil {
@@ -543,14 +543,14 @@
 
 // Run sends heartbeats at regular intervals until World ends.
 func (client *Client) Run() {
-	client.heartbeatWaker().Run(client.World, func() time.Duration { return client.Span() / 6 }, func() bool {
-		client.Say(client.Describe())
+	client.heartbeatWaker().Run(client.World, func() time.Duration { return client.SessionTimeout() / 6 }, func() bool {
+		client.SendHeartbeat(client.Describe())
 		return true
 	})
 }
 
-// Hurry sends the next heartbeat without waiting for the regular interval.
-func (client *Client) Hurry() { client.heartbeatWaker().Wake() }
+// HeartbeatNow sends the next heartbeat without waiting for the regular interval.
+func (client *Client) HeartbeatNow() { client.heartbeatWaker().Wake() }
 
 func (client *Client) heartbeatWaker() *loop.Waker {
 	client.mu.Lock()
@@ -561,19 +561,19 @@
 	return client.waker
 }
 
-// Say sends one heartbeat and updates the list of control daemons from the reply. It
+// SendHeartbeat sends one heartbeat and updates the list of control daemons from the reply. It
 // reports whether there was a reply.
-func (client *Client) Say(beat Beat) bool {
+func (client *Client) SendHeartbeat(beat Heartbeat) bool {
 	client.mu.Lock()
 	beat.Known = client.controlsSum
 	client.mu.Unlock()
-	reply, err := client.Ask("Session.Beat", beat, func() any { return new(Answer) }, func(any) bool { return true }, client.Span()/4)
+	reply, err := client.Call("Session.Beat", beat, func() any { return new(HeartbeatReply) }, func(any) bool { return true }, client.SessionTimeout()/4)
 	if err != nil {
 		return false
 	}
 	client.mu.Lock()
 	defer client.mu.Unlock()
-	if answer := reply.(*Answer); answer.Sum != client.controlsSum {
+	if answer := reply.(*HeartbeatReply); answer.Sum != client.controlsSum {
 		client.controls, client.controlsSum = answer.Controls, answer.Sum
 	}
 	return true
--- a/session/session_test.go
+++ b/session/session_test.go
@@ -9,25 +9,25 @@
 	. "github.com/smartystreets/goconvey/convey"
 
 	"swifttiller/register"
+	"swifttiller/routing"
 	"swifttiller/session"
 	"swifttiller/sim"
-	"swifttiller/standing"
 )
 
 type shareService struct{ *session.Table }
 
-func (service shareService) Share(shared session.Shared, back *session.Shared) error {
+func (service shareService) Share(shared session.ShareMessage, back *session.ShareMessage) error {
 	return service.Table.Share(shared, back)
 }
 
-func TestControlDaemonsBesideTheSeedsKnowEachOther(t *testing.T) {
+func TestControlDaemonsOutsideSeedListsFindEachOther(t *testing.T) {
 	Convey("two control daemons that are in nobody's seed list find each other through one that is", t, func() {
 		cluster := sim.New(1)
 		tables := map[string]*session.Table{}
 		for _, name := range []string{"seed", "x", "y"} {
 			cluster.Start(name, func(node *sim.Node) {
 				table := session.NewTable(session.Options{
-					World: node, Net: sim.Net{Node: node}, Seeds: func() []string { return []string{"seed"} }, Keeper: &register.Keeper{}, Span: func() time.Duration { return time.Second },
+					World: node, Net: sim.Net{Node: node}, Seeds: func() []string { return []string{"seed"} }, Registers: &register.Client{}, SessionTimeout: func() time.Duration { return time.Second },
 					Self: session.Member{Name: name, Incarnation: name, Role: session.Control, Wire: name},
 				})
 				tables[name] = table
@@ -62,30 +62,30 @@
 			for _, name := range []string{"x", "y", "z"} {
 				table := cluster.tables[name]
 				for _, role := range []string{"", session.Data, session.Control} {
-					So(table.Sum(role), ShouldEqual, session.Sum(table.Members(role)))
+					So(table.Checksum(role), ShouldEqual, session.Checksum(table.Members(role)))
 				}
 			}
 		}
 		cluster.Run(time.Second)
 		check()
-		before := cluster.tables["x"].Sum("")
+		before := cluster.tables["x"].Checksum("")
 		for index := 0; index < 20; index++ {
-			cluster.startData(fmt.Sprint("d", index), "x", func() standing.Report { return standing.Report{} })
+			cluster.startData(fmt.Sprint("d", index), "x", func() routing.Report { return routing.Report{} })
 			cluster.Run(50 * time.Millisecond)
 			check()
 		}
-		So(cluster.tables["x"].Sum(""), ShouldNotEqual, before)
-		all := cluster.tables["x"].Sum("")
+		So(cluster.tables["x"].Checksum(""), ShouldNotEqual, before)
+		all := cluster.tables["x"].Checksum("")
 		cluster.Kill("d3")
 		cluster.Kill("y")
 		for range 30 {
 			cluster.Run(100 * time.Millisecond)
 			for _, name := range []string{"x", "z"} {
 				table := cluster.tables[name]
-				So(table.Sum(""), ShouldEqual, session.Sum(table.Members("")))
+				So(table.Checksum(""), ShouldEqual, session.Checksum(table.Members("")))
 			}
 		}
-		So(cluster.tables["x"].Sum(""), ShouldNotEqual, all)
-		So(session.Sum([]session.Member{{Name: "a"}, {Name: "b"}}), ShouldNotEqual, session.Sum([]session.Member{{Name: "b"}, {Name: "a"}}))
+		So(cluster.tables["x"].Checksum(""), ShouldNotEqual, all)
+		So(session.Checksum([]session.Member{{Name: "a"}, {Name: "b"}}), ShouldNotEqual, session.Checksum([]session.Member{{Name: "b"}, {Name: "a"}}))
 	})
 }
--- a/session/share.go
+++ b/session/share.go
@@ -13,17 +13,17 @@
 
 	"swifttiller/loop"
 	"swifttiller/register"
-	"swifttiller/standing"
+	"swifttiller/routing"
 	"swifttiller/wire"
 )
 
-// Shared is the request in which one control daemon shares its sessions with a peer, and
+// ShareMessage is the request in which one control daemon shares its sessions with a peer, and
 // also the reply.
 //
 // Invariant: the Marks of a request name all sessions with heartbeats sent directly to the
 // sender, and its own session as slot 0. Sessions holds those whose contents the receiver
 // is not known to have.
-type Shared struct {
+type ShareMessage struct {
 	From     string // the sender's incarnation
 	Marks    Marks
 	Sessions []Content
@@ -43,20 +43,20 @@
 const minPacked = 4
 
 // pack replaces Sessions by Packed if there are many of them.
-func (shared *Shared) pack() {
+func (shared *ShareMessage) pack() {
 	if len(shared.Sessions) >= minPacked {
-		shared.Packed, shared.Sessions = wire.PackValue(shared.Sessions), nil
+		shared.Packed, shared.Sessions = wire.EncodeCompressed(shared.Sessions), nil
 	}
 }
 
 // unpack restores Sessions from Packed.
-func (shared *Shared) unpack() error {
+func (shared *ShareMessage) unpack() error {
 	if len(shared.Packed) == 0 {
 		return nil
 	}
 	packed := shared.Packed
 	shared.Packed = nil
-	return wire.UnpackValue(packed, &shared.Sessions)
+	return wire.DecodeCompressed(packed, &shared.Sessions)
 }
 
 // Mark says that a session is live: Serial is the latest version of its content at the
@@ -206,9 +206,9 @@
 // sent to other regions again.
 const counterSpans = 20
 
-// Sum returns a checksum of the members' identities, in the given order. It doesn't depend
+// Checksum returns a checksum of the members' identities, in the given order. It doesn't depend
 // on their uptimes, leaderships and routing tables.
-func Sum(members []Member) (sum uint64) {
+func Checksum(members []Member) (sum uint64) {
 	for at := range members {
 		sum = combine(sum, members[at].checksum())
 	}
@@ -225,7 +225,7 @@
 		_, _ = sum.Write([]byte(field))
 		_, _ = sum.Write([]byte{0})
 	}
-	return Spread(sum.Sum64())
+	return MixHash(sum.Sum64())
 }
 
 // contentOf returns the session without the parts that marks carry.
@@ -237,7 +237,7 @@
 		session.Report.Tenants = nil // the control daemon sends the total in its own session
 	}
 	if len(keeps) > 0 {
-		session.Member.Keeps = map[string]Keeping{}
+		session.Member.Keeps = map[string]TableStatus{}
 		for region, status := range keeps {
 			status.Age = 0
 			session.Member.Keeps[region] = status
@@ -270,13 +270,13 @@
 		next.localSerial, next.hasContent = table.lastSerial, true
 	}
 	oldContent, newContent := previous.content, next.content
-	next.hasUnsentFailures = previous.hasUnsentFailures || !slices.Equal(standing.Wrong(oldContent.Report.Near), standing.Wrong(newContent.Report.Near))
+	next.hasUnsentFailures = previous.hasUnsentFailures || !slices.Equal(routing.WithFailures(oldContent.Report.Near), routing.WithFailures(newContent.Report.Near))
 	for _, session := range []*Session{&oldContent, &newContent} {
 		session.Report.Near, session.Report.Declined = nil, nil
 		session.Report.Demanded, session.Report.Retries, session.Report.Allowed, session.Report.Queue = 0, 0, 0, 0
 	}
 	age := now - previous.remoteAt
-	if !previous.hasContent || age > counterSpans*table.Span() || next.hasUnsentFailures && age >= table.Span() || !reflect.DeepEqual(oldContent, newContent) {
+	if !previous.hasContent || age > counterSpans*table.SessionTimeout() || next.hasUnsentFailures && age >= table.SessionTimeout() || !reflect.DeepEqual(oldContent, newContent) {
 		next.remoteSerial, next.remoteAt, next.hasUnsentFailures = table.lastSerial, now, false
 	}
 	return next
@@ -311,15 +311,15 @@
 
 // Share merges a peer's sessions into the table, and replies with the slots whose contents
 // are missing.
-func (table *Table) Share(shared Shared, reply *Shared) error {
+func (table *Table) Share(shared ShareMessage, reply *ShareMessage) error {
 	if err := shared.unpack(); err != nil {
 		return err
 	}
-	table.Keeper.Learn(shared.Core)
+	table.Registers.LearnCore(shared.Core)
 	missing, sessions := table.resolve(shared)
 	table.merge(shared.From, sessions)
-	core := table.Keeper.Core()
-	*reply = Shared{From: table.Self.Incarnation, Epoch: core.Epoch, Lacks: missing}
+	core := table.Registers.Core()
+	*reply = ShareMessage{From: table.Self.Incarnation, Epoch: core.Epoch, Lacks: missing}
 	if shared.Epoch < core.Epoch {
 		reply.Core = core
 	}
@@ -328,7 +328,7 @@
 
 // resolve returns the sessions that the marks name, with the contents received now or
 // earlier, and the slots for which the content is missing.
-func (table *Table) resolve(shared Shared) (missing []uint64, sessions []Session) {
+func (table *Table) resolve(shared ShareMessage) (missing []uint64, sessions []Session) {
 	now := table.World.Now()
 	table.mu.Lock()
 	defer table.mu.Unlock()
@@ -367,7 +367,7 @@
 		session.Member.Uptime += max(0, heardAt-held.at)
 		session.Report.Permit = time.Duration(mark.Permit) * time.Millisecond
 		if len(mark.Kept) == len(session.Member.Keeps) && len(mark.Kept) > 0 {
-			keeps := map[string]Keeping{}
+			keeps := map[string]TableStatus{}
 			for index, region := range slices.Sorted(maps.Keys(session.Member.Keeps)) {
 				status := session.Member.Keeps[region]
 				status.Age = time.Duration(mark.Kept[index]) * time.Millisecond
@@ -414,7 +414,7 @@
 
 // buildShare returns the request for a peer, without the contents that the peer is known to
 // have, and the state that the peer has after receiving it.
-func (table *Table) buildShare(address string) (Shared, *peerState) {
+func (table *Table) buildShare(address string) (ShareMessage, *peerState) {
 	now := table.World.Now()
 	table.mu.Lock()
 	defer table.mu.Unlock()
@@ -426,8 +426,8 @@
 	for _, row := range table.rows {
 		isLocal = isLocal || row.Member.Wire == address && row.Member.Region == table.Self.Region
 	}
-	core := table.Keeper.Core()
-	out := Shared{From: table.Self.Incarnation, Epoch: core.Epoch}
+	core := table.Registers.Core()
+	out := ShareMessage{From: table.Self.Incarnation, Epoch: core.Epoch}
 	if core.Epoch > peer.epoch {
 		out.Core = core
 	}
@@ -454,7 +454,7 @@
 			return
 		}
 		if !isLocal {
-			session.Report.Near = standing.Wrong(session.Report.Near)
+			session.Report.Near = routing.WithFailures(session.Report.Near)
 		}
 		if session.Member.Role == Data {
 			session.Report.Tenants = nil
@@ -462,7 +462,7 @@
 		out.Sessions = append(out.Sessions, Content{slot, mark.Serial, session})
 	}
 	for _, row := range table.rows {
-		if row.slot > 0 && now-row.lastDirect < table.Span() && now-row.lastHeard < table.Span() {
+		if row.slot > 0 && now-row.lastDirect < table.SessionTimeout() && now-row.lastHeard < table.SessionTimeout() {
 			announce(row.slot, row.announced, row.Session, now-row.lastHeard)
 		}
 	}
@@ -475,8 +475,8 @@
 }
 
 // recordReply records a peer's state after its reply.
-func (table *Table) recordReply(address string, state *peerState, reply *Shared) {
-	table.Keeper.Learn(reply.Core)
+func (table *Table) recordReply(address string, state *peerState, reply *ShareMessage) {
+	table.Registers.LearnCore(reply.Core)
 	table.mu.Lock()
 	defer table.mu.Unlock()
 	for _, slot := range reply.Lacks {
@@ -488,18 +488,18 @@
 
 // Run shares the sessions with all peers at regular intervals until World ends.
 func (table *Table) Run() {
-	loop.Every(table.World, func() time.Duration { return table.Span() / 6 }, func() bool {
+	loop.Every(table.World, func() time.Duration { return table.SessionTimeout() / 6 }, func() bool {
 		// The round ends when all members have replied; it doesn't wait for addresses of
 		// non-members.
 		addresses, members := table.peerAddresses()
 		pending := members
-		loop.Gather(table.World, len(addresses), table.Span()/4, func(index int) bool {
+		loop.Gather(table.World, len(addresses), table.SessionTimeout()/4, func(index int) bool {
 			// A peer that lacks contents, for example after a restart, gets them at once.
 			for attempt := 0; attempt < 2; attempt++ {
 				shared, next := table.buildShare(addresses[index])
 				shared.pack()
-				reply := new(Shared)
-				if table.Net.Call(addresses[index], "Session.Share", shared, reply, table.Span()/4) != nil {
+				reply := new(ShareMessage)
+				if table.Net.Call(addresses[index], "Session.Share", shared, reply, table.SessionTimeout()/4) != nil {
 					break
 				}
 				table.recordReply(addresses[index], next, reply)
--- a/session/share_test.go
+++ b/session/share_test.go
@@ -9,14 +9,14 @@
 	. "github.com/smartystreets/goconvey/convey"
 
 	"swifttiller/register"
+	"swifttiller/routing"
 	"swifttiller/session"
 	"swifttiller/sim"
-	"swifttiller/standing"
 )
 
 type beatService struct{ shareService }
 
-func (service beatService) Beat(beat session.Beat, answer *session.Answer) error {
+func (service beatService) Beat(beat session.Heartbeat, answer *session.HeartbeatReply) error {
 	return service.Table.Beat(beat, answer)
 }
 
@@ -33,7 +33,7 @@
 	incarnation := fmt.Sprint(name, cluster.starts)
 	cluster.Start(name, func(node *sim.Node) {
 		table := session.NewTable(session.Options{
-			World: node, Net: sim.Net{Node: node}, Seeds: func() []string { return []string{"x", "y", "z"} }, Keeper: &register.Keeper{}, Span: func() time.Duration { return time.Second },
+			World: node, Net: sim.Net{Node: node}, Seeds: func() []string { return []string{"x", "y", "z"} }, Registers: &register.Client{}, SessionTimeout: func() time.Duration { return time.Second },
 			Self: session.Member{Name: name, Incarnation: incarnation, Role: session.Control, Region: name, Wire: name},
 		})
 		cluster.tables[name] = table
@@ -48,12 +48,12 @@
 
 // startData starts a data daemon that sends heartbeats to the given control daemon, in its
 // region. report is called for each heartbeat.
-func (cluster *testCluster) startData(name, control string, report func() standing.Report) {
+func (cluster *testCluster) startData(name, control string, report func() routing.Report) {
 	cluster.Start(name, func(node *sim.Node) {
 		client := &session.Client{
-			World: node, Net: sim.Net{Node: node}, Seeds: func() []string { return []string{control} }, Span: func() time.Duration { return time.Second }, Region: control,
-			Describe: func() session.Beat {
-				return session.Beat{Member: session.Member{Name: name, Incarnation: name, Role: session.Data, Region: control, Wire: name, Uptime: node.Now()}, Report: report()}
+			World: node, Net: sim.Net{Node: node}, Seeds: func() []string { return []string{control} }, SessionTimeout: func() time.Duration { return time.Second }, Region: control,
+			Describe: func() session.Heartbeat {
+				return session.Heartbeat{Member: session.Member{Name: name, Incarnation: name, Role: session.Data, Region: control, Wire: name, Uptime: node.Now()}, Report: report()}
 			},
 		}
 		client.Run()
@@ -68,14 +68,14 @@
 	return cluster
 }
 
-func TestSharesTellWhatChanged(t *testing.T) {
+func TestSharesSendChangesOnly(t *testing.T) {
 	Convey("an unchanged session is shared as a mark, and is as fresh as with its whole content", t, func() {
 		cluster := newTestCluster(1)
 		defer cluster.Close()
 		demand := 1.0
 		for index := 0; index < 20; index++ {
-			cluster.startData(fmt.Sprint("d", index), "x", func() standing.Report {
-				return standing.Report{Config: 3, Permit: 700 * time.Millisecond, Demand: map[string]float64{"some long name of a model": demand}}
+			cluster.startData(fmt.Sprint("d", index), "x", func() routing.Report {
+				return routing.Report{Config: 3, Permit: 700 * time.Millisecond, Demand: map[string]float64{"some long name of a model": demand}}
 			})
 		}
 		cluster.Run(3 * time.Second)
@@ -111,9 +111,9 @@
 	Convey("with late, repeated and lost calls, the last report reaches all control daemons eventually", t, func() {
 		for seed := uint64(1); seed <= 20; seed++ {
 			cluster := newTestCluster(seed)
-			cluster.Unruly = sim.Unruly{Lost: 0.15, Repeated: 0.15, Late: 0.15, Latest: 900 * time.Millisecond}
+			cluster.Faults = sim.NetworkFaults{Lost: 0.15, Duplicated: 0.15, Delayed: 0.15, MaxDelay: 900 * time.Millisecond}
 			beats := 0.0
-			cluster.startData("d", "x", func() standing.Report { beats++; return standing.Report{Demand: map[string]float64{"m": beats}} })
+			cluster.startData("d", "x", func() routing.Report { beats++; return routing.Report{Demand: map[string]float64{"m": beats}} })
 			cluster.Run(5 * time.Second)
 			if seed%2 == 0 {
 				cluster.Kill("z")
@@ -121,7 +121,7 @@
 			}
 			cluster.Run(5 * time.Second)
 			lastBeat := beats
-			cluster.Unruly = sim.Unruly{}
+			cluster.Faults = sim.NetworkFaults{}
 			cluster.Run(1500 * time.Millisecond)
 			for _, name := range []string{"x", "y", "z"} {
 				found, isLive := cluster.tables[name].Find("d")
@@ -133,17 +133,17 @@
 	})
 }
 
-func TestMishapsTravelOnceASession(t *testing.T) {
+func TestFailuresAreSharedOncePerSession(t *testing.T) {
 	Convey("failures that change with every heartbeat are sent to other regions once per span, and the last ones eventually", t, func() {
 		cluster := newTestCluster(1)
 		defer cluster.Close()
 		failures, isOver := 0, false
 		for index := 0; index < 20; index++ {
-			cluster.startData(fmt.Sprint("d", index), "x", func() standing.Report {
+			cluster.startData(fmt.Sprint("d", index), "x", func() routing.Report {
 				if !isOver {
 					failures++
 				}
-				return standing.Report{Near: []standing.Outcome{
+				return routing.Report{Near: []routing.Outcome{
 					{Replica: "some replica", Model: "some model", Kind: "some kind", OK: 1 + failures, Mishaps: failures},
 					{Replica: "another replica", Model: "some model", Kind: "some kind", OK: 1 + failures},
 				}}
@@ -169,8 +169,8 @@
 		defer cluster.Close()
 		serial := uint64(1)
 		for index := 0; index < 20; index++ {
-			cluster.startData(fmt.Sprint("d", index), "x", func() standing.Report {
-				return standing.Report{Demand: map[string]float64{"some long name of a model and more": 1}, Standing: map[string]uint64{"x": serial, "y": 7}}
+			cluster.startData(fmt.Sprint("d", index), "x", func() routing.Report {
+				return routing.Report{Demand: map[string]float64{"some long name of a model and more": 1}, Standing: map[string]uint64{"x": serial, "y": 7}}
 			})
 		}
 		cluster.Run(3 * time.Second)
@@ -193,9 +193,9 @@
 		var client *session.Client
 		cluster.Start("d", func(node *sim.Node) {
 			client = &session.Client{
-				World: node, Net: sim.Net{Node: node}, Seeds: func() []string { return []string{"x", "y", "z"} }, Span: func() time.Duration { return time.Second }, Region: "z",
-				Describe: func() session.Beat {
-					return session.Beat{Member: session.Member{Name: "d", Incarnation: "d", Role: session.Data, Region: "z", Wire: "d"}}
+				World: node, Net: sim.Net{Node: node}, Seeds: func() []string { return []string{"x", "y", "z"} }, SessionTimeout: func() time.Duration { return time.Second }, Region: "z",
+				Describe: func() session.Heartbeat {
+					return session.Heartbeat{Member: session.Member{Name: "d", Incarnation: "d", Role: session.Data, Region: "z", Wire: "d"}}
 				},
 			}
 			client.Run()
@@ -219,11 +219,11 @@
 		defer cluster.Close()
 		beat := 0
 		for index := 0; index < 40; index++ {
-			cluster.startData(fmt.Sprint("d", index), "x", func() standing.Report {
+			cluster.startData(fmt.Sprint("d", index), "x", func() routing.Report {
 				beat++
-				var out standing.Report
+				var out routing.Report
 				for replica := range 20 {
-					out.Near = append(out.Near, standing.Outcome{Replica: fmt.Sprintf("i-%010x", 7919*(replica+index%9)), Model: "daba27a", Version: "v1", Kind: "r-abkukgz", Boot: fmt.Sprintf("%016x", 104729*(replica+index%9)), OK: 1 + (beat+replica)%3, Mishaps: 1 + beat%2})
+					out.Near = append(out.Near, routing.Outcome{Replica: fmt.Sprintf("i-%010x", 7919*(replica+index%9)), Model: "daba27a", Version: "v1", Kind: "r-abkukgz", Boot: fmt.Sprintf("%016x", 104729*(replica+index%9)), OK: 1 + (beat+replica)%3, Mishaps: 1 + beat%2})
 				}
 				return out
 			})
@@ -241,7 +241,7 @@
 	})
 }
 
-func TestMarksTravel(t *testing.T) {
+func TestMarksRoundTrip(t *testing.T) {
 	Convey("decoded marks equal the encoded ones, and truncated or corrupted bytes cause no panic", t, func() {
 		marks := session.Marks{{Serial: 1 << 40, Kept: []uint64{3, 500}}, {Slot: 1, Serial: 7, Age: 300, Permit: 1900}, {Slot: 9, Serial: 1<<64 - 1, Applied: []uint64{1, 2, 3}, Kept: []uint64{0}}}
 		encoded, err := marks.GobEncode()
--- a/session/table_bench_test.go
+++ b/session/table_bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"swifttiller/loop"
+	"swifttiller/routing"
 	"swifttiller/session"
-	"swifttiller/standing"
 )
 
 // BenchmarkTable measures a control daemon's table with the sessions of 420 data daemons:
@@ -15,12 +15,12 @@
 func BenchmarkTable(b *testing.B) {
 	world := loop.NewMachine()
 	defer world.End()
-	table := session.NewTable(session.Options{World: world, Self: session.Member{Name: "c1", Incarnation: "c1", Role: session.Control}, Span: func() time.Duration { return time.Hour }})
-	beats := make([]session.Beat, 420)
+	table := session.NewTable(session.Options{World: world, Self: session.Member{Name: "c1", Incarnation: "c1", Role: session.Control}, SessionTimeout: func() time.Duration { return time.Hour }})
+	beats := make([]session.Heartbeat, 420)
 	for index := range beats {
 		name := fmt.Sprintf("d%d", index+1)
-		beats[index] = session.Beat{Member: session.Member{Name: name, Incarnation: name, Role: session.Data, Wire: name}, Report: standing.Report{Standing: map[string]uint64{"g1": 1}}}
-		if err := table.Beat(beats[index], new(session.Answer)); err != nil {
+		beats[index] = session.Heartbeat{Member: session.Member{Name: name, Incarnation: name, Role: session.Data, Wire: name}, Report: routing.Report{Standing: map[string]uint64{"g1": 1}}}
+		if err := table.Beat(beats[index], new(session.HeartbeatReply)); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -28,7 +28,7 @@
 		round := 0
 		for b.Loop() {
 			round++
-			_ = table.Beat(beats[round%len(beats)], new(session.Answer))
+			_ = table.Beat(beats[round%len(beats)], new(session.HeartbeatReply))
 		}
 	})
 	b.Run("live", func(b *testing.B) {
@@ -40,12 +40,12 @@
 	})
 	b.Run("sum", func(b *testing.B) {
 		for b.Loop() {
-			table.Sum("")
+			table.Checksum("")
 		}
 	})
 	b.Run("members", func(b *testing.B) {
 		for b.Loop() {
-			session.Sum(table.Members(""))
+			session.Checksum(table.Members(""))
 		}
 	})
 }
--- a/settings/choices_test.go
+++ b/settings/choices_test.go
@@ -53,16 +53,16 @@
 		t.Errorf("choices as a string: want an error at $.choices, got %v", err)
 	}
 	process := &settings.Process{Name: "d1"}
-	process.Watching(parseFlags("--choices", "--name", "other"))
+	process.ApplyLoggingFlags(parseFlags("--choices", "--name", "other"))
 	if !process.Choices || process.Name != "d1" {
 		t.Errorf("want the choices flag and no other to be applied, got %+v", process)
 	}
 }
 
-// TestWithdrawnLimits guards against a document of an earlier release that is rejected after
+// TestRemovedLimits guards against a document of an earlier release that is rejected after
 // an upgrade because it sets a limit that was removed: it must be accepted with a warning.
 // A limit that never existed is a problem.
-func TestWithdrawnLimits(t *testing.T) {
+func TestRemovedLimits(t *testing.T) {
 	tree, problems := settings.Parse([]byte(strings.Replace(good, `"queue_ms": 900`, `"queue_ms": 900, "reader_share": 0.4`, 1)))
 	if len(problems) > 0 {
 		t.Fatal(problems)
--- a/settings/chunk_test.go
+++ b/settings/chunk_test.go
@@ -159,10 +159,10 @@
 			if !bytes.Equal(tree.Document(), document) {
 				t.Fatalf("%s: the document restored from the chunks differs from the original", name)
 			}
-			if got := tree.KeyHolder(fmt.Sprintf("drawn-%s-%d", changed, keyRounds[changed])); (got != nil) != (round%4 != 1) || got != nil && got.Name != changed {
+			if got := tree.TenantByKey(fmt.Sprintf("drawn-%s-%d", changed, keyRounds[changed])); (got != nil) != (round%4 != 1) || got != nil && got.Name != changed {
 				t.Fatalf("%s, round %d: the key of %s belongs to %+v", name, round, changed, got)
 			}
-			if round%4 > 1 && (tree.KeyHolder(fmt.Sprintf("drawn-%s-0", changed)) != nil || tree.KeyHolder("key-of-"+changed) == nil) {
+			if round%4 > 1 && (tree.TenantByKey(fmt.Sprintf("drawn-%s-0", changed)) != nil || tree.TenantByKey("key-of-"+changed) == nil) {
 				t.Fatalf("%s, round %d: an old key of %s is still valid, or its unchanged key is not", name, round, changed)
 			}
 		}
--- a/settings/first_test.go
+++ b/settings/first_test.go
@@ -25,9 +25,9 @@
 	return settings.LoadProcess(path, set)
 }
 
-// TestFirst checks that a first start is set only by the boolean in the file or the flag,
+// TestFirstFlag checks that a first start is set only by the boolean in the file or the flag,
 // and that the flag overrides the file.
-func TestFirst(t *testing.T) {
+func TestFirstFlag(t *testing.T) {
 	for _, test := range []struct {
 		field   string
 		flags   []string
@@ -49,8 +49,8 @@
 	}
 }
 
-// TestCount checks that calls are counted only if the file or the flag enables it.
-func TestCount(t *testing.T) {
+// TestCountFlag checks that calls are counted only if the file or the flag enables it.
+func TestCountFlag(t *testing.T) {
 	for _, test := range []struct {
 		field         string
 		flags         []string
--- a/settings/live.go
+++ b/settings/live.go
@@ -8,8 +8,8 @@
 	"sync/atomic"
 )
 
-// Reloaded is the result of rereading a process's settings.
-type Reloaded struct {
+// ReloadResult is the result of rereading a process's settings.
+type ReloadResult struct {
 	// Changed lists the settings that were applied in place.
 	Changed []string `json:"changed,omitempty"`
 	// Restart lists the settings that differ but keep their old values until the process
@@ -20,7 +20,7 @@
 }
 
 // String returns a summary for logs and operators.
-func (reloaded Reloaded) String() string {
+func (reloaded ReloadResult) String() string {
 	switch {
 	case len(reloaded.Problems) > 0:
 		return "nothing was changed:\n" + reloaded.Problems.Error()
@@ -74,7 +74,7 @@
 
 // Reload rereads the settings and applies those that can change in place. If reading or
 // applying them fails, the old ones stay in force.
-func (live *Live) Reload() (out Reloaded) {
+func (live *Live) Reload() (out ReloadResult) {
 	live.mutex.Lock()
 	defer live.mutex.Unlock()
 	read, err := live.Read()
@@ -83,7 +83,7 @@
 		if !isProblems {
 			problems = Problems{{Path: "settings", Reason: err.Error()}}
 		}
-		return Reloaded{Problems: problems}
+		return ReloadResult{Problems: problems}
 	}
 	old := live.Now()
 	next := old
@@ -113,7 +113,7 @@
 	}
 	if live.Apply != nil {
 		if err := live.Apply(old, next); err != nil {
-			return Reloaded{Problems: Problems{{Path: "$.traces", Reason: fmt.Sprint("can't apply the change: ", err)}}}
+			return ReloadResult{Problems: Problems{{Path: "$.traces", Reason: fmt.Sprint("can't apply the change: ", err)}}}
 		}
 	}
 	live.current.Store(&next)
@@ -124,7 +124,7 @@
 type Service struct{ Live *Live }
 
 // Reload rereads the settings.
-func (service Service) Reload(_ struct{}, out *Reloaded) error {
+func (service Service) Reload(_ struct{}, out *ReloadResult) error {
 	*out = service.Live.Reload()
 	return nil
 }
--- a/settings/process.go
+++ b/settings/process.go
@@ -137,9 +137,9 @@
 	}
 }
 
-// Watching applies only those of the given flags that control what is logged. They are in
+// ApplyLoggingFlags applies only those of the given flags that control what is logged. They are in
 // force even where all other settings come from the platform's deployment files.
-func (process *Process) Watching(set *flag.FlagSet) {
+func (process *Process) ApplyLoggingFlags(set *flag.FlagSet) {
 	set.Visit(func(option *flag.Flag) {
 		if option.Name == "choices" {
 			process.applyFlag(option)
--- a/settings/routes.go
+++ b/settings/routes.go
@@ -40,7 +40,7 @@
 	Timeout, Target, Gap time.Duration
 	// Urgency is the priority class; 0 is the most urgent. Tries is the maximum number of
 	// replicas that one request may be sent to.
-	Urgency, Tries int
+	Urgency, MaxAttempts int
 	// Resume allows a stream to be continued on another replica. Keyless means that
 	// requests need no key and belong to no tenant, where the tree has tenants.
 	Resume, Keyless bool
@@ -49,16 +49,16 @@
 	Shares []Share
 }
 
-// Repeatable reports whether a request on the route may run more than once.
-func (route *Route) Repeatable() bool {
+// Idempotent reports whether a request on the route may run more than once.
+func (route *Route) Idempotent() bool {
 	return route.Kind == Safe || route.Kind == Streamed && route.Resume
 }
 
 // Address returns the route's host and prefix, which identify it in the tree.
 func (route *Route) Address() string { return route.Host + route.Prefix }
 
-// RouteAt returns the route with the address, or nil if there is none.
-func (tree *Tree) RouteAt(address string) *Route {
+// RouteByAddress returns the route with the address, or nil if there is none.
+func (tree *Tree) RouteByAddress(address string) *Route {
 	host, path, _ := strings.Cut(address, "/")
 	if route := tree.Route(host, "/"+path); route != nil && route.Address() == address {
 		return route
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// Within reports whether the route may be served in the region.
-func (route *Route) Within(region string) bool {
+// AllowedIn reports whether the route may be served in the region.
+func (route *Route) AllowedIn(region string) bool {
 	if len(route.Homes) == 0 {
 		return true
 	}
@@ -86,19 +86,19 @@
 	// ConnCap is the maximum number of connections that a replica accepts from all callers
 	// together.
 	ConnCap int
-	// Cold is how long a replica stays cold after its start. ColdRate is the number of
+	// ColdPeriod is how long a replica stays cold after its start. ColdRate is the number of
 	// requests per second, from all callers together, that it can bear during that time.
-	Cold     time.Duration
-	ColdRate float64
-	// Berths is the number of requests that a replica processes concurrently. CacheTokens
+	ColdPeriod time.Duration
+	ColdRate   float64
+	// Slots is the number of requests that a replica processes concurrently. CacheTokens
 	// is the size of its key-value cache, for running requests and the prefix cache.
 	// Spacing is the number of tokens in one event of a stream.
-	Berths, CacheTokens, Spacing int
+	Slots, CacheTokens, TokensPerEvent int
 }
 
-// Intake limits the size of a caller's request and the time that its connection may take:
+// RequestLimits limits the size of a caller's request and the time that its connection may take:
 // Header is the timeout for reading the header, Idle that for an idle connection.
-type Intake struct {
+type RequestLimits struct {
 	HeaderBytes, BodyBytes int
 	Header, Idle           time.Duration
 }
@@ -114,24 +114,24 @@
 	return nil
 }
 
-// AtHome reports whether all routes of the host may be served in the region.
-func (tree *Tree) AtHome(host, region string) bool {
+// HostAllowed reports whether all routes of the host may be served in the region.
+func (tree *Tree) HostAllowed(host, region string) bool {
 	for _, route := range tree.routes[hostOf(host)] {
-		if !route.Within(region) {
+		if !route.AllowedIn(region) {
 			return false
 		}
 	}
 	return true
 }
 
-// Routed reports whether the tree has any routes.
-func (tree *Tree) Routed() bool { return len(tree.routes) > 0 }
+// HasRoutes reports whether the tree has any routes.
+func (tree *Tree) HasRoutes() bool { return len(tree.routes) > 0 }
 
 // Engine returns the description of the model's replicas, or nil if the tree has none.
 func (tree *Tree) Engine(model string) *Engine { return tree.engines[model] }
 
-// Intake returns the limits on callers' requests.
-func (tree *Tree) Intake() Intake { return tree.intake }
+// RequestLimits returns the limits on callers' requests.
+func (tree *Tree) RequestLimits() RequestLimits { return tree.intake }
 
 // Label returns the number that the operator gave the document, or zero.
 func (tree *Tree) Label() uint64 { return tree.label }
@@ -372,12 +372,12 @@
 			if probe, known := parsed.get("probe_path"); known && !strings.HasPrefix(probe.Str, "/") {
 				at.report(problems, "probe_path", "must begin with a slash")
 			}
-			tree.engines[model] = &Engine{ProbePath: parsed.text("probe_path"), ConnCap: int(parsed.number("conn_cap")), Cold: parsed.duration("cold_ms"), ColdRate: parsed.number("cold_per_s"),
-				Berths: int(parsed.number("berths")), CacheTokens: int(parsed.number("cache_tokens")), Spacing: int(parsed.number("spacing"))}
+			tree.engines[model] = &Engine{ProbePath: parsed.text("probe_path"), ConnCap: int(parsed.number("conn_cap")), ColdPeriod: parsed.duration("cold_ms"), ColdRate: parsed.number("cold_per_s"),
+				Slots: int(parsed.number("berths")), CacheTokens: int(parsed.number("cache_tokens")), TokensPerEvent: int(parsed.number("spacing"))}
 		})
 	case "intake":
 		parsed := readFields(value, &location{nil, "intake", -1}, intakeFields, problems)
-		tree.intake = Intake{HeaderBytes: int(parsed.number("header_bytes")), BodyBytes: int(parsed.number("body_bytes")), Header: parsed.duration("header_ms"), Idle: parsed.duration("idle_ms")}
+		tree.intake = RequestLimits{HeaderBytes: int(parsed.number("header_bytes")), BodyBytes: int(parsed.number("body_bytes")), Header: parsed.duration("header_ms"), Idle: parsed.duration("idle_ms")}
 	default:
 		return false
 	}
@@ -390,7 +390,7 @@
 	resume, _ := parsed.get("resume")
 	keyless, _ := parsed.get("keyless")
 	route := &Route{Name: parsed.text("name"), Host: parsed.text("host"), Prefix: parsed.text("prefix"), Kind: parsed.text("kind"), Timeout: parsed.duration("timeout_ms"), Target: parsed.duration("target_ms"), Gap: parsed.duration("gap_ms"),
-		Urgency: int(parsed.number("urgency")), Tries: max(1, int(parsed.number("tries"))), Resume: resume.Bool(), Keyless: keyless.Bool(), Homes: parsed.stringList("homes", at, problems)}
+		Urgency: int(parsed.number("urgency")), MaxAttempts: max(1, int(parsed.number("tries"))), Resume: resume.Bool(), Keyless: keyless.Bool(), Homes: parsed.stringList("homes", at, problems)}
 	for _, key := range []string{"name", "host"} {
 		if text, known := parsed.get(key); known && text.Str == "" {
 			at.report(problems, key, "is empty")
--- a/settings/routes_test.go
+++ b/settings/routes_test.go
@@ -31,18 +31,18 @@
 		So(tree.Route("one.example", "/p"), ShouldBeNil)
 		So(tree.Route("three.example", "/p/"), ShouldBeNil)
 		streamed := tree.Route("one.example", "/p/")
-		So(*streamed, ShouldResemble, settings.Route{Name: "a", Host: "One.example", Prefix: "/p/", Kind: settings.Streamed, Timeout: 10 * time.Second, Target: time.Second, Gap: 300 * time.Millisecond, Urgency: 9, Tries: 2, Resume: true,
+		So(*streamed, ShouldResemble, settings.Route{Name: "a", Host: "One.example", Prefix: "/p/", Kind: settings.Streamed, Timeout: 10 * time.Second, Target: time.Second, Gap: 300 * time.Millisecond, Urgency: 9, MaxAttempts: 2, Resume: true,
 			Homes: []string{"north"}, Shares: []settings.Share{{Model: "m1", Weight: 90}, {Model: "m1"}, {Model: "m2", Weight: 1.5}}})
-		So(tree.Route("two.example", "/x").Tries, ShouldEqual, 1)
-		So(*tree.Engine("m1"), ShouldResemble, settings.Engine{ProbePath: "/ok", ConnCap: 360, Cold: 3 * time.Second, ColdRate: 26.5, Berths: 64, CacheTokens: 348621, Spacing: 4})
-		So(tree.Intake(), ShouldResemble, settings.Intake{HeaderBytes: 16384, BodyBytes: 4194304, Header: 3 * time.Second, Idle: 15 * time.Second})
+		So(tree.Route("two.example", "/x").MaxAttempts, ShouldEqual, 1)
+		So(*tree.Engine("m1"), ShouldResemble, settings.Engine{ProbePath: "/ok", ConnCap: 360, ColdPeriod: 3 * time.Second, ColdRate: 26.5, Slots: 64, CacheTokens: 348621, TokensPerEvent: 4})
+		So(tree.RequestLimits(), ShouldResemble, settings.RequestLimits{HeaderBytes: 16384, BodyBytes: 4194304, Header: 3 * time.Second, Idle: 15 * time.Second})
 	})
 	Convey("a placement may accept any version", t, func() {
 		tree, _ := settings.Parse([]byte(routed))
 		open, _ := tree.Placement("m1", "south")
-		So(open.Any(), ShouldBeTrue)
+		So(open.AcceptsAnyVersion(), ShouldBeTrue)
 		fixed, _ := tree.Placement("m2", "n2")
-		So(fixed.Any(), ShouldBeFalse)
+		So(fixed.AcceptsAnyVersion(), ShouldBeFalse)
 	})
 	Convey("each problem is reported at its path, with no others", t, func() {
 		lastRoute := `"name": "c", "host": "two.example", "prefix": "/", "kind": "safe", "timeout_ms": 5000, "shares": [{"model": "m1", "weight": 1}]`
--- a/settings/tenants.go
+++ b/settings/tenants.go
@@ -24,24 +24,24 @@
 	Homes []string
 }
 
-// Within reports whether the tenant's requests may be served in the region. A nil tenant
+// AllowedIn reports whether the tenant's requests may be served in the region. A nil tenant
 // stands for a request without tenant, which may be served in all regions.
-func (tenant *Tenant) Within(region string) bool {
+func (tenant *Tenant) AllowedIn(region string) bool {
 	return tenant == nil || len(tenant.Homes) == 0 || slices.Contains(tenant.Homes, region)
 }
 
-// Tenanted reports whether the document has a list of tenants, which may be empty. If so,
+// HasTenants reports whether the document has a list of tenants, which may be empty. If so,
 // every request needs a key, except on a keyless route.
-func (tree *Tree) Tenanted() bool { return tree.hasTenants }
+func (tree *Tree) HasTenants() bool { return tree.hasTenants }
 
 // Tenants returns all tenants in the order of the document.
 func (tree *Tree) Tenants() []*Tenant { return tree.tenants }
 
-// KeyHolder returns the tenant that has the key, or nil if there is none.
-func (tree *Tree) KeyHolder(key string) *Tenant { return tree.tenantsByKey[key] }
+// TenantByKey returns the tenant that has the key, or nil if there is none.
+func (tree *Tree) TenantByKey(key string) *Tenant { return tree.tenantsByKey[key] }
 
-// TenantNamed returns the tenant with the name, or nil if there is none.
-func (tree *Tree) TenantNamed(name string) *Tenant { return tree.tenantsByName[name] }
+// TenantByName returns the tenant with the name, or nil if there is none.
+func (tree *Tree) TenantByName(name string) *Tenant { return tree.tenantsByName[name] }
 
 var tenantFields = map[string]fieldRule{
 	"name": {kind: gjson.String, isRequired: true}, "keys": {kind: gjson.JSON, isRequired: true}, "per_s": {kind: gjson.Number, max: maxNumber}, "burst": {kind: gjson.Number, max: maxNumber},
--- a/settings/tree.go
+++ b/settings/tree.go
@@ -10,8 +10,8 @@
 
 // Bound is the default, range and description of a limit.
 type Bound struct {
-	Default, Least, Most float64
-	What                 string
+	Default, Min, Max float64
+	Description       string
 }
 
 // Limits are the limits that a document may set, each with its default, range and
@@ -95,7 +95,7 @@
 	tenantsByName map[string]*Tenant  // by name
 	tenantsByKey  map[string]*Tenant  // by key
 	engines       map[string]*Engine
-	intake        Intake
+	intake        RequestLimits
 	label         uint64
 
 	hasTenants bool
@@ -230,8 +230,8 @@
 					problems.add(path, "is no limit")
 				case value.Type != gjson.Number:
 					problems.add(path, "must be a number")
-				case value.Num < bound.Least || value.Num > bound.Most:
-					problems.add(path, "%v is not within %v to %v", value.Num, bound.Least, bound.Most)
+				case value.Num < bound.Min || value.Num > bound.Max:
+					problems.add(path, "%v is not within %v to %v", value.Num, bound.Min, bound.Max)
 				}
 				store(name, value)
 			})
@@ -437,8 +437,8 @@
 	return Limits[name].Default
 }
 
-// Span returns a limit in milliseconds as a duration.
-func (tree *Tree) Span(name, scope string) time.Duration {
+// Duration returns a limit in milliseconds as a duration.
+func (tree *Tree) Duration(name, scope string) time.Duration {
 	return time.Duration(tree.Limit(name, scope) * float64(time.Millisecond))
 }
 
@@ -457,8 +457,8 @@
 // the replicas report.
 const AnyVersion = "any"
 
-// Any reports whether the placement accepts any version.
-func (placement Placement) Any() bool { return placement.Version == AnyVersion }
+// AcceptsAnyVersion reports whether the placement accepts any version.
+func (placement Placement) AcceptsAnyVersion() bool { return placement.Version == AnyVersion }
 
 // Placement returns the placement of a model in a zone, a region or the whole, and false
 // if the model is not placed there.
@@ -489,8 +489,8 @@
 	return models
 }
 
-// Automatic reports whether a change of the model's version in the tree starts a rollout.
-func (tree *Tree) Automatic(model, scope string) bool {
+// AutomaticRollout reports whether a change of the model's version in the tree starts a rollout.
+func (tree *Tree) AutomaticRollout(model, scope string) bool {
 	leaf, set := tree.leaves(scope)["handovers."+model+".automatic"]
 	return !set || leaf.Value.Bool()
 }
--- a/sim/disk.go
+++ b/sim/disk.go
@@ -15,10 +15,10 @@
 type Disk struct {
 	node  *Node
 	files map[string]*file
-	// Slow is added to the time of every file sync. Full makes writes fail, and Sick makes syncs fail.
-	Slow       time.Duration
-	Full, Sick bool
-	Syncs      int
+	// SyncDelay is added to the time of every file sync. Full makes writes fail, and Sick makes syncs fail.
+	SyncDelay       time.Duration
+	Full, FailSyncs bool
+	Syncs           int
 }
 
 // file is one file of a disk. durable is the content that survives a crash. nameDurable reports
@@ -33,8 +33,8 @@
 	errIO      = errors.New("input/output error")
 )
 
-// Lose empties the disk, as if it was replaced by a new one.
-func (disk *Disk) Lose() { disk.files = map[string]*file{} }
+// Wipe empties the disk, as if it was replaced by a new one.
+func (disk *Disk) Wipe() { disk.files = map[string]*file{} }
 
 // Bytes returns the total size of all files.
 func (disk *Disk) Bytes() (bytes int) {
@@ -44,11 +44,11 @@
 	return bytes
 }
 
-// Take moves the content of another machine's disk to this one. Both machines must be down.
-func (disk *Disk) Take(other *Disk) { disk.files, other.files = other.files, map[string]*file{} }
+// MoveFrom moves the content of another machine's disk to this one. Both machines must be down.
+func (disk *Disk) MoveFrom(other *Disk) { disk.files, other.files = other.files, map[string]*file{} }
 
-// Spoil corrupts one byte of a file's durable content. It returns false if there is no such byte.
-func (disk *Disk) Spoil(name string, offset int) bool {
+// Corrupt corrupts one byte of a file's durable content. It returns false if there is no such byte.
+func (disk *Disk) Corrupt(name string, offset int) bool {
 	file := disk.files[name]
 	if file == nil || offset >= len(file.durable) {
 		return false
@@ -102,7 +102,7 @@
 // Sync makes the directory entries of all files durable.
 func (disk *Disk) Sync() error {
 	disk.node.sim.Point(disk.node, "disk.folder")
-	if disk.Sick {
+	if disk.FailSyncs {
 		return errIO
 	}
 	for _, file := range disk.files {
@@ -129,11 +129,11 @@
 	node := handle.disk.node
 	node.sim.Point(node, "disk.sync")
 	incarnation := node.incarnation
-	loop.Sleep(node, node.sim.SyncTime+handle.disk.Slow)
+	loop.Sleep(node, node.sim.SyncTime+handle.disk.SyncDelay)
 	if node.incarnation != incarnation {
 		return errIO
 	}
-	if handle.disk.Sick {
+	if handle.disk.FailSyncs {
 		return errIO
 	}
 	handle.disk.Syncs++
--- a/sim/net.go
+++ b/sim/net.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// Names returns the names of all nodes in the order of their creation.
-func (sim *Sim) Names() []string { return sim.names }
+// NodeNames returns the names of all nodes in the order of their creation.
+func (sim *Sim) NodeNames() []string { return sim.names }
 
 // Serve sets the RPC server that handles the node's incoming calls.
 func (node *Node) Serve(server *rpc.Server) {
@@ -78,16 +78,16 @@
 	return true
 }
 
-// Lane is one direction of a connection. Messages arrive in order; after one message was lost, none
+// Stream is one direction of a connection. Messages arrive in order; after one message was lost, none
 // arrives any more.
-type Lane struct {
+type Stream struct {
 	last time.Duration
 	lost bool
 }
 
 // Send runs a function on another node after the network delay, in order with the lane's other
 // messages.
-func (sim *Sim) Send(lane *Lane, from *Node, to string, run func(node *Node)) {
+func (sim *Sim) Send(lane *Stream, from *Node, to string, run func(node *Node)) {
 	target := sim.nodes[to]
 	delay, open := sim.Reach(from.Name, to)
 	if target == nil || !open || lane.lost {
@@ -124,12 +124,12 @@
 			delay = timeout
 		}
 		replies.Take(min(delay, timeout))
-		return &wire.Mishap{Address: address, Method: method, Cause: errRefused}
+		return &wire.CallError{Address: address, Method: method, Cause: errRefused}
 	}
 	request := sim.copy(method+" args", args)
 	sim.countBytes(net.Name, address, method)
 	incarnation := target.incarnation
-	fate := Passes
+	fate := Delivered
 	if sim.OnCall != nil {
 		fate = sim.OnCall(net.Name, address, method)
 	}
@@ -147,43 +147,43 @@
 		server := node.services(method).(*rpc.Server)
 		codec := &codec{sim: sim, method: method, request: request, from: node.Name, to: net.Name}
 		server.ServeRequest(codec)
-		if fate != AnswerLost && !sim.withProbability(sim.Unruly.Lost) {
+		if fate != ResponseLost && !sim.withProbability(sim.Faults.Lost) {
 			sim.Deliver(node, net.Name, func(*Node) { replies.Put(codec) })
 		}
 	}
 	deliverLater := func() {
-		sim.At(time.Duration(sim.Draw(int64(sim.Unruly.Latest))), func() { sim.Deliver(net.Node, address, serve) })
+		sim.At(time.Duration(sim.Draw(int64(sim.Faults.MaxDelay))), func() { sim.Deliver(net.Node, address, serve) })
 	}
-	if sim.withProbability(sim.Unruly.Repeated) {
+	if sim.withProbability(sim.Faults.Duplicated) {
 		deliverLater()
 	}
 	deliverLate := func() { sim.At(lateDelay, func() { sim.Deliver(net.Node, address, serve) }) }
 	switch fate {
-	case IsRepeated:
+	case RequestDuplicated:
 		deliverLate()
-	case IsLate:
+	case RequestDelayed:
 		deliverLate()
-	case SenderDies:
+	case SenderKilled:
 		sim.Deliver(net.Node, address, serve)
-		sim.Killed(net.Name)
-	case ReceiverDies:
-		sim.Killed(address)
+		sim.ScheduleKill(net.Name)
+	case ReceiverKilled:
+		sim.ScheduleKill(address)
 	}
 	switch {
-	case fate == IsLost || fate == IsLate || fate == SenderDies:
-	case sim.withProbability(sim.Unruly.Lost):
-	case sim.withProbability(sim.Unruly.Late):
+	case fate == RequestLost || fate == RequestDelayed || fate == SenderKilled:
+	case sim.withProbability(sim.Faults.Lost):
+	case sim.withProbability(sim.Faults.Delayed):
 		deliverLater()
 	default:
 		sim.Deliver(net.Node, address, serve)
 	}
 	received, ok := replies.Take(timeout)
 	if !ok {
-		return &wire.Mishap{Address: address, Method: method, Sent: true, Cause: wire.ErrExpired}
+		return &wire.CallError{Address: address, Method: method, Sent: true, Cause: wire.ErrTimeout}
 	}
 	response := received.(*codec)
 	if response.failure != "" {
-		return &wire.Mishap{Address: address, Method: method, Sent: true, Cause: rpc.ServerError(response.failure)}
+		return &wire.CallError{Address: address, Method: method, Sent: true, Cause: rpc.ServerError(response.failure)}
 	}
 	reflect.ValueOf(reply).Elem().Set(response.body)
 	return nil
--- a/sim/sim.go
+++ b/sim/sim.go
@@ -45,8 +45,8 @@
 	closed      bool
 	running     *task // the task that holds the token; nil if the scheduler holds it
 	Steps       int
-	// Unruly sets the random faults of calls between processes.
-	Unruly Unruly
+	// Faults sets the random faults of calls between processes.
+	Faults NetworkFaults
 	// OnCall, if set, decides the fate of each call.
 	OnCall func(from, to, method string) Fate
 	// OnKill, if set, replaces Kill where a fault kills a process; see Killed.
@@ -56,26 +56,26 @@
 // Fate is the outcome of one call on the network.
 type Fate int
 
-// Passes delivers the call. IsLost drops the request, and AnswerLost drops the response. IsLate
+// Delivered delivers the call. IsLost drops the request, and AnswerLost drops the response. IsLate
 // delivers the request only after its caller has timed out, and IsRepeated delivers it a second
 // time then. SenderDies kills the sender after the request was sent, and ReceiverDies kills the
 // receiver before the request arrives.
 const (
-	Passes Fate = iota
-	IsLost
-	AnswerLost
-	IsLate
-	IsRepeated
-	SenderDies
-	ReceiverDies
+	Delivered Fate = iota
+	RequestLost
+	ResponseLost
+	RequestDelayed
+	RequestDuplicated
+	SenderKilled
+	ReceiverKilled
 )
 
-// Unruly sets random network faults. Lost is the probability that a request or a response is
+// NetworkFaults sets random network faults. Lost is the probability that a request or a response is
 // dropped, Repeated that a request is delivered a second time, and Late that a request is delayed.
 // The delay of repeated and late requests is below Latest.
-type Unruly struct {
-	Lost, Repeated, Late float64
-	Latest               time.Duration
+type NetworkFaults struct {
+	Lost, Duplicated, Delayed float64
+	MaxDelay                  time.Duration
 }
 
 func (sim *Sim) withProbability(probability float64) bool {
@@ -247,18 +247,18 @@
 	return node.paceSetClock + elapsed + time.Duration(node.pace*float64(elapsed))
 }
 
-// SetPace makes the machine's clock run at 1+pace times the rate of virtual time from now on.
-func (node *Node) SetPace(pace float64) {
+// SetClockRate makes the machine's clock run at 1+pace times the rate of virtual time from now on.
+func (node *Node) SetClockRate(pace float64) {
 	node.paceSetClock, node.paceSetAt, node.pace = node.Now(), node.sim.now, pace
 }
 
-// Wall returns the machine's wall clock, which starts at the beginning of 2026.
-func (node *Node) Wall() time.Time {
+// WallTime returns the machine's wall clock, which starts at the beginning of 2026.
+func (node *Node) WallTime() time.Time {
 	return time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC).Add(node.sim.now + node.Skew)
 }
 
-// Draw returns a random number in [0, below) from the simulator's seeded source.
-func (node *Node) Draw(below int64) int64 { return node.sim.Draw(below) }
+// RandN returns a random number in [0, below) from the simulator's seeded source.
+func (node *Node) RandN(below int64) int64 { return node.sim.Draw(below) }
 
 // Ended always returns false: a task of an ended incarnation never runs, so it can not call Ended.
 func (node *Node) Ended() bool { return false }
@@ -329,9 +329,9 @@
 	// their deferred functions, which a killed process never does.
 }
 
-// Killed schedules the kill of a process for when the running task yields. It calls OnKill if that
+// ScheduleKill schedules the kill of a process for when the running task yields. It calls OnKill if that
 // is set, and Kill otherwise.
-func (sim *Sim) Killed(name string) {
+func (sim *Sim) ScheduleKill(name string) {
 	sim.At(0, func() {
 		if sim.OnKill != nil {
 			sim.OnKill(name)
@@ -437,14 +437,14 @@
 	}
 }
 
-// Hook sets the function that is called each time the point is passed.
-func (sim *Sim) Hook(name string, hook func(node *Node, count int)) { sim.hooks[name] = hook }
+// SetHook sets the function that is called each time the point is passed.
+func (sim *Sim) SetHook(name string, hook func(node *Node, count int)) { sim.hooks[name] = hook }
 
 // PointCount returns how often the point was passed.
 func (sim *Sim) PointCount(name string) int { return sim.points[name] }
 
-// Halt kills the process of the running task, as if it crashed at this line. It does not return.
-func (node *Node) Halt() {
+// Crash kills the process of the running task, as if it crashed at this line. It does not return.
+func (node *Node) Crash() {
 	node.sim.Kill(node.Name)
 	node.sim.running.park()
 }
--- a/smoke/smoke_test.go
+++ b/smoke/smoke_test.go
@@ -223,7 +223,7 @@
 	if code, out := fleetHere.tell("apply", bad); code != 2 || !strings.Contains(out, "$.whole.tempo") {
 		t.Errorf("a bad configuration: %d %s", code, out)
 	}
-	call := fleet.CallerOptions{At: datas, Model: "shop", Kind: "offer", Count: 1, Workers: 1, Bytes: 2000, Tokens: 32, Rosters: 2}
+	call := fleet.CallerOptions{At: datas, Model: "shop", Kind: "offer", Count: 1, Workers: 1, Bytes: 2000, Tokens: 32, Prefixes: 2}
 	until(t, "a first answer in every region", func() bool {
 		for _, region := range regions {
 			one := call
--- a/tenant/tally.go
+++ b/tenant/counters.go
@@ -13,11 +13,11 @@
 
 // Limits that keep counters, reports and stored state small however many tenants there are.
 const (
-	// Heavy is how many tenants a data daemon counts, MaxReported how many a control
+	// MaxCounted is how many tenants a data daemon counts, MaxReported how many a control
 	// daemon reports, and MostKept how many the leader tracks and the register holds.
-	Heavy       = 24
+	MaxCounted  = 24
 	MaxReported = 48
-	MostKept    = 64
+	MaxTracked  = 64
 	// maxHotPrefixes is how many shared prefixes are counted per tenant.
 	maxHotPrefixes = 3
 )
@@ -63,8 +63,8 @@
 	Hot   []Hot
 }
 
-// Told is a daemon's report of a window. Its counters are sums over Span.
-type Told struct {
+// WindowReport is a daemon's report of a window. Its counters are sums over Span.
+type WindowReport struct {
 	Serial  uint64
 	Span    time.Duration
 	Tallies []Counters
@@ -144,15 +144,15 @@
 	byTenant map[string]*Counters
 }
 
-// Note counts a request.
-func (sketch *Sketch) Note(request Request) {
+// Count counts a request.
+func (sketch *Sketch) Count(request Request) {
 	if sketch.byTenant == nil {
-		sketch.byTenant = make(map[string]*Counters, Heavy)
+		sketch.byTenant = make(map[string]*Counters, MaxCounted)
 	}
 	counters := sketch.byTenant[request.Tenant]
 	if counters == nil {
 		fresh := &Counters{Tenant: request.Tenant, Model: request.Model}
-		if len(sketch.byTenant) >= Heavy {
+		if len(sketch.byTenant) >= MaxCounted {
 			lightest := sketch.lightest()
 			fresh.Weight, fresh.Error = lightest.Weight, lightest.Weight
 			delete(sketch.byTenant, lightest.Tenant)
@@ -180,8 +180,8 @@
 // IsEmpty reports whether nothing has been counted.
 func (sketch *Sketch) IsEmpty() bool { return len(sketch.byTenant) == 0 }
 
-// Ended counts a request that ended after the given duration.
-func (sketch *Sketch) Ended(tenant string, took time.Duration) {
+// CountEnd counts a request that ended after the given duration.
+func (sketch *Sketch) CountEnd(tenant string, took time.Duration) {
 	if counters := sketch.byTenant[tenant]; counters != nil {
 		counters.Ended++
 		counters.Held += int(took / time.Millisecond)
@@ -219,20 +219,20 @@
 	})
 }
 
-// Counter counts requests window by window. The zero value has no window open.
-type Counter struct {
+// WindowCounter counts requests window by window. The zero value has no window open.
+type WindowCounter struct {
 	Sketch
 	windowStart time.Duration
 	serial      uint64
 }
 
-// Turn closes the window if it has lasted for span and returns its report; it returns nil
+// Close closes the window if it has lasted for span and returns its report; it returns nil
 // while the window is open. A span of zero or less discards the counters and opens no
 // window.
-func (counter *Counter) Turn(now, span time.Duration) *Told {
+func (counter *WindowCounter) Close(now, span time.Duration) *WindowReport {
 	switch {
 	case span <= 0:
-		*counter = Counter{serial: counter.serial}
+		*counter = WindowCounter{serial: counter.serial}
 		return nil
 	case counter.windowStart == 0:
 		counter.windowStart = max(1, now)
@@ -242,15 +242,15 @@
 		return nil
 	}
 	counter.serial++
-	report := &Told{Serial: counter.serial, Span: now - counter.windowStart, Tallies: counter.byWeight()}
+	report := &WindowReport{Serial: counter.serial, Span: now - counter.windowStart, Tallies: counter.byWeight()}
 	counter.windowStart, counter.byTenant = now, nil
 	return report
 }
 
-// Heard is one daemon's report with the region that the daemon is in.
-type Heard struct {
+// RegionReport is one daemon's report with the region that the daemon is in.
+type RegionReport struct {
 	Region string
-	Told   *Told
+	Report *WindowReport
 }
 
 // referenceSpan is the time span to which gathered counters are scaled.
@@ -259,23 +259,23 @@
 // Gather adds up the reports of daemons by tenant and region, scaled to referenceSpan, and
 // keeps the MaxReported heaviest. Counters that name a region keep it; others get the
 // region of the reporting daemon.
-func Gather(reports []Heard) Totals {
+func Gather(reports []RegionReport) Totals {
 	sums, reporters := map[[2]string]*Counters{}, map[string]int{}
 	for _, report := range reports {
-		if report.Told == nil || report.Told.Span <= 0 {
+		if report.Report == nil || report.Report.Span <= 0 {
 			continue
 		}
-		if report.Told.Heard == nil {
+		if report.Report.Heard == nil {
 			reporters[report.Region]++
 		}
-		for region, count := range report.Told.Heard {
+		for region, count := range report.Report.Heard {
 			reporters[region] += count
 		}
-		for _, counters := range report.Told.Tallies {
+		for _, counters := range report.Report.Tallies {
 			if counters.Region == "" {
 				counters.Region = report.Region
 			}
-			counters.scale(float64(referenceSpan) / float64(report.Told.Span))
+			counters.scale(float64(referenceSpan) / float64(report.Report.Span))
 			key := [2]string{counters.Tenant, counters.Region}
 			if sums[key] == nil {
 				sums[key] = &Counters{Tenant: counters.Tenant, Region: counters.Region, Model: counters.Model}
@@ -291,9 +291,9 @@
 	return Totals{Tallies: out[:min(len(out), MaxReported)], Reporters: reporters}
 }
 
-// Tell returns a control daemon's report of the totals that it gathered.
-func Tell(serial uint64, totals Totals) *Told {
-	return &Told{Serial: serial, Span: referenceSpan, Tallies: totals.Tallies, Heard: totals.Reporters}
+// NewReport returns a control daemon's report of the totals that it gathered.
+func NewReport(serial uint64, totals Totals) *WindowReport {
+	return &WindowReport{Serial: serial, Span: referenceSpan, Tallies: totals.Tallies, Heard: totals.Reporters}
 }
 
 // scale multiplies all sums by the factor. It copies Hot first, as reports share it.
--- a/tenant/placement.go
+++ b/tenant/placement.go
@@ -88,17 +88,17 @@
 	return key
 }
 
-// Book is the content of the register of placements.
+// Placements is the content of the register of placements.
 //
 // Invariants: Placed is sorted by tenant, has each tenant once and at most MostKept of
 // them. Only the leader whose term is Duty, or an operator, writes the next version.
-type Book struct {
+type Placements struct {
 	Duty   uint64      `json:"duty"`
 	Placed []Placement `json:"placed"`
 }
 
 // Find returns a tenant's placement, or nil if it has none.
-func (book *Book) Find(tenant string) *Placement {
+func (book *Placements) Find(tenant string) *Placement {
 	if book == nil {
 		return nil
 	}
@@ -111,8 +111,8 @@
 
 // With returns a copy of the book in which the placement replaces that of its tenant. An
 // empty placement is removed.
-func (book Book) With(placement Placement) Book {
-	next := Book{Duty: book.Duty}
+func (book Placements) With(placement Placement) Placements {
+	next := Placements{Duty: book.Duty}
 	for _, existing := range book.Placed {
 		if existing.Tenant != placement.Tenant {
 			next.Placed = append(next.Placed, existing)
--- a/tenant/plan.go
+++ b/tenant/plan.go
@@ -14,7 +14,7 @@
 
 // otherLoads returns the load of all other placed tenants of the same model by region. A
 // tenant on the move counts in the regions that it moves to, unless it is moving back.
-func (watch *Watch) otherLoads(scene Scene, book Book, except string) map[string]load {
+func (watch *Planner) otherLoads(scene TurnInputs, book Placements, except string) map[string]load {
 	out := map[string]load{}
 	var model string
 	if state := watch.tenants[except]; state != nil {
@@ -62,7 +62,7 @@
 
 // plan has the inputs for placing one tenant in one turn.
 type plan struct {
-	scene      Scene
+	scene      TurnInputs
 	profile    *Profile
 	placement  Placement
 	otherLoads map[string]load
@@ -70,7 +70,7 @@
 }
 
 // capacities returns the regions' replicas of the tenant's model.
-func (plan plan) capacities() map[string]Ground { return plan.scene.Grounds[plan.profile.Model] }
+func (plan plan) capacities() map[string]Capacity { return plan.scene.Capacities[plan.profile.Model] }
 
 // ownerShare returns the fraction of the tenant's shared prefixes that have an owner in the
 // region.
@@ -99,7 +99,7 @@
 // remoteCost returns the cost in ms of sending a long request to another region, by the
 // weights that data daemons use for routing.
 func (plan plan) remoteCost() float64 {
-	return 2*plan.scene.Far + plan.scene.FarKB*divide(plan.profile.KB, plan.profile.Rate())
+	return 2*plan.scene.RemoteMs + plan.scene.RemoteKBMs*divide(plan.profile.KB, plan.profile.Rate())
 }
 
 // gain returns the predicted gain in ms of waiting over the minimum stay of the placement:
@@ -153,7 +153,7 @@
 
 // recomputeCost returns the cost of prefilling the tokens again, in ms of waiting.
 func (plan plan) recomputeCost(tokens float64) float64 {
-	return tokens * (plan.scene.Again + 1e6/prefillRate) / 1000
+	return tokens * (plan.scene.RecomputeMs + 1e6/prefillRate) / 1000
 }
 
 // fits reports whether the regions' replicas have capacity for the tenant in addition to
@@ -163,7 +163,7 @@
 		capacity, used := plan.capacities()[region], plan.otherLoads[region]
 		switch {
 		case capacity.Replicas == 0,
-			used.slots+added.slots > maxUtilization*float64(capacity.Replicas*capacity.Berths),
+			used.slots+added.slots > maxUtilization*float64(capacity.Replicas*capacity.Slots),
 			capacity.Cache > 0 && used.tokens+added.tokens > maxUtilization*float64(capacity.Replicas*capacity.Cache),
 			plan.ownerUtilization(added.prefill, used.prefill, capacity.Replicas) > maxUtilization:
 			return false
@@ -205,10 +205,10 @@
 			continue
 		}
 		chosen, bestNet = to, net
-		notice.What, notice.Gain, notice.Price, notice.Tokens, notice.To = "begins to move", gain, price, tokens, to
+		notice.Event, notice.Gain, notice.Cost, notice.Tokens, notice.To = "begins to move", gain, price, tokens, to
 		notice.Reason = fmt.Sprintf("%.0f%% of its long prompts go far, then %.0f%%; %s", 100*plan.remoteShare(current.Now), 100*plan.remoteShare(to), plan.profile)
 	}
-	if notice.What != "" {
+	if notice.Event != "" {
 		current.Next, current.Moving, current.Part, current.Reason = chosen, true, 0, notice.Reason
 		return current, notice
 	}
@@ -224,7 +224,7 @@
 	current, profile := plan.placement, plan.profile
 	slots, replicas := 0, 0
 	for _, region := range plan.scene.Homes(current.Tenant) {
-		slots = max(slots, plan.capacities()[region].Berths)
+		slots = max(slots, plan.capacities()[region].Slots)
 		replicas += plan.capacities()[region].Replicas
 	}
 	if slots == 0 || replicas == 0 {
@@ -277,5 +277,5 @@
 		return current, Notice{}, false
 	}
 	next.Reason = fmt.Sprintf("its hottest beginning takes up %.1f of a replica", highest)
-	return next, Notice{Tenant: current.Tenant, What: "changes the number of owners of its hot prefixes", Reason: next.Reason, Gain: gain, Price: plan.recomputeCost(tokens), Tokens: tokens, From: current.Now, To: current.Now}, true
+	return next, Notice{Tenant: current.Tenant, Event: "changes the number of owners of its hot prefixes", Reason: next.Reason, Gain: gain, Cost: plan.recomputeCost(tokens), Tokens: tokens, From: current.Now, To: current.Now}, true
 }
--- a/tenant/tenant_test.go
+++ b/tenant/tenant_test.go
@@ -45,8 +45,8 @@
 	*rand.Rand
 	testing.TB
 	traffic   []traffic
-	watch     *tenant.Watch
-	book      tenant.Book
+	watch     *tenant.Planner
+	book      tenant.Placements
 	now       time.Duration
 	budget    float64
 	notices   []tenant.Notice
@@ -65,7 +65,7 @@
 
 func newSimulation(t testing.TB, seed uint64, tenants ...traffic) *simulation {
 	sim := &simulation{TB: t, Rand: rand.New(rand.NewPCG(seed, 1)), traffic: tenants, budget: 0.1, burst: 1}
-	sim.watch = tenant.NewWatch(0, nil)
+	sim.watch = tenant.NewPlanner(0, nil)
 	return sim
 }
 
@@ -91,12 +91,12 @@
 	return max(0, int(float64(count)*mean+math.Sqrt(float64(count))*1.5*mean*sim.NormFloat64()))
 }
 
-func (sim *simulation) scene() tenant.Scene {
-	capacities := map[string]map[string]tenant.Ground{model: {}}
+func (sim *simulation) scene() tenant.TurnInputs {
+	capacities := map[string]map[string]tenant.Capacity{model: {}}
 	for index, region := range regions {
-		capacities[model][region] = tenant.Ground{Replicas: 6 - index, Berths: 64, Cache: 348621}
+		capacities[model][region] = tenant.Capacity{Replicas: 6 - index, Slots: 64, Cache: 348621}
 	}
-	return tenant.Scene{Now: sim.now, Window: window, Duty: 1, Grounds: capacities, Far: 80, FarKB: 4, Again: 60, Change: 0.25, Budget: sim.budget, Homes: func(name string) []string {
+	return tenant.TurnInputs{Now: sim.now, Window: window, Term: 1, Capacities: capacities, RemoteMs: 80, RemoteKBMs: 4, RecomputeMs: 60, Change: 0.25, Budget: sim.budget, Homes: func(name string) []string {
 		for _, load := range sim.traffic {
 			if load.name == name {
 				if load.homes != nil {
@@ -111,9 +111,9 @@
 
 // totals generates the requests of a window and returns the totals of the regions' reports.
 func (sim *simulation) totals() tenant.Totals {
-	var reports []tenant.Heard
+	var reports []tenant.RegionReport
 	for index, region := range regions {
-		report := &tenant.Told{Serial: 1, Span: window}
+		report := &tenant.WindowReport{Serial: 1, Span: window}
 		for _, load := range sim.traffic {
 			wave := 1 + sim.swing*math.Sin(2*math.Pi*(sim.now.Seconds()/26+float64(index)/3))
 			count := sim.burst * sim.poisson(load.rates[index]*wave*window.Seconds()/float64(sim.burst))
@@ -132,7 +132,7 @@
 			report.Tallies = append(report.Tallies, counters)
 		}
 		if !sim.silent[region] {
-			reports = append(reports, tenant.Heard{Region: region, Told: report})
+			reports = append(reports, tenant.RegionReport{Region: region, Report: report})
 		}
 	}
 	return tenant.Gather(reports)
@@ -146,9 +146,9 @@
 		for _, counters := range totals.Tallies {
 			sim.promptTokens += float64(counters.Prompt) / 10 * window.Seconds()
 		}
-		next, notices := sim.watch.Turn(sim.scene(), totals, sim.book)
+		next, notices := sim.watch.Step(sim.scene(), totals, sim.book)
 		for _, notice := range notices {
-			if notice.What != "has changed" && notice.What != "begins to move" {
+			if notice.Event != "has changed" && notice.Event != "begins to move" {
 				sim.recomputed += notice.Tokens
 			}
 			sim.notices, sim.noticedAt = append(sim.notices, notice), append(sim.noticedAt, sim.now)
@@ -165,7 +165,7 @@
 // changeLeader replaces the watch by that of a new leader, which has only what is stored in
 // the registers.
 func (sim *simulation) changeLeader(t *testing.T) {
-	text, err := json.Marshal(sim.watch.Usual())
+	text, err := json.Marshal(sim.watch.Baselines())
 	var baselines []tenant.Profile
 	if err == nil {
 		err = json.Unmarshal(text, &baselines)
@@ -173,13 +173,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	sim.watch = tenant.NewWatch(sim.now, baselines)
+	sim.watch = tenant.NewPlanner(sim.now, baselines)
 }
 
 // count returns how many notices have the given What.
 func (sim *simulation) count(action string) (count int) {
 	for _, notice := range sim.notices {
-		if notice.What == action {
+		if notice.Event == action {
 			count++
 		}
 	}
@@ -192,17 +192,17 @@
 func TestSketch(t *testing.T) {
 	random := rand.New(rand.NewPCG(7, 1))
 	zipf := rand.NewZipf(random, 1.2, 1, 20999)
-	var counter tenant.Counter
-	counter.Turn(time.Second, window)
+	var counter tenant.WindowCounter
+	counter.Close(time.Second, window)
 	truth := map[string]int{}
 	for range 200000 {
 		name := fmt.Sprintf("t%d.example/x/", zipf.Uint64())
 		truth[name] += 1001 + 60
-		counter.Note(tenant.Request{Tenant: name, Model: model, Key: 1 + random.Uint64N(6), Prompt: 1000, Shared: 800, Answer: 60, Bytes: 4000})
-		counter.Ended(name, time.Second)
+		counter.Count(tenant.Request{Tenant: name, Model: model, Key: 1 + random.Uint64N(6), Prompt: 1000, Shared: 800, Answer: 60, Bytes: 4000})
+		counter.CountEnd(name, time.Second)
 	}
-	report := counter.Turn(5*time.Second, window)
-	if report == nil || len(report.Tallies) != tenant.Heavy {
+	report := counter.Close(5*time.Second, window)
+	if report == nil || len(report.Tallies) != tenant.MaxCounted {
 		t.Fatalf("unexpected report of the window: %v", report)
 	}
 	total, heavy := 0, 0
@@ -210,7 +210,7 @@
 		total += weight
 	}
 	for name, weight := range truth {
-		if weight <= total/tenant.Heavy {
+		if weight <= total/tenant.MaxCounted {
 			continue
 		}
 		heavy++
@@ -239,16 +239,16 @@
 		return out.Len()
 	}
 	// Compare a data daemon's report of a window with a control daemon's of 70 data daemons.
-	var reports []tenant.Heard
+	var reports []tenant.RegionReport
 	for index := range 70 {
-		reports = append(reports, tenant.Heard{Region: regions[index%3], Told: report})
+		reports = append(reports, tenant.RegionReport{Region: regions[index%3], Report: report})
 	}
-	gathered := tenant.Tell(1, tenant.Gather(reports))
+	gathered := tenant.NewReport(1, tenant.Gather(reports))
 	t.Logf("report of a data daemon: %d bytes per window, of a control daemon: %d", size(report), size(gathered))
 	if size(report) > 4096 || size(gathered) > 8192 || len(gathered.Tallies) > tenant.MaxReported {
 		t.Errorf("the report of a data daemon has %d bytes, that of a control daemon %d with %d tenants", size(report), size(gathered), len(gathered.Tallies))
 	}
-	if counter.Turn(6*time.Second, window) != nil || counter.Turn(20*time.Second, 0) != nil || !counter.IsEmpty() {
+	if counter.Close(6*time.Second, window) != nil || counter.Close(20*time.Second, 0) != nil || !counter.IsEmpty() {
 		t.Error("a window closed early, or requests are counted although counting is off")
 	}
 }
@@ -267,7 +267,7 @@
 		changedAt := sim.now
 		sim.traffic[0].rates = []float64{0.6, 0.6, 8}
 		sim.run(40)
-		if len(sim.notices) == 0 || sim.notices[0].What != "has changed" || sim.noticedAt[0]-changedAt > 8*window {
+		if len(sim.notices) == 0 || sim.notices[0].Event != "has changed" || sim.noticedAt[0]-changedAt > 8*window {
 			t.Fatalf("seed %d: change not detected in time: notices %+v at %v", seed, sim.notices, sim.noticedAt)
 		}
 		placement := sim.book.Find("h.example/one/")
@@ -282,15 +282,15 @@
 		}
 		if seed == 1 {
 			for index, notice := range sim.notices {
-				t.Logf("%v after the change: %s %s (%s), gain %.0f, price %.0f, tokens %.0f, part %d", sim.noticedAt[index]-changedAt, notice.Tenant, notice.What, notice.Reason, notice.Gain, notice.Price, notice.Tokens, notice.Part)
+				t.Logf("%v after the change: %s %s (%s), gain %.0f, price %.0f, tokens %.0f, part %d", sim.noticedAt[index]-changedAt, notice.Tenant, notice.Event, notice.Reason, notice.Gain, notice.Cost, notice.Tokens, notice.Part)
 			}
 		}
 	}
 }
 
-// TestSteadyDay checks that tenants with noisy but unchanged traffic never cause a false
+// TestNoFalseAlarms checks that tenants with noisy but unchanged traffic never cause a false
 // alarm or a move, over a day of 28,800 windows for each seed.
-func TestSteadyDay(t *testing.T) {
+func TestNoFalseAlarms(t *testing.T) {
 	seeds := uint64(3)
 	if testing.Short() {
 		seeds = 1
@@ -310,10 +310,10 @@
 	}
 }
 
-// TestSilence checks that a region whose reports are missing for up to a minute does not
+// TestMissingReports checks that a region whose reports are missing for up to a minute does not
 // seem to have lost its callers, nor one whose reports reach a new leader late. If they
 // stay missing, it does.
-func TestSilence(t *testing.T) {
+func TestMissingReports(t *testing.T) {
 	sim := newSimulation(t, 1, longPromptTenant("h.example/one/", 6, 10, 0.6))
 	sim.run(40)
 	for _, region := range regions {
@@ -350,7 +350,7 @@
 		moves := sim.count("begins to move")
 		last := -time.Hour
 		for index, notice := range sim.notices {
-			if notice.What != "begins to move" {
+			if notice.Event != "begins to move" {
 				continue
 			}
 			if sim.noticedAt[index]-last < 10*window {
@@ -366,10 +366,10 @@
 	}
 }
 
-// TestNextHolder checks that the next leader finishes a partly done move, or rolls it back
+// TestLeaderChange checks that the next leader finishes a partly done move, or rolls it back
 // if it no longer gains anything, and that it detects a change that the first leader had no
 // time to detect.
-func TestNextHolder(t *testing.T) {
+func TestLeaderChange(t *testing.T) {
 	startMove := func(seed uint64) *simulation {
 		sim := newSimulation(t, seed, longPromptTenant("h.example/one/", 8, 0.6, 0.6))
 		sim.budget = 0.001
@@ -414,10 +414,10 @@
 	}
 }
 
-// TestHomesBind checks that, whatever the load, a placement lists only the tenant's home
+// TestPlacementWithinHomes checks that, whatever the load, a placement lists only the tenant's home
 // regions, each once, and that every prefix has a permitted home for each caller at every
 // step of a move.
-func TestHomesBind(t *testing.T) {
+func TestPlacementWithinHomes(t *testing.T) {
 	moves := 0
 	for seed := uint64(1); seed <= 20; seed++ {
 		load := longPromptTenant("h.example/one/", 8, 8, 1)
@@ -455,9 +455,9 @@
 	}
 }
 
-// TestGrows checks that a prefix whose load exceeds one owner gets several, that a session
+// TestHotPrefixSpread checks that a prefix whose load exceeds one owner gets several, that a session
 // stays with one of them, and that it has one owner again when the load falls.
-func TestGrows(t *testing.T) {
+func TestHotPrefixSpread(t *testing.T) {
 	load := longPromptTenant("h.example/one/", 2, 2, 2)
 	load.prefixes = 1
 	sim := newSimulation(t, 3, load)
--- a/tenant/watch.go
+++ b/tenant/watch.go
@@ -61,29 +61,29 @@
 	idleRate = 0.01
 )
 
-// Ground describes the capacity of a region's replicas of a model.
-type Ground struct {
+// Capacity describes the capacity of a region's replicas of a model.
+type Capacity struct {
 	// Replicas is the number of replicas that may get requests for the model.
 	Replicas int
-	// Berths is the number of request slots, and Cache the prefix cache in tokens, of one
+	// Slots is the number of request slots, and Cache the prefix cache in tokens, of one
 	// replica; a Cache of zero is not checked.
-	Berths, Cache int
+	Slots, Cache int
 }
 
-// Scene has the inputs of a turn.
+// TurnInputs has the inputs of a turn.
 //
 // Invariant: Now never decreases from one turn of a watch to the next.
-type Scene struct {
+type TurnInputs struct {
 	Now, Window time.Duration
-	// Duty is the leader's term.
-	Duty uint64
-	// Grounds has the replicas by model and region.
-	Grounds map[string]map[string]Ground
+	// Term is the leader's term.
+	Term uint64
+	// Capacities has the replicas by model and region.
+	Capacities map[string]map[string]Capacity
 	// Homes returns the regions that may serve a tenant, or none if the tenant has no route.
 	Homes func(tenant string) []string
 	// Costs in ms of waiting: Far of the network path to another region, FarKB of each KB
 	// sent on it, and Again of prefilling a thousand shared tokens again.
-	Far, FarKB, Again float64
+	RemoteMs, RemoteKBMs, RecomputeMs float64
 	// Change is the distance from its baseline at which a tenant counts as changed. Budget
 	// is the fraction of all prompt tokens that moves may cause to be prefilled again.
 	Change, Budget float64
@@ -91,12 +91,12 @@
 
 // Notice is a change that a turn detected or planned, with its figures, for the log.
 type Notice struct {
-	Tenant, What, Reason string
+	Tenant, Event, Reason string
 	// Distance is how far the traffic is from its baseline. Gain, over the minimum stay of
 	// the placement, and Price are in ms of waiting. Tokens is how many tokens have to be
 	// prefilled again.
-	Distance, Gain, Price, Tokens float64
-	From, To                      []string
+	Distance, Gain, Cost, Tokens float64
+	From, To                     []string
 	// Part is how many partitions have moved.
 	Part int
 }
@@ -120,14 +120,14 @@
 	movedAt, minStay time.Duration
 }
 
-// Watch is the leader's table of tenants. It detects changes of their traffic and plans
+// Planner is the leader's table of tenants. It detects changes of their traffic and plans
 // and advances moves.
 //
 // Invariants: it tracks at most MostKept tenants. tokenBudget is a token bucket that never
 // holds more than what Scene.Budget allows in a minimum stay, and moves never exceed it. No
 // placement changes twice within its minimum stay, and a placement that existed when the
 // watch began does not change within the first one.
-type Watch struct {
+type Planner struct {
 	tenants     map[string]*tenantState
 	lastTurn    time.Duration
 	tokenBudget float64
@@ -138,11 +138,11 @@
 	incompleteTurns int
 }
 
-// NewWatch returns a watch that starts with the baselines of the previous leader, as
+// NewPlanner returns a watch that starts with the baselines of the previous leader, as
 // returned by Usual.
-func NewWatch(now time.Duration, baselines []Profile) *Watch {
-	watch := &Watch{tenants: map[string]*tenantState{}, lastTurn: now, usualReporters: map[string]float64{}}
-	for _, profile := range baselines[:min(len(baselines), MostKept)] {
+func NewPlanner(now time.Duration, baselines []Profile) *Planner {
+	watch := &Planner{tenants: map[string]*tenantState{}, lastTurn: now, usualReporters: map[string]float64{}}
+	for _, profile := range baselines[:min(len(baselines), MaxTracked)] {
 		if profile.Rates != nil {
 			watch.tenants[profile.Tenant] = &tenantState{short: profile.clone(), long: profile.clone(), baseline: profile.clone(), movedAt: now}
 		}
@@ -150,8 +150,8 @@
 	return watch
 }
 
-// Usual returns the tenants' baselines, which the next leader needs.
-func (watch *Watch) Usual() (out []Profile) {
+// Baselines returns the tenants' baselines, which the next leader needs.
+func (watch *Planner) Baselines() (out []Profile) {
 	for _, name := range watch.names() {
 		switch state := watch.tenants[name]; {
 		case state.openUntil > 0 && state.previousBaseline != nil:
@@ -163,10 +163,10 @@
 	return out
 }
 
-// Seen is the state of a tenant as shown to operators. Distance is how far Short is from
+// TenantStatus is the state of a tenant as shown to operators. Distance is how far Short is from
 // the baseline and By the dimension that differs most; IsKnown reports whether there is a
 // baseline.
-type Seen struct {
+type TenantStatus struct {
 	Tenant   string
 	Short    Profile
 	Long     Profile
@@ -175,11 +175,11 @@
 	IsKnown  bool
 }
 
-// Seen returns the state of all tenants, heaviest first.
-func (watch *Watch) Seen() (out []Seen) {
+// Statuses returns the state of all tenants, heaviest first.
+func (watch *Planner) Statuses() (out []TenantStatus) {
 	for _, name := range watch.names() {
 		state := watch.tenants[name]
-		status := Seen{Tenant: name, Short: *state.short.clone(), Long: *state.long.clone(), IsKnown: state.baseline != nil}
+		status := TenantStatus{Tenant: name, Short: *state.short.clone(), Long: *state.long.clone(), IsKnown: state.baseline != nil}
 		if state.baseline != nil {
 			status.Distance, status.By = Distance(state.baseline, state.short)
 		}
@@ -189,7 +189,7 @@
 }
 
 // names returns the names of the tenants, heaviest first.
-func (watch *Watch) names() []string {
+func (watch *Planner) names() []string {
 	names := slices.Sorted(maps.Keys(watch.tenants))
 	sort.SliceStable(names, func(a, b int) bool { return watch.tenants[names[a]].weight() > watch.tenants[names[b]].weight() })
 	return names
@@ -198,9 +198,9 @@
 // weight returns the tenant's prompt and answer tokens per second.
 func (state *tenantState) weight() float64 { return state.long.Prompt + state.long.Answer }
 
-// Turn processes the totals of a window. It returns the next placements and what it
+// Step processes the totals of a window. It returns the next placements and what it
 // detected and changed.
-func (watch *Watch) Turn(scene Scene, totals Totals, book Book) (next Book, notices []Notice) {
+func (watch *Planner) Step(scene TurnInputs, totals Totals, book Placements) (next Placements, notices []Notice) {
 	watch.turn++
 	span := scene.Now - watch.lastTurn
 	watch.lastTurn = scene.Now
@@ -214,12 +214,12 @@
 		tokenRate += state.long.Prompt
 	}
 	watch.tokenBudget = min(watch.tokenBudget+scene.Budget*tokenRate*span.Seconds(), scene.Budget*tokenRate*minStay.Seconds())
-	next = Book{Duty: scene.Duty}
+	next = Placements{Duty: scene.Term}
 	for _, placement := range book.Placed {
 		if placement.Pinned || len(scene.Homes(placement.Tenant)) > 0 {
 			next.Placed = append(next.Placed, placement)
 		} else {
-			notices = append(notices, Notice{Tenant: placement.Tenant, What: "no longer has a route", From: placement.Now})
+			notices = append(notices, Notice{Tenant: placement.Tenant, Event: "no longer has a route", From: placement.Now})
 		}
 	}
 	for _, name := range watch.names() {
@@ -248,7 +248,7 @@
 		default:
 			current, notices = watch.start(plan, state, notices)
 		}
-		if len(next.Placed) < MostKept || next.Find(name) != nil {
+		if len(next.Placed) < MaxTracked || next.Find(name) != nil {
 			next = next.With(current)
 		}
 	}
@@ -261,7 +261,7 @@
 				placement.Part = 0
 			}
 			next = next.With(placement.finished())
-			notices = append(notices, Notice{Tenant: placement.Tenant, What: "has moved", From: placement.Now, To: placement.Next, Part: Parts, Reason: "the tenant is idle"})
+			notices = append(notices, Notice{Tenant: placement.Tenant, Event: "has moved", From: placement.Now, To: placement.Next, Part: Parts, Reason: "the tenant is idle"})
 		}
 	}
 	return next, notices
@@ -270,7 +270,7 @@
 // isComplete reports whether enough data daemons of every region have reported. Without
 // this check, a region that is cut off from the leader, or whose control daemon is down,
 // would seem to have lost its callers.
-func (watch *Watch) isComplete(reporters map[string]int) bool {
+func (watch *Planner) isComplete(reporters map[string]int) bool {
 	isIncomplete := false
 	for region, usualCount := range watch.usualReporters {
 		isIncomplete = isIncomplete || float64(reporters[region]) < minReporterShare*usualCount
@@ -295,7 +295,7 @@
 
 // update blends the fresh profiles into the table and drops tenants that are idle, have no
 // route, or are the lightest beyond MostKept.
-func (watch *Watch) update(scene Scene, fresh map[string]*Profile, span time.Duration) {
+func (watch *Planner) update(scene TurnInputs, fresh map[string]*Profile, span time.Duration) {
 	for name, profile := range fresh {
 		if watch.tenants[name] == nil {
 			watch.tenants[name] = &tenantState{short: profile.clone(), long: profile.clone()}
@@ -314,14 +314,14 @@
 		}
 	}
 	names := watch.names()
-	for _, name := range names[min(len(names), MostKept):] {
+	for _, name := range names[min(len(names), MaxTracked):] {
 		delete(watch.tenants, name)
 	}
 }
 
 // detect compares the tenant's profiles with its baseline. If they have changed, it makes
 // the short profile the new baseline and opens the turns in which the tenant may move.
-func (state *tenantState) detect(scene Scene, turn int) (notice Notice, isNoticed bool) {
+func (state *tenantState) detect(scene TurnInputs, turn int) (notice Notice, isNoticed bool) {
 	if state.openUntil > 0 && turn > state.openUntil && scene.Now-state.movedAt >= state.minStay {
 		state.openUntil, state.previousBaseline = 0, nil
 	}
@@ -341,7 +341,7 @@
 	if state.changedWindows++; state.changedWindows < confirmWindows {
 		return notice, false
 	}
-	notice = Notice{Tenant: state.short.Tenant, What: "has changed", Distance: short, Reason: fmt.Sprintf("%s; %s, was %s", by, state.short, state.baseline)}
+	notice = Notice{Tenant: state.short.Tenant, Event: "has changed", Distance: short, Reason: fmt.Sprintf("%s; %s, was %s", by, state.short, state.baseline)}
 	if state.openUntil == 0 {
 		state.previousBaseline = state.baseline
 	}
@@ -364,11 +364,11 @@
 }
 
 // start plans a new placement for a tenant whose traffic has changed.
-func (watch *Watch) start(plan plan, state *tenantState, notices []Notice) (Placement, []Notice) {
+func (watch *Planner) start(plan plan, state *tenantState, notices []Notice) (Placement, []Notice) {
 	current := plan.placement
 	next, notice := plan.best()
 	// A move draws on the token budget as its partitions move, any other change at once.
-	if notice.What == "" || !next.Moving && notice.Tokens > watch.tokenBudget {
+	if notice.Event == "" || !next.Moving && notice.Tokens > watch.tokenBudget {
 		return current, notices
 	}
 	if !next.Moving {
@@ -386,13 +386,13 @@
 
 // markMoved records that the placement has changed. It then stays for the minimum stay and
 // may change in the openWindows turns after that.
-func (watch *Watch) markMoved(state *tenantState, scene Scene) {
+func (watch *Planner) markMoved(state *tenantState, scene TurnInputs) {
 	state.movedAt = scene.Now
 	state.openUntil = watch.turn + int(state.minStay/scene.Window) + openWindows
 }
 
 // advance moves as many more partitions as the token budget allows, forward or back.
-func (watch *Watch) advance(plan plan, state *tenantState, notices []Notice) (Placement, []Notice) {
+func (watch *Planner) advance(plan plan, state *tenantState, notices []Notice) (Placement, []Notice) {
 	current := plan.placement
 	watch.markMoved(state, plan.scene)
 	if !current.Back && state.windows > confirmWindows {
@@ -400,7 +400,7 @@
 		// the partitions moved so far is already spent.
 		if gain := plan.gain(current.Now, current.Next); gain <= 0 {
 			current.Back = true
-			notices = append(notices, Notice{Tenant: current.Tenant, What: "starts to move back", Reason: "the move no longer gains anything; " + plan.profile.String(), Gain: gain, From: current.Next, To: current.Now, Part: current.Part})
+			notices = append(notices, Notice{Tenant: current.Tenant, Event: "starts to move back", Reason: "the move no longer gains anything; " + plan.profile.String(), Gain: gain, From: current.Next, To: current.Now, Part: current.Part})
 		}
 	}
 	tokens := plan.recomputedTokens(current.Now, current.Next)
@@ -421,11 +421,11 @@
 		current.Part = min(Parts, current.Part+parts)
 	}
 	watch.tokenBudget -= tokens * math.Abs(float64(current.Part-previous)) / Parts
-	notice := Notice{Tenant: current.Tenant, What: "moves", Tokens: tokens * math.Abs(float64(current.Part-previous)) / Parts, From: current.Now, To: current.Next, Part: current.Part}
+	notice := Notice{Tenant: current.Tenant, Event: "moves", Tokens: tokens * math.Abs(float64(current.Part-previous)) / Parts, From: current.Now, To: current.Next, Part: current.Part}
 	if finished := current.finished(); !finished.Moving {
-		current, notice.What = finished, "has moved"
+		current, notice.Event = finished, "has moved"
 		if notice.Part == 0 {
-			notice.What = "is back"
+			notice.Event = "is back"
 		}
 	}
 	return current, append(notices, notice)
--- a/traces/traces.go
+++ b/traces/traces.go
@@ -21,9 +21,9 @@
 type Options struct {
 	Daemon, Region, Zone string
 	Path                 string
-	// Most limits how many requests wait to be written. Requests beyond it are dropped and
+	// QueueLength limits how many requests wait to be written. Requests beyond it are dropped and
 	// counted, because tracing must not delay requests.
-	Most int
+	QueueLength int
 }
 
 // Writer writes spans to a file.
@@ -46,7 +46,7 @@
 	if err != nil {
 		return nil, err
 	}
-	writer := &Writer{Options: options, file: file, records: make(chan execute.Record, options.Most), done: make(chan struct{})}
+	writer := &Writer{Options: options, file: file, records: make(chan execute.Record, options.QueueLength), done: make(chan struct{})}
 	go writer.run()
 	return writer, nil
 }
@@ -71,8 +71,8 @@
 		}
 	}
 	if old := sw.writer.Swap(next); old != nil {
-		if err := old.Close(); err != nil || old.Left() > 0 {
-			sw.Log.Warn("traces", zap.String("file", old.Path), zap.Uint64("left_out", old.Left()), zap.Error(err))
+		if err := old.Close(); err != nil || old.Dropped() > 0 {
+			sw.Log.Warn("traces", zap.String("file", old.Path), zap.Uint64("left_out", old.Dropped()), zap.Error(err))
 		}
 	}
 	return nil
@@ -100,8 +100,8 @@
 	}
 }
 
-// Left returns the number of dropped requests.
-func (writer *Writer) Left() uint64 {
+// Dropped returns the number of dropped requests.
+func (writer *Writer) Dropped() uint64 {
 	writer.mutex.Lock()
 	defer writer.mutex.Unlock()
 	return writer.dropped
--- a/verdict/verdict.go
+++ b/verdict/verdict.go
@@ -40,8 +40,8 @@
 	return fmt.Errorf("unknown verdict %q", text)
 }
 
-// Mishap is the error that a request ends with.
-type Mishap struct {
+// Error is the error that a request ends with.
+type Error struct {
 	Verdict Verdict `json:"verdict"`
 	Code    string  `json:"code"`
 	Message string  `json:"message"`
@@ -53,7 +53,7 @@
 }
 
 // Error returns one line for logs.
-func (failure *Mishap) Error() string {
+func (failure *Error) Error() string {
 	if failure.Cause != nil {
 		return fmt.Sprintf("%s (%s): %s: %v", failure.Code, failure.Verdict, failure.Message, failure.Cause)
 	}
@@ -61,15 +61,15 @@
 }
 
 // Unwrap returns the cause.
-func (failure *Mishap) Unwrap() error { return failure.Cause }
+func (failure *Error) Unwrap() error { return failure.Cause }
 
 // JSON returns the body of the error response.
-func (failure *Mishap) JSON() []byte {
+func (failure *Error) JSON() []byte {
 	body, _ := json.Marshal(failure)
 	return body
 }
 
-// Decline returns the error for a request that is rejected and certainly did not run.
-func Decline(status int, code, message string, comeBack time.Duration) *Mishap {
-	return &Mishap{Verdict: NotRun, Code: code, Message: message, ComeBack: comeBack, Status: status}
+// Reject returns the error for a request that is rejected and certainly did not run.
+func Reject(status int, code, message string, comeBack time.Duration) *Error {
+	return &Error{Verdict: NotRun, Code: code, Message: message, ComeBack: comeBack, Status: status}
 }
--- a/wire/pack.go
+++ b/wire/compress.go
@@ -19,9 +19,9 @@
 // is accepted from an operator, and some margin.
 const maxUnpackedBytes = 80 << 20
 
-// Pack compresses data with flate. The base, which may be nil, is a dictionary that the
+// Compress compresses data with flate. The base, which may be nil, is a dictionary that the
 // reader already has; the more of the data occurs in its last 32 KiB, the smaller the result.
-func Pack(data, base []byte) []byte {
+func Compress(data, base []byte) []byte {
 	var out bytes.Buffer
 	var writer *flate.Writer
 	if base == nil {
@@ -36,8 +36,8 @@
 	return out.Bytes()
 }
 
-// Unpack decompresses what Pack returned; the base must be the same.
-func Unpack(packed, base []byte) ([]byte, error) {
+// Decompress decompresses what Pack returned; the base must be the same.
+func Decompress(packed, base []byte) ([]byte, error) {
 	reader := flate.NewReaderDict(bytes.NewReader(packed), base)
 	data, err := io.ReadAll(io.LimitReader(reader, maxUnpackedBytes+1))
 	switch {
@@ -49,18 +49,18 @@
 	return data, nil
 }
 
-// PackValue encodes a value with gob and compresses it. It panics if gob cannot encode the value.
-func PackValue(value any) []byte {
+// EncodeCompressed encodes a value with gob and compresses it. It panics if gob cannot encode the value.
+func EncodeCompressed(value any) []byte {
 	var encoded bytes.Buffer
 	if err := gob.NewEncoder(&encoded).Encode(value); err != nil {
 		panic(err) // only types of this module are encoded
 	}
-	return Pack(encoded.Bytes(), nil)
+	return Compress(encoded.Bytes(), nil)
 }
 
-// UnpackValue decodes what PackValue returned into value, which must be a pointer.
-func UnpackValue(packed []byte, value any) error {
-	encoded, err := Unpack(packed, nil)
+// DecodeCompressed decodes what PackValue returned into value, which must be a pointer.
+func DecodeCompressed(packed []byte, value any) error {
+	encoded, err := Decompress(packed, nil)
 	if err != nil {
 		return err
 	}
--- a/wire/count.go
+++ b/wire/counter.go
@@ -10,17 +10,17 @@
 	"sync"
 )
 
-// Calls has the caller's counts of the calls of one method to one address.
-type Calls struct {
+// CallStats has the caller's counts of the calls of one method to one address.
+type CallStats struct {
 	Address string `json:"address"`
 	Method  string `json:"method"`
-	// Calls counts the requests sent, Answers the responses received.
-	Calls   uint64 `json:"calls"`
-	Answers uint64 `json:"answers"`
-	// Sent and Received count bytes on the connection, including the headers of net/rpc
+	// Requests counts the requests sent, Answers the responses received.
+	Requests  uint64 `json:"calls"`
+	Responses uint64 `json:"answers"`
+	// SentBytes and Received count bytes on the connection, including the headers of net/rpc
 	// but not those of TCP and IP.
-	Sent     uint64 `json:"sent"`
-	Received uint64 `json:"received"`
+	SentBytes     uint64 `json:"sent"`
+	ReceivedBytes uint64 `json:"received"`
 }
 
 // Counter counts calls and their bytes on the caller's side, so each call is counted
@@ -29,37 +29,37 @@
 // Invariant: counts never decrease.
 type Counter struct {
 	guard sync.Mutex
-	rows  map[callKey]*Calls
+	rows  map[callKey]*CallStats
 }
 
 type callKey struct{ address, method string }
 
 // Snapshot returns a copy of all rows, sorted by address and method.
-func (counter *Counter) Snapshot() []Calls {
+func (counter *Counter) Snapshot() []CallStats {
 	if counter == nil {
 		return nil
 	}
 	counter.guard.Lock()
 	defer counter.guard.Unlock()
-	out := make([]Calls, 0, len(counter.rows))
+	out := make([]CallStats, 0, len(counter.rows))
 	for _, row := range counter.rows {
 		out = append(out, *row)
 	}
-	slices.SortFunc(out, func(a, b Calls) int {
+	slices.SortFunc(out, func(a, b CallStats) int {
 		return cmp.Or(cmp.Compare(a.Address, b.Address), cmp.Compare(a.Method, b.Method))
 	})
 	return out
 }
 
-func (counter *Counter) add(address, method string, update func(row *Calls)) {
+func (counter *Counter) add(address, method string, update func(row *CallStats)) {
 	counter.guard.Lock()
 	defer counter.guard.Unlock()
 	if counter.rows == nil {
-		counter.rows = map[callKey]*Calls{}
+		counter.rows = map[callKey]*CallStats{}
 	}
 	key := callKey{address, method}
 	if counter.rows[key] == nil {
-		counter.rows[key] = &Calls{Address: address, Method: method}
+		counter.rows[key] = &CallStats{Address: address, Method: method}
 	}
 	update(counter.rows[key])
 }
@@ -128,7 +128,7 @@
 		err = codec.out.Flush()
 	}
 	sent := codec.sent - before
-	codec.counter.add(codec.address, request.ServiceMethod, func(row *Calls) { row.Calls, row.Sent = row.Calls+1, row.Sent+sent })
+	codec.counter.add(codec.address, request.ServiceMethod, func(row *CallStats) { row.Requests, row.SentBytes = row.Requests+1, row.SentBytes+sent })
 	return err
 }
 
@@ -144,7 +144,7 @@
 func (codec *countingCodec) ReadResponseBody(body any) error {
 	err := codec.decoder.Decode(body)
 	received := codec.received.count - codec.responseStart
-	codec.counter.add(codec.address, codec.method, func(row *Calls) { row.Answers, row.Received = row.Answers+1, row.Received+received })
+	codec.counter.add(codec.address, codec.method, func(row *CallStats) { row.Responses, row.ReceivedBytes = row.Responses+1, row.ReceivedBytes+received })
 	return err
 }
 
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -19,9 +19,9 @@
 	Call(address, method string, args, reply any, timeout time.Duration) error
 }
 
-// Mishap is the error of a failed call. Sent is false only if the callee cannot
+// CallError is the error of a failed call. Sent is false only if the callee cannot
 // have received the call.
-type Mishap struct {
+type CallError struct {
 	Address string
 	Method  string
 	Sent    bool
@@ -29,21 +29,21 @@
 }
 
 // Error returns a one-line description with method, address and cause.
-func (callError *Mishap) Error() string {
+func (callError *CallError) Error() string {
 	return fmt.Sprintf("call %s at %s: %v", callError.Method, callError.Address, callError.Cause)
 }
 
 // Unwrap returns the cause.
-func (callError *Mishap) Unwrap() error { return callError.Cause }
+func (callError *CallError) Unwrap() error { return callError.Cause }
 
-// Unsent reports whether the error proves that the callee did not receive the call.
-func Unsent(err error) bool {
-	var callError *Mishap
+// NotSent reports whether the error proves that the callee did not receive the call.
+func NotSent(err error) bool {
+	var callError *CallError
 	return errors.As(err, &callError) && !callError.Sent
 }
 
-// ErrExpired is the cause of a call that got no reply within its timeout.
-var ErrExpired = errors.New("expired")
+// ErrTimeout is the cause of a call that got no reply within its timeout.
+var ErrTimeout = errors.New("expired")
 
 // TCP is the Net that uses real TCP connections, one per address, shared by all calls.
 //
@@ -198,7 +198,7 @@
 	for attempt := 0; ; attempt++ {
 		client, err := tcp.client(address, deadline-tcp.World.Now())
 		if err != nil {
-			return &Mishap{Address: address, Method: method, Cause: err}
+			return &CallError{Address: address, Method: method, Cause: err}
 		}
 		mailbox := tcp.World.Mailbox()
 		// net/rpc writes the request synchronously, so a callee that does not read
@@ -208,7 +208,7 @@
 		outcome, ok := mailbox.Take(deadline - tcp.World.Now())
 		if !ok {
 			tcp.retire(address, client, timeout)
-			return &Mishap{Address: address, Method: method, Sent: true, Cause: ErrExpired}
+			return &CallError{Address: address, Method: method, Sent: true, Cause: ErrTimeout}
 		}
 		if outcome == nil {
 			return nil
@@ -216,13 +216,13 @@
 		callErr := outcome.(error)
 		var remote rpc.ServerError
 		if errors.As(callErr, &remote) {
-			return &Mishap{Address: address, Method: method, Sent: true, Cause: callErr}
+			return &CallError{Address: address, Method: method, Sent: true, Cause: callErr}
 		}
 		tcp.drop(address, client)
 		if errors.Is(callErr, rpc.ErrShutdown) && attempt == 0 {
 			continue // the client was already closed, so nothing was sent
 		}
-		return &Mishap{Address: address, Method: method, Sent: true, Cause: callErr}
+		return &CallError{Address: address, Method: method, Sent: true, Cause: callErr}
 	}
 }
 
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -77,10 +77,10 @@
 	}
 }
 
-// TestCallsCutAtEveryPlace closes the connection at many offsets of the request and of the
+// TestTruncatedCalls closes the connection at many offsets of the request and of the
 // response. A truncated request must not run, a call whose response is truncated must
 // have run once, and Unsent must be false for both.
-func TestCallsCutAtEveryPlace(t *testing.T) {
+func TestTruncatedCalls(t *testing.T) {
 	Convey("over real connections", t, func() {
 		world := loop.NewMachine()
 		note := &Note{}
@@ -112,14 +112,14 @@
 		for limit := int64(0); limit < int64(len(body))+28; limit += 7 {
 			ran, _, err := call(limit, -1)
 			So(err, ShouldNotBeNil)
-			So(wire.Unsent(err), ShouldBeFalse)
+			So(wire.NotSent(err), ShouldBeFalse)
 			So(ran, ShouldEqual, 0)
 			cuts++
 		}
 		for limit := int64(1); limit < 20; limit++ {
 			ran, _, err := call(-1, limit)
 			So(err, ShouldNotBeNil)
-			So(wire.Unsent(err), ShouldBeFalse)
+			So(wire.NotSent(err), ShouldBeFalse)
 			So(ran, ShouldEqual, 1)
 			cuts++
 		}
@@ -127,7 +127,7 @@
 		So(cuts, ShouldBeGreaterThan, 90)
 		outer.Close()
 		var none int
-		So(wire.Unsent((&wire.TCP{World: world}).Call(outer.Addr().String(), "Note.Take", Text{}, &none, time.Minute)), ShouldBeTrue)
+		So(wire.NotSent((&wire.TCP{World: world}).Call(outer.Addr().String(), "Note.Take", Text{}, &none, time.Minute)), ShouldBeTrue)
 	})
 }
 
@@ -140,10 +140,10 @@
 	return loop.NewMachine(), server, listener
 }
 
-// TestLinesThatOpenLate guards against calls that can never succeed as connecting takes
+// TestDialOutlivesTimedOutCall guards against calls that can never succeed as connecting takes
 // longer than their timeout: a dial goes on after its call has timed out, and a later call
 // uses the connection.
-func TestLinesThatOpenLate(t *testing.T) {
+func TestDialOutlivesTimedOutCall(t *testing.T) {
 	Convey("over a connection that opens after the call gave up", t, func() {
 		world, server, listener := newNoteServer()
 		defer listener.Close()
@@ -169,7 +169,7 @@
 		}
 		_, err := call(10 * time.Millisecond)
 		So(err, ShouldNotBeNil)
-		So(wire.Unsent(err), ShouldBeTrue)
+		So(wire.NotSent(err), ShouldBeTrue)
 		So(time.Duration(dialTimeout.Load()), ShouldBeBetween, 300*time.Millisecond, time.Second)
 		close(isOpen)
 		length := 0
@@ -180,9 +180,9 @@
 	})
 }
 
-// TestCountedCalls checks that the counts by method add up to the bytes that the server's
+// TestCounterMatchesConnectionBytes checks that the counts by method add up to the bytes that the server's
 // connections saw in each direction, and that a client without a counter works alike.
-func TestCountedCalls(t *testing.T) {
+func TestCounterMatchesConnectionBytes(t *testing.T) {
 	Convey("over a real connection", t, func() {
 		world, server, listener := newNoteServer()
 		defer listener.Close()
@@ -206,11 +206,11 @@
 		rows := counter.Snapshot()
 		So(len(rows), ShouldEqual, 2)
 		So(rows[0].Method, ShouldEqual, "Note.None")
-		So(rows[1].Calls, ShouldEqual, 20)
-		So(rows[1].Answers, ShouldEqual, 20)
-		So(rows[1].Sent, ShouldBeGreaterThan, 20*len(body))
-		So(int64(rows[0].Sent+rows[1].Sent), ShouldEqual, counted.in.Load())
-		So(int64(rows[0].Received+rows[1].Received), ShouldEqual, counted.out.Load())
+		So(rows[1].Requests, ShouldEqual, 20)
+		So(rows[1].Responses, ShouldEqual, 20)
+		So(rows[1].SentBytes, ShouldBeGreaterThan, 20*len(body))
+		So(int64(rows[0].SentBytes+rows[1].SentBytes), ShouldEqual, counted.in.Load())
+		So(int64(rows[0].ReceivedBytes+rows[1].ReceivedBytes), ShouldEqual, counted.out.Load())
 		bytesBefore := counted.in.Load()
 		var length int
 		So((&wire.TCP{World: world}).Call(address, "Note.Take", Text{Body: body}, &length, time.Minute), ShouldBeNil)
@@ -246,10 +246,10 @@
 	return conn.Conn.Write(data)
 }
 
-// TestACallToOneThatDoesNotReadExpires calls a callee that never reads: the kernel of a
+// TestCallToNonReadingCalleeTimesOut calls a callee that never reads: the kernel of a
 // frozen machine accepts data until its buffers are full, and then the writer blocks. A
 // long request must still end at its timeout, and must not block other calls.
-func TestACallToOneThatDoesNotReadExpires(t *testing.T) {
+func TestCallToNonReadingCalleeTimesOut(t *testing.T) {
 	frozen, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -265,7 +265,7 @@
 			if err == nil {
 				t.Error("a call to a callee that does not read succeeded")
 			}
-			if !wire.Unsent(err) {
+			if !wire.NotSent(err) {
 				written.Add(1)
 			}
 		})
@@ -276,7 +276,7 @@
 	}
 }
 
-func TestCallsShareOpenings(t *testing.T) {
+func TestConcurrentCallsShareDials(t *testing.T) {
 	Convey("many calls at once to an address that no line leads to open few lines", t, func() {
 		const calls = 20
 		world, server, listener := newNoteServer()
--- a/workflow/workflow.go
+++ b/workflow/workflow.go
@@ -57,9 +57,9 @@
 	Ended   time.Time `json:"ended"`
 }
 
-// Shelf is the run store of one key, held in one register: the current run and a
+// RunStore is the run store of one key, held in one register: the current run and a
 // limited number of short records of earlier ones.
-type Shelf struct {
+type RunStore struct {
 	Run  *Run   `json:"run"`
 	Past []Past `json:"past,omitempty"`
 	// Used holds hashes of the IDs of all runs older than those in Past, so that an ID
@@ -110,14 +110,14 @@
 	ErrBusy = errors.New("workflow: another run is in progress")
 	// ErrUsed means that the ID was used so long ago that nothing else is known of its run.
 	ErrUsed = errors.New("workflow: this id was used long ago and cannot run again; use another id")
-	// ErrOther means that the ID was used with different contents.
-	ErrOther = errors.New("workflow: this id was used before with different contents")
+	// ErrContentsDiffer means that the ID was used with different contents.
+	ErrContentsDiffer = errors.New("workflow: this id was used before with different contents")
 )
 
-// Book is the journal of runs: it opens the run stores.
-type Book struct {
-	World  loop.World
-	Keeper *register.Keeper
+// Journal is the journal of runs: it opens the run stores.
+type Journal struct {
+	World     loop.World
+	Registers *register.Client
 }
 
 func digest(contents []byte) string {
@@ -126,16 +126,16 @@
 }
 
 // Read returns the run store of a key and the revision of its register.
-func (journal *Book) Read(key string) (Shelf, uint64, error) {
-	value, err := journal.Keeper.Read(Prefix + key)
+func (journal *Journal) Read(key string) (RunStore, uint64, error) {
+	value, err := journal.Registers.Read(Prefix + key)
 	if err != nil {
-		return Shelf{}, 0, err
+		return RunStore{}, 0, err
 	}
 	store, err := openStore(value)
 	return store, value.Serial, err
 }
 
-func openStore(value register.Value) (store Shelf, err error) {
+func openStore(value register.Value) (store RunStore, err error) {
 	if value.Serial > 0 {
 		err = json.Unmarshal(value.Data, &store)
 	}
@@ -145,13 +145,13 @@
 // Start starts a run. If the ID was used before with the same contents, it returns that
 // run and joined is true. Otherwise it returns ErrOther, ErrUsed or ErrBusy if the run
 // may not start.
-func (journal *Book) Start(key, id string, contents any) (run Run, joined bool, err error) {
+func (journal *Journal) Start(key, id string, contents any) (run Run, joined bool, err error) {
 	body, err := json.Marshal(contents)
 	if err != nil {
 		return Run{}, false, err
 	}
 	contentsDigest := digest(body)
-	_, err = journal.Keeper.Change(Prefix+key, func(value register.Value) ([]byte, error) {
+	_, err = journal.Registers.Update(Prefix+key, func(value register.Value) ([]byte, error) {
 		joined = false
 		store, err := openStore(value)
 		if err != nil {
@@ -180,7 +180,7 @@
 				store.Past = store.Past[1:]
 			}
 		}
-		run = Run{ID: id, Digest: contentsDigest, Contents: body, State: Running, Began: journal.World.Wall()}
+		run = Run{ID: id, Digest: contentsDigest, Contents: body, State: Running, Began: journal.World.WallTime()}
 		store.Run = &run
 		return json.Marshal(store)
 	})
@@ -188,7 +188,7 @@
 		err = nil
 	}
 	if err == nil && joined && run.Digest != contentsDigest {
-		err = ErrOther
+		err = ErrContentsDiffer
 	}
 	return run, joined, err
 }
@@ -197,9 +197,9 @@
 
 // Log is a run that is being executed by its runner.
 type Log struct {
-	journal  *Book
+	journal  *Journal
 	key      string
-	store    Shelf
+	store    RunStore
 	revision uint64
 	fence    uint64
 }
@@ -207,7 +207,7 @@
 // Resume takes over the run in progress by writing the leader's term into it as the
 // fence, which prevents older runners from writing. It returns nil if no run is in
 // progress.
-func (journal *Book) Resume(key string, fence uint64) (*Log, error) {
+func (journal *Journal) Resume(key string, fence uint64) (*Log, error) {
 	log := &Log{journal: journal, key: key, fence: fence}
 	store, revision, err := journal.Read(key)
 	if err != nil || store.Run == nil || store.Run.State != Running {
@@ -238,8 +238,8 @@
 	if err != nil {
 		return err
 	}
-	value, err := log.journal.Keeper.Swap(Prefix+log.key, log.revision, data)
-	var stale *register.Stale
+	value, err := log.journal.Registers.CompareAndSwap(Prefix+log.key, log.revision, data)
+	var stale *register.SerialMismatch
 	if errors.As(err, &stale) {
 		return ErrFenced
 	} else if err != nil {
@@ -269,7 +269,7 @@
 	if log.Recorded(name, result) {
 		return nil
 	}
-	now := log.journal.World.Wall()
+	now := log.journal.World.WallTime()
 	if now.Before(log.store.Run.Wake) {
 		return ErrWait
 	}
@@ -321,6 +321,6 @@
 // Finish ends the run.
 func (log *Log) Finish(state, reason string) error {
 	return log.write(func(run *Run) {
-		run.State, run.Reason, run.Ended, run.At, run.Wake = state, reason, log.journal.World.Wall(), "", time.Time{}
+		run.State, run.Reason, run.Ended, run.At, run.Wake = state, reason, log.journal.World.WallTime(), "", time.Time{}
 	})
 }
--- a/workflow/workflow_test.go
+++ b/workflow/workflow_test.go
@@ -20,10 +20,10 @@
 	const runs = 3 * workflow.MaxPastRuns
 	for number := 0; number < runs; number++ {
 		cluster.Must("c1", func(daemon *controlplane.Daemon) error {
-			if _, _, err := daemon.Book.Start("shelf", fmt.Sprint("id", number), "same"); err != nil {
+			if _, _, err := daemon.Runs.Start("shelf", fmt.Sprint("id", number), "same"); err != nil {
 				return err
 			}
-			log, err := daemon.Book.Resume("shelf", uint64(number)+1)
+			log, err := daemon.Runs.Resume("shelf", uint64(number)+1)
 			if err != nil {
 				return err
 			}
@@ -33,7 +33,7 @@
 	joined, usedOnly := 0, 0
 	for number := 0; number < runs; number++ {
 		err := cluster.Do("c2", 5*time.Second, func(daemon *controlplane.Daemon) error {
-			run, isJoined, err := daemon.Book.Start("shelf", fmt.Sprint("id", number), "same")
+			run, isJoined, err := daemon.Runs.Start("shelf", fmt.Sprint("id", number), "same")
 			if err == nil && (!isJoined || run.State != workflow.Done) {
 				return fmt.Errorf("id%d was run again", number)
 			}
