--- a/fleet/anew_test.go
+++ b/fleet/anew_test.go
@@ -8,62 +8,63 @@
 	"swifttiller/fleet"
 )
 
-// TestNewLivesAreKnownSoon: where all replicas of a region crash and come back as new lives,
-// every data daemon goes by these 1.7 s after they began, though the list is half a second
-// behind and is asked for once a second in quiet times.
+// TestNewLivesAreKnownSoon crashes all replicas of a region and restarts them with new
+// incarnations. Every data daemon's routing table must name the new incarnations within 1.7 s of the
+// restart, although the platform's replica list lags by half a second and is polled only once
+// a second when nothing changes.
 func TestNewLivesAreKnownSoon(t *testing.T) {
 	t.Parallel()
 	skipLong(t)
 	worst, sum, count := time.Duration(0), time.Duration(0), 0
 	for seed := uint64(1); seed <= 3; seed++ {
-		park := fleet.NewPark(seed, fleet.RoutedShapes["large"].Plan())
-		park.Run(warmRouted)
-		facts := park.BeginRouted()
+		cluster := fleet.NewPark(seed, fleet.RoutedShapes["large"].Plan())
+		cluster.Run(warmRouted)
+		facts := cluster.BeginRouted()
 		for range 3 {
 			each := func(do func(options fleet.EngineOptions)) {
-				for _, options := range park.Plan.Engines {
+				for _, options := range cluster.Plan.Engines {
 					if strings.HasPrefix(options.Zone, "east") {
 						do(options)
 					}
 				}
 			}
-			each(func(options fleet.EngineOptions) { park.Crash(options.Name) })
-			park.Run(4 * time.Second)
+			each(func(options fleet.EngineOptions) { cluster.Crash(options.Name) })
+			cluster.Run(4 * time.Second)
 			lives := map[string]bool{}
 			each(func(options fleet.EngineOptions) {
-				park.StartEngine(options)
-				lives[park.Engines[options.Name].Life] = true
+				cluster.StartEngine(options)
+				lives[cluster.Engines[options.Name].Life] = true
 			})
-			began := park.Now()
+			began := cluster.Now()
 			isKnown := func() bool {
-				for _, daemon := range park.Datas {
-					known := 0
-					for _, place := range daemon.Holder.View().RoutingTables["east"].Places {
-						if lives[place.ID] {
-							known++
+				for _, daemon := range cluster.Datas {
+					seen := 0
+					for _, endpoint := range daemon.Holder.View().RoutingTables["east"].Places {
+						if lives[endpoint.ID] {
+							seen++
 						}
 					}
-					if known < len(lives) {
+					if seen < len(lives) {
 						return false
 					}
 				}
 				return true
 			}
-			if !park.Until(8*time.Second, isKnown) {
-				t.Fatalf("seed %d: not known", seed)
+			if !cluster.Until(8*time.Second, isKnown) {
+				t.Fatalf("seed %d: the new incarnations never reached all routing tables", seed)
 			}
-			took := park.Now() - began
+			took := cluster.Now() - began
 			worst, sum, count = max(worst, took), sum+took, count+1
-			park.Run(4 * time.Second)
+			cluster.Run(4 * time.Second)
 		}
-		park.Quiet = true
-		park.Run(6500 * time.Millisecond)
-		broken, _ := fleet.CheckRouted(park, facts)
+		cluster.Quiet = true
+		cluster.Run(6500 * time.Millisecond)
+		broken, _ := fleet.CheckRouted(cluster, facts)
 		show(t, seed, broken)
-		park.Close()
+		cluster.Close()
 	}
-	t.Logf("known after %v, at the worst %v", sum/time.Duration(count), worst)
+	t.Logf("new incarnations known after %v on average, %v at the worst", sum/time.Duration(count), worst)
 	if worst > 1700*time.Millisecond {
-		t.Error("too late")
+		t.Error("new incarnations became known too late")
 	}
 }
--- a/fleet/bounds_test.go
+++ b/fleet/bounds_test.go
@@ -12,30 +12,30 @@
 	"swifttiller/fleet"
 )
 
-var bounds = flag.Int("bounds", 0, "over how many seeds to print the worst seen value against each bound")
+var bounds = flag.Int("bounds", 0, "number of seeds over which to print the worst observed value for each bound")
 
-// TestBounds prints, for each never-happen rule with a bound, the worst value of a
-// run, over seeds: least, median, most. The checkers judge the runs as well.
+// TestBounds prints, for each invariant that has a bound, the worst value of each run as
+// minimum, median and maximum over the seeds. The checkers also verify every run.
 func TestBounds(t *testing.T) {
 	t.Parallel()
 	if *bounds == 0 {
 		t.Skip("only with -bounds")
 	}
-	var guard sync.Mutex
-	figures := map[string][]float64{}
+	var mutex sync.Mutex
+	values := map[string][]float64{}
 	add := func(name string, value float64) {
-		guard.Lock()
-		defer guard.Unlock()
-		figures[name] = append(figures[name], value)
+		mutex.Lock()
+		defer mutex.Unlock()
+		values[name] = append(values[name], value)
 	}
 	t.Cleanup(func() {
 		var names []string
-		for name := range figures {
+		for name := range values {
 			names = append(names, name)
 		}
 		slices.Sort(names)
 		for _, name := range names {
-			fmt.Printf("| %s | %s | %d |\n", name, spread(figures[name]), len(figures[name]))
+			fmt.Printf("| %s | %s | %d |\n", name, spread(values[name]), len(values[name]))
 		}
 	})
 	for name, plan := range fleet.Plans {
@@ -52,23 +52,23 @@
 				}
 				t.Run(fmt.Sprintf("%s/%s/%d", name, fault.Name, seed), func(t *testing.T) {
 					t.Parallel()
-					park := fleet.NewPark(seed, plan())
-					defer park.Close()
-					park.Run(warm)
-					facts := park.Begin()
-					fault.Run(park, &facts)
-					park.Run(10 * time.Second)
-					park.Quiet = true
-					park.Run(8 * time.Second)
-					clean(t, park, facts)
-					if value, seen := fleet.Worst(park, facts)[rule]; seen {
+					cluster := fleet.NewPark(seed, plan())
+					defer cluster.Close()
+					cluster.Run(warm)
+					facts := cluster.Begin()
+					fault.Run(cluster, &facts)
+					cluster.Run(10 * time.Second)
+					cluster.Quiet = true
+					cluster.Run(8 * time.Second)
+					clean(t, cluster, facts)
+					if value, seen := fleet.Worst(cluster, facts)[rule]; seen {
 						add(name+": "+rule+", "+fault.Name, value)
 					}
 				})
 			}
 			t.Run(fmt.Sprintf("%s/full loss/%d", name, seed), func(t *testing.T) {
 				t.Parallel()
-				loseAll(name, seed, plan(), func(figure string, value float64) {
+				measureFullLoss(name, seed, plan(), func(figure string, value float64) {
 					if strings.Contains(figure, "second 12") {
 						add(figure, value)
 					}
--- a/fleet/checker_test.go
+++ b/fleet/checker_test.go
@@ -10,68 +10,68 @@
 	"swifttiller/replica"
 )
 
-// TestEveryCheckerCanFire breaks one part, or shows one forbidden sight, for
-// each rule; a checker that stays silent is no checker.
+// TestEveryCheckerCanFire violates each rule once, by breaking a component or by forging an entry
+// of the history, and verifies that the rule's checker reports it.
 func TestEveryCheckerCanFire(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
-		t.Skip("a long simulation; the race detector has one task at a time to look at")
+		t.Skip("a long simulation that runs one goroutine at a time, which gives the race detector nothing to check")
 	}
 	type run struct {
 		rule string
-		do   func(park *fleet.Park, facts *fleet.Facts)
+		do   func(cluster *fleet.Park, facts *fleet.Facts)
 		plan func() fleet.Plan
 	}
-	// Parts are broken from outside: by a stand-in that lies, or by showing the
-	// checker a history with one forbidden entry in it.
-	forge := func(change func(park *fleet.Park, one *fleet.Served)) func(*fleet.Park, *fleet.Facts) {
-		return func(park *fleet.Park, _ *fleet.Facts) {
-			logs := park.Logs()
-			change(park, logs[len(logs)-1])
+	// Violations come from outside the code under test: from a simulated component that
+	// misbehaves, or from one forbidden entry in the history that the checker gets.
+	forge := func(change func(cluster *fleet.Park, served *fleet.Served)) func(*fleet.Park, *fleet.Facts) {
+		return func(cluster *fleet.Park, _ *fleet.Facts) {
+			logs := cluster.Logs()
+			change(cluster, logs[len(logs)-1])
 		}
 	}
-	for _, one := range []run{
-		{"twice", forge(func(park *fleet.Park, one *fleet.Served) { one.ID = park.Logs()[0].ID }), nil},
-		{"foreign", func(park *fleet.Park, _ *fleet.Facts) { park.Requests[3].Foreign = true }, nil},
-		{"lost", func(park *fleet.Park, facts *fleet.Facts) {
-			// Daemons killed instead of stopped, called planned.
+	for _, test := range []run{
+		{"twice", forge(func(cluster *fleet.Park, served *fleet.Served) { served.ID = cluster.Logs()[0].ID }), nil},
+		{"foreign", func(cluster *fleet.Park, _ *fleet.Facts) { cluster.Requests[3].Foreign = true }, nil},
+		{"lost", func(cluster *fleet.Park, facts *fleet.Facts) {
+			// Daemons that are killed although the facts call their stop planned.
 			for _, name := range []string{"d1", "d2", "d3", "d4", "d5"} {
-				park.Crash(name)
+				cluster.Crash(name)
 			}
-			park.Run(3 * time.Second)
+			cluster.Run(3 * time.Second)
 		}, nil},
-		{"old config", func(park *fleet.Park, facts *fleet.Facts) {
-			// A configuration called acknowledged that nobody was told of.
-			facts.Acked = map[uint64]fleet.Ack{7: {At: park.Now()}}
-			park.Run(6 * time.Second)
+		{"old config", func(cluster *fleet.Park, facts *fleet.Facts) {
+			// A configuration that counts as acknowledged but was sent to nobody.
+			facts.Acked = map[uint64]fleet.Ack{7: {At: cluster.Now()}}
+			cluster.Run(6 * time.Second)
 		}, nil},
-		{"fallback", func(park *fleet.Park, _ *fleet.Facts) {
-			park.Crash("d1")
-			park.StartData("d1")
-			park.Run(5 * time.Second)
-			logs := park.Logs()
+		{"fallback", func(cluster *fleet.Park, _ *fleet.Facts) {
+			cluster.Crash("d1")
+			cluster.StartData("d1")
+			cluster.Run(5 * time.Second)
+			logs := cluster.Logs()
 			logs[len(logs)-1].Serial = 0
 		}, nil},
-		{"leaving", func(park *fleet.Park, _ *fleet.Facts) {
-			// Leaving, as only the checker knows.
-			for name, one := range park.Replicas {
-				park.Learned[name+"/"+one.Boot] = park.Now()
+		{"leaving", func(cluster *fleet.Park, _ *fleet.Facts) {
+			// Replicas that count as leaving for the checker only.
+			for name, replica := range cluster.Replicas {
+				cluster.Learned[name+"/"+replica.Boot] = cluster.Now()
 			}
-			park.Run(9 * time.Second)
+			cluster.Run(9 * time.Second)
 		}, nil},
-		{"bad version", func(park *fleet.Park, facts *fleet.Facts) {
-			// A watch that is switched off lets a bad version go on.
+		{"bad version", func(cluster *fleet.Park, facts *fleet.Facts) {
+			// With the health watch of rollouts switched off, a bad version stays in use.
 			facts.Bad = "v1"
-			park.Run(10 * time.Second)
+			cluster.Run(10 * time.Second)
 		}, func() fleet.Plan {
 			return worsen(quick(), func(version, kind string, _ int) bool { return kind == "notice" })
 		}},
-		{"flooded", func(park *fleet.Park, _ *fleet.Facts) {
-			// Replicas that warm far more slowly than the settings say.
-			for _, one := range park.Replicas {
-				one.ColdAnswers = 1 << 20
+		{"flooded", func(cluster *fleet.Park, _ *fleet.Facts) {
+			// Replicas that warm up far more slowly than the settings say.
+			for _, server := range cluster.Replicas {
+				server.ColdAnswers = 1 << 20
 			}
-			park.Run(8 * time.Second)
+			cluster.Run(8 * time.Second)
 		}, func() fleet.Plan {
 			plan := quick()
 			for index := range plan.Callers {
@@ -79,43 +79,43 @@
 			}
 			return plan
 		}},
-		{"home", forge(func(_ *fleet.Park, one *fleet.Served) { one.Home = "nowhere" }), nil},
-		{"evacuated", func(park *fleet.Park, facts *fleet.Facts) {
-			// Evacuated on paper only.
-			facts.Evacuated = []fleet.Evacuation{{Zone: "east-1", From: park.Now()}}
-			park.Run(8 * time.Second)
+		{"home", forge(func(_ *fleet.Park, served *fleet.Served) { served.Home = "nowhere" }), nil},
+		{"evacuated", func(cluster *fleet.Park, facts *fleet.Facts) {
+			// A zone that counts as evacuated for the checker only.
+			facts.Evacuated = []fleet.Evacuation{{Zone: "east-1", From: cluster.Now()}}
+			cluster.Run(8 * time.Second)
 		}, nil},
-		{"retries", func(park *fleet.Park, _ *fleet.Facts) {
-			// The budget is set to half and everything is tried again.
+		{"retries", func(cluster *fleet.Park, _ *fleet.Facts) {
+			// The retry budget is half of the requests, and every request is retried.
 			for index := 0; index < 400; index++ {
-				park.Arrivals = append(park.Arrivals, fleet.Arrival{At: park.Now(), ID: "x", Try: 2})
+				cluster.Arrivals = append(cluster.Arrivals, fleet.Arrival{At: cluster.Now(), ID: "x", Try: 2})
 			}
 		}, nil},
 	} {
-		t.Run(one.rule, func(t *testing.T) {
+		t.Run(test.rule, func(t *testing.T) {
 			t.Parallel()
-			make := quick
-			if one.plan != nil {
-				make = one.plan
+			newPlan := quick
+			if test.plan != nil {
+				newPlan = test.plan
 			}
-			park := fleet.NewPark(7, make())
-			defer park.Close()
-			park.Run(8 * time.Second)
-			facts := park.Begin()
+			cluster := fleet.NewPark(7, newPlan())
+			defer cluster.Close()
+			cluster.Run(8 * time.Second)
+			facts := cluster.Begin()
 			facts.Planned = true
-			one.do(park, &facts)
-			park.Quiet = true
-			park.Run(6 * time.Second)
-			all, judged := fleet.Check(park, facts)
-			if judged[one.rule] == 0 {
-				t.Errorf("the checker for %q judged nothing", one.rule)
+			test.do(cluster, &facts)
+			cluster.Quiet = true
+			cluster.Run(6 * time.Second)
+			violations, judged := fleet.Check(cluster, facts)
+			if judged[test.rule] == 0 {
+				t.Errorf("the checker for %q judged nothing", test.rule)
 			}
-			for _, broken := range all {
-				if broken.Rule == one.rule {
+			for _, violation := range violations {
+				if violation.Rule == test.rule {
 					return
 				}
 			}
-			t.Errorf("the checker for %q did not fire", one.rule)
+			t.Errorf("the checker for %q did not fire", test.rule)
 		})
 	}
 }
@@ -123,75 +123,75 @@
 func TestFullLoss(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
-		t.Skip("a long simulation; the race detector has one task at a time to look at")
+		t.Skip("a long simulation that runs one goroutine at a time, which gives the race detector nothing to check")
 	}
 	for name, plan := range fleet.Plans {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			park := fleet.NewPark(8, plan())
-			defer park.Close()
-			park.Run(warm)
-			before, _ := fleet.Rate(park, park.Now()-5*time.Second, park.Now())
-			park.Must("c1", func(daemon *controlplane.Daemon) error {
-				_, err := daemon.Handover("h1", park.Model, "v2", nil)
+			cluster := fleet.NewPark(8, plan())
+			defer cluster.Close()
+			cluster.Run(warm)
+			before, _ := fleet.Rate(cluster, cluster.Now()-5*time.Second, cluster.Now())
+			cluster.Must("c1", func(daemon *controlplane.Daemon) error {
+				_, err := daemon.Handover("h1", cluster.Model, "v2", nil)
 				return err
 			})
-			park.Run(4 * time.Second)
-			back := loseAndReturn(park)
+			cluster.Run(4 * time.Second)
+			back := restartAll(cluster)
 			var curve []int
 			for second := 0; second < 24; second += 2 {
-				park.Run(2 * time.Second)
-				answered, _ := fleet.Rate(park, park.Now()-2*time.Second, park.Now())
+				cluster.Run(2 * time.Second)
+				answered, _ := fleet.Rate(cluster, cluster.Now()-2*time.Second, cluster.Now())
 				curve = append(curve, answered*100*5/2/max(1, before))
 			}
-			t.Logf("answered per two seconds after the return, in percent of before: %v", curve)
-			answered, _ := fleet.Rate(park, back+10*time.Second, back+12*time.Second)
+			t.Logf("answers in each two seconds after the restart, in percent of the rate before: %v", curve)
+			answered, _ := fleet.Rate(cluster, back+10*time.Second, back+12*time.Second)
 			if answered*4*5 < before*2 {
-				t.Errorf("recovery: %d answers within the 12th second; before it were %d in five seconds", answered, before)
+				t.Errorf("recovery: %d answers in seconds 10 to 12 after the restart, %d in the five seconds before the loss", answered, before)
 			}
-			run := settled(park, "east", 0)
+			run := settled(cluster, "east", 0)
 			if name == "sklepik" {
-				run = settled(park, "north", 0)
+				run = settled(cluster, "north", 0)
 			}
 			if run.ID != "h1" {
-				t.Errorf("the run is lost: %+v", run)
+				t.Errorf("the rollout's run was lost: %+v", run)
 			}
-			park.Quiet = true
-			park.Run(12 * time.Second)
-			clean(t, park, begun(park, false))
+			cluster.Quiet = true
+			cluster.Run(12 * time.Second)
+			clean(t, cluster, begun(cluster, false))
 		})
 	}
 }
 
-// TestFullLossOfAHolder: what a daemon that does not come back did before all machines were
-// lost, another takes up soon after the rest are back. What was their own before they began
-// anew they take back at once, so only such a duty is waited for.
+// TestFullLossOfAHolder loses all machines and restarts all but the leader of a region's election.
+// Another daemon must take over soon after the restart. Restarted daemons reclaim at once the
+// elections that they held before, so only the missing leader's election has to time out.
 func TestFullLossOfAHolder(t *testing.T) {
 	t.Parallel()
 	skipLong(t)
 	for name, plan := range fleet.Plans {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			park := fleet.NewPark(8, plan())
-			defer park.Close()
-			park.Run(warm)
-			region := park.Regions()[0]
-			gone := park.Holder(region)
-			ends := park.Lose(park.NodeNames())
-			park.Run(3 * time.Second)
-			park.Return(slices.DeleteFunc(ends, func(name string) bool { return name == gone }))
-			back := park.Now()
-			if !park.Until(25*time.Second, func() bool { return park.Holder(region) != "" && park.Ready() }) {
-				t.Fatalf("recovery: %s's replicas are never used again", region)
+			cluster := fleet.NewPark(8, plan())
+			defer cluster.Close()
+			cluster.Run(warm)
+			region := cluster.Regions()[0]
+			gone := cluster.Holder(region)
+			ends := cluster.Lose(cluster.NodeNames())
+			cluster.Run(3 * time.Second)
+			cluster.Return(slices.DeleteFunc(ends, func(name string) bool { return name == gone }))
+			back := cluster.Now()
+			if !cluster.Until(25*time.Second, func() bool { return cluster.Holder(region) != "" && cluster.Ready() }) {
+				t.Fatalf("recovery: %s's replicas never came back into use", region)
 			}
-			took := park.Now() - back
-			t.Logf("%s held %s; all replicas are known everywhere %v after the others' return", gone, region, took)
+			took := cluster.Now() - back
+			t.Logf("%s was the leader of %s; all replicas are known everywhere %v after the others' restart", gone, region, took)
 			if took > 8*time.Second {
-				t.Errorf("recovery: %s's replicas are known everywhere only %v after the return", region, took)
+				t.Errorf("recovery: %s's replicas were known everywhere only %v after the restart", region, took)
 			}
-			park.Quiet = true
-			park.Run(12 * time.Second)
-			clean(t, park, begun(park, false))
+			cluster.Quiet = true
+			cluster.Run(12 * time.Second)
+			clean(t, cluster, begun(cluster, false))
 		})
 	}
 }
@@ -199,40 +199,40 @@
 func TestEvacuationDuringRollout(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
-		t.Skip("a long simulation; the race detector has one task at a time to look at")
+		t.Skip("a long simulation that runs one goroutine at a time, which gives the race detector nothing to check")
 	}
-	park := fleet.NewPark(9, quick())
-	defer park.Close()
-	park.Run(warm)
-	facts := begun(park, true)
-	begin(park, "h1")
-	park.Run(3 * time.Second)
-	if err := park.Evacuate(&facts, "east-1", false); err != nil {
+	cluster := fleet.NewPark(9, quick())
+	defer cluster.Close()
+	cluster.Run(warm)
+	facts := begun(cluster, true)
+	begin(cluster, "h1")
+	cluster.Run(3 * time.Second)
+	if err := cluster.Evacuate(&facts, "east-1", false); err != nil {
 		t.Fatal(err)
 	}
-	park.Run(15 * time.Second)
-	if err := park.Evacuate(&facts, "east-1", true); err != nil {
+	cluster.Run(15 * time.Second)
+	if err := cluster.Evacuate(&facts, "east-1", true); err != nil {
 		t.Fatal(err)
 	}
 	for _, region := range []string{"east", "middle", "west"} {
-		if run := settled(park, region, 90*time.Second); run.State == "running" {
-			t.Errorf("%s: the run never ended; done: %d steps, at %s %s", region, len(run.Steps), run.At, run.Last)
+		if run := settled(cluster, region, 90*time.Second); run.State == "running" {
+			t.Errorf("%s: the rollout's run never ended after %d steps, at %s: %s", region, len(run.Steps), run.At, run.Last)
 		}
 	}
-	park.Quiet = true
-	park.Run(8 * time.Second)
-	clean(t, park, facts)
+	cluster.Quiet = true
+	cluster.Run(8 * time.Second)
+	clean(t, cluster, facts)
 }
 
 func TestFencedOrder(t *testing.T) {
 	t.Parallel()
-	park := fleet.NewPark(10, quick())
-	defer park.Close()
-	park.Run(4 * time.Second)
-	stand := park.Replicas["east-1-r1"]
-	// What a paused runner of an older duty would still send.
-	status, _ := stand.Order(replica.Order{ID: "old", Fence: 0, Model: "roster", Version: "v8", State: replica.Load})
-	if status != 409 || stand.Fenced != 1 {
+	cluster := fleet.NewPark(10, quick())
+	defer cluster.Close()
+	cluster.Run(4 * time.Second)
+	target := cluster.Replicas["east-1-r1"]
+	// An order that a paused leader of an older term could still send.
+	status, _ := target.Order(replica.Order{ID: "old", Fence: 0, Model: "roster", Version: "v8", State: replica.Load})
+	if status != 409 || target.Fenced != 1 {
 		t.Errorf("an order with an older fence was answered %d", status)
 	}
 }
--- a/fleet/copies_test.go
+++ b/fleet/copies_test.go
@@ -10,25 +10,24 @@
 	"swifttiller/sim"
 )
 
-// redundancyOf asks the daemon how many copies there are.
+// redundancyOf returns the state of the register's copies as the daemon reports it.
 func redundancyOf(t *testing.T, cluster *fleet.Park, at string) controlplane.Redundancy {
 	t.Helper()
-	var out controlplane.Redundancy
+	var result controlplane.Redundancy
 	err := cluster.Do(at, 10*time.Second, func(daemon *controlplane.Daemon) error {
 		if redundancy := daemon.Status().Redundancy; redundancy != nil {
-			out = *redundancy
+			result = *redundancy
 		}
 		return nil
 	})
-	if err != nil || out.Wanted == 0 {
-		t.Fatalf("%s tells no redundancy: %v", at, err)
+	if err != nil || result.Wanted == 0 {
+		t.Fatalf("%s reports no redundancy: %v", at, err)
 	}
-	return out
+	return result
 }
 
-// TestStatusTellsSinceWhenACopyIsMissing: whichever daemon is asked tells for how long an
-// acceptor has been silent, and for how long one has been behind; and nothing once all are
-// whole again.
+// TestStatusTellsSinceWhenACopyIsMissing verifies that the status of every daemon reports for how long
+// an acceptor has been unreachable or behind, and nothing once all copies are complete again.
 func TestStatusTellsSinceWhenACopyIsMissing(t *testing.T) {
 	t.Parallel()
 	cluster := fleet.NewPark(1, fleet.Plans["sahayogi"]())
@@ -41,15 +40,15 @@
 	for _, at := range []string{"c1", "c2"} {
 		redundancy := redundancyOf(t, cluster, at)
 		if age := redundancy.LackingFor[lost]; age < span-3*time.Second || age > span+time.Second || len(redundancy.LackingFor) != 1 {
-			t.Errorf("%s tells %v, %v after it was lost", at, redundancy.LackingFor, span)
+			t.Errorf("%s reports %v, %v after the acceptor was lost", at, redundancy.LackingFor, span)
 		}
 	}
 	cluster.StartControl("c3")
 	cluster.Run(8 * time.Second)
 	if redundancy := redundancyOf(t, cluster, "c1"); !redundancy.IsWhole() || len(redundancy.LackingFor) > 0 {
-		t.Errorf("whole again it tells %+v", redundancy)
+		t.Errorf("all copies are complete again, but the status is %+v", redundancy)
 	}
-	// One that hears the others, and can't be told what they decide, stays behind.
+	// An acceptor that is reachable but does not receive decisions stays behind.
 	cluster.OnCall = func(from, to, method string) sim.Fate {
 		isOfCopies := strings.HasPrefix(method, "Register.") && method != "Register.Digest" && method != "Register.Describe"
 		if isOfCopies && (to == "c3" || from == "c3") {
@@ -67,6 +66,6 @@
 	cluster.Run(span)
 	redundancy := redundancyOf(t, cluster, "c2")
 	if age := redundancy.LackingFor[lost]; len(redundancy.Behind) != 1 || age < span-5*time.Second || age > span+time.Second {
-		t.Errorf("of one that is behind it tells %+v", redundancy)
+		t.Errorf("with one acceptor behind the status is %+v", redundancy)
 	}
 }
--- a/fleet/dark_test.go
+++ b/fleet/dark_test.go
@@ -7,8 +7,9 @@
 	"swifttiller/fleet"
 )
 
-// TestDarkOnesCostFew: where a third of each region's engines go dark at once, of the requests
-// that may be sent once only few are lost that many data daemons would each send there.
+// TestDarkOnesCostFew cuts off a third of each region's engines at once. Requests that may be
+// sent only once are lost if they go to such an engine. Many data daemons could each lose some before
+// they notice, but at most one request in a hundred may end with 502.
 func TestDarkOnesCostFew(t *testing.T) {
 	t.Parallel()
 	skipLong(t)
@@ -16,44 +17,44 @@
 	for seed := uint64(1); seed <= 3; seed++ {
 		shape := fleet.RoutedShapes["large"]
 		shape.Datas = []int{8, 8, 8}
-		park := fleet.NewPark(seed, shape.Plan())
-		park.Run(warmRouted)
-		facts := park.BeginRouted()
+		cluster := fleet.NewPark(seed, shape.Plan())
+		cluster.Run(warmRouted)
+		facts := cluster.BeginRouted()
 		for turn := range 4 {
 			var dark []string
-			for index, options := range park.Plan.Engines {
+			for index, options := range cluster.Plan.Engines {
 				if index%3 == turn%3 {
 					dark = append(dark, options.Name)
 				}
 			}
-			began := park.Now()
+			began := cluster.Now()
 			for _, name := range dark {
-				park.Split([]string{name}, others(park, name), true)
+				cluster.Split([]string{name}, others(cluster, name), true)
 			}
-			park.Run(2 * time.Second)
+			cluster.Run(2 * time.Second)
 			for _, name := range dark {
-				park.Split([]string{name}, others(park, name), false)
+				cluster.Split([]string{name}, others(cluster, name), false)
 			}
-			park.Run(6 * time.Second)
-			for _, one := range park.RoutedRequests {
-				// Those under way when the dark begins are lost in any case.
-				if one.At < began+20*time.Millisecond || one.At > began+2*time.Second {
+			cluster.Run(6 * time.Second)
+			for _, request := range cluster.RoutedRequests {
+				// Requests in flight when the engines are cut off are lost in any case.
+				if request.At < began+20*time.Millisecond || request.At > began+2*time.Second {
 					continue
 				}
 				asked++
-				if last := one.Tries[len(one.Tries)-1]; one.Verdict != "ok" && last.Status == 502 {
+				if last := request.Tries[len(request.Tries)-1]; request.Verdict != "ok" && last.Status == 502 {
 					lost++
 				}
 			}
 		}
-		park.Quiet = true
-		park.Run(6500 * time.Millisecond)
-		broken, _ := fleet.CheckRouted(park, facts)
+		cluster.Quiet = true
+		cluster.Run(6500 * time.Millisecond)
+		broken, _ := fleet.CheckRouted(cluster, facts)
 		show(t, seed, broken)
-		park.Close()
+		cluster.Close()
 	}
 	t.Logf("%d of %d ended with 502", lost, asked)
 	if asked == 0 || lost*100 > asked {
-		t.Error("too many")
+		t.Error("too many requests were lost to unreachable engines")
 	}
 }
--- a/fleet/days_test.go
+++ b/fleet/days_test.go
@@ -10,33 +10,33 @@
 	"swifttiller/fleet"
 )
 
-var days = flag.Int("days", 4, "how many drawn days to play in each fleet")
+var days = flag.Int("days", 4, "number of random days to simulate in each fleet")
 
-// TestDays plays days on which mishaps and operators' work overlap, as drawn by the
-// seed, and checks every rule over them. CI plays a few; -days and -seed search.
+// TestDays simulates days on which failures and operators' work overlap at random, as determined by the
+// seed, and checks every rule. CI runs a few; -days and -seed search further.
 func TestDays(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
-		t.Skip("a long simulation; the race detector has one task at a time to look at")
+		t.Skip("a long simulation that runs one goroutine at a time, which gives the race detector nothing to check")
 	}
 	for name, plan := range fleet.Plans {
 		for seed := *first; seed < *first+uint64(*days); seed++ {
 			t.Run(fmt.Sprintf("%s/%d", name, seed), func(t *testing.T) {
 				t.Parallel()
-				park := fleet.NewPark(seed, plan())
-				defer park.Close()
-				park.Run(warm)
-				facts := park.Begin()
+				cluster := fleet.NewPark(seed, plan())
+				defer cluster.Close()
+				cluster.Run(warm)
+				facts := cluster.Begin()
 				facts.SmallShare = 0.1
-				passed := park.Day(&facts, seed, 6+int(seed%20), 45*time.Second)
-				answered, asked := ends(park)
-				broken, judged := fleet.Check(park, facts)
+				passed := cluster.Day(&facts, seed, 6+int(seed%20), 45*time.Second)
+				answered, asked := ends(cluster)
+				broken, judged := fleet.Check(cluster, facts)
 				show(t, seed, broken)
 				for _, missed := range facts.Missed {
-					t.Errorf("seed %d: %v", seed, missed)
+					t.Errorf("seed %d: a fault did not take effect: %v", seed, missed)
 				}
 				if answered*10 < asked*9 {
-					t.Errorf("seed %d: serves %d of %d in the end", seed, answered, asked)
+					t.Errorf("seed %d: answered only %d of %d requests after the faults", seed, answered, asked)
 				}
 				if judged["twice"] == 0 || judged["foreign"] == 0 || len(passed) < 3 {
 					t.Errorf("seed %d: vacuous: judged %v on %v", seed, judged, passed)
--- a/fleet/diskfull_test.go
+++ b/fleet/diskfull_test.go
@@ -7,9 +7,9 @@
 	"swifttiller/controlplane"
 )
 
-// TestDiskTakesWritesAgain: a core machine whose disk was full votes again once there is room,
-// without a start, so that another one may be lost: orders are acknowledged, and what was
-// acknowledged before stands (a day of the users' bench: docs/incidents/full-disk.md).
+// TestDiskTakesWritesAgain verifies that a core machine whose disk was full votes again once there is
+// space, without a restart, so that another core machine may fail. Changes are then acknowledged, and
+// those acknowledged before persist. For the incident see docs/incidents/full-disk.md.
 func TestDiskTakesWritesAgain(t *testing.T) {
 	t.Parallel()
 	eachSeed(t, func(t *testing.T, seed uint64) {
@@ -22,7 +22,7 @@
 				_, err := daemon.Evacuate(zone, back)
 				return err
 			}); err != nil {
-				t.Errorf("at %s: %v", at, err)
+				t.Errorf("evacuation order at %s: %v", at, err)
 			}
 		}
 		cluster.Node("c1").Disk.Full = true
@@ -30,20 +30,20 @@
 		cluster.Run(3 * time.Second)
 		cluster.Node("c1").Disk.Full = false
 		cluster.Run(5 * time.Second)
-		// The one that leaves for good has a copy that c1 lacked.
+		// c3, which never returns, has a copy that c1 lacked.
 		cluster.Kill("c3")
 		cluster.Run(3 * time.Second)
 		if _, config := newest(t, cluster, "c1"); len(config.Evacuated) != 1 || config.Evacuated[0] != zone {
 			t.Errorf("evacuated: %v", config.Evacuated)
 		}
 		evacuate("c2", true)
-		// What c1 has lasts.
+		// What c1 accepted survives its restart.
 		cluster.Kill("c1")
 		cluster.Run(time.Second)
 		cluster.StartControl("c1")
 		cluster.Run(3 * time.Second)
 		if _, config := newest(t, cluster, "c1"); len(config.Evacuated) != 0 {
-			t.Errorf("evacuated after it was taken back: %v", config.Evacuated)
+			t.Errorf("still evacuated after the evacuation was revoked: %v", config.Evacuated)
 		}
 	})
 }
--- a/fleet/duel_test.go
+++ b/fleet/duel_test.go
@@ -8,39 +8,40 @@
 	"time"
 )
 
-// TestPermitsGoOnThroughChanges: on a grown fleet whose regions are far apart permits are
-// renewed in time while configurations are written one after the other. Control daemons
-// that read what is being written do not outvote its writer, or one another.
+// TestPermitsGoOnThroughChanges verifies that leases are renewed in time on a large fleet with a long delay between
+// regions while configurations are written one after the other. It guards against dueling
+// proposers: control daemons that read a register during a write must not outbid the ballot of its
+// writer, or one another's.
 func TestPermitsGoOnThroughChanges(t *testing.T) {
 	t.Parallel()
 	skipLong(t)
-	const far = 55 * time.Millisecond
-	least := time.Duration(1 << 62)
+	const regionDelay = 55 * time.Millisecond
+	shortest := time.Duration(1 << 62)
 	var slowest time.Duration
 	for seed := uint64(1); seed <= 3; seed++ {
 		plan := grown(64, 30, 6)
-		plan.Document = strings.Replace(plan.Document, `"limits":{`, limitsOf5, 1)
-		park := apartBy(far, seed, plan)
+		plan.Document = strings.Replace(plan.Document, `"limits":{`, fiveSecondLimits, 1)
+		cluster := apartBy(regionDelay, seed, plan)
 		for turn := range 6 {
 			label := uint64(turn + 1)
-			document := bytes.Replace([]byte(park.Document), []byte("{"), fmt.Appendf(nil, `{"label":%d,`, label), 1)
-			began := park.Now()
-			if _, err := replace(park, fmt.Sprintf("c%d", turn%6+1), document, label-1); err != nil {
+			document := bytes.Replace([]byte(cluster.Document), []byte("{"), fmt.Appendf(nil, `{"label":%d,`, label), 1)
+			began := cluster.Now()
+			if _, err := replace(cluster, fmt.Sprintf("c%d", turn%6+1), document, label-1); err != nil {
 				t.Fatal(err)
 			}
-			slowest = max(slowest, park.Now()-began)
+			slowest = max(slowest, cluster.Now()-began)
 			for range 60 {
-				park.Run(20 * time.Millisecond)
-				for _, daemon := range park.Datas {
-					least = min(least, daemon.Holder.View().Deadline-park.Now())
+				cluster.Run(20 * time.Millisecond)
+				for _, daemon := range cluster.Datas {
+					shortest = min(shortest, daemon.Holder.View().Deadline-cluster.Now())
 				}
 			}
 		}
-		park.Close()
+		cluster.Close()
 	}
-	t.Logf("the permit that came nearest to its end had %v left, the slowest change took %v", least, slowest)
-	// One that got no grant asks again after a sixth.
-	if least < 400*time.Millisecond {
-		t.Errorf("a permit of 2.4 s had only %v left", least)
+	t.Logf("the shortest remaining lease time was %v, the slowest change took %v", shortest, slowest)
+	// A data daemon that got no grant retries after a sixth of the lease time.
+	if shortest < 400*time.Millisecond {
+		t.Errorf("a lease of 2.4 s had only %v left", shortest)
 	}
 }
--- a/fleet/editions_test.go
+++ b/fleet/editions_test.go
@@ -12,9 +12,9 @@
 	"swifttiller/sim"
 )
 
-// tenants is the plan's document with a route for each tenant; that of moved, if it is
+// routesDocument is the plan's document with a route for each tenant; that of moved, if it is
 // one, has another host under each label.
-func tenants(document string, label uint64, count, moved int) []byte {
+func routesDocument(document string, label uint64, count, moved int) []byte {
 	var routes []string
 	for index := range count {
 		host := fmt.Sprintf("t%d.example", index)
@@ -26,18 +26,18 @@
 	return []byte(strings.Replace(document, "{", fmt.Sprintf(`{"label":%d,"routes":[%s],`, label, strings.Join(routes, ",")), 1))
 }
 
-// holders is the plan's document with so many tenants of two keys each, beside a few routes;
+// tenantsDocument is the plan's document with so many tenants of two keys each, beside a few routes;
 // one key of changed, if it is one, is another under each label.
-func holders(document string, label uint64, count, changed int) []byte {
+func tenantsDocument(document string, label uint64, count, changed int) []byte {
 	var list []string
 	for index := range count {
-		drawn := uint64(0)
+		keyVersion := uint64(0)
 		if index == changed {
-			drawn = label
+			keyVersion = label
 		}
-		list = append(list, fmt.Sprintf(`{"name":"tenant-%d","keys":["own-%d","drawn-%d-%d"],"per_s":131,"burst":131,"urgency":1}`, index, index, index, drawn))
+		list = append(list, fmt.Sprintf(`{"name":"tenant-%d","keys":["own-%d","drawn-%d-%d"],"per_s":131,"burst":131,"urgency":1}`, index, index, index, keyVersion))
 	}
-	return []byte(strings.Replace(string(tenants(document, label, 100, -1)), `"routes"`, `"tenants":[`+strings.Join(list, ",")+`],"routes"`, 1))
+	return []byte(strings.Replace(string(routesDocument(document, label, 100, -1)), `"routes"`, `"tenants":[`+strings.Join(list, ",")+`],"routes"`, 1))
 }
 
 // routedFleet is a calm small fleet whose model may have routes.
@@ -45,48 +45,48 @@
 	return fleet.NewPark(seed, grown(6, 18, 3))
 }
 
-// fetches are what configurations cost on their way to data daemons, and how many copies
+// fetchStats are what configurations cost on their way to data daemons, and how many copies
 // were under way to one at once.
-type fetches struct {
-	bytes  map[string]int // to and from each data daemon
-	copies map[string]int // editions to each
-	since  map[string]time.Duration
-	most   int // copies under way to one holder at once
+type fetchStats struct {
+	bytes       map[string]int // to and from each data daemon
+	copies      map[string]int // editions to each
+	since       map[string]time.Duration
+	maxInFlight int // copies under way to one holder at once
 }
 
-// follow follows fetches from now on. A copy is under way from its asking until it is
+// trackFetches follows fetches from now on. A copy is under way from its asking until it is
 // answered, or its asker has given it up.
-func follow(park *fleet.Park) *fetches {
-	out := &fetches{bytes: map[string]int{}, copies: map[string]int{}, since: map[string]time.Duration{}}
-	park.OnBytes = func(from, to, method string, bytes int) {
+func trackFetches(cluster *fleet.Park) *fetchStats {
+	stats := &fetchStats{bytes: map[string]int{}, copies: map[string]int{}, since: map[string]time.Duration{}}
+	cluster.OnBytes = func(from, to, method string, bytes int) {
 		if method != "Permit.Fetch" && method != "Permit.Take" {
 			return
 		}
-		data, isAsk := to, false
-		if park.Datas[from] != nil {
-			data, isAsk = from, method == "Permit.Fetch"
+		data, isFetchRequest := to, false
+		if cluster.Datas[from] != nil {
+			data, isFetchRequest = from, method == "Permit.Fetch"
 		}
-		out.bytes[data] += bytes
+		stats.bytes[data] += bytes
 		switch {
-		case isAsk:
-			out.most = max(out.most, 1)
-			if at, isUnderWay := out.since[data]; isUnderWay && park.Now()-at < time.Second {
-				out.most = 2
+		case isFetchRequest:
+			stats.maxInFlight = max(stats.maxInFlight, 1)
+			if at, isInFlight := stats.since[data]; isInFlight && cluster.Now()-at < time.Second {
+				stats.maxInFlight = 2
 			}
-			out.since[data] = park.Now()
+			stats.since[data] = cluster.Now()
 		case method == "Permit.Fetch":
-			out.copies[data]++
-			delete(out.since, data)
+			stats.copies[data]++
+			delete(stats.since, data)
 		}
 	}
-	return out
+	return stats
 }
 
-// going checks that all data daemons that are up go by the document, and nothing else.
-func going(t *testing.T, park *fleet.Park, document []byte, zones ...string) {
+// checkDataDaemonsApply checks that all data daemons that are up go by the document, and nothing else.
+func checkDataDaemonsApply(t *testing.T, cluster *fleet.Park, document []byte, zones ...string) {
 	t.Helper()
-	for name, daemon := range park.Datas {
-		if view := daemon.Holder.View(); park.Node(name).Up() && (string(view.Config().Document) != tight(document) || !slices.Equal(view.Config().Evacuated, zones)) {
+	for name, daemon := range cluster.Datas {
+		if view := daemon.Holder.View(); cluster.Node(name).Up() && (string(view.Config().Document) != tight(document) || !slices.Equal(view.Config().Evacuated, zones)) {
 			t.Errorf("%s goes by label %d, serial %d, not by what was decided", name, view.Config().Label(), view.Serial)
 		}
 	}
@@ -101,48 +101,48 @@
 		sizes = sizes[2:]
 	}
 	for _, size := range sizes {
-		travelsAlone(t, size.datas, size.count, "routes", tenants)
-		travelsAlone(t, size.datas, size.count, "tenants", holders)
+		checkUpdateSize(t, size.datas, size.count, "routes", routesDocument)
+		checkUpdateSize(t, size.datas, size.count, "tenants", tenantsDocument)
 	}
 }
 
-func travelsAlone(t *testing.T, datas, count int, what string, compose func(document string, label uint64, count, changed int) []byte) {
-	park := apart(3, grown(datas, 36, 3))
-	defer park.Close()
+func checkUpdateSize(t *testing.T, datas, count int, kind string, compose func(document string, label uint64, count, changed int) []byte) {
+	cluster := apart(3, grown(datas, 36, 3))
+	defer cluster.Close()
 	label := uint64(1)
-	if _, err := replace(park, "c1", compose(park.Document, 1, count, -1), 0); err != nil {
+	if _, err := replace(cluster, "c1", compose(cluster.Document, 1, count, -1), 0); err != nil {
 		t.Fatal(err)
 	}
-	park.Run(time.Second)
+	cluster.Run(time.Second)
 	for at, changed := range []int{count / 2, 0, count - 1} {
-		seen := follow(park)
+		stats := trackFetches(cluster)
 		label++
-		document := compose(park.Document, label, count, changed)
-		began := park.Now()
-		if _, err := replace(park, fmt.Sprintf("c%d", 1+at), document, label-1); err != nil {
+		document := compose(cluster.Document, label, count, changed)
+		began := cluster.Now()
+		if _, err := replace(cluster, fmt.Sprintf("c%d", 1+at), document, label-1); err != nil {
 			t.Fatal(err)
 		}
-		took := park.Now() - began
-		park.Run(2 * time.Second)
-		going(t, park, document)
+		took := cluster.Now() - began
+		cluster.Run(2 * time.Second)
+		checkDataDaemonsApply(t, cluster, document)
 		most := 0
-		for name := range park.Datas {
-			most = max(most, seen.bytes[name])
-			if seen.copies[name] != 1 {
-				t.Errorf("%d daemons, %d %s: %d copies to %s", datas, count, what, seen.copies[name], name)
+		for name := range cluster.Datas {
+			most = max(most, stats.bytes[name])
+			if stats.copies[name] != 1 {
+				t.Errorf("%d daemons, %d %s: %d copies to %s", datas, count, kind, stats.copies[name], name)
 			}
 		}
-		t.Logf("%d daemons, %d %s, %d bytes: one changes: acknowledged after %v, %d bytes to and from a data daemon", datas, count, what, len(document), took, most)
+		t.Logf("%d daemons, %d %s, %d bytes: one changes: acknowledged after %v, %d bytes to and from a data daemon", datas, count, kind, len(document), took, most)
 		if most > 1200 || most == 0 || took > time.Second {
-			t.Errorf("%d daemons, %d %s: acknowledged after %v, %d bytes to a data daemon", datas, count, what, took, most)
+			t.Errorf("%d daemons, %d %s: acknowledged after %v, %d bytes to a data daemon", datas, count, kind, took, most)
 		}
 	}
-	seen := follow(park)
-	park.Crash("d2")
-	park.StartData("d2")
-	park.Run(5 * time.Second)
-	if view := park.Datas["d2"].Holder.View(); seen.copies["d2"] != 1 || !view.IsValid(park.Now()) || view.Config().Label() != label {
-		t.Errorf("%d %s: a daemon that begins anew gets %d copies, and goes by %d", count, what, seen.copies["d2"], view.Config().Label())
+	stats := trackFetches(cluster)
+	cluster.Crash("d2")
+	cluster.StartData("d2")
+	cluster.Run(5 * time.Second)
+	if view := cluster.Datas["d2"].Holder.View(); stats.copies["d2"] != 1 || !view.IsValid(cluster.Now()) || view.Config().Label() != label {
+		t.Errorf("%d %s: a daemon that begins anew gets %d copies, and goes by %d", count, kind, stats.copies["d2"], view.Config().Label())
 	}
 }
 
@@ -154,34 +154,34 @@
 	for _, method := range []string{"Permit.Take", "Permit.Fetch"} {
 		for name, fate := range map[string]sim.Fate{"lost": sim.RequestLost, "answer lost": sim.ResponseLost, "late": sim.RequestDelayed, "twice": sim.RequestDuplicated} {
 			for _, count := range []int{1, 2} { // how many in a row
-				park := routedFleet(21)
-				if _, err := replace(park, "c1", tenants(park.Document, 1, 300, -1), 0); err != nil {
+				cluster := routedFleet(21)
+				if _, err := replace(cluster, "c1", routesDocument(cluster.Document, 1, 300, -1), 0); err != nil {
 					t.Fatal(err)
 				}
-				park.Run(time.Second)
-				seen, struck := follow(park), 0
-				park.OnCall = func(from, to, called string) sim.Fate {
-					if called == method && (from == "d1" || to == "d1") && struck < count {
-						struck++
+				cluster.Run(time.Second)
+				stats, injected := trackFetches(cluster), 0
+				cluster.OnCall = func(from, to, called string) sim.Fate {
+					if called == method && (from == "d1" || to == "d1") && injected < count {
+						injected++
 						return fate
 					}
 					return sim.Delivered
 				}
-				document := tenants(park.Document, 2, 300, 7)
-				began := park.Now()
-				applied, err := replace(park, "c1", document, 1)
-				took := park.Now() - began
-				for data, daemon := range park.Datas {
-					if view := daemon.Holder.View(); view.MayServe(park.Now()) && view.Serial < applied.Serial {
+				document := routesDocument(cluster.Document, 2, 300, 7)
+				began := cluster.Now()
+				applied, err := replace(cluster, "c1", document, 1)
+				took := cluster.Now() - began
+				for data, daemon := range cluster.Datas {
+					if view := daemon.Holder.View(); view.MayServe(cluster.Now()) && view.Serial < applied.Serial {
 						t.Errorf("old config: %s %s, %d times: %s serves by serial %d, and %d is acknowledged", method, name, count, data, view.Serial, applied.Serial)
 					}
 				}
-				park.Run(3 * time.Second)
-				going(t, park, document)
-				if err != nil || took > 2500*time.Millisecond || struck == 0 || seen.most != 1 {
-					t.Errorf("%s %s, %d times: %v %v after %v, struck %d, %d copies under way at once", method, name, count, applied, err, took, struck, seen.most)
+				cluster.Run(3 * time.Second)
+				checkDataDaemonsApply(t, cluster, document)
+				if err != nil || took > 2500*time.Millisecond || injected == 0 || stats.maxInFlight != 1 {
+					t.Errorf("%s %s, %d times: %v %v after %v, struck %d, %d copies under way at once", method, name, count, applied, err, took, injected, stats.maxInFlight)
 				}
-				park.Close()
+				cluster.Close()
 			}
 		}
 	}
@@ -194,45 +194,45 @@
 func TestFrozenOverChanges(t *testing.T) {
 	t.Parallel()
 	skipLong(t)
-	for name, isAnew := range map[string]bool{"same control daemons": false, "control daemons begun anew": true} {
-		park := routedFleet(22)
-		if _, err := replace(park, "c1", tenants(park.Document, 1, 300, -1), 0); err != nil {
+	for name, isRestarted := range map[string]bool{"same control daemons": false, "control daemons begun anew": true} {
+		cluster := routedFleet(22)
+		if _, err := replace(cluster, "c1", routesDocument(cluster.Document, 1, 300, -1), 0); err != nil {
 			t.Fatal(err)
 		}
-		park.Run(time.Second)
-		park.Freeze("d1", 14*time.Second)
-		park.Split([]string{"d2"}, park.NodeNames()[:len(park.Plan.Controls)], true)
+		cluster.Run(time.Second)
+		cluster.Freeze("d1", 14*time.Second)
+		cluster.Split([]string{"d2"}, cluster.NodeNames()[:len(cluster.Plan.Controls)], true)
 		var document []byte
 		for label := uint64(2); label <= 6; label++ {
-			document = tenants(park.Document, label, 300, int(label)*40)
-			if _, err := replace(park, fmt.Sprintf("c%d", 1+label%3), document, label-1); err != nil {
+			document = routesDocument(cluster.Document, label, 300, int(label)*40)
+			if _, err := replace(cluster, fmt.Sprintf("c%d", 1+label%3), document, label-1); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if isAnew {
-			for _, one := range []string{"c1", "c2", "c3"} {
-				park.Crash(one)
-				park.StartControl(one)
-				park.Run(time.Second)
+		if isRestarted {
+			for _, machine := range []string{"c1", "c2", "c3"} {
+				cluster.Crash(machine)
+				cluster.StartControl(machine)
+				cluster.Run(time.Second)
 			}
 		}
-		seen := follow(park)
-		if view := park.Datas["d2"].Holder.View(); view.Config().Label() != 1 || view.MayServe(park.Now()) {
+		stats := trackFetches(cluster)
+		if view := cluster.Datas["d2"].Holder.View(); view.Config().Label() != 1 || view.MayServe(cluster.Now()) {
 			t.Errorf("vacuous: %s: one that was cut off goes by %d", name, view.Config().Label())
 		}
-		park.Split([]string{"d2"}, park.NodeNames()[:len(park.Plan.Controls)], false)
-		park.Run(16 * time.Second)
-		going(t, park, document)
-		for _, one := range []string{"d1", "d2"} {
-			if !park.Datas[one].Holder.View().IsValid(park.Now()) || seen.copies[one] != 1 {
-				t.Errorf("%s: %s got %d copies", name, one, seen.copies[one])
+		cluster.Split([]string{"d2"}, cluster.NodeNames()[:len(cluster.Plan.Controls)], false)
+		cluster.Run(16 * time.Second)
+		checkDataDaemonsApply(t, cluster, document)
+		for _, machine := range []string{"d1", "d2"} {
+			if !cluster.Datas[machine].Holder.View().IsValid(cluster.Now()) || stats.copies[machine] != 1 {
+				t.Errorf("%s: %s got %d copies", name, machine, stats.copies[machine])
 			}
-			if isSmall := seen.bytes[one] < 1500; isSmall == isAnew {
-				t.Errorf("%s: %s got %d bytes", name, one, seen.bytes[one])
+			if isSmall := stats.bytes[machine] < 1500; isSmall == isRestarted {
+				t.Errorf("%s: %s got %d bytes", name, machine, stats.bytes[machine])
 			}
 		}
-		once(t, park)
-		park.Close()
+		once(t, cluster)
+		cluster.Close()
 	}
 }
 
@@ -240,36 +240,36 @@
 // put together with it; it fetches the whole and goes by what was decided.
 func TestSpoiledChunk(t *testing.T) {
 	t.Parallel()
-	park := routedFleet(23)
-	defer park.Close()
-	if _, err := replace(park, "c1", tenants(park.Document, 1, 300, -1), 0); err != nil {
+	cluster := routedFleet(23)
+	defer cluster.Close()
+	if _, err := replace(cluster, "c1", routesDocument(cluster.Document, 1, 300, -1), 0); err != nil {
 		t.Fatal(err)
 	}
-	park.Run(time.Second)
-	spoiled := 0
-	for _, chunk := range park.Datas["d1"].Holder.View().Tree.Chunks() {
+	cluster.Run(time.Second)
+	corrupted := 0
+	for _, chunk := range cluster.Datas["d1"].Holder.View().Tree.Chunks() {
 		if strings.Contains(chunk.Text, `"tenant-200"`) {
 			chunk.Text = strings.Replace(chunk.Text, "t200.example", "t999.example", 1)
-			spoiled++
+			corrupted++
 		}
 	}
-	seen := follow(park)
-	document := tenants(park.Document, 2, 300, 7)
-	if _, err := replace(park, "c1", document, 1); err != nil {
+	stats := trackFetches(cluster)
+	document := routesDocument(cluster.Document, 2, 300, 7)
+	if _, err := replace(cluster, "c1", document, 1); err != nil {
 		t.Fatal(err)
 	}
-	park.Run(2 * time.Second)
-	going(t, park, document)
-	if view := park.Datas["d1"].Holder.View(); spoiled != 1 || seen.copies["d1"] != 2 || seen.copies["d2"] != 1 || !view.IsValid(park.Now()) {
-		t.Errorf("%d spoiled, %d copies to it, %d to another", spoiled, seen.copies["d1"], seen.copies["d2"])
+	cluster.Run(2 * time.Second)
+	checkDataDaemonsApply(t, cluster, document)
+	if view := cluster.Datas["d1"].Holder.View(); corrupted != 1 || stats.copies["d1"] != 2 || stats.copies["d2"] != 1 || !view.IsValid(cluster.Now()) {
+		t.Errorf("%d spoiled, %d copies to it, %d to another", corrupted, stats.copies["d1"], stats.copies["d2"])
 	}
 	// From then on it has all of it again.
-	seen = follow(park)
-	document = tenants(park.Document, 3, 300, 7)
-	if _, err := replace(park, "c2", document, 2); err != nil || seen.copies["d1"] != 1 || seen.bytes["d1"] > 1500 {
-		t.Errorf("%v, %d copies, %d bytes", err, seen.copies["d1"], seen.bytes["d1"])
+	stats = trackFetches(cluster)
+	document = routesDocument(cluster.Document, 3, 300, 7)
+	if _, err := replace(cluster, "c2", document, 2); err != nil || stats.copies["d1"] != 1 || stats.bytes["d1"] > 1500 {
+		t.Errorf("%v, %d copies, %d bytes", err, stats.copies["d1"], stats.bytes["d1"])
 	}
-	going(t, park, document)
+	checkDataDaemonsApply(t, cluster, document)
 }
 
 // TestFetchStorm: changes that race, evacuations among them, over daemons that come, go
@@ -281,25 +281,25 @@
 		seeds = 1
 	}
 	for seed := range seeds {
-		park := routedFleet(31 + seed)
-		if _, err := replace(park, "c1", tenants(park.Document, 1, 200, -1), 0); err != nil {
+		cluster := routedFleet(31 + seed)
+		if _, err := replace(cluster, "c1", routesDocument(cluster.Document, 1, 200, -1), 0); err != nil {
 			t.Fatal(err)
 		}
-		park.Run(time.Second)
-		seen := follow(park)
-		zone := park.Zone(park.Plan.Replicas[0].ID)
-		began, ended, taken := 0, 0, 0
-		park.Faults = sim.NetworkFaults{Lost: 0.02, Duplicated: 0.02, Delayed: 0.02, MaxDelay: 800 * time.Millisecond}
+		cluster.Run(time.Second)
+		stats := trackFetches(cluster)
+		zone := cluster.Zone(cluster.Plan.Replicas[0].ID)
+		began, finished, accepted := 0, 0, 0
+		cluster.Faults = sim.NetworkFaults{Lost: 0.02, Duplicated: 0.02, Delayed: 0.02, MaxDelay: 800 * time.Millisecond}
 		for index := range 60 {
 			at := fmt.Sprintf("c%d", 1+index%3)
-			park.At(time.Duration(index)*70*time.Millisecond, func() {
-				if !park.Node(at).Up() {
+			cluster.At(time.Duration(index)*70*time.Millisecond, func() {
+				if !cluster.Node(at).Up() {
 					return
 				}
 				began++
-				park.Node(at).Go(func() {
-					defer func() { ended++ }()
-					daemon := park.Controls[at]
+				cluster.Node(at).Go(func() {
+					defer func() { finished++ }()
+					daemon := cluster.Controls[at]
 					if index%10 == 9 {
 						_, _ = daemon.Evacuate(zone, index%20 == 19)
 						return
@@ -308,51 +308,51 @@
 					if err != nil {
 						return
 					}
-					if _, err := daemon.Replace(tenants(park.Document, label+1, 200+index%7, (index*13)%200), label); err == nil {
-						taken++
+					if _, err := daemon.Replace(routesDocument(cluster.Document, label+1, 200+index%7, (index*13)%200), label); err == nil {
+						accepted++
 					}
 				})
 			})
 		}
-		park.At(700*time.Millisecond, func() { park.Crash("d2") })
-		park.At(1500*time.Millisecond, func() { park.StartData("d2") })
-		park.At(time.Second, func() { park.Freeze("d1", 2*time.Second) })
-		if !park.Until(40*time.Second, func() bool { return began >= 60 && ended == began }) {
-			t.Fatalf("seed %d: %d of %d ended", seed, ended, began)
+		cluster.At(700*time.Millisecond, func() { cluster.Crash("d2") })
+		cluster.At(1500*time.Millisecond, func() { cluster.StartData("d2") })
+		cluster.At(time.Second, func() { cluster.Freeze("d1", 2*time.Second) })
+		if !cluster.Until(40*time.Second, func() bool { return began >= 60 && finished == began }) {
+			t.Fatalf("seed %d: %d of %d ended", seed, finished, began)
 		}
-		park.Faults = sim.NetworkFaults{}
-		_, err := replace(park, "c2", tenants(park.Document, 1000, 200, 3), mustLabel(t, park))
+		cluster.Faults = sim.NetworkFaults{}
+		_, err := replace(cluster, "c2", routesDocument(cluster.Document, 1000, 200, 3), newestLabel(t, cluster))
 		if err != nil {
 			t.Fatal(err)
 		}
-		park.Run(3 * time.Second)
-		label, config := newest(t, park, "c3")
-		going(t, park, config.Document, config.Evacuated...)
-		if label != 1000 || taken < 10 {
-			t.Errorf("vacuous: seed %d: label %d, %d were taken", seed, label, taken)
+		cluster.Run(3 * time.Second)
+		label, config := newest(t, cluster, "c3")
+		checkDataDaemonsApply(t, cluster, config.Document, config.Evacuated...)
+		if label != 1000 || accepted < 10 {
+			t.Errorf("vacuous: seed %d: label %d, %d were taken", seed, label, accepted)
 		}
-		if seen.most != 1 {
+		if stats.maxInFlight != 1 {
 			t.Errorf("two copies: seed %d: of one serial were under way to one daemon", seed)
 		}
-		once(t, park)
-		park.Close()
+		once(t, cluster)
+		cluster.Close()
 	}
 }
 
-func mustLabel(t *testing.T, park *fleet.Park) (label uint64) {
+func newestLabel(t *testing.T, cluster *fleet.Park) (label uint64) {
 	t.Helper()
-	label, _ = newest(t, park, "c1")
+	label, _ = newest(t, cluster, "c1")
 	return label
 }
 
-// prepared counts what acceptors were asked to promise, in whichever messages.
-func prepared(park *fleet.Park) int {
-	return park.Messages["Register.Prepare"] + park.Messages["Register.PrepareAll"]
+// countPrepares counts what acceptors were asked to promise, in whichever messages.
+func countPrepares(cluster *fleet.Park) int {
+	return cluster.Messages["Register.Prepare"] + cluster.Messages["Register.PrepareAll"]
 }
 
-// written counts the writes of registers that went through.
-func written(park *fleet.Park) (count int) {
-	for _, daemon := range park.Controls {
+// countWrites counts the writes of registers that went through.
+func countWrites(cluster *fleet.Park) (count int) {
+	for _, daemon := range cluster.Controls {
 		count += int(daemon.Client.RoundCounters().Writes)
 	}
 	return count
@@ -364,46 +364,46 @@
 	t.Parallel()
 	skipLong(t)
 	plan := grown(24, 18, 3)
-	park := fleet.NewPark(6, plan)
-	defer park.Close()
-	park.Run(10 * time.Second)
-	for name := range park.Datas {
-		park.Crash(name)
-	}
-	park.Run(3 * time.Second)
-	asks, writes, records := 0, prepared(park), written(park)
-	park.OnCall = func(_, to, method string) sim.Fate {
+	cluster := fleet.NewPark(6, plan)
+	defer cluster.Close()
+	cluster.Run(10 * time.Second)
+	for name := range cluster.Datas {
+		cluster.Crash(name)
+	}
+	cluster.Run(3 * time.Second)
+	renewals, writes, records := 0, countPrepares(cluster), countWrites(cluster)
+	cluster.OnCall = func(_, to, method string) sim.Fate {
 		if method == "Permit.Renew" {
-			asks++
+			renewals++
 			return sim.ResponseLost
 		}
 		return sim.Delivered
 	}
 	var names []string
-	for name := range park.Datas {
+	for name := range cluster.Datas {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		park.StartData(name)
+		cluster.StartData(name)
 	}
-	park.Run(6 * time.Second)
-	prepares := prepared(park) - writes
-	t.Logf("24 daemons in 6 s: %d asks, %d prepares", asks, prepares)
-	if asks < 24*6 {
+	cluster.Run(6 * time.Second)
+	prepares := countPrepares(cluster) - writes
+	t.Logf("24 daemons in 6 s: %d asks, %d prepares", renewals, prepares)
+	if renewals < 24*6 {
 		t.Error("vacuous")
 	}
 	// A prepare goes to each of three acceptors; standings are written meanwhile, too.
 	if most := 24 * 3 * 3 * 3 / 2; prepares > most {
 		t.Errorf("%d prepares, of %d at the most", prepares, most)
 	}
-	if wrote, most := written(park)-records, 24*3*3/2; wrote > most {
-		t.Errorf("%d writes, of %d at the most", wrote, most)
+	if recordWrites, most := countWrites(cluster)-records, 24*3*3/2; recordWrites > most {
+		t.Errorf("%d writes, of %d at the most", recordWrites, most)
 	}
-	park.OnCall = nil
-	if !park.Until(6*time.Second, func() bool {
+	cluster.OnCall = nil
+	if !cluster.Until(6*time.Second, func() bool {
 		for _, name := range names {
-			if !park.Datas[name].Holder.View().IsValid(park.Now()) {
+			if !cluster.Datas[name].Holder.View().IsValid(cluster.Now()) {
 				return false
 			}
 		}
@@ -421,48 +421,48 @@
 	t.Parallel()
 	skipLong(t)
 	plan := grown(420, 36, 6)
-	park := fleet.NewBarePark(6, plan)
-	defer park.Close()
-	for name := range park.Datas {
-		park.Crash(name)
+	cluster := fleet.NewBarePark(6, plan)
+	defer cluster.Close()
+	for name := range cluster.Datas {
+		cluster.Crash(name)
 	}
-	park.Must("c1", func(daemon *controlplane.Daemon) error {
+	cluster.Must("c1", func(daemon *controlplane.Daemon) error {
 		_, err := daemon.Init([]string{"c1", "c2", "c3"})
 		return err
 	})
-	park.Must("c1", func(daemon *controlplane.Daemon) error {
+	cluster.Must("c1", func(daemon *controlplane.Daemon) error {
 		_, err := daemon.Apply([]byte(plan.Document), nil, false)
 		return err
 	})
-	park.Run(10 * time.Second)
-	for _, from := range park.NodeNames() {
-		for _, to := range park.NodeNames() {
-			if fleet.Region(park.Zone(from)) != fleet.Region(park.Zone(to)) {
-				park.Delay(from, to, between)
+	cluster.Run(10 * time.Second)
+	for _, from := range cluster.NodeNames() {
+		for _, to := range cluster.NodeNames() {
+			if fleet.Region(cluster.Zone(from)) != fleet.Region(cluster.Zone(to)) {
+				cluster.Delay(from, to, between)
 			}
 		}
 	}
-	park.SyncTime, park.ServeTime = 20*time.Millisecond, time.Millisecond
-	began, writes := park.Now(), written(park)
-	for _, word := range plan.Datas {
-		name, _, _ := strings.Cut(word, ":")
-		park.StartData(name)
-	}
-	stand := 0
-	if !park.Until(10*time.Second, func() bool {
-		stand = 0
-		for _, daemon := range park.Datas {
-			if daemon.Holder.View().IsValid(park.Now()) {
-				stand++
+	cluster.SyncTime, cluster.ServeTime = 20*time.Millisecond, time.Millisecond
+	began, writes := cluster.Now(), countWrites(cluster)
+	for _, spec := range plan.Datas {
+		name, _, _ := strings.Cut(spec, ":")
+		cluster.StartData(name)
+	}
+	valid := 0
+	if !cluster.Until(10*time.Second, func() bool {
+		valid = 0
+		for _, daemon := range cluster.Datas {
+			if daemon.Holder.View().IsValid(cluster.Now()) {
+				valid++
 			}
 		}
-		return stand == len(park.Datas)
+		return valid == len(cluster.Datas)
 	}) {
-		t.Errorf("control traffic: %d of %d have a permit in the end", stand, len(park.Datas))
+		t.Errorf("control traffic: %d of %d have a permit in the end", valid, len(cluster.Datas))
 	}
-	records := written(park) - writes
-	t.Logf("%d of %d have a permit after %v, with %d writes", stand, len(park.Datas), park.Now()-began, records)
-	if records < len(park.Datas) {
+	records := countWrites(cluster) - writes
+	t.Logf("%d of %d have a permit after %v, with %d writes", valid, len(cluster.Datas), cluster.Now()-began, records)
+	if records < len(cluster.Datas) {
 		t.Errorf("vacuous: %d writes", records)
 	}
 }
--- a/fleet/emptied_test.go
+++ b/fleet/emptied_test.go
@@ -18,36 +18,36 @@
 	for seed := uint64(1); seed <= 3; seed++ {
 		plan := grown(24, 60, 6)
 		plan.Document = strings.Replace(plan.Document, `"limits":{`, `"limits":{"alone_ms":60000,"permit_ms":1800,"session_ms":1200,"platform_ms":1000,"dark_ms":900,"probe_ms":450,`, 1)
-		park := apart(seed, plan)
-		controls := slices.Sorted(maps.Keys(park.Controls))
+		cluster := apart(seed, plan)
+		controls := slices.Sorted(maps.Keys(cluster.Controls))
 		for range 6 {
 			split := func(isCut bool) {
 				for at, name := range controls {
-					park.Split([]string{name}, controls[at+1:], isCut)
+					cluster.Split([]string{name}, controls[at+1:], isCut)
 				}
 			}
 			split(true)
-			healed := time.Duration(1200+park.Draw(1200)) * time.Millisecond
+			healed := time.Duration(1200+cluster.Draw(1200)) * time.Millisecond
 			for spent := time.Duration(0); spent < 5*time.Second; spent += 20 * time.Millisecond {
 				if spent >= healed && spent < healed+20*time.Millisecond {
 					split(false)
 				}
-				park.Run(20 * time.Millisecond)
-				for _, region := range park.Regions() {
-					if park.Holder(region) == "" {
+				cluster.Run(20 * time.Millisecond)
+				for _, region := range cluster.Regions() {
+					if cluster.Holder(region) == "" {
 						lapses++
 					}
 				}
-				for name, daemon := range park.Datas {
-					for region, one := range daemon.Holder.View().RoutingTables {
-						if len(one.Places) == 0 {
-							t.Fatalf("emptied: seed %d, %v: %s goes by a standing of %s without replicas", seed, park.Now(), name, region)
+				for name, daemon := range cluster.Datas {
+					for region, table := range daemon.Holder.View().RoutingTables {
+						if len(table.Places) == 0 {
+							t.Fatalf("emptied: seed %d, %v: %s goes by a standing of %s without replicas", seed, cluster.Now(), name, region)
 						}
 					}
 				}
 			}
 		}
-		park.Close()
+		cluster.Close()
 	}
 	t.Logf("%d sights of a duty that nobody held", lapses)
 	if lapses < 20 {
--- a/fleet/ends_test.go
+++ b/fleet/ends_test.go
@@ -11,14 +11,14 @@
 	"swifttiller/settings"
 )
 
-// told are limits that say what replicas are like or what users bear; a setting that
+// descriptiveLimits are limits that say what replicas are like or what users bear; a setting that
 // is not so breaks its promise by itself, and no rule can be held against it. The
 // archive's is what Vary varies.
-var told = map[string]bool{"cold_share": true, "warm_ms": true, "warm_answers": true, "prompt_unit_bytes": true, "answer_unit_tokens": true, "stall_ms": true, "request_ms": true, "archive_ms": true}
+var descriptiveLimits = map[string]bool{"cold_share": true, "warm_ms": true, "warm_answers": true, "prompt_unit_bytes": true, "answer_unit_tokens": true, "stall_ms": true, "request_ms": true, "archive_ms": true}
 
-// along are limits that have to go along with another's end, by the checks, and what
+// companionLimits are limits that have to go along with another's end, by the checks, and what
 // the most is then.
-var along = map[string]string{"probe_ms most": `"dark_ms":10000,`, "dark_ms least": `"probe_ms":50,`}
+var companionLimits = map[string]string{"probe_ms most": `"dark_ms":10000,`, "dark_ms least": `"probe_ms":50,`}
 
 // TestSettingsAtTheirEnds: what must never happen does not happen either with any one
 // limit at the least or the most that the checks let an operator set.
@@ -29,7 +29,7 @@
 	}
 	names := []string{"sahayogi", "sklepik"}
 	for limit, bound := range settings.Limits {
-		if told[limit] {
+		if descriptiveLimits[limit] {
 			continue
 		}
 		for end, value := range map[string]float64{"least": bound.Min, "most": bound.Max} {
@@ -42,25 +42,25 @@
 					t.Parallel()
 					plan := fleet.Plans[name]()
 					// In the place of the plan's own value, if it has one.
-					mine := fmt.Sprintf(`"%s":%g`, limit, value)
-					if own := regexp.MustCompile(`"` + limit + `":[0-9.]+`); own.MatchString(plan.Document) {
-						plan.Document = own.ReplaceAllString(plan.Document, mine)
+					setting := fmt.Sprintf(`"%s":%g`, limit, value)
+					if existing := regexp.MustCompile(`"` + limit + `":[0-9.]+`); existing.MatchString(plan.Document) {
+						plan.Document = existing.ReplaceAllString(plan.Document, setting)
 					} else {
-						plan.Document = strings.Replace(plan.Document, `"limits":{`, `"limits":{`+along[limit+" "+end]+mine+",", 1)
+						plan.Document = strings.Replace(plan.Document, `"limits":{`, `"limits":{`+companionLimits[limit+" "+end]+setting+",", 1)
 					}
 					tree, problems := settings.Parse([]byte(plan.Document))
 					if len(problems) > 0 || tree.Limit(limit, "") != value {
 						t.Fatalf("vacuous: %v %v", problems, plan.Document)
 					}
-					park := fleet.NewPark(seed, plan)
-					defer park.Close()
-					park.Run(warm)
-					facts := park.Begin()
+					cluster := fleet.NewPark(seed, plan)
+					defer cluster.Close()
+					cluster.Run(warm)
+					facts := cluster.Begin()
 					facts.SmallShare = 0.1
-					passed := park.Day(&facts, seed+7, 14, 40*time.Second)
-					park.Quiet = true
-					park.Run(15 * time.Second)
-					broken, judged := fleet.Check(park, facts)
+					passed := cluster.Day(&facts, seed+7, 14, 40*time.Second)
+					cluster.Quiet = true
+					cluster.Run(15 * time.Second)
+					broken, judged := fleet.Check(cluster, facts)
 					show(t, seed, broken)
 					if judged["foreign"] == 0 || len(passed) < 5 {
 						t.Errorf("vacuous: judged %v on %v", judged, passed)
--- a/fleet/engine_test.go
+++ b/fleet/engine_test.go
@@ -13,229 +13,229 @@
 	"swifttiller/verdict"
 )
 
-// told is what became of one request that was sent to an engine.
-type told struct {
-	first, last, pause time.Duration // since it was sent
-	events             int
-	err                error
-	mishap             *verdict.Error
-	head               replica.Head
+// requestResult is what became of one request that was sent to an engine.
+type requestResult struct {
+	first, last, longestPause time.Duration // since it was sent
+	events                    int
+	err                       error
+	failure                   *verdict.Error
+	head                      replica.Head
 }
 
-// lone is a park of one engine, and a node that sends to it.
-type lone struct {
+// engineHarness is a park of one engine, and a node that sends to it.
+type engineHarness struct {
 	*Park
 	relayer *relayer
 	count   int
 }
 
-func newLone(t *testing.T, change func(*EngineOptions)) *lone {
+func newEngineHarness(t *testing.T, change func(*EngineOptions)) *engineHarness {
 	options := engine("e", "a-1", mainModel, true)
 	change(&options)
-	park := NewBarePark(1, Plan{Engines: []EngineOptions{options}})
-	t.Cleanup(park.Close)
-	park.Latency, park.Jitter = time.Microsecond, 0
-	park.zones["d"] = "a-1"
-	park.Start("d", func(*sim.Node) {})
-	return &lone{Park: park, relayer: &relayer{park, park.Node("d"), map[string][]*wireLine{}}}
+	cluster := NewBarePark(1, Plan{Engines: []EngineOptions{options}})
+	t.Cleanup(cluster.Close)
+	cluster.Latency, cluster.Jitter = time.Microsecond, 0
+	cluster.zones["d"] = "a-1"
+	cluster.Start("d", func(*sim.Node) {})
+	return &engineHarness{Park: cluster, relayer: &relayer{cluster, cluster.Node("d"), map[string][]*wireLine{}}}
 }
 
 // send sends a request now, and notes what becomes of it.
-func (lone *lone) send(urgency, most int, left time.Duration, parts ...decide.Part) *told {
-	lone.count++
-	id, out := fmt.Sprint("r", lone.count), &told{}
-	lone.askedOf[id] = asked{parts, most}
-	lone.Node("d").Go(func() {
-		sent := lone.Now()
-		ask := &replica.RoutedRequest{Replica: lone.Engines["e"].Life, Address: "e", ID: id, Remaining: left, Urgency: urgency, ConnectTimeout: time.Second, UnackedTimeout: 2 * time.Second, Gate: func() *verdict.Error { return nil }}
-		answer, mishap := lone.relayer.Send(ask)
-		if mishap != nil {
-			out.mishap = mishap
+func (harness *engineHarness) send(urgency, maxTokens int, remaining time.Duration, parts ...decide.Part) *requestResult {
+	harness.count++
+	id, result := fmt.Sprint("r", harness.count), &requestResult{}
+	harness.askedOf[id] = asked{parts, maxTokens}
+	harness.Node("d").Go(func() {
+		sent := harness.Now()
+		request := &replica.RoutedRequest{Replica: harness.Engines["e"].Life, Address: "e", ID: id, Remaining: remaining, Urgency: urgency, ConnectTimeout: time.Second, UnackedTimeout: 2 * time.Second, Gate: func() *verdict.Error { return nil }}
+		answer, failure := harness.relayer.Send(request)
+		if failure != nil {
+			result.failure = failure
 			return
 		}
-		out.head = answer.Head
+		result.head = answer.Head
 		defer answer.Close()
 		for {
 			_, err := answer.Next()
-			now := lone.Now() - sent
+			now := harness.Now() - sent
 			if err != nil {
-				out.err, out.last = err, now
+				result.err, result.last = err, now
 				return
 			}
-			if out.events++; out.first == 0 {
-				out.first = now
+			if result.events++; result.first == 0 {
+				result.first = now
 			} else {
-				out.pause = max(out.pause, now-out.last)
+				result.longestPause = max(result.longestPause, now-result.last)
 			}
-			out.last = now
+			result.last = now
 		}
 	})
-	return out
+	return result
 }
 
-func near(t *testing.T, what string, got, want time.Duration) {
+func checkDuration(t *testing.T, phase string, took, want time.Duration) {
 	t.Helper()
-	if got < want-want/50-time.Millisecond || got > want+want/50+time.Millisecond {
-		t.Errorf("%s took %v, not %v", what, got, want)
+	if took < want-want/50-time.Millisecond || took > want+want/50+time.Millisecond {
+		t.Errorf("%s took %v, not %v", phase, took, want)
 	}
 }
 
-const someTime = 20 * time.Second
+const ampleTime = 20 * time.Second
 
 // TestEngine: the stand-in has the properties that it stands in for.
 func TestEngine(t *testing.T) {
 	t.Parallel()
 	plain := func(*EngineOptions) {}
-	reading := func(tokens int) time.Duration {
+	prefillTime := func(tokens int) time.Duration {
 		return time.Duration(float64(tokens) / 54.6 * float64(time.Millisecond))
 	}
 	const step, each, first = 5610 * time.Microsecond, 121 * time.Microsecond, 61 * time.Millisecond
 	shared, own := decide.Part{ID: 1, Tokens: 13300}, func(id uint64) decide.Part { return decide.Part{ID: id, Tokens: 3720} }
 
 	t.Run("prompts are read, parts kept, and tokens come in strides", func(t *testing.T) {
-		lone := newLone(t, plain)
-		one := lone.send(5, 10, someTime, shared, own(2))
-		lone.Run(2 * time.Second)
-		near(t, "the first piece", one.first, reading(17020)+first+4*(step+each))
-		near(t, "the whole", one.last, reading(17020)+first+10*(step+each))
-		if one.events != 3 || !errors.Is(one.err, io.EOF) || !one.head.HasLoad || one.head.Running != 1 || one.head.Slots != 64 {
-			t.Errorf("got %d events, %v, %+v", one.events, one.err, one.head)
-		}
-		two := lone.send(5, 4, someTime, shared, own(3))
-		lone.Run(2 * time.Second)
-		near(t, "the first piece behind kept parts", two.first, reading(3720)+first+4*(step+each))
+		harness := newEngineHarness(t, plain)
+		request := harness.send(5, 10, ampleTime, shared, own(2))
+		harness.Run(2 * time.Second)
+		checkDuration(t, "the first piece", request.first, prefillTime(17020)+first+4*(step+each))
+		checkDuration(t, "the whole", request.last, prefillTime(17020)+first+10*(step+each))
+		if request.events != 3 || !errors.Is(request.err, io.EOF) || !request.head.HasLoad || request.head.Running != 1 || request.head.Slots != 64 {
+			t.Errorf("got %d events, %v, %+v", request.events, request.err, request.head)
+		}
+		second := harness.send(5, 4, ampleTime, shared, own(3))
+		harness.Run(2 * time.Second)
+		checkDuration(t, "the first piece behind kept parts", second.first, prefillTime(3720)+first+4*(step+each))
 		// The last part counts as kept only behind all before it.
-		three := lone.send(5, 4, someTime, decide.Part{ID: 9, Tokens: 100}, own(3))
-		lone.Run(2 * time.Second)
-		near(t, "the first piece behind another beginning", three.first, reading(3820)+first+4*(step+each))
-		if e := lone.Engines["e"]; e.ReadTokens != 17020+3720+3820 || e.KeptTokens != 13300 || e.AgainTokens != 3720 {
+		third := harness.send(5, 4, ampleTime, decide.Part{ID: 9, Tokens: 100}, own(3))
+		harness.Run(2 * time.Second)
+		checkDuration(t, "the first piece behind another beginning", third.first, prefillTime(3820)+first+4*(step+each))
+		if e := harness.Engines["e"]; e.ReadTokens != 17020+3720+3820 || e.KeptTokens != 13300 || e.AgainTokens != 3720 {
 			t.Errorf("read %d, kept %d, again %d", e.ReadTokens, e.KeptTokens, e.AgainTokens)
 		}
 	})
 	t.Run("tokens come more slowly as more run", func(t *testing.T) {
-		lone := newLone(t, plain)
-		var all []*told
+		harness := newEngineHarness(t, plain)
+		var requests []*requestResult
 		for id := range uint64(20) {
-			all = append(all, lone.send(5, 400, someTime, decide.Part{ID: 100 + id, Tokens: 10}))
+			requests = append(requests, harness.send(5, 400, ampleTime, decide.Part{ID: 100 + id, Tokens: 10}))
 		}
-		lone.Run(10 * time.Second)
-		near(t, "400 tokens among 20", all[19].last-all[19].first, 396*(step+20*each))
+		harness.Run(10 * time.Second)
+		checkDuration(t, "400 tokens among 20", requests[19].last-requests[19].first, 396*(step+20*each))
 	})
 	t.Run("prompts are read between the tokens of others", func(t *testing.T) {
-		lone := newLone(t, plain)
-		one := lone.send(5, 400, someTime, decide.Part{ID: 4, Tokens: 10})
-		lone.Run(time.Second)
-		before := one.pause
-		lone.send(5, 4, someTime, shared, own(5))
-		lone.Run(2 * time.Second)
-		near(t, "a pause beside reading", one.pause, 4*(step+each+reading(1024)))
-		near(t, "a pause without", before, 4*(step+each))
+		harness := newEngineHarness(t, plain)
+		request := harness.send(5, 400, ampleTime, decide.Part{ID: 4, Tokens: 10})
+		harness.Run(time.Second)
+		before := request.longestPause
+		harness.send(5, 4, ampleTime, shared, own(5))
+		harness.Run(2 * time.Second)
+		checkDuration(t, "a pause beside reading", request.longestPause, 4*(step+each+prefillTime(1024)))
+		checkDuration(t, "a pause without", before, 4*(step+each))
 	})
 	t.Run("parts unused for longest give way", func(t *testing.T) {
-		lone := newLone(t, func(options *EngineOptions) { options.CacheTokens = 1000 })
+		harness := newEngineHarness(t, func(options *EngineOptions) { options.CacheTokens = 1000 })
 		for _, id := range []uint64{1, 2, 1, 3} { // 3 makes 2 give way
-			lone.send(5, 1, someTime, decide.Part{ID: id, Tokens: 400})
-			lone.Run(time.Second)
+			harness.send(5, 1, ampleTime, decide.Part{ID: id, Tokens: 400})
+			harness.Run(time.Second)
 		}
-		e := lone.Engines["e"]
+		e := harness.Engines["e"]
 		if e.ReadTokens != 1200 || e.KeptTokens != 400 {
 			t.Errorf("read %d, kept %d", e.ReadTokens, e.KeptTokens)
 		}
-		lone.send(5, 1, someTime, decide.Part{ID: 1, Tokens: 400})
-		lone.Run(time.Second)
-		lone.send(5, 1, someTime, decide.Part{ID: 2, Tokens: 400})
-		lone.Run(time.Second)
+		harness.send(5, 1, ampleTime, decide.Part{ID: 1, Tokens: 400})
+		harness.Run(time.Second)
+		harness.send(5, 1, ampleTime, decide.Part{ID: 2, Tokens: 400})
+		harness.Run(time.Second)
 		if e.ReadTokens != 1600 || e.KeptTokens != 800 {
 			t.Errorf("then read %d, kept %d", e.ReadTokens, e.KeptTokens)
 		}
 	})
 	t.Run("the newest of the least urgent is put back when memory runs out", func(t *testing.T) {
-		lone := newLone(t, func(options *EngineOptions) { options.CacheTokens = 1000 })
-		urgent := lone.send(0, 300, someTime, decide.Part{ID: 1, Tokens: 300})
-		lone.Run(50 * time.Millisecond)
-		old := lone.send(5, 300, someTime, decide.Part{ID: 2, Tokens: 300})
-		lone.Run(10 * time.Millisecond)
-		lone.send(5, 100, someTime, decide.Part{ID: 3, Tokens: 10})
-		lone.Run(10 * time.Second)
-		e := lone.Engines["e"]
+		harness := newEngineHarness(t, func(options *EngineOptions) { options.CacheTokens = 1000 })
+		urgent := harness.send(0, 300, ampleTime, decide.Part{ID: 1, Tokens: 300})
+		harness.Run(50 * time.Millisecond)
+		old := harness.send(5, 300, ampleTime, decide.Part{ID: 2, Tokens: 300})
+		harness.Run(10 * time.Millisecond)
+		harness.send(5, 100, ampleTime, decide.Part{ID: 3, Tokens: 10})
+		harness.Run(10 * time.Second)
+		e := harness.Engines["e"]
 		if e.PutBack == 0 || e.AgainTokens == 0 {
 			t.Errorf("put back %d, read again %d", e.PutBack, e.AgainTokens)
 		}
-		for _, one := range []*told{urgent, old} {
-			if one.events != 75 || !errors.Is(one.err, io.EOF) {
-				t.Errorf("got %d events, %v", one.events, one.err)
+		for _, request := range []*requestResult{urgent, old} {
+			if request.events != 75 || !errors.Is(request.err, io.EOF) {
+				t.Errorf("got %d events, %v", request.events, request.err)
 			}
 		}
-		if urgent.pause > 100*time.Millisecond {
-			t.Errorf("the urgent one paused for %v", urgent.pause)
+		if urgent.longestPause > 100*time.Millisecond {
+			t.Errorf("the urgent one paused for %v", urgent.longestPause)
 		}
 	})
 	t.Run("urgent ones get in first, and a full one turns away", func(t *testing.T) {
-		lone := newLone(t, func(options *EngineOptions) { options.Berths, options.Queue = 1, 2 })
-		var all []*told
+		harness := newEngineHarness(t, func(options *EngineOptions) { options.Berths, options.Queue = 1, 2 })
+		var requests []*requestResult
 		for id := range uint64(4) {
-			all = append(all, lone.send(5, 100, someTime, decide.Part{ID: 10 + id, Tokens: 10}))
-			lone.Run(5 * time.Millisecond)
-		}
-		urgent := lone.send(0, 100, someTime, decide.Part{ID: 20, Tokens: 10})
-		lone.Run(10 * time.Second)
-		turned := 0
-		for _, one := range all {
-			if one.mishap != nil {
-				turned++
-				if one.mishap.Verdict != verdict.NotRun || one.mishap.Code != "replica_declined" {
-					t.Errorf("turned away with %v %s", one.mishap.Verdict, one.mishap.Code)
+			requests = append(requests, harness.send(5, 100, ampleTime, decide.Part{ID: 10 + id, Tokens: 10}))
+			harness.Run(5 * time.Millisecond)
+		}
+		urgent := harness.send(0, 100, ampleTime, decide.Part{ID: 20, Tokens: 10})
+		harness.Run(10 * time.Second)
+		rejected := 0
+		for _, request := range requests {
+			if request.failure != nil {
+				rejected++
+				if request.failure.Verdict != verdict.NotRun || request.failure.Code != "replica_declined" {
+					t.Errorf("turned away with %v %s", request.failure.Verdict, request.failure.Code)
 				}
 			}
 		}
-		if turned != 2 || urgent.mishap != nil || urgent.last > 900*time.Millisecond {
-			t.Errorf("%d were turned away; the urgent one took %v, %v", turned, urgent.last, urgent.mishap)
+		if rejected != 2 || urgent.failure != nil || urgent.last > 900*time.Millisecond {
+			t.Errorf("%d were turned away; the urgent one took %v, %v", rejected, urgent.last, urgent.failure)
 		}
 	})
 	t.Run("one larger than the memory, and one whose time ends in the queue", func(t *testing.T) {
-		lone := newLone(t, func(options *EngineOptions) { options.CacheTokens, options.Berths = 1000, 1 })
-		large := lone.send(5, 10, someTime, decide.Part{ID: 1, Tokens: 995})
-		lone.send(5, 100, someTime, decide.Part{ID: 2, Tokens: 10})
-		lone.Run(10 * time.Millisecond)
-		late := lone.send(5, 10, 300*time.Millisecond, decide.Part{ID: 3, Tokens: 10})
-		lone.Run(3 * time.Second)
-		if large.mishap == nil || large.mishap.Verdict != verdict.NotRun {
+		harness := newEngineHarness(t, func(options *EngineOptions) { options.CacheTokens, options.Berths = 1000, 1 })
+		large := harness.send(5, 10, ampleTime, decide.Part{ID: 1, Tokens: 995})
+		harness.send(5, 100, ampleTime, decide.Part{ID: 2, Tokens: 10})
+		harness.Run(10 * time.Millisecond)
+		late := harness.send(5, 10, 300*time.Millisecond, decide.Part{ID: 3, Tokens: 10})
+		harness.Run(3 * time.Second)
+		if large.failure == nil || large.failure.Verdict != verdict.NotRun {
 			t.Errorf("the large one: %+v", large)
 		}
 		// Its client's own time ends first, and that says nothing of having run.
-		if late.mishap == nil || late.mishap.Code != "expired" || lone.Runs[2].Ran != 0 {
-			t.Errorf("the late one: %+v, %+v", late.mishap, lone.Runs[2])
+		if late.failure == nil || late.failure.Code != "expired" || harness.Runs[2].Ran != 0 {
+			t.Errorf("the late one: %+v, %+v", late.failure, harness.Runs[2])
 		}
 	})
 	t.Run("another life, a leaving one, and a cold one that gets too much", func(t *testing.T) {
-		lone := newLone(t, plain)
-		lone.send(5, 1, someTime, decide.Part{ID: 1, Tokens: 10})
-		lone.Run(time.Second)
-		lone.Engines["e"].Leaving = true
-		lone.send(5, 1, someTime, decide.Part{ID: 1, Tokens: 10})
-		lone.Run(time.Second)
-		if lone.Dialled != 1 || len(lone.relayer.idle["e"]) != 0 {
-			t.Errorf("%d connections, %d kept to one that leaves", lone.Dialled, len(lone.relayer.idle["e"]))
-		}
-		meant := lone.Engines["e"].Life
-		lone.Crash("e")
-		lone.StartEngine(lone.Engines["e"].EngineOptions)
-		lone.Run(10 * time.Millisecond)
-		var mishap *verdict.Error
-		lone.askedOf["x"] = asked{most: 1}
-		lone.Node("d").Go(func() {
-			_, mishap = lone.relayer.Send(&replica.RoutedRequest{Replica: meant, Address: "e", ID: "x", Remaining: someTime, ConnectTimeout: time.Second, Gate: func() *verdict.Error { return nil }})
+		harness := newEngineHarness(t, plain)
+		harness.send(5, 1, ampleTime, decide.Part{ID: 1, Tokens: 10})
+		harness.Run(time.Second)
+		harness.Engines["e"].Leaving = true
+		harness.send(5, 1, ampleTime, decide.Part{ID: 1, Tokens: 10})
+		harness.Run(time.Second)
+		if harness.Dialled != 1 || len(harness.relayer.idle["e"]) != 0 {
+			t.Errorf("%d connections, %d kept to one that leaves", harness.Dialled, len(harness.relayer.idle["e"]))
+		}
+		previousLife := harness.Engines["e"].Life
+		harness.Crash("e")
+		harness.StartEngine(harness.Engines["e"].EngineOptions)
+		harness.Run(10 * time.Millisecond)
+		var failure *verdict.Error
+		harness.askedOf["x"] = asked{most: 1}
+		harness.Node("d").Go(func() {
+			_, failure = harness.relayer.Send(&replica.RoutedRequest{Replica: previousLife, Address: "e", ID: "x", Remaining: ampleTime, ConnectTimeout: time.Second, Gate: func() *verdict.Error { return nil }})
 		})
-		lone.Run(100 * time.Millisecond)
-		if mishap == nil || mishap.Code != replica.RestartedCode || !lone.Runs[2].Elsewhere {
-			t.Errorf("meant for another life: %v", mishap)
+		harness.Run(100 * time.Millisecond)
+		if failure == nil || failure.Code != replica.RestartedCode || !harness.Runs[2].Elsewhere {
+			t.Errorf("meant for another life: %v", failure)
 		}
 		for id := range uint64(100) {
-			lone.send(5, 1, someTime, decide.Part{ID: 100 + id, Tokens: 10})
+			harness.send(5, 1, ampleTime, decide.Part{ID: 100 + id, Tokens: 10})
 		}
-		lone.Run(time.Second)
-		if lone.Fallen != 1 || lone.Node("e").Up() {
-			t.Errorf("fell over %d times", lone.Fallen)
+		harness.Run(time.Second)
+		if harness.Fallen != 1 || harness.Node("e").Up() {
+			t.Errorf("fell over %d times", harness.Fallen)
 		}
 	})
 }
--- a/fleet/explain_test.go
+++ b/fleet/explain_test.go
@@ -39,9 +39,9 @@
 	if len(list) != 1 || list[0].Attempts != 9 || list[0].Failed != 1 || list[0].Late != 7 || list[0].ReadAgain != 1200 {
 		t.Fatalf("%+v", list)
 	}
-	for _, one := range []fleet.Cause{fleet.CauseTriedBefore, fleet.CauseHeld, fleet.CauseTooLong, fleet.CauseReadAgain, fleet.CauseQueuedAtOwner, fleet.CauseFar, fleet.CauseQueued} {
-		if list[0].Causes[one] != 1 {
-			t.Errorf("%d are late as %s", list[0].Causes[one], one)
+	for _, cause := range []fleet.Cause{fleet.CauseTriedBefore, fleet.CauseHeld, fleet.CauseTooLong, fleet.CauseReadAgain, fleet.CauseQueuedAtOwner, fleet.CauseFar, fleet.CauseQueued} {
+		if list[0].Causes[cause] != 1 {
+			t.Errorf("%d are late as %s", list[0].Causes[cause], cause)
 		}
 	}
 	if list[0].Median != 800*time.Millisecond || list[0].P95 != 1100*time.Millisecond {
--- a/fleet/fault_test.go
+++ b/fleet/fault_test.go
@@ -20,22 +20,22 @@
 func show(t *testing.T, seed uint64, broken []fleet.Broken) {
 	t.Helper()
 	shown := map[string]int{}
-	for _, one := range broken {
-		if shown[one.Rule]++; shown[one.Rule] <= 3 {
-			t.Errorf("seed %d: %v", seed, one)
+	for _, violation := range broken {
+		if shown[violation.Rule]++; shown[violation.Rule] <= 3 {
+			t.Errorf("seed %d: %v", seed, violation)
 		}
 	}
 }
 
 // ends lets things settle after faults, counts what is served then, and lets the
 // callers end.
-func ends(park *fleet.Park) (answered, asked int) {
-	park.Run(10 * time.Second)
-	from := park.Now()
-	park.Run(8 * time.Second)
-	answered, asked = fleet.Rate(park, from, park.Now())
-	park.Quiet = true
-	park.Run(12 * time.Second)
+func ends(cluster *fleet.Park) (answered, asked int) {
+	cluster.Run(10 * time.Second)
+	from := cluster.Now()
+	cluster.Run(8 * time.Second)
+	answered, asked = fleet.Rate(cluster, from, cluster.Now())
+	cluster.Quiet = true
+	cluster.Run(12 * time.Second)
 	return answered, asked
 }
 
@@ -43,18 +43,18 @@
 // must serve again at the end.
 func try(t *testing.T, plan string, seed uint64, faults ...fleet.Fault) {
 	t.Helper()
-	park := fleet.NewPark(seed, fleet.Plans[plan]())
-	defer park.Close()
-	park.Run(warm)
-	facts := park.Begin()
+	cluster := fleet.NewPark(seed, fleet.Plans[plan]())
+	defer cluster.Close()
+	cluster.Run(warm)
+	facts := cluster.Begin()
 	facts.Planned = true
 	for _, fault := range faults {
 		facts.Planned = facts.Planned && fault.Planned
-		fault.Run(park, &facts)
-		park.Run(time.Duration(park.Draw(int64(3 * time.Second))))
+		fault.Run(cluster, &facts)
+		cluster.Run(time.Duration(cluster.Draw(int64(3 * time.Second))))
 	}
-	answered, asked := ends(park)
-	broken, judged := fleet.Check(park, facts)
+	answered, asked := ends(cluster)
+	broken, judged := fleet.Check(cluster, facts)
 	show(t, seed, broken)
 	for _, missed := range facts.Missed {
 		t.Errorf("%s seed %d: vacuous: %v", plan, seed, missed)
@@ -103,11 +103,11 @@
 		seed := *first + offset
 		name := []string{"sahayogi", "sklepik"}[seed%2]
 		draw := rand.New(rand.NewPCG(seed, 5))
-		one := fleet.Faults[draw.IntN(len(fleet.Faults))]
-		two := fleet.Faults[draw.IntN(len(fleet.Faults))]
-		t.Run(fmt.Sprintf("%s/%s then %s/%d", name, one.Name, two.Name, seed), func(t *testing.T) {
+		earlier := fleet.Faults[draw.IntN(len(fleet.Faults))]
+		later := fleet.Faults[draw.IntN(len(fleet.Faults))]
+		t.Run(fmt.Sprintf("%s/%s then %s/%d", name, earlier.Name, later.Name, seed), func(t *testing.T) {
 			t.Parallel()
-			try(t, name, seed, one, two)
+			try(t, name, seed, earlier, later)
 			if t.Failed() {
 				t.Logf("replay: go test ./fleet -run 'TestFaultsInPairs/.*/.*/%d$' -seed %d", seed, seed)
 			}
@@ -129,17 +129,17 @@
 		t.Run(fault.Name, func(t *testing.T) {
 			t.Parallel()
 			run := func() (steps, served int) {
-				park := fleet.NewPark(77, fleet.Sklepik())
-				defer park.Close()
-				park.Run(8 * time.Second)
-				facts := park.Begin()
-				fault.Run(park, &facts)
-				park.Run(5 * time.Second)
-				return park.Steps, len(park.Logs())
+				cluster := fleet.NewPark(77, fleet.Sklepik())
+				defer cluster.Close()
+				cluster.Run(8 * time.Second)
+				facts := cluster.Begin()
+				fault.Run(cluster, &facts)
+				cluster.Run(5 * time.Second)
+				return cluster.Steps, len(cluster.Logs())
 			}
 			steps, served := run()
-			if again, servedAgain := run(); again != steps || servedAgain != served {
-				t.Errorf("the same seed took %d steps and %d, served %d and %d", steps, again, served, servedAgain)
+			if stepsAgain, servedAgain := run(); stepsAgain != steps || servedAgain != served {
+				t.Errorf("the same seed took %d steps and %d, served %d and %d", steps, stepsAgain, served, servedAgain)
 			}
 		})
 	}
--- a/fleet/grey_test.go
+++ b/fleet/grey_test.go
@@ -11,43 +11,43 @@
 	"swifttiller/fleet"
 )
 
-// partlySeeds are how many seeds a share is of: one seed's is a matter of two or three
+// partialFailureSeeds are how many seeds a share is of: one seed's is a matter of two or three
 // requests.
-const partlySeeds = 4
+const partialFailureSeeds = 4
 
-// partly has some engines fail in part for a while, and gives what share of the requests
+// measurePartialFailure has some engines fail in part for a while, and gives what share of the requests
 // made meanwhile ended well, over all seeds.
-func partly(t *testing.T, change func(park *fleet.Park, engine *fleet.Engine, isIll bool)) float64 {
+func measurePartialFailure(t *testing.T, change func(cluster *fleet.Park, engine *fleet.Engine, isFaulty bool)) float64 {
 	t.Helper()
 	answered, asked := 0, 0
-	for seed := uint64(1); seed <= partlySeeds; seed++ {
-		well, all := partlyOnce(t, seed, change)
-		answered, asked = answered+well, asked+all
+	for seed := uint64(1); seed <= partialFailureSeeds; seed++ {
+		succeeded, total := measurePartialFailureOnce(t, seed, change)
+		answered, asked = answered+succeeded, asked+total
 	}
 	t.Logf("%s: %d of %d ended well", t.Name(), answered, asked)
 	return float64(answered) / float64(max(1, asked))
 }
 
-func partlyOnce(t *testing.T, seed uint64, change func(park *fleet.Park, engine *fleet.Engine, isIll bool)) (answered, asked int) {
+func measurePartialFailureOnce(t *testing.T, seed uint64, change func(cluster *fleet.Park, engine *fleet.Engine, isFaulty bool)) (answered, asked int) {
 	t.Helper()
-	park := fleet.NewPark(seed, fleet.RoutedShapes["large"].Plan())
-	defer park.Close()
-	park.Run(warmRouted)
-	facts := park.BeginRouted()
-	index, until := 0, park.Now()+20*time.Second
-	for _, options := range park.Plan.Engines {
+	cluster := fleet.NewPark(seed, fleet.RoutedShapes["large"].Plan())
+	defer cluster.Close()
+	cluster.Run(warmRouted)
+	facts := cluster.BeginRouted()
+	index, until := 0, cluster.Now()+20*time.Second
+	for _, options := range cluster.Plan.Engines {
 		index++
-		change(park, park.Engines[options.Name], index%4 == 1)
+		change(cluster, cluster.Engines[options.Name], index%4 == 1)
 	}
-	park.Run(until - park.Now())
-	answered, asked = fleet.RoutedRate(park, facts.From, until-3*time.Second)
-	for _, options := range park.Plan.Engines {
-		park.Engines[options.Name].Grey, park.Engines[options.Name].SaysIll = fleet.Grey{}, false
+	cluster.Run(until - cluster.Now())
+	answered, asked = fleet.RoutedRate(cluster, facts.From, until-3*time.Second)
+	for _, options := range cluster.Plan.Engines {
+		cluster.Engines[options.Name].Grey, cluster.Engines[options.Name].SaysIll = fleet.Grey{}, false
 	}
-	park.Run(4 * time.Second)
-	park.Quiet = true
-	park.Run(6500 * time.Millisecond)
-	broken, _ := fleet.CheckRouted(park, facts)
+	cluster.Run(4 * time.Second)
+	cluster.Quiet = true
+	cluster.Run(6500 * time.Millisecond)
+	broken, _ := fleet.CheckRouted(cluster, facts)
 	show(t, seed, broken)
 	return answered, asked
 }
@@ -56,7 +56,7 @@
 // answered well are left alone by those whom they fail.
 func TestPartlyFailing(t *testing.T) {
 	t.Parallel()
-	for _, one := range []struct {
+	for _, scenario := range []struct {
 		name string
 		grey fleet.Grey
 		slow float64
@@ -72,17 +72,17 @@
 		{"for one zone", fleet.Grey{How: "errors", Share: 0.8, Zone: "east-1"}, 0, 0.985},
 		{"slow", fleet.Grey{}, 8, 0.974},
 	} {
-		t.Run(one.name, func(t *testing.T) {
+		t.Run(scenario.name, func(t *testing.T) {
 			t.Parallel()
-			share := partly(t, func(_ *fleet.Park, engine *fleet.Engine, isIll bool) {
-				if isIll {
-					engine.Grey = one.grey
-					if one.slow > 0 {
-						engine.Slower = one.slow
+			share := measurePartialFailure(t, func(_ *fleet.Park, engine *fleet.Engine, isFaulty bool) {
+				if isFaulty {
+					engine.Grey = scenario.grey
+					if scenario.slow > 0 {
+						engine.Slower = scenario.slow
 					}
 				}
 			})
-			if share < one.least {
+			if share < scenario.least {
 				t.Errorf("%.3f ended well", share)
 			}
 		})
@@ -93,8 +93,8 @@
 // the others when some say that they are well and fail all (TestPartlyFailing).
 func TestFalseProbes(t *testing.T) {
 	t.Parallel()
-	share := partly(t, func(park *fleet.Park, engine *fleet.Engine, _ bool) {
-		engine.SaysIll = fleet.Region(engine.Zone) == park.Shape.Regions[0]
+	share := measurePartialFailure(t, func(cluster *fleet.Park, engine *fleet.Engine, _ bool) {
+		engine.SaysIll = fleet.Region(engine.Zone) == cluster.Shape.Regions[0]
 	})
 	if share < 1 {
 		t.Errorf("%.3f ended well", share)
@@ -102,9 +102,9 @@
 }
 
 // busiest are the engines that got the most requests since a time, the most first.
-func busiest(park *fleet.Park, since time.Duration, count int) (names []string) {
+func busiest(cluster *fleet.Park, since time.Duration, count int) (names []string) {
 	runs := map[string]int{}
-	for _, run := range park.Runs {
+	for _, run := range cluster.Runs {
 		if run.At > since {
 			runs[run.Engine]++
 		}
@@ -116,9 +116,9 @@
 	return names[:min(count, len(names))]
 }
 
-// startFades is how long after the start its crowd no longer speaks against an engine: one
+// startupWindow is how long after the start its crowd no longer speaks against an engine: one
 // whose first pieces were mostly late then may be taken out for saying that it is ill.
-const startFades = 12 * time.Second
+const startupWindow = 12 * time.Second
 
 // TestProbesWordIsNotEnough: engines that say that they are ill and serve well get requests.
 func TestProbesWordIsNotEnough(t *testing.T) {
@@ -130,18 +130,18 @@
 	for seed := uint64(1); seed <= last; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			park := fleet.NewPark(seed, fleet.RoutedShapes["large"].Plan())
-			defer park.Close()
-			park.Run(warmRouted + startFades)
-			ill := busiest(park, 0, 5)
-			for _, name := range ill {
-				park.Engines[name].SaysIll = true
+			cluster := fleet.NewPark(seed, fleet.RoutedShapes["large"].Plan())
+			defer cluster.Close()
+			cluster.Run(warmRouted + startupWindow)
+			unhealthy := busiest(cluster, 0, 5)
+			for _, name := range unhealthy {
+				cluster.Engines[name].SaysIll = true
 			}
-			park.Run(8 * time.Second)
-			from := park.Now()
-			park.Run(6 * time.Second)
-			used := busiest(park, from, 100)
-			for _, name := range ill {
+			cluster.Run(8 * time.Second)
+			from := cluster.Now()
+			cluster.Run(6 * time.Second)
+			used := busiest(cluster, from, 100)
+			for _, name := range unhealthy {
 				if !slices.Contains(used, name) {
 					t.Errorf("%s says that it is ill, and gets nothing", name)
 				}
@@ -150,37 +150,37 @@
 	}
 }
 
-func others(park *fleet.Park, name string) []string {
-	return slices.DeleteFunc(slices.Clone(park.NodeNames()), func(other string) bool { return other == name })
+func others(cluster *fleet.Park, name string) []string {
+	return slices.DeleteFunc(slices.Clone(cluster.NodeNames()), func(other string) bool { return other == name })
 }
 
 // TestFlapping: engines that go down and up by turns cost few requests, and are used
 // again once they stay.
 func TestFlapping(t *testing.T) {
 	t.Parallel()
-	park := fleet.NewPark(1, fleet.RoutedShapes["large"].Plan())
-	defer park.Close()
-	park.Run(warmRouted)
-	facts := park.BeginRouted()
-	names := busiest(park, 0, 2)
+	cluster := fleet.NewPark(1, fleet.RoutedShapes["large"].Plan())
+	defer cluster.Close()
+	cluster.Run(warmRouted)
+	facts := cluster.BeginRouted()
+	names := busiest(cluster, 0, 2)
 	for range 5 {
 		for _, name := range names {
-			park.Split([]string{name}, others(park, name), true)
+			cluster.Split([]string{name}, others(cluster, name), true)
 		}
-		park.Run(1200 * time.Millisecond)
+		cluster.Run(1200 * time.Millisecond)
 		for _, name := range names {
-			park.Split([]string{name}, others(park, name), false)
+			cluster.Split([]string{name}, others(cluster, name), false)
 		}
-		park.Run(1200 * time.Millisecond)
+		cluster.Run(1200 * time.Millisecond)
 	}
-	until := park.Now()
-	park.Run(20 * time.Second)
-	answered, asked := fleet.RoutedRate(park, facts.From, until)
+	until := cluster.Now()
+	cluster.Run(20 * time.Second)
+	answered, asked := fleet.RoutedRate(cluster, facts.From, until)
 	t.Logf("%d of %d ended well", answered, asked)
 	if answered*100 < asked*90 {
 		t.Error("too few")
 	}
-	used := busiest(park, park.Now()-6*time.Second, 100)
+	used := busiest(cluster, cluster.Now()-6*time.Second, 100)
 	for _, name := range names {
 		if !slices.Contains(used, name) {
 			t.Errorf("%s is not used again", name)
--- a/fleet/grown_test.go
+++ b/fleet/grown_test.go
@@ -17,17 +17,17 @@
 func apart(seed uint64, plan fleet.Plan) *fleet.Park { return apartBy(between, seed, plan) }
 
 // apartBy is apart with so long a way between regions.
-func apartBy(way time.Duration, seed uint64, plan fleet.Plan) *fleet.Park {
-	park := fleet.NewPark(seed, plan)
-	for _, from := range park.NodeNames() {
-		for _, to := range park.NodeNames() {
-			if fleet.Region(park.Zone(from)) != fleet.Region(park.Zone(to)) {
-				park.Delay(from, to, way)
+func apartBy(delay time.Duration, seed uint64, plan fleet.Plan) *fleet.Park {
+	cluster := fleet.NewPark(seed, plan)
+	for _, from := range cluster.NodeNames() {
+		for _, to := range cluster.NodeNames() {
+			if fleet.Region(cluster.Zone(from)) != fleet.Region(cluster.Zone(to)) {
+				cluster.Delay(from, to, delay)
 			}
 		}
 	}
-	park.Run(15 * time.Second)
-	return park
+	cluster.Run(15 * time.Second)
+	return cluster
 }
 
 // manyRoutes is the plan's document with so many routes, made from something that is as
@@ -53,44 +53,44 @@
 	if testing.Short() {
 		t.Skip("88 data daemons")
 	}
-	park := apart(1, grown(88, 90, 6))
-	defer park.Close()
+	cluster := apart(1, grown(88, 90, 6))
+	defer cluster.Close()
 	for label := uint64(1); label <= 2; label++ {
-		document := manyRoutes(park.Document, label, 1000+300*int(label-1))
+		document := manyRoutes(cluster.Document, label, 1000+300*int(label-1))
 		if !json.Valid(document) {
 			t.Fatal("vacuous")
 		}
-		far, each := 0, map[string]int{}
-		park.OnBytes = func(from, to, method string, bytes int) {
-			if fleet.Region(park.Zone(from)) != fleet.Region(park.Zone(to)) {
-				far += bytes
+		crossRegion, bytesByDaemon := 0, map[string]int{}
+		cluster.OnBytes = func(from, to, method string, bytes int) {
+			if fleet.Region(cluster.Zone(from)) != fleet.Region(cluster.Zone(to)) {
+				crossRegion += bytes
 			}
-			if park.Datas[to] != nil {
-				each[to] += bytes
+			if cluster.Datas[to] != nil {
+				bytesByDaemon[to] += bytes
 			}
 		}
-		began := park.Now()
-		if _, err := replace(park, "c1", document, label-1); err != nil {
+		began := cluster.Now()
+		if _, err := replace(cluster, "c1", document, label-1); err != nil {
 			t.Fatal(err)
 		}
-		took := park.Now() - began
+		took := cluster.Now() - began
 		most := 0
-		for name, daemon := range park.Datas {
-			most = max(most, each[name])
+		for name, daemon := range cluster.Datas {
+			most = max(most, bytesByDaemon[name])
 			if view := daemon.Holder.View(); view.Config().Label() != label || len(view.Config().Origin) > 0 || strings.Contains(string(view.Config().Document), `"origin"`) {
 				t.Fatalf("%s goes by %d, with an origin of %d bytes", name, view.Config().Label(), len(view.Config().Origin))
 			}
 		}
-		t.Logf("%d bytes: acknowledged after %v, %d bytes to a data daemon, %d between regions", len(document), took, most, far)
+		t.Logf("%d bytes: acknowledged after %v, %d bytes to a data daemon, %d between regions", len(document), took, most, crossRegion)
 		if took > time.Second {
 			t.Errorf("acknowledged after %v", took)
 		}
 		// It comes once, from a control daemon of the region. At 10 Mbit/s 45,000 bytes
 		// take 36 ms.
-		if most > len(document)/2 || most > 45e3 || far > 8*len(document) {
-			t.Errorf("a document of %d bytes: %d bytes to a data daemon, %d between regions", len(document), most, far)
+		if most > len(document)/2 || most > 45e3 || crossRegion > 8*len(document) {
+			t.Errorf("a document of %d bytes: %d bytes to a data daemon, %d between regions", len(document), most, crossRegion)
 		}
-		if read, config := newest(t, park, "c5"); read != label || string(config.WithOrigin()) != tight(document) {
+		if read, config := newest(t, cluster, "c5"); read != label || string(config.WithOrigin()) != tight(document) {
 			t.Error("it does not come back as it was sent")
 		}
 	}
@@ -100,55 +100,55 @@
 // every other daemon far less than the whole lists; all lists are the same at the end.
 func TestChangesTravelAlone(t *testing.T) {
 	t.Parallel()
-	park := apart(2, grown(24, 90, 6))
-	defer park.Close()
-	granted := func(do func()) (most float64) {
-		calm, each := map[string]int{}, map[string]int{}
+	cluster := apart(2, grown(24, 90, 6))
+	defer cluster.Close()
+	measureGrants := func(do func()) (most float64) {
+		calm, changed := map[string]int{}, map[string]int{}
 		count := func(table map[string]int) {
-			park.OnBytes = func(from, to, method string, bytes int) {
-				if park.Datas[to] != nil && method == "Permit.Renew" && to != "d1" {
+			cluster.OnBytes = func(from, to, method string, bytes int) {
+				if cluster.Datas[to] != nil && method == "Permit.Renew" && to != "d1" {
 					table[to] += bytes
 				}
 			}
 		}
 		count(calm)
-		park.Run(3 * time.Second)
+		cluster.Run(3 * time.Second)
 		do()
-		count(each)
-		park.Run(3 * time.Second)
-		for name := range each {
-			most = max(most, float64(each[name]-calm[name]))
+		count(changed)
+		cluster.Run(3 * time.Second)
+		for name := range changed {
+			most = max(most, float64(changed[name]-calm[name]))
 		}
 		if most <= 0 {
 			t.Error("vacuous: nobody was told")
 		}
 		return most
 	}
-	gone := park.Plan.Replicas[7].ID
-	if more := granted(func() { park.LeaveByPlatform(gone) }); more > 4000 {
+	gone := cluster.Plan.Replicas[7].ID
+	if more := measureGrants(func() { cluster.LeaveByPlatform(gone) }); more > 4000 {
 		t.Errorf("a replica that goes costs a data daemon %.0f bytes", more)
 	} else {
 		t.Logf("a replica that goes: %.0f bytes to a data daemon", more)
 	}
-	if more := granted(func() { park.Crash("d1"); park.StartData("d1") }); more > 4000 {
+	if more := measureGrants(func() { cluster.Crash("d1"); cluster.StartData("d1") }); more > 4000 {
 		t.Errorf("a data daemon that begins anew costs another %.0f bytes", more)
 	} else {
 		t.Logf("a data daemon that begins anew: %.0f bytes to another", more)
 	}
 	var live []session.Member
-	park.Must("c1", func(daemon *controlplane.Daemon) error {
-		for _, one := range daemon.Sessions.Live("") {
-			live = append(live, one.Member)
+	cluster.Must("c1", func(daemon *controlplane.Daemon) error {
+		for _, entry := range daemon.Sessions.Live("") {
+			live = append(live, entry.Member)
 		}
 		return nil
 	})
-	for name, daemon := range park.Datas {
+	for name, daemon := range cluster.Datas {
 		view := daemon.Holder.View()
 		if session.Checksum(view.Members) != session.Checksum(live) {
 			t.Errorf("%s has %d members of %d, or others", name, len(view.Members), len(live))
 		}
-		for region, one := range view.RoutingTables {
-			for _, place := range one.Places {
+		for region, entry := range view.RoutingTables {
+			for _, place := range entry.Places {
 				if place.ID == gone {
 					t.Errorf("%s still has %s in %s", name, gone, region)
 				}
@@ -164,30 +164,30 @@
 	plan := grown(12, 18, 6)
 	plan.Document = strings.Replace(plan.Document, `"zones":{"east-1":{}}`, `"zones":{"east-1":{},"east-2":{}}`, 1)
 	plan.Controls[3], plan.Datas[3], plan.Datas[9] = "c4:east-2", "d4:east-2", "d10:east-2"
-	park := fleet.NewPark(3, plan)
-	defer park.Close()
-	park.Run(15 * time.Second)
-	strays := func() (count, all int) {
-		park.OnBytes = func(from, to, method string, _ int) {
-			if park.Datas[from] != nil && park.Controls[to] != nil && method == "Permit.Renew" {
-				if all++; park.Zone(from) != park.Zone(to) {
+	cluster := fleet.NewPark(3, plan)
+	defer cluster.Close()
+	cluster.Run(15 * time.Second)
+	countCrossZone := func() (count, all int) {
+		cluster.OnBytes = func(from, to, method string, _ int) {
+			if cluster.Datas[from] != nil && cluster.Controls[to] != nil && method == "Permit.Renew" {
+				if all++; cluster.Zone(from) != cluster.Zone(to) {
 					count++
 				}
 			}
 		}
-		park.Run(5 * time.Second)
+		cluster.Run(5 * time.Second)
 		return count, all
 	}
-	if count, all := strays(); count > 0 || all == 0 {
+	if count, all := countCrossZone(); count > 0 || all == 0 {
 		t.Errorf("%d of %d asks went to another zone", count, all)
 	}
-	park.Crash("c4")
-	if count, all := strays(); count == 0 || count == all {
+	cluster.Crash("c4")
+	if count, all := countCrossZone(); count == 0 || count == all {
 		t.Errorf("vacuous: %d of %d asks went to another zone", count, all)
 	}
-	park.StartControl("c4")
-	park.Run(10 * time.Second)
-	if count, all := strays(); count > 0 || all == 0 {
+	cluster.StartControl("c4")
+	cluster.Run(10 * time.Second)
+	if count, all := countCrossZone(); count > 0 || all == 0 {
 		t.Errorf("after a restart %d of %d asks went to another zone", count, all)
 	}
 }
@@ -197,35 +197,35 @@
 func TestUnprobedRegionStays(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(1); seed <= 12; seed++ {
-		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) { unprobed(t, seed) })
+		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) { checkUnprobedRegion(t, seed) })
 	}
 }
 
-func unprobed(t *testing.T, seed uint64) {
+func checkUnprobedRegion(t *testing.T, seed uint64) {
 	plan := grown(6, 18, 3)
 	for index := range plan.Replicas {
 		plan.Replicas[index].Mute = true // the list tells what it holds
 	}
-	park := fleet.NewPark(seed, plan)
-	defer park.Close()
-	park.Run(15 * time.Second)
+	cluster := fleet.NewPark(seed, plan)
+	defer cluster.Close()
+	cluster.Run(15 * time.Second)
 	var controls, replicas []string
 	holder := ""
-	for name, daemon := range park.Controls {
+	for name, daemon := range cluster.Controls {
 		controls = append(controls, name)
 		if _, held := daemon.Elections.Term(controlplane.RegionElection + "east"); held {
 			holder = name
 		}
 	}
-	for _, one := range park.Plan.Replicas {
+	for _, one := range cluster.Plan.Replicas {
 		replicas = append(replicas, one.ID)
 	}
-	shown := func() uint64 {
+	oldestTerm := func() uint64 {
 		least := uint64(0)
-		for name, daemon := range park.Datas {
+		for name, daemon := range cluster.Datas {
 			one := daemon.Holder.View().RoutingTables["east"]
 			if len(one.Places) == 0 {
-				t.Fatalf("at %v %s sees no replica in the region, by serial %d", park.Now(), name, one.Serial)
+				t.Fatalf("at %v %s sees no replica in the region, by serial %d", cluster.Now(), name, one.Serial)
 			}
 			if least = min(least, one.Duty); least == 0 {
 				least = one.Duty
@@ -233,14 +233,14 @@
 		}
 		return least
 	}
-	before := shown()
-	park.Split(controls, replicas, true)
-	park.Crash(holder)
+	before := oldestTerm()
+	cluster.Split(controls, replicas, true)
+	cluster.Crash(holder)
 	for range 200 {
-		park.Run(50 * time.Millisecond)
-		shown()
+		cluster.Run(50 * time.Millisecond)
+		oldestTerm()
 	}
-	if shown() == before {
+	if oldestTerm() == before {
 		t.Error("vacuous: nobody took the duty")
 	}
 }
@@ -255,30 +255,30 @@
 		for index := range plan.Replicas {
 			plan.Replicas[index].Mute = true
 		}
-		park := fleet.NewPark(4, plan)
-		park.Run(15 * time.Second)
+		cluster := fleet.NewPark(4, plan)
+		cluster.Run(15 * time.Second)
 		var controls, replicas []string
-		for name := range park.Controls {
+		for name := range cluster.Controls {
 			controls = append(controls, name)
 		}
-		for _, one := range park.Plan.Replicas {
+		for _, one := range cluster.Plan.Replicas {
 			replicas = append(replicas, one.ID)
 		}
-		before := park.Holder("east")
-		park.Crash(before)
-		if !park.Until(10*time.Second, func() bool { holder := park.Holder("east"); return holder != "" && holder != before }) {
+		before := cluster.Holder("east")
+		cluster.Crash(before)
+		if !cluster.Until(10*time.Second, func() bool { holder := cluster.Holder("east"); return holder != "" && holder != before }) {
 			t.Fatal("vacuous: nobody took the duty")
 		}
-		park.Run(answered)
-		park.Split(controls, replicas, true)
+		cluster.Run(answered)
+		cluster.Split(controls, replicas, true)
 		for range 100 {
-			park.Run(50 * time.Millisecond)
-			for name, daemon := range park.Datas {
+			cluster.Run(50 * time.Millisecond)
+			for name, daemon := range cluster.Datas {
 				if one := daemon.Holder.View().RoutingTables["east"]; len(one.Places) == 0 {
-					t.Fatalf("answered for %v: at %v %s sees no replica in the region, by serial %d", answered, park.Now(), name, one.Serial)
+					t.Fatalf("answered for %v: at %v %s sees no replica in the region, by serial %d", answered, cluster.Now(), name, one.Serial)
 				}
 			}
 		}
-		park.Close()
+		cluster.Close()
 	}
 }
--- a/fleet/handback_test.go
+++ b/fleet/handback_test.go
@@ -14,31 +14,31 @@
 	t.Parallel()
 	skipLong(t)
 	for seed := uint64(1); seed <= 4; seed++ {
-		park := fleet.NewPark(seed, fleet.RoutedShapes["large"].Plan())
-		park.Run(warmRouted)
-		facts := park.BeginRouted()
-		if err := park.Evacuate(&facts, "east-1", false); err != nil {
+		cluster := fleet.NewPark(seed, fleet.RoutedShapes["large"].Plan())
+		cluster.Run(warmRouted)
+		facts := cluster.BeginRouted()
+		if err := cluster.Evacuate(&facts, "east-1", false); err != nil {
 			t.Fatal(err)
 		}
-		park.Run(4 * time.Second)
-		holder := park.Holder("east")
+		cluster.Run(4 * time.Second)
+		holder := cluster.Holder("east")
 		if holder == "" {
 			t.Fatal("nobody holds the duty")
 		}
-		park.Crash(holder)
-		for _, options := range park.Plan.Engines {
+		cluster.Crash(holder)
+		for _, options := range cluster.Plan.Engines {
 			if options.Zone == "east-1" {
-				park.Engines[options.Name].Chill()
+				cluster.Engines[options.Name].Chill()
 			}
 		}
-		if err := park.Evacuate(&facts, "east-1", true); err != nil {
+		if err := cluster.Evacuate(&facts, "east-1", true); err != nil {
 			t.Fatal(err)
 		}
-		back := park.Now()
-		park.Run(800 * time.Millisecond)
+		back := cluster.Now()
+		cluster.Run(800 * time.Millisecond)
 		served := 0
-		for _, run := range park.Runs {
-			if run.At >= back && park.Zone(run.Engine) == "east-1" {
+		for _, run := range cluster.Runs {
+			if run.At >= back && cluster.Zone(run.Engine) == "east-1" {
 				served++
 			}
 		}
@@ -46,15 +46,15 @@
 		if served < 5 {
 			t.Error("too few")
 		}
-		park.StartControl(holder)
-		park.Run(5 * time.Second)
-		park.Quiet = true
-		park.Run(6500 * time.Millisecond)
-		broken, judged := fleet.CheckRouted(park, facts)
+		cluster.StartControl(holder)
+		cluster.Run(5 * time.Second)
+		cluster.Quiet = true
+		cluster.Run(6500 * time.Millisecond)
+		broken, judged := fleet.CheckRouted(cluster, facts)
 		show(t, seed, broken)
 		if judged["cold"] == 0 {
 			t.Error("vacuous: no engine was cold")
 		}
-		park.Close()
+		cluster.Close()
 	}
 }
--- a/fleet/leaving_test.go
+++ b/fleet/leaving_test.go
@@ -15,18 +15,18 @@
 
 // Limits of a deployment that allows 5 s between a notice and the last request.
 const (
-	listEvery = 1250 * time.Millisecond
-	limitsOf5 = `"limits":{"platform_ms":1250,"permit_ms":2400,"session_ms":1800,"dark_ms":900,"probe_ms":450,"alone_ms":3600000,`
+	listInterval     = 1250 * time.Millisecond
+	fiveSecondLimits = `"limits":{"platform_ms":1250,"permit_ms":2400,"session_ms":1800,"dark_ms":900,"probe_ms":450,"alone_ms":3600000,`
 )
 
-// lastSeen lets time pass until no data daemon of those named goes by the replica any
+// awaitRemoval lets time pass until no data daemon of those named goes by the replica any
 // more, and gives when that was so.
-func lastSeen(t *testing.T, park *fleet.Park, replica string, names []string) time.Duration {
+func awaitRemoval(t *testing.T, cluster *fleet.Park, replica string, names []string) time.Duration {
 	t.Helper()
 	isOut := func() bool {
 		for _, name := range names {
-			for _, one := range park.Datas[name].Holder.View().RoutingTables {
-				for _, row := range one.Rows {
+			for _, table := range cluster.Datas[name].Holder.View().RoutingTables {
+				for _, row := range table.Rows {
 					if row.Replica == replica {
 						return false
 					}
@@ -39,18 +39,18 @@
 		if spent > 20*time.Second {
 			t.Fatal("it is never out")
 		}
-		park.Run(10 * time.Millisecond)
+		cluster.Run(10 * time.Millisecond)
 	}
-	return park.Now()
+	return cluster.Now()
 }
 
-// calmGrown is a calm grown fleet under limitsOf5, and its data daemons.
-func calmGrown(seed uint64) (*fleet.Park, []string) {
+// newCalmCluster is a calm grown fleet under limitsOf5, and its data daemons.
+func newCalmCluster(seed uint64) (*fleet.Park, []string) {
 	plan := grown(24, 30, 6)
-	plan.Document = strings.Replace(plan.Document, `"limits":{`, limitsOf5, 1)
+	plan.Document = strings.Replace(plan.Document, `"limits":{`, fiveSecondLimits, 1)
 	plan.Least = 0
-	park := apart(seed, plan)
-	return park, slices.Sorted(maps.Keys(park.Datas))
+	cluster := apart(seed, plan)
+	return cluster, slices.Sorted(maps.Keys(cluster.Datas))
 }
 
 // TestLeavingIsToldAtOnce: on a grown fleet a replica that leaves is out of every data
@@ -59,44 +59,44 @@
 func TestLeavingIsToldAtOnce(t *testing.T) {
 	t.Parallel()
 	skipLong(t)
-	park, names := calmGrown(7)
-	defer park.Close()
-	calm, harmed := time.Duration(0), time.Duration(0)
+	cluster, names := newCalmCluster(7)
+	defer cluster.Close()
+	calm, degraded := time.Duration(0), time.Duration(0)
 	for turn := range 12 {
-		one := park.Plan.Replicas[turn]
+		replica := cluster.Plan.Replicas[turn]
 		// The control daemons of one zone lose touch with the data daemons of their zone:
 		// those asks wait for nothing, and are asked elsewhere afterwards.
-		holder := park.Holder(fleet.Region(one.Zone))
-		var asked, asking []string
+		holder := cluster.Holder(fleet.Region(replica.Zone))
+		var controls, datas []string
 		if turn%2 == 1 {
-			zone := park.Plan.Replicas[turn+1].Zone
-			for name := range park.Controls {
-				if park.Zone(name) == zone && name != holder {
-					asked = append(asked, name)
+			zone := cluster.Plan.Replicas[turn+1].Zone
+			for name := range cluster.Controls {
+				if cluster.Zone(name) == zone && name != holder {
+					controls = append(controls, name)
 				}
 			}
 			for _, name := range names {
-				if park.Zone(name) == zone {
-					asking = append(asking, name)
+				if cluster.Zone(name) == zone {
+					datas = append(datas, name)
 				}
 			}
 		}
-		park.Run(time.Duration(turn) * 97 * time.Millisecond) // at another phase each time
-		park.LeaveByPlatform(one.ID)
-		park.Run(park.Plan.Lag)
-		listed := park.Now()
-		park.Split(asked, asking, true)
-		took := lastSeen(t, park, one.ID, names) - listed
-		park.Split(asked, asking, false)
+		cluster.Run(time.Duration(turn) * 97 * time.Millisecond) // at another phase each time
+		cluster.LeaveByPlatform(replica.ID)
+		cluster.Run(cluster.Plan.Lag)
+		listed := cluster.Now()
+		cluster.Split(controls, datas, true)
+		took := awaitRemoval(t, cluster, replica.ID, names) - listed
+		cluster.Split(controls, datas, false)
 		if turn%2 == 1 {
-			harmed = max(harmed, took)
+			degraded = max(degraded, took)
 		} else {
 			calm = max(calm, took)
 		}
-		park.Run(4 * time.Second)
+		cluster.Run(4 * time.Second)
 	}
-	t.Logf("the last daemon goes by a leaving replica until %v after it is listed, %v where asks go unanswered", calm, harmed)
-	if bound := listEvery*11/10 + 400*time.Millisecond; calm > bound || harmed > bound {
+	t.Logf("the last daemon goes by a leaving replica until %v after it is listed, %v where asks go unanswered", calm, degraded)
+	if bound := listInterval*11/10 + 400*time.Millisecond; calm > bound || degraded > bound {
 		t.Errorf("leaving: later than %v", bound)
 	}
 }
@@ -106,30 +106,30 @@
 func TestDarkIsToldAtOnce(t *testing.T) {
 	t.Parallel()
 	skipLong(t)
-	park, names := calmGrown(8)
-	defer park.Close()
+	cluster, names := newCalmCluster(8)
+	defer cluster.Close()
 	worst := time.Duration(0)
 	for turn := range 10 {
-		name := park.Plan.Replicas[turn].ID
-		park.Run(time.Duration(turn) * 97 * time.Millisecond)
-		began := park.Now()
-		park.Split([]string{name}, others(park, name), true)
-		took := lastSeen(t, park, name, names) - began
+		name := cluster.Plan.Replicas[turn].ID
+		cluster.Run(time.Duration(turn) * 97 * time.Millisecond)
+		began := cluster.Now()
+		cluster.Split([]string{name}, others(cluster, name), true)
+		took := awaitRemoval(t, cluster, name, names) - began
 		worst = max(worst, took)
-		park.Split([]string{name}, others(park, name), false)
+		cluster.Split([]string{name}, others(cluster, name), false)
 		isBack := func() bool {
-			for _, daemon := range park.Datas {
-				one := daemon.Holder.View().RoutingTables[fleet.Region(park.Zone(name))]
-				if !slices.ContainsFunc(one.Places, func(place routing.Endpoint) bool { return place.ID == name }) {
+			for _, daemon := range cluster.Datas {
+				table := daemon.Holder.View().RoutingTables[fleet.Region(cluster.Zone(name))]
+				if !slices.ContainsFunc(table.Places, func(place routing.Endpoint) bool { return place.ID == name }) {
 					return false
 				}
 			}
 			return true
 		}
-		if !park.Until(6*time.Second, isBack) {
+		if !cluster.Until(6*time.Second, isBack) {
 			t.Fatalf("%s is not back everywhere", name)
 		}
-		park.Run(time.Second)
+		cluster.Run(time.Second)
 	}
 	t.Logf("the last daemon goes by a dark replica for %v", worst)
 	// A probe and a half go unanswered, and the standing is computed and written.
@@ -144,39 +144,39 @@
 func TestLeavingUntold(t *testing.T) {
 	t.Parallel()
 	skipLong(t)
-	for name, leave := range map[string]func(park *fleet.Park, id string){
-		"by the list":   func(park *fleet.Park, id string) { park.LeaveByPlatform(id) },
-		"by its probes": func(park *fleet.Park, id string) { park.Replicas[id].Leave() },
+	for name, leave := range map[string]func(cluster *fleet.Park, id string){
+		"by the list":   func(cluster *fleet.Park, id string) { cluster.LeaveByPlatform(id) },
+		"by its probes": func(cluster *fleet.Park, id string) { cluster.Replicas[id].Leave() },
 	} {
 		for _, isLost := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, notices lost: %v", name, isLost), func(t *testing.T) {
 				t.Parallel()
-				park := fleet.NewPark(3, fleet.Sahayogi())
-				defer park.Close()
-				park.Run(warm)
-				facts := park.Begin()
+				cluster := fleet.NewPark(3, fleet.Sahayogi())
+				defer cluster.Close()
+				cluster.Run(warm)
+				facts := cluster.Begin()
 				if isLost {
-					park.OnCall = func(_, _, method string) sim.Fate {
+					cluster.OnCall = func(_, _, method string) sim.Fate {
 						if method == "Permit.Heed" {
 							return sim.RequestLost
 						}
 						return sim.Delivered
 					}
 				}
-				one := park.Used().ID
-				park.Replicas[one].Lingers = true
-				leave(park, one)
+				replica := cluster.Used().ID
+				cluster.Replicas[replica].Lingers = true
+				leave(cluster, replica)
 				if !isLost {
-					park.Run(4 * time.Second) // all are told
+					cluster.Run(4 * time.Second) // all are told
 					for _, daemon := range []string{"d1", "d2"} {
-						park.Crash(daemon)
-						park.StartData(daemon)
+						cluster.Crash(daemon)
+						cluster.StartData(daemon)
 					}
 				}
-				park.Run(12 * time.Second)
-				park.Quiet = true
-				park.Run(4 * time.Second)
-				broken, judged := fleet.Check(park, facts)
+				cluster.Run(12 * time.Second)
+				cluster.Quiet = true
+				cluster.Run(4 * time.Second)
+				broken, judged := fleet.Check(cluster, facts)
 				if judged["leaving"] == 0 {
 					t.Error("vacuous: the replica was not in use, or did not linger")
 				}
--- a/fleet/lives_test.go
+++ b/fleet/lives_test.go
@@ -17,48 +17,48 @@
 	for seed := uint64(1); seed <= 2; seed++ {
 		shape := fleet.GrownShape
 		shape.Limits = map[string]float64{"alone_ms": 3600e3}
-		park := fleet.NewPark(seed, shape.Plan())
-		park.Run(warmRouted)
-		facts := park.BeginRouted()
-		var inside []string
-		for _, name := range park.NodeNames() {
-			if fleet.Region(park.Zone(name)) == "sea" {
-				inside = append(inside, name)
+		cluster := fleet.NewPark(seed, shape.Plan())
+		cluster.Run(warmRouted)
+		facts := cluster.BeginRouted()
+		var nodes []string
+		for _, name := range cluster.NodeNames() {
+			if fleet.Region(cluster.Zone(name)) == "sea" {
+				nodes = append(nodes, name)
 			}
 		}
-		ends := park.Lose(inside)
-		park.Run(6 * time.Second)
-		before := len(park.Runs)
+		lost := cluster.Lose(nodes)
+		cluster.Run(6 * time.Second)
+		before := len(cluster.Runs)
 		// Daemons have their permits sooner than the list shows the engines' new lives.
-		park.Return(slices.DeleteFunc(slices.Clone(ends), func(name string) bool { return park.Engines[name] == nil }))
-		park.Run(500 * time.Millisecond)
-		park.Return(slices.DeleteFunc(slices.Clone(ends), func(name string) bool { return park.Engines[name] != nil }))
-		began := park.Now()
-		park.Run(4 * time.Second)
+		cluster.Return(slices.DeleteFunc(slices.Clone(lost), func(name string) bool { return cluster.Engines[name] == nil }))
+		cluster.Run(500 * time.Millisecond)
+		cluster.Return(slices.DeleteFunc(slices.Clone(lost), func(name string) bool { return cluster.Engines[name] != nil }))
+		began := cluster.Now()
+		cluster.Run(4 * time.Second)
 		elsewhere := 0
-		for _, run := range park.Runs[before:] {
+		for _, run := range cluster.Runs[before:] {
 			if run.Elsewhere {
 				elsewhere++
 			}
 		}
-		asked, declined := 0, 0
-		for _, one := range park.RoutedRequests {
-			if one.At < began || one.At > began+4*time.Second || fleet.Region(one.Crowd.Zone) != "sea" {
+		asked, rejected := 0, 0
+		for _, request := range cluster.RoutedRequests {
+			if request.At < began || request.At > began+4*time.Second || fleet.Region(request.Crowd.Zone) != "sea" {
 				continue
 			}
 			asked++
-			if last := one.Tries[len(one.Tries)-1]; one.Verdict != "ok" && last.Status == 503 {
-				declined++
+			if last := request.Tries[len(request.Tries)-1]; request.Verdict != "ok" && last.Status == 503 {
+				rejected++
 			}
 		}
-		t.Logf("seed %d: %d requests came to lives that are over; of %d of the region's callers %d were declined", seed, elsewhere, asked, declined)
+		t.Logf("seed %d: %d requests came to lives that are over; of %d of the region's callers %d were declined", seed, elsewhere, asked, rejected)
 		if elsewhere > 2*shape.Engines[2] || asked == 0 {
 			t.Errorf("seed %d: %d requests came to lives that are over", seed, elsewhere)
 		}
-		park.Quiet = true
-		park.Run(6500 * time.Millisecond)
-		broken, _ := fleet.CheckRouted(park, facts)
+		cluster.Quiet = true
+		cluster.Run(6500 * time.Millisecond)
+		broken, _ := fleet.CheckRouted(cluster, facts)
 		show(t, seed, broken)
-		park.Close()
+		cluster.Close()
 	}
 }
--- a/fleet/loss_test.go
+++ b/fleet/loss_test.go
@@ -9,31 +9,31 @@
 	"swifttiller/fleet"
 )
 
-// daemons are the names of all daemons, in order.
-func daemons(park *fleet.Park) []string {
-	return slices.Concat(slices.Sorted(maps.Keys(park.Controls)), slices.Sorted(maps.Keys(park.Datas)))
+// daemonNames are the names of all daemons, in order.
+func daemonNames(cluster *fleet.Park) []string {
+	return slices.Concat(slices.Sorted(maps.Keys(cluster.Controls)), slices.Sorted(maps.Keys(cluster.Datas)))
 }
 
-// unplaced counts the tries of notices that were begun in the span, and those of them that
+// checkUnplaced counts the tries of notices that were begun in the span, and those of them that
 // found no replica, by zone. No zone has more than one in so many of these.
-func unplaced(t *testing.T, park *fleet.Park, from, until time.Duration, oneIn int) {
+func checkUnplaced(t *testing.T, cluster *fleet.Park, from, until time.Duration, oneIn int) {
 	t.Helper()
-	all, declined := map[string]int{}, map[string]int{}
-	for _, one := range park.RoutedRequests {
-		if one.At < from || one.At > until || one.Crowd.Target != 600*time.Millisecond {
+	all, rejected := map[string]int{}, map[string]int{}
+	for _, request := range cluster.RoutedRequests {
+		if request.At < from || request.At > until || request.Crowd.Target != 600*time.Millisecond {
 			continue
 		}
-		for _, try := range one.Tries {
-			all[one.Crowd.Zone]++
-			if try.Code == "no_replica" {
-				declined[one.Crowd.Zone]++
+		for _, attempt := range request.Tries {
+			all[request.Crowd.Zone]++
+			if attempt.Code == "no_replica" {
+				rejected[request.Crowd.Zone]++
 			}
 		}
 	}
-	t.Logf("of %v tries of notices, by zone, %v found no replica", all, declined)
+	t.Logf("of %v tries of notices, by zone, %v found no replica", all, rejected)
 	for zone := range all {
-		if declined[zone]*oneIn > all[zone] {
-			t.Errorf("%s: %d of %d", zone, declined[zone], all[zone])
+		if rejected[zone]*oneIn > all[zone] {
+			t.Errorf("%s: %d of %d", zone, rejected[zone], all[zone])
 		}
 	}
 }
@@ -46,19 +46,19 @@
 	skipLong(t)
 	shape := fleet.GrownShape
 	shape.Limits = map[string]float64{"alone_ms": 3600e3}
-	park := fleet.NewPark(1, shape.Plan())
-	defer park.Close()
-	park.Run(warmRouted)
-	facts := park.BeginRouted()
-	ends := park.Lose(daemons(park))
-	park.Run(800 * time.Millisecond)
-	park.Return(ends)
-	began := park.Now()
-	park.Run(8 * time.Second)
-	unplaced(t, park, began+time.Second, began+5*time.Second, 10)
-	park.Quiet = true
-	park.Run(6500 * time.Millisecond)
-	broken, _ := fleet.CheckRouted(park, facts)
+	cluster := fleet.NewPark(1, shape.Plan())
+	defer cluster.Close()
+	cluster.Run(warmRouted)
+	facts := cluster.BeginRouted()
+	lost := cluster.Lose(daemonNames(cluster))
+	cluster.Run(800 * time.Millisecond)
+	cluster.Return(lost)
+	began := cluster.Now()
+	cluster.Run(8 * time.Second)
+	checkUnplaced(t, cluster, began+time.Second, began+5*time.Second, 10)
+	cluster.Quiet = true
+	cluster.Run(6500 * time.Millisecond)
+	broken, _ := fleet.CheckRouted(cluster, facts)
 	show(t, 1, broken)
 }
 
@@ -72,24 +72,24 @@
 	shape := fleet.GrownShape
 	shape.Busy = 3
 	shape.Limits = map[string]float64{"alone_ms": 3600e3}
-	park := fleet.NewPark(1, shape.Plan())
-	defer park.Close()
-	park.Run(warmRouted)
-	facts := park.BeginRouted()
-	ends := park.Lose(daemons(park))
-	park.Run(800 * time.Millisecond)
-	for index, options := range park.Plan.Engines {
+	cluster := fleet.NewPark(1, shape.Plan())
+	defer cluster.Close()
+	cluster.Run(warmRouted)
+	facts := cluster.BeginRouted()
+	lost := cluster.Lose(daemonNames(cluster))
+	cluster.Run(800 * time.Millisecond)
+	for index, options := range cluster.Plan.Engines {
 		if index%3 == 0 {
-			park.Engines[options.Name].Chill()
+			cluster.Engines[options.Name].Chill()
 		}
 	}
-	park.Return(ends)
-	began := park.Now()
-	park.Run(6 * time.Second)
-	unplaced(t, park, began-time.Second, began+5*time.Second, 50)
-	park.Quiet = true
-	park.Run(6500 * time.Millisecond)
-	broken, judged := fleet.CheckRouted(park, facts)
+	cluster.Return(lost)
+	began := cluster.Now()
+	cluster.Run(6 * time.Second)
+	checkUnplaced(t, cluster, began-time.Second, began+5*time.Second, 50)
+	cluster.Quiet = true
+	cluster.Run(6500 * time.Millisecond)
+	broken, judged := fleet.CheckRouted(cluster, facts)
 	show(t, 1, broken)
 	if judged["cold"] == 0 {
 		t.Error("vacuous: no engine was cold")
--- a/fleet/losses_test.go
+++ b/fleet/losses_test.go
@@ -11,9 +11,9 @@
 	"swifttiller/fleet"
 )
 
-// ownCore starts a fleet whose control daemons make a core of so many votes by themselves.
+// newSelfFormedCore starts a fleet whose control daemons make a core of so many votes by themselves.
 // Where there are more than zones, zones have two or three of them.
-func ownCore(t *testing.T, seed uint64, votes int) *fleet.Park {
+func newSelfFormedCore(t *testing.T, seed uint64, votes int) *fleet.Park {
 	t.Helper()
 	plan := fleet.Sahayogi()
 	plan.First, plan.Callers = true, nil
@@ -33,8 +33,8 @@
 	return cluster
 }
 
-// isWhole tells whether all of a core of so many votes hold what was decided.
-func isWhole(cluster *fleet.Park, votes int) bool {
+// isFullyReplicated tells whether all of a core of so many votes hold what was decided.
+func isFullyReplicated(cluster *fleet.Park, votes int) bool {
 	for _, name := range running(cluster) {
 		var status controlplane.Status
 		err := cluster.Do(name, 5*time.Second, func(daemon *controlplane.Daemon) error {
@@ -48,8 +48,8 @@
 	return false
 }
 
-// members are the machines of the core that run, those whose disks have lasted longest first.
-func members(cluster *fleet.Park, since map[string]time.Duration) (names []string) {
+// runningMembers are the machines of the core that run, those whose disks have lasted longest first.
+func runningMembers(cluster *fleet.Park, since map[string]time.Duration) (names []string) {
 	for _, member := range core(cluster).Members {
 		if cluster.Node(member.Name).Up() {
 			names = append(names, member.Name)
@@ -72,26 +72,26 @@
 	t.Parallel()
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		for votes := 3; votes <= 7; votes++ {
-			cluster := ownCore(t, seed, votes)
+			cluster := newSelfFormedCore(t, seed, votes)
 			since := map[string]time.Duration{}
 			acknowledged := serial(cluster, "c2")
 			for turn := 0; turn < 3; turn++ {
-				first := members(cluster, since)[0]
+				first := runningMembers(cluster, since)[0]
 				if turn%2 == 0 {
 					cluster.Crash(first)
 					cluster.Run(time.Duration(cluster.Draw(int64(time.Second))))
 					first = fmt.Sprintf("f%d", turn)
-					cluster.Place(first, cluster.Zone(members(cluster, since)[0]))
+					cluster.Place(first, cluster.Zone(runningMembers(cluster, since)[0]))
 					cluster.StartControl(first)
 				} else {
 					wipe(cluster, first)
 				}
 				since[first] = cluster.Now()
-				if !cluster.Until(catchUp, func() bool { return cluster.Votes(first) && isWhole(cluster, votes) }) {
+				if !cluster.Until(catchUp, func() bool { return cluster.Votes(first) && isFullyReplicated(cluster, votes) }) {
 					t.Errorf("lost: %d votes, turn %d: %s does not hold all after %v", votes, turn, first, catchUp)
 				}
 				// An order that is acknowledged, another one, and the loss soon after it.
-				list := members(cluster, since)
+				list := runningMembers(cluster, since)
 				tolerated := votes - core(cluster).Majority()
 				if err := cluster.Apply(&fleet.Facts{}, list[0]); err != nil {
 					t.Fatalf("%d votes, turn %d: %v", votes, turn, err)
@@ -104,13 +104,13 @@
 					}
 				})
 				cluster.Run(time.Duration(5+cluster.Draw(395)) * time.Millisecond)
-				ends := cluster.Lose(cluster.NodeNames())
+				lost := cluster.Lose(cluster.NodeNames())
 				for _, name := range list[:tolerated] {
 					cluster.Node(name).Disk.Wipe()
 					since[name] = cluster.Now()
 				}
-				cluster.Return(ends)
-				if !cluster.Until(12*time.Second, func() bool { return isWhole(cluster, votes) }) {
+				cluster.Return(lost)
+				if !cluster.Until(12*time.Second, func() bool { return isFullyReplicated(cluster, votes) }) {
 					t.Errorf("lost: %d votes, turn %d: the core is not whole again: %v", votes, turn, core(cluster))
 				}
 				for _, name := range running(cluster) {
@@ -170,7 +170,7 @@
 				t.Errorf("old config: %d is shown by who is behind, %d stands", label, newest)
 			}
 		}
-		if !cluster.Until(catchUp, func() bool { return isWhole(cluster, 3) }) {
+		if !cluster.Until(catchUp, func() bool { return isFullyReplicated(cluster, 3) }) {
 			t.Errorf("after %v the member does not hold all", catchUp)
 		}
 		return bytes, cluster.Now() - began
--- a/fleet/measure_test.go
+++ b/fleet/measure_test.go
@@ -28,78 +28,78 @@
 	const runs = 5
 	figures := map[string][]float64{}
 	add := func(name string, value float64) { figures[name] = append(figures[name], value) }
-	for name, make := range fleet.Plans {
+	for name, newPlan := range fleet.Plans {
 		for seed := uint64(1); seed <= runs; seed++ {
-			park := fleet.NewPark(seed, make())
-			park.Run(30 * time.Second)
-			asked := park.Messages["Register.Query"]
-			renewed := park.Messages["Permit.Renew"]
-			greeted, arrived := park.Greeted, len(park.Arrivals)
-			park.Run(20 * time.Second)
-			add(name+": new connections to replicas per request", float64(park.Greeted-greeted)/float64(len(park.Arrivals)-arrived))
-			add(name+": register queries per second", float64(park.Messages["Register.Query"]-asked)/20)
-			add(name+": permit renewals per second", float64(park.Messages["Permit.Renew"]-renewed)/20)
+			cluster := fleet.NewPark(seed, newPlan())
+			cluster.Run(30 * time.Second)
+			asked := cluster.Messages["Register.Query"]
+			renewed := cluster.Messages["Permit.Renew"]
+			greeted, arrived := cluster.Greeted, len(cluster.Arrivals)
+			cluster.Run(20 * time.Second)
+			add(name+": new connections to replicas per request", float64(cluster.Greeted-greeted)/float64(len(cluster.Arrivals)-arrived))
+			add(name+": register queries per second", float64(cluster.Messages["Register.Query"]-asked)/20)
+			add(name+": permit renewals per second", float64(cluster.Messages["Permit.Renew"]-renewed)/20)
 			// A leaving replica: from the first word that reaches us.
-			first := park.Plan.Replicas[0].ID
-			boot := park.Replicas[first].Boot
-			park.LeaveByPlatform(first)
-			park.Run(6 * time.Second)
+			first := cluster.Plan.Replicas[0].ID
+			boot := cluster.Replicas[first].Boot
+			cluster.LeaveByPlatform(first)
+			cluster.Run(6 * time.Second)
 			last := time.Duration(0)
-			for _, one := range park.Arrivals {
-				if one.Replica == first {
-					last = max(last, one.At)
+			for _, entry := range cluster.Arrivals {
+				if entry.Replica == first {
+					last = max(last, entry.At)
 				}
 			}
-			add(name+": leaving replica, word to last request, s", max(0, (last-park.Learned[first+"/"+boot]).Seconds()))
+			add(name+": leaving replica, word to last request, s", max(0, (last-cluster.Learned[first+"/"+boot]).Seconds()))
 			// An evacuation: from its acknowledgement.
 			facts := fleet.Facts{}
-			zone := park.Plan.Replicas[len(park.Plan.Replicas)-1].Zone
-			if err := park.Evacuate(&facts, zone, false); err != nil {
+			zone := cluster.Plan.Replicas[len(cluster.Plan.Replicas)-1].Zone
+			if err := cluster.Evacuate(&facts, zone, false); err != nil {
 				t.Fatal(err)
 			}
-			park.Run(6 * time.Second)
+			cluster.Run(6 * time.Second)
 			last = 0
-			for _, one := range park.Arrivals {
-				if park.Zone(one.Replica) == zone {
-					last = max(last, one.At)
+			for _, entry := range cluster.Arrivals {
+				if cluster.Zone(entry.Replica) == zone {
+					last = max(last, entry.At)
 				}
 			}
 			add(name+": evacuation, acknowledgement to last request, s", (last - facts.Evacuated[0].From).Seconds())
 			// A configuration with one data daemon frozen.
-			frozen := strings.SplitN(park.Plan.Datas[0], ":", 2)[0]
-			park.Freeze(frozen, 6*time.Second)
-			began := park.Now()
-			if err := park.Apply(&facts, "c1"); err != nil {
+			frozen := strings.SplitN(cluster.Plan.Datas[0], ":", 2)[0]
+			cluster.Freeze(frozen, 6*time.Second)
+			began := cluster.Now()
+			if err := cluster.Apply(&facts, "c1"); err != nil {
 				t.Fatal(err)
 			}
-			add(name+": apply with a silent holder, s", (park.Now() - began).Seconds())
-			park.Run(8 * time.Second)
+			add(name+": apply with a silent holder, s", (cluster.Now() - began).Seconds())
+			cluster.Run(8 * time.Second)
 			serial := uint64(0)
-			for one := range facts.Acked {
-				serial = max(serial, one)
+			for entry := range facts.Acked {
+				serial = max(serial, entry)
 			}
 			last = 0
-			for _, one := range park.Logs() {
-				if one.Serial < serial {
-					last = max(last, one.At)
+			for _, entry := range cluster.Logs() {
+				if entry.Serial < serial {
+					last = max(last, entry.At)
 				}
 			}
 			add(name+": acknowledgement to last dispatch under an older serial, s", (last - facts.Acked[serial].At).Seconds())
 			before := map[string]int{}
-			for method, count := range park.Messages {
+			for method, count := range cluster.Messages {
 				before[method] = count
 			}
-			began = park.Now()
-			if err := park.Apply(&facts, "c1"); err != nil {
+			began = cluster.Now()
+			if err := cluster.Apply(&facts, "c1"); err != nil {
 				t.Fatal(err)
 			}
-			add(name+": apply, s", (park.Now() - began).Seconds())
-			add(name+": apply, accepts sent by all in that time", float64(park.Messages["Register.Accept"]-before["Register.Accept"]))
-			add(name+": apply, offers sent", float64(park.Messages["Permit.Take"]-before["Permit.Take"]))
-			park.Close()
-			affinity(name, seed, make, add)
-			saturate(name, seed, make(), add)
-			loseAll(name, seed, make(), add)
+			add(name+": apply, s", (cluster.Now() - began).Seconds())
+			add(name+": apply, accepts sent by all in that time", float64(cluster.Messages["Register.Accept"]-before["Register.Accept"]))
+			add(name+": apply, offers sent", float64(cluster.Messages["Permit.Take"]-before["Permit.Take"]))
+			cluster.Close()
+			measureAffinity(name, seed, newPlan, add)
+			measureSaturation(name, seed, newPlan(), add)
+			measureFullLoss(name, seed, newPlan(), add)
 		}
 	}
 	names := []string{}
@@ -112,82 +112,82 @@
 	}
 }
 
-// affinity compares prompts' own replicas with none, where a zone's shared
+// measureAffinity compares prompts' own replicas with none, where a zone's shared
 // rosters are four times what a replica's cache keeps.
-func affinity(name string, seed uint64, make func() fleet.Plan, add func(string, float64)) {
-	for word, document := range map[string]string{"with": `"trial_ms"`, "without": `"affinity_slack":0,"trial_ms"`} {
-		plan := make()
+func measureAffinity(name string, seed uint64, newPlan func() fleet.Plan, add func(string, float64)) {
+	for variant, document := range map[string]string{"with": `"trial_ms"`, "without": `"affinity_slack":0,"trial_ms"`} {
+		plan := newPlan()
 		plan.Document = strings.Replace(plan.Document, `"trial_ms"`, document, 1)
 		for index := range plan.Callers {
 			if plan.Callers[index].Bytes > 1000 {
 				plan.Callers[index].Rosters = 24
 			}
 		}
-		park := fleet.NewPark(seed, plan)
-		park.Run(50 * time.Second)
-		hit, all, read := 0, 0, 0
-		for _, one := range park.Logs() {
-			if one.At > 15*time.Second && one.Bytes > 1000 {
+		cluster := fleet.NewPark(seed, plan)
+		cluster.Run(50 * time.Second)
+		hit, all, prefilled := 0, 0, 0
+		for _, entry := range cluster.Logs() {
+			if entry.At > 15*time.Second && entry.Bytes > 1000 {
 				all++
-				if one.Hit {
+				if entry.Hit {
 					hit++
-					read += one.Bytes / 16
+					prefilled += entry.Bytes / 16
 				} else {
-					read += one.Bytes
+					prefilled += entry.Bytes
 				}
 			}
 		}
-		add(name+": shared prompts, prefix hit ratio, "+word+" affinity", float64(hit)/float64(all))
-		add(name+": shared prompts, bytes of prompt read per request, "+word+" affinity", float64(read)/float64(all))
-		park.Close()
+		add(name+": shared prompts, prefix hit ratio, "+variant+" affinity", float64(hit)/float64(all))
+		add(name+": shared prompts, bytes of prompt read per request, "+variant+" affinity", float64(prefilled)/float64(all))
+		cluster.Close()
 	}
 }
 
-// saturate offers far more than the replicas bear and shows how much of what replicas bear
+// measureSaturation offers far more than the replicas bear and shows how much of what replicas bear
 // is used.
-func saturate(name string, seed uint64, plan fleet.Plan, add func(string, float64)) {
+func measureSaturation(name string, seed uint64, plan fleet.Plan, add func(string, float64)) {
 	for index := range plan.Callers {
 		plan.Callers[index].Every /= 4
 		plan.Callers[index].Tokens = 256 // a second each, and more
 		plan.Callers[index].Retries = 0
 	}
-	park := fleet.NewPark(seed, plan)
-	defer park.Close()
-	park.Run(30 * time.Second)
-	used, bears, over := 0.0, 0.0, 0
+	cluster := fleet.NewPark(seed, plan)
+	defer cluster.Close()
+	cluster.Run(30 * time.Second)
+	used, capacity, over := 0.0, 0.0, 0
 	for turn := 0; turn < 40; turn++ {
-		park.Run(100 * time.Millisecond)
-		for _, one := range park.Replicas {
-			used += float64(one.Units())
-			bears += float64(one.Capacity)
+		cluster.Run(100 * time.Millisecond)
+		for _, replica := range cluster.Replicas {
+			used += float64(replica.Units())
+			capacity += float64(replica.Capacity)
 		}
 	}
-	for _, one := range park.Replicas {
-		over += one.Over
+	for _, replica := range cluster.Replicas {
+		over += replica.Over
 	}
-	add(name+": saturated, share of what replicas bear that is used", used/bears)
+	add(name+": saturated, share of what replicas bear that is used", used/capacity)
 	add(name+": saturated, requests beyond what a warm replica bears", float64(over))
 }
 
-// loseAll ends everything at once and shows what is served after the return.
-func loseAll(name string, seed uint64, plan fleet.Plan, add func(string, float64)) {
-	park := fleet.NewPark(seed, plan)
-	defer park.Close()
-	park.Run(20 * time.Second)
-	before, _ := fleet.Rate(park, park.Now()-5*time.Second, park.Now())
-	back := loseAndReturn(park)
+// measureFullLoss ends everything at once and shows what is served after the return.
+func measureFullLoss(name string, seed uint64, plan fleet.Plan, add func(string, float64)) {
+	cluster := fleet.NewPark(seed, plan)
+	defer cluster.Close()
+	cluster.Run(20 * time.Second)
+	before, _ := fleet.Rate(cluster, cluster.Now()-5*time.Second, cluster.Now())
+	back := restartAll(cluster)
 	for _, second := range []int{2, 4, 6, 8, 12} {
-		park.Run(back + time.Duration(second)*time.Second - park.Now())
-		answered, _ := fleet.Rate(park, park.Now()-2*time.Second, park.Now())
+		cluster.Run(back + time.Duration(second)*time.Second - cluster.Now())
+		answered, _ := fleet.Rate(cluster, cluster.Now()-2*time.Second, cluster.Now())
 		add(fmt.Sprintf("%s: full loss, served in the two seconds before second %02d, share of before", name, second), float64(answered)*2.5/float64(before))
 	}
 }
 
-// loseAndReturn crashes every daemon and replica and starts all again 3 s later.
-func loseAndReturn(park *fleet.Park) (back time.Duration) {
-	ends := park.Lose(park.NodeNames())
-	park.Run(3 * time.Second)
-	back = park.Now()
-	park.Return(ends)
+// restartAll crashes every daemon and replica and starts all again 3 s later.
+func restartAll(cluster *fleet.Park) (back time.Duration) {
+	lost := cluster.Lose(cluster.NodeNames())
+	cluster.Run(3 * time.Second)
+	back = cluster.Now()
+	cluster.Return(lost)
 	return back
 }
