--- a/fleet/editions_test.go
+++ b/fleet/editions_test.go
@@ -12,8 +12,8 @@
 	"swifttiller/sim"
 )
 
-// routesDocument is the plan's document with a route for each tenant; that of moved, if it is
-// one, has another host under each label.
+// routesDocument returns the plan's document with the given label and count routes, one per tenant. The
+// host of the route with index moved, if there is one, depends on the label.
 func routesDocument(document string, label uint64, count, moved int) []byte {
 	var routes []string
 	for index := range count {
@@ -26,8 +26,8 @@
 	return []byte(strings.Replace(document, "{", fmt.Sprintf(`{"label":%d,"routes":[%s],`, label, strings.Join(routes, ",")), 1))
 }
 
-// tenantsDocument is the plan's document with so many tenants of two keys each, beside a few routes;
-// one key of changed, if it is one, is another under each label.
+// tenantsDocument returns the plan's document with the given label, 100 routes and count tenants of two
+// keys each. One key of the tenant with index changed, if there is one, depends on the label.
 func tenantsDocument(document string, label uint64, count, changed int) []byte {
 	var list []string
 	for index := range count {
@@ -40,22 +40,22 @@
 	return []byte(strings.Replace(string(routesDocument(document, label, 100, -1)), `"routes"`, `"tenants":[`+strings.Join(list, ",")+`],"routes"`, 1))
 }
 
-// routedFleet is a calm small fleet whose model may have routes.
+// routedFleet returns a small fleet without callers whose model may have routes.
 func routedFleet(seed uint64) *fleet.Park {
 	return fleet.NewPark(seed, grown(6, 18, 3))
 }
 
-// fetchStats are what configurations cost on their way to data daemons, and how many copies
-// were under way to one at once.
+// fetchStats counts the bytes and copies of configurations sent to data daemons, and how many
+// copies were in flight to the same daemon at once.
 type fetchStats struct {
 	bytes       map[string]int // to and from each data daemon
-	copies      map[string]int // editions to each
+	copies      map[string]int // editions sent to each
 	since       map[string]time.Duration
-	maxInFlight int // copies under way to one holder at once
+	maxInFlight int // copies in flight to one lease holder at once
 }
 
-// trackFetches follows fetches from now on. A copy is under way from its asking until it is
-// answered, or its asker has given it up.
+// trackFetches starts counting fetches. A copy is in flight from its request until the reply, or
+// until the caller has given up, which is after a second.
 func trackFetches(cluster *fleet.Park) *fetchStats {
 	stats := &fetchStats{bytes: map[string]int{}, copies: map[string]int{}, since: map[string]time.Duration{}}
 	cluster.OnBytes = func(from, to, method string, bytes int) {
@@ -82,18 +82,20 @@
 	return stats
 }
 
-// checkDataDaemonsApply checks that all data daemons that are up go by the document, and nothing else.
+// checkDataDaemonsApply verifies that all running data daemons apply exactly this document, with these zones
+// evacuated.
 func checkDataDaemonsApply(t *testing.T, cluster *fleet.Park, document []byte, zones ...string) {
 	t.Helper()
 	for name, daemon := range cluster.Datas {
 		if view := daemon.Holder.View(); cluster.Node(name).Up() && (string(view.Config().Document) != tight(document) || !slices.Equal(view.Config().Evacuated, zones)) {
-			t.Errorf("%s goes by label %d, serial %d, not by what was decided", name, view.Config().Label(), view.Serial)
+			t.Errorf("%s applies label %d, serial %d instead of the decided configuration", name, view.Config().Label(), view.Serial)
 		}
 	}
 }
 
-// TestRouteTravelsAlone: a change of one route or tenant of many costs each data daemon some
-// hundred bytes, however many there are; a daemon that begins anew gets the whole, once.
+// TestRouteTravelsAlone verifies that a change of one route or tenant sends each data daemon at most
+// 1200 bytes, however many routes or tenants there are. A restarted daemon fetches the whole
+// configuration once.
 func TestRouteTravelsAlone(t *testing.T) {
 	t.Parallel()
 	sizes := []struct{ datas, count int }{{25, 21000}, {88, 1300}, {6, 30}}
@@ -142,18 +144,18 @@
 	cluster.StartData("d2")
 	cluster.Run(5 * time.Second)
 	if view := cluster.Datas["d2"].Holder.View(); stats.copies["d2"] != 1 || !view.IsValid(cluster.Now()) || view.Config().Label() != label {
-		t.Errorf("%d %s: a daemon that begins anew gets %d copies, and goes by %d", count, kind, stats.copies["d2"], view.Config().Label())
+		t.Errorf("%d %s: a restarted daemon gets %d copies and applies label %d", count, kind, stats.copies["d2"], view.Config().Label())
 	}
 }
 
-// TestFetchTrouble: whatever becomes of an offer or a copy, a change is acknowledged, all
-// go by it, and no two copies of it are under way to a daemon.
+// TestFetchTrouble loses, delays or duplicates offers and copies of a configuration. The change must
+// still be acknowledged and applied everywhere, with never two copies in flight to one daemon.
 func TestFetchTrouble(t *testing.T) {
 	t.Parallel()
 	skipLong(t)
 	for _, method := range []string{"Permit.Take", "Permit.Fetch"} {
 		for name, fate := range map[string]sim.Fate{"lost": sim.RequestLost, "answer lost": sim.ResponseLost, "late": sim.RequestDelayed, "twice": sim.RequestDuplicated} {
-			for _, count := range []int{1, 2} { // how many in a row
+			for _, count := range []int{1, 2} { // consecutive faults
 				cluster := routedFleet(21)
 				if _, err := replace(cluster, "c1", routesDocument(cluster.Document, 1, 300, -1), 0); err != nil {
 					t.Fatal(err)
@@ -179,7 +181,7 @@
 				cluster.Run(3 * time.Second)
 				checkDataDaemonsApply(t, cluster, document)
 				if err != nil || took > 2500*time.Millisecond || injected == 0 || stats.maxInFlight != 1 {
-					t.Errorf("%s %s, %d times: %v %v after %v, struck %d, %d copies under way at once", method, name, count, applied, err, took, injected, stats.maxInFlight)
+					t.Errorf("%s %s, %d times: %v %v after %v, %d faults injected, %d copies in flight at once", method, name, count, applied, err, took, injected, stats.maxInFlight)
 				}
 				cluster.Close()
 			}
@@ -187,10 +189,10 @@
 	}
 }
 
-// TestFrozenOverChanges: a daemon that stood still over several changes, and one that was
-// cut off from all, serve nothing by an old one, and then get what differs from what they
-// have; the control daemon that they stayed with may have begun anew meanwhile, and then
-// they get the whole.
+// TestFrozenOverChanges freezes one data daemon and partitions another from the control daemons
+// during several changes. Neither may serve by an old configuration, and afterwards both
+// fetch only the difference to what they have. If the control daemons were restarted
+// meanwhile, both fetch the whole configuration.
 func TestFrozenOverChanges(t *testing.T) {
 	t.Parallel()
 	skipLong(t)
@@ -218,7 +220,7 @@
 		}
 		stats := trackFetches(cluster)
 		if view := cluster.Datas["d2"].Holder.View(); view.Config().Label() != 1 || view.MayServe(cluster.Now()) {
-			t.Errorf("vacuous: %s: one that was cut off goes by %d", name, view.Config().Label())
+			t.Errorf("vacuous: %s: the partitioned daemon applies label %d", name, view.Config().Label())
 		}
 		cluster.Split([]string{"d2"}, cluster.NodeNames()[:len(cluster.Plan.Controls)], false)
 		cluster.Run(16 * time.Second)
@@ -236,8 +238,8 @@
 	}
 }
 
-// TestSpoiledChunk: a daemon whose held chunk is not what it was goes by nothing that is
-// put together with it; it fetches the whole and goes by what was decided.
+// TestSpoiledChunk corrupts a chunk of the configuration in a data daemon's memory. The daemon must not
+// apply a configuration assembled with it; it fetches the whole and applies what was decided.
 func TestSpoiledChunk(t *testing.T) {
 	t.Parallel()
 	cluster := routedFleet(23)
@@ -261,19 +263,20 @@
 	cluster.Run(2 * time.Second)
 	checkDataDaemonsApply(t, cluster, document)
 	if view := cluster.Datas["d1"].Holder.View(); corrupted != 1 || stats.copies["d1"] != 2 || stats.copies["d2"] != 1 || !view.IsValid(cluster.Now()) {
-		t.Errorf("%d spoiled, %d copies to it, %d to another", corrupted, stats.copies["d1"], stats.copies["d2"])
+		t.Errorf("%d chunks corrupted, %d copies to that daemon, %d to another", corrupted, stats.copies["d1"], stats.copies["d2"])
 	}
-	// From then on it has all of it again.
+	// From then on its chunks are intact, and it fetches only differences.
 	stats = trackFetches(cluster)
 	document = routesDocument(cluster.Document, 3, 300, 7)
 	if _, err := replace(cluster, "c2", document, 2); err != nil || stats.copies["d1"] != 1 || stats.bytes["d1"] > 1500 {
-		t.Errorf("%v, %d copies, %d bytes", err, stats.copies["d1"], stats.bytes["d1"])
+		t.Errorf("after the repair: %v, %d copies, %d bytes", err, stats.copies["d1"], stats.bytes["d1"])
 	}
 	checkDataDaemonsApply(t, cluster, document)
 }
 
-// TestFetchStorm: changes that race, evacuations among them, over daemons that come, go
-// and lose packets: nobody goes by a mix or goes back, and at the end all go by the last.
+// TestFetchStorm runs concurrent changes and evacuations while daemons restart or freeze and the
+// network loses, duplicates and delays packets. No daemon may apply a mixture of configurations or go back to an older one, and at
+// the end all apply the last one.
 func TestFetchStorm(t *testing.T) {
 	t.Parallel()
 	seeds := uint64(4)
@@ -318,7 +321,7 @@
 		cluster.At(1500*time.Millisecond, func() { cluster.StartData("d2") })
 		cluster.At(time.Second, func() { cluster.Freeze("d1", 2*time.Second) })
 		if !cluster.Until(40*time.Second, func() bool { return began >= 60 && finished == began }) {
-			t.Fatalf("seed %d: %d of %d ended", seed, finished, began)
+			t.Fatalf("seed %d: only %d of %d changes ended", seed, finished, began)
 		}
 		cluster.Faults = sim.NetworkFaults{}
 		_, err := replace(cluster, "c2", routesDocument(cluster.Document, 1000, 200, 3), newestLabel(t, cluster))
@@ -329,10 +332,10 @@
 		label, config := newest(t, cluster, "c3")
 		checkDataDaemonsApply(t, cluster, config.Document, config.Evacuated...)
 		if label != 1000 || accepted < 10 {
-			t.Errorf("vacuous: seed %d: label %d, %d were taken", seed, label, accepted)
+			t.Errorf("vacuous: seed %d: label %d, %d changes were accepted", seed, label, accepted)
 		}
 		if stats.maxInFlight != 1 {
-			t.Errorf("two copies: seed %d: of one serial were under way to one daemon", seed)
+			t.Errorf("two copies: seed %d: two copies of one serial were in flight to one daemon", seed)
 		}
 		once(t, cluster)
 		cluster.Close()
@@ -345,12 +348,12 @@
 	return label
 }
 
-// countPrepares counts what acceptors were asked to promise, in whichever messages.
+// countPrepares returns how many prepare messages, single or batched, acceptors were sent.
 func countPrepares(cluster *fleet.Park) int {
 	return cluster.Messages["Register.Prepare"] + cluster.Messages["Register.PrepareAll"]
 }
 
-// countWrites counts the writes of registers that went through.
+// countWrites returns the number of successful register writes.
 func countWrites(cluster *fleet.Park) (count int) {
 	for _, daemon := range cluster.Controls {
 		count += int(daemon.Client.RoundCounters().Writes)
@@ -358,8 +361,8 @@
 	return count
 }
 
-// TestStartOfAll: daemons that all begin at once and
-// hear nothing write their records once at each control daemon that they ask.
+// TestStartOfAll starts all data daemons at once while every reply to a renewal is lost. Retries must not
+// write a daemon's record more than once at each control daemon that it contacts.
 func TestStartOfAll(t *testing.T) {
 	t.Parallel()
 	skipLong(t)
@@ -389,16 +392,17 @@
 	}
 	cluster.Run(6 * time.Second)
 	prepares := countPrepares(cluster) - writes
-	t.Logf("24 daemons in 6 s: %d asks, %d prepares", renewals, prepares)
+	t.Logf("24 daemons in 6 s: %d renewal requests, %d prepares", renewals, prepares)
 	if renewals < 24*6 {
 		t.Error("vacuous")
 	}
-	// A prepare goes to each of three acceptors; standings are written meanwhile, too.
+	// A prepare goes to each of three acceptors. The bound leaves half as much again for routing
+	// tables, which are written meanwhile.
 	if most := 24 * 3 * 3 * 3 / 2; prepares > most {
-		t.Errorf("%d prepares, of %d at the most", prepares, most)
+		t.Errorf("%d prepares, at most %d are allowed", prepares, most)
 	}
 	if recordWrites, most := countWrites(cluster)-records, 24*3*3/2; recordWrites > most {
-		t.Errorf("%d writes, of %d at the most", recordWrites, most)
+		t.Errorf("%d writes, at most %d are allowed", recordWrites, most)
 	}
 	cluster.OnCall = nil
 	if !cluster.Until(6*time.Second, func() bool {
@@ -409,14 +413,14 @@
 		}
 		return true
 	}) {
-		t.Error("not all have a permit in the end")
+		t.Error("not all data daemons have a lease in the end")
 	}
 }
 
-// TestStartOfAllOnSlowMachines: as many data daemons as the target has begin at once, while
-// the control daemons' machines are so slow that they could not serve the writes of all
-// their records in time if all were begun together. Each round that nobody waits for any
-// more would make the others late.
+// TestStartOfAllOnSlowMachines starts as many data daemons at once as the target deployment has.
+// The control daemons' machines are so slow that writing all records concurrently would
+// exceed the timeouts, and each round whose caller has given up would delay the others
+// further. All data daemons must still get a lease.
 func TestStartOfAllOnSlowMachines(t *testing.T) {
 	t.Parallel()
 	skipLong(t)
@@ -458,10 +462,10 @@
 		}
 		return valid == len(cluster.Datas)
 	}) {
-		t.Errorf("control traffic: %d of %d have a permit in the end", valid, len(cluster.Datas))
+		t.Errorf("control traffic: only %d of %d data daemons have a lease in the end", valid, len(cluster.Datas))
 	}
 	records := countWrites(cluster) - writes
-	t.Logf("%d of %d have a permit after %v, with %d writes", valid, len(cluster.Datas), cluster.Now()-began, records)
+	t.Logf("%d of %d data daemons have a lease after %v, with %d writes", valid, len(cluster.Datas), cluster.Now()-began, records)
 	if records < len(cluster.Datas) {
 		t.Errorf("vacuous: %d writes", records)
 	}
--- a/fleet/emptied_test.go
+++ b/fleet/emptied_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// TestALapsedDutyEmptiesNoRegion: where control daemons can't reach one another for a while
-// duties lapse and come back, also while their holder waits for what a standing is computed
-// from. No region is shown without replicas for that.
+// TestALapsedDutyEmptiesNoRegion partitions the control daemons from one another repeatedly, so that
+// leaderships lapse and are regained, also while the leader waits for the inputs of a routing
+// table. A region's routing table must never be without replicas because of that.
 func TestALapsedDutyEmptiesNoRegion(t *testing.T) {
 	t.Parallel()
 	skipLong(t)
@@ -41,7 +41,7 @@
 				for name, daemon := range cluster.Datas {
 					for region, table := range daemon.Holder.View().RoutingTables {
 						if len(table.Places) == 0 {
-							t.Fatalf("emptied: seed %d, %v: %s goes by a standing of %s without replicas", seed, cluster.Now(), name, region)
+							t.Fatalf("emptied: seed %d, %v: %s uses a routing table of %s without replicas", seed, cluster.Now(), name, region)
 						}
 					}
 				}
@@ -49,8 +49,8 @@
 		}
 		cluster.Close()
 	}
-	t.Logf("%d sights of a duty that nobody held", lapses)
+	t.Logf("%d observations of a region without a leader", lapses)
 	if lapses < 20 {
-		t.Error("vacuous: duties did not lapse")
+		t.Error("vacuous: leaderships did not lapse")
 	}
 }
--- a/fleet/ends_test.go
+++ b/fleet/ends_test.go
@@ -11,21 +11,21 @@
 	"swifttiller/settings"
 )
 
-// descriptiveLimits are limits that say what replicas are like or what users bear; a setting that
-// is not so breaks its promise by itself, and no rule can be held against it. The
-// archive's is what Vary varies.
+// descriptiveLimits are limits that describe the replicas or what users tolerate. A value that does not
+// match reality breaks the guarantee by itself, so no rule can be checked with it.
+// archive_ms is excluded because Vary changes it.
 var descriptiveLimits = map[string]bool{"cold_share": true, "warm_ms": true, "warm_answers": true, "prompt_unit_bytes": true, "answer_unit_tokens": true, "stall_ms": true, "request_ms": true, "archive_ms": true}
 
-// companionLimits are limits that have to go along with another's end, by the checks, and what
-// the most is then.
+// companionLimits are the limits that validation requires to be set along with the least or most of
+// another limit.
 var companionLimits = map[string]string{"probe_ms most": `"dark_ms":10000,`, "dark_ms least": `"probe_ms":50,`}
 
-// TestSettingsAtTheirEnds: what must never happen does not happen either with any one
-// limit at the least or the most that the checks let an operator set.
+// TestSettingsAtTheirEnds verifies that the invariants hold with any one limit at the minimum or the
+// maximum that validation accepts.
 func TestSettingsAtTheirEnds(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
-		t.Skip("a long simulation; the race detector has one task at a time to look at")
+		t.Skip("a long simulation that runs one goroutine at a time, which gives the race detector nothing to check")
 	}
 	names := []string{"sahayogi", "sklepik"}
 	for limit, bound := range settings.Limits {
@@ -41,7 +41,7 @@
 				t.Run(fmt.Sprintf("%s %s/%s/%d", limit, end, name, seed), func(t *testing.T) {
 					t.Parallel()
 					plan := fleet.Plans[name]()
-					// In the place of the plan's own value, if it has one.
+					// Replaces the plan's own value, if it has one.
 					setting := fmt.Sprintf(`"%s":%g`, limit, value)
 					if existing := regexp.MustCompile(`"` + limit + `":[0-9.]+`); existing.MatchString(plan.Document) {
 						plan.Document = existing.ReplaceAllString(plan.Document, setting)
--- a/fleet/engine_test.go
+++ b/fleet/engine_test.go
@@ -13,16 +13,16 @@
 	"swifttiller/verdict"
 )
 
-// requestResult is what became of one request that was sent to an engine.
+// requestResult is the outcome of one request that was sent to an engine.
 type requestResult struct {
-	first, last, longestPause time.Duration // since it was sent
+	first, last, longestPause time.Duration // first and last event since the request was sent, and the longest pause between events
 	events                    int
 	err                       error
 	failure                   *verdict.Error
 	head                      replica.Head
 }
 
-// engineHarness is a park of one engine, and a node that sends to it.
+// engineHarness is a simulated cluster with one engine and one node that sends requests to it.
 type engineHarness struct {
 	*Park
 	relayer *relayer
@@ -40,7 +40,7 @@
 	return &engineHarness{Park: cluster, relayer: &relayer{cluster, cluster.Node("d"), map[string][]*wireLine{}}}
 }
 
-// send sends a request now, and notes what becomes of it.
+// send starts a request now. The result is filled in as the simulation runs.
 func (harness *engineHarness) send(urgency, maxTokens int, remaining time.Duration, parts ...decide.Part) *requestResult {
 	harness.count++
 	id, result := fmt.Sprint("r", harness.count), &requestResult{}
@@ -76,13 +76,14 @@
 func checkDuration(t *testing.T, phase string, took, want time.Duration) {
 	t.Helper()
 	if took < want-want/50-time.Millisecond || took > want+want/50+time.Millisecond {
-		t.Errorf("%s took %v, not %v", phase, took, want)
+		t.Errorf("%s took %v, want %v", phase, took, want)
 	}
 }
 
 const ampleTime = 20 * time.Second
 
-// TestEngine: the stand-in has the properties that it stands in for.
+// TestEngine verifies that the simulated engine has the properties of a real one that the simulations
+// depend on.
 func TestEngine(t *testing.T) {
 	t.Parallel()
 	plain := func(*EngineOptions) {}
@@ -96,20 +97,20 @@
 		harness := newEngineHarness(t, plain)
 		request := harness.send(5, 10, ampleTime, shared, own(2))
 		harness.Run(2 * time.Second)
-		checkDuration(t, "the first piece", request.first, prefillTime(17020)+first+4*(step+each))
-		checkDuration(t, "the whole", request.last, prefillTime(17020)+first+10*(step+each))
+		checkDuration(t, "time to first token", request.first, prefillTime(17020)+first+4*(step+each))
+		checkDuration(t, "the whole answer", request.last, prefillTime(17020)+first+10*(step+each))
 		if request.events != 3 || !errors.Is(request.err, io.EOF) || !request.head.HasLoad || request.head.Running != 1 || request.head.Slots != 64 {
 			t.Errorf("got %d events, %v, %+v", request.events, request.err, request.head)
 		}
 		second := harness.send(5, 4, ampleTime, shared, own(3))
 		harness.Run(2 * time.Second)
-		checkDuration(t, "the first piece behind kept parts", second.first, prefillTime(3720)+first+4*(step+each))
-		// The last part counts as kept only behind all before it.
+		checkDuration(t, "time to first token with a cached prefix", second.first, prefillTime(3720)+first+4*(step+each))
+		// The last part is a cache hit only if all parts before it are the same.
 		third := harness.send(5, 4, ampleTime, decide.Part{ID: 9, Tokens: 100}, own(3))
 		harness.Run(2 * time.Second)
-		checkDuration(t, "the first piece behind another beginning", third.first, prefillTime(3820)+first+4*(step+each))
+		checkDuration(t, "time to first token with a different prefix", third.first, prefillTime(3820)+first+4*(step+each))
 		if e := harness.Engines["e"]; e.ReadTokens != 17020+3720+3820 || e.KeptTokens != 13300 || e.AgainTokens != 3720 {
-			t.Errorf("read %d, kept %d, again %d", e.ReadTokens, e.KeptTokens, e.AgainTokens)
+			t.Errorf("%d tokens prefilled, %d from the cache, %d prefilled again", e.ReadTokens, e.KeptTokens, e.AgainTokens)
 		}
 	})
 	t.Run("tokens come more slowly as more run", func(t *testing.T) {
@@ -119,7 +120,7 @@
 			requests = append(requests, harness.send(5, 400, ampleTime, decide.Part{ID: 100 + id, Tokens: 10}))
 		}
 		harness.Run(10 * time.Second)
-		checkDuration(t, "400 tokens among 20", requests[19].last-requests[19].first, 396*(step+20*each))
+		checkDuration(t, "400 tokens with 20 running requests", requests[19].last-requests[19].first, 396*(step+20*each))
 	})
 	t.Run("prompts are read between the tokens of others", func(t *testing.T) {
 		harness := newEngineHarness(t, plain)
@@ -128,25 +129,25 @@
 		before := request.longestPause
 		harness.send(5, 4, ampleTime, shared, own(5))
 		harness.Run(2 * time.Second)
-		checkDuration(t, "a pause beside reading", request.longestPause, 4*(step+each+prefillTime(1024)))
-		checkDuration(t, "a pause without", before, 4*(step+each))
+		checkDuration(t, "a pause during another request's prefill", request.longestPause, 4*(step+each+prefillTime(1024)))
+		checkDuration(t, "a pause without a prefill", before, 4*(step+each))
 	})
 	t.Run("parts unused for longest give way", func(t *testing.T) {
 		harness := newEngineHarness(t, func(options *EngineOptions) { options.CacheTokens = 1000 })
-		for _, id := range []uint64{1, 2, 1, 3} { // 3 makes 2 give way
+		for _, id := range []uint64{1, 2, 1, 3} { // 3 evicts 2
 			harness.send(5, 1, ampleTime, decide.Part{ID: id, Tokens: 400})
 			harness.Run(time.Second)
 		}
 		e := harness.Engines["e"]
 		if e.ReadTokens != 1200 || e.KeptTokens != 400 {
-			t.Errorf("read %d, kept %d", e.ReadTokens, e.KeptTokens)
+			t.Errorf("%d tokens prefilled, %d from the cache", e.ReadTokens, e.KeptTokens)
 		}
 		harness.send(5, 1, ampleTime, decide.Part{ID: 1, Tokens: 400})
 		harness.Run(time.Second)
 		harness.send(5, 1, ampleTime, decide.Part{ID: 2, Tokens: 400})
 		harness.Run(time.Second)
 		if e.ReadTokens != 1600 || e.KeptTokens != 800 {
-			t.Errorf("then read %d, kept %d", e.ReadTokens, e.KeptTokens)
+			t.Errorf("then %d tokens prefilled, %d from the cache", e.ReadTokens, e.KeptTokens)
 		}
 	})
 	t.Run("the newest of the least urgent is put back when memory runs out", func(t *testing.T) {
@@ -159,7 +160,7 @@
 		harness.Run(10 * time.Second)
 		e := harness.Engines["e"]
 		if e.PutBack == 0 || e.AgainTokens == 0 {
-			t.Errorf("put back %d, read again %d", e.PutBack, e.AgainTokens)
+			t.Errorf("%d requests preempted, %d tokens prefilled again", e.PutBack, e.AgainTokens)
 		}
 		for _, request := range []*requestResult{urgent, old} {
 			if request.events != 75 || !errors.Is(request.err, io.EOF) {
@@ -167,7 +168,7 @@
 			}
 		}
 		if urgent.longestPause > 100*time.Millisecond {
-			t.Errorf("the urgent one paused for %v", urgent.longestPause)
+			t.Errorf("the urgent request paused for %v", urgent.longestPause)
 		}
 	})
 	t.Run("urgent ones get in first, and a full one turns away", func(t *testing.T) {
@@ -184,12 +185,12 @@
 			if request.failure != nil {
 				rejected++
 				if request.failure.Verdict != verdict.NotRun || request.failure.Code != "replica_declined" {
-					t.Errorf("turned away with %v %s", request.failure.Verdict, request.failure.Code)
+					t.Errorf("rejected with %v %s", request.failure.Verdict, request.failure.Code)
 				}
 			}
 		}
 		if rejected != 2 || urgent.failure != nil || urgent.last > 900*time.Millisecond {
-			t.Errorf("%d were turned away; the urgent one took %v, %v", rejected, urgent.last, urgent.failure)
+			t.Errorf("%d requests were rejected; the urgent request took %v, %v", rejected, urgent.last, urgent.failure)
 		}
 	})
 	t.Run("one larger than the memory, and one whose time ends in the queue", func(t *testing.T) {
@@ -200,11 +201,11 @@
 		late := harness.send(5, 10, 300*time.Millisecond, decide.Part{ID: 3, Tokens: 10})
 		harness.Run(3 * time.Second)
 		if large.failure == nil || large.failure.Verdict != verdict.NotRun {
-			t.Errorf("the large one: %+v", large)
+			t.Errorf("the request larger than the memory: %+v", large)
 		}
-		// Its client's own time ends first, and that says nothing of having run.
+		// The client's own deadline passes first, which does not tell whether the request ran.
 		if late.failure == nil || late.failure.Code != "expired" || harness.Runs[2].Ran != 0 {
-			t.Errorf("the late one: %+v, %+v", late.failure, harness.Runs[2])
+			t.Errorf("the request that expired in the queue: %+v, %+v", late.failure, harness.Runs[2])
 		}
 	})
 	t.Run("another life, a leaving one, and a cold one that gets too much", func(t *testing.T) {
@@ -215,7 +216,7 @@
 		harness.send(5, 1, ampleTime, decide.Part{ID: 1, Tokens: 10})
 		harness.Run(time.Second)
 		if harness.Dialled != 1 || len(harness.relayer.idle["e"]) != 0 {
-			t.Errorf("%d connections, %d kept to one that leaves", harness.Dialled, len(harness.relayer.idle["e"]))
+			t.Errorf("%d connections, %d kept open to a leaving engine", harness.Dialled, len(harness.relayer.idle["e"]))
 		}
 		previousLife := harness.Engines["e"].Life
 		harness.Crash("e")
@@ -228,14 +229,14 @@
 		})
 		harness.Run(100 * time.Millisecond)
 		if failure == nil || failure.Code != replica.RestartedCode || !harness.Runs[2].Elsewhere {
-			t.Errorf("meant for another life: %v", failure)
+			t.Errorf("a request for a previous incarnation: %v", failure)
 		}
 		for id := range uint64(100) {
 			harness.send(5, 1, ampleTime, decide.Part{ID: 100 + id, Tokens: 10})
 		}
 		harness.Run(time.Second)
 		if harness.Fallen != 1 || harness.Node("e").Up() {
-			t.Errorf("fell over %d times", harness.Fallen)
+			t.Errorf("the overloaded cold engine failed %d times", harness.Fallen)
 		}
 	})
 }
--- a/fleet/experiment_test.go
+++ b/fleet/experiment_test.go
@@ -32,7 +32,7 @@
 		invalid := options
 		change(&invalid)
 		if _, err := fleet.Experiment(invalid); err == nil {
-			t.Errorf("a wrong %s is taken", option)
+			t.Errorf("an invalid %s is accepted", option)
 		}
 	}
 }
--- a/fleet/explain_test.go
+++ b/fleet/explain_test.go
@@ -10,8 +10,8 @@
 	"swifttiller/fleet"
 )
 
-// TestExplain: each late first piece has one cause, and the forecast's error is that of the
-// pieces that came.
+// TestExplain verifies that each late first token is assigned one cause, and that the error of the
+// forecast covers only the attempts whose first token arrived.
 func TestExplain(t *testing.T) {
 	t.Parallel()
 	const second = int64(time.Second)
@@ -41,7 +41,7 @@
 	}
 	for _, cause := range []fleet.Cause{fleet.CauseTriedBefore, fleet.CauseHeld, fleet.CauseTooLong, fleet.CauseReadAgain, fleet.CauseQueuedAtOwner, fleet.CauseFar, fleet.CauseQueued} {
 		if list[0].Causes[cause] != 1 {
-			t.Errorf("%d are late as %s", list[0].Causes[cause], cause)
+			t.Errorf("%d attempts are late for the cause %s, want 1", list[0].Causes[cause], cause)
 		}
 	}
 	if list[0].Median != 800*time.Millisecond || list[0].P95 != 1100*time.Millisecond {
@@ -53,6 +53,6 @@
 		t.Error(text)
 	}
 	if len(fleet.Explain(nil)) > 0 || decide.RankOwner == "" {
-		t.Error("something is made of nothing")
+		t.Error("no choices yield an explanation, or the rank of the owner is empty")
 	}
 }
--- a/fleet/fault_test.go
+++ b/fleet/fault_test.go
@@ -12,11 +12,11 @@
 )
 
 var (
-	seeds = flag.Int("seeds", 1, "how many seeds to search")
+	seeds = flag.Int("seeds", 1, "number of seeds to search")
 	first = flag.Uint64("seed", 1, "the first seed")
 )
 
-// show fails the test with a few breaches of each rule.
+// show fails the test with up to three violations of each rule.
 func show(t *testing.T, seed uint64, broken []fleet.Broken) {
 	t.Helper()
 	shown := map[string]int{}
@@ -27,8 +27,8 @@
 	}
 }
 
-// ends lets things settle after faults, counts what is served then, and lets the
-// callers end.
+// ends lets the cluster settle after faults, counts the requests answered from then on, and lets the
+// callers finish.
 func ends(cluster *fleet.Park) (answered, asked int) {
 	cluster.Run(10 * time.Second)
 	from := cluster.Now()
@@ -39,8 +39,8 @@
 	return answered, asked
 }
 
-// try runs one or two faults over a warm fleet and checks every rule. The park
-// must serve again at the end.
+// try injects the faults one after the other into a warm fleet and checks every rule. At least nine
+// tenths of the requests must be answered at the end.
 func try(t *testing.T, plan string, seed uint64, faults ...fleet.Fault) {
 	t.Helper()
 	cluster := fleet.NewPark(seed, fleet.Plans[plan]())
@@ -62,12 +62,12 @@
 	if len(faults) == 1 {
 		for _, rule := range faults[0].Judges {
 			if judged[rule] == 0 {
-				t.Errorf("%s seed %d: vacuous: the checker for %q had nothing to judge", plan, seed, rule)
+				t.Errorf("%s seed %d: vacuous: the checker for %q had nothing to check", plan, seed, rule)
 			}
 		}
 	}
 	if answered*10 < asked*9 {
-		t.Errorf("%s seed %d: serves %d of %d after the faults are over", plan, seed, answered, asked)
+		t.Errorf("%s seed %d: answered only %d of %d requests after the faults", plan, seed, answered, asked)
 	}
 }
 
@@ -92,12 +92,12 @@
 	}
 }
 
-// TestFaultsInPairs puts two faults one after another, drawn by the seed. CI runs
-// a few; -seeds and -seed search further.
+// TestFaultsInPairs injects two faults, chosen by the seed, one after the other. CI runs
+// a few seeds; -seeds and -seed search further.
 func TestFaultsInPairs(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
-		t.Skip("a long simulation; the race detector has one task at a time to look at")
+		t.Skip("a long simulation that runs one goroutine at a time, which gives the race detector nothing to check")
 	}
 	for offset := uint64(0); offset < uint64(*seeds)*4; offset++ {
 		seed := *first + offset
@@ -115,12 +115,12 @@
 	}
 }
 
-// TestSameSeedSameRun: a seed that fails must fail again, so a run may hang on
-// nothing but its seed.
+// TestSameSeedSameRun verifies that a run depends only on its seed, so that a failing seed can be
+// replayed.
 func TestSameSeedSameRun(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
-		t.Skip("a long simulation; the race detector has one task at a time to look at")
+		t.Skip("a long simulation that runs one goroutine at a time, which gives the race detector nothing to check")
 	}
 	for _, fault := range fleet.Faults {
 		if !slices.Contains([]string{"evacuation and hand-back", "data daemon killed", "core split", "calls lost, repeated and late"}, fault.Name) {
--- a/fleet/grey_test.go
+++ b/fleet/grey_test.go
@@ -11,12 +11,12 @@
 	"swifttiller/fleet"
 )
 
-// partialFailureSeeds are how many seeds a share is of: one seed's is a matter of two or three
-// requests.
+// partialFailureSeeds is the number of seeds over which the share of answered requests is computed. With a
+// single seed two or three requests would decide.
 const partialFailureSeeds = 4
 
-// measurePartialFailure has some engines fail in part for a while, and gives what share of the requests
-// made meanwhile ended well, over all seeds.
+// measurePartialFailure makes a quarter of the engines partly faulty for a while and returns the share of the
+// requests made meanwhile that succeeded, over all seeds.
 func measurePartialFailure(t *testing.T, change func(cluster *fleet.Park, engine *fleet.Engine, isFaulty bool)) float64 {
 	t.Helper()
 	answered, asked := 0, 0
@@ -24,7 +24,7 @@
 		succeeded, total := measurePartialFailureOnce(t, seed, change)
 		answered, asked = answered+succeeded, asked+total
 	}
-	t.Logf("%s: %d of %d ended well", t.Name(), answered, asked)
+	t.Logf("%s: %d of %d requests succeeded", t.Name(), answered, asked)
 	return float64(answered) / float64(max(1, asked))
 }
 
@@ -52,15 +52,15 @@
 	return answered, asked
 }
 
-// TestPartlyFailing: engines that fail a part of their requests while their probes are
-// answered well are left alone by those whom they fail.
+// TestPartlyFailing verifies that data daemons stop using engines that fail a part of their requests
+// although their health checks succeed.
 func TestPartlyFailing(t *testing.T) {
 	t.Parallel()
 	for _, scenario := range []struct {
 		name string
 		grey fleet.Grey
 		slow float64
-		// least is the share that must end well.
+		// least is the share of requests that must succeed.
 		least float64
 	}{
 		{"errors", fleet.Grey{How: "errors", Share: 0.4}, 0, 0.967},
@@ -83,25 +83,25 @@
 				}
 			})
 			if share < scenario.least {
-				t.Errorf("%.3f ended well", share)
+				t.Errorf("only a share of %.3f of the requests succeeded", share)
 			}
 		})
 	}
 }
 
-// TestFalseProbes: engines that say that they are ill and serve well stay in use; so do
-// the others when some say that they are well and fail all (TestPartlyFailing).
+// TestFalseProbes verifies that engines that report failing health checks but serve well stay in use. For
+// the opposite, engines that report that they are healthy but fail all requests, see TestPartlyFailing.
 func TestFalseProbes(t *testing.T) {
 	t.Parallel()
 	share := measurePartialFailure(t, func(cluster *fleet.Park, engine *fleet.Engine, _ bool) {
 		engine.SaysIll = fleet.Region(engine.Zone) == cluster.Shape.Regions[0]
 	})
 	if share < 1 {
-		t.Errorf("%.3f ended well", share)
+		t.Errorf("only a share of %.3f of the requests succeeded", share)
 	}
 }
 
-// busiest are the engines that got the most requests since a time, the most first.
+// busiest returns up to count engines that got the most requests since the given time, the busiest first.
 func busiest(cluster *fleet.Park, since time.Duration, count int) (names []string) {
 	runs := map[string]int{}
 	for _, run := range cluster.Runs {
@@ -116,16 +116,17 @@
 	return names[:min(count, len(names))]
 }
 
-// startupWindow is how long after the start its crowd no longer speaks against an engine: one
-// whose first pieces were mostly late then may be taken out for saying that it is ill.
+// startupWindow is how long the overload of the start may count against an engine: one whose first
+// tokens were mostly late then may be taken out of use when it reports that it is unhealthy.
 const startupWindow = 12 * time.Second
 
-// TestProbesWordIsNotEnough: engines that say that they are ill and serve well get requests.
+// TestProbesWordIsNotEnough verifies that busy engines that report that they are unhealthy but serve well
+// still get requests.
 func TestProbesWordIsNotEnough(t *testing.T) {
 	t.Parallel()
 	last := uint64(8)
 	if testing.Short() {
-		last = 1 // under the race detector, which has one task at a time to look at
+		last = 1 // under the race detector, which has one goroutine at a time to check
 	}
 	for seed := uint64(1); seed <= last; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -143,7 +144,7 @@
 			used := busiest(cluster, from, 100)
 			for _, name := range unhealthy {
 				if !slices.Contains(used, name) {
-					t.Errorf("%s says that it is ill, and gets nothing", name)
+					t.Errorf("%s reports that it is unhealthy but serves well, and gets no requests", name)
 				}
 			}
 		})
@@ -154,8 +155,8 @@
 	return slices.DeleteFunc(slices.Clone(cluster.NodeNames()), func(other string) bool { return other == name })
 }
 
-// TestFlapping: engines that go down and up by turns cost few requests, and are used
-// again once they stay.
+// TestFlapping makes engines repeatedly unreachable and reachable again. Nine tenths of the requests must
+// succeed, and the engines must be used again once they stay reachable.
 func TestFlapping(t *testing.T) {
 	t.Parallel()
 	cluster := fleet.NewPark(1, fleet.RoutedShapes["large"].Plan())
@@ -176,9 +177,9 @@
 	until := cluster.Now()
 	cluster.Run(20 * time.Second)
 	answered, asked := fleet.RoutedRate(cluster, facts.From, until)
-	t.Logf("%d of %d ended well", answered, asked)
+	t.Logf("%d of %d requests succeeded", answered, asked)
 	if answered*100 < asked*90 {
-		t.Error("too few")
+		t.Error("too few requests succeeded")
 	}
 	used := busiest(cluster, cluster.Now()-6*time.Second, 100)
 	for _, name := range names {
