--- a/fleet/bytes_test.go
+++ b/fleet/bytes_test.go
@@ -8,8 +8,8 @@
 	"swifttiller/fleet"
 )
 
-// countCrossRegionBytes starts counting the bytes sent between regions, by rpc method. Only message bodies
-// count, without the per-call overhead.
+// countCrossRegionBytes starts counting the bytes sent between regions, by rpc method. Only
+// message bodies count, without the per-call overhead.
 func countCrossRegionBytes(cluster *fleet.Park) map[string]int {
 	counts := map[string]int{}
 	cluster.OnBytes = func(from, to, method string, bytes int) {
--- a/fleet/chatter_test.go
+++ b/fleet/chatter_test.go
@@ -10,9 +10,9 @@
 )
 
 // grown returns the sahayogi plan resized to the given numbers of data daemons, replicas and
-// control daemons (all with a disk), spread over its three regions. As in the users'
-// deployments, the model is served by an engine, and replicas decide themselves which version they hold. There are no
-// callers, as the simulated callers cannot send routed requests, the only kind that such a
+// control daemons (all with a disk), spread over its three regions. As in the users' deployments,
+// the model is served by an engine, and replicas decide themselves which version they hold. There
+// are no callers, as the simulated callers cannot send routed requests, the only kind that such a
 // model gets.
 func grown(datas, replicas, controls int) fleet.Plan {
 	plan := fleet.Sahayogi()
@@ -53,8 +53,8 @@
 // between is the one-way network delay between regions.
 const between = 35 * time.Millisecond
 
-// measureTraffic measures the control traffic of a fleet at rest over 10 s. Traffic to replicas does not
-// count.
+// measureTraffic measures the control traffic of a fleet at rest over 10 s. Traffic to replicas
+// does not count.
 func measureTraffic(seed uint64, plan fleet.Plan) controlTraffic {
 	return measureTrafficFor(seed, plan, 10)
 }
@@ -129,8 +129,8 @@
 // fleetSize is the number of daemons and replicas of a fleet.
 type fleetSize struct{ datas, replicas, controls int }
 
-// checkTrafficGrowth measures the control traffic of fleets of increasing size, bounds it, and compares
-// each fleet with the one before.
+// checkTrafficGrowth measures the control traffic of fleets of increasing size, bounds it, and
+// compares each fleet with the one before.
 func checkTrafficGrowth(t *testing.T, sizes []fleetSize) {
 	var measured []controlTraffic
 	for _, size := range sizes {
@@ -183,8 +183,8 @@
 	}
 }
 
-// TestLeavingReplicaIsOutInTime verifies that a replica is removed from every data daemon's routing table
-// within 1.5 s after the platform's list shows it as leaving.
+// TestLeavingReplicaIsOutInTime verifies that a replica is removed from every data daemon's
+// routing table within 1.5 s after the platform's list shows it as leaving.
 func TestLeavingReplicaIsOutInTime(t *testing.T) {
 	t.Parallel()
 	for name, newPlan := range map[string]func() fleet.Plan{"sahayogi": fleet.Sahayogi, "an engine's": func() fleet.Plan { return grown(6, 18, 3) }} {
--- a/fleet/copies_test.go
+++ b/fleet/copies_test.go
@@ -26,8 +26,9 @@
 	return result
 }
 
-// TestStatusTellsSinceWhenACopyIsMissing verifies that the status of every daemon reports for how long
-// an acceptor has been unreachable or behind, and nothing once all copies are complete again.
+// TestStatusTellsSinceWhenACopyIsMissing verifies that the status of every daemon reports for how
+// long an acceptor has been unreachable or behind, and nothing once all copies are complete
+// again.
 func TestStatusTellsSinceWhenACopyIsMissing(t *testing.T) {
 	t.Parallel()
 	cluster := fleet.NewPark(1, fleet.Plans["sahayogi"]())
--- a/fleet/days_test.go
+++ b/fleet/days_test.go
@@ -12,8 +12,8 @@
 
 var days = flag.Int("days", 4, "number of random days to simulate in each fleet")
 
-// TestDays simulates days on which failures and operators' work overlap at random, as determined by the
-// seed, and checks every rule. CI runs a few; -days and -seed search further.
+// TestDays simulates days on which failures and operators' work overlap at random, as determined
+// by the seed, and checks every rule. CI runs a few; -days and -seed search further.
 func TestDays(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
--- a/fleet/duel_test.go
+++ b/fleet/duel_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// TestPermitsGoOnThroughChanges verifies that leases are renewed in time on a large fleet with a long delay between
-// regions while configurations are written one after the other. It guards against dueling
-// proposers: control daemons that read a register during a write must not outbid the ballot of its
-// writer, or one another's.
+// TestPermitsGoOnThroughChanges verifies that leases are renewed in time on a large fleet with a
+// long delay between regions while configurations are written one after the other. It guards
+// against dueling proposers: control daemons that read a register during a write must not outbid
+// the ballot of its writer, or one another's.
 func TestPermitsGoOnThroughChanges(t *testing.T) {
 	t.Parallel()
 	skipLong(t)
--- a/fleet/editions_test.go
+++ b/fleet/editions_test.go
@@ -12,8 +12,8 @@
 	"swifttiller/sim"
 )
 
-// routesDocument returns the plan's document with the given label and count routes, one per tenant. The
-// host of the route with index moved, if there is one, depends on the label.
+// routesDocument returns the plan's document with the given label and count routes, one per
+// tenant. The host of the route with index moved, if there is one, depends on the label.
 func routesDocument(document string, label uint64, count, moved int) []byte {
 	var routes []string
 	for index := range count {
@@ -26,8 +26,9 @@
 	return []byte(strings.Replace(document, "{", fmt.Sprintf(`{"label":%d,"routes":[%s],`, label, strings.Join(routes, ",")), 1))
 }
 
-// tenantsDocument returns the plan's document with the given label, 100 routes and count tenants of two
-// keys each. One key of the tenant with index changed, if there is one, depends on the label.
+// tenantsDocument returns the plan's document with the given label, 100 routes and count tenants
+// of two keys each. One key of the tenant with index changed, if there is one, depends on the
+// label.
 func tenantsDocument(document string, label uint64, count, changed int) []byte {
 	var list []string
 	for index := range count {
@@ -82,8 +83,8 @@
 	return stats
 }
 
-// checkDataDaemonsApply verifies that all running data daemons apply exactly this document, with these zones
-// evacuated.
+// checkDataDaemonsApply verifies that all running data daemons apply exactly this document, with
+// these zones evacuated.
 func checkDataDaemonsApply(t *testing.T, cluster *fleet.Park, document []byte, zones ...string) {
 	t.Helper()
 	for name, daemon := range cluster.Datas {
@@ -238,8 +239,9 @@
 	}
 }
 
-// TestSpoiledChunk corrupts a chunk of the configuration in a data daemon's memory. The daemon must not
-// apply a configuration assembled with it; it fetches the whole and applies what was decided.
+// TestSpoiledChunk corrupts a chunk of the configuration in a data daemon's memory. The daemon
+// must not apply a configuration assembled with it; it fetches the whole and applies what was
+// decided.
 func TestSpoiledChunk(t *testing.T) {
 	t.Parallel()
 	cluster := routedFleet(23)
@@ -275,8 +277,8 @@
 }
 
 // TestFetchStorm runs concurrent changes and evacuations while daemons restart or freeze and the
-// network loses, duplicates and delays packets. No daemon may apply a mixture of configurations or go back to an older one, and at
-// the end all apply the last one.
+// network loses, duplicates and delays packets. No daemon may apply a mixture of configurations
+// or go back to an older one, and at the end all apply the last one.
 func TestFetchStorm(t *testing.T) {
 	t.Parallel()
 	seeds := uint64(4)
@@ -361,8 +363,8 @@
 	return count
 }
 
-// TestStartOfAll starts all data daemons at once while every reply to a renewal is lost. Retries must not
-// write a daemon's record more than once at each control daemon that it contacts.
+// TestStartOfAll starts all data daemons at once while every reply to a renewal is lost. Retries
+// must not write a daemon's record more than once at each control daemon that it contacts.
 func TestStartOfAll(t *testing.T) {
 	t.Parallel()
 	skipLong(t)
--- a/fleet/ends_test.go
+++ b/fleet/ends_test.go
@@ -11,8 +11,8 @@
 	"swifttiller/settings"
 )
 
-// descriptiveLimits are limits that describe the replicas or what users tolerate. A value that does not
-// match reality breaks the guarantee by itself, so no rule can be checked with it.
+// descriptiveLimits are limits that describe the replicas or what users tolerate. A value that
+// does not match reality breaks the guarantee by itself, so no rule can be checked with it.
 // archive_ms is excluded because Vary changes it.
 var descriptiveLimits = map[string]bool{"cold_share": true, "warm_ms": true, "warm_answers": true, "prompt_unit_bytes": true, "answer_unit_tokens": true, "stall_ms": true, "request_ms": true, "archive_ms": true}
 
--- a/fleet/grey_test.go
+++ b/fleet/grey_test.go
@@ -11,12 +11,12 @@
 	"swifttiller/fleet"
 )
 
-// partialFailureSeeds is the number of seeds over which the share of answered requests is computed. With a
-// single seed two or three requests would decide.
+// partialFailureSeeds is the number of seeds over which the share of answered requests is
+// computed. With a single seed two or three requests would decide.
 const partialFailureSeeds = 4
 
-// measurePartialFailure makes a quarter of the engines partly faulty for a while and returns the share of the
-// requests made meanwhile that succeeded, over all seeds.
+// measurePartialFailure makes a quarter of the engines partly faulty for a while and returns the
+// share of the requests made meanwhile that succeeded, over all seeds.
 func measurePartialFailure(t *testing.T, change func(cluster *fleet.Park, engine *fleet.Engine, isFaulty bool)) float64 {
 	t.Helper()
 	answered, asked := 0, 0
@@ -89,8 +89,9 @@
 	}
 }
 
-// TestFalseProbes verifies that engines that report failing health checks but serve well stay in use. For
-// the opposite, engines that report that they are healthy but fail all requests, see TestPartlyFailing.
+// TestFalseProbes verifies that engines that report failing health checks but serve well stay in
+// use. For the opposite, engines that report that they are healthy but fail all requests, see
+// TestPartlyFailing.
 func TestFalseProbes(t *testing.T) {
 	t.Parallel()
 	share := measurePartialFailure(t, func(cluster *fleet.Park, engine *fleet.Engine, _ bool) {
@@ -101,7 +102,8 @@
 	}
 }
 
-// busiest returns up to count engines that got the most requests since the given time, the busiest first.
+// busiest returns up to count engines that got the most requests since the given time, the
+// busiest first.
 func busiest(cluster *fleet.Park, since time.Duration, count int) (names []string) {
 	runs := map[string]int{}
 	for _, run := range cluster.Runs {
@@ -120,8 +122,8 @@
 // tokens were mostly late then may be taken out of use when it reports that it is unhealthy.
 const startupWindow = 12 * time.Second
 
-// TestProbesWordIsNotEnough verifies that busy engines that report that they are unhealthy but serve well
-// still get requests.
+// TestProbesWordIsNotEnough verifies that busy engines that report that they are unhealthy but
+// serve well still get requests.
 func TestProbesWordIsNotEnough(t *testing.T) {
 	t.Parallel()
 	last := uint64(8)
@@ -155,8 +157,8 @@
 	return slices.DeleteFunc(slices.Clone(cluster.NodeNames()), func(other string) bool { return other == name })
 }
 
-// TestFlapping makes engines repeatedly unreachable and reachable again. Nine tenths of the requests must
-// succeed, and the engines must be used again once they stay reachable.
+// TestFlapping makes engines repeatedly unreachable and reachable again. Nine tenths of the
+// requests must succeed, and the engines must be used again once they stay reachable.
 func TestFlapping(t *testing.T) {
 	t.Parallel()
 	cluster := fleet.NewPark(1, fleet.RoutedShapes["large"].Plan())
--- a/fleet/grown_test.go
+++ b/fleet/grown_test.go
@@ -13,10 +13,11 @@
 	"swifttiller/session"
 )
 
-// apart is a calm grown fleet whose regions are apart.
+// apart starts a large fleet without callers whose regions are separated by the delay between,
+// and warms it up.
 func apart(seed uint64, plan fleet.Plan) *fleet.Park { return apartBy(between, seed, plan) }
 
-// apartBy is apart with so long a way between regions.
+// apartBy is apart with the given one-way delay between regions.
 func apartBy(delay time.Duration, seed uint64, plan fleet.Plan) *fleet.Park {
 	cluster := fleet.NewPark(seed, plan)
 	for _, from := range cluster.NodeNames() {
@@ -30,8 +31,9 @@
 	return cluster
 }
 
-// manyRoutes is the plan's document with so many routes, made from something that is as
-// long. Hosts and prefixes are drawn, as nothing that repeats would show its length.
+// manyRoutes returns the plan's document with the given label, count routes and an origin of similar
+// length. Hosts and prefixes are random, as repetitive text would be compressed and hide the
+// document's length.
 func manyRoutes(document string, label uint64, count int) []byte {
 	draw := rand.New(rand.NewPCG(label, 1))
 	var routes, origin []string
@@ -45,9 +47,9 @@
 	return []byte(document[:last] + `,"origin":{"routes":[` + strings.Join(origin, ",") + "]}}")
 }
 
-// TestGrownConfiguration: one of 1,300 routes is gone by and acknowledged within a second
-// on 88 data daemons; on its way to each of them it is small, and what it was made from
-// stays with the control daemons, which give it back whole.
+// TestGrownConfiguration verifies that a configuration with 1,300 routes is applied by 88 data
+// daemons and acknowledged within a second. It is sent to each of them compressed and without its
+// origin, which stays with the control daemons and is returned unchanged.
 func TestGrownConfiguration(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
@@ -78,26 +80,26 @@
 		for name, daemon := range cluster.Datas {
 			most = max(most, bytesByDaemon[name])
 			if view := daemon.Holder.View(); view.Config().Label() != label || len(view.Config().Origin) > 0 || strings.Contains(string(view.Config().Document), `"origin"`) {
-				t.Fatalf("%s goes by %d, with an origin of %d bytes", name, view.Config().Label(), len(view.Config().Origin))
+				t.Fatalf("%s applies label %d, with an origin of %d bytes", name, view.Config().Label(), len(view.Config().Origin))
 			}
 		}
 		t.Logf("%d bytes: acknowledged after %v, %d bytes to a data daemon, %d between regions", len(document), took, most, crossRegion)
 		if took > time.Second {
 			t.Errorf("acknowledged after %v", took)
 		}
-		// It comes once, from a control daemon of the region. At 10 Mbit/s 45,000 bytes
+		// It is sent once, from a control daemon of the same region. At 10 Mbit/s, 45,000 bytes
 		// take 36 ms.
 		if most > len(document)/2 || most > 45e3 || crossRegion > 8*len(document) {
 			t.Errorf("a document of %d bytes: %d bytes to a data daemon, %d between regions", len(document), most, crossRegion)
 		}
 		if read, config := newest(t, cluster, "c5"); read != label || string(config.WithOrigin()) != tight(document) {
-			t.Error("it does not come back as it was sent")
+			t.Error("the configuration read back is not the one that was written")
 		}
 	}
 }
 
-// TestChangesTravelAlone: a replica that goes, and a data daemon that begins anew, cost
-// every other daemon far less than the whole lists; all lists are the same at the end.
+// TestChangesTravelAlone verifies that a leaving replica and a restarted data daemon cost every other
+// daemon far less than a transfer of the whole lists, and that all lists agree at the end.
 func TestChangesTravelAlone(t *testing.T) {
 	t.Parallel()
 	cluster := apart(2, grown(24, 90, 6))
@@ -120,20 +122,20 @@
 			most = max(most, float64(changed[name]-calm[name]))
 		}
 		if most <= 0 {
-			t.Error("vacuous: nobody was told")
+			t.Error("vacuous: no change was sent to a data daemon")
 		}
 		return most
 	}
 	gone := cluster.Plan.Replicas[7].ID
 	if more := measureGrants(func() { cluster.LeaveByPlatform(gone) }); more > 4000 {
-		t.Errorf("a replica that goes costs a data daemon %.0f bytes", more)
+		t.Errorf("a leaving replica costs a data daemon %.0f bytes", more)
 	} else {
-		t.Logf("a replica that goes: %.0f bytes to a data daemon", more)
+		t.Logf("a leaving replica: %.0f bytes to a data daemon", more)
 	}
 	if more := measureGrants(func() { cluster.Crash("d1"); cluster.StartData("d1") }); more > 4000 {
-		t.Errorf("a data daemon that begins anew costs another %.0f bytes", more)
+		t.Errorf("a restarted data daemon costs another one %.0f bytes", more)
 	} else {
-		t.Logf("a data daemon that begins anew: %.0f bytes to another", more)
+		t.Logf("a restarted data daemon: %.0f bytes to another one", more)
 	}
 	var live []session.Member
 	cluster.Must("c1", func(daemon *controlplane.Daemon) error {
@@ -145,7 +147,7 @@
 	for name, daemon := range cluster.Datas {
 		view := daemon.Holder.View()
 		if session.Checksum(view.Members) != session.Checksum(live) {
-			t.Errorf("%s has %d members of %d, or others", name, len(view.Members), len(live))
+			t.Errorf("%s has %d members instead of %d, or different ones", name, len(view.Members), len(live))
 		}
 		for region, entry := range view.RoutingTables {
 			for _, place := range entry.Places {
@@ -157,8 +159,8 @@
 	}
 }
 
-// TestNearestControlDaemon: data daemons ask a control daemon of their own zone where
-// there is one, and go back to it after it was gone.
+// TestNearestControlDaemon verifies that data daemons renew their leases at a control daemon of
+// their own zone where there is one, and return to it after it was down.
 func TestNearestControlDaemon(t *testing.T) {
 	t.Parallel()
 	plan := grown(12, 18, 6)
@@ -179,21 +181,21 @@
 		return count, all
 	}
 	if count, all := countCrossZone(); count > 0 || all == 0 {
-		t.Errorf("%d of %d asks went to another zone", count, all)
+		t.Errorf("%d of %d renewals went to another zone", count, all)
 	}
 	cluster.Crash("c4")
 	if count, all := countCrossZone(); count == 0 || count == all {
-		t.Errorf("vacuous: %d of %d asks went to another zone", count, all)
+		t.Errorf("vacuous: %d of %d renewals went to another zone", count, all)
 	}
 	cluster.StartControl("c4")
 	cluster.Run(10 * time.Second)
 	if count, all := countCrossZone(); count > 0 || all == 0 {
-		t.Errorf("after a restart %d of %d asks went to another zone", count, all)
+		t.Errorf("after a restart %d of %d renewals went to another zone", count, all)
 	}
 }
 
-// TestUnprobedRegionStays: a control daemon that takes a region's duty while the region's
-// replicas answer nobody's probes shows no region without replicas.
+// TestUnprobedRegionStays verifies that a control daemon that becomes the leader of a region while
+// the region's replicas answer no health checks does not publish a routing table without replicas.
 func TestUnprobedRegionStays(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(1); seed <= 12; seed++ {
@@ -204,7 +206,7 @@
 func checkUnprobedRegion(t *testing.T, seed uint64) {
 	plan := grown(6, 18, 3)
 	for index := range plan.Replicas {
-		plan.Replicas[index].Mute = true // the list tells what it holds
+		plan.Replicas[index].Mute = true // the platform's list says which versions the replica holds
 	}
 	cluster := fleet.NewPark(seed, plan)
 	defer cluster.Close()
@@ -217,18 +219,18 @@
 			holder = name
 		}
 	}
-	for _, one := range cluster.Plan.Replicas {
-		replicas = append(replicas, one.ID)
+	for _, replica := range cluster.Plan.Replicas {
+		replicas = append(replicas, replica.ID)
 	}
 	oldestTerm := func() uint64 {
 		least := uint64(0)
 		for name, daemon := range cluster.Datas {
-			one := daemon.Holder.View().RoutingTables["east"]
-			if len(one.Places) == 0 {
-				t.Fatalf("at %v %s sees no replica in the region, by serial %d", cluster.Now(), name, one.Serial)
+			table := daemon.Holder.View().RoutingTables["east"]
+			if len(table.Places) == 0 {
+				t.Fatalf("at %v the routing table of %s for the region has no replica, serial %d", cluster.Now(), name, table.Serial)
 			}
-			if least = min(least, one.Duty); least == 0 {
-				least = one.Duty
+			if least = min(least, table.Duty); least == 0 {
+				least = table.Duty
 			}
 		}
 		return least
@@ -241,12 +243,13 @@
 		oldestTerm()
 	}
 	if oldestTerm() == before {
-		t.Error("vacuous: nobody took the duty")
+		t.Error("vacuous: no daemon took over the region's leadership")
 	}
 }
 
-// TestDimRegionStays: a control daemon that has just taken a region's duty, and whose first
-// probes were answered, shows no region without replicas when the next ones go unanswered.
+// TestDimRegionStays verifies that a control daemon that has just become the leader of a region,
+// and whose first health checks succeeded, does not publish a routing table without replicas when
+// the next ones fail.
 func TestDimRegionStays(t *testing.T) {
 	t.Parallel()
 	skipLong(t)
@@ -261,21 +264,21 @@
 		for name := range cluster.Controls {
 			controls = append(controls, name)
 		}
-		for _, one := range cluster.Plan.Replicas {
-			replicas = append(replicas, one.ID)
+		for _, replica := range cluster.Plan.Replicas {
+			replicas = append(replicas, replica.ID)
 		}
 		before := cluster.Holder("east")
 		cluster.Crash(before)
 		if !cluster.Until(10*time.Second, func() bool { holder := cluster.Holder("east"); return holder != "" && holder != before }) {
-			t.Fatal("vacuous: nobody took the duty")
+			t.Fatal("vacuous: no daemon took over the region's leadership")
 		}
 		cluster.Run(answered)
 		cluster.Split(controls, replicas, true)
 		for range 100 {
 			cluster.Run(50 * time.Millisecond)
 			for name, daemon := range cluster.Datas {
-				if one := daemon.Holder.View().RoutingTables["east"]; len(one.Places) == 0 {
-					t.Fatalf("answered for %v: at %v %s sees no replica in the region, by serial %d", answered, cluster.Now(), name, one.Serial)
+				if table := daemon.Holder.View().RoutingTables["east"]; len(table.Places) == 0 {
+					t.Fatalf("answered for %v: at %v the routing table of %s for the region has no replica, serial %d", answered, cluster.Now(), name, table.Serial)
 				}
 			}
 		}
--- a/fleet/handback_test.go
+++ b/fleet/handback_test.go
@@ -7,9 +7,10 @@
 	"swifttiller/fleet"
 )
 
-// TestHandBackNeedsNoStanding: a zone that is handed back serves as soon as the data daemons have
-// the configuration, also where whoever writes its region's standing is lost just then; and
-// until it was, and beyond what cold replicas bear after, nothing is sent there.
+// TestHandBackNeedsNoStanding verifies that a zone whose evacuation is revoked serves again as
+// soon as the data daemons have the configuration, even if the leader that writes its region's
+// routing table has just crashed. No request may be sent there before that, and afterwards no
+// more than cold replicas can handle.
 func TestHandBackNeedsNoStanding(t *testing.T) {
 	t.Parallel()
 	skipLong(t)
@@ -23,7 +24,7 @@
 		cluster.Run(4 * time.Second)
 		holder := cluster.Holder("east")
 		if holder == "" {
-			t.Fatal("nobody holds the duty")
+			t.Fatal("the region has no leader")
 		}
 		cluster.Crash(holder)
 		for _, options := range cluster.Plan.Engines {
@@ -42,9 +43,9 @@
 				served++
 			}
 		}
-		t.Logf("seed %d: %d requests in the zone in 0.8 s", seed, served)
+		t.Logf("seed %d: %d requests in the zone within 0.8 s after the evacuation was revoked", seed, served)
 		if served < 5 {
-			t.Error("too few")
+			t.Error("too few requests were served in the zone")
 		}
 		cluster.StartControl(holder)
 		cluster.Run(5 * time.Second)
--- a/fleet/heavy_test.go
+++ b/fleet/heavy_test.go
@@ -9,7 +9,8 @@
 	"swifttiller/fleet"
 )
 
-// countCrossRegionCalls counts what goes between regions while the step runs, by method.
+// countCrossRegionCalls returns the bytes and messages sent between regions while the step runs,
+// by rpc method.
 func countCrossRegionCalls(cluster *fleet.Park, step func()) (bytes, calls map[string]int) {
 	bytes, calls = map[string]int{}, map[string]int{}
 	cluster.OnBytes = func(from, to, method string, count int) {
@@ -23,9 +24,9 @@
 	return bytes, calls
 }
 
-// TestLongValuesTravelOnce: what a long configuration costs the registers between regions
-// goes by the acceptors and not by how often, nor by how many, it is read; and one that
-// stays what it was is not sent again when the core changes.
+// TestLongValuesTravelOnce verifies that the register traffic between regions for a long
+// configuration depends on the number of acceptors and not on the number of reads or readers, and
+// that an unchanged configuration is not sent again when the core changes.
 func TestLongValuesTravelOnce(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
@@ -50,12 +51,12 @@
 			}
 			cluster.Run(2 * time.Second)
 		})
-		// Three acceptors are in other regions than the writer, and each is told once.
+		// Three acceptors are in other regions than the writer, and each gets the value once.
 		if packed = accepts / 3; packed < 50e3 {
 			t.Fatalf("vacuous: the configuration has %d bytes", packed)
 		}
 		if queries > calm+2*packed {
-			t.Errorf("control traffic: a change: %d bytes of queries between regions, %d in calm, for a configuration of %d", queries, calm, packed)
+			t.Errorf("control traffic: a change: %d bytes of queries between regions, %d at rest, for a configuration of %d bytes", queries, calm, packed)
 		}
 	}
 	queries, accepts, _ := measureStep("a core machine that lost its disk, 10 s", func() {
@@ -66,11 +67,11 @@
 		cluster.Run(9 * time.Second)
 	})
 	if queries > 4*calm+2*packed || accepts > 2*packed {
-		t.Errorf("control traffic: a core machine that lost its disk: %d bytes of queries and %d of accepts between regions, %d of queries in calm, for a configuration of %d", queries, accepts, calm, packed)
+		t.Errorf("control traffic: a core machine that lost its disk: %d bytes of queries and %d of accepts between regions, %d of queries at rest, for a configuration of %d bytes", queries, accepts, calm, packed)
 	}
 }
 
-// loadedPlan is a grown fleet whose engines have callers.
+// loadedPlan returns the plan of a large fleet whose engines have callers.
 func loadedPlan(busy float64) fleet.Plan {
 	plan := fleet.RoutedShape{Regions: []string{"east", "middle", "west"}, Engines: []int{40, 30, 20}, Datas: []int{29, 31, 28}, Busy: busy, Reports: true}.Plan()
 	for index, spec := range plan.Controls {
@@ -79,9 +80,9 @@
 	return plan
 }
 
-// TestMishapsTravelSlowly: what control daemons tell each other, between regions, of data
-// daemons with callers is within 900 bytes a second and data daemon in calm, and within
-// 1,300 while replicas fail and after a region was cut off.
+// TestMishapsTravelSlowly bounds the session reports that control daemons share between regions
+// for data daemons with callers: 900 bytes per second and data daemon at rest, and 1,300 while
+// replicas fail and after a region was partitioned.
 func TestMishapsTravelSlowly(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
@@ -96,7 +97,7 @@
 	}
 	calm := measureShares("calm")
 	if calm > 4*900*len(cluster.Datas) || calm == 0 {
-		t.Errorf("control traffic: %d bytes of shares between regions in 4 s of calm", calm)
+		t.Errorf("control traffic: %d bytes of shares between regions in 4 s at rest", calm)
 	}
 	for index, options := range cluster.Plan.Engines {
 		if index%8 == 0 {
@@ -105,7 +106,7 @@
 	}
 	before := len(cluster.Runs)
 	if failing := measureShares("an eighth of the replicas fails"); failing > 4*1300*len(cluster.Datas) || len(cluster.Runs)-before < 500 {
-		t.Errorf("control traffic: %d bytes of shares between regions in 4 s while replicas fail, %d in calm", failing, calm)
+		t.Errorf("control traffic: %d bytes of shares between regions in 4 s while replicas fail, %d at rest", failing, calm)
 	}
 	var west, rest []string
 	for _, name := range cluster.NodeNames() {
@@ -116,15 +117,16 @@
 		}
 	}
 	cluster.Split(west, rest, true)
-	cluster.Run(4 * time.Second) // what is sent meanwhile goes nowhere
+	cluster.Run(4 * time.Second) // messages sent meanwhile are lost
 	cluster.Split(west, rest, false)
 	if healed := measureShares("a region is back"); healed > 4*1300*len(cluster.Datas) {
-		t.Errorf("control traffic: %d bytes of shares between regions in 4 s after a cut, %d in calm", healed, calm)
+		t.Errorf("control traffic: %d bytes of shares between regions in 4 s after a partition, %d at rest", healed, calm)
 	}
 }
 
-// TestStandingStaysOverConfigurations: a configuration that changes nothing of what a
-// region's replicas may get writes no standing anew, for nobody is told one then.
+// TestStandingStaysOverConfigurations verifies that a configuration that does not affect what a
+// region's replicas may be sent causes no write of its routing table, so that no new table is
+// sent to the data daemons.
 func TestStandingStaysOverConfigurations(t *testing.T) {
 	t.Parallel()
 	skipLong(t)
@@ -146,14 +148,14 @@
 	}
 	cluster.Run(2 * time.Second)
 	if after := serials(); len(before) != 3 || !maps.Equal(before, after) {
-		t.Errorf("control traffic: standings went from %v to %v over four configurations", before, after)
+		t.Errorf("control traffic: routing tables went from serials %v to %v over four configurations", before, after)
 	}
 	if label := cluster.Datas["d1"].Holder.View().Config().Label(); label != 4 {
-		t.Errorf("vacuous: it goes by the configuration %d", label)
+		t.Errorf("vacuous: the data daemon applies the configuration with label %d", label)
 	}
 	cluster.LeaveByPlatform(cluster.Plan.Replicas[0].ID)
 	cluster.Run(3 * time.Second)
 	if maps.Equal(before, serials()) {
-		t.Error("vacuous: nothing writes a standing")
+		t.Error("vacuous: no routing table is ever written")
 	}
 }
--- a/fleet/leaving_test.go
+++ b/fleet/leaving_test.go
@@ -13,14 +13,15 @@
 	"swifttiller/sim"
 )
 
-// Limits of a deployment that allows 5 s between a notice and the last request.
+// Limits of a deployment that allows 5 s between the notice that a replica leaves and the last
+// request to it.
 const (
 	listInterval     = 1250 * time.Millisecond
 	fiveSecondLimits = `"limits":{"platform_ms":1250,"permit_ms":2400,"session_ms":1800,"dark_ms":900,"probe_ms":450,"alone_ms":3600000,`
 )
 
-// awaitRemoval lets time pass until no data daemon of those named goes by the replica any
-// more, and gives when that was so.
+// awaitRemoval runs the simulation until the replica is in no routing table of the named data
+// daemons, and returns the time of that.
 func awaitRemoval(t *testing.T, cluster *fleet.Park, replica string, names []string) time.Duration {
 	t.Helper()
 	isOut := func() bool {
@@ -37,14 +38,15 @@
 	}
 	for spent := time.Duration(0); !isOut(); spent += 10 * time.Millisecond {
 		if spent > 20*time.Second {
-			t.Fatal("it is never out")
+			t.Fatal("the replica was never removed from all routing tables")
 		}
 		cluster.Run(10 * time.Millisecond)
 	}
 	return cluster.Now()
 }
 
-// newCalmCluster is a calm grown fleet under limitsOf5, and its data daemons.
+// newCalmCluster returns a large cluster without callers under fiveSecondLimits, and the names of
+// its data daemons.
 func newCalmCluster(seed uint64) (*fleet.Park, []string) {
 	plan := grown(24, 30, 6)
 	plan.Document = strings.Replace(plan.Document, `"limits":{`, fiveSecondLimits, 1)
@@ -53,9 +55,9 @@
 	return cluster, slices.Sorted(maps.Keys(cluster.Datas))
 }
 
-// TestLeavingIsToldAtOnce: on a grown fleet a replica that leaves is out of every data
-// daemon's view soon after the platform lists it, at the daemons, too, whose asks for a
-// permit go unanswered just then.
+// TestLeavingIsToldAtOnce verifies on a large fleet that a leaving replica is removed from every
+// data daemon's routing table soon after the platform lists it as leaving, also at daemons whose
+// lease renewals go unanswered at that moment.
 func TestLeavingIsToldAtOnce(t *testing.T) {
 	t.Parallel()
 	skipLong(t)
@@ -64,8 +66,8 @@
 	calm, degraded := time.Duration(0), time.Duration(0)
 	for turn := range 12 {
 		replica := cluster.Plan.Replicas[turn]
-		// The control daemons of one zone lose touch with the data daemons of their zone:
-		// those asks wait for nothing, and are asked elsewhere afterwards.
+		// The control daemons of one zone are partitioned from the data daemons of their zone:
+		// their renewals time out and are retried at other control daemons.
 		holder := cluster.Holder(fleet.Region(replica.Zone))
 		var controls, datas []string
 		if turn%2 == 1 {
@@ -81,7 +83,7 @@
 				}
 			}
 		}
-		cluster.Run(time.Duration(turn) * 97 * time.Millisecond) // at another phase each time
+		cluster.Run(time.Duration(turn) * 97 * time.Millisecond) // at a different phase of the polling each time
 		cluster.LeaveByPlatform(replica.ID)
 		cluster.Run(cluster.Plan.Lag)
 		listed := cluster.Now()
@@ -95,14 +97,15 @@
 		}
 		cluster.Run(4 * time.Second)
 	}
-	t.Logf("the last daemon goes by a leaving replica until %v after it is listed, %v where asks go unanswered", calm, degraded)
+	t.Logf("the last daemon removes a leaving replica %v after it is listed, %v where renewals go unanswered", calm, degraded)
 	if bound := listInterval*11/10 + 400*time.Millisecond; calm > bound || degraded > bound {
-		t.Errorf("leaving: later than %v", bound)
+		t.Errorf("leaving: a replica was removed later than %v after it was listed", bound)
 	}
 }
 
-// TestDarkIsToldAtOnce: a replica whose machine goes dark is out of every data daemon's
-// view soon after its region's standing can say so, and in all again once it is back.
+// TestDarkIsToldAtOnce verifies that an unreachable replica is removed from every data daemon's
+// routing table soon after the failed health checks allow it, and is back in all of them once it
+// is reachable again.
 func TestDarkIsToldAtOnce(t *testing.T) {
 	t.Parallel()
 	skipLong(t)
@@ -127,20 +130,22 @@
 			return true
 		}
 		if !cluster.Until(6*time.Second, isBack) {
-			t.Fatalf("%s is not back everywhere", name)
+			t.Fatalf("%s is not back in all routing tables", name)
 		}
 		cluster.Run(time.Second)
 	}
-	t.Logf("the last daemon goes by a dark replica for %v", worst)
-	// A probe and a half go unanswered, and the standing is computed and written.
+	t.Logf("the last daemon removes an unreachable replica after %v", worst)
+	// The time without an answer, one more probe interval, and the computation and writing of the
+	// routing table.
 	if bound := 900*time.Millisecond + 450*time.Millisecond + 600*time.Millisecond; worst > bound {
-		t.Errorf("longer than %v", bound)
+		t.Errorf("an unreachable replica was removed only after more than %v", bound)
 	}
 }
 
-// TestLeavingUntold: where no notice reaches a data daemon, and where one begins after all
-// notices, the region's standing alone keeps it from a replica that is to end, whether the
-// platform's list or the replica's own probes say so.
+// TestLeavingUntold covers data daemons that get no notice of a leaving replica, because notices
+// are lost or because they start after all notices. The region's routing table alone must keep
+// them from using the replica, whether the platform's list or the replica's own health checks
+// report that it leaves.
 func TestLeavingUntold(t *testing.T) {
 	t.Parallel()
 	skipLong(t)
@@ -167,7 +172,7 @@
 				cluster.Replicas[replica].Lingers = true
 				leave(cluster, replica)
 				if !isLost {
-					cluster.Run(4 * time.Second) // all are told
+					cluster.Run(4 * time.Second) // until all daemons have the notice
 					for _, daemon := range []string{"d1", "d2"} {
 						cluster.Crash(daemon)
 						cluster.StartData(daemon)
--- a/fleet/lives_test.go
+++ b/fleet/lives_test.go
@@ -8,9 +8,9 @@
 	"swifttiller/fleet"
 )
 
-// TestLivesThatAreOverAreTold: where all machines of a region were lost and come back, its
-// engines under new lives, the data daemons there do not each find out by requests of their
-// own which lives are over: whoever holds the region's duty tells them.
+// TestLivesThatAreOverAreTold loses all machines of a region and restarts them, its engines with new
+// incarnations. The region's leader must announce which incarnations have ended, so that the data
+// daemons there do not each find out by failed requests of their own.
 func TestLivesThatAreOverAreTold(t *testing.T) {
 	t.Parallel()
 	skipLong(t)
@@ -29,7 +29,7 @@
 		lost := cluster.Lose(nodes)
 		cluster.Run(6 * time.Second)
 		before := len(cluster.Runs)
-		// Daemons have their permits sooner than the list shows the engines' new lives.
+		// Daemons get their leases before the platform's list shows the engines' new incarnations.
 		cluster.Return(slices.DeleteFunc(slices.Clone(lost), func(name string) bool { return cluster.Engines[name] == nil }))
 		cluster.Run(500 * time.Millisecond)
 		cluster.Return(slices.DeleteFunc(slices.Clone(lost), func(name string) bool { return cluster.Engines[name] != nil }))
@@ -51,9 +51,9 @@
 				rejected++
 			}
 		}
-		t.Logf("seed %d: %d requests came to lives that are over; of %d of the region's callers %d were declined", seed, elsewhere, asked, rejected)
+		t.Logf("seed %d: %d requests were sent to ended incarnations; of %d requests of the region's callers %d were rejected", seed, elsewhere, asked, rejected)
 		if elsewhere > 2*shape.Engines[2] || asked == 0 {
-			t.Errorf("seed %d: %d requests came to lives that are over", seed, elsewhere)
+			t.Errorf("seed %d: %d requests were sent to ended incarnations", seed, elsewhere)
 		}
 		cluster.Quiet = true
 		cluster.Run(6500 * time.Millisecond)
--- a/fleet/loss_test.go
+++ b/fleet/loss_test.go
@@ -9,13 +9,14 @@
 	"swifttiller/fleet"
 )
 
-// daemonNames are the names of all daemons, in order.
+// daemonNames returns the names of the control daemons and then of the data daemons, each sorted.
 func daemonNames(cluster *fleet.Park) []string {
 	return slices.Concat(slices.Sorted(maps.Keys(cluster.Controls)), slices.Sorted(maps.Keys(cluster.Datas)))
 }
 
-// checkUnplaced counts the tries of notices that were begun in the span, and those of them that
-// found no replica, by zone. No zone has more than one in so many of these.
+// checkUnplaced counts, by zone, the attempts of notice requests that arrived between from and
+// until, and those that found no replica. It fails the test if these are more than one in oneIn
+// in any zone.
 func checkUnplaced(t *testing.T, cluster *fleet.Park, from, until time.Duration, oneIn int) {
 	t.Helper()
 	all, rejected := map[string]int{}, map[string]int{}
@@ -30,17 +31,18 @@
 			}
 		}
 	}
-	t.Logf("of %v tries of notices, by zone, %v found no replica", all, rejected)
+	t.Logf("of %v attempts of notices, by zone, %v found no replica", all, rejected)
 	for zone := range all {
 		if rejected[zone]*oneIn > all[zone] {
-			t.Errorf("%s: %d of %d", zone, rejected[zone], all[zone])
+			t.Errorf("%s: %d of %d attempts found no replica", zone, rejected[zone], all[zone])
 		}
 	}
 }
 
-// TestColdFleetServesAllRegions: after all machines were lost, requests that may not be
-// served in their caller's region are served elsewhere at once, too, though all replicas
-// count as cold for a while and those of a grown fleet bear less than one request a daemon.
+// TestColdFleetServesAllRegions verifies that after a loss of all daemons, requests that cannot
+// be served in their caller's region are served elsewhere at once, although all replicas count as
+// cold for a while and those of a large fleet have a capacity of less than one request per
+// daemon.
 func TestColdFleetServesAllRegions(t *testing.T) {
 	t.Parallel()
 	skipLong(t)
@@ -62,10 +64,10 @@
 	show(t, 1, broken)
 }
 
-// TestSurgeAfterAPowerCut: the callers of a grown fleet that come back all at once after its
-// machines were lost are served, though nobody keeps the standings yet: data daemons ask the
-// replicas themselves. Every third engine has become cold meanwhile, and is sent no more than
-// a cold one bears.
+// TestSurgeAfterAPowerCut verifies that the callers of a large fleet, which all return at once
+// after a power cut, are served although no leader maintains the routing tables yet: data daemons
+// query the replicas themselves. Every third engine has become cold meanwhile and must not be
+// sent more than a cold engine can handle.
 func TestSurgeAfterAPowerCut(t *testing.T) {
 	t.Parallel()
 	skipLong(t)
--- a/fleet/losses_test.go
+++ b/fleet/losses_test.go
@@ -11,8 +11,8 @@
 	"swifttiller/fleet"
 )
 
-// newSelfFormedCore starts a fleet whose control daemons make a core of so many votes by themselves.
-// Where there are more than zones, zones have two or three of them.
+// newSelfFormedCore starts a fleet whose control daemons form a core with the given number of votes
+// by themselves. If there are more votes than zones, a zone has two or three of them.
 func newSelfFormedCore(t *testing.T, seed uint64, votes int) *fleet.Park {
 	t.Helper()
 	plan := fleet.Sahayogi()
@@ -23,17 +23,18 @@
 	}
 	cluster := fleet.NewBarePark(seed, plan)
 	if !cluster.Until(8*time.Second, func() bool { return len(core(cluster).Members) == votes }) {
-		t.Fatalf("the core is %v", core(cluster))
+		t.Fatalf("the core did not form: %v", core(cluster))
 	}
 	cluster.Plan.First = false
 	if err := cluster.Apply(&fleet.Facts{}, "c2"); err != nil {
-		t.Fatal("no configuration:", err)
+		t.Fatal("cannot apply the first configuration:", err)
 	}
 	cluster.Run(5 * time.Second)
 	return cluster
 }
 
-// isFullyReplicated tells whether all of a core of so many votes hold what was decided.
+// isFullyReplicated reports whether all members of a core with the given number of votes hold all
+// decided values.
 func isFullyReplicated(cluster *fleet.Park, votes int) bool {
 	for _, name := range running(cluster) {
 		var status controlplane.Status
@@ -48,7 +49,7 @@
 	return false
 }
 
-// runningMembers are the machines of the core that run, those whose disks have lasted longest first.
+// runningMembers returns the running machines of the core, those with the oldest disks first.
 func runningMembers(cluster *fleet.Park, since map[string]time.Duration) (names []string) {
 	for _, member := range core(cluster).Members {
 		if cluster.Node(member.Name).Up() {
@@ -64,10 +65,10 @@
 	return names
 }
 
-// TestSecondLosses: after a machine was replaced, or came back without its disk, and that
-// machine has had catch_up_s, as many disks may be lost as a majority leaves, while all
-// machines lose power, soon after an order was sent: what was acknowledged stands. The disks
-// that have lasted longest go first, so that in the end no copy is an old one.
+// TestSecondLosses replaces a core machine, or wipes its disk, and gives it catch_up_s to catch
+// up. Then all machines lose power soon after a change was sent, and as many disks are lost as a
+// majority tolerates. Acknowledged changes must survive. The oldest disks are lost first, so that
+// in the end every copy has been rebuilt.
 func TestSecondLosses(t *testing.T) {
 	t.Parallel()
 	eachSeed(t, func(t *testing.T, seed uint64) {
@@ -88,9 +89,9 @@
 				}
 				since[first] = cluster.Now()
 				if !cluster.Until(catchUp, func() bool { return cluster.Votes(first) && isFullyReplicated(cluster, votes) }) {
-					t.Errorf("lost: %d votes, turn %d: %s does not hold all after %v", votes, turn, first, catchUp)
+					t.Errorf("lost: %d votes, turn %d: %s has not caught up after %v", votes, turn, first, catchUp)
 				}
-				// An order that is acknowledged, another one, and the loss soon after it.
+				// One acknowledged change, then another one, and the power loss soon after it.
 				list := runningMembers(cluster, since)
 				tolerated := votes - core(cluster).Majority()
 				if err := cluster.Apply(&fleet.Facts{}, list[0]); err != nil {
@@ -111,7 +112,7 @@
 				}
 				cluster.Return(lost)
 				if !cluster.Until(12*time.Second, func() bool { return isFullyReplicated(cluster, votes) }) {
-					t.Errorf("lost: %d votes, turn %d: the core is not whole again: %v", votes, turn, core(cluster))
+					t.Errorf("lost: %d votes, turn %d: the core is not fully replicated again: %v", votes, turn, core(cluster))
 				}
 				for _, name := range running(cluster) {
 					if read := serial(cluster, name); read < acknowledged {
@@ -124,17 +125,17 @@
 	})
 }
 
-// TestManyChangesLeaveLittleToCatchUp: after hundreds of changes a member that missed a few
-// catches up in time, by what it lacks and not by all that was ever written; until then it
-// confirms nothing; and the disks stay small.
+// TestManyChangesLeaveLittleToCatchUp verifies that after hundreds of changes a member that
+// missed a few catches up in time by transferring what it lacks and not the whole history. Until
+// then it must not return an old configuration. The disks must stay small.
 func TestManyChangesLeaveLittleToCatchUp(t *testing.T) {
 	t.Parallel()
 	skipLong(t)
 	const (
 		changes = 600
 		missed  = 30
-		// diskBound is of two slots and two logs, of which one is being cut; the machines
-		// have 128 MB.
+		// diskBound covers two snapshot slots and two logs, one of which is being truncated. The
+		// machines have 128 MB.
 		diskBound = 12 << 20
 	)
 	cluster := ordering(31)
@@ -159,7 +160,7 @@
 			cluster.Node("c3").Disk.Wipe()
 		}
 		cluster.StartControl("c3")
-		// It answers for the newest, or not at all.
+		// It returns the newest configuration or an error.
 		for until := cluster.Now() + 400*time.Millisecond; cluster.Now() < until; cluster.Run(20 * time.Millisecond) {
 			var label uint64
 			err := cluster.Do("c3", 5*time.Second, func(daemon *controlplane.Daemon) (err error) {
@@ -167,11 +168,11 @@
 				return err
 			})
 			if newest, _ := newest(t, cluster, "c1"); err == nil && label != newest {
-				t.Errorf("old config: %d is shown by who is behind, %d stands", label, newest)
+				t.Errorf("old config: the member that is behind returns label %d, the newest is %d", label, newest)
 			}
 		}
 		if !cluster.Until(catchUp, func() bool { return isFullyReplicated(cluster, 3) }) {
-			t.Errorf("after %v the member does not hold all", catchUp)
+			t.Errorf("after %v the member has not caught up", catchUp)
 		}
 		return bytes, cluster.Now() - began
 	}
@@ -182,9 +183,9 @@
 	few, took := caughtUp(false)
 	cluster.Crash("c3")
 	all, tookAll := caughtUp(true)
-	t.Logf("%d bytes in %v after %d missed changes, %d in %v with an empty disk", few, took, missed, all, tookAll)
+	t.Logf("%d bytes in %v after %d missed changes, %d bytes in %v with an empty disk", few, took, missed, all, tookAll)
 	if few > 60_000 || all > 200_000 {
-		t.Errorf("a member that missed %d changes was brought %d bytes, one with an empty disk %d", missed, few, all)
+		t.Errorf("a member that missed %d changes was sent %d bytes, one with an empty disk %d", missed, few, all)
 	}
 	for _, name := range []string{"c1", "c2", "c3"} {
 		if bytes := cluster.Node(name).Disk.Bytes(); bytes > diskBound {
--- a/fleet/measure_more_test.go
+++ b/fleet/measure_more_test.go
@@ -12,7 +12,7 @@
 	"swifttiller/routing"
 )
 
-// everyView tells whether the question holds for every data daemon's view.
+// everyView reports whether the predicate holds for every data daemon's view.
 func everyView(cluster *fleet.Park, holds func(view *lease.View) bool) bool {
 	for _, daemon := range cluster.Datas {
 		if !holds(daemon.Holder.View()) {
@@ -22,7 +22,7 @@
 	return true
 }
 
-// countSlowEndpoints counts the places that a view calls slow.
+// countSlowEndpoints returns the number of endpoints that the view marks as slow.
 func countSlowEndpoints(view *lease.View) (count int) {
 	for _, table := range view.RoutingTables {
 		for _, endpoint := range table.Places {
@@ -34,8 +34,8 @@
 	return count
 }
 
-// TestMeasureMore prints figures of failure detection, core change and size; it
-// judges nothing.
+// TestMeasureMore prints measurements of failure detection, core changes and fleet size. It
+// checks nothing.
 func TestMeasureMore(t *testing.T) {
 	t.Parallel()
 	if !*measure {
--- a/fleet/measure_test.go
+++ b/fleet/measure_test.go
@@ -13,13 +13,13 @@
 
 var measure = flag.Bool("measure", false, "print the figures of docs/measurements.md")
 
-// spread is a figure over seeds: least, median, most.
+// spread formats the minimum, median and maximum of a value over seeds.
 func spread(list []float64) string {
 	slices.Sort(list)
 	return fmt.Sprintf("%.3g / %.3g / %.3g", list[0], list[len(list)/2], list[len(list)-1])
 }
 
-// TestMeasure prints figures in virtual time or counts; it judges nothing.
+// TestMeasure prints measurements in virtual time, and counts. It checks nothing.
 func TestMeasure(t *testing.T) {
 	t.Parallel()
 	if !*measure {
@@ -39,7 +39,7 @@
 			add(name+": new connections to replicas per request", float64(cluster.Greeted-greeted)/float64(len(cluster.Arrivals)-arrived))
 			add(name+": register queries per second", float64(cluster.Messages["Register.Query"]-asked)/20)
 			add(name+": permit renewals per second", float64(cluster.Messages["Permit.Renew"]-renewed)/20)
-			// A leaving replica: from the first word that reaches us.
+			// A leaving replica: from the time when the platform's list first shows it as leaving.
 			first := cluster.Plan.Replicas[0].ID
 			boot := cluster.Replicas[first].Boot
 			cluster.LeaveByPlatform(first)
@@ -51,7 +51,7 @@
 				}
 			}
 			add(name+": leaving replica, word to last request, s", max(0, (last-cluster.Learned[first+"/"+boot]).Seconds()))
-			// An evacuation: from its acknowledgement.
+			// An evacuation: from its acknowledgement to the last request in the zone.
 			facts := fleet.Facts{}
 			zone := cluster.Plan.Replicas[len(cluster.Plan.Replicas)-1].Zone
 			if err := cluster.Evacuate(&facts, zone, false); err != nil {
@@ -65,7 +65,7 @@
 				}
 			}
 			add(name+": evacuation, acknowledgement to last request, s", (last - facts.Evacuated[0].From).Seconds())
-			// A configuration with one data daemon frozen.
+			// A configuration change while one data daemon is frozen.
 			frozen := strings.SplitN(cluster.Plan.Datas[0], ":", 2)[0]
 			cluster.Freeze(frozen, 6*time.Second)
 			began := cluster.Now()
@@ -112,8 +112,8 @@
 	}
 }
 
-// measureAffinity compares prompts' own replicas with none, where a zone's shared
-// rosters are four times what a replica's cache keeps.
+// measureAffinity compares prefix cache hits with and without affinity of prompts to replicas,
+// where the shared rosters of a zone are four times what a replica's cache holds.
 func measureAffinity(name string, seed uint64, newPlan func() fleet.Plan, add func(string, float64)) {
 	for variant, document := range map[string]string{"with": `"trial_ms"`, "without": `"affinity_slack":0,"trial_ms"`} {
 		plan := newPlan()
@@ -143,12 +143,12 @@
 	}
 }
 
-// measureSaturation offers far more than the replicas bear and shows how much of what replicas bear
-// is used.
+// measureSaturation offers far more load than the replicas' capacity and measures how much of the
+// capacity is used.
 func measureSaturation(name string, seed uint64, plan fleet.Plan, add func(string, float64)) {
 	for index := range plan.Callers {
 		plan.Callers[index].Every /= 4
-		plan.Callers[index].Tokens = 256 // a second each, and more
+		plan.Callers[index].Tokens = 256 // a second or more each
 		plan.Callers[index].Retries = 0
 	}
 	cluster := fleet.NewPark(seed, plan)
@@ -169,7 +169,8 @@
 	add(name+": saturated, requests beyond what a warm replica bears", float64(over))
 }
 
-// measureFullLoss ends everything at once and shows what is served after the return.
+// measureFullLoss crashes everything at once and measures the share of requests answered after
+// the restart.
 func measureFullLoss(name string, seed uint64, plan fleet.Plan, add func(string, float64)) {
 	cluster := fleet.NewPark(seed, plan)
 	defer cluster.Close()
@@ -183,7 +184,8 @@
 	}
 }
 
-// restartAll crashes every daemon and replica and starts all again 3 s later.
+// restartAll crashes every daemon and replica, restarts all of them 3 s later, and returns the
+// time of the restart.
 func restartAll(cluster *fleet.Park) (back time.Duration) {
 	lost := cluster.Lose(cluster.NodeNames())
 	cluster.Run(3 * time.Second)
