--- a/fleet/bytes_test.go
+++ b/fleet/bytes_test.go
@@ -52,11 +52,11 @@
 	}
 }
 
-// TestStartOfAllBytes bounds the traffic between regions when all daemons restart at once after
-// a power cut, in the calm that follows, and while a core machine is replaced. Initial
-// grants must be short, anti-entropy repairs must transfer only what differs, and reads must refer to
-// values that the reader already has by their version marks. A core change must send little to
-// members that already have the data.
+// TestStartOfAllBytes bounds the traffic between regions when all daemons restart at once after a
+// power cut, during the ten seconds of rest that follow, and while a core machine is replaced.
+// Initial grants must be short, anti-entropy repairs must transfer only what differs, and reads
+// must refer to values that the reader already has by their version marks. A core change must
+// send little to members that already have the data.
 func TestStartOfAllBytes(t *testing.T) {
 	t.Parallel()
 	skipLong(t)
@@ -83,7 +83,7 @@
 	}
 	steady := countCrossRegionBytes(cluster)
 	cluster.Run(10 * time.Second)
-	checkByteBounds(t, "ten seconds of calm", steady, map[string]int{"Register.Query": 240e3, "Session.Share": 150e3})
+	checkByteBounds(t, "ten seconds at rest", steady, map[string]int{"Register.Query": 240e3, "Session.Share": 150e3})
 	replaced := countCrossRegionBytes(cluster)
 	cluster.Crash("c6")
 	cluster.Run(8 * time.Second)
--- a/fleet/checker_test.go
+++ b/fleet/checker_test.go
@@ -86,7 +86,7 @@
 			cluster.Run(8 * time.Second)
 		}, nil},
 		{"retries", func(cluster *fleet.Park, _ *fleet.Facts) {
-			// The retry budget is half of the requests, and every request is retried.
+			// The retry budget is set to half of the requests, and every request is retried.
 			for index := 0; index < 400; index++ {
 				cluster.Arrivals = append(cluster.Arrivals, fleet.Arrival{At: cluster.Now(), ID: "x", Try: 2})
 			}
--- a/fleet/engine_test.go
+++ b/fleet/engine_test.go
@@ -15,7 +15,7 @@
 
 // requestResult is the outcome of one request that was sent to an engine.
 type requestResult struct {
-	first, last, longestPause time.Duration // first and last event since the request was sent, and the longest pause between events
+	first, last, longestPause time.Duration // first and last event, since sending; longest time between two events
 	events                    int
 	err                       error
 	failure                   *verdict.Error
--- a/fleet/leaving_test.go
+++ b/fleet/leaving_test.go
@@ -45,8 +45,8 @@
 	return cluster.Now()
 }
 
-// newCalmCluster returns a large cluster without callers under fiveSecondLimits, and the names of
-// its data daemons.
+// newCalmCluster returns a large cluster without callers under fiveSecondLimits (5 s), and the
+// names of its data daemons.
 func newCalmCluster(seed uint64) (*fleet.Park, []string) {
 	plan := grown(24, 30, 6)
 	plan.Document = strings.Replace(plan.Document, `"limits":{`, fiveSecondLimits, 1)
--- a/fleet/measure_test.go
+++ b/fleet/measure_test.go
@@ -39,7 +39,7 @@
 			add(name+": new connections to replicas per request", float64(cluster.Greeted-greeted)/float64(len(cluster.Arrivals)-arrived))
 			add(name+": register queries per second", float64(cluster.Messages["Register.Query"]-asked)/20)
 			add(name+": permit renewals per second", float64(cluster.Messages["Permit.Renew"]-renewed)/20)
-			// A leaving replica: from the time when the platform's list first shows it as leaving.
+			// A leaving replica: from the time when the first daemon learns that it leaves.
 			first := cluster.Plan.Replicas[0].ID
 			boot := cluster.Replicas[first].Boot
 			cluster.LeaveByPlatform(first)
