--- a/fleet/anew_test.go
+++ b/fleet/anew_test.go
@@ -59,8 +59,8 @@
 		}
 		cluster.Quiet = true
 		cluster.Run(6500 * time.Millisecond)
-		broken, _ := fleet.CheckRouted(cluster, facts)
-		show(t, seed, broken)
+		violations, _ := fleet.CheckRouted(cluster, facts)
+		show(t, seed, violations)
 		cluster.Close()
 	}
 	t.Logf("new incarnations known after %v on average, %v at the worst", sum/time.Duration(count), worst)
--- a/fleet/checker_test.go
+++ b/fleet/checker_test.go
@@ -106,8 +106,8 @@
 			test.do(cluster, &facts)
 			cluster.Quiet = true
 			cluster.Run(6 * time.Second)
-			violations, judged := fleet.Check(cluster, facts)
-			if judged[test.rule] == 0 {
+			violations, checked := fleet.Check(cluster, facts)
+			if checked[test.rule] == 0 {
 				t.Errorf("the checker for %q judged nothing", test.rule)
 			}
 			for _, violation := range violations {
@@ -176,16 +176,16 @@
 			defer cluster.Close()
 			cluster.Run(warm)
 			region := cluster.Regions()[0]
-			gone := cluster.Holder(region)
-			ends := cluster.Lose(cluster.NodeNames())
+			formerLeader := cluster.Holder(region)
+			lost := cluster.Lose(cluster.NodeNames())
 			cluster.Run(3 * time.Second)
-			cluster.Return(slices.DeleteFunc(ends, func(name string) bool { return name == gone }))
+			cluster.Return(slices.DeleteFunc(lost, func(name string) bool { return name == formerLeader }))
 			back := cluster.Now()
 			if !cluster.Until(25*time.Second, func() bool { return cluster.Holder(region) != "" && cluster.Ready() }) {
 				t.Fatalf("recovery: %s's replicas never came back into use", region)
 			}
 			took := cluster.Now() - back
-			t.Logf("%s was the leader of %s; all replicas are known everywhere %v after the others' restart", gone, region, took)
+			t.Logf("%s was the leader of %s; all replicas are known everywhere %v after the others' restart", formerLeader, region, took)
 			if took > 8*time.Second {
 				t.Errorf("recovery: %s's replicas were known everywhere only %v after the restart", region, took)
 			}
--- a/fleet/dark_test.go
+++ b/fleet/dark_test.go
@@ -49,8 +49,8 @@
 		}
 		cluster.Quiet = true
 		cluster.Run(6500 * time.Millisecond)
-		broken, _ := fleet.CheckRouted(cluster, facts)
-		show(t, seed, broken)
+		violations, _ := fleet.CheckRouted(cluster, facts)
+		show(t, seed, violations)
 		cluster.Close()
 	}
 	t.Logf("%d of %d ended with 502", lost, asked)
--- a/fleet/days_test.go
+++ b/fleet/days_test.go
@@ -30,16 +30,16 @@
 				facts.SmallShare = 0.1
 				passed := cluster.Day(&facts, seed, 6+int(seed%20), 45*time.Second)
 				answered, asked := ends(cluster)
-				broken, judged := fleet.Check(cluster, facts)
-				show(t, seed, broken)
+				violations, checked := fleet.Check(cluster, facts)
+				show(t, seed, violations)
 				for _, missed := range facts.Missed {
 					t.Errorf("seed %d: a fault did not take effect: %v", seed, missed)
 				}
 				if answered*10 < asked*9 {
 					t.Errorf("seed %d: answered only %d of %d requests after the faults", seed, answered, asked)
 				}
-				if judged["twice"] == 0 || judged["foreign"] == 0 || len(passed) < 3 {
-					t.Errorf("seed %d: vacuous: judged %v on %v", seed, judged, passed)
+				if checked["twice"] == 0 || checked["foreign"] == 0 || len(passed) < 3 {
+					t.Errorf("seed %d: vacuous: judged %v on %v", seed, checked, passed)
 				}
 				if t.Failed() {
 					t.Log(strings.Join(passed, "; "))
--- a/fleet/ends_test.go
+++ b/fleet/ends_test.go
@@ -60,10 +60,10 @@
 					passed := cluster.Day(&facts, seed+7, 14, 40*time.Second)
 					cluster.Quiet = true
 					cluster.Run(15 * time.Second)
-					broken, judged := fleet.Check(cluster, facts)
-					show(t, seed, broken)
-					if judged["foreign"] == 0 || len(passed) < 5 {
-						t.Errorf("vacuous: judged %v on %v", judged, passed)
+					violations, checked := fleet.Check(cluster, facts)
+					show(t, seed, violations)
+					if checked["foreign"] == 0 || len(passed) < 5 {
+						t.Errorf("vacuous: judged %v on %v", checked, passed)
 					}
 					if t.Failed() {
 						t.Log(strings.Join(passed, "; "))
--- a/fleet/fault_test.go
+++ b/fleet/fault_test.go
@@ -17,10 +17,10 @@
 )
 
 // show fails the test with up to three violations of each rule.
-func show(t *testing.T, seed uint64, broken []fleet.Broken) {
+func show(t *testing.T, seed uint64, violations []fleet.Broken) {
 	t.Helper()
 	shown := map[string]int{}
-	for _, violation := range broken {
+	for _, violation := range violations {
 		if shown[violation.Rule]++; shown[violation.Rule] <= 3 {
 			t.Errorf("seed %d: %v", seed, violation)
 		}
@@ -54,14 +54,14 @@
 		cluster.Run(time.Duration(cluster.Draw(int64(3 * time.Second))))
 	}
 	answered, asked := ends(cluster)
-	broken, judged := fleet.Check(cluster, facts)
-	show(t, seed, broken)
+	violations, checked := fleet.Check(cluster, facts)
+	show(t, seed, violations)
 	for _, missed := range facts.Missed {
 		t.Errorf("%s seed %d: vacuous: %v", plan, seed, missed)
 	}
 	if len(faults) == 1 {
 		for _, rule := range faults[0].Judges {
-			if judged[rule] == 0 {
+			if checked[rule] == 0 {
 				t.Errorf("%s seed %d: vacuous: the checker for %q had nothing to check", plan, seed, rule)
 			}
 		}
--- a/fleet/grey_test.go
+++ b/fleet/grey_test.go
@@ -47,8 +47,8 @@
 	cluster.Run(4 * time.Second)
 	cluster.Quiet = true
 	cluster.Run(6500 * time.Millisecond)
-	broken, _ := fleet.CheckRouted(cluster, facts)
-	show(t, seed, broken)
+	violations, _ := fleet.CheckRouted(cluster, facts)
+	show(t, seed, violations)
 	return answered, asked
 }
 
--- a/fleet/grown_test.go
+++ b/fleet/grown_test.go
@@ -105,7 +105,7 @@
 	cluster := apart(2, grown(24, 90, 6))
 	defer cluster.Close()
 	measureGrants := func(do func()) (most float64) {
-		calm, changed := map[string]int{}, map[string]int{}
+		idle, changed := map[string]int{}, map[string]int{}
 		count := func(table map[string]int) {
 			cluster.OnBytes = func(from, to, method string, bytes int) {
 				if cluster.Datas[to] != nil && method == "Permit.Renew" && to != "d1" {
@@ -113,21 +113,21 @@
 				}
 			}
 		}
-		count(calm)
+		count(idle)
 		cluster.Run(3 * time.Second)
 		do()
 		count(changed)
 		cluster.Run(3 * time.Second)
 		for name := range changed {
-			most = max(most, float64(changed[name]-calm[name]))
+			most = max(most, float64(changed[name]-idle[name]))
 		}
 		if most <= 0 {
 			t.Error("vacuous: no change was sent to a data daemon")
 		}
 		return most
 	}
-	gone := cluster.Plan.Replicas[7].ID
-	if more := measureGrants(func() { cluster.LeaveByPlatform(gone) }); more > 4000 {
+	leaving := cluster.Plan.Replicas[7].ID
+	if more := measureGrants(func() { cluster.LeaveByPlatform(leaving) }); more > 4000 {
 		t.Errorf("a leaving replica costs a data daemon %.0f bytes", more)
 	} else {
 		t.Logf("a leaving replica: %.0f bytes to a data daemon", more)
@@ -151,8 +151,8 @@
 		}
 		for region, entry := range view.RoutingTables {
 			for _, place := range entry.Places {
-				if place.ID == gone {
-					t.Errorf("%s still has %s in %s", name, gone, region)
+				if place.ID == leaving {
+					t.Errorf("%s still has %s in %s", name, leaving, region)
 				}
 			}
 		}
--- a/fleet/handback_test.go
+++ b/fleet/handback_test.go
@@ -51,9 +51,9 @@
 		cluster.Run(5 * time.Second)
 		cluster.Quiet = true
 		cluster.Run(6500 * time.Millisecond)
-		broken, judged := fleet.CheckRouted(cluster, facts)
-		show(t, seed, broken)
-		if judged["cold"] == 0 {
+		violations, checked := fleet.CheckRouted(cluster, facts)
+		show(t, seed, violations)
+		if checked["cold"] == 0 {
 			t.Error("vacuous: no engine was cold")
 		}
 		cluster.Close()
--- a/fleet/heavy_test.go
+++ b/fleet/heavy_test.go
@@ -41,7 +41,7 @@
 		}
 		return bytes["Register.Query"], bytes["Register.Accept"], calls["Register.Accept"]
 	}
-	calm, _, _ := measureStep("calm, 5 s", func() { cluster.Run(5 * time.Second) })
+	idle, _, _ := measureStep("calm, 5 s", func() { cluster.Run(5 * time.Second) })
 	packed := 0
 	for label := uint64(1); label <= 3; label++ {
 		document := manyRoutes(cluster.Document, label, 1400)
@@ -55,8 +55,8 @@
 		if packed = accepts / 3; packed < 50e3 {
 			t.Fatalf("vacuous: the configuration has %d bytes", packed)
 		}
-		if queries > calm+2*packed {
-			t.Errorf("control traffic: a change: %d bytes of queries between regions, %d at rest, for a configuration of %d bytes", queries, calm, packed)
+		if queries > idle+2*packed {
+			t.Errorf("control traffic: a change: %d bytes of queries between regions, %d at rest, for a configuration of %d bytes", queries, idle, packed)
 		}
 	}
 	queries, accepts, _ := measureStep("a core machine that lost its disk, 10 s", func() {
@@ -66,8 +66,8 @@
 		cluster.StartControl("c3")
 		cluster.Run(9 * time.Second)
 	})
-	if queries > 4*calm+2*packed || accepts > 2*packed {
-		t.Errorf("control traffic: a core machine that lost its disk: %d bytes of queries and %d of accepts between regions, %d of queries at rest, for a configuration of %d bytes", queries, accepts, calm, packed)
+	if queries > 4*idle+2*packed || accepts > 2*packed {
+		t.Errorf("control traffic: a core machine that lost its disk: %d bytes of queries and %d of accepts between regions, %d of queries at rest, for a configuration of %d bytes", queries, accepts, idle, packed)
 	}
 }
 
@@ -95,9 +95,9 @@
 		t.Logf("%s, 4 s: %d shares between regions, %d bytes; %d requests and %d runs since the start", phase, calls["Session.Share"], bytes["Session.Share"], len(cluster.RoutedRequests), len(cluster.Runs))
 		return bytes["Session.Share"]
 	}
-	calm := measureShares("calm")
-	if calm > 4*900*len(cluster.Datas) || calm == 0 {
-		t.Errorf("control traffic: %d bytes of shares between regions in 4 s at rest", calm)
+	idle := measureShares("calm")
+	if idle > 4*900*len(cluster.Datas) || idle == 0 {
+		t.Errorf("control traffic: %d bytes of shares between regions in 4 s at rest", idle)
 	}
 	for index, options := range cluster.Plan.Engines {
 		if index%8 == 0 {
@@ -106,7 +106,7 @@
 	}
 	before := len(cluster.Runs)
 	if failing := measureShares("an eighth of the replicas fails"); failing > 4*1300*len(cluster.Datas) || len(cluster.Runs)-before < 500 {
-		t.Errorf("control traffic: %d bytes of shares between regions in 4 s while replicas fail, %d at rest", failing, calm)
+		t.Errorf("control traffic: %d bytes of shares between regions in 4 s while replicas fail, %d at rest", failing, idle)
 	}
 	var west, rest []string
 	for _, name := range cluster.NodeNames() {
@@ -120,7 +120,7 @@
 	cluster.Run(4 * time.Second) // messages sent meanwhile are lost
 	cluster.Split(west, rest, false)
 	if healed := measureShares("a region is back"); healed > 4*1300*len(cluster.Datas) {
-		t.Errorf("control traffic: %d bytes of shares between regions in 4 s after a partition, %d at rest", healed, calm)
+		t.Errorf("control traffic: %d bytes of shares between regions in 4 s after a partition, %d at rest", healed, idle)
 	}
 }
 
--- a/fleet/leaving_test.go
+++ b/fleet/leaving_test.go
@@ -63,7 +63,7 @@
 	skipLong(t)
 	cluster, names := newCalmCluster(7)
 	defer cluster.Close()
-	calm, degraded := time.Duration(0), time.Duration(0)
+	normal, degraded := time.Duration(0), time.Duration(0)
 	for turn := range 12 {
 		replica := cluster.Plan.Replicas[turn]
 		// The control daemons of one zone are partitioned from the data daemons of their zone:
@@ -93,12 +93,12 @@
 		if turn%2 == 1 {
 			degraded = max(degraded, took)
 		} else {
-			calm = max(calm, took)
+			normal = max(normal, took)
 		}
 		cluster.Run(4 * time.Second)
 	}
-	t.Logf("the last daemon removes a leaving replica %v after it is listed, %v where renewals go unanswered", calm, degraded)
-	if bound := listInterval*11/10 + 400*time.Millisecond; calm > bound || degraded > bound {
+	t.Logf("the last daemon removes a leaving replica %v after it is listed, %v where renewals go unanswered", normal, degraded)
+	if bound := listInterval*11/10 + 400*time.Millisecond; normal > bound || degraded > bound {
 		t.Errorf("leaving: a replica was removed later than %v after it was listed", bound)
 	}
 }
@@ -181,11 +181,11 @@
 				cluster.Run(12 * time.Second)
 				cluster.Quiet = true
 				cluster.Run(4 * time.Second)
-				broken, judged := fleet.Check(cluster, facts)
-				if judged["leaving"] == 0 {
+				violations, checked := fleet.Check(cluster, facts)
+				if checked["leaving"] == 0 {
 					t.Error("vacuous: the replica was not in use, or did not linger")
 				}
-				show(t, 3, broken)
+				show(t, 3, violations)
 			})
 		}
 	}
--- a/fleet/lives_test.go
+++ b/fleet/lives_test.go
@@ -57,8 +57,8 @@
 		}
 		cluster.Quiet = true
 		cluster.Run(6500 * time.Millisecond)
-		broken, _ := fleet.CheckRouted(cluster, facts)
-		show(t, seed, broken)
+		violations, _ := fleet.CheckRouted(cluster, facts)
+		show(t, seed, violations)
 		cluster.Close()
 	}
 }
--- a/fleet/loss_test.go
+++ b/fleet/loss_test.go
@@ -60,8 +60,8 @@
 	checkUnplaced(t, cluster, began+time.Second, began+5*time.Second, 10)
 	cluster.Quiet = true
 	cluster.Run(6500 * time.Millisecond)
-	broken, _ := fleet.CheckRouted(cluster, facts)
-	show(t, 1, broken)
+	violations, _ := fleet.CheckRouted(cluster, facts)
+	show(t, 1, violations)
 }
 
 // TestSurgeAfterAPowerCut verifies that the callers of a large fleet, which all return at once
@@ -91,9 +91,9 @@
 	checkUnplaced(t, cluster, began-time.Second, began+5*time.Second, 50)
 	cluster.Quiet = true
 	cluster.Run(6500 * time.Millisecond)
-	broken, judged := fleet.CheckRouted(cluster, facts)
-	show(t, 1, broken)
-	if judged["cold"] == 0 {
+	violations, checked := fleet.CheckRouted(cluster, facts)
+	show(t, 1, violations)
+	if checked["cold"] == 0 {
 		t.Error("vacuous: no engine was cold")
 	}
 }
--- a/fleet/losses_test.go
+++ b/fleet/losses_test.go
@@ -92,13 +92,13 @@
 					t.Errorf("lost: %d votes, turn %d: %s has not caught up after %v", votes, turn, first, catchUp)
 				}
 				// One acknowledged change, then another one, and the power loss soon after it.
-				list := runningMembers(cluster, since)
+				members := runningMembers(cluster, since)
 				tolerated := votes - core(cluster).Majority()
-				if err := cluster.Apply(&fleet.Facts{}, list[0]); err != nil {
+				if err := cluster.Apply(&fleet.Facts{}, members[0]); err != nil {
 					t.Fatalf("%d votes, turn %d: %v", votes, turn, err)
 				}
-				acknowledged = max(acknowledged, serial(cluster, list[0]))
-				last := list[len(list)-1]
+				acknowledged = max(acknowledged, serial(cluster, members[0]))
+				last := members[len(members)-1]
 				cluster.Node(last).Go(func() {
 					if applied, err := cluster.Controls[last].Evacuate("east-1", turn%2 == 1); err == nil {
 						acknowledged = max(acknowledged, applied.Serial)
@@ -106,7 +106,7 @@
 				})
 				cluster.Run(time.Duration(5+cluster.Draw(395)) * time.Millisecond)
 				lost := cluster.Lose(cluster.NodeNames())
-				for _, name := range list[:tolerated] {
+				for _, name := range members[:tolerated] {
 					cluster.Node(name).Disk.Wipe()
 					since[name] = cluster.Now()
 				}
@@ -148,7 +148,7 @@
 	for label := uint64(1); label <= changes-missed; label++ {
 		change(label)
 	}
-	caughtUp := func(lost bool) (bytes int, took time.Duration) {
+	measureCatchUp := func(lost bool) (bytes int, took time.Duration) {
 		cluster.OnBytes = func(_, to, method string, count int) {
 			if to == "c3" && (method == "Register.Fetch" || method == "Register.Install" || method == "Register.Seal") {
 				bytes += count
@@ -180,9 +180,9 @@
 	for label := uint64(changes - missed + 1); label <= changes; label++ {
 		change(label)
 	}
-	few, took := caughtUp(false)
+	few, took := measureCatchUp(false)
 	cluster.Crash("c3")
-	all, tookAll := caughtUp(true)
+	all, tookAll := measureCatchUp(true)
 	t.Logf("%d bytes in %v after %d missed changes, %d bytes in %v with an empty disk", few, took, missed, all, tookAll)
 	if few > 60_000 || all > 200_000 {
 		t.Errorf("a member that missed %d changes was sent %d bytes, one with an empty disk %d", missed, few, all)
