--- a/fleet/checker_test.go
+++ b/fleet/checker_test.go
@@ -54,8 +54,8 @@
 		}, nil},
 		{"leaving", func(cluster *fleet.Park, _ *fleet.Facts) {
 			// Replicas that count as leaving for the checker only.
-			for name, replica := range cluster.Replicas {
-				cluster.Learned[name+"/"+replica.Boot] = cluster.Now()
+			for name, server := range cluster.Replicas {
+				cluster.Learned[name+"/"+server.Boot] = cluster.Now()
 			}
 			cluster.Run(9 * time.Second)
 		}, nil},
