--- a/fleet/fault_test.go
+++ b/fleet/fault_test.go
@@ -12,62 +12,62 @@
 )
 
 var (
-	seeds = flag.Int("seeds", 1, "how many seeds to search")
+	seeds = flag.Int("seeds", 1, "number of seeds to search")
 	first = flag.Uint64("seed", 1, "the first seed")
 )
 
-// show fails the test with a few breaches of each rule.
-func show(t *testing.T, seed uint64, broken []fleet.Broken) {
+// show fails the test with up to three violations of each rule.
+func show(t *testing.T, seed uint64, violations []fleet.Broken) {
 	t.Helper()
 	shown := map[string]int{}
-	for _, one := range broken {
-		if shown[one.Rule]++; shown[one.Rule] <= 3 {
-			t.Errorf("seed %d: %v", seed, one)
+	for _, violation := range violations {
+		if shown[violation.Rule]++; shown[violation.Rule] <= 3 {
+			t.Errorf("seed %d: %v", seed, violation)
 		}
 	}
 }
 
-// ends lets things settle after faults, counts what is served then, and lets the
-// callers end.
-func ends(park *fleet.Park) (answered, asked int) {
-	park.Run(10 * time.Second)
-	from := park.Now()
-	park.Run(8 * time.Second)
-	answered, asked = fleet.Rate(park, from, park.Now())
-	park.Quiet = true
-	park.Run(12 * time.Second)
+// ends lets the cluster settle after faults, counts the requests answered from then on, and lets the
+// callers finish.
+func ends(cluster *fleet.Park) (answered, asked int) {
+	cluster.Run(10 * time.Second)
+	from := cluster.Now()
+	cluster.Run(8 * time.Second)
+	answered, asked = fleet.Rate(cluster, from, cluster.Now())
+	cluster.Quiet = true
+	cluster.Run(12 * time.Second)
 	return answered, asked
 }
 
-// try runs one or two faults over a warm fleet and checks every rule. The park
-// must serve again at the end.
+// try injects the faults one after the other into a warm fleet and checks every rule. At least nine
+// tenths of the requests must be answered at the end.
 func try(t *testing.T, plan string, seed uint64, faults ...fleet.Fault) {
 	t.Helper()
-	park := fleet.NewPark(seed, fleet.Plans[plan]())
-	defer park.Close()
-	park.Run(warm)
-	facts := park.Begin()
+	cluster := fleet.NewPark(seed, fleet.Plans[plan]())
+	defer cluster.Close()
+	cluster.Run(warm)
+	facts := cluster.Begin()
 	facts.Planned = true
 	for _, fault := range faults {
 		facts.Planned = facts.Planned && fault.Planned
-		fault.Run(park, &facts)
-		park.Run(time.Duration(park.Draw(int64(3 * time.Second))))
+		fault.Run(cluster, &facts)
+		cluster.Run(time.Duration(cluster.Draw(int64(3 * time.Second))))
 	}
-	answered, asked := ends(park)
-	broken, judged := fleet.Check(park, facts)
-	show(t, seed, broken)
+	answered, asked := ends(cluster)
+	violations, checked := fleet.Check(cluster, facts)
+	show(t, seed, violations)
 	for _, missed := range facts.Missed {
 		t.Errorf("%s seed %d: vacuous: %v", plan, seed, missed)
 	}
 	if len(faults) == 1 {
 		for _, rule := range faults[0].Judges {
-			if judged[rule] == 0 {
-				t.Errorf("%s seed %d: vacuous: the checker for %q had nothing to judge", plan, seed, rule)
+			if checked[rule] == 0 {
+				t.Errorf("%s seed %d: vacuous: the checker for %q had nothing to check", plan, seed, rule)
 			}
 		}
 	}
 	if answered*10 < asked*9 {
-		t.Errorf("%s seed %d: serves %d of %d after the faults are over", plan, seed, answered, asked)
+		t.Errorf("%s seed %d: answered only %d of %d requests after the faults", plan, seed, answered, asked)
 	}
 }
 
@@ -92,22 +92,22 @@
 	}
 }
 
-// TestFaultsInPairs puts two faults one after another, drawn by the seed. CI runs
-// a few; -seeds and -seed search further.
+// TestFaultsInPairs injects two faults, chosen by the seed, one after the other. CI runs
+// a few seeds; -seeds and -seed search further.
 func TestFaultsInPairs(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
-		t.Skip("a long simulation; the race detector has one task at a time to look at")
+		t.Skip("a long simulation that runs one goroutine at a time, which gives the race detector nothing to check")
 	}
 	for offset := uint64(0); offset < uint64(*seeds)*4; offset++ {
 		seed := *first + offset
 		name := []string{"sahayogi", "sklepik"}[seed%2]
 		draw := rand.New(rand.NewPCG(seed, 5))
-		one := fleet.Faults[draw.IntN(len(fleet.Faults))]
-		two := fleet.Faults[draw.IntN(len(fleet.Faults))]
-		t.Run(fmt.Sprintf("%s/%s then %s/%d", name, one.Name, two.Name, seed), func(t *testing.T) {
+		earlier := fleet.Faults[draw.IntN(len(fleet.Faults))]
+		later := fleet.Faults[draw.IntN(len(fleet.Faults))]
+		t.Run(fmt.Sprintf("%s/%s then %s/%d", name, earlier.Name, later.Name, seed), func(t *testing.T) {
 			t.Parallel()
-			try(t, name, seed, one, two)
+			try(t, name, seed, earlier, later)
 			if t.Failed() {
 				t.Logf("replay: go test ./fleet -run 'TestFaultsInPairs/.*/.*/%d$' -seed %d", seed, seed)
 			}
@@ -115,12 +115,12 @@
 	}
 }
 
-// TestSameSeedSameRun: a seed that fails must fail again, so a run may hang on
-// nothing but its seed.
+// TestSameSeedSameRun verifies that a run depends only on its seed, so that a failing seed can be
+// replayed.
 func TestSameSeedSameRun(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
-		t.Skip("a long simulation; the race detector has one task at a time to look at")
+		t.Skip("a long simulation that runs one goroutine at a time, which gives the race detector nothing to check")
 	}
 	for _, fault := range fleet.Faults {
 		if !slices.Contains([]string{"evacuation and hand-back", "data daemon killed", "core split", "calls lost, repeated and late"}, fault.Name) {
@@ -129,17 +129,17 @@
 		t.Run(fault.Name, func(t *testing.T) {
 			t.Parallel()
 			run := func() (steps, served int) {
-				park := fleet.NewPark(77, fleet.Sklepik())
-				defer park.Close()
-				park.Run(8 * time.Second)
-				facts := park.Begin()
-				fault.Run(park, &facts)
-				park.Run(5 * time.Second)
-				return park.Steps, len(park.Logs())
+				cluster := fleet.NewPark(77, fleet.Sklepik())
+				defer cluster.Close()
+				cluster.Run(8 * time.Second)
+				facts := cluster.Begin()
+				fault.Run(cluster, &facts)
+				cluster.Run(5 * time.Second)
+				return cluster.Steps, len(cluster.Logs())
 			}
 			steps, served := run()
-			if again, servedAgain := run(); again != steps || servedAgain != served {
-				t.Errorf("the same seed took %d steps and %d, served %d and %d", steps, again, served, servedAgain)
+			if stepsAgain, servedAgain := run(); stepsAgain != steps || servedAgain != served {
+				t.Errorf("the same seed took %d steps and %d, served %d and %d", steps, stepsAgain, served, servedAgain)
 			}
 		})
 	}
