--- a/fleet/engine.go
+++ b/fleet/engine.go
@@ -55,12 +55,12 @@
 	Zone string
 }
 
-func (grey Grey) happens(engine *Engine, zone string) bool {
+func (grey Grey) applies(engine *Engine, zone string) bool {
 	return grey.How != "" && (grey.Zone == "" || grey.Zone == zone) && engine.happens(grey.Share)
 }
 
-// greyed fails a request that came over a connection.
-func (engine *Engine) greyed(run *Run, one *work) {
+// failPartially fails a request that came over a connection.
+func (engine *Engine) failPartially(run *Run, request *engineRequest) {
 	run.Cold = engine.isCold()
 	engine.park.Runs = append(engine.park.Runs, run)
 	head := engine.load()
@@ -68,14 +68,14 @@
 	switch engine.Grey.How {
 	case "shed":
 		run.NotRun, head.Status, head.NotRun = true, 503, true
-		one.send(wirePiece{head: &head})
+		request.send(wireMessage{head: &head})
 		return
 	case "errors":
 		head.Status = 500
-		one.send(wirePiece{head: &head})
-		one.send(wirePiece{isEnd: true})
+		request.send(wireMessage{head: &head})
+		request.send(wireMessage{isEnd: true})
 	case "reset":
-		one.send(wirePiece{err: errReset})
+		request.send(wireMessage{err: errReset})
 	}
 	if engine.Grey.How != "mute" {
 		run.Ran = engine.park.Now()
@@ -92,11 +92,11 @@
 	Skips float64
 }
 
-// coldFall is how many times its cold rate, and coldFallMore how many requests above
+// coldCrashFactor is how many times its cold rate, and coldFallMore how many requests above
 // that, a cold replica takes in a second before it falls over.
 const (
-	coldFall     = 2.5
-	coldFallMore = 10
+	coldCrashFactor = 2.5
+	coldCrashBurst  = 10
 )
 
 // Run is one request that arrived at an engine.
@@ -135,18 +135,18 @@
 	// PutBack counts requests that lost their place while they ran.
 	PutBack int
 
-	park     *Park
-	node     *sim.Node
-	box      loop.Mailbox
-	waiting  []*work
-	active   []*work
-	index    map[uint64]*linked.Element
-	kept     *linked.List // of *keptPart, the least lately used first
-	memory   int
-	arrivals []time.Duration
-	taken    uint64
-	// isFalling is set when it ends for what it was sent while cold.
-	isFalling bool
+	park       *Park
+	node       *sim.Node
+	box        loop.Mailbox
+	waiting    []*engineRequest
+	active     []*engineRequest
+	cacheIndex map[uint64]*linked.Element
+	cache      *linked.List // of *keptPart, the least lately used first
+	cacheUsed  int
+	arrivals   []time.Duration
+	accepted   uint64
+	// isCrashing is set when it ends for what it was sent while cold.
+	isCrashing bool
 }
 
 // readKey is a part of prompts that an engine of a model has read.
@@ -155,45 +155,45 @@
 	part  uint64
 }
 
-type keptPart struct {
+type cachedPart struct {
 	id            uint64
 	tokens, users int
 }
 
-// work is a request at an engine.
-type work struct {
-	run      *Run
-	parts    []decide.Part
-	most     int
-	urgency  int
-	expiry   time.Duration
-	order    uint64
-	todo     []decide.Part // what is to be read yet
-	reserved int
-	pinned   []*keptPart
-	made     int // tokens, from the stream's beginning on
-	from     int // made when it came
-	sent     int // tokens that went out
-	ready    time.Duration
-	isBegun  bool
-	send     func(wirePiece)
-	breakAt  int // tokens after which it is broken off, zero for never
-	isLost   bool
+// engineRequest is a request at an engine.
+type engineRequest struct {
+	run          *Run
+	parts        []decide.Part
+	maxTokens    int
+	urgency      int
+	deadline     time.Duration
+	arrivalOrder uint64
+	unread       []decide.Part // what is to be read yet
+	reserved     int
+	pinned       []*cachedPart
+	generated    int // tokens, from the stream's beginning on
+	resumedFrom  int // made when it came
+	sent         int // tokens that went out
+	firstTokenAt time.Duration
+	isBegun      bool
+	send         func(wireMessage)
+	breakAfter   int // tokens after which it is broken off, zero for never
+	isLost       bool
 }
 
-// wirePiece is what goes over a connection to a daemon: a head, an event or an end.
-type wirePiece struct {
+// wireMessage is what goes over a connection to a daemon: a head, an event or an end.
+type wireMessage struct {
 	head  *replica.Head
 	event []byte
 	isEnd bool
 	err   error
-	// closing tells that the connection is closed behind the answer.
-	closing bool
+	// closesConn tells that the connection is closed behind the answer.
+	closesConn bool
 }
 
 func (park *Park) newEngine(options EngineOptions, isCold bool) *Engine {
 	park.lives++
-	engine := &Engine{EngineOptions: options, Life: fmt.Sprint("i-", park.lives), park: park, node: park.Node(options.Name), index: map[uint64]*linked.Element{}, kept: linked.New()}
+	engine := &Engine{EngineOptions: options, Life: fmt.Sprint("i-", park.lives), park: park, node: park.Node(options.Name), cacheIndex: map[uint64]*linked.Element{}, cache: linked.New()}
 	if engine.Slower == 0 {
 		engine.Slower = 1
 	}
@@ -217,7 +217,7 @@
 	park.Start(options.Name, func(node *sim.Node) {
 		// A mailbox belongs to a life.
 		engine.box = node.Mailbox()
-		engine.turn()
+		engine.loop()
 	})
 	park.Listed.add(engine)
 }
@@ -242,88 +242,88 @@
 }
 
 // arrive takes a request that came over a connection, or turns it away.
-func (engine *Engine) arrive(run *Run, one *work) {
+func (engine *Engine) arrive(run *Run, request *engineRequest) {
 	now := engine.park.Now()
 	run.Cold = engine.isCold()
 	engine.park.Runs = append(engine.park.Runs, run)
-	decline := func(status int) {
+	reject := func(status int) {
 		run.NotRun = true
 		head := engine.load()
 		head.Status, head.NotRun, head.Events = status, true, false
-		one.send(wirePiece{head: &head, closing: engine.Leaving})
+		request.send(wireMessage{head: &head, closesConn: engine.Leaving})
 	}
 	engine.arrivals = append(engine.arrivals, now)
 	for now-engine.arrivals[0] >= time.Second {
 		engine.arrivals = engine.arrivals[1:]
 	}
-	if run.Cold && engine.ColdRate > 0 && float64(len(engine.arrivals)) > coldFall*engine.ColdRate+coldFallMore {
-		if engine.isFalling {
+	if run.Cold && engine.ColdRate > 0 && float64(len(engine.arrivals)) > coldCrashFactor*engine.ColdRate+coldCrashBurst {
+		if engine.isCrashing {
 			return
 		}
-		engine.isFalling = true
+		engine.isCrashing = true
 		engine.park.Fallen++
 		engine.park.At(0, func() { engine.park.Crash(engine.Name) })
 		return
 	}
-	size := one.most
-	for _, part := range one.parts {
+	size := request.maxTokens
+	for _, part := range request.parts {
 		size += part.Tokens
 	}
-	if size > engine.CacheTokens || len(engine.waiting) >= engine.Queue && !engine.isUrgent(one) {
-		decline(503)
+	if size > engine.CacheTokens || len(engine.waiting) >= engine.Queue && !engine.outranksWaiting(request) {
+		reject(503)
 		return
 	}
-	engine.taken++
-	one.order = engine.taken
+	engine.accepted++
+	request.arrivalOrder = engine.accepted
 	if engine.happens(engine.Breaks) {
-		one.breakAt = one.from + 1 + int(engine.park.Draw(int64(max(1, one.most-one.from))))
+		request.breakAfter = request.resumedFrom + 1 + int(engine.park.Draw(int64(max(1, request.maxTokens-request.resumedFrom))))
 	}
-	one.isLost = engine.happens(engine.Loses)
-	engine.waiting = append(engine.waiting, one)
+	request.isLost = engine.happens(engine.Loses)
+	engine.waiting = append(engine.waiting, request)
 	if len(engine.waiting) == 1 && len(engine.active) < engine.Berths {
-		engine.seat()
+		engine.admit()
 	}
 	if len(engine.waiting) > engine.Queue {
 		// A more urgent one came in; the newest of the least urgent that wait goes.
-		last := engine.least(engine.waiting)
-		engine.waiting = without(engine.waiting, last)
+		last := engine.leastUrgent(engine.waiting)
+		engine.waiting = removeRequest(engine.waiting, last)
 		if last.run.Ran == 0 {
-			one := last
-			one.run.NotRun = true
+			request := last
+			request.run.NotRun = true
 			head := engine.load()
 			head.Status, head.NotRun, head.Events = 503, true, false
-			one.send(wirePiece{head: &head})
+			request.send(wireMessage{head: &head})
 		} else {
-			engine.end(last, "broken", wirePiece{err: errReset})
+			engine.finish(last, "broken", wireMessage{err: errReset})
 		}
 	}
 	engine.box.Put(nil)
 }
 
-// isUrgent tells whether a request is more urgent than some that waits and has not
+// outranksWaiting tells whether a request is more urgent than some that waits and has not
 // run.
-func (engine *Engine) isUrgent(one *work) bool {
+func (engine *Engine) outranksWaiting(request *engineRequest) bool {
 	for _, other := range engine.waiting {
-		if other.urgency > one.urgency && other.run.Ran == 0 {
+		if other.urgency > request.urgency && other.run.Ran == 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// least is the newest of the least urgent; of those that wait, one that has not run.
-func (engine *Engine) least(all []*work) (last *work) {
-	for _, one := range all {
-		if last == nil || one.urgency > last.urgency || one.urgency == last.urgency && one.order > last.order {
-			last = one
+// leastUrgent is the newest of the least urgent; of those that wait, one that has not run.
+func (engine *Engine) leastUrgent(all []*engineRequest) (last *engineRequest) {
+	for _, request := range all {
+		if last == nil || request.urgency > last.urgency || request.urgency == last.urgency && request.arrivalOrder > last.arrivalOrder {
+			last = request
 		}
 	}
 	return last
 }
 
-func without(all []*work, one *work) []*work {
+func removeRequest(all []*engineRequest, request *engineRequest) []*engineRequest {
 	for at, other := range all {
-		if other == one {
+		if other == request {
 			return append(all[:at:at], all[at+1:]...)
 		}
 	}
@@ -331,120 +331,120 @@
 }
 
 // drop ends a request whose connection closed.
-func (engine *Engine) drop(one *work) {
-	if one.run.Ended != "" || one.run.NotRun {
+func (engine *Engine) drop(request *engineRequest) {
+	if request.run.Ended != "" || request.run.NotRun {
 		return
 	}
-	one.run.Ended = "gone"
-	engine.free(one)
-	engine.waiting, engine.active = without(engine.waiting, one), without(engine.active, one)
+	request.run.Ended = "gone"
+	engine.freeMemory(request)
+	engine.waiting, engine.active = removeRequest(engine.waiting, request), removeRequest(engine.active, request)
 }
 
-// free gives back the memory that a request uses.
-func (engine *Engine) free(one *work) {
+// freeMemory gives back the memory that a request uses.
+func (engine *Engine) freeMemory(request *engineRequest) {
 	isActive := false
 	for _, other := range engine.active {
-		isActive = isActive || other == one
+		isActive = isActive || other == request
 	}
 	if !isActive {
 		return
 	}
-	engine.memory -= one.reserved + one.made - one.from
-	one.reserved = 0
-	for _, part := range one.pinned {
+	engine.cacheUsed -= request.reserved + request.generated - request.resumedFrom
+	request.reserved = 0
+	for _, part := range request.pinned {
 		part.users--
 	}
-	one.pinned = nil
+	request.pinned = nil
 }
 
-// end takes a request out, with its last piece.
-func (engine *Engine) end(one *work, how string, last wirePiece) {
-	engine.free(one)
-	engine.active = without(engine.active, one)
-	one.run.Ended = how
-	if !one.isLost {
-		one.send(last)
+// finish takes a request out, with its last piece.
+func (engine *Engine) finish(request *engineRequest, outcome string, last wireMessage) {
+	engine.freeMemory(request)
+	engine.active = removeRequest(engine.active, request)
+	request.run.Ended = outcome
+	if !request.isLost {
+		request.send(last)
 	}
 }
 
-// putBack takes a running request out of its place; it is read again later.
-func (engine *Engine) putBack(one *work) {
+// preempt takes a running request out of its place; it is read again later.
+func (engine *Engine) preempt(request *engineRequest) {
 	engine.PutBack++
-	engine.free(one)
-	engine.active = without(engine.active, one)
-	engine.waiting = append(engine.waiting, one)
+	engine.freeMemory(request)
+	engine.active = removeRequest(engine.active, request)
+	engine.waiting = append(engine.waiting, request)
 }
 
-// room makes room for so many tokens by letting unused parts go, the least lately used
+// evictFor makes room for so many tokens by letting unused parts go, the least lately used
 // first; it tells whether there is.
-func (engine *Engine) room(tokens int) bool {
-	for at := engine.kept.Front(); at != nil && engine.memory+tokens > engine.CacheTokens; {
-		next, part := at.Next(), at.Value.(*keptPart)
+func (engine *Engine) evictFor(tokens int) bool {
+	for at := engine.cache.Front(); at != nil && engine.cacheUsed+tokens > engine.CacheTokens; {
+		next, part := at.Next(), at.Value.(*cachedPart)
 		if part.users == 0 {
-			engine.kept.Remove(at)
-			delete(engine.index, part.id)
-			engine.memory -= part.tokens
+			engine.cache.Remove(at)
+			delete(engine.cacheIndex, part.id)
+			engine.cacheUsed -= part.tokens
 		}
 		at = next
 	}
-	return engine.memory+tokens <= engine.CacheTokens
+	return engine.cacheUsed+tokens <= engine.CacheTokens
 }
 
-// seat lets waiting requests in while there are berths and memory.
-func (engine *Engine) seat() {
+// admit lets waiting requests in while there are berths and memory.
+func (engine *Engine) admit() {
 	now := engine.park.Now()
 	sort.SliceStable(engine.waiting, func(a, b int) bool {
 		x, y := engine.waiting[a], engine.waiting[b]
-		return x.urgency < y.urgency || x.urgency == y.urgency && x.order < y.order
+		return x.urgency < y.urgency || x.urgency == y.urgency && x.arrivalOrder < y.arrivalOrder
 	})
 	for len(engine.waiting) > 0 {
-		one := engine.waiting[0]
-		if now >= one.expiry {
+		request := engine.waiting[0]
+		if now >= request.deadline {
 			engine.waiting = engine.waiting[1:]
-			if one.run.Ran > 0 {
-				engine.end(one, "broken", wirePiece{err: errReset})
+			if request.run.Ran > 0 {
+				engine.finish(request, "broken", wireMessage{err: errReset})
 				continue
 			}
-			one.run.NotRun = true
+			request.run.NotRun = true
 			head := engine.load()
 			head.Status, head.NotRun, head.Events = 503, true, false
-			one.send(wirePiece{head: &head})
+			request.send(wireMessage{head: &head})
 			continue
 		}
 		if len(engine.active) >= engine.Berths {
-			last := engine.least(engine.active)
-			if last.urgency <= one.urgency {
+			last := engine.leastUrgent(engine.active)
+			if last.urgency <= request.urgency {
 				return
 			}
-			engine.putBack(last)
+			engine.preempt(last)
 		}
-		var pinned []*keptPart
-		var todo []decide.Part
+		var pinned []*cachedPart
+		var uncached []decide.Part
 		unread := 0
-		for _, part := range one.parts {
-			at, isKept := engine.index[part.ID]
-			if isKept && len(todo) == 0 {
-				engine.kept.MoveToBack(at)
-				kept := at.Value.(*keptPart)
+		for _, part := range request.parts {
+			at, isKept := engine.cacheIndex[part.ID]
+			if isKept && len(uncached) == 0 {
+				engine.cache.MoveToBack(at)
+				kept := at.Value.(*cachedPart)
 				kept.users++
 				pinned = append(pinned, kept)
 				continue
 			}
-			todo = append(todo, part)
+			uncached = append(uncached, part)
 			unread += part.Tokens
 		}
-		fresh := unread
-		for _, part := range todo {
+		neverRead := unread
+		for _, part := range uncached {
 			if key := (readKey{engine.Model, part.ID}); engine.park.everRead[key] {
-				fresh -= part.Tokens
+				neverRead -= part.Tokens
 			}
 		}
 		// What it made before it was put back is read as well.
-		again := one.made - one.from
-		if again > 0 {
-			todo = append(todo, decide.Part{Tokens: again})
+		regenerated := request.generated - request.resumedFrom
+		if regenerated > 0 {
+			uncached = append(uncached, decide.Part{Tokens: regenerated})
 		}
-		if !engine.room(unread + again + 1) {
+		if !engine.evictFor(unread + regenerated + 1) {
 			for _, part := range pinned {
 				part.users--
 			}
@@ -455,48 +455,48 @@
 			panic("an engine without requests has no room")
 		}
 		engine.waiting = engine.waiting[1:]
-		engine.active = append(engine.active, one)
-		engine.memory += unread + again
-		one.pinned, one.todo, one.reserved, one.ready = pinned, todo, unread, 0
-		for _, part := range todo {
+		engine.active = append(engine.active, request)
+		engine.cacheUsed += unread + regenerated
+		request.pinned, request.unread, request.reserved, request.firstTokenAt = pinned, uncached, unread, 0
+		for _, part := range uncached {
 			if part.ID != 0 {
 				engine.park.everRead[readKey{engine.Model, part.ID}] = true
 			}
 		}
-		engine.AgainTokens += unread - fresh + again
-		one.run.Read += unread + again
-		engine.ReadTokens += unread + again
-		engine.KeptTokens += one.run.Prompt - unread
-		if one.run.Ran == 0 {
-			one.run.Ran = now
+		engine.AgainTokens += unread - neverRead + regenerated
+		request.run.Read += unread + regenerated
+		engine.ReadTokens += unread + regenerated
+		engine.KeptTokens += request.run.Prompt - unread
+		if request.run.Ran == 0 {
+			request.run.Ran = now
 		}
 	}
 }
 
-// turn is the engine's loop: a piece of a prompt, and a token for each that runs.
-func (engine *Engine) turn() {
+// loop is the engine's loop: a piece of a prompt, and a token for each that runs.
+func (engine *Engine) loop() {
 	for {
-		engine.seat()
+		engine.admit()
 		if len(engine.active) == 0 {
 			engine.box.Take(loop.Forever)
 			continue
 		}
 		now := engine.park.Now()
-		var reads *work
+		var prefilling *engineRequest
 		decoding, next := 0, loop.Forever
-		for _, one := range engine.active {
+		for _, request := range engine.active {
 			switch {
-			case len(one.todo) > 0:
-				if reads == nil || one.urgency < reads.urgency || one.urgency == reads.urgency && one.order < reads.order {
-					reads = one
+			case len(request.unread) > 0:
+				if prefilling == nil || request.urgency < prefilling.urgency || request.urgency == prefilling.urgency && request.arrivalOrder < prefilling.arrivalOrder {
+					prefilling = request
 				}
-			case one.ready > now:
-				next = min(next, one.ready-now)
+			case request.firstTokenAt > now:
+				next = min(next, request.firstTokenAt-now)
 			default:
 				decoding++
 			}
 		}
-		if reads == nil && decoding == 0 {
+		if prefilling == nil && decoding == 0 {
 			engine.box.Take(next)
 			continue
 		}
@@ -505,8 +505,8 @@
 			span += engine.Step + time.Duration(decoding)*engine.StepEach
 		}
 		read := 0
-		if reads != nil {
-			for _, part := range reads.todo {
+		if prefilling != nil {
+			for _, part := range prefilling.unread {
 				read += part.Tokens
 			}
 			read = min(read, engine.Chunk)
@@ -514,24 +514,24 @@
 		}
 		loop.Sleep(engine.node, max(time.Microsecond, time.Duration(float64(span)*engine.Slower)))
 		now = engine.park.Now()
-		if reads != nil && reads.run.Ended == "" {
-			engine.advance(reads, read, now)
+		if prefilling != nil && prefilling.run.Ended == "" {
+			engine.recordPrefill(prefilling, read, now)
 		}
-		for _, one := range append([]*work{}, engine.active...) {
-			if len(one.todo) == 0 && one.ready <= now && one.run.Ended == "" {
-				engine.token(one, now)
+		for _, request := range append([]*engineRequest{}, engine.active...) {
+			if len(request.unread) == 0 && request.firstTokenAt <= now && request.run.Ended == "" {
+				engine.generate(request, now)
 			}
 		}
-		for engine.memory > engine.CacheTokens && !engine.room(0) {
-			engine.putBack(engine.least(engine.active))
+		for engine.cacheUsed > engine.CacheTokens && !engine.evictFor(0) {
+			engine.preempt(engine.leastUrgent(engine.active))
 		}
 	}
 }
 
-// advance notes that a piece of a prompt was read.
-func (engine *Engine) advance(one *work, read int, now time.Duration) {
-	for read > 0 && len(one.todo) > 0 {
-		part := &one.todo[0]
+// recordPrefill notes that a piece of a prompt was read.
+func (engine *Engine) recordPrefill(request *engineRequest, read int, now time.Duration) {
+	for read > 0 && len(request.unread) > 0 {
+		part := &request.unread[0]
 		step := min(read, part.Tokens)
 		part.Tokens -= step
 		read -= step
@@ -539,71 +539,71 @@
 			break
 		}
 		id := part.ID
-		one.todo = one.todo[1:]
+		request.unread = request.unread[1:]
 		if id == 0 {
 			continue // what it made itself
 		}
-		for _, whole := range one.parts {
+		for _, whole := range request.parts {
 			if whole.ID != id {
 				continue
 			}
-			one.reserved -= whole.Tokens
-			if at, isKept := engine.index[id]; isKept {
+			request.reserved -= whole.Tokens
+			if at, isKept := engine.cacheIndex[id]; isKept {
 				// Another one read it meanwhile.
-				engine.memory -= whole.Tokens
-				kept := at.Value.(*keptPart)
+				engine.cacheUsed -= whole.Tokens
+				kept := at.Value.(*cachedPart)
 				kept.users++
-				one.pinned = append(one.pinned, kept)
+				request.pinned = append(request.pinned, kept)
 			} else {
-				kept := &keptPart{id: id, tokens: whole.Tokens, users: 1}
-				engine.index[id] = engine.kept.PushBack(kept)
-				one.pinned = append(one.pinned, kept)
+				kept := &cachedPart{id: id, tokens: whole.Tokens, users: 1}
+				engine.cacheIndex[id] = engine.cache.PushBack(kept)
+				request.pinned = append(request.pinned, kept)
 			}
 		}
 	}
-	if len(one.todo) == 0 {
-		one.ready = now + time.Duration(float64(engine.First)*engine.Slower)
+	if len(request.unread) == 0 {
+		request.firstTokenAt = now + time.Duration(float64(engine.First)*engine.Slower)
 	}
 }
 
-// token makes the next token of a request, and sends an event when it is time.
-func (engine *Engine) token(one *work, now time.Duration) {
-	if now >= one.expiry {
-		engine.end(one, "broken", wirePiece{err: errReset})
+// generate makes the next token of a request, and sends an event when it is time.
+func (engine *Engine) generate(request *engineRequest, now time.Duration) {
+	if now >= request.deadline {
+		engine.finish(request, "broken", wireMessage{err: errReset})
 		return
 	}
-	if !one.isBegun {
-		one.isBegun = true
+	if !request.isBegun {
+		request.isBegun = true
 		head := engine.load()
 		if engine.happens(engine.Fails) {
 			head.Status, head.Events = 500, false
-			one.send(wirePiece{head: &head})
-			engine.end(one, "failed", wirePiece{isEnd: true})
+			request.send(wireMessage{head: &head})
+			engine.finish(request, "failed", wireMessage{isEnd: true})
 			return
 		}
-		if !one.isLost {
-			one.send(wirePiece{head: &head})
+		if !request.isLost {
+			request.send(wireMessage{head: &head})
 		}
 	}
-	one.made++
-	engine.memory++
-	isWhole := one.made >= one.most
-	if one.breakAt > 0 && one.made >= one.breakAt {
-		engine.end(one, "broken", wirePiece{err: errReset})
+	request.generated++
+	engine.cacheUsed++
+	isWhole := request.generated >= request.maxTokens
+	if request.breakAfter > 0 && request.generated >= request.breakAfter {
+		engine.finish(request, "broken", wireMessage{err: errReset})
 		return
 	}
-	if (isWhole || one.made-one.sent >= engine.Stride) && !one.isLost {
+	if (isWhole || request.generated-request.sent >= engine.Stride) && !request.isLost {
 		// The text names the run, so that a mix-up is seen by the caller.
-		if one.sent == one.from || !engine.happens(engine.Skips) {
-			one.send(wirePiece{event: fmt.Appendf(nil, "id: %d\ndata: %s %s %d %d\n\n", one.made, one.run.ID, one.run.Life, one.sent, one.made)})
+		if request.sent == request.resumedFrom || !engine.happens(engine.Skips) {
+			request.send(wireMessage{event: fmt.Appendf(nil, "id: %d\ndata: %s %s %d %d\n\n", request.generated, request.run.ID, request.run.Life, request.sent, request.generated)})
 		}
-		one.sent = one.made
+		request.sent = request.generated
 	}
 	if isWhole {
-		how := "ok"
-		if one.isLost {
-			how = "lost"
+		outcome := "ok"
+		if request.isLost {
+			outcome = "lost"
 		}
-		engine.end(one, how, wirePiece{isEnd: true, closing: engine.Leaving})
+		engine.finish(request, outcome, wireMessage{isEnd: true, closesConn: engine.Leaving})
 	}
 }
--- a/fleet/experiment.go
+++ b/fleet/experiment.go
@@ -112,21 +112,21 @@
 	out := Figures{First: map[string]Quantiles{}, Pause: map[string]Quantiles{}}
 	firsts, pauses := map[string][]float64{}, map[string][]float64{}
 	inTime := 0
-	for _, one := range park.RoutedRequests {
-		if one.At < from || one.At >= until {
+	for _, request := range park.RoutedRequests {
+		if request.At < from || request.At >= until {
 			continue
 		}
 		out.Asked++
-		if one.Verdict != "ok" {
+		if request.Verdict != "ok" {
 			continue
 		}
 		out.Answered++
-		kind, _, _ := strings.Cut(one.Crowd.Name, "-")
-		first := float64(one.First-one.At) / float64(time.Millisecond)
+		kind, _, _ := strings.Cut(request.Crowd.Name, "-")
+		first := float64(request.First-request.At) / float64(time.Millisecond)
 		firsts[kind] = append(firsts[kind], first)
-		pauses[kind] = append(pauses[kind], float64(one.Pause)/float64(time.Millisecond))
+		pauses[kind] = append(pauses[kind], float64(request.Pause)/float64(time.Millisecond))
 		out.Firsts = append(out.Firsts, first)
-		if one.First-one.At <= one.Crowd.Target && one.Pause <= one.Crowd.Gap {
+		if request.First-request.At <= request.Crowd.Target && request.Pause <= request.Crowd.Gap {
 			inTime++
 		}
 	}
--- a/fleet/http.go
+++ b/fleet/http.go
@@ -19,47 +19,47 @@
 var errFailed = errors.New("the stand-in fails on purpose")
 
 // App serves the stand-in replica over HTTP.
-func (one *Replica) App() *fiber.App {
+func (stub *Replica) App() *fiber.App {
 	app := fiber.New(fiber.Config{DisableStartupMessage: true, BodyLimit: 64 << 20})
-	app.Get("/health", func(ctx *fiber.Ctx) error { return ctx.Type("json").Send(one.Probe()) })
+	app.Get("/health", func(ctx *fiber.Ctx) error { return ctx.Type("json").Send(stub.Probe()) })
 	app.Post("/weights", func(ctx *fiber.Ctx) error {
 		var order replica.Order
 		if err := json.Unmarshal(ctx.Body(), &order); err != nil {
 			return ctx.Status(400).SendString(err.Error())
 		}
-		status, body := one.Order(order)
+		status, body := stub.Order(order)
 		return ctx.Status(status).Type("json").Send(body)
 	})
 	complete := func(ctx *fiber.Ctx) error {
 		serial, _ := strconv.ParseUint(ctx.Get("Swifttiller-Serial"), 10, 64)
-		if way, isOdd := strings.CutPrefix(ctx.Get("Swifttiller-Kind"), "odd-"); isOdd && one.Odd {
-			return odd(ctx, strings.Clone(way), strings.Clone(ctx.Get("Swifttiller-Request-Id")))
+		if way, isOdd := strings.CutPrefix(ctx.Get("Swifttiller-Kind"), "odd-"); isOdd && stub.Odd {
+			return breakConnection(ctx, strings.Clone(way), strings.Clone(ctx.Get("Swifttiller-Request-Id")))
 		}
-		answer, status, declined := one.Arrive(bytes.Clone(ctx.Body()), strings.Clone(ctx.Get("Swifttiller-Request-Id")), strings.Clone(ctx.Get("Swifttiller-Kind")), strings.Clone(ctx.Get("Swifttiller-Home")), serial, "")
+		answer, status, rejection := stub.Arrive(bytes.Clone(ctx.Body()), strings.Clone(ctx.Get("Swifttiller-Request-Id")), strings.Clone(ctx.Get("Swifttiller-Kind")), strings.Clone(ctx.Get("Swifttiller-Home")), serial, "")
 		if answer == nil {
-			return ctx.Status(status).Type("json").Send(declined)
+			return ctx.Status(status).Type("json").Send(rejection)
 		}
 		first, err := answer.Next()
 		if err != nil {
 			return ctx.Status(500).Type("json").SendString(`{"error":{"message":"failed"}}`)
 		}
 		ctx.Set("Content-Type", "text/event-stream")
-		ctx.Context().SetBodyStream(&feed{answer: answer, pending: first}, -1)
+		ctx.Context().SetBodyStream(&answerBody{answer: answer, pending: first}, -1)
 		return nil
 	}
 	app.Post("/v1/completions", complete)
 	app.Post("/v1/chat/completions", complete)
 	app.Get("/log", func(ctx *fiber.Ctx) error {
-		one.guard.Lock()
-		defer one.guard.Unlock()
-		return ctx.JSON(map[string]any{"served": one.Log, "loads": one.Loads, "peak": one.Peak, "flooded": one.Flooded, "fenced": one.Fenced})
+		stub.guard.Lock()
+		defer stub.guard.Unlock()
+		return ctx.JSON(map[string]any{"served": stub.Log, "loads": stub.Loads, "peak": stub.Peak, "flooded": stub.Flooded, "fenced": stub.Fenced})
 	})
-	app.Post("/leave", func(ctx *fiber.Ctx) error { one.Leave(); return ctx.SendString("{}") })
+	app.Post("/leave", func(ctx *fiber.Ctx) error { stub.Leave(); return ctx.SendString("{}") })
 	return app
 }
 
-// odd goes wrong on the wire, below HTTP.
-func odd(ctx *fiber.Ctx, way, id string) error {
+// breakConnection goes wrong on the wire, below HTTP.
+func breakConnection(ctx *fiber.Ctx, way, id string) error {
 	ctx.Context().HijackSetNoResponse(true)
 	ctx.Context().Hijack(func(conn net.Conn) {
 		piece := fmt.Sprintf("data: {\"choices\":[{\"text\":\"%s:0 \"}]}\n\n", id)
@@ -84,13 +84,13 @@
 	return nil
 }
 
-// feed reads an answer as a body.
-type feed struct {
+// answerBody reads an answer as a body.
+type answerBody struct {
 	answer  *Answer
 	pending []byte
 }
 
-func (feed *feed) Read(out []byte) (int, error) {
+func (feed *answerBody) Read(out []byte) (int, error) {
 	if len(feed.pending) == 0 {
 		event, err := feed.answer.Next()
 		if errors.Is(err, io.EOF) {
@@ -105,20 +105,20 @@
 	return count, nil
 }
 
-func (feed *feed) Close() error { feed.answer.Abort(); return nil }
+func (feed *answerBody) Close() error { feed.answer.Abort(); return nil }
 
 // Platform is a stand-in platform: it lists replicas with a lag and limits how
 // often it may be asked.
 type Platform struct {
 	Lag, Least time.Duration
 	now        func() time.Duration
-	entries    []entry
-	asked      map[string]time.Duration
+	entries    []platformEntry
+	lastQuery  map[string]time.Duration
 	// Broken makes it answer 500.
 	Broken bool
 }
 
-type entry struct {
+type platformEntry struct {
 	at, until time.Duration
 	Region    string
 	ID        string `json:"id"`
@@ -132,7 +132,7 @@
 
 // NewPlatform makes a platform with a clock.
 func NewPlatform(now func() time.Duration, lag, least time.Duration) *Platform {
-	return &Platform{Lag: lag, Least: least, now: now, asked: map[string]time.Duration{}}
+	return &Platform{Lag: lag, Least: least, now: now, lastQuery: map[string]time.Duration{}}
 }
 
 // Never is a time that does not come.
@@ -149,14 +149,14 @@
 	if platform.now() == 0 {
 		at = 0
 	}
-	platform.entries = append(platform.entries, entry{at: at, until: Never, leavingAt: Never, Region: region, ID: id, Address: address, Zone: zone, Model: model, Version: version})
+	platform.entries = append(platform.entries, platformEntry{at: at, until: Never, leavingAt: Never, Region: region, ID: id, Address: address, Zone: zone, Model: model, Version: version})
 }
 
 // Leave marks a replica as leaving, after the lag.
 func (platform *Platform) Leave(id string) {
 	for index := range platform.entries {
-		if one := &platform.entries[index]; one.ID == id && one.until == Never {
-			one.leavingAt = platform.now() + platform.Lag
+		if entry := &platform.entries[index]; entry.ID == id && entry.until == Never {
+			entry.leavingAt = platform.now() + platform.Lag
 		}
 	}
 }
@@ -164,8 +164,8 @@
 // Remove takes a replica off the list, after the lag.
 func (platform *Platform) Remove(id string) {
 	for index := range platform.entries {
-		if one := &platform.entries[index]; one.ID == id && one.until == Never {
-			one.until = platform.now() + platform.Lag
+		if entry := &platform.entries[index]; entry.ID == id && entry.until == Never {
+			entry.until = platform.now() + platform.Lag
 		}
 	}
 }
@@ -176,18 +176,18 @@
 	if platform.Broken {
 		return 500, nil
 	}
-	if last, seen := platform.asked[region]; seen && now-last < platform.Least {
+	if last, seen := platform.lastQuery[region]; seen && now-last < platform.Least {
 		return 429, nil
 	}
-	platform.asked[region] = now
-	list := []entry{}
-	for _, one := range platform.entries {
-		if one.Region == region && one.at <= now && now < one.until {
-			one.State = "running"
-			if one.leavingAt <= now {
-				one.State = "leaving"
+	platform.lastQuery[region] = now
+	list := []platformEntry{}
+	for _, entry := range platform.entries {
+		if entry.Region == region && entry.at <= now && now < entry.until {
+			entry.State = "running"
+			if entry.leavingAt <= now {
+				entry.State = "leaving"
 			}
-			list = append(list, one)
+			list = append(list, entry)
 		}
 	}
 	body, _ := json.Marshal(map[string]any{"replicas": list})
--- a/fleet/park.go
+++ b/fleet/park.go
@@ -98,7 +98,7 @@
 	// Spoilt are daemons whose settings file does not hold.
 	Spoilt map[string]bool
 	varied int
-	lanes  map[laneKey]kept
+	lanes  map[laneKey]callerLocation
 	closed map[string]bool // daemons whose listeners are closed in a planned stop
 
 	Engines map[string]*Engine
@@ -116,8 +116,8 @@
 
 	pastEngines []*Engine
 	everRead    map[readKey]bool
-	hops        map[string][]*hop  // by engine and by data daemon
-	links       map[string][]*link // by data daemon
+	hops        map[string][]*engineStream // by engine and by data daemon
+	links       map[string][]*callerConn   // by data daemon
 	askedOf     map[string]asked
 	tried       map[string]*RoutedTry
 }
@@ -125,8 +125,8 @@
 // Region of a zone in the plans: what stands before the dash.
 func Region(zone string) string { return strings.SplitN(zone, "-", 2)[0] }
 
-func split(word string) (name, zone string) {
-	name, zone, _ = strings.Cut(word, ":")
+func split(assignment string) (name, zone string) {
+	name, zone, _ = strings.Cut(assignment, ":")
 	return name, zone
 }
 
@@ -157,14 +157,14 @@
 // NewBarePark starts a fleet's machines and nothing more: it has no core, no
 // configuration and no callers.
 func NewBarePark(seed uint64, plan Plan) *Park {
-	park := &Park{Sim: sim.New(seed), Plan: plan, Controls: map[string]*controlplane.Daemon{}, Datas: map[string]*dataplane.Daemon{}, Replicas: map[string]*Replica{}, Troubles: map[string]error{}, Seen: newSeen(), byID: map[string]*Request{}, lanes: map[laneKey]kept{}, Spoilt: map[string]bool{}, closed: map[string]bool{}, zones: map[string]string{}, streams: map[string][]*simStream{}}
-	park.Engines, park.hops, park.links, park.askedOf, park.tried = map[string]*Engine{}, map[string][]*hop{}, map[string][]*link{}, map[string]asked{}, map[string]*RoutedTry{}
+	park := &Park{Sim: sim.New(seed), Plan: plan, Controls: map[string]*controlplane.Daemon{}, Datas: map[string]*dataplane.Daemon{}, Replicas: map[string]*Replica{}, Troubles: map[string]error{}, Seen: newSeen(), byID: map[string]*Request{}, lanes: map[laneKey]callerLocation{}, Spoilt: map[string]bool{}, closed: map[string]bool{}, zones: map[string]string{}, streams: map[string][]*simStream{}}
+	park.Engines, park.hops, park.links, park.askedOf, park.tried = map[string]*Engine{}, map[string][]*engineStream{}, map[string][]*callerConn{}, map[string]asked{}, map[string]*RoutedTry{}
 	park.everRead = map[readKey]bool{}
-	park.Listed = &Register{park: park, asked: map[string]time.Duration{}}
+	park.Listed = &Register{park: park, lastQuery: map[string]time.Duration{}}
 	park.Platform = NewPlatform(park.Now, plan.Lag, plan.Least)
 	park.watch()
-	for _, word := range append(append([]string{}, plan.Controls...), plan.Diskless...) {
-		name, zone := split(word)
+	for _, assignment := range append(append([]string{}, plan.Controls...), plan.Diskless...) {
+		name, zone := split(assignment)
 		park.zones[name] = zone
 		park.StartControl(name)
 	}
@@ -176,8 +176,8 @@
 	for _, options := range plan.Engines {
 		park.StartEngine(options)
 	}
-	for _, word := range plan.Datas {
-		name, zone := split(word)
+	for _, assignment := range plan.Datas {
+		name, zone := split(assignment)
 		park.zones[name] = zone
 		park.StartData(name)
 	}
@@ -203,8 +203,8 @@
 }
 
 func (park *Park) seeds() (seeds []string) {
-	for _, word := range park.Plan.Controls[:min(3, len(park.Plan.Controls))] {
-		name, _ := split(word)
+	for _, assignment := range park.Plan.Controls[:min(3, len(park.Plan.Controls))] {
+		name, _ := split(assignment)
 		seeds = append(seeds, name)
 	}
 	return seeds
@@ -241,17 +241,17 @@
 	park.born(name)
 	park.Start(name, func(node *sim.Node) {
 		var folder disk.Folder = node.Disk
-		for _, word := range park.Plan.Diskless {
-			if diskless, _ := split(word); diskless == name {
+		for _, assignment := range park.Plan.Diskless {
+			if diskless, _ := split(assignment); diskless == name {
 				folder = nil
 			}
 		}
 		options := controlplane.Options{
 			World: node, Net: sim.Net{Node: node}, Process: park.process(name), Live: park.live(name), Folder: folder, Incarnation: life,
-			Replicas: &client{park, node, map[string][]idleLine{}}, Platform: &list{park, node}, Point: func(point string) { park.Point(node, point) },
+			Replicas: &replicaClient{park, node, map[string][]idleConn{}}, Platform: &platformClient{park, node}, Point: func(point string) { park.Point(node, point) },
 		}
 		if len(park.Plan.Engines) > 0 {
-			options.Dialect, options.Platform = engineDialect{client: &client{park, node, nil}}, &engineList{park, node}
+			options.Dialect, options.Platform = engineDialect{client: &replicaClient{park, node, nil}}, &engineListClient{park, node}
 		}
 		daemon, err := controlplane.New(options)
 		park.Troubles[name] = err
@@ -270,9 +270,9 @@
 	life := fmt.Sprint(park.lives)
 	park.born(name)
 	park.Start(name, func(node *sim.Node) {
-		options := dataplane.Options{World: node, Net: sim.Net{Node: node}, Process: park.process(name), Live: park.live(name), Incarnation: life, Replicas: &client{park, node, map[string][]idleLine{}}, ProxyClient: &relayer{park, node, map[string][]*wireLine{}}}
+		options := dataplane.Options{World: node, Net: sim.Net{Node: node}, Process: park.process(name), Live: park.live(name), Incarnation: life, Replicas: &replicaClient{park, node, map[string][]idleConn{}}, ProxyClient: &relayer{park, node, map[string][]*wireLine{}}}
 		if len(park.Plan.Engines) > 0 {
-			options.Probe = engineDialect{client: &client{park, node, nil}}.Probe
+			options.Probe = engineDialect{client: &replicaClient{park, node, nil}}.Probe
 		}
 		daemon := dataplane.New(options)
 		park.Datas[name] = daemon
@@ -311,12 +311,12 @@
 		stream.broken(name)
 	}
 	delete(park.streams, name)
-	for _, hop := range append([]*hop{}, park.hops[name]...) {
+	for _, hop := range append([]*engineStream{}, park.hops[name]...) {
 		hop.broken(name)
 	}
 	delete(park.hops, name)
 	for _, link := range park.links[name] {
-		link.box.Put(piece{err: errReset})
+		link.mailbox.Put(streamPiece{err: errReset})
 	}
 	delete(park.links, name)
 }
@@ -342,20 +342,20 @@
 }
 
 // Until lets time pass until the question is answered yes, at most the span.
-func (park *Park) Until(span time.Duration, isIt func() bool) bool {
+func (park *Park) Until(span time.Duration, condition func() bool) bool {
 	for spent := time.Duration(0); spent < span; spent += 50 * time.Millisecond {
-		if isIt() {
+		if condition() {
 			return true
 		}
 		park.Run(50 * time.Millisecond)
 	}
-	return isIt()
+	return condition()
 }
 
 // Logs are all requests that replicas took, in the order of their arrival.
 func (park *Park) Logs() (all []*Served) {
-	for _, one := range park.past {
-		all = append(all, one.Log...)
+	for _, stub := range park.past {
+		all = append(all, stub.Log...)
 	}
 	for _, name := range park.ids() {
 		all = append(all, park.Replicas[name].Log...)
@@ -378,80 +378,80 @@
 // Zone of a node.
 func (park *Park) Zone(name string) string { return park.zones[name] }
 
-// list is the platform as a node asks it; the platform itself stands outside
+// platformClient is the platform as a node asks it; the platform itself stands outside
 // of all cuts.
-type list struct {
+type platformClient struct {
 	park *Park
 	node *sim.Node
 }
 
 // List asks the stand-in platform.
-func (list *list) List(region string, _ []string, patience time.Duration) ([]listing.Instance, error) {
-	loop.Sleep(list.node, 2*time.Millisecond)
-	status, body := list.park.Platform.List(strings.TrimPrefix(region, "http://"))
+func (client *platformClient) List(region string, _ []string, patience time.Duration) ([]listing.Instance, error) {
+	loop.Sleep(client.node, 2*time.Millisecond)
+	status, body := client.park.Platform.List(strings.TrimPrefix(region, "http://"))
 	listed, err := listing.ParseResponse(status, "", body)
-	for _, one := range listed {
-		if one.Leaving {
-			list.park.learnLeaving(one.ID, list.park.marked[one.ID])
+	for _, instance := range listed {
+		if instance.Leaving {
+			client.park.learnLeaving(instance.ID, client.park.marked[instance.ID])
 		}
 	}
 	return listed, err
 }
 
-// client is a node's client of stand-in replicas, with the same promises as the
+// replicaClient is a node's client of stand-in replicas, with the same promises as the
 // real one.
-type client struct {
-	park  *Park
-	node  *sim.Node
-	lines map[string][]idleLine
+type replicaClient struct {
+	park      *Park
+	node      *sim.Node
+	idleConns map[string][]idleConn
 }
 
-// idleLine is a connection that waits for its next request.
-type idleLine struct {
+// idleConn is a connection that waits for its next request.
+type idleConn struct {
 	boot  string
 	since time.Duration
 }
 
-// idleSpan is how long one waits, as in the real client.
-const idleSpan = 3 * time.Second
+// idleTimeout is how long one waits, as in the real client.
+const idleTimeout = 3 * time.Second
 
-// idle takes a waiting connection to the replica, which has not ended with its life,
+// takeIdle takes a waiting connection to the replica, which has not ended with its life,
 // and gives the life.
-func (client *client) idle(address string) (boot string, isKept bool) {
-	for list := client.lines[address]; len(list) > 0; list = client.lines[address] {
+func (client *replicaClient) takeIdle(address string) (boot string, isKept bool) {
+	for list := client.idleConns[address]; len(list) > 0; list = client.idleConns[address] {
 		last := list[len(list)-1]
-		client.lines[address] = list[:len(list)-1]
-		if client.node.Now()-last.since < idleSpan && client.park.Node(address).Up() && client.park.Replicas[address].Boot == last.boot {
+		client.idleConns[address] = list[:len(list)-1]
+		if client.node.Now()-last.since < idleTimeout && client.park.Node(address).Up() && client.park.Replicas[address].Boot == last.boot {
 			return last.boot, true
 		}
 	}
 	return "", false
 }
 
-func (client *client) keep(address, boot string) {
-	client.lines[address] = append(client.lines[address], idleLine{boot, client.node.Now()})
+func (client *replicaClient) release(address, boot string) {
+	client.idleConns[address] = append(client.idleConns[address], idleConn{boot, client.node.Now()})
 }
 
 type simStream struct {
-	client *client
-	boot   string
-	park   *Park
-	box    loop.Mailbox
-	from   *sim.Node
-	to     string
-	answer *Answer
-	stall  time.Duration
-	expiry time.Duration
-	closed bool
-	ended  bool
-	head   *piece // taken by Dispatch, read first by Next
-}
-
-type piece struct {
-	event    []byte
-	err      error
-	declined *verdict.Error
-	begun    bool
+	client       *replicaClient
+	boot         string
+	park         *Park
+	mailbox      loop.Mailbox
+	from         *sim.Node
+	to           string
+	answer       *Answer
+	stallTimeout time.Duration
+	deadline     time.Duration
+	closed       bool
+	ended        bool
+	head         *streamPiece // taken by Dispatch, read first by Next
+}
+
+type streamPiece struct {
+	event     []byte
+	err       error
+	rejection *verdict.Error
+	isFirst   bool
 }
 
 var errReset = errors.New("connection reset")
@@ -460,7 +460,7 @@
 func (stream *simStream) broken(dead string) {
 	if dead == stream.to {
 		if stream.from.Up() {
-			stream.box.Put(piece{err: errReset})
+			stream.mailbox.Put(streamPiece{err: errReset})
 		}
 	} else if stream.answer != nil {
 		stream.answer.Abort()
@@ -469,13 +469,13 @@
 }
 
 // Dispatch sends a request to a stand-in.
-func (client *client) Dispatch(request replica.Request) (replica.Stream, *verdict.Error) {
+func (client *replicaClient) Dispatch(request replica.Request) (replica.Stream, *verdict.Error) {
 	park, node := client.park, client.node
 	unreached := func(wait time.Duration) (replica.Stream, *verdict.Error) {
 		loop.Sleep(node, wait)
 		return nil, &verdict.Error{Verdict: verdict.NotRun, Code: "replica_unreached", Status: 502}
 	}
-	boot, isKept := client.idle(request.Address)
+	boot, isKept := client.takeIdle(request.Address)
 	if !isKept {
 		delay, open := park.Reach(node.Name, request.Address)
 		back, openBack := park.Reach(request.Address, node.Name)
@@ -487,47 +487,47 @@
 			return unreached(delay + back)
 		}
 		loop.Sleep(node, delay+back)
-		greeting, err := client.small(request.Address, request.IdentifyTimeout, func(stand *Replica) (int, []byte) { return 200, stand.Probe() })
+		reply, err := client.exchange(request.Address, request.IdentifyTimeout, func(stub *Replica) (int, []byte) { return 200, stub.Probe() })
 		if err != nil {
 			return unreached(0)
 		}
-		vitals, _ := replica.ParseHealth(greeting.body)
-		boot = vitals.Boot
+		health, _ := replica.ParseHealth(reply.body)
+		boot = health.Boot
 		park.Greeted++
 	}
 	if boot != request.Boot {
-		client.keep(request.Address, boot)
+		client.release(request.Address, boot)
 		return nil, replica.Restarted()
 	}
-	serial, mishap := request.Gate()
-	if mishap != nil {
-		return nil, mishap
+	serial, failure := request.Gate()
+	if failure != nil {
+		return nil, failure
 	}
-	stream := &simStream{client: client, boot: boot, park: park, box: node.Mailbox(), from: node, to: request.Address, stall: request.StallTimeout, expiry: node.Now() + request.Timeout}
+	stream := &simStream{client: client, boot: boot, park: park, mailbox: node.Mailbox(), from: node, to: request.Address, stallTimeout: request.StallTimeout, deadline: node.Now() + request.Timeout}
 	park.streams[request.Address] = append(park.streams[request.Address], stream)
 	park.streams[node.Name] = append(park.streams[node.Name], stream)
 	if request.OnAbort != nil {
-		request.OnAbort(func() { stream.box.Put(piece{err: errReset}) })
+		request.OnAbort(func() { stream.mailbox.Put(streamPiece{err: errReset}) })
 	}
 	body := bytes.Clone(request.Body)
 	try, sent := park.tries(request.ID), park.Now()
 	park.Deliver(node, request.Address, func(at *sim.Node) {
-		stand := park.Replicas[request.Address]
-		if stand.Boot != boot {
-			park.Deliver(at, node.Name, func(*sim.Node) { stream.box.Put(piece{err: errReset}) })
+		stub := park.Replicas[request.Address]
+		if stub.Boot != boot {
+			park.Deliver(at, node.Name, func(*sim.Node) { stream.mailbox.Put(streamPiece{err: errReset}) })
 			return // the connection ended with the life that it led to
 		}
-		answer, status, declined := stand.Arrive(body, request.ID, request.Kind, request.Home, serial, node.Name)
+		answer, status, rejection := stub.Arrive(body, request.ID, request.Kind, request.Home, serial, node.Name)
 		if answer != nil {
 			answer.served.Sent = sent
 		}
-		park.Arrivals = append(park.Arrivals, Arrival{At: park.Now(), Sent: sent, Replica: request.Address, Boot: stand.Boot, Daemon: node.Name, ID: request.ID, Home: request.Home, Taken: answer != nil, Try: try})
-		var lane sim.Stream
-		send := func(one piece) {
-			park.Send(&lane, at, node.Name, func(*sim.Node) { stream.box.Put(one) })
+		park.Arrivals = append(park.Arrivals, Arrival{At: park.Now(), Sent: sent, Replica: request.Address, Boot: stub.Boot, Daemon: node.Name, ID: request.ID, Home: request.Home, Taken: answer != nil, Try: try})
+		var channel sim.Stream
+		send := func(piece streamPiece) {
+			park.Send(&channel, at, node.Name, func(*sim.Node) { stream.mailbox.Put(piece) })
 		}
 		if answer == nil {
-			send(piece{declined: replica.FailureFromAnswer(status, "", declined)})
+			send(streamPiece{rejection: replica.FailureFromAnswer(status, "", rejection)})
 			return
 		}
 		stream.answer = answer
@@ -540,33 +540,33 @@
 			event, err := answer.Next()
 			if err != nil {
 				if first {
-					send(piece{declined: replica.FailureFromAnswer(500, "", []byte(`{"error":{"message":"failed"}}`))})
+					send(streamPiece{rejection: replica.FailureFromAnswer(500, "", []byte(`{"error":{"message":"failed"}}`))})
 				} else {
-					send(piece{err: err})
+					send(streamPiece{err: err})
 				}
 				return
 			}
-			send(piece{event: event, begun: first})
+			send(streamPiece{event: event, isFirst: first})
 			first = false
 		}
 	})
-	got, ok := stream.box.Take(min(stream.stall, stream.expiry-node.Now()))
-	doubt := func(code string) (replica.Stream, *verdict.Error) {
+	item, ok := stream.mailbox.Take(min(stream.stallTimeout, stream.deadline-node.Now()))
+	mayHaveRun := func(code string) (replica.Stream, *verdict.Error) {
 		stream.Close()
 		return nil, &verdict.Error{Verdict: verdict.MayHaveRun, Code: code, Status: 502}
 	}
 	if !ok {
-		return doubt("replica_cut")
+		return mayHaveRun("replica_cut")
 	}
-	one := got.(piece)
+	piece := item.(streamPiece)
 	switch {
-	case one.declined != nil:
+	case piece.rejection != nil:
 		stream.Close()
-		return nil, one.declined
-	case one.err != nil:
-		return doubt("replica_cut")
+		return nil, piece.rejection
+	case piece.err != nil:
+		return mayHaveRun("replica_cut")
 	}
-	stream.head = &one
+	stream.head = &piece
 	return stream, nil
 }
 
@@ -580,19 +580,19 @@
 		stream.ended = replica.IsTerminalEvent(head.event)
 		return head.event, nil
 	}
-	got, ok := stream.box.Take(min(stream.stall, stream.expiry-stream.from.Now()))
+	item, ok := stream.mailbox.Take(min(stream.stallTimeout, stream.deadline-stream.from.Now()))
 	if !ok {
 		return nil, replica.ErrCut
 	}
-	one := got.(piece)
-	if one.err != nil && !errors.Is(one.err, io.EOF) {
+	piece := item.(streamPiece)
+	if piece.err != nil && !errors.Is(piece.err, io.EOF) {
 		return nil, replica.ErrCut
 	}
-	if errors.Is(one.err, io.EOF) {
+	if errors.Is(piece.err, io.EOF) {
 		return nil, io.EOF
 	}
-	stream.ended = replica.IsTerminalEvent(one.event)
-	return one.event, nil
+	stream.ended = replica.IsTerminalEvent(piece.event)
+	return piece.event, nil
 }
 
 // Close cancels what still runs.
@@ -602,12 +602,12 @@
 	}
 	stream.closed = true
 	if stream.ended && stream.client != nil { // a caller's own stream has none
-		stream.client.keep(stream.to, stream.boot)
+		stream.client.release(stream.to, stream.boot)
 	}
 	for _, name := range []string{stream.to, stream.from.Name} {
 		list := stream.park.streams[name]
-		for index, one := range list {
-			if one == stream {
+		for index, other := range list {
+			if other == stream {
 				stream.park.streams[name] = append(list[:index:index], list[index+1:]...)
 				break
 			}
@@ -620,54 +620,54 @@
 }
 
 // Probe asks a stand-in how it does.
-func (client *client) Probe(address string, patience time.Duration) (replica.Health, error) {
-	body, err := client.small(address, patience, func(stand *Replica) (int, []byte) { return 200, stand.Probe() })
+func (client *replicaClient) Probe(address string, timeout time.Duration) (replica.Health, error) {
+	reply, err := client.exchange(address, timeout, func(stub *Replica) (int, []byte) { return 200, stub.Probe() })
 	if err != nil {
 		return replica.Health{}, err
 	}
-	vitals, err := replica.ParseHealth(body.body)
-	if err == nil && vitals.Leaving {
-		client.park.learnLeaving(address, vitals.Boot)
+	health, err := replica.ParseHealth(reply.body)
+	if err == nil && health.Leaving {
+		client.park.learnLeaving(address, health.Boot)
 	}
-	return vitals, err
+	return health, err
 }
 
 // Order gives an order to a stand-in.
-func (client *client) Order(address string, order replica.Order, patience time.Duration) error {
-	got, err := client.small(address, patience, func(stand *Replica) (int, []byte) {
-		if stand == nil { // an engine, which takes none
+func (client *replicaClient) Order(address string, order replica.Order, timeout time.Duration) error {
+	reply, err := client.exchange(address, timeout, func(stub *Replica) (int, []byte) {
+		if stub == nil { // an engine, which takes none
 			client.park.Strayed++
 			return 404, nil
 		}
-		return stand.Order(order)
+		return stub.Order(order)
 	})
 	if err != nil {
 		return err
 	}
-	return replica.OrderError(got.status, "", got.body)
+	return replica.OrderError(reply.status, "", reply.body)
 }
 
-type small struct {
+type httpReply struct {
 	status int
 	body   []byte
 }
 
-func (client *client) small(address string, patience time.Duration, do func(*Replica) (int, []byte)) (small, error) {
+func (client *replicaClient) exchange(address string, timeout time.Duration, handle func(*Replica) (int, []byte)) (httpReply, error) {
 	park, node := client.park, client.node
-	box := node.Mailbox()
+	mailbox := node.Mailbox()
 	if target := park.Node(address); !target.Up() {
 		loop.Sleep(node, time.Millisecond)
-		return small{}, errReset
+		return httpReply{}, errReset
 	}
 	park.Deliver(node, address, func(at *sim.Node) {
-		status, body := do(park.Replicas[address])
-		park.Deliver(at, node.Name, func(*sim.Node) { box.Put(small{status, body}) })
+		status, body := handle(park.Replicas[address])
+		park.Deliver(at, node.Name, func(*sim.Node) { mailbox.Put(httpReply{status, body}) })
 	})
-	got, ok := box.Take(patience)
+	item, ok := mailbox.Take(timeout)
 	if !ok {
-		return small{}, errors.New("no answer")
+		return httpReply{}, errors.New("no answer")
 	}
-	return got.(small), nil
+	return item.(httpReply), nil
 }
 
 // crowd starts a stream of requests.
@@ -686,11 +686,11 @@
 				continue
 			}
 			park.drawn++
-			one := &Request{ID: fmt.Sprintf("%s.%d", crowd.Name, park.drawn), Crowd: crowd.Name, Kind: crowd.Kind, Home: crowd.Home, At: node.Now()}
-			park.Requests = append(park.Requests, one)
-			park.byID[one.ID] = one
+			request := &Request{ID: fmt.Sprintf("%s.%d", crowd.Name, park.drawn), Crowd: crowd.Name, Kind: crowd.Kind, Home: crowd.Home, At: node.Now()}
+			park.Requests = append(park.Requests, request)
+			park.byID[request.ID] = request
 			number := count
-			node.Go(func() { park.request(node, crowd, one, number) })
+			node.Go(func() { park.request(node, crowd, request, number) })
 		}
 	})
 }
@@ -703,36 +703,36 @@
 }
 
 func (park *Park) tries(id string) int {
-	if one := park.byID[id]; one != nil {
-		return one.Tries
+	if request := park.byID[id]; request != nil {
+		return request.Tries
 	}
 	return 0
 }
 
 // request takes one request through its tries, as a caller does that keeps to
 // the rules: the same id goes out under a new ticket only after not_run.
-func (park *Park) request(node *sim.Node, crowd *Crowd, one *Request, number int) {
+func (park *Park) request(node *sim.Node, crowd *Crowd, request *Request, sequence int) {
 	var addresses []string
 	ticket := ""
-	defer func() { one.End = node.Now() }()
+	defer func() { request.End = node.Now() }()
 	inDoubt := false // whether an earlier try may have run
-	lane := laneKey{crowd.Name, number % max(1, crowd.Lanes)}
+	lane := laneKey{crowd.Name, sequence % max(1, crowd.Lanes)}
 	for try := 0; try <= crowd.Retries; try++ {
 		if kept, has := park.lanes[lane]; has && try == 0 && park.Now() < kept.until {
 			addresses, ticket = kept.addresses, kept.ticket
 		}
 		if ticket == "" {
 			delete(park.lanes, lane)
-			addresses, ticket = park.locate(node, crowd, number)
-			park.lanes[lane] = kept{addresses, ticket, park.Now() + 54*time.Second}
+			addresses, ticket = park.locate(node, crowd, sequence)
+			park.lanes[lane] = callerLocation{addresses, ticket, park.Now() + 54*time.Second}
 			if ticket == "" {
 				delete(park.lanes, lane)
-				one.Verdict, one.Code = "not_run", "nowhere"
-				loop.Sleep(node, park.pause(crowd, try))
+				request.Verdict, request.Code = "not_run", "nowhere"
+				loop.Sleep(node, park.retryDelay(crowd, try))
 				continue
 			}
 		}
-		one.Tries = try + 1
+		request.Tries = try + 1
 		address := addresses[try%min(2, len(addresses))]
 		if !crowd.Eager {
 			address = addresses[0]
@@ -741,30 +741,30 @@
 			address = park.datas()[len(park.Plan.Datas)-1]
 		}
 		if crowd.Hasty && try == 0 {
-			park.hurry(node, crowd, one, number, addresses, ticket)
+			park.sendConcurrently(node, crowd, request, sequence, addresses, ticket)
 		} else {
-			one.Verdict, one.Code = park.send(node, crowd, one, number, address, ticket, try, 30*time.Second)
+			request.Verdict, request.Code = park.send(node, crowd, request, sequence, address, ticket, try, 30*time.Second)
 		}
 		if park.Datas[address].Leaving() {
 			delete(park.lanes, lane) // as the answer's header says
 		}
 		switch {
-		case one.Verdict == "ok":
+		case request.Verdict == "ok":
 			return
-		case one.Verdict == "not_run" && (!inDoubt || one.Code != "unreached"):
+		case request.Verdict == "not_run" && (!inDoubt || request.Code != "unreached"):
 			ticket = "" // unreached speaks of this try only
 		case !crowd.Eager:
 			delete(park.lanes, lane)
 			return // a caller that keeps to the rules stops here
 		}
-		inDoubt = inDoubt || one.Verdict != "not_run"
-		loop.Sleep(node, park.pause(crowd, try))
+		inDoubt = inDoubt || request.Verdict != "not_run"
+		loop.Sleep(node, park.retryDelay(crowd, try))
 	}
 }
 
-// kept is what a caller that keeps its connection goes by: a place and a ticket,
+// callerLocation is what a caller that keeps its connection goes by: a place and a ticket,
 // for all requests on it until one of them fails.
-type kept struct {
+type callerLocation struct {
 	addresses []string
 	ticket    string
 	until     time.Duration
@@ -775,40 +775,40 @@
 	number int
 }
 
-// hurry has several tries of one request in flight at once. What may have run by
+// sendConcurrently has several tries of one request in flight at once. What may have run by
 // any of them may have run.
-func (park *Park) hurry(node *sim.Node, crowd *Crowd, one *Request, number int, addresses []string, ticket string) {
+func (park *Park) sendConcurrently(node *sim.Node, crowd *Crowd, request *Request, number int, addresses []string, ticket string) {
 	type ending struct{ verdict, code string }
-	box := node.Mailbox()
-	patience := 30 * time.Second
+	mailbox := node.Mailbox()
+	timeout := 30 * time.Second
 	if number%2 == 0 {
-		patience = 60 * time.Millisecond // gives up on the first and asks again
+		timeout = 60 * time.Millisecond // gives up on the first and asks again
 	}
 	tries := []struct {
 		address, ticket string
-		patience        time.Duration
-	}{{addresses[0], ticket, patience}, {addresses[0], ticket, 30 * time.Second}, {addresses[len(addresses)-1], ticket, 30 * time.Second}, {addresses[0], "", 30 * time.Second}, {addresses[len(addresses)-1], "", 30 * time.Second}}
+		timeout         time.Duration
+	}{{addresses[0], ticket, timeout}, {addresses[0], ticket, 30 * time.Second}, {addresses[len(addresses)-1], ticket, 30 * time.Second}, {addresses[0], "", 30 * time.Second}, {addresses[len(addresses)-1], "", 30 * time.Second}}
 	for index, try := range tries {
-		one.Tries = index + 1
+		request.Tries = index + 1
 		node.Go(func() {
-			verdict, code := park.send(node, crowd, one, number, try.address, try.ticket, index, try.patience)
-			box.Put(ending{verdict, code})
+			verdict, code := park.send(node, crowd, request, number, try.address, try.ticket, index, try.timeout)
+			mailbox.Put(ending{verdict, code})
 		})
 		loop.Sleep(node, time.Duration(park.Draw(int64(40*time.Millisecond))))
 	}
-	one.Verdict = ""
+	request.Verdict = ""
 	for range tries {
-		got, _ := box.Take(40 * time.Second)
-		end, _ := got.(ending)
+		item, _ := mailbox.Take(40 * time.Second)
+		end, _ := item.(ending)
 		switch {
-		case one.Verdict == "ok":
-		case end.verdict == "ok", one.Verdict == "", one.Verdict == "not_run":
-			one.Verdict, one.Code = end.verdict, end.code
+		case request.Verdict == "ok":
+		case end.verdict == "ok", request.Verdict == "", request.Verdict == "not_run":
+			request.Verdict, request.Code = end.verdict, end.code
 		}
 	}
 }
 
-func (park *Park) pause(crowd *Crowd, try int) time.Duration {
+func (park *Park) retryDelay(crowd *Crowd, try int) time.Duration {
 	if crowd.Eager {
 		return 50 * time.Millisecond
 	}
@@ -818,8 +818,8 @@
 // locate asks a daemon where to go; callers know all daemons by their numbers.
 func (park *Park) locate(node *sim.Node, crowd *Crowd, number int) ([]string, string) {
 	var near, far []string
-	for _, word := range park.Plan.Datas {
-		name, zone := split(word)
+	for _, assignment := range park.Plan.Datas {
+		name, zone := split(assignment)
 		if zone == crowd.Zone && !crowd.Moves {
 			near = append(near, name)
 		} else {
@@ -835,8 +835,8 @@
 	shuffle(near)
 	shuffle(far)
 	for _, name := range append(near, far...)[:min(4, len(near)+len(far))] {
-		box := node.Mailbox()
-		type got struct {
+		mailbox := node.Mailbox()
+		type location struct {
 			addresses []string
 			ticket    string
 		}
@@ -845,9 +845,9 @@
 			continue
 		}
 		park.Deliver(node, name, func(at *sim.Node) {
-			var out got
-			members, ticket, _, mishap := park.Datas[name].Decider.Locate(park.modelOf(crowd), crowd.Kind, crowd.Home, crowd.Zone, decide.Prefix([]byte(fmt.Sprint(crowd.Name, number%max(1, crowd.Rosters)))))
-			if mishap == nil {
+			var out location
+			members, ticket, _, failure := park.Datas[name].Decider.Locate(park.modelOf(crowd), crowd.Kind, crowd.Home, crowd.Zone, decide.Prefix([]byte(fmt.Sprint(crowd.Name, number%max(1, crowd.Rosters)))))
+			if failure == nil {
 				out.ticket = ticket.Seal()
 				located := Located{At: park.Now(), By: name, Home: crowd.Home}
 				for _, member := range members {
@@ -856,10 +856,10 @@
 				}
 				park.Locates = append(park.Locates, located)
 			}
-			park.Deliver(at, node.Name, func(*sim.Node) { box.Put(out) })
+			park.Deliver(at, node.Name, func(*sim.Node) { mailbox.Put(out) })
 		})
-		if answer, ok := box.Take(500 * time.Millisecond); ok && answer.(got).ticket != "" {
-			return answer.(got).addresses, answer.(got).ticket
+		if answer, ok := mailbox.Take(500 * time.Millisecond); ok && answer.(location).ticket != "" {
+			return answer.(location).addresses, answer.(location).ticket
 		}
 	}
 	return nil, ""
@@ -868,12 +868,12 @@
 // sink brings events to a caller.
 type sink struct {
 	execute.CallerState
-	park *Park
-	at   *sim.Node
-	to   *sim.Node
-	box  loop.Mailbox
-	lane *sim.Stream
-	gone *bool
+	park    *Park
+	at      *sim.Node
+	to      *sim.Node
+	mailbox loop.Mailbox
+	stream  *sim.Stream
+	gone    *bool
 }
 
 // Event passes one event on.
@@ -881,21 +881,21 @@
 	if *sink.gone {
 		return errReset
 	}
-	sink.park.Send(sink.lane, sink.at, sink.to.Name, func(*sim.Node) { sink.box.Put(bytes.Clone(event)) })
+	sink.park.Send(sink.stream, sink.at, sink.to.Name, func(*sim.Node) { sink.mailbox.Put(bytes.Clone(event)) })
 	return nil
 }
 
 var _ execute.Sink = (*sink)(nil)
 
 // send makes one try at a daemon and notes what it was told.
-func (park *Park) send(node *sim.Node, crowd *Crowd, one *Request, number int, address, ticket string, try int, patience time.Duration) (string, string) {
+func (park *Park) send(node *sim.Node, crowd *Crowd, request *Request, number int, address, ticket string, try int, timeout time.Duration) (string, string) {
 	sent := node.Now()
-	verdict, code := park.try(node, crowd, one, number, address, ticket, try, patience)
-	park.Told = append(park.Told, Told{Sent: sent, At: node.Now(), ID: one.ID, Ticket: ticket, Daemon: address, Verdict: verdict, Code: code})
+	verdict, code := park.try(node, crowd, request, number, address, ticket, try, timeout)
+	park.Told = append(park.Told, Told{Sent: sent, At: node.Now(), ID: request.ID, Ticket: ticket, Daemon: address, Verdict: verdict, Code: code})
 	return verdict, code
 }
 
-func (park *Park) try(node *sim.Node, crowd *Crowd, one *Request, number int, address, ticket string, try int, patience time.Duration) (string, string) {
+func (park *Park) try(node *sim.Node, crowd *Crowd, request *Request, number int, address, ticket string, try int, timeout time.Duration) (string, string) {
 	target := park.Node(address)
 	delay, open := park.Reach(node.Name, address)
 	if !open || target.Frozen() {
@@ -906,18 +906,18 @@
 		loop.Sleep(node, delay)
 		return "not_run", "unreached"
 	}
-	box := node.Mailbox()
+	mailbox := node.Mailbox()
 	gone := false
 	daemon := park.Datas[address]
-	link := &simStream{park: park, box: box, from: node, to: address}
-	var end *sink
+	link := &simStream{park: park, mailbox: mailbox, from: node, to: address}
+	var responder *sink
 	park.streams[address] = append(park.streams[address], link)
 	defer func() {
 		gone = true
 		link.ended = true
 		link.Close()
 		// The daemon looks at the connection a few times a second.
-		if seen := end; seen != nil {
+		if seen := responder; seen != nil {
 			sim := park.Node(address)
 			park.At(200*time.Millisecond, func() {
 				if sim.Up() {
@@ -927,41 +927,41 @@
 		}
 	}()
 	park.Deliver(node, address, func(at *sim.Node) {
-		call := &decide.Call{ID: one.ID, Ticket: ticket, Model: park.modelOf(crowd), Kind: crowd.Kind, Home: crowd.Home, Path: "/v1/completions", Retried: try > 0 && !(crowd.Hasty && number%3 == 0)}
-		text, mishap := daemon.Enter(call, func() []byte {
-			park.Entered = append(park.Entered, Entered{At: park.Now(), ID: one.ID, Daemon: address, Home: crowd.Home})
-			return Prompt(park.modelOf(crowd), number%max(1, crowd.Rosters), crowd.Bytes, crowd.Tokens, one.ID)
+		call := &decide.Call{ID: request.ID, Ticket: ticket, Model: park.modelOf(crowd), Kind: crowd.Kind, Home: crowd.Home, Path: "/v1/completions", Retried: try > 0 && !(crowd.Hasty && number%3 == 0)}
+		text, failure := daemon.Enter(call, func() []byte {
+			park.Entered = append(park.Entered, Entered{At: park.Now(), ID: request.ID, Daemon: address, Home: crowd.Home})
+			return Prompt(park.modelOf(crowd), number%max(1, crowd.Rosters), crowd.Bytes, crowd.Tokens, request.ID)
 		})
 		var lane sim.Stream
-		if mishap == nil {
-			end = &sink{park: park, at: at, to: node, box: box, lane: &lane, gone: &gone}
-			mishap = daemon.Executor.Serve(call, text, end)
+		if failure == nil {
+			responder = &sink{park: park, at: at, to: node, mailbox: mailbox, stream: &lane, gone: &gone}
+			failure = daemon.Executor.Serve(call, text, responder)
 		}
-		if mishap != nil {
-			park.Send(&lane, at, node.Name, func(*sim.Node) { box.Put(mishap) })
+		if failure != nil {
+			park.Send(&lane, at, node.Name, func(*sim.Node) { mailbox.Put(failure) })
 		}
 	})
 	events := 0
-	expiry := node.Now() + patience
+	deadline := node.Now() + timeout
 	for {
-		got, ok := box.Take(expiry - node.Now())
+		item, ok := mailbox.Take(deadline - node.Now())
 		if !ok {
 			return "cut", "silent"
 		}
-		switch got := got.(type) {
-		case piece:
+		switch item := item.(type) {
+		case streamPiece:
 			return "cut", "reset"
 		case *verdict.Error:
-			return got.Verdict.String(), got.Code
+			return item.Verdict.String(), item.Code
 		case []byte:
 			events++
-			if replica.IsTerminalEvent(got) {
-				one.Wholes++
-				one.Whole = events == (crowd.Tokens+Chunk-1)/Chunk+1
+			if replica.IsTerminalEvent(item) {
+				request.Wholes++
+				request.Whole = events == (crowd.Tokens+Chunk-1)/Chunk+1
 				return "ok", "ok"
 			}
-			if !bytes.Contains(got, []byte(`"`+one.ID+":")) {
-				one.Foreign = true
+			if !bytes.Contains(item, []byte(`"`+request.ID+":")) {
+				request.Foreign = true
 			}
 		}
 	}
--- a/fleet/relay.go
+++ b/fleet/relay.go
@@ -33,69 +33,69 @@
 
 // Spans of the connection, as a kernel and the real client have them.
 const (
-	lineKeep   = 3 * time.Second
-	mostPassed = 2
+	connIdleTimeout = 3 * time.Second
+	maxStaleAnswers = 2
 )
 
-// hop is a routed request under way between a daemon and an engine.
-type hop struct {
-	park    *Park
-	box     loop.Mailbox
-	from    *sim.Node
-	to      string
-	engine  *Engine
-	one     *work
-	line    *wireLine
-	relayer *relayer
-	ask     *replica.RoutedRequest
-	expiry  time.Duration
-	// cutAt is when the kernel gives the connection up, as nothing that was sent was
+// engineStream is a routed request under way between a daemon and an engine.
+type engineStream struct {
+	park     *Park
+	mailbox  loop.Mailbox
+	from     *sim.Node
+	to       string
+	engine   *Engine
+	work     *engineRequest
+	conn     *wireLine
+	relayer  *relayer
+	request  *replica.RoutedRequest
+	deadline time.Duration
+	// resetAt is when the kernel gives the connection up, as nothing that was sent was
 	// heard of; zero while all was.
-	cutAt                     time.Duration
-	isEnded, isClosed, closes bool
+	resetAt                       time.Duration
+	isEnded, isClosed, closesConn bool
 }
 
 // broken ends it as one of its processes died.
-func (hop *hop) broken(dead string) {
+func (stream *engineStream) broken(dead string) {
 	switch {
-	case hop.isClosed:
-	case dead == hop.to:
-		if hop.from.Up() {
-			hop.box.Put(wirePiece{err: errReset})
+	case stream.isClosed:
+	case dead == stream.to:
+		if stream.from.Up() {
+			stream.mailbox.Put(wireMessage{err: errReset})
 		}
-	case hop.engine != nil && hop.one != nil:
-		hop.engine.drop(hop.one)
+	case stream.engine != nil && stream.work != nil:
+		stream.engine.drop(stream.work)
 	}
 }
 
 // take gives a waiting connection, or makes one.
-func (relayer *relayer) take(ask *replica.RoutedRequest) *wireLine {
-	park, node := relayer.park, relayer.node
+func (client *relayer) take(request *replica.RoutedRequest) *wireLine {
+	park, node := client.park, client.node
 	for {
-		waiting := relayer.idle[ask.Address]
+		waiting := client.idle[request.Address]
 		if len(waiting) == 0 {
 			break
 		}
 		last := waiting[len(waiting)-1]
-		relayer.idle[ask.Address] = waiting[:len(waiting)-1]
-		if ask.NewConnection {
+		client.idle[request.Address] = waiting[:len(waiting)-1]
+		if request.NewConnection {
 			break
 		}
-		engine := park.Engines[ask.Address]
+		engine := park.Engines[request.Address]
 		// One with bytes that nobody asked for, if they came already, shows it.
-		if node.Now()-last.since < lineKeep && last.life == ask.Replica && engine.Life == last.life && park.Node(ask.Address).Up() && (last.late == 0 || park.Draw(2) == 0) {
+		if node.Now()-last.since < connIdleTimeout && last.life == request.Replica && engine.Life == last.life && park.Node(request.Address).Up() && (last.late == 0 || park.Draw(2) == 0) {
 			return last
 		}
 	}
-	delay, isOpen := park.Reach(node.Name, ask.Address)
-	back, isOpenBack := park.Reach(ask.Address, node.Name)
-	target := park.Node(ask.Address)
+	delay, isOpen := park.Reach(node.Name, request.Address)
+	back, isOpenBack := park.Reach(request.Address, node.Name)
+	target := park.Node(request.Address)
 	switch {
 	case !isOpen || !isOpenBack || target.Frozen():
-		loop.Sleep(node, ask.ConnectTimeout)
+		loop.Sleep(node, request.ConnectTimeout)
 		return nil
-	case delay+back > ask.ConnectTimeout:
-		loop.Sleep(node, ask.ConnectTimeout)
+	case delay+back > request.ConnectTimeout:
+		loop.Sleep(node, request.ConnectTimeout)
 		return nil
 	}
 	loop.Sleep(node, delay+back)
@@ -103,91 +103,91 @@
 		return nil
 	}
 	park.Dialled++
-	return &wireLine{life: park.Engines[ask.Address].Life}
+	return &wireLine{life: park.Engines[request.Address].Life}
 }
 
-func (relayer *relayer) give(address string, line *wireLine) {
-	line.since = relayer.node.Now()
-	relayer.idle[address] = append(relayer.idle[address], line)
+func (client *relayer) release(address string, conn *wireLine) {
+	conn.since = client.node.Now()
+	client.idle[address] = append(client.idle[address], conn)
 }
 
 // Send sends a routed request to an engine and waits for the head of its answer.
-func (relayer *relayer) Send(ask *replica.RoutedRequest) (*replica.Answer, *verdict.Error) {
-	park, node := relayer.park, relayer.node
-	line := relayer.take(ask)
-	if line == nil {
+func (client *relayer) Send(request *replica.RoutedRequest) (*replica.Answer, *verdict.Error) {
+	park, node := client.park, client.node
+	conn := client.take(request)
+	if conn == nil {
 		return nil, &verdict.Error{Verdict: verdict.NotRun, Code: "replica_unreached", Status: 503}
 	}
-	if mishap := ask.Gate(); mishap != nil {
-		relayer.give(ask.Address, line)
-		return nil, mishap
+	if failure := request.Gate(); failure != nil {
+		client.release(request.Address, conn)
+		return nil, failure
 	}
 	sent := node.Now()
-	hop := &hop{park: park, box: node.Mailbox(), from: node, to: ask.Address, relayer: relayer, line: line, ask: ask, expiry: sent + ask.Remaining}
-	park.hops[ask.Address] = append(park.hops[ask.Address], hop)
-	park.hops[node.Name] = append(park.hops[node.Name], hop)
-	if ask.OnAbort != nil {
-		ask.OnAbort(func() { hop.box.Put(wirePiece{err: errReset}) })
+	stream := &engineStream{park: park, mailbox: node.Mailbox(), from: node, to: request.Address, relayer: client, conn: conn, request: request, deadline: sent + request.Remaining}
+	park.hops[request.Address] = append(park.hops[request.Address], stream)
+	park.hops[node.Name] = append(park.hops[node.Name], stream)
+	if request.OnAbort != nil {
+		request.OnAbort(func() { stream.mailbox.Put(wireMessage{err: errReset}) })
 	}
-	if _, isOpen := park.Reach(node.Name, ask.Address); !isOpen {
-		hop.cutAt = sent + ask.UnackedTimeout
+	if _, isOpen := park.Reach(node.Name, request.Address); !isOpen {
+		stream.resetAt = sent + request.UnackedTimeout
 	}
-	asked, meant, after := park.asked(ask.ID), ask.Replica, tokenOf(ask.After)
-	urgency, left, tenant := ask.Urgency, ask.Remaining, ask.Tenant
-	park.Deliver(node, ask.Address, func(at *sim.Node) {
-		engine := park.Engines[ask.Address]
-		var lane sim.Stream
-		send := func(piece wirePiece) {
-			if engine.Gone == 0 && !hop.isClosed {
-				park.Send(&lane, at, node.Name, func(*sim.Node) { hop.box.Put(piece) })
+	asked, intended, after := park.asked(request.ID), request.Replica, tokenOf(request.After)
+	urgency, remaining, tenant := request.Urgency, request.Remaining, request.Tenant
+	park.Deliver(node, request.Address, func(at *sim.Node) {
+		engine := park.Engines[request.Address]
+		var messages sim.Stream
+		send := func(piece wireMessage) {
+			if engine.Gone == 0 && !stream.isClosed {
+				park.Send(&messages, at, node.Name, func(*sim.Node) { stream.mailbox.Put(piece) })
 			}
 		}
-		if engine.Life != line.life {
-			send(wirePiece{err: errReset})
+		if engine.Life != conn.life {
+			send(wireMessage{err: errReset})
 			return // the connection ended with the life that it led to
 		}
-		if line.late > 0 {
-			line.late--
-			send(wirePiece{head: &replica.Head{Status: 200, OtherRequest: true}})
+		if conn.late > 0 {
+			conn.late--
+			send(wireMessage{head: &replica.Head{Status: 200, OtherRequest: true}})
 		}
-		run := &Run{ID: ask.ID, Engine: ask.Address, Life: engine.Life, Model: engine.Model, Version: engine.Version, Daemon: node.Name, Tenant: tenant, Sent: sent, At: park.Now(), After: after}
-		if engine.Life != meant {
+		run := &Run{ID: request.ID, Engine: request.Address, Life: engine.Life, Model: engine.Model, Version: engine.Version, Daemon: node.Name, Tenant: tenant, Sent: sent, At: park.Now(), After: after}
+		if engine.Life != intended {
 			run.Elsewhere = true
 			park.Runs = append(park.Runs, run)
 			head := engine.load()
 			head.Status, head.OtherReplica, head.Events = 421, true, false
-			send(wirePiece{head: &head})
+			send(wireMessage{head: &head})
 			return
 		}
-		one := &work{run: run, parts: asked.parts, most: asked.most, urgency: urgency, expiry: park.Now() + left, made: after, from: after, sent: after, send: send}
+		work := &engineRequest{run: run, parts: asked.parts, maxTokens: asked.most, urgency: urgency, deadline: park.Now() + remaining, generated: after, resumedFrom: after, sent: after, send: send}
 		for _, part := range asked.parts {
 			run.Prompt += part.Tokens
 		}
-		if hop.isClosed {
+		if stream.isClosed {
 			return // its daemon has closed the connection meanwhile
 		}
-		hop.engine, hop.one = engine, one
-		if engine.Grey.happens(engine, park.zones[node.Name]) {
-			engine.greyed(run, one)
+		stream.engine, stream.work = engine, work
+		if engine.Grey.applies(engine, park.zones[node.Name]) {
+			engine.failPartially(run, work)
 			return
 		}
-		engine.arrive(run, one)
+		engine.arrive(run, work)
 	})
-	if hop.isFar() {
+	if stream.isFar() {
 		for _, part := range asked.parts {
 			park.FarBytes += tokenBytes * part.Tokens
 			park.FarPrompt += tokenBytes * part.Tokens
 		}
 	}
 	cut := func(code string) (*replica.Answer, *verdict.Error) {
-		if ask.OnAbort != nil {
-			ask.OnAbort(nil)
+		if request.OnAbort != nil {
+			request.OnAbort(nil)
 		}
-		hop.close()
+		stream.close()
 		return nil, &verdict.Error{Verdict: verdict.MayHaveRun, Code: code, Status: 502}
 	}
-	for passed := 0; ; passed++ {
-		piece, err := hop.wait(false)
+	for stale := 0; ; stale++ {
+		piece, err := stream.wait(false)
 		switch {
 		case errors.Is(err, replica.ErrSilent):
 			return cut("replica_silent")
@@ -198,66 +198,66 @@
 		}
 		head := *piece.head
 		if head.OtherRequest {
-			if passed >= mostPassed {
+			if stale >= maxStaleAnswers {
 				return cut("replica_garbled")
 			}
 			continue
 		}
-		hop.closes = piece.closing
+		stream.closesConn = piece.closesConn
 		if head.NotRun || head.OtherReplica {
-			hop.isEnded = true
-			hop.Close()
+			stream.isEnded = true
+			stream.Close()
 			if head.OtherReplica {
 				return nil, replica.Restarted()
 			}
 			return nil, &verdict.Error{Verdict: verdict.NotRun, Code: "replica_declined", Status: 503}
 		}
-		return &replica.Answer{Head: head, Header: &fasthttp.ResponseHeader{}, Length: -1, Source: hop}, nil
+		return &replica.Answer{Head: head, Header: &fasthttp.ResponseHeader{}, Length: -1, Source: stream}, nil
 	}
 }
 
 var errExpired = errors.New("the caller's time is over")
 
 // wait waits for the next piece, asking now and then whether to go on.
-func (hop *hop) wait(hasBegun bool) (wirePiece, error) {
+func (stream *engineStream) wait(hasBegun bool) (wireMessage, error) {
 	for {
-		left := hop.expiry - hop.from.Now()
-		if left <= 0 {
-			return wirePiece{}, errExpired
+		remaining := stream.deadline - stream.from.Now()
+		if remaining <= 0 {
+			return wireMessage{}, errExpired
 		}
-		if hop.ask.OnSilence != nil && hop.ask.SilenceInterval > 0 {
-			left = min(left, hop.ask.SilenceInterval)
+		if stream.request.OnSilence != nil && stream.request.SilenceInterval > 0 {
+			remaining = min(remaining, stream.request.SilenceInterval)
 		}
-		if hop.cutAt > 0 {
-			left = min(left, max(time.Microsecond, hop.cutAt-hop.from.Now()))
+		if stream.resetAt > 0 {
+			remaining = min(remaining, max(time.Microsecond, stream.resetAt-stream.from.Now()))
 		}
-		if got, has := hop.box.Take(left); has {
-			return got.(wirePiece), nil
+		if item, has := stream.mailbox.Take(remaining); has {
+			return item.(wireMessage), nil
 		}
-		if hop.cutAt > 0 && hop.from.Now() >= hop.cutAt {
-			return wirePiece{}, errReset
+		if stream.resetAt > 0 && stream.from.Now() >= stream.resetAt {
+			return wireMessage{}, errReset
 		}
-		if hop.ask.OnSilence != nil && hop.ask.OnSilence(hasBegun) {
-			return wirePiece{}, replica.ErrSilent
+		if stream.request.OnSilence != nil && stream.request.OnSilence(hasBegun) {
+			return wireMessage{}, replica.ErrSilent
 		}
 	}
 }
 
 // Next gives the next event.
-func (hop *hop) Next() ([]byte, error) {
-	if hop.isEnded {
+func (stream *engineStream) Next() ([]byte, error) {
+	if stream.isEnded {
 		return nil, io.EOF
 	}
-	piece, err := hop.wait(true)
+	piece, err := stream.wait(true)
 	switch {
 	case err != nil || piece.err != nil || piece.head != nil:
 		return nil, replica.ErrCut
 	case piece.isEnd:
-		hop.isEnded, hop.closes = true, hop.closes || piece.closing
+		stream.isEnded, stream.closesConn = true, stream.closesConn || piece.closesConn
 		return nil, io.EOF
 	}
-	if hop.isFar() {
-		hop.park.FarBytes += len(piece.event)
+	if stream.isFar() {
+		stream.park.FarBytes += len(piece.event)
 	}
 	return piece.event, nil
 }
@@ -266,63 +266,63 @@
 const tokenBytes = 4
 
 // isFar tells whether it goes to another region.
-func (hop *hop) isFar() bool {
-	return Region(hop.park.zones[hop.from.Name]) != Region(hop.park.zones[hop.to])
+func (stream *engineStream) isFar() bool {
+	return Region(stream.park.zones[stream.from.Name]) != Region(stream.park.zones[stream.to])
 }
 
 // Close ends it; the connection is kept only after a clean end.
-func (hop *hop) Close() {
-	if hop.ask.OnAbort != nil {
-		hop.ask.OnAbort(nil)
+func (stream *engineStream) Close() {
+	if stream.request.OnAbort != nil {
+		stream.request.OnAbort(nil)
 	}
-	hop.close()
+	stream.close()
 }
 
-func (hop *hop) close() {
-	if hop.isClosed {
+func (stream *engineStream) close() {
+	if stream.isClosed {
 		return
 	}
-	hop.isClosed = true
-	for _, name := range []string{hop.to, hop.from.Name} {
-		list := hop.park.hops[name]
-		for at, one := range list {
-			if one == hop {
-				hop.park.hops[name] = append(list[:at:at], list[at+1:]...)
+	stream.isClosed = true
+	for _, name := range []string{stream.to, stream.from.Name} {
+		list := stream.park.hops[name]
+		for at, work := range list {
+			if work == stream {
+				stream.park.hops[name] = append(list[:at:at], list[at+1:]...)
 				break
 			}
 		}
 	}
-	engine, one := hop.engine, hop.one
+	engine, work := stream.engine, stream.work
 	switch {
-	case hop.isEnded && !hop.closes:
+	case stream.isEnded && !stream.closesConn:
 		if engine != nil && engine.happens(engine.Repeats) {
-			hop.line.late++
-			hop.park.Repeated++
+			stream.conn.late++
+			stream.park.Repeated++
 		}
-		hop.relayer.give(hop.to, hop.line)
-	case engine != nil && !hop.isEnded:
-		hop.park.Deliver(hop.from, hop.to, func(*sim.Node) { engine.drop(one) })
+		stream.relayer.release(stream.to, stream.conn)
+	case engine != nil && !stream.isEnded:
+		stream.park.Deliver(stream.from, stream.to, func(*sim.Node) { engine.drop(work) })
 	}
 }
 
-// probed is what a probe brings.
-type probed struct {
-	vitals replica.Health
+// probeReply is what a probe brings.
+type probeReply struct {
+	health replica.Health
 	isFull bool
-	// saysIll is a false word.
-	saysIll bool
+	// reportsUnhealthy is a false word.
+	reportsUnhealthy bool
 }
 
 // engineDialect is how control daemons probe engines.
 type engineDialect struct {
 	replica.Dialect
-	client *client
+	client *replicaClient
 }
 
 // Probe asks an engine how it does.
-func (dialect engineDialect) Probe(target replica.Target, patience time.Duration) (replica.Health, error) {
+func (dialect engineDialect) Probe(target replica.Target, timeout time.Duration) (replica.Health, error) {
 	park, node := dialect.client.park, dialect.client.node
-	box := node.Mailbox()
+	mailbox := node.Mailbox()
 	if park.Node(target.Address) == nil || !park.Node(target.Address).Up() {
 		loop.Sleep(node, time.Millisecond)
 		return replica.Health{}, errReset
@@ -333,33 +333,33 @@
 		for len(engine.active) >= engine.Berths && len(engine.waiting) < engine.Queue {
 			loop.Sleep(at, 10*time.Millisecond)
 		}
-		isFull, saysIll := len(engine.waiting) >= engine.Queue, engine.SaysIll
-		vitals := replica.Health{Boot: engine.Life, Load: -1, Leaving: engine.Leaving, Cold: max(0, engine.ColdUntil-park.Now())}
-		park.Deliver(at, node.Name, func(*sim.Node) { box.Put(probed{vitals, isFull, saysIll}) })
+		isFull, reportsUnhealthy := len(engine.waiting) >= engine.Queue, engine.SaysIll
+		health := replica.Health{Boot: engine.Life, Load: -1, Leaving: engine.Leaving, Cold: max(0, engine.ColdUntil-park.Now())}
+		park.Deliver(at, node.Name, func(*sim.Node) { mailbox.Put(probeReply{health, isFull, reportsUnhealthy}) })
 	})
-	got, has := box.Take(patience)
+	item, has := mailbox.Take(timeout)
 	if !has {
 		return replica.Health{}, errors.New("no answer")
 	}
-	vitals, isFull := got.(probed).vitals, got.(probed).isFull
+	health, isFull := item.(probeReply).health, item.(probeReply).isFull
 	switch {
-	case vitals.Boot != target.ID:
+	case health.Boot != target.ID:
 		return replica.Health{}, replica.Restarted()
 	case isFull:
 		// As the real dialect: a status that is no 200 is no answer.
-		return vitals, errors.New("the probe was answered 503")
+		return health, errors.New("the probe was answered 503")
 	}
 	// Whether it leaves only the list tells.
-	vitals.Unhealthy, vitals.Leaving = vitals.Leaving || got.(probed).saysIll, false
-	return vitals, nil
+	health.Unhealthy, health.Leaving = health.Leaving || item.(probeReply).reportsUnhealthy, false
+	return health, nil
 }
 
 // Register is a stand-in platform's list of engines, that lags and limits how often it
 // may be asked.
 type Register struct {
-	park    *Park
-	entries []*listedEngine
-	asked   map[string]time.Duration
+	park      *Park
+	entries   []*listedEngine
+	lastQuery map[string]time.Duration
 	// Broken makes it answer nothing.
 	Broken bool
 }
@@ -375,9 +375,9 @@
 		at = 0
 	}
 	// The one before it at the address is gone, as the list finds in its time.
-	for _, one := range register.entries {
-		if one.engine.Name == engine.Name {
-			one.until = min(one.until, at)
+	for _, listed := range register.entries {
+		if listed.engine.Name == engine.Name {
+			listed.until = min(listed.until, at)
 		}
 	}
 	register.entries = append(register.entries, &listedEngine{engine, at, Never, Never})
@@ -391,43 +391,43 @@
 
 func (register *Register) mark(name string, isLeaving bool) {
 	at := register.park.Now() + register.park.Plan.Lag
-	for _, one := range register.entries {
-		if one.engine == register.park.Engines[name] {
+	for _, listed := range register.entries {
+		if listed.engine == register.park.Engines[name] {
 			if isLeaving {
-				one.leaving = min(one.leaving, at)
+				listed.leaving = min(listed.leaving, at)
 			} else {
-				one.until = min(one.until, at)
+				listed.until = min(listed.until, at)
 			}
 		}
 	}
 }
 
-// engineList is the list as a node asks for it.
-type engineList struct {
+// engineListClient is the list as a node asks for it.
+type engineListClient struct {
 	park *Park
 	node *sim.Node
 }
 
 // List asks the stand-in.
-func (asks *engineList) List(address string, _ []string, _ time.Duration) ([]listing.Instance, error) {
-	park, region := asks.park, strings.TrimPrefix(address, "http://")
-	loop.Sleep(asks.node, 2*time.Millisecond)
+func (client *engineListClient) List(address string, _ []string, _ time.Duration) ([]listing.Instance, error) {
+	park, region := client.park, strings.TrimPrefix(address, "http://")
+	loop.Sleep(client.node, 2*time.Millisecond)
 	now := park.Now()
 	register := park.Listed
 	if register.Broken {
 		return nil, errors.New("the platform is broken")
 	}
-	if last, isKnown := register.asked[region]; isKnown && now-last < park.Plan.Least {
+	if last, isKnown := register.lastQuery[region]; isKnown && now-last < park.Plan.Least {
 		return nil, &listing.RateLimitedError{RetryAfter: park.Plan.Least}
 	}
-	register.asked[region] = now
+	register.lastQuery[region] = now
 	var out []listing.Instance
-	for _, one := range register.entries {
-		engine := one.engine
-		if Region(engine.Zone) != region || one.at > now || one.until <= now {
+	for _, listed := range register.entries {
+		engine := listed.engine
+		if Region(engine.Zone) != region || listed.at > now || listed.until <= now {
 			continue
 		}
-		entry := listing.Instance{ID: engine.Life, Address: engine.Name, Zone: engine.Zone, Model: engine.Model, Version: engine.Version, Cold: max(0, engine.ColdUntil-now), Leaving: one.leaving <= now}
+		entry := listing.Instance{ID: engine.Life, Address: engine.Name, Zone: engine.Zone, Model: engine.Model, Version: engine.Version, Cold: max(0, engine.ColdUntil-now), Leaving: listed.leaving <= now}
 		if entry.Leaving {
 			park.learnLeaving(engine.Name, engine.Life)
 		}
--- a/fleet/replica.go
+++ b/fleet/replica.go
@@ -127,94 +127,94 @@
 
 // NewReplica makes a stand-in.
 func NewReplica(options ReplicaOptions) *Replica {
-	one := &Replica{ReplicaOptions: options, versions: map[string]string{}, loadedAt: map[string]time.Duration{}, orders: map[string]bool{}, fences: map[string]uint64{}}
+	stub := &Replica{ReplicaOptions: options, versions: map[string]string{}, loadedAt: map[string]time.Duration{}, orders: map[string]bool{}, fences: map[string]uint64{}}
 	for _, held := range options.Held {
-		one.versions[held] = "ready"
+		stub.versions[held] = "ready"
 	}
-	if one.Slower == 0 {
-		one.Slower = 1
+	if stub.Slower == 0 {
+		stub.Slower = 1
 	}
-	return one
+	return stub
 }
 
-// bears is what the replica can take at once now.
-func (one *Replica) bears() int {
-	if one.ColdAnswers == 0 || one.answers >= one.ColdAnswers {
-		return one.Capacity
+// currentCapacity is what the replica can take at once now.
+func (stub *Replica) currentCapacity() int {
+	if stub.ColdAnswers == 0 || stub.answers >= stub.ColdAnswers {
+		return stub.Capacity
 	}
-	share := one.ColdShare + (1-one.ColdShare)*float64(one.answers)/float64(one.ColdAnswers)
-	return max(1, int(share*float64(one.Capacity)))
+	share := stub.ColdShare + (1-stub.ColdShare)*float64(stub.answers)/float64(stub.ColdAnswers)
+	return max(1, int(share*float64(stub.Capacity)))
 }
 
-func (one *Replica) settle() {
-	for name, at := range one.loadedAt {
-		if one.World.Now() >= at && one.versions[name] == "loading" {
-			one.versions[name] = "ready"
-			delete(one.loadedAt, name)
+func (stub *Replica) finishLoading() {
+	for name, at := range stub.loadedAt {
+		if stub.World.Now() >= at && stub.versions[name] == "loading" {
+			stub.versions[name] = "ready"
+			delete(stub.loadedAt, name)
 		}
 	}
 }
 
 // Probe answers GET /health.
-func (one *Replica) Probe() []byte {
-	one.guard.Lock()
-	defer one.guard.Unlock()
-	one.settle()
+func (stub *Replica) Probe() []byte {
+	stub.guard.Lock()
+	defer stub.guard.Unlock()
+	stub.finishLoading()
 	type version struct {
 		Model   string `json:"model"`
 		Version string `json:"version"`
 		State   string `json:"state"`
 	}
-	out := map[string]any{"boot": one.Boot, "leaving": one.Leaving}
+	out := map[string]any{"boot": stub.Boot, "leaving": stub.Leaving}
 	list := []version{}
-	for name, state := range one.versions {
-		if one.Mute {
+	for name, state := range stub.versions {
+		if stub.Mute {
 			break
 		}
 		model, at, _ := strings.Cut(name, "/")
 		list = append(list, version{model, at, state})
 	}
 	out["versions"] = list
-	if one.Reports {
-		out["load"] = float64(one.units) / float64(one.Capacity)
+	if stub.Reports {
+		out["load"] = float64(stub.units) / float64(stub.Capacity)
 	}
 	body, _ := json.Marshal(out)
 	return body
 }
 
 // Order answers POST /weights.
-func (one *Replica) Order(order replica.Order) (int, []byte) {
-	one.guard.Lock()
-	defer one.guard.Unlock()
-	one.settle()
-	if order.Fence < one.fences[order.Model] {
-		one.Fenced++
+func (stub *Replica) Order(order replica.Order) (int, []byte) {
+	stub.guard.Lock()
+	defer stub.guard.Unlock()
+	stub.finishLoading()
+	if order.Fence < stub.fences[order.Model] {
+		stub.Fenced++
 		return 409, []byte(`{"error":{"message":"an older fence"}}`)
 	}
-	one.fences[order.Model] = order.Fence
-	if one.orders[order.ID] {
+	stub.fences[order.Model] = order.Fence
+	if stub.orders[order.ID] {
 		return 200, []byte(`{}`) // carried out already
 	}
-	if one.Idle {
+	if stub.Idle {
 		return 200, []byte(`{}`)
 	}
-	one.orders[order.ID] = true
-	one.Loads = append(one.Loads, order.ID)
+	stub.orders[order.ID] = true
+	stub.Loads = append(stub.Loads, order.ID)
 	name := order.Model + "/" + order.Version
 	switch order.State {
 	case replica.Load:
-		if one.versions[name] != "ready" {
-			one.versions[name] = "loading"
-			one.loadedAt[name] = one.World.Now() + one.Loading
+		if stub.versions[name] != "ready" {
+			stub.versions[name] = "loading"
+			stub.loadedAt[name] = stub.World.Now() + stub.Loading
 		}
 	case replica.Standby:
-		if one.versions[name] != "" {
-			one.versions[name] = "standby"
-			delete(one.loadedAt, name)
+		if stub.versions[name] != "" {
+			stub.versions[name] = "standby"
+			delete(stub.loadedAt, name)
 		}
 	case replica.Drop:
-		delete(one.versions, name)
-		delete(one.loadedAt, name)
+		delete(stub.versions, name)
+		delete(stub.loadedAt, name)
 	default:
 		return 422, []byte(`{"error":{"message":"no such state"}}`)
 	}
@@ -228,29 +228,29 @@
 	cost    int
 	version string
 	// plan
-	wait, step time.Duration
-	tokens     int
-	sent       int
-	fails      bool
-	ended      bool
+	firstDelay, tokenDelay time.Duration
+	tokens                 int
+	sent                   int
+	fails                  bool
+	ended                  bool
 }
 
 // Arrive takes a request, or answers at once with a status and an error's body.
-func (one *Replica) Arrive(body []byte, id, kind, home string, serial uint64, daemon string) (*Answer, int, []byte) {
-	one.guard.Lock()
-	defer one.guard.Unlock()
-	one.settle()
-	decline := func(status int, message string) (*Answer, int, []byte) {
+func (stub *Replica) Arrive(body []byte, id, kind, home string, serial uint64, daemon string) (*Answer, int, []byte) {
+	stub.guard.Lock()
+	defer stub.guard.Unlock()
+	stub.finishLoading()
+	reject := func(status int, message string) (*Answer, int, []byte) {
 		text, _ := json.Marshal(map[string]any{"error": map[string]string{"message": message}})
 		return nil, status, text
 	}
-	if one.Leaving && !one.Lingers {
-		return decline(503, "leaving")
+	if stub.Leaving && !stub.Lingers {
+		return reject(503, "leaving")
 	}
 	root := gjson.ParseBytes(body)
 	model, version, _ := strings.Cut(root.Get("model").String(), "@")
-	if state := one.versions[model+"/"+version]; state != "ready" {
-		return decline(503, fmt.Sprintf("%s@%s is not loaded", model, version))
+	if state := stub.versions[model+"/"+version]; state != "ready" {
+		return reject(503, fmt.Sprintf("%s@%s is not loaded", model, version))
 	}
 	prompt := root.Get("prompt").Raw
 	if prompt == "" {
@@ -261,56 +261,56 @@
 		tokens = 16
 	}
 	cost := min(8, 1+len(prompt)/8192+tokens/512)
-	isCold := one.bears() < one.Capacity
-	if one.Guards && one.running > 0 && one.units+cost > one.bears() {
+	isCold := stub.currentCapacity() < stub.Capacity
+	if stub.Guards && stub.running > 0 && stub.units+cost > stub.currentCapacity() {
 		if isCold {
-			one.TurnedAway++
+			stub.TurnedAway++
 		}
-		return decline(429, "full")
+		return reject(429, "full")
 	}
-	sum := fnv.New64a()
-	_, _ = sum.Write([]byte(prompt[:min(len(prompt), 1024)]))
-	served := &Served{At: one.World.Now(), Replica: one.ID, Boot: one.Boot, ID: id, Model: model, Version: version, Kind: kind, Home: home, Serial: serial, Bytes: len(prompt), Daemon: daemon}
-	served.Hit = one.recall(sum.Sum64())
-	one.Log = append(one.Log, served)
-	if one.bears() < one.Capacity {
-		one.ColdTaken++
+	hash := fnv.New64a()
+	_, _ = hash.Write([]byte(prompt[:min(len(prompt), 1024)]))
+	served := &Served{At: stub.World.Now(), Replica: stub.ID, Boot: stub.Boot, ID: id, Model: model, Version: version, Kind: kind, Home: home, Serial: serial, Bytes: len(prompt), Daemon: daemon}
+	served.Hit = stub.touchCache(hash.Sum64())
+	stub.Log = append(stub.Log, served)
+	if stub.currentCapacity() < stub.Capacity {
+		stub.ColdTaken++
 	}
-	one.running++
-	one.units += cost
+	stub.running++
+	stub.units += cost
 	// One request alone it always bears.
-	if one.units > one.bears() && one.running > 1 {
-		if one.bears() < one.Capacity {
-			one.Flooded++
+	if stub.units > stub.currentCapacity() && stub.running > 1 {
+		if stub.currentCapacity() < stub.Capacity {
+			stub.Flooded++
 		} else {
-			one.Over++
+			stub.Over++
 		}
 	}
-	one.Peak = max(one.Peak, one.units)
-	fresh := len(prompt)
+	stub.Peak = max(stub.Peak, stub.units)
+	uncached := len(prompt)
 	if served.Hit {
-		one.HitBytes += len(prompt)
-		fresh /= 16 // its shared beginning is kept; the rest is read
+		stub.HitBytes += len(prompt)
+		uncached /= 16 // its shared beginning is kept; the rest is read
 	}
-	one.PrefillBytes += fresh
-	crowd := max(1, float64(one.units)/float64(max(1, one.bears())))
-	slower := one.Slower * crowd
-	out := &Answer{replica: one, served: served, cost: cost, version: version, tokens: tokens,
-		wait: time.Duration(slower * float64(one.Prefill) * float64(fresh) / 1024), step: time.Duration(slower * float64(one.Decode))}
-	out.fails = one.Bad != nil && one.Bad(version, kind, one.running)
+	stub.PrefillBytes += uncached
+	overload := max(1, float64(stub.units)/float64(max(1, stub.currentCapacity())))
+	slowdown := stub.Slower * overload
+	out := &Answer{replica: stub, served: served, cost: cost, version: version, tokens: tokens,
+		firstDelay: time.Duration(slowdown * float64(stub.Prefill) * float64(uncached) / 1024), tokenDelay: time.Duration(slowdown * float64(stub.Decode))}
+	out.fails = stub.Bad != nil && stub.Bad(version, kind, stub.running)
 	return out, 200, nil
 }
 
-func (one *Replica) recall(mark uint64) bool {
-	for index, have := range one.cache {
-		if have == mark {
-			one.cache = append(append(one.cache[:index:index], one.cache[index+1:]...), mark)
+func (stub *Replica) touchCache(prefix uint64) bool {
+	for index, cached := range stub.cache {
+		if cached == prefix {
+			stub.cache = append(append(stub.cache[:index:index], stub.cache[index+1:]...), prefix)
 			return true
 		}
 	}
-	one.cache = append(one.cache, mark)
-	if over := len(one.cache) - max(1, one.Cached); over > 0 {
-		one.cache = one.cache[over:]
+	stub.cache = append(stub.cache, prefix)
+	if over := len(stub.cache) - max(1, stub.Cached); over > 0 {
+		stub.cache = stub.cache[over:]
 	}
 	return false
 }
@@ -321,27 +321,27 @@
 // Next gives the next event after its time, or io.EOF after the terminal one;
 // any other error is the replica's failing.
 func (answer *Answer) Next() ([]byte, error) {
-	one := answer.replica
+	stub := answer.replica
 	switch {
 	case answer.ended:
 		return nil, io.EOF
 	case answer.sent == 0:
-		loop.Sleep(one.World, max(answer.wait, time.Microsecond))
+		loop.Sleep(stub.World, max(answer.firstDelay, time.Microsecond))
 		if answer.fails {
 			if event, err := answer.fail(); event != nil || err != nil {
 				return event, err
 			}
 		}
 	case answer.sent >= answer.tokens:
-		answer.end("ok")
+		answer.finish("ok")
 		return []byte("data: [DONE]\n\n"), nil
 	default:
-		loop.Sleep(one.World, answer.step*Chunk)
-		if answer.fails && one.How == Cut || one.Cuts != "" && answer.served.Kind == one.Cuts {
+		loop.Sleep(stub.World, answer.tokenDelay*Chunk)
+		if answer.fails && stub.How == Cut || stub.Cuts != "" && answer.served.Kind == stub.Cuts {
 			if answer.fails {
-				answer.served.Failed, answer.served.FailedAt = true, one.World.Now()
+				answer.served.Failed, answer.served.FailedAt = true, stub.World.Now()
 			}
-			answer.end("cut")
+			answer.finish("cut")
 			return nil, fmt.Errorf("cut")
 		}
 	}
@@ -355,76 +355,76 @@
 // fail fails the first piece in the stand-in's way; nothing at all means that it
 // comes as usual, and the way shows later.
 func (answer *Answer) fail() ([]byte, error) {
-	one := answer.replica
+	stub := answer.replica
 	failed := func(at time.Duration) { answer.served.Failed, answer.served.FailedAt = true, at }
-	switch one.How {
+	switch stub.How {
 	case Hangs:
 		failed(answer.served.At + FailedAfter)
 		for !answer.ended {
-			loop.Sleep(one.World, time.Second)
+			loop.Sleep(stub.World, time.Second)
 		}
 		return nil, fmt.Errorf("gone")
 	case Slow:
 		failed(answer.served.At + FailedAfter)
-		loop.Sleep(one.World, 2*FailedAfter)
+		loop.Sleep(stub.World, 2*FailedAfter)
 		return nil, nil
 	case Cut:
 		return nil, nil
 	case Empty:
-		failed(one.World.Now())
-		answer.end("ok")
+		failed(stub.World.Now())
+		answer.finish("ok")
 		return []byte("data: [DONE]\n\n"), nil
 	case Garbled:
-		failed(one.World.Now())
+		failed(stub.World.Now())
 		answer.sent = answer.tokens
 		return []byte("data: {\"choices\":[{\"te\n\n"), nil
 	case Crashes:
-		failed(one.World.Now())
-		one.Down(one.ID)
-		loop.Sleep(one.World, time.Millisecond) // a killed process never comes back from here
+		failed(stub.World.Now())
+		stub.Down(stub.ID)
+		loop.Sleep(stub.World, time.Millisecond) // a killed process never comes back from here
 	}
-	failed(one.World.Now())
-	answer.end("bad")
+	failed(stub.World.Now())
+	answer.finish("bad")
 	return nil, fmt.Errorf("failed")
 }
 
 // Abort ends an answer whose caller went away.
-func (answer *Answer) Abort() { answer.end("gone") }
+func (answer *Answer) Abort() { answer.finish("gone") }
 
-func (answer *Answer) end(how string) {
-	one := answer.replica
-	one.guard.Lock()
-	defer one.guard.Unlock()
+func (answer *Answer) finish(outcome string) {
+	stub := answer.replica
+	stub.guard.Lock()
+	defer stub.guard.Unlock()
 	if answer.ended {
 		return
 	}
 	answer.ended = true
-	answer.served.Ended = how
-	answer.served.Took = one.World.Now() - answer.served.At
-	one.running--
-	one.units -= answer.cost
-	if how == "ok" {
-		one.answers++
+	answer.served.Ended = outcome
+	answer.served.Took = stub.World.Now() - answer.served.At
+	stub.running--
+	stub.units -= answer.cost
+	if outcome == "ok" {
+		stub.answers++
 	}
 }
 
 // Running tells how many requests run.
-func (one *Replica) Running() int {
-	one.guard.Lock()
-	defer one.guard.Unlock()
-	return one.running
+func (stub *Replica) Running() int {
+	stub.guard.Lock()
+	defer stub.guard.Unlock()
+	return stub.running
 }
 
 // Units tells how many cost units run.
-func (one *Replica) Units() int {
-	one.guard.Lock()
-	defer one.guard.Unlock()
-	return one.units
+func (stub *Replica) Units() int {
+	stub.guard.Lock()
+	defer stub.guard.Unlock()
+	return stub.units
 }
 
 // Leave begins the replica's end.
-func (one *Replica) Leave() {
-	one.guard.Lock()
-	defer one.guard.Unlock()
-	one.Leaving = true
+func (stub *Replica) Leave() {
+	stub.guard.Lock()
+	defer stub.guard.Unlock()
+	stub.Leaving = true
 }
--- a/fleet/routed.go
+++ b/fleet/routed.go
@@ -85,12 +85,12 @@
 
 // Spans of callers, as the protocol has them.
 const (
-	doorPatience  = time.Second
-	leastSilence  = 2 * time.Second
-	targetSilence = 4
-	gapSilence    = 8
-	// leaveSeen is how soon a daemon notices that its caller has gone.
-	leaveSeen = 200 * time.Millisecond
+	locateTimeout     = time.Second
+	minSilenceTimeout = 2 * time.Second
+	silencePerTarget  = 4
+	silencePerGap     = 8
+	// disconnectDelay is how soon a daemon notices that its caller has gone.
+	disconnectDelay = 200 * time.Millisecond
 )
 
 type asked struct {
@@ -135,30 +135,30 @@
 
 // routedCaller is one worker.
 type routedCaller struct {
-	park  *Park
-	node  *sim.Node
-	crowd *RoutedCrowd
-	key   string
-	doors []string
-	until time.Duration
-	// shunned are daemons that failed it, until when.
-	shunned map[string]time.Duration
+	park         *Park
+	node         *sim.Node
+	crowd        *RoutedCrowd
+	key          string
+	daemons      []string
+	locatedUntil time.Duration
+	// avoidedUntil are daemons that failed it, until when.
+	avoidedUntil map[string]time.Duration
 }
 
-// door gives a daemon to send to; empty when none is known.
-func (caller *routedCaller) door() string {
+// chooseDaemon gives a daemon to send to; empty when none is known.
+func (caller *routedCaller) chooseDaemon() string {
 	park, node := caller.park, caller.node
-	if node.Now() >= caller.until {
-		caller.look()
+	if node.Now() >= caller.locatedUntil {
+		caller.locate()
 	}
 	var good []string
-	for _, name := range caller.doors {
-		if node.Now() >= caller.shunned[name] {
+	for _, name := range caller.daemons {
+		if node.Now() >= caller.avoidedUntil[name] {
 			good = append(good, name)
 		}
 	}
 	if len(good) == 0 {
-		good = caller.doors
+		good = caller.daemons
 	}
 	if len(good) == 0 {
 		return ""
@@ -166,12 +166,12 @@
 	return good[park.Draw(int64(len(good)))]
 }
 
-// look asks up to three daemons, the near ones first, where to go.
-func (caller *routedCaller) look() {
+// locate asks up to three daemons, the near ones first, where to go.
+func (caller *routedCaller) locate() {
 	park, node, zone := caller.park, caller.node, caller.crowd.Zone
 	var near, far []string
-	for _, word := range park.Plan.Datas {
-		name, at := split(word)
+	for _, assignment := range park.Plan.Datas {
+		name, at := split(assignment)
 		if at == zone {
 			near = append(near, name)
 		} else {
@@ -184,9 +184,9 @@
 			list[index], list[other] = list[other], list[index]
 		}
 	}
-	asks := append(near, far...)
-	for _, name := range asks[:min(3, len(asks))] {
-		box := node.Mailbox()
+	candidates := append(near, far...)
+	for _, name := range candidates[:min(3, len(candidates))] {
+		mailbox := node.Mailbox()
 		if !park.Node(name).Up() || park.closed[name] {
 			loop.Sleep(node, time.Millisecond)
 			continue
@@ -194,13 +194,13 @@
 		park.Deliver(node, name, func(at *sim.Node) {
 			var out []string
 			daemon := park.Datas[name]
-			for _, one := range daemon.Decider.EntryDaemons(caller.crowd.Host, Region(zone), zone) {
-				out = append(out, one.Door)
+			for _, member := range daemon.Decider.EntryDaemons(caller.crowd.Host, Region(zone), zone) {
+				out = append(out, member.Door)
 			}
-			park.Deliver(at, node.Name, func(*sim.Node) { box.Put(out) })
+			park.Deliver(at, node.Name, func(*sim.Node) { mailbox.Put(out) })
 		})
-		if got, has := box.Take(doorPatience); has && len(got.([]string)) > 0 {
-			caller.doors, caller.until = got.([]string), node.Now()+park.Datas[name].LocateTTL()*time.Duration(max(1, caller.crowd.Holds))
+		if item, has := mailbox.Take(locateTimeout); has && len(item.([]string)) > 0 {
+			caller.daemons, caller.locatedUntil = item.([]string), node.Now()+park.Datas[name].LocateTTL()*time.Duration(max(1, caller.crowd.Holds))
 			return
 		}
 	}
@@ -211,32 +211,32 @@
 	park, node, crowd := caller.park, caller.node, caller.crowd
 	park.drawn++
 	number := park.drawn
-	one := &RoutedRequest{ID: fmt.Sprintf("%s.%d", crowd.Name, number), Crowd: crowd, At: node.Now()}
-	park.RoutedRequests = append(park.RoutedRequests, one)
-	defer func() { one.End = node.Now() }()
-	ask := asked{most: crowd.Most}
+	request := &RoutedRequest{ID: fmt.Sprintf("%s.%d", crowd.Name, number), Crowd: crowd, At: node.Now()}
+	park.RoutedRequests = append(park.RoutedRequests, request)
+	defer func() { request.End = node.Now() }()
+	content := asked{most: crowd.Most}
 	if crowd.Shared > 0 {
 		group := uint64(park.Draw(int64(max(1, crowd.Groups))))
-		ask.parts = append(ask.parts, decide.Part{ID: 1<<40 + group<<8 + uint64(len(crowd.Path)), Tokens: crowd.Shared})
+		content.parts = append(content.parts, decide.Part{ID: 1<<40 + group<<8 + uint64(len(crowd.Path)), Tokens: crowd.Shared})
 	}
-	ask.parts = append(ask.parts, decide.Part{ID: 1<<50 + uint64(number), Tokens: crowd.Own})
-	expiry := one.At + crowd.Patience
+	content.parts = append(content.parts, decide.Part{ID: 1<<50 + uint64(number), Tokens: crowd.Own})
+	deadline := request.At + crowd.Patience
 	for {
-		try := &RoutedTry{ID: fmt.Sprintf("%s.%d", one.ID, len(one.Tries)), Key: caller.key, Sent: node.Now(), request: one}
-		one.Tries = append(one.Tries, try)
-		park.askedOf[try.ID], park.tried[try.ID] = ask, try
+		try := &RoutedTry{ID: fmt.Sprintf("%s.%d", request.ID, len(request.Tries)), Key: caller.key, Sent: node.Now(), request: request}
+		request.Tries = append(request.Tries, try)
+		park.askedOf[try.ID], park.tried[try.ID] = content, try
 		if crowd.Resume {
-			try.After = one.Got
+			try.After = request.Got
 		}
-		try.Daemon = caller.door()
-		one.Verdict = "nowhere"
+		try.Daemon = caller.chooseDaemon()
+		request.Verdict = "nowhere"
 		if try.Daemon != "" {
-			one.Verdict = caller.try(one, try, ask, expiry)
+			request.Verdict = caller.try(request, try, content, deadline)
 		}
 		try.End = node.Now()
-		left := expiry - node.Now()
+		remaining := deadline - node.Now()
 		switch {
-		case one.Verdict == "ok" || left <= 0 || len(one.Tries) >= max(1, crowd.Tries) && try.Daemon != "" || len(one.Tries) > 8:
+		case request.Verdict == "ok" || remaining <= 0 || len(request.Tries) >= max(1, crowd.Tries) && try.Daemon != "" || len(request.Tries) > 8:
 			return
 		case try.Status >= 200 && try.Status < 300 && !crowd.Resume && !crowd.Repeatable:
 			return
@@ -244,56 +244,56 @@
 			return
 		case !crowd.Repeatable && !try.promised() && try.IsRead:
 			return
-		case !crowd.Resume && one.Got > 0:
+		case !crowd.Resume && request.Got > 0:
 			return // what it has can't be taken back
 		}
-		loop.Sleep(node, max(20*time.Millisecond, min(try.ComeBack, left/3)))
+		loop.Sleep(node, max(20*time.Millisecond, min(try.ComeBack, remaining/3)))
 	}
 }
 
-// doorHead, doorEnd are what a daemon's answer begins and ends with.
-type doorHead struct{ status int }
+// answerHead, doorEnd are what a daemon's answer begins and ends with.
+type answerHead struct{ status int }
 
-type doorEnd struct {
-	mishap *verdict.Error // of a request that was declined; nil behind a head
-	err    error
+type answerEnd struct {
+	failure *verdict.Error // of a request that was declined; nil behind a head
+	err     error
 }
 
-// link is a caller's connection to a daemon.
-type link struct {
-	box  loop.Mailbox
-	node *sim.Node
-	gone bool
+// callerConn is a caller's connection to a daemon.
+type callerConn struct {
+	mailbox  loop.Mailbox
+	node     *sim.Node
+	isClosed bool
 }
 
 // try makes one try at a daemon, and tells how it ended.
-func (caller *routedCaller) try(one *RoutedRequest, try *RoutedTry, ask asked, expiry time.Duration) string {
+func (caller *routedCaller) try(request *RoutedRequest, try *RoutedTry, content asked, deadline time.Duration) string {
 	park, node, crowd := caller.park, caller.node, caller.crowd
 	name := try.Daemon
-	shun := func() {
-		if caller.shunned == nil {
-			caller.shunned = map[string]time.Duration{}
+	avoid := func() {
+		if caller.avoidedUntil == nil {
+			caller.avoidedUntil = map[string]time.Duration{}
 		}
-		caller.shunned[name] = node.Now() + 2*time.Second
+		caller.avoidedUntil[name] = node.Now() + 2*time.Second
 	}
 	delay, isOpen := park.Reach(node.Name, name)
 	switch {
 	case !isOpen || park.Node(name).Frozen():
 		loop.Sleep(node, time.Second) // the dial runs out
-		shun()
+		avoid()
 		return "unreached"
 	case !park.Node(name).Up() || park.closed[name]:
 		loop.Sleep(node, 2*delay)
-		shun()
+		avoid()
 		return "unreached"
 	}
-	link := &link{box: node.Mailbox(), node: node}
-	park.links[name] = append(park.links[name], link)
-	leaver := &execute.CallerState{}
+	conn := &callerConn{mailbox: node.Mailbox(), node: node}
+	park.links[name] = append(park.links[name], conn)
+	callerState := &execute.CallerState{}
 	defer func() {
-		link.gone = true
+		conn.isClosed = true
 		for at, other := range park.links[name] {
-			if other == link {
+			if other == conn {
 				park.links[name] = append(park.links[name][:at:at], park.links[name][at+1:]...)
 				break
 			}
@@ -302,9 +302,9 @@
 			return
 		}
 		daemon, life := park.Node(name), park.Datas[name]
-		park.At(leaveSeen, func() {
+		park.At(disconnectDelay, func() {
 			if daemon.Up() && park.Datas[name] == life {
-				daemon.Go(leaver.Disconnect)
+				daemon.Go(callerState.Disconnect)
 			}
 		})
 	}()
@@ -313,51 +313,51 @@
 	if try.After > 0 {
 		after = strconv.Itoa(try.After)
 	}
-	left := expiry - node.Now()
+	remaining := deadline - node.Now()
 	park.Deliver(node, name, func(at *sim.Node) {
 		var lane sim.Stream
 		send := func(piece any) {
-			if !link.gone {
-				park.Send(&lane, at, node.Name, func(*sim.Node) { link.box.Put(piece) })
+			if !conn.isClosed {
+				park.Send(&lane, at, node.Name, func(*sim.Node) { conn.mailbox.Put(piece) })
 			}
 		}
-		routed := &decide.Routed{ID: try.ID, Host: crowd.Host, Path: crowd.Path, Key: try.Key, MaxAnswerTokens: ask.most, Parts: ask.parts, Deadline: at.Now() + left}
-		for _, part := range ask.parts {
+		routed := &decide.Routed{ID: try.ID, Host: crowd.Host, Path: crowd.Path, Key: try.Key, MaxAnswerTokens: content.most, Parts: content.parts, Deadline: at.Now() + remaining}
+		for _, part := range content.parts {
 			routed.Tokens += part.Tokens
 		}
 		routed.Bytes = tokenBytes * routed.Tokens
-		serveRouted(park.Datas[name], routed, replica.RoutedRequest{Method: []byte("POST"), Host: []byte(crowd.Host), URI: []byte(crowd.Path), After: after}, leaver, send)
+		serveRouted(park.Datas[name], routed, replica.RoutedRequest{Method: []byte("POST"), Host: []byte(crowd.Host), URI: []byte(crowd.Path), After: after}, callerState, send)
 	})
-	silence := max(leastSilence, targetSilence*crowd.Target, gapSilence*crowd.Gap)
+	silence := max(minSilenceTimeout, silencePerTarget*crowd.Target, silencePerGap*crowd.Gap)
 	for {
-		got, has := link.box.Take(min(silence, expiry-node.Now()))
+		item, has := conn.mailbox.Take(min(silence, deadline-node.Now()))
 		if !has {
 			try.IsSilent = true
-			shun()
+			avoid()
 			return "silent"
 		}
-		switch got := got.(type) {
-		case piece:
-			shun()
+		switch item := item.(type) {
+		case streamPiece:
+			avoid()
 			return "reset"
-		case doorHead:
-			try.Status = got.status
+		case answerHead:
+			try.Status = item.status
 		case []byte:
-			caller.event(one, try, got)
-		case doorEnd:
+			caller.event(request, try, item)
+		case answerEnd:
 			switch {
-			case got.mishap != nil:
-				try.Status, try.Code, try.ComeBack = got.mishap.Status, got.mishap.Code, got.mishap.ComeBack
+			case item.failure != nil:
+				try.Status, try.Code, try.ComeBack = item.failure.Status, item.failure.Code, item.failure.ComeBack
 				return "declined"
-			case got.err != nil:
+			case item.err != nil:
 				return "cut"
 			}
 			try.IsWhole = true
 			if try.Status >= 300 {
 				return "failed"
 			}
-			if one.Got != crowd.Most {
-				one.Wrong = fmt.Sprintf("looked whole with %d of %d tokens", one.Got, crowd.Most)
+			if request.Got != crowd.Most {
+				request.Wrong = fmt.Sprintf("looked whole with %d of %d tokens", request.Got, crowd.Most)
 			}
 			return "ok"
 		}
@@ -365,14 +365,14 @@
 }
 
 // event notes an event that came, which has to go on where the one before ended.
-func (caller *routedCaller) event(one *RoutedRequest, try *RoutedTry, text []byte) {
+func (caller *routedCaller) event(request *RoutedRequest, try *RoutedTry, text []byte) {
 	now := caller.node.Now()
-	if one.First == 0 {
-		one.First = now
+	if request.First == 0 {
+		request.First = now
 	} else {
-		one.Pause = max(one.Pause, now-one.lastEvent)
+		request.Pause = max(request.Pause, now-request.lastEvent)
 	}
-	one.lastEvent = now
+	request.lastEvent = now
 	for _, event := range bytes.SplitAfter(text, []byte("\n\n")) {
 		if len(event) == 0 {
 			continue
@@ -380,46 +380,46 @@
 		var id, from, until int
 		var name, life string
 		if _, err := fmt.Sscanf(string(event), "id: %d\ndata: %s %s %d %d\n\n", &id, &name, &life, &from, &until); err != nil {
-			one.Wrong = fmt.Sprintf("got %q", event)
+			request.Wrong = fmt.Sprintf("got %q", event)
 			return
 		}
 		switch {
 		case name != try.ID:
-			one.Wrong = "got an event of " + name
-		case from != one.Got || until <= from || id != until:
-			one.Wrong = fmt.Sprintf("got tokens %d to %d behind %d", from, until, one.Got)
-		case life != one.lastLife && one.lastLife != "" && !caller.crowd.Resume:
-			one.Wrong = "got pieces of two runs"
+			request.Wrong = "got an event of " + name
+		case from != request.Got || until <= from || id != until:
+			request.Wrong = fmt.Sprintf("got tokens %d to %d behind %d", from, until, request.Got)
+		case life != request.lastLife && request.lastLife != "" && !caller.crowd.Resume:
+			request.Wrong = "got pieces of two runs"
 		}
-		one.Got, one.lastLife = until, life
+		request.Got, request.lastLife = until, life
 		try.Tokens += until - from
 	}
 }
 
 // serveRouted does what a daemon's door does with a request, without sockets.
-func serveRouted(daemon *dataplane.Daemon, routed *decide.Routed, ask replica.RoutedRequest, leaver *execute.CallerState, send func(any)) {
-	if mishap := daemon.Decider.Resolve(routed); mishap != nil {
-		send(doorEnd{mishap: mishap})
+func serveRouted(daemon *dataplane.Daemon, routed *decide.Routed, request replica.RoutedRequest, callerState *execute.CallerState, send func(any)) {
+	if failure := daemon.Decider.Resolve(routed); failure != nil {
+		send(answerEnd{failure: failure})
 		return
 	}
-	passage, mishap := daemon.Executor.Proxy(routed, ask, leaver)
-	if mishap != nil {
-		send(doorEnd{mishap: mishap})
+	answer, failure := daemon.Executor.Proxy(routed, request, callerState)
+	if failure != nil {
+		send(answerEnd{failure: failure})
 		return
 	}
-	defer passage.Close()
-	send(doorHead{passage.Status})
+	defer answer.Close()
+	send(answerHead{answer.Status})
 	buffer := make([]byte, 4<<10)
 	for {
-		count, err := passage.Read(buffer)
+		count, err := answer.Read(buffer)
 		if count > 0 {
 			send(bytes.Clone(buffer[:count]))
 		}
 		if errors.Is(err, io.EOF) {
-			send(doorEnd{})
+			send(answerEnd{})
 			return
 		} else if err != nil {
-			send(doorEnd{err: err})
+			send(answerEnd{err: err})
 			return
 		}
 	}
--- a/fleet/routes.go
+++ b/fleet/routes.go
@@ -57,11 +57,11 @@
 
 // engine is a stand-in of the shape.
 func (shape RoutedShape) engine(name, zone, model string) EngineOptions {
-	one := engine(name, zone, model, shape.Reports)
+	options := engine(name, zone, model, shape.Reports)
 	if shape.Berths > 0 {
-		one.Berths, one.Queue, one.CacheTokens, one.ColdRate = shape.Berths, shape.Queue, shape.CacheTokens, shape.ColdRate
+		options.Berths, options.Queue, options.CacheTokens, options.ColdRate = shape.Berths, shape.Queue, shape.CacheTokens, shape.ColdRate
 	}
-	return one
+	return options
 }
 
 // routedLimits are those of every deployment.
@@ -102,7 +102,7 @@
 
 // Document is the configuration with the routes.
 func (shape RoutedShape) Document(routes RouteWords) string {
-	var words, regions, limits []string
+	var routeTexts, regions, limits []string
 	values := maps.Clone(routedLimits)
 	maps.Copy(values, shape.Limits)
 	for _, name := range slices.Sorted(maps.Keys(values)) {
@@ -110,7 +110,7 @@
 	}
 	for _, name := range []string{"check", "notice", "moved", "more"} {
 		if rest, has := routes[name]; has {
-			words = append(words, fmt.Sprintf(`{"name":%q,%s}`, name, rest))
+			routeTexts = append(routeTexts, fmt.Sprintf(`{"name":%q,%s}`, name, rest))
 		}
 	}
 	tenants := ""
@@ -124,11 +124,11 @@
 	for _, region := range shape.Regions {
 		regions = append(regions, fmt.Sprintf(`%q:{"platform":"http://%s","zones":{"%s-1":{}}}`, region, region, region))
 	}
-	one := shape.engine("", "", "")
-	engine := fmt.Sprintf(`{"probe_path":"/vitals","conn_cap":370,"cold_ms":3000,"cold_per_s":%v,"berths":%d,"cache_tokens":%d,"spacing":4}`, one.ColdRate, one.Berths, one.CacheTokens)
+	options := shape.engine("", "", "")
+	engine := fmt.Sprintf(`{"probe_path":"/vitals","conn_cap":370,"cold_ms":3000,"cold_per_s":%v,"berths":%d,"cache_tokens":%d,"spacing":4}`, options.ColdRate, options.Berths, options.CacheTokens)
 	return fmt.Sprintf(`{"whole":{"placements":{"scribe":{"version":"any","capacity":64},"clerk":{"version":"any","capacity":64}},
   "limits":{%s}},
- "engines":{"scribe":%s,"clerk":%s},"routes":[%s],%s"regions":{%s}}`, strings.Join(limits, ","), engine, engine, strings.Join(words, ","), tenants, strings.Join(regions, ","))
+ "engines":{"scribe":%s,"clerk":%s},"routes":[%s],%s"regions":{%s}}`, strings.Join(limits, ","), engine, engine, strings.Join(routeTexts, ","), tenants, strings.Join(regions, ","))
 }
 
 // Plan is the fleet of the shape, each region with one engine of the spare model beside
--- a/fleet/scale.go
+++ b/fleet/scale.go
@@ -49,9 +49,9 @@
 // With gives the size with one of its dimensions changed; false when it has none of
 // that name. Zones follow regions where those are more.
 func (size ScaleSize) With(dimension string, value int) (ScaleSize, bool) {
-	place, known := size.dimensions()[dimension]
+	field, known := size.dimensions()[dimension]
 	if known {
-		*place = value
+		*field = value
 		if dimension == "regions" {
 			size.Zones = max(size.Zones, value)
 		}
@@ -136,7 +136,7 @@
 
 // usage is what the kernel says of a process: processor time in seconds, and resident
 // megabytes now and at the most.
-type usage struct{ processor, resident, most float64 }
+type usage struct{ processor, resident, peak float64 }
 
 // clockTicks is the kernel's unit of processor time, a second's part.
 const clockTicks = 100
@@ -147,24 +147,24 @@
 		return out
 	}
 	_, rest, _ := strings.Cut(string(text), ") ")
-	if words := strings.Fields(rest); len(words) > 12 {
-		for _, word := range words[11:13] {
-			ticks, _ := strconv.ParseFloat(word, 64)
+	if fields := strings.Fields(rest); len(fields) > 12 {
+		for _, field := range fields[11:13] {
+			ticks, _ := strconv.ParseFloat(field, 64)
 			out.processor += ticks / clockTicks
 		}
 	}
 	text, _ = os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	for _, line := range strings.Split(string(text), "\n") {
-		words := strings.Fields(line)
-		if len(words) < 2 {
+		fields := strings.Fields(line)
+		if len(fields) < 2 {
 			continue
 		}
-		kilobytes, _ := strconv.ParseFloat(words[1], 64)
-		switch words[0] {
+		kilobytes, _ := strconv.ParseFloat(fields[1], 64)
+		switch fields[0] {
 		case "VmRSS:":
 			out.resident = kilobytes / 1024
 		case "VmHWM:":
-			out.most = kilobytes / 1024
+			out.peak = kilobytes / 1024
 		}
 	}
 	return out
@@ -193,44 +193,44 @@
 
 // probes counts what control daemons ask of replicas and of the platform, and connections
 // that had to wait as this process had no file left for them.
-type probes struct{ asked, bytes, fileless atomic.Int64 }
+type probes struct{ requests, bytes, outOfFiles atomic.Int64 }
 
-type probedListener struct {
+type countingListener struct {
 	net.Listener
 	probes *probes
 }
 
 // Accept counts what goes over the connection. Where this process has no file left it
 // tries again: a server that was told so would end for good.
-func (listener probedListener) Accept() (net.Conn, error) {
+func (listener countingListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := listener.Listener.Accept()
 		if errors.Is(err, syscall.EMFILE) {
-			listener.probes.fileless.Add(1)
+			listener.probes.outOfFiles.Add(1)
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
 		if err != nil {
 			return nil, err
 		}
-		return probedConn{conn, listener.probes}, nil
+		return countingConn{conn, listener.probes}, nil
 	}
 }
 
-type probedConn struct {
+type countingConn struct {
 	net.Conn
 	probes *probes
 }
 
 // Read counts.
-func (conn probedConn) Read(out []byte) (int, error) {
+func (conn countingConn) Read(out []byte) (int, error) {
 	count, err := conn.Conn.Read(out)
 	conn.probes.bytes.Add(int64(count))
 	return count, err
 }
 
 // Write counts.
-func (conn probedConn) Write(text []byte) (int, error) {
+func (conn countingConn) Write(text []byte) (int, error) {
 	count, err := conn.Conn.Write(text)
 	conn.probes.bytes.Add(int64(count))
 	return count, err
@@ -282,7 +282,7 @@
 		return "", err
 	}
 	server := &fasthttp.Server{Handler: handler, NoDefaultServerHeader: true}
-	go func() { _ = server.Serve(probedListener{listener, &scale.probes}) }()
+	go func() { _ = server.Serve(countingListener{listener, &scale.probes}) }()
 	scale.closing = append(scale.closing, func() { listener.Close() })
 	return listener.Addr().String(), nil
 }
@@ -290,14 +290,14 @@
 // replicas starts the hollow replicas and the platform that lists them.
 func (scale *scale) replicas() (platform string, err error) {
 	lists := map[string][]map[string]string{}
-	vitals := func(ctx *fasthttp.RequestCtx) {
-		scale.probes.asked.Add(1)
+	health := func(ctx *fasthttp.RequestCtx) {
+		scale.probes.requests.Add(1)
 		ctx.SetContentType("application/json")
 		fmt.Fprintf(ctx, `{"boot":"b-%s","versions":[]}`, ctx.LocalAddr())
 	}
 	for index := range scale.size.Replicas {
 		// The whole of 127/8 is loopback: so many ports of one address are needed by others.
-		address, err := scale.serve(fmt.Sprintf("127.7.%d.%d:0", 1+index/200, 1+index%200), vitals)
+		address, err := scale.serve(fmt.Sprintf("127.7.%d.%d:0", 1+index/200, 1+index%200), health)
 		if err != nil {
 			return "", err
 		}
@@ -315,8 +315,8 @@
 	})
 }
 
-// vacant gives addresses that nobody listens at.
-func vacant(count int) (out []string, err error) {
+// freeAddresses gives addresses that nobody listens at.
+func freeAddresses(count int) (out []string, err error) {
 	for range count {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -329,10 +329,10 @@
 }
 
 // launch starts a real daemon.
-func (scale *scale) launch(program, name string, at int, seeds, places []string, more ...string) (*scaleProcess, error) {
+func (scale *scale) launch(program, name string, at int, seeds, addresses []string, more ...string) (*scaleProcess, error) {
 	region, zone := scale.zone(at)
-	words := append([]string{"run", "--name", name, "--region", region, "--zone", zone, "--wire", places[0], "--http", places[1], "--seeds", strings.Join(seeds, ","), "--log", "warn", "--grace", "1"}, more...)
-	out := &scaleProcess{command: exec.Command(filepath.Join(scale.Programs, program), words...), name: name, wire: places[0], http: places[1], ended: make(chan struct{})}
+	arguments := append([]string{"run", "--name", name, "--region", region, "--zone", zone, "--wire", addresses[0], "--http", addresses[1], "--seeds", strings.Join(seeds, ","), "--log", "warn", "--grace", "1"}, more...)
+	out := &scaleProcess{command: exec.Command(filepath.Join(scale.Programs, program), arguments...), name: name, wire: addresses[0], http: addresses[1], ended: make(chan struct{})}
 	log, err := os.Create(filepath.Join(scale.folder, name+".log"))
 	if err != nil {
 		return nil, err
@@ -353,35 +353,35 @@
 
 // stop ends everything that was started.
 func (scale *scale) stop() {
-	for _, one := range scale.hollows {
-		one.world.End()
-		one.listener.Close()
+	for _, process := range scale.hollows {
+		process.world.End()
+		process.listener.Close()
 	}
 	processes := append(slices.Clone(scale.datas), scale.controls...)
-	for _, one := range processes {
-		_ = one.command.Process.Signal(syscall.SIGTERM)
+	for _, process := range processes {
+		_ = process.command.Process.Signal(syscall.SIGTERM)
 	}
-	late := time.After(4 * time.Second)
-	for _, one := range processes {
+	deadline := time.After(4 * time.Second)
+	for _, process := range processes {
 		select {
-		case <-one.ended:
-		case <-late:
-			_ = one.command.Process.Kill()
-			<-one.ended
-			late = time.After(0)
+		case <-process.ended:
+		case <-deadline:
+			_ = process.command.Process.Kill()
+			<-process.ended
+			deadline = time.After(0)
 		}
 	}
 	for _, close := range scale.closing {
 		close()
 	}
-	for _, one := range scale.hollows {
-		one.world.Wait(time.Second)
+	for _, process := range scale.hollows {
+		process.world.Wait(time.Second)
 	}
 	_ = os.RemoveAll(scale.folder)
 }
 
-// ask asks a daemon over HTTP.
-func (scale *scale) ask(method, url string, body []byte) (int, []byte, error) {
+// request asks a daemon over HTTP.
+func (scale *scale) request(method, url string, body []byte) (int, []byte, error) {
 	request, err := http.NewRequest(method, "http://"+url, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, err
@@ -395,19 +395,19 @@
 	return answer.StatusCode, text, err
 }
 
-// until asks again and again.
-func until(ctx context.Context, patience time.Duration, isIt func() bool) bool {
-	for expiry := time.Now().Add(patience); time.Now().Before(expiry) && ctx.Err() == nil; {
-		if isIt() {
+// waitUntil asks again and again.
+func waitUntil(ctx context.Context, timeout time.Duration, condition func() bool) bool {
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline) && ctx.Err() == nil; {
+		if condition() {
 			return true
 		}
-		rest(ctx, 20*time.Millisecond)
+		sleep(ctx, 20*time.Millisecond)
 	}
 	return false
 }
 
-// rest waits, or until the context ends.
-func rest(ctx context.Context, span time.Duration) {
+// sleep waits, or until the context ends.
+func sleep(ctx context.Context, span time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(span):
@@ -419,70 +419,70 @@
 	if platform, err = scale.replicas(); err != nil {
 		return "", err
 	}
-	places, err := vacant(2 * (scale.size.Controls + ScaleReal))
+	addresses, err := freeAddresses(2 * (scale.size.Controls + ScaleReal))
 	if err != nil {
 		return "", err
 	}
 	var seeds []string
 	for index := range scale.size.Controls {
-		seeds = append(seeds, places[2*index])
+		seeds = append(seeds, addresses[2*index])
 	}
 	for index := range scale.size.Controls {
 		name := fmt.Sprintf("c%d", index+1)
-		one, err := scale.launch("controlplane", name, index, seeds, places[2*index:], "--data", filepath.Join(scale.folder, name), "--count")
+		process, err := scale.launch("controlplane", name, index, seeds, addresses[2*index:], "--data", filepath.Join(scale.folder, name), "--count")
 		if err != nil {
 			return "", err
 		}
-		scale.controls = append(scale.controls, one)
+		scale.controls = append(scale.controls, process)
 	}
-	if !until(ctx, 10*time.Second, func() bool {
-		status, _, err := scale.ask("POST", scale.controls[0].http+"/v1/init", nil)
+	if !waitUntil(ctx, 10*time.Second, func() bool {
+		status, _, err := scale.request("POST", scale.controls[0].http+"/v1/init", nil)
 		return err == nil && status == 200
 	}) {
 		return "", errors.New("no core was made")
 	}
 	first := scale.document(platform, 1)
 	status, text := 0, []byte(nil)
-	if !until(ctx, 20*time.Second, func() bool {
-		status, text, err = scale.ask("POST", scale.controls[0].http+"/v1/config", first)
+	if !waitUntil(ctx, 20*time.Second, func() bool {
+		status, text, err = scale.request("POST", scale.controls[0].http+"/v1/config", first)
 		return err == nil && status == 200
 	}) {
 		return "", fmt.Errorf("the first configuration (%d bytes) was answered %d %s %v", len(first), status, text, err)
 	}
 	for index := range ScaleReal {
 		at := 2 * (scale.size.Controls + index)
-		one, err := scale.launch("dataplane", fmt.Sprintf("d%d", index+1), index, seeds, places[at:])
+		process, err := scale.launch("dataplane", fmt.Sprintf("d%d", index+1), index, seeds, addresses[at:])
 		if err != nil {
 			return "", err
 		}
-		scale.datas = append(scale.datas, one)
+		scale.datas = append(scale.datas, process)
 	}
 	for index := ScaleReal; index < scale.size.Datas; index++ {
 		if err := scale.hollow(index, seeds); err != nil {
 			return "", err
 		}
 	}
-	stand := 0
-	if !until(ctx, 30*time.Second, func() bool {
-		stand = 0
-		for _, one := range scale.hollows {
+	valid := 0
+	if !waitUntil(ctx, 30*time.Second, func() bool {
+		valid = 0
+		for _, process := range scale.hollows {
 			rows := 0
-			for _, standing := range one.Holder.View().RoutingTables {
+			for _, standing := range process.Holder.View().RoutingTables {
 				rows += len(standing.Rows)
 			}
-			if one.Holder.View().IsValid(one.world.Now()) && rows == scale.size.Replicas {
-				stand++
+			if process.Holder.View().IsValid(process.world.Now()) && rows == scale.size.Replicas {
+				valid++
 			}
 		}
-		return stand == len(scale.hollows)
+		return valid == len(scale.hollows)
 	}) {
 		held, most := 0, 0
-		for _, one := range scale.hollows {
+		for _, process := range scale.hollows {
 			rows := 0
-			for _, standing := range one.Holder.View().RoutingTables {
+			for _, standing := range process.Holder.View().RoutingTables {
 				rows += len(standing.Rows)
 			}
-			if one.Holder.View().IsValid(one.world.Now()) {
+			if process.Holder.View().IsValid(process.world.Now()) {
 				held++
 			}
 			most = max(most, rows)
@@ -510,39 +510,39 @@
 	return nil
 }
 
-// reading is all counts at one time.
-type reading struct {
-	at            time.Time
-	usages        map[string]usage
-	own           usage
-	made          map[string][]wire.CallStats // by control daemon; "" for the hollow ones'
-	syncs, reads  map[string]float64
-	asked, probed float64
+// snapshot is all counts at one time.
+type snapshot struct {
+	at                 time.Time
+	usages             map[string]usage
+	own                usage
+	made               map[string][]wire.CallStats // by control daemon; "" for the hollow ones'
+	syncs, reads       map[string]float64
+	probes, probeBytes float64
 }
 
-func (scale *scale) read() reading {
-	out := reading{at: time.Now(), usages: map[string]usage{}, own: usageOf(os.Getpid()), made: map[string][]wire.CallStats{"": scale.counter.Snapshot()}, syncs: map[string]float64{}, reads: map[string]float64{}, asked: float64(scale.probes.asked.Load()), probed: float64(scale.probes.bytes.Load())}
-	for _, one := range append(slices.Clone(scale.datas), scale.controls...) {
-		out.usages[one.name] = usageOf(one.command.Process.Pid)
+func (scale *scale) takeSnapshot() snapshot {
+	out := snapshot{at: time.Now(), usages: map[string]usage{}, own: usageOf(os.Getpid()), made: map[string][]wire.CallStats{"": scale.counter.Snapshot()}, syncs: map[string]float64{}, reads: map[string]float64{}, probes: float64(scale.probes.requests.Load()), probeBytes: float64(scale.probes.bytes.Load())}
+	for _, process := range append(slices.Clone(scale.datas), scale.controls...) {
+		out.usages[process.name] = usageOf(process.command.Process.Pid)
 	}
-	for _, one := range scale.controls {
-		_, text, err := scale.ask("GET", one.http+"/v1/counters", nil)
+	for _, process := range scale.controls {
+		_, text, err := scale.request("GET", process.http+"/v1/counters", nil)
 		if err != nil {
 			continue
 		}
-		var got struct {
+		var counters struct {
 			Calls  []wire.CallStats
 			Syncs  float64 `json:"disk_syncs"`
 			Rounds struct{ Reads, Writes, Conflicts float64 }
 		}
-		_ = json.Unmarshal(text, &got)
-		out.made[one.name], out.syncs[one.name], out.reads[one.name] = got.Calls, got.Syncs, got.Rounds.Reads
+		_ = json.Unmarshal(text, &counters)
+		out.made[process.name], out.syncs[process.name], out.reads[process.name] = counters.Calls, counters.Syncs, counters.Rounds.Reads
 	}
 	return out
 }
 
-// between turns two readings into figures.
-func (scale *scale) between(before, after reading, point *ScalePoint, prefix string) {
+// addFigures turns two readings into figures.
+func (scale *scale) addFigures(before, after snapshot, point *ScalePoint, prefix string) {
 	span := after.at.Sub(before.at).Seconds()
 	figure := func(name string, value float64) { point.Figures[prefix+name] = math.Round(value*1e4) / 1e4 }
 	processor := func(name string) float64 {
@@ -550,34 +550,34 @@
 	}
 	figure("seconds", span)
 	data, resident := 0.0, 0.0
-	for _, one := range scale.datas {
-		data += processor(one.name) / ScaleReal
-		resident = max(resident, after.usages[one.name].resident)
+	for _, process := range scale.datas {
+		data += processor(process.name) / ScaleReal
+		resident = max(resident, after.usages[process.name].resident)
 	}
 	figure("data_cores", data)
 	figure("data_mb", resident)
 	most, all, large, syncs, reads := 0.0, 0.0, 0.0, 0.0, 0.0
 	wires := map[string]string{}
-	for _, one := range scale.controls {
-		wires[one.wire] = one.name
-		most, all = max(most, processor(one.name)), all+processor(one.name)
-		large = max(large, after.usages[one.name].resident)
-		syncs = max(syncs, (after.syncs[one.name]-before.syncs[one.name])/span)
-		reads = max(reads, (after.reads[one.name]-before.reads[one.name])/span)
+	for _, process := range scale.controls {
+		wires[process.wire] = process.name
+		most, all = max(most, processor(process.name)), all+processor(process.name)
+		large = max(large, after.usages[process.name].resident)
+		syncs = max(syncs, (after.syncs[process.name]-before.syncs[process.name])/span)
+		reads = max(reads, (after.reads[process.name]-before.reads[process.name])/span)
 	}
 	figure("control_cores", most)
 	figure("control_cores_all", all)
 	figure("control_mb", large)
 	figure("acceptor_syncs_s", syncs)
 	figure("control_rounds_s", reads)
-	figure("probes_s", (after.asked-before.asked)/span)
-	figure("probe_bytes_s", (after.probed-before.probed)/span)
+	figure("probes_s", (after.probes-before.probes)/span)
+	figure("probe_bytes_s", (after.probeBytes-before.probeBytes)/span)
 	figure("hollow_cores", (after.own.processor-before.own.processor)/span)
 	figure("hollow_mb", after.own.resident)
 	// The real data daemons are taken to say as much as the hollow ones.
 	whole := float64(scale.size.Datas) / float64(len(scale.hollows))
 	touches, carried := map[string]float64{}, map[string]float64{}
-	queries, queried, told, taken := 0.0, 0.0, 0.0, 0.0
+	queries, queried, toData, toDataBytes := 0.0, 0.0, 0.0, 0.0
 	share, shared := 0.0, 0.0
 	for caller, rows := range after.made {
 		role, times := "control", 1.0
@@ -605,7 +605,7 @@
 			isData := caller == "" || callee == ""
 			switch {
 			case isData:
-				told, taken = told+calls, taken+moved
+				toData, toDataBytes = toData+calls, toDataBytes+moved
 			case strings.HasPrefix(row.Method, "Register."):
 				queries, queried = queries+calls, queried+moved
 			default:
@@ -615,8 +615,8 @@
 	}
 	delete(touches, "")
 	delete(carried, "")
-	figure("data_calls_s", told/float64(scale.size.Datas))
-	figure("data_bytes_s", taken/float64(scale.size.Datas))
+	figure("data_calls_s", toData/float64(scale.size.Datas))
+	figure("data_bytes_s", toDataBytes/float64(scale.size.Datas))
 	figure("register_calls_s", queries)
 	figure("register_bytes_s", queried)
 	figure("share_calls_s", share)
@@ -638,27 +638,27 @@
 	}
 	ended := make(chan ending, 1)
 	before := uint64(0)
-	for _, one := range scale.hollows {
-		before = max(before, one.Holder.View().Serial)
+	for _, daemon := range scale.hollows {
+		before = max(before, daemon.Holder.View().Serial)
 	}
 	began := time.Now()
 	go func() {
-		status, text, _ := scale.ask("POST", scale.controls[0].http+"/v1/config", document)
+		status, text, _ := scale.request("POST", scale.controls[0].http+"/v1/config", document)
 		ended <- ending{status, gjson.GetBytes(text, "code").Str, time.Since(began)}
 	}()
 	out := ScaleChange{}
 	milliseconds := func(span time.Duration) float64 { return math.Round(span.Seconds()*1e4) / 10 }
 	// One that was not acknowledged may yet come, but need not.
-	patience := func() time.Duration {
+	timeout := func() time.Duration {
 		if out.Status != 0 && out.Status != http.StatusOK {
 			return 5 * time.Second
 		}
 		return 20 * time.Second
 	}
-	for !(out.Acknowledged > 0 && out.Applied == len(scale.hollows)) && time.Since(began) < patience() && ctx.Err() == nil {
+	for !(out.Acknowledged > 0 && out.Applied == len(scale.hollows)) && time.Since(began) < timeout() && ctx.Err() == nil {
 		out.Applied = 0
-		for _, one := range scale.hollows {
-			if one.Holder.View().Serial > before {
+		for _, daemon := range scale.hollows {
+			if daemon.Holder.View().Serial > before {
 				out.Applied++
 			}
 		}
@@ -666,8 +666,8 @@
 			out.Last = milliseconds(time.Since(began))
 		}
 		select {
-		case got := <-ended:
-			out.Status, out.Code, out.Acknowledged = got.status, got.code, milliseconds(got.took)
+		case result := <-ended:
+			out.Status, out.Code, out.Acknowledged = result.status, result.code, milliseconds(result.took)
 		case <-time.After(time.Millisecond):
 		}
 	}
@@ -694,11 +694,11 @@
 			return point, nil
 		}
 	}
-	rest(ctx, options.Warm)
-	before := scale.read()
-	rest(ctx, options.Span)
-	calm := scale.read()
-	scale.between(before, calm, &point, "")
+	sleep(ctx, options.Warm)
+	before := scale.takeSnapshot()
+	sleep(ctx, options.Span)
+	calm := scale.takeSnapshot()
+	scale.addFigures(before, calm, &point, "")
 	point.Figures["document_bytes"] = float64(len(scale.document(platform, 1)))
 	for turn := range options.Changes {
 		if ctx.Err() != nil {
@@ -709,19 +709,19 @@
 		point.Changes = append(point.Changes, change)
 		point.Figures["acknowledged_ms"] = max(point.Figures["acknowledged_ms"], change.Acknowledged)
 		point.Figures["last_apply_ms"] = max(point.Figures["last_apply_ms"], change.Last)
-		rest(ctx, options.Pause-time.Since(sent))
+		sleep(ctx, options.Pause-time.Since(sent))
 	}
 	if options.Changes > 0 {
-		scale.between(calm, scale.read(), &point, "changing_")
+		scale.addFigures(calm, scale.takeSnapshot(), &point, "changing_")
 	}
-	stand := 0
-	for _, one := range scale.hollows {
-		if one.Holder.View().IsValid(one.world.Now()) {
-			stand++
+	valid := 0
+	for _, daemon := range scale.hollows {
+		if daemon.Holder.View().IsValid(daemon.world.Now()) {
+			valid++
 		}
 	}
-	point.Figures["fileless"] = float64(scale.probes.fileless.Load())
-	point.Figures["permits_stand"] = float64(stand) / float64(len(scale.hollows))
+	point.Figures["fileless"] = float64(scale.probes.outOfFiles.Load())
+	point.Figures["permits_stand"] = float64(valid) / float64(len(scale.hollows))
 	return point, ctx.Err()
 }
 
@@ -762,12 +762,12 @@
 	}
 	out.Points, out.Each = len(xs), products/squares
 	out.Base = sumY/count - out.Each*sumX/count
-	rests := 0.0
+	residuals := 0.0
 	for index := range xs {
-		one := ys[index] - out.Base - out.Each*xs[index]
-		rests += one * one
+		residual := ys[index] - out.Base - out.Each*xs[index]
+		residuals += residual * residual
 	}
-	out.Spread = math.Sqrt(rests / (count - 2) / squares)
+	out.Spread = math.Sqrt(residuals / (count - 2) / squares)
 	return out, true
 }
 
@@ -781,8 +781,8 @@
 
 // Value is the point's size in a dimension, zero when there is none of that name.
 func (size ScaleSize) Value(dimension string) int {
-	if place := size.dimensions()[dimension]; place != nil {
-		return *place
+	if field := size.dimensions()[dimension]; field != nil {
+		return *field
 	}
 	return 0
 }
