--- a/fleet/engine.go
+++ b/fleet/engine.go
@@ -12,46 +12,51 @@
 	"swifttiller/sim"
 )
 
-// EngineOptions say what a stand-in replica with an engine is like.
+// EngineOptions describe a simulated replica with an inference engine.
 type EngineOptions struct {
-	// Name is that of its machine, which is its address; its lives have ids.
+	// Name is the name of its machine and also its address. Each process on it has an ID of
+	// its own, the Life.
 	Name, Zone     string
 	Model, Version string
-	// Berths are the requests that it works on at once, Queue how many more wait.
+	// Berths is the number of requests that run at once, Queue the number of others that may
+	// wait.
 	Berths, Queue int
-	// CacheTokens are shared by running requests and kept parts.
+	// CacheTokens is the memory that running requests and the prefix cache share.
 	CacheTokens int
-	// Stride is the tokens of one event, Chunk the prompt tokens read at once.
+	// Stride is the number of tokens in one event, Chunk the number of prompt tokens that are
+	// prefilled in one step.
 	Stride, Chunk int
-	// A step gives each running request a token: Step, and StepEach for each of them.
+	// A decode step generates one token for each running request. It takes Step, and StepEach
+	// for each of the requests.
 	Step, StepEach time.Duration
-	// Prefill is the prompt tokens read in a millisecond, First what a first piece
-	// takes on top of reading.
+	// Prefill is the number of prompt tokens that are prefilled in a millisecond. First is the
+	// time from the end of prefill to the first token.
 	Prefill float64
 	First   time.Duration
-	// Cold is how long it is cold after a start, ColdRate the requests a second that it
-	// bears meanwhile; it falls over at coldFall times that.
+	// Cold is how long the engine is cold after a start, and ColdRate the requests a second
+	// that it can take meanwhile; it crashes at coldCrashFactor times ColdRate plus
+	// coldCrashBurst.
 	Cold     time.Duration
 	ColdRate float64
-	// Reports makes it tell its load with its answers.
+	// Reports makes it report its load with its answers.
 	Reports bool
-	// Slower multiplies all its times; 0 is 1.
+	// Slower multiplies all times; 0 means 1.
 	Slower float64
 	Troubles
 	Grey Grey
-	// SaysIll makes its probes' answers say so, whatever it does.
+	// SaysIll makes health checks report the engine as unhealthy, whatever its state.
 	SaysIll bool
 }
 
-// Grey is how a replica fails a share of its requests while its probes say that it is
-// well; the zero value fails none.
+// Grey is a gray failure: a replica fails a share of its requests while its health checks
+// succeed. The zero value fails none.
 type Grey struct {
-	// How is "errors" (500), "shed" (turned away, though there are places), "hang" (run
-	// and no answer), "reset" (the connection is, behind the request) or "mute" (as hang,
-	// and nothing runs).
+	// How is "errors" (answered with 500), "shed" (rejected although there is capacity),
+	// "hang" (run, but never answered), "reset" (the connection breaks after the request was
+	// sent) or "mute" (like hang, but the request doesn't run).
 	How   string
 	Share float64
-	// Zone, if set, is that of the only daemons whose requests it fails.
+	// Zone, if set, limits the failure to requests from daemons in that zone.
 	Zone string
 }
 
@@ -59,7 +64,7 @@
 	return grey.How != "" && (grey.Zone == "" || grey.Zone == zone) && engine.happens(grey.Share)
 }
 
-// failPartially fails a request that came over a connection.
+// failPartially fails a request in the way that Grey.How says.
 func (engine *Engine) failPartially(run *Run, request *engineRequest) {
 	run.Cold = engine.isCold()
 	engine.park.Runs = append(engine.park.Runs, run)
@@ -83,17 +88,17 @@
 	run.Ended = "failed"
 }
 
-// Troubles are shares of a replica's requests that end badly.
+// Troubles are the shares of a replica's requests that end badly.
 type Troubles struct {
-	// Fails are answered 500; Breaks are broken off after an event; Loses run and are
-	// never answered; Repeats are answered once more, late, on the same connection.
+	// Fails are answered with 500. Breaks are cut off after an event. Loses run but are never
+	// answered. Repeats are answered a second time, late, on the same connection.
 	Fails, Breaks, Loses, Repeats float64
-	// Skips lack an event in the middle, which only a lying engine does.
+	// Skips lack an event in the middle, which only a faulty engine does.
 	Skips float64
 }
 
-// coldCrashFactor is how many times its cold rate, and coldFallMore how many requests above
-// that, a cold replica takes in a second before it falls over.
+// A cold engine crashes when more than coldCrashFactor times its ColdRate plus coldCrashBurst
+// requests arrive within one second.
 const (
 	coldCrashFactor = 2.5
 	coldCrashBurst  = 10
@@ -102,37 +107,39 @@
 // Run is one request that arrived at an engine.
 type Run struct {
 	ID, Engine, Life, Model, Version, Daemon string
-	// Tenant is whose request it is by its daemon's word, empty for nobody's.
+	// Tenant is the tenant that the daemon named, empty if none.
 	Tenant string
-	// Sent is when its daemon let it go, At when it arrived, Ran when the engine began
-	// to work on it, zero if it never did.
+	// Sent is when the daemon sent the request, At when it arrived, and Ran when the engine
+	// began to run it, zero if it never did.
 	Sent, At, Ran time.Duration
-	// Elsewhere was meant for another life; NotRun is the engine's word.
+	// Elsewhere is set if the request was meant for another process, NotRun if the engine
+	// answered that the request did not run.
 	Elsewhere, NotRun bool
-	// Cold tells whether the engine was cold when it came.
+	// Cold is whether the engine was cold when the request arrived.
 	Cold bool
-	// Prompt are the prompt's tokens, Read those that the engine read, again ones
-	// included; After is the token behind which it was to go on.
+	// Prompt is the number of tokens of the prompt, Read the number that the engine prefilled,
+	// repeated ones included. After is the token after which a resumed request continues.
 	Prompt, Read, After int
 	Ended               string // ok, failed, broken, gone, lost
 }
 
-// Engine is a stand-in replica with an engine, in virtual time.
+// Engine is a simulated replica with an inference engine, in virtual time.
 //
-// Invariants: memory is the sum over kept, and over active of reserved and made; a kept
-// part gives way only while nobody uses it; a request is in at most one of waiting and
-// active.
+// Invariants: cacheUsed is the sum of the tokens of all parts in cache and of the reserved and
+// generated tokens of all active requests. A cached part is evicted only while no request uses
+// it. A request is in at most one of waiting and active.
 type Engine struct {
 	EngineOptions
 	Life    string
 	Leaving bool
-	// Gone is when this life ended.
+	// Gone is when this process ended.
 	Gone      time.Duration
 	ColdUntil time.Duration
-	// ReadTokens are all that it read, KeptTokens those that it did not have to. AgainTokens
-	// are those that it read though some engine of the model had read them before.
+	// ReadTokens counts the prompt tokens that were prefilled, KeptTokens those that were
+	// cached. AgainTokens counts the tokens that were prefilled although an engine of the same
+	// model had prefilled them before.
 	ReadTokens, KeptTokens, AgainTokens int
-	// PutBack counts requests that lost their place while they ran.
+	// PutBack counts preemptions: running requests that were put back into the queue.
 	PutBack int
 
 	park       *Park
@@ -141,15 +148,15 @@
 	waiting    []*engineRequest
 	active     []*engineRequest
 	cacheIndex map[uint64]*linked.Element
-	cache      *linked.List // of *keptPart, the least lately used first
+	cache      *linked.List // of *cachedPart, the least recently used first
 	cacheUsed  int
 	arrivals   []time.Duration
 	accepted   uint64
-	// isCrashing is set when it ends for what it was sent while cold.
+	// isCrashing is set once the engine crashes from the load that it received while cold.
 	isCrashing bool
 }
 
-// readKey is a part of prompts that an engine of a model has read.
+// readKey identifies a part of a prompt that some engine of a model has prefilled.
 type readKey struct {
 	model string
 	part  uint64
@@ -168,26 +175,27 @@
 	urgency      int
 	deadline     time.Duration
 	arrivalOrder uint64
-	unread       []decide.Part // what is to be read yet
+	unread       []decide.Part // parts that still have to be prefilled
 	reserved     int
 	pinned       []*cachedPart
-	generated    int // tokens, from the stream's beginning on
-	resumedFrom  int // made when it came
-	sent         int // tokens that went out
+	generated    int // tokens since the beginning of the stream, including those before a resumption
+	resumedFrom  int // value of generated when the request arrived
+	sent         int // tokens that were sent
 	firstTokenAt time.Duration
 	isBegun      bool
 	send         func(wireMessage)
-	breakAfter   int // tokens after which it is broken off, zero for never
+	breakAfter   int // tokens after which the answer is cut off; zero for never
 	isLost       bool
 }
 
-// wireMessage is what goes over a connection to a daemon: a head, an event or an end.
+// wireMessage is what an engine sends to a daemon over a connection: a head, an event, the end
+// or an error.
 type wireMessage struct {
 	head  *replica.Head
 	event []byte
 	isEnd bool
 	err   error
-	// closesConn tells that the connection is closed behind the answer.
+	// closesConn is set if the connection closes after the answer.
 	closesConn bool
 }
 
@@ -203,8 +211,8 @@
 	return engine
 }
 
-// StartEngine starts a stand-in; one of the same name begins a new life there, cold
-// unless the park itself begins.
+// StartEngine starts a simulated engine. It replaces one with the same name, and starts cold
+// unless it starts together with the cluster.
 func (park *Park) StartEngine(options EngineOptions) {
 	if before := park.Engines[options.Name]; before != nil {
 		before.Gone = park.Now()
@@ -215,20 +223,20 @@
 	engine.box = engine.node.Mailbox()
 	park.Engines[options.Name] = engine
 	park.Start(options.Name, func(node *sim.Node) {
-		// A mailbox belongs to a life.
+		// A mailbox belongs to one process of a machine.
 		engine.box = node.Mailbox()
 		engine.loop()
 	})
 	park.Listed.add(engine)
 }
 
-// isCold tells whether it is.
+// isCold reports whether the engine is cold.
 func (engine *Engine) isCold() bool { return engine.park.Now() < engine.ColdUntil }
 
-// Chill makes it cold once more.
+// Chill makes the engine cold again.
 func (engine *Engine) Chill() { engine.ColdUntil = engine.park.Now() + engine.Cold }
 
-// happens draws whether one of a share does.
+// happens decides at random, with the probability share.
 func (engine *Engine) happens(share float64) bool {
 	return share > 0 && float64(engine.park.Draw(1<<20)) < share*(1<<20)
 }
@@ -241,7 +249,7 @@
 	return head
 }
 
-// arrive takes a request that came over a connection, or turns it away.
+// arrive puts a request into the queue, or rejects it.
 func (engine *Engine) arrive(run *Run, request *engineRequest) {
 	now := engine.park.Now()
 	run.Cold = engine.isCold()
@@ -284,7 +292,8 @@
 		engine.admit()
 	}
 	if len(engine.waiting) > engine.Queue {
-		// A more urgent one came in; the newest of the least urgent that wait goes.
+		// A more urgent request arrived at a full queue: evict the newest of the least urgent
+		// waiting requests.
 		last := engine.leastUrgent(engine.waiting)
 		engine.waiting = removeRequest(engine.waiting, last)
 		if last.run.Ran == 0 {
@@ -300,8 +309,8 @@
 	engine.box.Put(nil)
 }
 
-// outranksWaiting tells whether a request is more urgent than some that waits and has not
-// run.
+// outranksWaiting reports whether a request is more urgent than a waiting request that has not
+// run yet.
 func (engine *Engine) outranksWaiting(request *engineRequest) bool {
 	for _, other := range engine.waiting {
 		if other.urgency > request.urgency && other.run.Ran == 0 {
@@ -311,7 +320,7 @@
 	return false
 }
 
-// leastUrgent is the newest of the least urgent; of those that wait, one that has not run.
+// leastUrgent returns the least urgent request, the newest if there are several.
 func (engine *Engine) leastUrgent(all []*engineRequest) (last *engineRequest) {
 	for _, request := range all {
 		if last == nil || request.urgency > last.urgency || request.urgency == last.urgency && request.arrivalOrder > last.arrivalOrder {
@@ -340,7 +349,7 @@
 	engine.waiting, engine.active = removeRequest(engine.waiting, request), removeRequest(engine.active, request)
 }
 
-// freeMemory gives back the memory that a request uses.
+// freeMemory releases the memory that an active request uses.
 func (engine *Engine) freeMemory(request *engineRequest) {
 	isActive := false
 	for _, other := range engine.active {
@@ -357,7 +366,7 @@
 	request.pinned = nil
 }
 
-// finish takes a request out, with its last piece.
+// finish removes a request and sends its last message.
 func (engine *Engine) finish(request *engineRequest, outcome string, last wireMessage) {
 	engine.freeMemory(request)
 	engine.active = removeRequest(engine.active, request)
@@ -367,7 +376,7 @@
 	}
 }
 
-// preempt takes a running request out of its place; it is read again later.
+// preempt puts a running request back into the queue. It is prefilled again later.
 func (engine *Engine) preempt(request *engineRequest) {
 	engine.PutBack++
 	engine.freeMemory(request)
@@ -375,8 +384,8 @@
 	engine.waiting = append(engine.waiting, request)
 }
 
-// evictFor makes room for so many tokens by letting unused parts go, the least lately used
-// first; it tells whether there is.
+// evictFor evicts unused cached parts, the least recently used first, until there is memory
+// for the given number of tokens. It reports whether there is.
 func (engine *Engine) evictFor(tokens int) bool {
 	for at := engine.cache.Front(); at != nil && engine.cacheUsed+tokens > engine.CacheTokens; {
 		next, part := at.Next(), at.Value.(*cachedPart)
@@ -390,7 +399,7 @@
 	return engine.cacheUsed+tokens <= engine.CacheTokens
 }
 
-// admit lets waiting requests in while there are berths and memory.
+// admit starts waiting requests while there are free slots and memory.
 func (engine *Engine) admit() {
 	now := engine.park.Now()
 	sort.SliceStable(engine.waiting, func(a, b int) bool {
@@ -439,7 +448,7 @@
 				neverRead -= part.Tokens
 			}
 		}
-		// What it made before it was put back is read as well.
+		// The tokens that it generated before a preemption have to be prefilled as well.
 		regenerated := request.generated - request.resumedFrom
 		if regenerated > 0 {
 			uncached = append(uncached, decide.Part{Tokens: regenerated})
@@ -451,7 +460,7 @@
 			if len(engine.active) > 0 {
 				return
 			}
-			// Alone it always has room; what is left is pinned by nobody.
+			// A request alone always fits: nothing else pins a cached part.
 			panic("an engine without requests has no room")
 		}
 		engine.waiting = engine.waiting[1:]
@@ -473,7 +482,8 @@
 	}
 }
 
-// loop is the engine's loop: a piece of a prompt, and a token for each that runs.
+// loop is the engine's loop. Each step prefills a chunk of one prompt and generates a token
+// for each decoding request.
 func (engine *Engine) loop() {
 	for {
 		engine.admit()
@@ -528,7 +538,8 @@
 	}
 }
 
-// recordPrefill notes that a piece of a prompt was read.
+// recordPrefill records that a number of a request's prompt tokens were prefilled, and caches
+// the parts that are complete.
 func (engine *Engine) recordPrefill(request *engineRequest, read int, now time.Duration) {
 	for read > 0 && len(request.unread) > 0 {
 		part := &request.unread[0]
@@ -541,7 +552,7 @@
 		id := part.ID
 		request.unread = request.unread[1:]
 		if id == 0 {
-			continue // what it made itself
+			continue // tokens that the request generated itself
 		}
 		for _, whole := range request.parts {
 			if whole.ID != id {
@@ -549,7 +560,7 @@
 			}
 			request.reserved -= whole.Tokens
 			if at, isKept := engine.cacheIndex[id]; isKept {
-				// Another one read it meanwhile.
+				// Another request has prefilled and cached it meanwhile.
 				engine.cacheUsed -= whole.Tokens
 				kept := at.Value.(*cachedPart)
 				kept.users++
@@ -566,7 +577,7 @@
 	}
 }
 
-// generate makes the next token of a request, and sends an event when it is time.
+// generate generates the next token of a request, and sends an event when one is due.
 func (engine *Engine) generate(request *engineRequest, now time.Duration) {
 	if now >= request.deadline {
 		engine.finish(request, "broken", wireMessage{err: errReset})
@@ -593,7 +604,8 @@
 		return
 	}
 	if (isWhole || request.generated-request.sent >= engine.Stride) && !request.isLost {
-		// The text names the run, so that a mix-up is seen by the caller.
+		// The text names the attempt and the engine's process, so that the caller notices an
+		// answer to another request.
 		if request.sent == request.resumedFrom || !engine.happens(engine.Skips) {
 			request.send(wireMessage{event: fmt.Appendf(nil, "id: %d\ndata: %s %s %d %d\n\n", request.generated, request.run.ID, request.run.Life, request.sent, request.generated)})
 		}
--- a/fleet/experiment.go
+++ b/fleet/experiment.go
@@ -11,51 +11,52 @@
 	"swifttiller/settings"
 )
 
-// ExperimentOptions are a load and a fleet that plays it in virtual time.
+// ExperimentOptions are a load and the cluster that runs it in virtual time.
 type ExperimentOptions struct {
-	// Shape names one of ExperimentShapes; Load multiplies its callers.
+	// Shape names one of ExperimentShapes; Load multiplies the number of its callers.
 	Shape string
 	Load  float64
 	Seed  uint64
-	// Warm is played before anything is measured, Span is measured.
+	// Warm is the time that runs before the measurement, Span the time that is measured.
 	Warm, Span time.Duration
-	// Limits are the document's, by name.
+	// Limits are set in the document, by name.
 	Limits map[string]float64
 }
 
-// Quantiles of spans, in milliseconds.
+// Quantiles are quantiles of durations, in milliseconds.
 type Quantiles struct {
 	P50 float64 `json:"p50_ms"`
 	P90 float64 `json:"p90_ms"`
 	P99 float64 `json:"p99_ms"`
 }
 
-// Figures are what an experiment measured, of requests that began in its span.
+// Figures are the results of an experiment, for the requests that began in its span.
 type Figures struct {
 	Asked    int `json:"asked"`
 	Answered int `json:"answered"`
-	// First is the time from a caller's first try to its first event, Pause the longest
-	// one between two events of a request, both by kind.
+	// First is the time from a caller's first attempt to its first event, Pause the longest
+	// pause between two events of a request, both by kind.
 	First map[string]Quantiles `json:"first"`
 	Pause map[string]Quantiles `json:"pause"`
-	// InTime is the share of requests whose first event came within the aim and whose
-	// pauses all were in time.
+	// InTime is the share of requests whose first event arrived within the target and whose
+	// pauses were all in time.
 	InTime float64 `json:"in_time"`
-	// KeptShare is the share of prompt tokens that were not read as they were kept, and
-	// Again the tokens a request that were read though some replica had read them.
+	// KeptShare is the share of prompt tokens that were cached and needed no prefill. Again is
+	// the number of tokens per request that were prefilled although some replica had prefilled
+	// them before.
 	KeptShare float64 `json:"kept_share"`
 	Again     float64 `json:"read_again_tokens_per_request"`
-	// FarKB are the kilobytes a request between regions, FarShare the share of dispatches
-	// that went to another region.
+	// FarKB is the number of kilobytes between regions per request, FarShare the share of
+	// attempts that went to another region.
 	FarKB    float64 `json:"far_kb_per_request"`
 	FarShare float64 `json:"far_share"`
-	// Dispatches are those a request.
+	// Dispatches is the number of attempts per request.
 	Dispatches float64 `json:"dispatches_per_request"`
-	// Firsts are all times to the first event, in order, in milliseconds.
+	// Firsts are all times to the first event, sorted, in milliseconds.
 	Firsts []float64 `json:"-"`
 }
 
-// Check finds what is wrong with the options.
+// Check returns the first problem of the options.
 func (options ExperimentOptions) Check() error {
 	shape, isKnown := ExperimentShapes()[options.Shape]
 	switch {
@@ -80,7 +81,7 @@
 	return nil
 }
 
-// Experiment plays the load and measures it.
+// Experiment runs the load and measures it.
 func Experiment(options ExperimentOptions) (Figures, error) {
 	if err := options.Check(); err != nil {
 		return Figures{}, err
@@ -156,7 +157,7 @@
 	return Quantiles{quantile(list, 0.5), quantile(list, 0.9), quantile(list, 0.99)}
 }
 
-// quantile gives the value below which the share of a sorted list is, which is not empty.
+// quantile returns the value below which the given share of a sorted, non-empty list lies.
 func quantile[T any](sorted []T, share float64) T {
 	return sorted[min(len(sorted)-1, int(share*float64(len(sorted))))]
 }
--- a/fleet/http.go
+++ b/fleet/http.go
@@ -18,7 +18,7 @@
 
 var errFailed = errors.New("the stand-in fails on purpose")
 
-// App serves the stand-in replica over HTTP.
+// App serves the simulated replica over HTTP.
 func (stub *Replica) App() *fiber.App {
 	app := fiber.New(fiber.Config{DisableStartupMessage: true, BodyLimit: 64 << 20})
 	app.Get("/health", func(ctx *fiber.Ctx) error { return ctx.Type("json").Send(stub.Probe()) })
@@ -58,7 +58,7 @@
 	return app
 }
 
-// breakConnection goes wrong on the wire, below HTTP.
+// breakConnection fails a request below HTTP, by writing a faulty response to the connection.
 func breakConnection(ctx *fiber.Ctx, way, id string) error {
 	ctx.Context().HijackSetNoResponse(true)
 	ctx.Context().Hijack(func(conn net.Conn) {
@@ -72,11 +72,11 @@
 		}[way]
 		_, _ = conn.Write([]byte(text))
 		if way == "hang" || way == "silent" {
-			_, _ = io.Copy(io.Discard, conn) // until the other end closes
+			_, _ = io.Copy(io.Discard, conn) // until the client closes the connection
 		}
 		if inner, isWrapped := conn.(interface{ UnsafeConn() net.Conn }); isWrapped && strings.HasPrefix(way, "reset") {
 			if tcp, isTCP := inner.UnsafeConn().(*net.TCPConn); isTCP {
-				time.Sleep(20 * time.Millisecond) // a reset overtakes what was sent
+				time.Sleep(20 * time.Millisecond) // a reset would overtake what was sent
 				_ = tcp.SetLinger(0)
 			}
 		}
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// answerBody reads an answer as a body.
+// answerBody reads an answer as a response body.
 type answerBody struct {
 	answer  *Answer
 	pending []byte
@@ -107,8 +107,8 @@
 
 func (feed *answerBody) Close() error { feed.answer.Abort(); return nil }
 
-// Platform is a stand-in platform: it lists replicas with a lag and limits how
-// often it may be asked.
+// Platform is a simulated platform. It lists replicas; changes show after a lag, and queries
+// are rate limited.
 type Platform struct {
 	Lag, Least time.Duration
 	now        func() time.Duration
@@ -130,20 +130,20 @@
 	leavingAt time.Duration
 }
 
-// NewPlatform makes a platform with a clock.
+// NewPlatform makes a platform that reads the time from now.
 func NewPlatform(now func() time.Duration, lag, least time.Duration) *Platform {
 	return &Platform{Lag: lag, Least: least, now: now, lastQuery: map[string]time.Duration{}}
 }
 
-// Never is a time that does not come.
+// Never is a time that is never reached.
 const Never = time.Duration(1<<62 - 1)
 
-// Add lists a replica from now on, after the lag.
+// Add adds a replica to the list, after the lag.
 func (platform *Platform) Add(region, id, address, zone string) {
 	platform.AddServing(region, id, address, zone, "", "")
 }
 
-// AddServing is Add for a replica of which the list tells what it serves.
+// AddServing is Add for a replica whose model and version are in the list.
 func (platform *Platform) AddServing(region, id, address, zone, model, version string) {
 	at := platform.now() + platform.Lag
 	if platform.now() == 0 {
@@ -161,7 +161,7 @@
 	}
 }
 
-// Remove takes a replica off the list, after the lag.
+// Remove removes a replica from the list, after the lag.
 func (platform *Platform) Remove(id string) {
 	for index := range platform.entries {
 		if entry := &platform.entries[index]; entry.ID == id && entry.until == Never {
@@ -170,7 +170,7 @@
 	}
 }
 
-// List answers a region's question: a status and a body.
+// List answers a query for a region's replicas with a status and a body.
 func (platform *Platform) List(region string) (int, []byte) {
 	now := platform.now()
 	if platform.Broken {
--- a/fleet/park.go
+++ b/fleet/park.go
@@ -22,45 +22,48 @@
 	"swifttiller/verdict"
 )
 
-// Plan is a fleet as data: machines, replicas and callers.
+// Plan describes a simulated cluster: its machines, replicas and callers.
 type Plan struct {
 	Model    string
 	Document string
-	// Controls with a disk, controls without, and data daemons, as name:zone.
+	// Control daemons with a disk, control daemons without one, and data daemons, each as
+	// name:zone.
 	Controls, Diskless, Datas []string
 	Replicas                  []ReplicaOptions
 	Callers                   []Crowd
-	// Engines are replicas with an engine, Routed the callers whose requests go to them
-	// by routes.
+	// Engines are replicas with a simulated inference engine. Routed are the callers whose
+	// requests are routed to them by host and path.
 	Engines []EngineOptions
 	Routed  []RoutedCrowd
 	Shape   RoutedShape
-	// Lag and Least are the platform's; Grace its grace when stopping a replica.
+	// Lag is the delay until a change shows in the platform's list, Least the minimum interval
+	// between two queries of it, and Grace the time that the platform gives a replica to stop.
 	Lag, Least, Grace time.Duration
-	// First is whether daemons are told that the system starts for the first time.
+	// First is whether daemons are started with the setting that the system starts for the
+	// first time.
 	First bool
 }
 
-// Crowd is a stream of like requests from one zone.
+// Crowd is a stream of similar requests from one zone.
 type Crowd struct {
 	Name, Zone, Kind, Home string
-	Model                  string        // the plan's, if empty
+	Model                  string        // the plan's model, if empty
 	Every                  time.Duration // mean time between requests
 	Bytes, Tokens, Rosters int
 	Retries                int
-	// Eager crowds retry at once, also what may have run, under the same ticket.
+	// Eager callers retry at once with the same ticket, even if the request may have run.
 	Eager bool
-	// Hasty crowds do not wait for an answer's end: they send the same id again at
-	// once, to the same daemon and to another one, with the ticket and without,
-	// while the first try still streams; half of them drop the first.
+	// Hasty callers don't wait for the end of an answer: while the first attempt still
+	// streams, they send the same ID again at once, to the same daemon and to another one,
+	// with the ticket and without. Half of them give up the first attempt.
 	Hasty bool
-	// From and Until bound it; 0 and 0 mean always.
+	// From and Until bound the time in which requests are sent; zero for both means always.
 	From, Until time.Duration
-	// Lanes are the connections that its callers keep; 0 and 1 are one.
+	// Lanes is the number of connections that the callers keep; 0 and 1 mean one.
 	Lanes int
-	// Astray crowds send to a daemon outside their home first.
+	// Astray callers send their first attempt to a daemon outside the request's home region.
 	Astray bool
-	// Moves makes the callers ask daemons of any zone.
+	// Moves makes the callers locate through daemons of any zone.
 	Moves bool
 }
 
@@ -69,13 +72,13 @@
 	ID, Crowd, Kind, Home string
 	At, End               time.Duration
 	Tries                 int
-	Verdict, Code         string // ok, or the last error's
+	Verdict, Code         string // ok, or those of the last error
 	Foreign, Whole        bool
-	// Wholes are the whole answers that reached the user, of all tries.
+	// Wholes counts the complete answers that reached the user, over all attempts.
 	Wholes int
 }
 
-// Park is a whole simulated fleet running the product's own code.
+// Park is a whole simulated cluster that runs the product's own code.
 type Park struct {
 	*sim.Sim
 	Plan
@@ -90,12 +93,12 @@
 	zones   map[string]string
 	streams map[string][]*simStream // by replica and by data daemon
 	lives   int
-	past    []*Replica // replaced ones, for their logs
+	past    []*Replica // replaced replicas, kept for their logs
 	drawn   int
-	Quiet   bool // no new requests
-	// SeedsOf gives a daemon other seeds at its next start.
+	Quiet   bool // no new requests are sent
+	// SeedsOf overrides the seeds of a daemon, by name, from its next start on.
 	SeedsOf map[string][]string
-	// Spoilt are daemons whose settings file does not hold.
+	// Spoilt names the daemons whose settings file is invalid.
 	Spoilt map[string]bool
 	varied int
 	lanes  map[laneKey]callerLocation
@@ -103,15 +106,17 @@
 
 	Engines map[string]*Engine
 	Listed  *Register
-	// Runs are all requests that arrived at engines, RoutedRequests all of callers.
+	// Runs are all requests that arrived at engines, RoutedRequests all requests of routed
+	// callers.
 	Runs           []*Run
 	RoutedRequests []*RoutedRequest
-	// Dialled counts connections to engines, Repeated answers that came once more,
-	// Fallen cold engines that were sent too much, Strayed orders that engines got.
+	// Dialled counts connections made to engines, Repeated the answers that an engine sent
+	// twice, Fallen the cold engines that crashed from overload, and Strayed the weight orders
+	// that engines received although they take none.
 	Dialled, Repeated, Fallen, Strayed int
 
-	// FarBytes went between a daemon and an engine of another region, FarPrompt of them
-	// with prompts.
+	// FarBytes counts the bytes between daemons and engines of other regions, FarPrompt those
+	// of them that were prompts.
 	FarBytes, FarPrompt int
 
 	pastEngines []*Engine
@@ -122,7 +127,7 @@
 	tried       map[string]*RoutedTry
 }
 
-// Region of a zone in the plans: what stands before the dash.
+// Region returns the region of a zone in the plans: the part before the first dash.
 func Region(zone string) string { return strings.SplitN(zone, "-", 2)[0] }
 
 func split(assignment string) (name, zone string) {
@@ -130,7 +135,8 @@
 	return name, zone
 }
 
-// NewPark starts a fleet, makes its core and applies its configuration.
+// NewPark starts a cluster, initializes its core, applies its configuration and starts its
+// callers. It panics if the cluster isn't ready after 20 s.
 func NewPark(seed uint64, plan Plan) *Park {
 	park := NewBarePark(seed, plan)
 	first, _ := split(plan.Controls[0])
@@ -154,8 +160,7 @@
 	return park
 }
 
-// NewBarePark starts a fleet's machines and nothing more: it has no core, no
-// configuration and no callers.
+// NewBarePark starts only a cluster's machines: without a core, a configuration or callers.
 func NewBarePark(seed uint64, plan Plan) *Park {
 	park := &Park{Sim: sim.New(seed), Plan: plan, Controls: map[string]*controlplane.Daemon{}, Datas: map[string]*dataplane.Daemon{}, Replicas: map[string]*Replica{}, Troubles: map[string]error{}, Seen: newSeen(), byID: map[string]*Request{}, lanes: map[laneKey]callerLocation{}, Spoilt: map[string]bool{}, closed: map[string]bool{}, zones: map[string]string{}, streams: map[string][]*simStream{}}
 	park.Engines, park.hops, park.links, park.askedOf, park.tried = map[string]*Engine{}, map[string][]*engineStream{}, map[string][]*callerConn{}, map[string]asked{}, map[string]*RoutedTry{}
@@ -185,8 +190,8 @@
 	return park
 }
 
-// Ready tells whether every data daemon may serve and knows replicas in all
-// regions.
+// Ready reports whether every data daemon has a valid lease and a routing table with replicas
+// for every region.
 func (park *Park) Ready() bool {
 	for _, daemon := range park.Datas {
 		view := daemon.Holder.View()
@@ -223,7 +228,8 @@
 	return process
 }
 
-// live are a daemon's settings, reread from what the park would start it with.
+// live returns a daemon's settings, which on a reload are read again from the same source as
+// at its start.
 func (park *Park) live(name string) *settings.Live {
 	return settings.NewLive(settings.LiveOptions{Process: park.process(name), Read: func() (*settings.Process, error) {
 		if park.Spoilt[name] {
@@ -234,7 +240,7 @@
 	}})
 }
 
-// StartControl starts a control daemon, anew if it ran before.
+// StartControl starts a control daemon, or restarts it if it ran before.
 func (park *Park) StartControl(name string) {
 	park.lives++
 	life := fmt.Sprint(park.lives)
@@ -264,7 +270,7 @@
 	})
 }
 
-// StartData starts a data daemon.
+// StartData starts a data daemon, or restarts it if it ran before.
 func (park *Park) StartData(name string) {
 	park.lives++
 	life := fmt.Sprint(park.lives)
@@ -281,7 +287,7 @@
 	})
 }
 
-// StartReplica starts a stand-in replica; one of the same id comes back cold.
+// StartReplica starts a simulated replica. It replaces one with the same ID and starts cold.
 func (park *Park) StartReplica(options ReplicaOptions) {
 	park.lives++
 	node := park.Node(options.ID)
@@ -295,7 +301,7 @@
 	park.Start(options.ID, func(*sim.Node) {})
 }
 
-// List has the platform list a replica from now on.
+// List adds a replica to the platform's list.
 func (park *Park) List(options ReplicaOptions) {
 	model, version := "", ""
 	if options.Mute {
@@ -304,7 +310,7 @@
 	park.Platform.AddServing(Region(options.Zone), options.ID, options.ID, options.Zone, model, version)
 }
 
-// Crash kills any process; its connections break.
+// Crash kills a process of any kind; its connections break.
 func (park *Park) Crash(name string) {
 	park.Kill(name)
 	for _, stream := range park.streams[name] {
@@ -321,7 +327,7 @@
 	delete(park.links, name)
 }
 
-// Do runs a step on a control daemon and waits for it for at most the span.
+// Do runs a step on a control daemon and waits for its end, at most the given time.
 func (park *Park) Do(name string, span time.Duration, step func(*controlplane.Daemon) error) (err error) {
 	done := false
 	park.Node(name).Go(func() { err = step(park.Controls[name]); done = true })
@@ -334,14 +340,15 @@
 	return err
 }
 
-// Must is Do for steps that have to go well.
+// Must is Do with a limit of 20 s; it panics if the step fails.
 func (park *Park) Must(name string, step func(*controlplane.Daemon) error) {
 	if err := park.Do(name, 20*time.Second, step); err != nil {
 		panic(fmt.Sprintf("seed %d at %v: step at %s: %v", park.Seed, park.Now(), name, err))
 	}
 }
 
-// Until lets time pass until the question is answered yes, at most the span.
+// Until lets simulated time pass until the condition holds, at most the given time, and
+// reports whether it holds.
 func (park *Park) Until(span time.Duration, condition func() bool) bool {
 	for spent := time.Duration(0); spent < span; spent += 50 * time.Millisecond {
 		if condition() {
@@ -352,7 +359,7 @@
 	return condition()
 }
 
-// Logs are all requests that replicas took, in the order of their arrival.
+// Logs returns all requests that replicas accepted, in the order of arrival.
 func (park *Park) Logs() (all []*Served) {
 	for _, stub := range park.past {
 		all = append(all, stub.Log...)
@@ -372,20 +379,20 @@
 	return names
 }
 
-// Place says in which zone a machine is that the plan does not have.
+// Place sets the zone of a machine that isn't part of the plan.
 func (park *Park) Place(name, zone string) { park.zones[name] = zone }
 
-// Zone of a node.
+// Zone returns the zone of a machine.
 func (park *Park) Zone(name string) string { return park.zones[name] }
 
-// platformClient is the platform as a node asks it; the platform itself stands outside
-// of all cuts.
+// platformClient is a node's client of the simulated platform. No network partition affects
+// it.
 type platformClient struct {
 	park *Park
 	node *sim.Node
 }
 
-// List asks the stand-in platform.
+// List queries the simulated platform for the replicas of a region.
 func (client *platformClient) List(region string, _ []string, patience time.Duration) ([]listing.Instance, error) {
 	loop.Sleep(client.node, 2*time.Millisecond)
 	status, body := client.park.Platform.List(strings.TrimPrefix(region, "http://"))
@@ -398,25 +405,25 @@
 	return listed, err
 }
 
-// replicaClient is a node's client of stand-in replicas, with the same promises as the
-// real one.
+// replicaClient is a node's client of simulated replicas. It gives the same guarantees as the
+// real client.
 type replicaClient struct {
 	park      *Park
 	node      *sim.Node
 	idleConns map[string][]idleConn
 }
 
-// idleConn is a connection that waits for its next request.
+// idleConn is a kept-alive connection without a request.
 type idleConn struct {
 	boot  string
 	since time.Duration
 }
 
-// idleTimeout is how long one waits, as in the real client.
+// idleTimeout is how long an idle connection is kept, as in the real client.
 const idleTimeout = 3 * time.Second
 
-// takeIdle takes a waiting connection to the replica, which has not ended with its life,
-// and gives the life.
+// takeIdle takes an idle connection to the replica that is neither expired nor broken by a
+// restart, and returns the boot ID of the replica's process at its other end.
 func (client *replicaClient) takeIdle(address string) (boot string, isKept bool) {
 	for list := client.idleConns[address]; len(list) > 0; list = client.idleConns[address] {
 		last := list[len(list)-1]
@@ -444,7 +451,7 @@
 	deadline     time.Duration
 	closed       bool
 	ended        bool
-	head         *streamPiece // taken by Dispatch, read first by Next
+	head         *streamPiece // received by Dispatch and returned by the first Next
 }
 
 type streamPiece struct {
@@ -456,7 +463,8 @@
 
 var errReset = errors.New("connection reset")
 
-// broken is told to the other end when one end's process dies.
+// broken handles the death of the process dead at one end of the stream: it notifies the other
+// end.
 func (stream *simStream) broken(dead string) {
 	if dead == stream.to {
 		if stream.from.Up() {
@@ -468,7 +476,7 @@
 	stream.closed = true
 }
 
-// Dispatch sends a request to a stand-in.
+// Dispatch sends a request to a simulated replica and waits for the first piece of its answer.
 func (client *replicaClient) Dispatch(request replica.Request) (replica.Stream, *verdict.Error) {
 	park, node := client.park, client.node
 	unreached := func(wait time.Duration) (replica.Stream, *verdict.Error) {
@@ -482,7 +490,7 @@
 		target := park.Node(request.Address)
 		switch {
 		case !open || !openBack || target.Frozen():
-			return unreached(time.Second) // the dial runs out
+			return unreached(time.Second) // the dial times out
 		case !target.Up():
 			return unreached(delay + back)
 		}
@@ -515,7 +523,7 @@
 		stub := park.Replicas[request.Address]
 		if stub.Boot != boot {
 			park.Deliver(at, node.Name, func(*sim.Node) { stream.mailbox.Put(streamPiece{err: errReset}) })
-			return // the connection ended with the life that it led to
+			return // the connection broke when that process of the replica ended
 		}
 		answer, status, rejection := stub.Arrive(body, request.ID, request.Kind, request.Home, serial, node.Name)
 		if answer != nil {
@@ -570,7 +578,7 @@
 	return stream, nil
 }
 
-// Next gives the next event.
+// Next returns the next event.
 func (stream *simStream) Next() ([]byte, error) {
 	if stream.ended {
 		return nil, io.EOF
@@ -595,13 +603,13 @@
 	return piece.event, nil
 }
 
-// Close cancels what still runs.
+// Close ends the stream, and cancels the request if it is still running.
 func (stream *simStream) Close() {
 	if stream.closed {
 		return
 	}
 	stream.closed = true
-	if stream.ended && stream.client != nil { // a caller's own stream has none
+	if stream.ended && stream.client != nil { // a stream between caller and daemon has no client
 		stream.client.release(stream.to, stream.boot)
 	}
 	for _, name := range []string{stream.to, stream.from.Name} {
@@ -619,7 +627,7 @@
 	}
 }
 
-// Probe asks a stand-in how it does.
+// Probe sends a health check to a simulated replica.
 func (client *replicaClient) Probe(address string, timeout time.Duration) (replica.Health, error) {
 	reply, err := client.exchange(address, timeout, func(stub *Replica) (int, []byte) { return 200, stub.Probe() })
 	if err != nil {
@@ -632,10 +640,10 @@
 	return health, err
 }
 
-// Order gives an order to a stand-in.
+// Order sends an order to load or unload weights to a simulated replica.
 func (client *replicaClient) Order(address string, order replica.Order, timeout time.Duration) error {
 	reply, err := client.exchange(address, timeout, func(stub *Replica) (int, []byte) {
-		if stub == nil { // an engine, which takes none
+		if stub == nil { // an engine, which takes no orders
 			client.park.Strayed++
 			return 404, nil
 		}
@@ -709,13 +717,13 @@
 	return 0
 }
 
-// request takes one request through its tries, as a caller does that keeps to
-// the rules: the same id goes out under a new ticket only after not_run.
+// request sends one request with its retries, as a caller does that keeps to the protocol: it
+// sends the same ID with a new ticket only after not_run.
 func (park *Park) request(node *sim.Node, crowd *Crowd, request *Request, sequence int) {
 	var addresses []string
 	ticket := ""
 	defer func() { request.End = node.Now() }()
-	inDoubt := false // whether an earlier try may have run
+	inDoubt := false // whether an earlier attempt may have run
 	lane := laneKey{crowd.Name, sequence % max(1, crowd.Lanes)}
 	for try := 0; try <= crowd.Retries; try++ {
 		if kept, has := park.lanes[lane]; has && try == 0 && park.Now() < kept.until {
@@ -746,24 +754,24 @@
 			request.Verdict, request.Code = park.send(node, crowd, request, sequence, address, ticket, try, 30*time.Second)
 		}
 		if park.Datas[address].Leaving() {
-			delete(park.lanes, lane) // as the answer's header says
+			delete(park.lanes, lane) // as the answer's header tells the caller
 		}
 		switch {
 		case request.Verdict == "ok":
 			return
 		case request.Verdict == "not_run" && (!inDoubt || request.Code != "unreached"):
-			ticket = "" // unreached speaks of this try only
+			ticket = "" // unreached is about this attempt only, not about earlier ones
 		case !crowd.Eager:
 			delete(park.lanes, lane)
-			return // a caller that keeps to the rules stops here
+			return // a caller that keeps to the protocol doesn't retry
 		}
 		inDoubt = inDoubt || request.Verdict != "not_run"
 		loop.Sleep(node, park.retryDelay(crowd, try))
 	}
 }
 
-// callerLocation is what a caller that keeps its connection goes by: a place and a ticket,
-// for all requests on it until one of them fails.
+// callerLocation is the result of a locate query that a caller with a kept-alive connection
+// reuses: the daemons' addresses and a ticket, for all requests on it until one fails.
 type callerLocation struct {
 	addresses []string
 	ticket    string
@@ -775,14 +783,14 @@
 	number int
 }
 
-// sendConcurrently has several tries of one request in flight at once. What may have run by
-// any of them may have run.
+// sendConcurrently runs several attempts of one request at the same time. If any of them may
+// have run, the request may have run.
 func (park *Park) sendConcurrently(node *sim.Node, crowd *Crowd, request *Request, number int, addresses []string, ticket string) {
 	type ending struct{ verdict, code string }
 	mailbox := node.Mailbox()
 	timeout := 30 * time.Second
 	if number%2 == 0 {
-		timeout = 60 * time.Millisecond // gives up on the first and asks again
+		timeout = 60 * time.Millisecond // gives up on the first attempt while the others run
 	}
 	tries := []struct {
 		address, ticket string
@@ -815,7 +823,8 @@
 	return time.Duration(200<<min(try, 3))*time.Millisecond + time.Duration(park.Draw(int64(200*time.Millisecond)))
 }
 
-// locate asks a daemon where to go; callers know all daemons by their numbers.
+// locate queries a daemon for the addresses to send to and for a ticket. Callers know all
+// daemons by name.
 func (park *Park) locate(node *sim.Node, crowd *Crowd, number int) ([]string, string) {
 	var near, far []string
 	for _, assignment := range park.Plan.Datas {
@@ -865,7 +874,7 @@
 	return nil, ""
 }
 
-// sink brings events to a caller.
+// sink sends the events of an answer to a caller.
 type sink struct {
 	execute.CallerState
 	park    *Park
@@ -876,7 +885,7 @@
 	gone    *bool
 }
 
-// Event passes one event on.
+// Event sends one event.
 func (sink *sink) Event(event []byte) error {
 	if *sink.gone {
 		return errReset
@@ -887,7 +896,7 @@
 
 var _ execute.Sink = (*sink)(nil)
 
-// send makes one try at a daemon and notes what it was told.
+// send makes one attempt at a daemon and records its result for the checkers.
 func (park *Park) send(node *sim.Node, crowd *Crowd, request *Request, number int, address, ticket string, try int, timeout time.Duration) (string, string) {
 	sent := node.Now()
 	verdict, code := park.try(node, crowd, request, number, address, ticket, try, timeout)
@@ -916,7 +925,7 @@
 		gone = true
 		link.ended = true
 		link.Close()
-		// The daemon looks at the connection a few times a second.
+		// The daemon checks the caller's connection a few times a second.
 		if seen := responder; seen != nil {
 			sim := park.Node(address)
 			park.At(200*time.Millisecond, func() {
--- a/fleet/relay.go
+++ b/fleet/relay.go
@@ -15,29 +15,29 @@
 	"swifttiller/verdict"
 )
 
-// relayer is a data daemon's client of engines, with the same promises as the real one
-// (replica.Relay).
+// relayer is a data daemon's client of simulated engines. It gives the same guarantees as the
+// real client, replica.ProxyClient.
 type relayer struct {
 	park *Park
 	node *sim.Node
 	idle map[string][]*wireLine
 }
 
-// wireLine is a connection to one life of an engine. Late are answers that come on it
-// in the place of others.
+// wireLine is a connection to one process of an engine. Late counts the stale answers that
+// will arrive on it before the answer to the next request.
 type wireLine struct {
 	life  string
 	since time.Duration
 	late  int
 }
 
-// Spans of the connection, as a kernel and the real client have them.
+// Settings of the connections, as in the real client.
 const (
 	connIdleTimeout = 3 * time.Second
 	maxStaleAnswers = 2
 )
 
-// engineStream is a routed request under way between a daemon and an engine.
+// engineStream is a routed request in flight between a daemon and an engine.
 type engineStream struct {
 	park     *Park
 	mailbox  loop.Mailbox
@@ -49,13 +49,13 @@
 	relayer  *relayer
 	request  *replica.RoutedRequest
 	deadline time.Duration
-	// resetAt is when the kernel gives the connection up, as nothing that was sent was
-	// heard of; zero while all was.
+	// resetAt is when the kernel resets the connection because the request was never
+	// acknowledged; zero if it was delivered.
 	resetAt                       time.Duration
 	isEnded, isClosed, closesConn bool
 }
 
-// broken ends it as one of its processes died.
+// broken handles the death of the process dead at one end of the stream.
 func (stream *engineStream) broken(dead string) {
 	switch {
 	case stream.isClosed:
@@ -68,7 +68,8 @@
 	}
 }
 
-// take gives a waiting connection, or makes one.
+// take returns an idle connection, or dials a new one. It returns nil if the engine can't be
+// reached.
 func (client *relayer) take(request *replica.RoutedRequest) *wireLine {
 	park, node := client.park, client.node
 	for {
@@ -82,7 +83,8 @@
 			break
 		}
 		engine := park.Engines[request.Address]
-		// One with bytes that nobody asked for, if they came already, shows it.
+		// A connection with an unsolicited answer is noticed as such only if the answer has
+		// already arrived.
 		if node.Now()-last.since < connIdleTimeout && last.life == request.Replica && engine.Life == last.life && park.Node(request.Address).Up() && (last.late == 0 || park.Draw(2) == 0) {
 			return last
 		}
@@ -144,7 +146,7 @@
 		}
 		if engine.Life != conn.life {
 			send(wireMessage{err: errReset})
-			return // the connection ended with the life that it led to
+			return // the connection broke when that process of the engine ended
 		}
 		if conn.late > 0 {
 			conn.late--
@@ -164,7 +166,7 @@
 			run.Prompt += part.Tokens
 		}
 		if stream.isClosed {
-			return // its daemon has closed the connection meanwhile
+			return // the daemon has closed the connection meanwhile
 		}
 		stream.engine, stream.work = engine, work
 		if engine.Grey.applies(engine, park.zones[node.Name]) {
@@ -218,7 +220,8 @@
 
 var errExpired = errors.New("the caller's time is over")
 
-// wait waits for the next piece, asking now and then whether to go on.
+// wait waits for the next message. At intervals it calls OnSilence to find out whether to give
+// up.
 func (stream *engineStream) wait(hasBegun bool) (wireMessage, error) {
 	for {
 		remaining := stream.deadline - stream.from.Now()
@@ -243,7 +246,7 @@
 	}
 }
 
-// Next gives the next event.
+// Next returns the next event.
 func (stream *engineStream) Next() ([]byte, error) {
 	if stream.isEnded {
 		return nil, io.EOF
@@ -262,15 +265,15 @@
 	return piece.event, nil
 }
 
-// tokenBytes are those of a prompt's token in a request's body.
+// tokenBytes is the number of bytes of one prompt token in a request's body.
 const tokenBytes = 4
 
-// isFar tells whether it goes to another region.
+// isFar reports whether the request goes to another region.
 func (stream *engineStream) isFar() bool {
 	return Region(stream.park.zones[stream.from.Name]) != Region(stream.park.zones[stream.to])
 }
 
-// Close ends it; the connection is kept only after a clean end.
+// Close ends the stream. The connection is reused only if the answer was received completely.
 func (stream *engineStream) Close() {
 	if stream.request.OnAbort != nil {
 		stream.request.OnAbort(nil)
@@ -305,21 +308,21 @@
 	}
 }
 
-// probeReply is what a probe brings.
+// probeReply is the reply to a health check.
 type probeReply struct {
 	health replica.Health
 	isFull bool
-	// reportsUnhealthy is a false word.
+	// reportsUnhealthy is set if the engine reports itself unhealthy whatever its state.
 	reportsUnhealthy bool
 }
 
-// engineDialect is how control daemons probe engines.
+// engineDialect is how daemons health-check engines.
 type engineDialect struct {
 	replica.Dialect
 	client *replicaClient
 }
 
-// Probe asks an engine how it does.
+// Probe sends a health check to an engine.
 func (dialect engineDialect) Probe(target replica.Target, timeout time.Duration) (replica.Health, error) {
 	park, node := dialect.client.park, dialect.client.node
 	mailbox := node.Mailbox()
@@ -329,7 +332,7 @@
 	}
 	park.Deliver(node, target.Address, func(at *sim.Node) {
 		engine := park.Engines[target.Address]
-		// A probe waits for a slot, or is turned away, as a request is.
+		// Like a request, a health check waits for a slot or is rejected.
 		for len(engine.active) >= engine.Berths && len(engine.waiting) < engine.Queue {
 			loop.Sleep(at, 10*time.Millisecond)
 		}
@@ -346,21 +349,21 @@
 	case health.Boot != target.ID:
 		return replica.Health{}, replica.Restarted()
 	case isFull:
-		// As the real dialect: a status that is no 200 is no answer.
+		// As in the real dialect, a status other than 200 is an error.
 		return health, errors.New("the probe was answered 503")
 	}
-	// Whether it leaves only the list tells.
+	// Whether the engine is leaving is known from the platform's list only.
 	health.Unhealthy, health.Leaving = health.Leaving || item.(probeReply).reportsUnhealthy, false
 	return health, nil
 }
 
-// Register is a stand-in platform's list of engines, that lags and limits how often it
-// may be asked.
+// Register is the simulated platform's list of engines. Changes show after a lag, and queries
+// are rate limited.
 type Register struct {
 	park      *Park
 	entries   []*listedEngine
 	lastQuery map[string]time.Duration
-	// Broken makes it answer nothing.
+	// Broken makes every query fail.
 	Broken bool
 }
 
@@ -374,7 +377,7 @@
 	if register.park.Now() == 0 {
 		at = 0
 	}
-	// The one before it at the address is gone, as the list finds in its time.
+	// The previous process at the address has ended; it leaves the list after the same lag.
 	for _, listed := range register.entries {
 		if listed.engine.Name == engine.Name {
 			listed.until = min(listed.until, at)
@@ -383,10 +386,10 @@
 	register.entries = append(register.entries, &listedEngine{engine, at, Never, Never})
 }
 
-// Leave marks an engine's present life as leaving, after the lag; Remove takes it off.
+// Leave marks an engine's present process as leaving, after the lag.
 func (register *Register) Leave(name string) { register.mark(name, true) }
 
-// Remove takes an engine's present life off the list, after the lag.
+// Remove removes an engine's present process from the list, after the lag.
 func (register *Register) Remove(name string) { register.mark(name, false) }
 
 func (register *Register) mark(name string, isLeaving bool) {
@@ -402,13 +405,13 @@
 	}
 }
 
-// engineListClient is the list as a node asks for it.
+// engineListClient is a node's client of the list of engines.
 type engineListClient struct {
 	park *Park
 	node *sim.Node
 }
 
-// List asks the stand-in.
+// List queries the simulated list for the engines of a region.
 func (client *engineListClient) List(address string, _ []string, _ time.Duration) ([]listing.Instance, error) {
 	park, region := client.park, strings.TrimPrefix(address, "http://")
 	loop.Sleep(client.node, 2*time.Millisecond)
--- a/fleet/replica.go
+++ b/fleet/replica.go
@@ -1,6 +1,6 @@
-// Package fleet is a proof tool, not product: stand-ins for what the system
-// meets outside (replicas, platforms, callers), over HTTP for local fleets and
-// in memory for simulations.
+// Package fleet is a test tool and not part of the product. It simulates what the system
+// depends on (replicas, platforms and callers), over HTTP for local clusters and in memory for
+// simulations.
 package fleet
 
 import (
@@ -18,55 +18,57 @@
 	"swifttiller/replica"
 )
 
-// ReplicaOptions say what a stand-in replica is like.
+// ReplicaOptions describe a simulated replica.
 type ReplicaOptions struct {
 	World    loop.World
 	ID, Zone string
 	Address  string
-	// Boot tells one life of the replica from the next.
+	// Boot identifies the replica's process; it differs after every restart.
 	Boot string
-	// Capacity is how many cost units it bears at once when warm, ColdShare the
-	// share that it bears cold, and ColdAnswers how many answers warm it.
+	// Capacity is the number of cost units that the warm replica can run at once. ColdShare is
+	// the share of it that a cold replica can run, and ColdAnswers the number of answers after
+	// which it is warm.
 	Capacity    int
 	ColdShare   float64
 	ColdAnswers int
-	// Loading is how long loading a version takes.
+	// Loading is the time that it takes to load a version.
 	Loading time.Duration
-	// Prefill is per 1024 bytes of prompt not in its cache, Decode per token.
+	// Prefill is the time per 1024 bytes of prompt that aren't in the prefix cache, Decode the
+	// time per token.
 	Prefill, Decode time.Duration
-	// Cached is how many prompt beginnings it keeps.
+	// Cached is the number of prompt prefixes in the cache.
 	Cached int
-	// Reports tells whether its probes report load.
+	// Reports is whether health checks report the load.
 	Reports bool
-	// Bad says whether a version fails a kind at a number of running requests, and
-	// How in which way; the empty one is an error answer.
+	// Bad reports whether a version fails requests of a kind at a number of running requests.
+	// How says in which way; the zero value is an error response.
 	Bad func(version, kind string, running int) bool
 	How Way
-	// Odd makes requests of the kinds odd-… go wrong on the wire (HTTP only).
+	// Odd makes requests of the kinds odd-… fail at the level of the connection (HTTP only).
 	Odd bool
-	// Down ends the replica's process, for the way Crashes.
+	// Down kills the replica's process, for the failure Crashes.
 	Down func(id string)
-	// Cuts is a kind whose answers it cuts after the first event.
+	// Cuts is a kind of requests whose answers are cut off after the first event.
 	Cuts string
-	// Guards makes it turn away, with 429, what is more than it bears; how many it
-	// turned away while cold is the flood that it was offered.
+	// Guards makes the replica reject requests beyond its current capacity with status 429.
+	// The number rejected while it was cold shows how much overload it was offered.
 	Guards bool
-	// Lingers makes it take requests although it has said that it leaves.
+	// Lingers makes the replica accept requests after it has announced that it is leaving.
 	Lingers bool
-	// Slower multiplies all its times; 0 is 1.
+	// Slower multiplies all times; 0 means 1.
 	Slower float64
-	// Held are versions loaded from the start, as model/version.
+	// Held are the versions that are loaded from the start, as model/version.
 	Held []string
-	// Mute makes its probes name no versions: the platform's list tells what it
-	// serves, the first of Held.
+	// Mute makes health checks report no versions. The platform's list then says that the
+	// replica serves the first of Held.
 	Mute bool
 }
 
-// Way is how a version fails.
+// Way is the way in which a version fails.
 type Way string
 
-// The ways. A hanging or slow answer has failed once its user has waited for
-// FailedAfter without a piece of it.
+// The ways in which a version fails. A hanging or slow answer counts as failed once its caller
+// has waited FailedAfter without receiving anything.
 const (
 	Errs    Way = ""
 	Hangs   Way = "hangs"
@@ -77,30 +79,30 @@
 	Crashes Way = "crashes"
 )
 
-// FailedAfter is when an answer without a piece has failed for its user.
+// FailedAfter is the time without any output after which an answer has failed for its caller.
 const FailedAfter = 2 * time.Second
 
 // Served is one request as the replica saw it.
 type Served struct {
-	At, Sent                   time.Duration // taken; let go by its daemon, where known
+	At, Sent                   time.Duration // when it was accepted; when its daemon sent it, if known
 	Replica, Boot, ID          string
 	Model, Version, Kind, Home string
 	Serial                     uint64
-	Hit                        bool // its prompt's beginning was cached
+	Hit                        bool // the prompt's prefix was cached
 	Bytes                      int
 	Ended                      string // ok, bad, cut, gone
-	// Failed says that the stand-in failed it on purpose, as of FailedAt.
+	// Failed is set if the replica failed the request on purpose, at FailedAt.
 	Failed   bool
 	FailedAt time.Duration
 	Took     time.Duration
-	Daemon   string // who sent it, where the stand-in can know
+	Daemon   string // the daemon that sent it, if known
 }
 
-// Replica is a stand-in.
+// Replica is a simulated replica.
 type Replica struct {
 	ReplicaOptions
 	guard    sync.Mutex
-	versions map[string]string // model/version: state
+	versions map[string]string // state by model/version
 	loadedAt map[string]time.Duration
 	orders   map[string]bool
 	fences   map[string]uint64
@@ -109,23 +111,23 @@
 	units    int
 	answers  int
 	Leaving  bool
-	// Idle makes it take orders and do nothing.
+	// Idle makes the replica accept orders without carrying them out.
 	Idle bool
-	// What was seen, for proofs.
+	// Counters and logs for the checkers.
 	Log          []*Served
-	Loads        []string // orders that were carried out, by name
+	Loads        []string // IDs of the orders that were carried out
 	Fenced       int
 	Peak         int
-	Flooded      int           // requests that came, while it was cold, on top of all that it could bear
-	Over         int           // the same while it was warm
-	TurnedAway   int           // with 429 while it was cold
-	ColdTaken    int           // requests taken while it was cold
-	Gone         time.Duration // when this life ended
+	Flooded      int           // requests above the capacity that arrived while it was cold
+	Over         int           // requests above the capacity that arrived while it was warm
+	TurnedAway   int           // requests rejected with 429 while it was cold
+	ColdTaken    int           // requests accepted while it was cold
+	Gone         time.Duration // when this process ended
 	PrefillBytes int
 	HitBytes     int
 }
 
-// NewReplica makes a stand-in.
+// NewReplica makes a simulated replica.
 func NewReplica(options ReplicaOptions) *Replica {
 	stub := &Replica{ReplicaOptions: options, versions: map[string]string{}, loadedAt: map[string]time.Duration{}, orders: map[string]bool{}, fences: map[string]uint64{}}
 	for _, held := range options.Held {
@@ -137,7 +139,8 @@
 	return stub
 }
 
-// currentCapacity is what the replica can take at once now.
+// currentCapacity returns the cost units that the replica can run at once, which increase
+// while it warms up.
 func (stub *Replica) currentCapacity() int {
 	if stub.ColdAnswers == 0 || stub.answers >= stub.ColdAnswers {
 		return stub.Capacity
@@ -193,7 +196,7 @@
 	}
 	stub.fences[order.Model] = order.Fence
 	if stub.orders[order.ID] {
-		return 200, []byte(`{}`) // carried out already
+		return 200, []byte(`{}`) // already carried out: orders are idempotent
 	}
 	if stub.Idle {
 		return 200, []byte(`{}`)
@@ -227,7 +230,7 @@
 	served  *Served
 	cost    int
 	version string
-	// plan
+	// timing and length, decided at arrival
 	firstDelay, tokenDelay time.Duration
 	tokens                 int
 	sent                   int
@@ -235,7 +238,7 @@
 	ended                  bool
 }
 
-// Arrive takes a request, or answers at once with a status and an error's body.
+// Arrive accepts a request, or rejects it with a status and an error body.
 func (stub *Replica) Arrive(body []byte, id, kind, home string, serial uint64, daemon string) (*Answer, int, []byte) {
 	stub.guard.Lock()
 	defer stub.guard.Unlock()
@@ -278,7 +281,7 @@
 	}
 	stub.running++
 	stub.units += cost
-	// One request alone it always bears.
+	// A single request never exceeds the capacity.
 	if stub.units > stub.currentCapacity() && stub.running > 1 {
 		if stub.currentCapacity() < stub.Capacity {
 			stub.Flooded++
@@ -290,7 +293,7 @@
 	uncached := len(prompt)
 	if served.Hit {
 		stub.HitBytes += len(prompt)
-		uncached /= 16 // its shared beginning is kept; the rest is read
+		uncached /= 16 // the shared prefix is cached; only the rest is prefilled
 	}
 	stub.PrefillBytes += uncached
 	overload := max(1, float64(stub.units)/float64(max(1, stub.currentCapacity())))
@@ -315,11 +318,11 @@
 	return false
 }
 
-// Chunk is how many tokens one event carries.
+// Chunk is the number of tokens in one event.
 const Chunk = 16
 
-// Next gives the next event after its time, or io.EOF after the terminal one;
-// any other error is the replica's failing.
+// Next waits until the next event is due and returns it, or io.EOF after the terminal event.
+// Any other error is a failure of the replica.
 func (answer *Answer) Next() ([]byte, error) {
 	stub := answer.replica
 	switch {
@@ -345,15 +348,16 @@
 			return nil, fmt.Errorf("cut")
 		}
 	}
-	// The text names its request, so that a mix-up is seen by the caller.
+	// The text contains the request's ID, so that the caller notices an answer to another
+	// request.
 	text := fmt.Sprintf("%s:%d ", answer.served.ID, answer.sent)
 	answer.sent += Chunk
 	body, _ := json.Marshal(map[string]any{"model": answer.served.Model + "@" + answer.version, "choices": []any{map[string]any{"text": text}}})
 	return append(append([]byte("data: "), body...), "\n\n"...), nil
 }
 
-// fail fails the first piece in the stand-in's way; nothing at all means that it
-// comes as usual, and the way shows later.
+// fail fails the first event in the configured way. Two nil results mean that the event is
+// sent as usual and the failure follows later.
 func (answer *Answer) fail() ([]byte, error) {
 	stub := answer.replica
 	failed := func(at time.Duration) { answer.served.Failed, answer.served.FailedAt = true, at }
@@ -381,14 +385,14 @@
 	case Crashes:
 		failed(stub.World.Now())
 		stub.Down(stub.ID)
-		loop.Sleep(stub.World, time.Millisecond) // a killed process never comes back from here
+		loop.Sleep(stub.World, time.Millisecond) // a killed process doesn't return from here
 	}
 	failed(stub.World.Now())
 	answer.finish("bad")
 	return nil, fmt.Errorf("failed")
 }
 
-// Abort ends an answer whose caller went away.
+// Abort ends an answer whose caller has disconnected.
 func (answer *Answer) Abort() { answer.finish("gone") }
 
 func (answer *Answer) finish(outcome string) {
@@ -408,21 +412,21 @@
 	}
 }
 
-// Running tells how many requests run.
+// Running returns the number of running requests.
 func (stub *Replica) Running() int {
 	stub.guard.Lock()
 	defer stub.guard.Unlock()
 	return stub.running
 }
 
-// Units tells how many cost units run.
+// Units returns the number of running cost units.
 func (stub *Replica) Units() int {
 	stub.guard.Lock()
 	defer stub.guard.Unlock()
 	return stub.units
 }
 
-// Leave begins the replica's end.
+// Leave marks the replica as leaving.
 func (stub *Replica) Leave() {
 	stub.guard.Lock()
 	defer stub.guard.Unlock()
--- a/fleet/routed.go
+++ b/fleet/routed.go
@@ -17,29 +17,31 @@
 	"swifttiller/verdict"
 )
 
-// RoutedCrowd are callers of one route in one zone. Each is a closed loop: a pause, a
-// request to its end, and so on.
+// RoutedCrowd describes the callers of one route in one zone. Each caller is a closed loop: it
+// pauses, sends a request, waits for its end, and starts over.
 type RoutedCrowd struct {
 	Name, Zone, Host, Path string
 	Workers                int
-	// Pause is the mean time between a request's end and the next one's beginning.
+	// Pause is the mean time between the end of a request and the start of the next.
 	Pause time.Duration
-	// Shared tokens begin the prompt and are the same for all of one of Groups; Own are
-	// the request's. Most are those of the answer.
+	// Shared is the number of tokens of the prompt's prefix, which is the same for all
+	// requests of one of the Groups. Own is the number of the request's own prompt tokens, and
+	// Most the number of the answer's tokens.
 	Shared, Own, Groups, Most int
-	// Keys are those of its callers, who each have one of them; none send no key.
+	// Keys are the API keys of the callers, one for each caller in turn; without any, no key
+	// is sent.
 	Keys []string
-	// Patience is how long a caller waits for the whole, Target the aim for the first
-	// event, Gap the pause between events that is still in time.
+	// Patience is the caller's timeout for the whole request, Target the target for the time
+	// to the first event, and Gap the longest pause between events that is in time.
 	Patience, Target, Gap time.Duration
-	// Repeatable requests are tried again after any mishap, Resume ones behind the last
-	// event. Tries are those of a caller, one or two.
+	// Repeatable requests are retried after any failure; Resume requests continue after the
+	// last event received. Tries is the number of attempts of a caller, one or two.
 	Repeatable, Resume bool
 	Tries              int
-	// Holds are how many times as long as it may a caller goes by its list of daemons;
-	// zero means once.
+	// Holds multiplies the time for which a caller uses its list of daemons, beyond the
+	// permitted TTL; zero means once the TTL.
 	Holds int
-	// From and Until bound it; zero means always.
+	// From and Until bound the time in which requests are sent; zero means always.
 	From, Until time.Duration
 }
 
@@ -48,33 +50,33 @@
 	ID        string
 	Crowd     *RoutedCrowd
 	At, End   time.Duration
-	First     time.Duration // when the first event came, zero if none did
-	Pause     time.Duration // the longest between two events
+	First     time.Duration // when the first event arrived, zero if none did
+	Pause     time.Duration // the longest pause between two events
 	Tries     []*RoutedTry
-	Got       int // tokens, in order
+	Got       int // number of tokens received in order
 	Verdict   string
-	Wrong     string // what was wrong with what it got; empty when nothing was
+	Wrong     string // what was wrong with the answer received, empty if nothing was
 	lastEvent time.Duration
 	lastLife  string
 }
 
-// RoutedTry is one try of it; it has its own id, and goes to one daemon.
+// RoutedTry is one attempt of a request. It has its own ID and goes to one daemon.
 type RoutedTry struct {
 	ID, Daemon, Key string
 	Sent, End       time.Duration
 	After           int
-	// Status is that of the answer, zero when none came; Code is a decline's.
+	// Status is the answer's status, zero if there was none; Code is the code of a rejection.
 	Status   int
 	Code     string
 	ComeBack time.Duration
-	// IsRead tells whether the daemon had the request, IsWhole whether the answer ended
-	// cleanly, IsSilent whether the caller gave it up.
+	// IsRead is whether the daemon received the request, IsWhole whether the answer ended
+	// cleanly, and IsSilent whether the caller gave up because nothing arrived.
 	IsRead, IsWhole, IsSilent bool
 	Tokens                    int
 	request                   *RoutedRequest
 }
 
-// promised tells whether the try was told that it has not run and never will.
+// promised reports whether the answer guarantees that the attempt has not run and never will.
 func (try *RoutedTry) promised() bool {
 	switch try.Status {
 	case 408, 421, 429, 503:
@@ -83,13 +85,13 @@
 	return false
 }
 
-// Spans of callers, as the protocol has them.
+// Timeouts of callers, as the protocol defines them.
 const (
 	locateTimeout     = time.Second
 	minSilenceTimeout = 2 * time.Second
 	silencePerTarget  = 4
 	silencePerGap     = 8
-	// disconnectDelay is how soon a daemon notices that its caller has gone.
+	// disconnectDelay is the time until a daemon notices that its caller has disconnected.
 	disconnectDelay = 200 * time.Millisecond
 )
 
@@ -98,10 +100,10 @@
 	most  int
 }
 
-// asked is what a try asked for.
+// asked returns the content of an attempt's request.
 func (park *Park) asked(id string) asked { return park.askedOf[id] }
 
-// tokenOf reads the id of an event.
+// tokenOf parses an event's ID, the number of tokens up to its end.
 func tokenOf(id string) int {
 	token, _ := strconv.Atoi(id)
 	return token
@@ -133,7 +135,7 @@
 	}
 }
 
-// routedCaller is one worker.
+// routedCaller is one caller.
 type routedCaller struct {
 	park         *Park
 	node         *sim.Node
@@ -141,11 +143,11 @@
 	key          string
 	daemons      []string
 	locatedUntil time.Duration
-	// avoidedUntil are daemons that failed it, until when.
+	// avoidedUntil says until when the caller avoids a daemon that failed it.
 	avoidedUntil map[string]time.Duration
 }
 
-// chooseDaemon gives a daemon to send to; empty when none is known.
+// chooseDaemon returns a random daemon to send to, or an empty name if none is known.
 func (caller *routedCaller) chooseDaemon() string {
 	park, node := caller.park, caller.node
 	if node.Now() >= caller.locatedUntil {
@@ -166,7 +168,8 @@
 	return good[park.Draw(int64(len(good)))]
 }
 
-// locate asks up to three daemons, the near ones first, where to go.
+// locate queries up to three daemons, those in the caller's zone first, for the daemons to
+// send to.
 func (caller *routedCaller) locate() {
 	park, node, zone := caller.park, caller.node, caller.crowd.Zone
 	var near, far []string
@@ -206,7 +209,7 @@
 	}
 }
 
-// request takes one request through its tries.
+// request sends one request with its retries.
 func (caller *routedCaller) request() {
 	park, node, crowd := caller.park, caller.node, caller.crowd
 	park.drawn++
@@ -245,17 +248,17 @@
 		case !crowd.Repeatable && !try.promised() && try.IsRead:
 			return
 		case !crowd.Resume && request.Got > 0:
-			return // what it has can't be taken back
+			return // what was received can't be taken back
 		}
 		loop.Sleep(node, max(20*time.Millisecond, min(try.ComeBack, remaining/3)))
 	}
 }
 
-// answerHead, doorEnd are what a daemon's answer begins and ends with.
+// answerHead and answerEnd are the beginning and the end of a daemon's answer.
 type answerHead struct{ status int }
 
 type answerEnd struct {
-	failure *verdict.Error // of a request that was declined; nil behind a head
+	failure *verdict.Error // of a rejected request; nil after an answerHead
 	err     error
 }
 
@@ -266,7 +269,7 @@
 	isClosed bool
 }
 
-// try makes one try at a daemon, and tells how it ended.
+// try makes one attempt at a daemon and returns its outcome.
 func (caller *routedCaller) try(request *RoutedRequest, try *RoutedTry, content asked, deadline time.Duration) string {
 	park, node, crowd := caller.park, caller.node, caller.crowd
 	name := try.Daemon
@@ -279,7 +282,7 @@
 	delay, isOpen := park.Reach(node.Name, name)
 	switch {
 	case !isOpen || park.Node(name).Frozen():
-		loop.Sleep(node, time.Second) // the dial runs out
+		loop.Sleep(node, time.Second) // the dial times out
 		avoid()
 		return "unreached"
 	case !park.Node(name).Up() || park.closed[name]:
@@ -364,7 +367,7 @@
 	}
 }
 
-// event notes an event that came, which has to go on where the one before ended.
+// event records a received event, which has to continue where the previous one ended.
 func (caller *routedCaller) event(request *RoutedRequest, try *RoutedTry, text []byte) {
 	now := caller.node.Now()
 	if request.First == 0 {
@@ -396,7 +399,7 @@
 	}
 }
 
-// serveRouted does what a daemon's door does with a request, without sockets.
+// serveRouted does what a daemon's HTTP server does with a request, without sockets.
 func serveRouted(daemon *dataplane.Daemon, routed *decide.Routed, request replica.RoutedRequest, callerState *execute.CallerState, send func(any)) {
 	if failure := daemon.Decider.Resolve(routed); failure != nil {
 		send(answerEnd{failure: failure})
--- a/fleet/routes.go
+++ b/fleet/routes.go
@@ -8,34 +8,36 @@
 	"time"
 )
 
-// RoutedShape is the shape of a deployment whose requests go by routes.
+// RoutedShape is the shape of a deployment whose requests are routed by host and path.
 type RoutedShape struct {
-	// Regions are its regions, whose one zone has the name and -1; Engines and Datas how
-	// many each of them has.
+	// Regions are the regions; each has one zone with the region's name and the suffix -1.
+	// Engines and Datas are the numbers of engines and data daemons in each region.
 	Regions        []string
 	Engines, Datas []int
-	// Busy is how many callers a region has for each engine of its.
+	// Busy is the number of callers in a region per engine of the region.
 	Busy float64
-	// Reports makes engines tell their load.
+	// Reports makes engines report their load.
 	Reports bool
-	// Berths, Queue and CacheTokens are each engine's; zero are those of the sheet.
+	// Berths, Queue and CacheTokens are those of each engine; if Berths is zero, the default
+	// values of function engine apply.
 	Berths, Queue, CacheTokens int
 	ColdRate                   float64
-	// Checks and Notices, if set, are the callers of a region, whose number its engines do
-	// not say; Groups is how many shared parts checks have.
+	// Checks and Notices, if set, are the numbers of callers in a region, in place of a number
+	// derived from its engines. Groups is then the number of shared prompt prefixes of checks.
 	Checks, Notices, Groups int
-	// Limits are the document's, by name, beside those of every deployment.
+	// Limits are set in the document, by name, in addition to routedLimits.
 	Limits map[string]float64
-	// Tenants, if not nil, hold the keys that requests need; see Tenanted.
+	// Tenants, if not nil, have the API keys that requests need; see Tenanted.
 	Tenants TenantWords
 }
 
-// TenantWords are the tenants of a document: by name, what comes after it.
+// TenantWords are the tenants of a document: the JSON fields that follow a tenant's name, by
+// name.
 type TenantWords map[string]string
 
-// Tenanted is the shape with tenants whose keys its callers have. The harbour may be served
-// in the first two regions alone; the route of moved requests is keyless. The fair has a limit,
-// and no callers but in some faults.
+// Tenanted returns the shape with tenants, whose keys its callers use. Requests of the tenant
+// harbour may be served in the first two regions only, and the route of moved requests needs
+// no key. The tenant fair has a rate limit, and callers in some faults only.
 func (shape RoutedShape) Tenanted() RoutedShape {
 	shape.Tenants = TenantWords{
 		"harbour": fmt.Sprintf(`"keys":["harbour-1","harbour-2"],"urgency":0,"homes":[%q,%q]`, shape.Regions[0], shape.Regions[1]),
@@ -46,7 +48,7 @@
 	return shape
 }
 
-// callerKeys are the keys of a crowd's callers, who take turns; none where there are no
+// callerKeys returns the keys that the callers of a crowd use in turn, none if there are no
 // tenants.
 func (shape RoutedShape) callerKeys(keys ...string) []string {
 	if shape.Tenants == nil {
@@ -55,7 +57,7 @@
 	return keys
 }
 
-// engine is a stand-in of the shape.
+// engine returns the options of one of the shape's engines.
 func (shape RoutedShape) engine(name, zone, model string) EngineOptions {
 	options := engine(name, zone, model, shape.Reports)
 	if shape.Berths > 0 {
@@ -64,10 +66,10 @@
 	return options
 }
 
-// routedLimits are those of every deployment.
+// routedLimits are the limits of every deployment.
 var routedLimits = map[string]float64{"permit_ms": 1800, "session_ms": 1200, "platform_ms": 1000, "dark_ms": 900, "probe_ms": 450}
 
-// engine is a stand-in with the parameters of a deployment's sheet.
+// engine returns the options of an engine with the parameters of a deployment's data sheet.
 func engine(name, zone, model string, reports bool) EngineOptions {
 	return EngineOptions{
 		Name: name, Zone: zone, Model: model, Version: "v1", Berths: 64, Queue: 16, CacheTokens: 348621, Stride: 4, Chunk: 1024,
@@ -76,18 +78,19 @@
 	}
 }
 
-// The two kinds of requests, and the models that may get them.
+// The models of the two kinds of requests, and the host of all routes.
 const (
 	mainModel  = "scribe"
 	spareModel = "clerk"
 	routedHost = "office.example"
 )
 
-// RouteWords are the routes of a document: by name, what comes after it.
+// RouteWords are the routes of a document: the JSON fields that follow a route's name, by
+// name.
 type RouteWords map[string]string
 
-// Routes are the routes that callers use. Those of notices stay in the first and last
-// region.
+// Routes returns the routes that callers use. Requests of the route notice stay in the first
+// and last region.
 func (shape RoutedShape) Routes() RouteWords {
 	homes, keyless := fmt.Sprintf("%q,%q", shape.Regions[0], shape.Regions[len(shape.Regions)-1]), ""
 	if shape.Tenants != nil {
@@ -100,7 +103,7 @@
 	}
 }
 
-// Document is the configuration with the routes.
+// Document returns the configuration with the routes.
 func (shape RoutedShape) Document(routes RouteWords) string {
 	var routeTexts, regions, limits []string
 	values := maps.Clone(routedLimits)
@@ -131,8 +134,8 @@
  "engines":{"scribe":%s,"clerk":%s},"routes":[%s],%s"regions":{%s}}`, strings.Join(limits, ","), engine, engine, strings.Join(routeTexts, ","), tenants, strings.Join(regions, ","))
 }
 
-// Plan is the fleet of the shape, each region with one engine of the spare model beside
-// its own.
+// Plan returns the cluster of the shape. Each region has one engine of the spare model in
+// addition to its other engines.
 func (shape RoutedShape) Plan() Plan {
 	plan := Plan{Shape: shape, Model: mainModel, Lag: 500 * time.Millisecond, Least: 300 * time.Millisecond, Grace: 5 * time.Second, Document: shape.Document(shape.Routes())}
 	for at, region := range shape.Regions {
@@ -161,17 +164,17 @@
 	return plan
 }
 
-// RoutedShapes are both deployments by name.
+// RoutedShapes are the two deployments by name.
 var RoutedShapes = map[string]RoutedShape{
 	"large": {Regions: []string{"east", "middle", "west"}, Engines: []int{8, 6, 4}, Datas: []int{2, 2, 2}, Busy: 2, Reports: true},
 	"small": {Regions: []string{"north", "south", "sea"}, Engines: []int{4, 3, 2}, Datas: []int{3, 3, 2}, Busy: 2},
 }
 
-// GrownShape has many daemons before many engines of few berths; its middle region gets no
-// notices. It is too large to be put through every fault.
+// GrownShape has many daemons in front of many engines with few slots; its middle region gets
+// no requests of the route notice. It is too large to run every fault on it.
 var GrownShape = RoutedShape{Regions: []string{"north", "south", "sea"}, Engines: []int{50, 24, 36}, Datas: []int{22, 20, 22}, Busy: 1, Reports: true, Berths: 12, Queue: 36, CacheTokens: 308003, ColdRate: 13, Checks: 50, Notices: 260, Groups: 351}
 
-// ExperimentShapes are those of experiments, by name.
+// ExperimentShapes returns the shapes for experiments, by name.
 func ExperimentShapes() map[string]RoutedShape {
 	shapes := maps.Clone(RoutedShapes)
 	shapes["grown"] = GrownShape
--- a/fleet/scale.go
+++ b/fleet/scale.go
@@ -30,7 +30,9 @@
 	"swifttiller/wire"
 )
 
-// ScaleSize is the size of a fleet of which a part is hollow.
+// ScaleSize is the size of a cluster that is partly simulated: its replicas are stubs, and
+// most of its data daemons are hollow, which means that they run inside this process and serve
+// no callers.
 type ScaleSize struct {
 	Datas    int `json:"datas"`
 	Replicas int `json:"replicas"`
@@ -41,13 +43,14 @@
 	Controls int `json:"controls"`
 }
 
-// dimensions are what a size is made of, by name.
+// dimensions returns pointers to the fields of a size, by name.
 func (size *ScaleSize) dimensions() map[string]*int {
 	return map[string]*int{"datas": &size.Datas, "replicas": &size.Replicas, "regions": &size.Regions, "zones": &size.Zones, "routes": &size.Routes, "models": &size.Models, "controls": &size.Controls}
 }
 
-// With gives the size with one of its dimensions changed; false when it has none of
-// that name. Zones follow regions where those are more.
+// With returns the size with one dimension changed, and false if there is no dimension of that
+// name. If there are fewer zones than regions then, the number of zones is raised to that of
+// the regions.
 func (size ScaleSize) With(dimension string, value int) (ScaleSize, bool) {
 	field, known := size.dimensions()[dimension]
 	if known {
@@ -59,7 +62,7 @@
 	return size, known
 }
 
-// Check gives what is wrong with a size.
+// Check returns the first problem of a size.
 func (size ScaleSize) Check() error {
 	for _, name := range slices.Sorted(maps.Keys(size.dimensions())) {
 		if value := *size.dimensions()[name]; value < 1 || value > 25000 {
@@ -81,52 +84,53 @@
 	return nil
 }
 
-// ScaleReal is how many of the data daemons are processes of their own.
+// ScaleReal is the number of data daemons that run as separate processes.
 const ScaleReal = 2
 
-// ScaleOptions say how a point is measured.
+// ScaleOptions describe how a point is measured.
 type ScaleOptions struct {
-	// Programs is the folder of the programs controlplane and dataplane.
+	// Programs is the folder with the executables controlplane and dataplane.
 	Programs string
-	// Warm and Span are the calm before and while anything is measured. Changes
-	// configurations are then sent, Pause apart.
+	// Warm is the idle time before the measurement, and Span the idle time that is measured.
+	// After that, Changes configurations are sent, one every Pause.
 	Warm, Span, Pause time.Duration
 	Changes           int
 }
 
-// ScaleCalls are calls of one method by one role, a second, of all its daemons.
+// ScaleCalls are the calls of one method per second, summed over all daemons of a role.
 type ScaleCalls struct {
 	Calls float64 `json:"calls_s"`
 	Bytes float64 `json:"bytes_s"`
 }
 
-// ScalePoint is what was measured at a size.
+// ScalePoint is the measurement at one size.
 type ScalePoint struct {
 	ScaleSize
-	// Figures by name. Those of a data daemon are means over the hollow ones for
-	// messages, over the real ones for processor time and memory; those of a control
-	// daemon are of the one that has most.
+	// Figures are the results by name. Those of a data daemon are means, over the hollow
+	// daemons for messages and over the separate processes for processor time; its memory is
+	// that of the separate process that uses most. Those of a control daemon are of the one
+	// that has the highest.
 	Figures map[string]float64 `json:"figures"`
-	// Calls are by caller's role and method.
+	// Calls are by the caller's role and method.
 	Calls map[string]ScaleCalls `json:"calls"`
-	// Changes are the times of each change, in milliseconds: until it was acknowledged,
-	// and until the last hollow daemon applied it.
+	// Changes are the times of each change, in milliseconds: until it was acknowledged, and
+	// until the last hollow daemon applied it.
 	Changes []ScaleChange `json:"changes"`
-	// Trouble says why the point could not be measured whole.
+	// Trouble says why the point could not be measured completely.
 	Trouble string `json:"trouble,omitempty"`
 }
 
-// ScaleChange is one configuration's way.
+// ScaleChange is the result of sending one configuration.
 type ScaleChange struct {
 	Acknowledged float64 `json:"acknowledged_ms"`
 	Last         float64 `json:"last_apply_ms"`
 	Status       int     `json:"status"`
 	Applied      int     `json:"applied"`
-	// Code says why a change was not acknowledged.
+	// Code is the error code if a change was not acknowledged.
 	Code string `json:"code,omitempty"`
 }
 
-// scaleProcess is a real daemon.
+// scaleProcess is a daemon that runs as a separate process.
 type scaleProcess struct {
 	command    *exec.Cmd
 	name       string
@@ -134,11 +138,11 @@
 	ended      chan struct{}
 }
 
-// usage is what the kernel says of a process: processor time in seconds, and resident
-// megabytes now and at the most.
+// usage is a process's resource usage from the kernel: processor time in seconds, and its
+// current and peak resident memory in megabytes.
 type usage struct{ processor, resident, peak float64 }
 
-// clockTicks is the kernel's unit of processor time, a second's part.
+// clockTicks is the number of the kernel's units of processor time in a second.
 const clockTicks = 100
 
 func usageOf(pid int) (out usage) {
@@ -170,14 +174,14 @@
 	return out
 }
 
-// hollow is a data daemon that serves nothing.
+// hollow is a data daemon inside this process that serves no callers.
 type hollow struct {
 	*dataplane.Daemon
 	world    *loop.Machine
 	listener net.Listener
 }
 
-// scale is a fleet that stands while a point is measured.
+// scale is a running cluster at which a point is measured.
 type scale struct {
 	ScaleOptions
 	size     ScaleSize
@@ -191,8 +195,8 @@
 	client   *http.Client
 }
 
-// probes counts what control daemons ask of replicas and of the platform, and connections
-// that had to wait as this process had no file left for them.
+// probes counts the requests that the replicas' stubs and the platform's stub received, and
+// the connections that were delayed because this process had no free file descriptor.
 type probes struct{ requests, bytes, outOfFiles atomic.Int64 }
 
 type countingListener struct {
@@ -200,8 +204,8 @@
 	probes *probes
 }
 
-// Accept counts what goes over the connection. Where this process has no file left it
-// tries again: a server that was told so would end for good.
+// Accept returns a connection that counts its bytes. It retries if this process has no free
+// file descriptor, since the server would stop for good on that error.
 func (listener countingListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := listener.Listener.Accept()
@@ -222,14 +226,14 @@
 	probes *probes
 }
 
-// Read counts.
+// Read counts the bytes read.
 func (conn countingConn) Read(out []byte) (int, error) {
 	count, err := conn.Conn.Read(out)
 	conn.probes.bytes.Add(int64(count))
 	return count, err
 }
 
-// Write counts.
+// Write counts the bytes written.
 func (conn countingConn) Write(text []byte) (int, error) {
 	count, err := conn.Conn.Write(text)
 	conn.probes.bytes.Add(int64(count))
@@ -238,7 +242,8 @@
 
 func (scale *scale) region(index int) string { return fmt.Sprintf("g%d", index%scale.size.Regions+1) }
 
-// zone is the one of a number; zone n lies in region n modulo their count.
+// zone returns the zone with a number and its region: zone n belongs to region n modulo the
+// number of regions.
 func (scale *scale) zone(index int) (region, zone string) {
 	index %= scale.size.Zones
 	return scale.region(index), fmt.Sprintf("%s-%d", scale.region(index), index/scale.size.Regions+1)
@@ -246,7 +251,8 @@
 
 func (scale *scale) model(index int) string { return fmt.Sprintf("m%d", index%scale.size.Models+1) }
 
-// document is the fleet's configuration; label tells one from another.
+// document returns the cluster's configuration. The label distinguishes one version from the
+// next.
 func (scale *scale) document(platform string, label int) []byte {
 	placements, engines, regions := map[string]any{}, map[string]any{}, map[string]any{}
 	for index := range scale.size.Models {
@@ -275,7 +281,7 @@
 	return text
 }
 
-// serve answers HTTP at a listener until the fleet is closed.
+// serve starts an HTTP server on an address; it runs until the cluster is stopped.
 func (scale *scale) serve(address string, handler fasthttp.RequestHandler) (string, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -287,7 +293,7 @@
 	return listener.Addr().String(), nil
 }
 
-// replicas starts the hollow replicas and the platform that lists them.
+// replicas starts the replicas' stubs and the platform's stub that lists them.
 func (scale *scale) replicas() (platform string, err error) {
 	lists := map[string][]map[string]string{}
 	health := func(ctx *fasthttp.RequestCtx) {
@@ -296,7 +302,8 @@
 		fmt.Fprintf(ctx, `{"boot":"b-%s","versions":[]}`, ctx.LocalAddr())
 	}
 	for index := range scale.size.Replicas {
-		// The whole of 127/8 is loopback: so many ports of one address are needed by others.
+		// All of 127/8 is loopback. Spreading the listeners over addresses leaves the ports of
+		// 127.0.0.1 to the other processes.
 		address, err := scale.serve(fmt.Sprintf("127.7.%d.%d:0", 1+index/200, 1+index%200), health)
 		if err != nil {
 			return "", err
@@ -315,7 +322,7 @@
 	})
 }
 
-// freeAddresses gives addresses that nobody listens at.
+// freeAddresses returns addresses on which nothing listens.
 func freeAddresses(count int) (out []string, err error) {
 	for range count {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -328,7 +335,7 @@
 	return out, nil
 }
 
-// launch starts a real daemon.
+// launch starts a daemon as a separate process.
 func (scale *scale) launch(program, name string, at int, seeds, addresses []string, more ...string) (*scaleProcess, error) {
 	region, zone := scale.zone(at)
 	arguments := append([]string{"run", "--name", name, "--region", region, "--zone", zone, "--wire", addresses[0], "--http", addresses[1], "--seeds", strings.Join(seeds, ","), "--log", "warn", "--grace", "1"}, more...)
@@ -339,7 +346,7 @@
 	}
 	defer log.Close()
 	out.command.Stderr, out.command.Stdout = log, log
-	// Whatever ends this process ends its own children too.
+	// The kernel kills the daemon if this process dies for whatever reason.
 	out.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := out.command.Start(); err != nil {
 		return nil, err
@@ -351,7 +358,7 @@
 	return out, nil
 }
 
-// stop ends everything that was started.
+// stop stops everything that was started.
 func (scale *scale) stop() {
 	for _, process := range scale.hollows {
 		process.world.End()
@@ -380,7 +387,7 @@
 	_ = os.RemoveAll(scale.folder)
 }
 
-// request asks a daemon over HTTP.
+// request sends an HTTP request to a daemon.
 func (scale *scale) request(method, url string, body []byte) (int, []byte, error) {
 	request, err := http.NewRequest(method, "http://"+url, bytes.NewReader(body))
 	if err != nil {
@@ -395,7 +402,8 @@
 	return answer.StatusCode, text, err
 }
 
-// waitUntil asks again and again.
+// waitUntil polls the condition until it holds, the timeout passes or the context ends, and
+// reports whether it holds.
 func waitUntil(ctx context.Context, timeout time.Duration, condition func() bool) bool {
 	for deadline := time.Now().Add(timeout); time.Now().Before(deadline) && ctx.Err() == nil; {
 		if condition() {
@@ -406,7 +414,7 @@
 	return false
 }
 
-// sleep waits, or until the context ends.
+// sleep waits for the given time, or until the context ends.
 func sleep(ctx context.Context, span time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -414,7 +422,8 @@
 	}
 }
 
-// start starts the fleet and waits until it does what it is to do.
+// start starts the cluster and waits until every hollow daemon has a valid lease and a
+// complete routing table.
 func (scale *scale) start(ctx context.Context) (platform string, err error) {
 	if platform, err = scale.replicas(); err != nil {
 		return "", err
@@ -492,7 +501,7 @@
 	return platform, nil
 }
 
-// hollow starts one hollow data daemon: the product's own, with nobody who calls.
+// hollow starts one hollow data daemon: the product's own code, without callers.
 func (scale *scale) hollow(index int, seeds []string) error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -510,12 +519,12 @@
 	return nil
 }
 
-// snapshot is all counts at one time.
+// snapshot holds all counters at one time.
 type snapshot struct {
 	at                 time.Time
 	usages             map[string]usage
 	own                usage
-	made               map[string][]wire.CallStats // by control daemon; "" for the hollow ones'
+	made               map[string][]wire.CallStats // by control daemon; "" for the hollow daemons
 	syncs, reads       map[string]float64
 	probes, probeBytes float64
 }
@@ -541,7 +550,7 @@
 	return out
 }
 
-// addFigures turns two readings into figures.
+// addFigures computes the figures from the difference of two snapshots.
 func (scale *scale) addFigures(before, after snapshot, point *ScalePoint, prefix string) {
 	span := after.at.Sub(before.at).Seconds()
 	figure := func(name string, value float64) { point.Figures[prefix+name] = math.Round(value*1e4) / 1e4 }
@@ -574,7 +583,7 @@
 	figure("probe_bytes_s", (after.probeBytes-before.probeBytes)/span)
 	figure("hollow_cores", (after.own.processor-before.own.processor)/span)
 	figure("hollow_mb", after.own.resident)
-	// The real data daemons are taken to say as much as the hollow ones.
+	// The separate data daemons are assumed to send as many messages as the hollow ones.
 	whole := float64(scale.size.Datas) / float64(len(scale.hollows))
 	touches, carried := map[string]float64{}, map[string]float64{}
 	queries, queried, toData, toDataBytes := 0.0, 0.0, 0.0, 0.0
@@ -629,7 +638,7 @@
 	figure("control_bytes_s", moved)
 }
 
-// change sends a configuration and waits for the last hollow daemon to apply it.
+// change sends a configuration and waits until the last hollow daemon has applied it.
 func (scale *scale) change(ctx context.Context, document []byte) ScaleChange {
 	type ending struct {
 		status int
@@ -648,7 +657,7 @@
 	}()
 	out := ScaleChange{}
 	milliseconds := func(span time.Duration) float64 { return math.Round(span.Seconds()*1e4) / 10 }
-	// One that was not acknowledged may yet come, but need not.
+	// A change that was not acknowledged may still be applied, but need not be.
 	timeout := func() time.Duration {
 		if out.Status != 0 && out.Status != http.StatusOK {
 			return 5 * time.Second
@@ -674,7 +683,7 @@
 	return out
 }
 
-// MeasureScale starts a fleet of the size, measures it and ends it. The error tells that
+// MeasureScale starts a cluster of the size, measures it and stops it. An error means that
 // nothing could be measured.
 func MeasureScale(ctx context.Context, options ScaleOptions, size ScaleSize) (point ScalePoint, err error) {
 	point = ScalePoint{ScaleSize: size, Figures: map[string]float64{}, Calls: map[string]ScaleCalls{}}
@@ -725,19 +734,20 @@
 	return point, ctx.Err()
 }
 
-// ScaleSlope is how a figure goes with a dimension: a straight line by least squares.
+// ScaleSlope is how a figure depends on a dimension: a linear least-squares fit.
 type ScaleSlope struct {
 	Dimension string `json:"dimension"`
 	Figure    string `json:"figure"`
-	// Base is the figure at none, Each what one more adds, Spread its standard error.
+	// Base is the figure at zero, Each the increase per unit of the dimension, and Spread the
+	// standard error of Each.
 	Base   float64 `json:"base"`
 	Each   float64 `json:"each"`
 	Spread float64 `json:"spread"`
 	Points int     `json:"points"`
 }
 
-// Slope fits a line through points whose sizes differ in the dimension; those in trouble
-// are left out. False when there are fewer than three.
+// Slope fits a line through points whose sizes differ in the dimension, leaving out points
+// with a Trouble. It returns false if there are fewer than three points.
 func Slope(points []ScalePoint, dimension, figure string) (ScaleSlope, bool) {
 	out := ScaleSlope{Dimension: dimension, Figure: figure}
 	var xs, ys []float64
@@ -771,7 +781,7 @@
 	return out, true
 }
 
-// The users' budget of control costs for each data daemon: parts of a core, megabytes,
+// The users' budget of control costs for each data daemon: fraction of a core, megabytes, and
 // bytes a second.
 const (
 	BudgetCores = 0.012
@@ -779,7 +789,7 @@
 	BudgetBytes = 20e3
 )
 
-// Value is the point's size in a dimension, zero when there is none of that name.
+// Value returns the size in a dimension, zero if there is no dimension of that name.
 func (size ScaleSize) Value(dimension string) int {
 	if field := size.dimensions()[dimension]; field != nil {
 		return *field
@@ -787,7 +797,7 @@
 	return 0
 }
 
-// ScaleFigures are the names of all figures of the points, in order.
+// ScaleFigures returns the names of all figures of the points, sorted.
 func ScaleFigures(points []ScalePoint) []string {
 	names := map[string]bool{}
 	for _, point := range points {
