--- a/fleet/engine.go
+++ b/fleet/engine.go
@@ -67,7 +67,7 @@
 // failPartially fails a request in the way that Grey.How says.
 func (engine *Engine) failPartially(run *Run, request *engineRequest) {
 	run.Cold = engine.isCold()
-	engine.park.Runs = append(engine.park.Runs, run)
+	engine.cluster.Runs = append(engine.cluster.Runs, run)
 	head := engine.load()
 	head.Events = false
 	switch engine.Grey.How {
@@ -83,7 +83,7 @@
 		request.send(wireMessage{err: errReset})
 	}
 	if engine.Grey.How != "mute" {
-		run.Ran = engine.park.Now()
+		run.Ran = engine.cluster.Now()
 	}
 	run.Ended = "failed"
 }
@@ -142,9 +142,9 @@
 	// PutBack counts preemptions: running requests that were put back into the queue.
 	PutBack int
 
-	park       *Park
+	cluster    *Park
 	node       *sim.Node
-	box        loop.Mailbox
+	mailbox    loop.Mailbox
 	waiting    []*engineRequest
 	active     []*engineRequest
 	cacheIndex map[uint64]*linked.Element
@@ -182,7 +182,7 @@
 	resumedFrom  int // value of generated when the request arrived
 	sent         int // tokens that were sent
 	firstTokenAt time.Duration
-	isBegun      bool
+	hasBegun     bool
 	send         func(wireMessage)
 	breakAfter   int // tokens after which the answer is cut off; zero for never
 	isLost       bool
@@ -199,46 +199,46 @@
 	closesConn bool
 }
 
-func (park *Park) newEngine(options EngineOptions, isCold bool) *Engine {
-	park.lives++
-	engine := &Engine{EngineOptions: options, Life: fmt.Sprint("i-", park.lives), park: park, node: park.Node(options.Name), cacheIndex: map[uint64]*linked.Element{}, cache: linked.New()}
+func (cluster *Park) newEngine(options EngineOptions, isCold bool) *Engine {
+	cluster.lives++
+	engine := &Engine{EngineOptions: options, Life: fmt.Sprint("i-", cluster.lives), cluster: cluster, node: cluster.Node(options.Name), cacheIndex: map[uint64]*linked.Element{}, cache: linked.New()}
 	if engine.Slower == 0 {
 		engine.Slower = 1
 	}
 	if isCold {
-		engine.ColdUntil = park.Now() + options.Cold
+		engine.ColdUntil = cluster.Now() + options.Cold
 	}
 	return engine
 }
 
 // StartEngine starts a simulated engine. It replaces one with the same name, and starts cold
 // unless it starts together with the cluster.
-func (park *Park) StartEngine(options EngineOptions) {
-	if before := park.Engines[options.Name]; before != nil {
-		before.Gone = park.Now()
-		park.pastEngines = append(park.pastEngines, before)
-	}
-	park.zones[options.Name] = options.Zone
-	engine := park.newEngine(options, park.Now() > 0)
-	engine.box = engine.node.Mailbox()
-	park.Engines[options.Name] = engine
-	park.Start(options.Name, func(node *sim.Node) {
+func (cluster *Park) StartEngine(options EngineOptions) {
+	if before := cluster.Engines[options.Name]; before != nil {
+		before.Gone = cluster.Now()
+		cluster.pastEngines = append(cluster.pastEngines, before)
+	}
+	cluster.zones[options.Name] = options.Zone
+	engine := cluster.newEngine(options, cluster.Now() > 0)
+	engine.mailbox = engine.node.Mailbox()
+	cluster.Engines[options.Name] = engine
+	cluster.Start(options.Name, func(node *sim.Node) {
 		// A mailbox belongs to one process of a machine.
-		engine.box = node.Mailbox()
+		engine.mailbox = node.Mailbox()
 		engine.loop()
 	})
-	park.Listed.add(engine)
+	cluster.Listed.add(engine)
 }
 
 // isCold reports whether the engine is cold.
-func (engine *Engine) isCold() bool { return engine.park.Now() < engine.ColdUntil }
+func (engine *Engine) isCold() bool { return engine.cluster.Now() < engine.ColdUntil }
 
 // Chill makes the engine cold again.
-func (engine *Engine) Chill() { engine.ColdUntil = engine.park.Now() + engine.Cold }
+func (engine *Engine) Chill() { engine.ColdUntil = engine.cluster.Now() + engine.Cold }
 
 // happens decides at random, with the probability share.
 func (engine *Engine) happens(share float64) bool {
-	return share > 0 && float64(engine.park.Draw(1<<20)) < share*(1<<20)
+	return share > 0 && float64(engine.cluster.Draw(1<<20)) < share*(1<<20)
 }
 
 func (engine *Engine) load() replica.Head {
@@ -251,9 +251,9 @@
 
 // arrive puts a request into the queue, or rejects it.
 func (engine *Engine) arrive(run *Run, request *engineRequest) {
-	now := engine.park.Now()
+	now := engine.cluster.Now()
 	run.Cold = engine.isCold()
-	engine.park.Runs = append(engine.park.Runs, run)
+	engine.cluster.Runs = append(engine.cluster.Runs, run)
 	reject := func(status int) {
 		run.NotRun = true
 		head := engine.load()
@@ -269,8 +269,8 @@
 			return
 		}
 		engine.isCrashing = true
-		engine.park.Fallen++
-		engine.park.At(0, func() { engine.park.Crash(engine.Name) })
+		engine.cluster.Fallen++
+		engine.cluster.At(0, func() { engine.cluster.Crash(engine.Name) })
 		return
 	}
 	size := request.maxTokens
@@ -284,7 +284,7 @@
 	engine.accepted++
 	request.arrivalOrder = engine.accepted
 	if engine.happens(engine.Breaks) {
-		request.breakAfter = request.resumedFrom + 1 + int(engine.park.Draw(int64(max(1, request.maxTokens-request.resumedFrom))))
+		request.breakAfter = request.resumedFrom + 1 + int(engine.cluster.Draw(int64(max(1, request.maxTokens-request.resumedFrom))))
 	}
 	request.isLost = engine.happens(engine.Loses)
 	engine.waiting = append(engine.waiting, request)
@@ -306,7 +306,7 @@
 			engine.finish(last, "broken", wireMessage{err: errReset})
 		}
 	}
-	engine.box.Put(nil)
+	engine.mailbox.Put(nil)
 }
 
 // outranksWaiting reports whether a request is more urgent than a waiting request that has not
@@ -401,7 +401,7 @@
 
 // admit starts waiting requests while there are free slots and memory.
 func (engine *Engine) admit() {
-	now := engine.park.Now()
+	now := engine.cluster.Now()
 	sort.SliceStable(engine.waiting, func(a, b int) bool {
 		x, y := engine.waiting[a], engine.waiting[b]
 		return x.urgency < y.urgency || x.urgency == y.urgency && x.arrivalOrder < y.arrivalOrder
@@ -444,7 +444,7 @@
 		}
 		neverRead := unread
 		for _, part := range uncached {
-			if key := (readKey{engine.Model, part.ID}); engine.park.everRead[key] {
+			if key := (readKey{engine.Model, part.ID}); engine.cluster.everRead[key] {
 				neverRead -= part.Tokens
 			}
 		}
@@ -461,7 +461,7 @@
 				return
 			}
 			// A request alone always fits: nothing else pins a cached part.
-			panic("an engine without requests has no room")
+			panic("engine without active requests cannot fit a request into its cache memory")
 		}
 		engine.waiting = engine.waiting[1:]
 		engine.active = append(engine.active, request)
@@ -469,7 +469,7 @@
 		request.pinned, request.unread, request.reserved, request.firstTokenAt = pinned, uncached, unread, 0
 		for _, part := range uncached {
 			if part.ID != 0 {
-				engine.park.everRead[readKey{engine.Model, part.ID}] = true
+				engine.cluster.everRead[readKey{engine.Model, part.ID}] = true
 			}
 		}
 		engine.AgainTokens += unread - neverRead + regenerated
@@ -488,10 +488,10 @@
 	for {
 		engine.admit()
 		if len(engine.active) == 0 {
-			engine.box.Take(loop.Forever)
+			engine.mailbox.Take(loop.Forever)
 			continue
 		}
-		now := engine.park.Now()
+		now := engine.cluster.Now()
 		var prefilling *engineRequest
 		decoding, next := 0, loop.Forever
 		for _, request := range engine.active {
@@ -507,7 +507,7 @@
 			}
 		}
 		if prefilling == nil && decoding == 0 {
-			engine.box.Take(next)
+			engine.mailbox.Take(next)
 			continue
 		}
 		span := time.Duration(0)
@@ -523,7 +523,7 @@
 			span += time.Duration(float64(read) / engine.Prefill * float64(time.Millisecond))
 		}
 		loop.Sleep(engine.node, max(time.Microsecond, time.Duration(float64(span)*engine.Slower)))
-		now = engine.park.Now()
+		now = engine.cluster.Now()
 		if prefilling != nil && prefilling.run.Ended == "" {
 			engine.recordPrefill(prefilling, read, now)
 		}
@@ -583,8 +583,8 @@
 		engine.finish(request, "broken", wireMessage{err: errReset})
 		return
 	}
-	if !request.isBegun {
-		request.isBegun = true
+	if !request.hasBegun {
+		request.hasBegun = true
 		head := engine.load()
 		if engine.happens(engine.Fails) {
 			head.Status, head.Events = 500, false
--- a/fleet/experiment.go
+++ b/fleet/experiment.go
@@ -61,17 +61,17 @@
 	shape, isKnown := ExperimentShapes()[options.Shape]
 	switch {
 	case !isKnown:
-		return fmt.Errorf("shape %q is none of %s", options.Shape, strings.Join(slices.Sorted(maps.Keys(ExperimentShapes())), ", "))
+		return fmt.Errorf("shape %q is not one of %s", options.Shape, strings.Join(slices.Sorted(maps.Keys(ExperimentShapes())), ", "))
 	case options.Load <= 0 || options.Load > 50:
-		return fmt.Errorf("load %v is not above 0 and up to 50", options.Load)
+		return fmt.Errorf("load %v is not above 0 and at most 50", options.Load)
 	case options.Warm < time.Second || options.Warm > 10*time.Minute:
-		return fmt.Errorf("warm %v is not within 1s to 10m", options.Warm)
+		return fmt.Errorf("warm %v is not between 1s and 10m", options.Warm)
 	case options.Span < time.Second || options.Span > 10*time.Minute:
-		return fmt.Errorf("span %v is not within 1s to 10m", options.Span)
+		return fmt.Errorf("span %v is not between 1s and 10m", options.Span)
 	}
 	for _, name := range slices.Sorted(maps.Keys(options.Limits)) {
 		if _, isKnown := settings.Limits[name]; !isKnown {
-			return fmt.Errorf("setting %q is no limit", name)
+			return fmt.Errorf("setting %q is not a limit", name)
 		}
 	}
 	shape.Limits = options.Limits
@@ -89,31 +89,31 @@
 	shape := ExperimentShapes()[options.Shape]
 	shape.Limits = options.Limits
 	shape.Busy *= options.Load
-	park := NewPark(options.Seed, shape.Plan())
-	defer park.Close()
-	park.Run(options.Warm)
-	from := park.Now()
+	cluster := NewPark(options.Seed, shape.Plan())
+	defer cluster.Close()
+	cluster.Run(options.Warm)
+	from := cluster.Now()
 	type sums struct{ read, kept, again, far int }
 	sum := func() (out sums) {
-		for _, engine := range park.engines() {
+		for _, engine := range cluster.engines() {
 			out.read += engine.ReadTokens
 			out.kept += engine.KeptTokens
 			out.again += engine.AgainTokens
 		}
-		out.far = park.FarBytes
+		out.far = cluster.FarBytes
 		return out
 	}
-	before, runsBefore := sum(), len(park.Runs)
-	park.Run(options.Span)
-	after, runs := sum(), park.Runs[runsBefore:]
-	until := park.Now()
-	park.Quiet = true
-	park.Run(5 * time.Second)
+	before, runsBefore := sum(), len(cluster.Runs)
+	cluster.Run(options.Span)
+	after, runs := sum(), cluster.Runs[runsBefore:]
+	until := cluster.Now()
+	cluster.Quiet = true
+	cluster.Run(5 * time.Second)
 
 	out := Figures{First: map[string]Quantiles{}, Pause: map[string]Quantiles{}}
 	firsts, pauses := map[string][]float64{}, map[string][]float64{}
 	inTime := 0
-	for _, request := range park.RoutedRequests {
+	for _, request := range cluster.RoutedRequests {
 		if request.At < from || request.At >= until {
 			continue
 		}
@@ -143,7 +143,7 @@
 	out.FarKB = float64(after.far-before.far) / 1000 / requests
 	far := 0
 	for _, run := range runs {
-		if Region(park.zones[run.Daemon]) != Region(park.zones[run.Engine]) {
+		if Region(cluster.zones[run.Daemon]) != Region(cluster.zones[run.Engine]) {
 			far++
 		}
 	}
--- a/fleet/http.go
+++ b/fleet/http.go
@@ -16,7 +16,7 @@
 	"swifttiller/replica"
 )
 
-var errFailed = errors.New("the stand-in fails on purpose")
+var errFailed = errors.New("simulated replica failed on purpose")
 
 // App serves the simulated replica over HTTP.
 func (stub *Replica) App() *fiber.App {
@@ -50,8 +50,8 @@
 	app.Post("/v1/completions", complete)
 	app.Post("/v1/chat/completions", complete)
 	app.Get("/log", func(ctx *fiber.Ctx) error {
-		stub.guard.Lock()
-		defer stub.guard.Unlock()
+		stub.mutex.Lock()
+		defer stub.mutex.Unlock()
 		return ctx.JSON(map[string]any{"served": stub.Log, "loads": stub.Loads, "peak": stub.Peak, "flooded": stub.Flooded, "fenced": stub.Fenced})
 	})
 	app.Post("/leave", func(ctx *fiber.Ctx) error { stub.Leave(); return ctx.SendString("{}") })
--- a/fleet/park.go
+++ b/fleet/park.go
@@ -57,7 +57,7 @@
 	// streams, they send the same ID again at once, to the same daemon and to another one,
 	// with the ticket and without. Half of them give up the first attempt.
 	Hasty bool
-	// From and Until bound the time in which requests are sent; zero for both means always.
+	// From and Until bound the time in which requests are sent; 0 and 0 mean always.
 	From, Until time.Duration
 	// Lanes is the number of connections that the callers keep; 0 and 1 mean one.
 	Lanes int
@@ -138,64 +138,64 @@
 // NewPark starts a cluster, initializes its core, applies its configuration and starts its
 // callers. It panics if the cluster isn't ready after 20 s.
 func NewPark(seed uint64, plan Plan) *Park {
-	park := NewBarePark(seed, plan)
+	cluster := NewBarePark(seed, plan)
 	first, _ := split(plan.Controls[0])
-	park.Must(first, func(daemon *controlplane.Daemon) error {
-		_, err := daemon.Init(park.seeds())
+	cluster.Must(first, func(daemon *controlplane.Daemon) error {
+		_, err := daemon.Init(cluster.seeds())
 		return err
 	})
-	park.Must(first, func(daemon *controlplane.Daemon) error {
+	cluster.Must(first, func(daemon *controlplane.Daemon) error {
 		_, err := daemon.Apply([]byte(plan.Document), nil, false)
 		return err
 	})
-	if !park.Until(20*time.Second, park.Ready) {
-		panic(fmt.Sprintf("seed %d: the fleet never got ready", seed))
+	if !cluster.Until(20*time.Second, cluster.Ready) {
+		panic(fmt.Sprintf("seed %d: the cluster did not become ready within 20 s", seed))
 	}
 	for index := range plan.Callers {
-		park.crowd(&plan.Callers[index])
+		cluster.crowd(&plan.Callers[index])
 	}
 	for index := range plan.Routed {
-		park.crowdRouted(&plan.Routed[index])
+		cluster.crowdRouted(&plan.Routed[index])
 	}
-	return park
+	return cluster
 }
 
 // NewBarePark starts only a cluster's machines: without a core, a configuration or callers.
 func NewBarePark(seed uint64, plan Plan) *Park {
-	park := &Park{Sim: sim.New(seed), Plan: plan, Controls: map[string]*controlplane.Daemon{}, Datas: map[string]*dataplane.Daemon{}, Replicas: map[string]*Replica{}, Troubles: map[string]error{}, Seen: newSeen(), byID: map[string]*Request{}, lanes: map[laneKey]callerLocation{}, Spoilt: map[string]bool{}, closed: map[string]bool{}, zones: map[string]string{}, streams: map[string][]*simStream{}}
-	park.Engines, park.hops, park.links, park.askedOf, park.tried = map[string]*Engine{}, map[string][]*engineStream{}, map[string][]*callerConn{}, map[string]asked{}, map[string]*RoutedTry{}
-	park.everRead = map[readKey]bool{}
-	park.Listed = &Register{park: park, lastQuery: map[string]time.Duration{}}
-	park.Platform = NewPlatform(park.Now, plan.Lag, plan.Least)
-	park.watch()
+	cluster := &Park{Sim: sim.New(seed), Plan: plan, Controls: map[string]*controlplane.Daemon{}, Datas: map[string]*dataplane.Daemon{}, Replicas: map[string]*Replica{}, Troubles: map[string]error{}, Seen: newSeen(), byID: map[string]*Request{}, lanes: map[laneKey]callerLocation{}, Spoilt: map[string]bool{}, closed: map[string]bool{}, zones: map[string]string{}, streams: map[string][]*simStream{}}
+	cluster.Engines, cluster.hops, cluster.links, cluster.askedOf, cluster.tried = map[string]*Engine{}, map[string][]*engineStream{}, map[string][]*callerConn{}, map[string]asked{}, map[string]*RoutedTry{}
+	cluster.everRead = map[readKey]bool{}
+	cluster.Listed = &Register{cluster: cluster, lastQuery: map[string]time.Duration{}}
+	cluster.Platform = NewPlatform(cluster.Now, plan.Lag, plan.Least)
+	cluster.watch()
 	for _, assignment := range append(append([]string{}, plan.Controls...), plan.Diskless...) {
 		name, zone := split(assignment)
-		park.zones[name] = zone
-		park.StartControl(name)
+		cluster.zones[name] = zone
+		cluster.StartControl(name)
 	}
 	for _, options := range plan.Replicas {
-		park.zones[options.ID] = options.Zone
-		park.StartReplica(options)
-		park.List(options)
+		cluster.zones[options.ID] = options.Zone
+		cluster.StartReplica(options)
+		cluster.List(options)
 	}
 	for _, options := range plan.Engines {
-		park.StartEngine(options)
+		cluster.StartEngine(options)
 	}
 	for _, assignment := range plan.Datas {
 		name, zone := split(assignment)
-		park.zones[name] = zone
-		park.StartData(name)
+		cluster.zones[name] = zone
+		cluster.StartData(name)
 	}
-	park.Run(300 * time.Millisecond)
-	return park
+	cluster.Run(300 * time.Millisecond)
+	return cluster
 }
 
 // Ready reports whether every data daemon has a valid lease and a routing table with replicas
 // for every region.
-func (park *Park) Ready() bool {
-	for _, daemon := range park.Datas {
+func (cluster *Park) Ready() bool {
+	for _, daemon := range cluster.Datas {
 		view := daemon.Holder.View()
-		if !view.IsValid(park.Now()) {
+		if !view.IsValid(cluster.Now()) {
 			return false
 		}
 		for _, region := range view.Tree.Regions() {
@@ -207,22 +207,22 @@
 	return true
 }
 
-func (park *Park) seeds() (seeds []string) {
-	for _, assignment := range park.Plan.Controls[:min(3, len(park.Plan.Controls))] {
+func (cluster *Park) seeds() (seeds []string) {
+	for _, assignment := range cluster.Plan.Controls[:min(3, len(cluster.Plan.Controls))] {
 		name, _ := split(assignment)
 		seeds = append(seeds, name)
 	}
 	return seeds
 }
 
-func (park *Park) process(name string) settings.Process {
-	zone := park.zones[name]
-	seeds := park.SeedsOf[name]
+func (cluster *Park) process(name string) settings.Process {
+	zone := cluster.zones[name]
+	seeds := cluster.SeedsOf[name]
 	if seeds == nil {
-		seeds = park.seeds()
+		seeds = cluster.seeds()
 	}
-	process := settings.Process{Name: name, Zone: zone, Region: Region(zone), Wire: name, HTTP: name, Seeds: seeds, First: park.First}
-	if len(park.Plan.Engines) > 0 {
+	process := settings.Process{Name: name, Zone: zone, Region: Region(zone), Wire: name, HTTP: name, Seeds: seeds, First: cluster.First}
+	if len(cluster.Plan.Engines) > 0 {
 		process.Door = name
 	}
 	return process
@@ -230,149 +230,149 @@
 
 // live returns a daemon's settings, which on a reload are read again from the same source as
 // at its start.
-func (park *Park) live(name string) *settings.Live {
-	return settings.NewLive(settings.LiveOptions{Process: park.process(name), Read: func() (*settings.Process, error) {
-		if park.Spoilt[name] {
+func (cluster *Park) live(name string) *settings.Live {
+	return settings.NewLive(settings.LiveOptions{Process: cluster.process(name), Read: func() (*settings.Process, error) {
+		if cluster.Spoilt[name] {
 			return nil, settings.Problems{{Path: "$.seeds.0", Reason: "is no IP:port"}}
 		}
-		process := park.process(name)
+		process := cluster.process(name)
 		return &process, nil
 	}})
 }
 
 // StartControl starts a control daemon, or restarts it if it ran before.
-func (park *Park) StartControl(name string) {
-	park.lives++
-	life := fmt.Sprint(park.lives)
-	park.born(name)
-	park.Start(name, func(node *sim.Node) {
+func (cluster *Park) StartControl(name string) {
+	cluster.lives++
+	life := fmt.Sprint(cluster.lives)
+	cluster.born(name)
+	cluster.Start(name, func(node *sim.Node) {
 		var folder disk.Folder = node.Disk
-		for _, assignment := range park.Plan.Diskless {
+		for _, assignment := range cluster.Plan.Diskless {
 			if diskless, _ := split(assignment); diskless == name {
 				folder = nil
 			}
 		}
 		options := controlplane.Options{
-			World: node, Net: sim.Net{Node: node}, Process: park.process(name), Live: park.live(name), Folder: folder, Incarnation: life,
-			Replicas: &replicaClient{park, node, map[string][]idleConn{}}, Platform: &platformClient{park, node}, Point: func(point string) { park.Point(node, point) },
+			World: node, Net: sim.Net{Node: node}, Process: cluster.process(name), Live: cluster.live(name), Folder: folder, Incarnation: life,
+			Replicas: &replicaClient{cluster, node, map[string][]idleConn{}}, Platform: &platformClient{cluster, node}, Point: func(point string) { cluster.Point(node, point) },
 		}
-		if len(park.Plan.Engines) > 0 {
-			options.Dialect, options.Platform = engineDialect{client: &replicaClient{park, node, nil}}, &engineListClient{park, node}
+		if len(cluster.Plan.Engines) > 0 {
+			options.Dialect, options.Platform = engineDialect{client: &replicaClient{cluster, node, nil}}, &engineListClient{cluster, node}
 		}
 		daemon, err := controlplane.New(options)
-		park.Troubles[name] = err
+		cluster.Troubles[name] = err
 		if err != nil {
 			return
 		}
-		park.Controls[name] = daemon
+		cluster.Controls[name] = daemon
 		node.Serve(daemon.Services())
 		daemon.Run()
 	})
 }
 
 // StartData starts a data daemon, or restarts it if it ran before.
-func (park *Park) StartData(name string) {
-	park.lives++
-	life := fmt.Sprint(park.lives)
-	park.born(name)
-	park.Start(name, func(node *sim.Node) {
-		options := dataplane.Options{World: node, Net: sim.Net{Node: node}, Process: park.process(name), Live: park.live(name), Incarnation: life, Replicas: &replicaClient{park, node, map[string][]idleConn{}}, ProxyClient: &relayer{park, node, map[string][]*wireLine{}}}
-		if len(park.Plan.Engines) > 0 {
-			options.Probe = engineDialect{client: &replicaClient{park, node, nil}}.Probe
+func (cluster *Park) StartData(name string) {
+	cluster.lives++
+	life := fmt.Sprint(cluster.lives)
+	cluster.born(name)
+	cluster.Start(name, func(node *sim.Node) {
+		options := dataplane.Options{World: node, Net: sim.Net{Node: node}, Process: cluster.process(name), Live: cluster.live(name), Incarnation: life, Replicas: &replicaClient{cluster, node, map[string][]idleConn{}}, ProxyClient: &relayer{cluster, node, map[string][]*wireLine{}}}
+		if len(cluster.Plan.Engines) > 0 {
+			options.Probe = engineDialect{client: &replicaClient{cluster, node, nil}}.Probe
 		}
 		daemon := dataplane.New(options)
-		park.Datas[name] = daemon
+		cluster.Datas[name] = daemon
 		node.Serve(daemon.Services())
 		daemon.Run()
 	})
 }
 
 // StartReplica starts a simulated replica. It replaces one with the same ID and starts cold.
-func (park *Park) StartReplica(options ReplicaOptions) {
-	park.lives++
-	node := park.Node(options.ID)
-	options.World, options.Boot, options.Address = node, fmt.Sprint("boot", park.lives), options.ID
-	if before := park.Replicas[options.ID]; before != nil {
-		before.Gone = park.Now()
-		park.past = append(park.past, before)
+func (cluster *Park) StartReplica(options ReplicaOptions) {
+	cluster.lives++
+	node := cluster.Node(options.ID)
+	options.World, options.Boot, options.Address = node, fmt.Sprint("boot", cluster.lives), options.ID
+	if before := cluster.Replicas[options.ID]; before != nil {
+		before.Gone = cluster.Now()
+		cluster.past = append(cluster.past, before)
 	}
-	park.zones[options.ID] = options.Zone
-	park.Replicas[options.ID] = NewReplica(options)
-	park.Start(options.ID, func(*sim.Node) {})
+	cluster.zones[options.ID] = options.Zone
+	cluster.Replicas[options.ID] = NewReplica(options)
+	cluster.Start(options.ID, func(*sim.Node) {})
 }
 
 // List adds a replica to the platform's list.
-func (park *Park) List(options ReplicaOptions) {
+func (cluster *Park) List(options ReplicaOptions) {
 	model, version := "", ""
 	if options.Mute {
 		model, version, _ = strings.Cut(options.Held[0], "/")
 	}
-	park.Platform.AddServing(Region(options.Zone), options.ID, options.ID, options.Zone, model, version)
+	cluster.Platform.AddServing(Region(options.Zone), options.ID, options.ID, options.Zone, model, version)
 }
 
 // Crash kills a process of any kind; its connections break.
-func (park *Park) Crash(name string) {
-	park.Kill(name)
-	for _, stream := range park.streams[name] {
+func (cluster *Park) Crash(name string) {
+	cluster.Kill(name)
+	for _, stream := range cluster.streams[name] {
 		stream.broken(name)
 	}
-	delete(park.streams, name)
-	for _, hop := range append([]*engineStream{}, park.hops[name]...) {
+	delete(cluster.streams, name)
+	for _, hop := range append([]*engineStream{}, cluster.hops[name]...) {
 		hop.broken(name)
 	}
-	delete(park.hops, name)
-	for _, link := range park.links[name] {
+	delete(cluster.hops, name)
+	for _, link := range cluster.links[name] {
 		link.mailbox.Put(streamPiece{err: errReset})
 	}
-	delete(park.links, name)
+	delete(cluster.links, name)
 }
 
 // Do runs a step on a control daemon and waits for its end, at most the given time.
-func (park *Park) Do(name string, span time.Duration, step func(*controlplane.Daemon) error) (err error) {
+func (cluster *Park) Do(name string, span time.Duration, step func(*controlplane.Daemon) error) (err error) {
 	done := false
-	park.Node(name).Go(func() { err = step(park.Controls[name]); done = true })
+	cluster.Node(name).Go(func() { err = step(cluster.Controls[name]); done = true })
 	for spent := time.Duration(0); spent < span && !done; spent += 10 * time.Millisecond {
-		park.Run(10 * time.Millisecond)
+		cluster.Run(10 * time.Millisecond)
 	}
 	if !done {
-		return errors.New("not done in time")
+		return errors.New("step did not finish in time")
 	}
 	return err
 }
 
 // Must is Do with a limit of 20 s; it panics if the step fails.
-func (park *Park) Must(name string, step func(*controlplane.Daemon) error) {
-	if err := park.Do(name, 20*time.Second, step); err != nil {
-		panic(fmt.Sprintf("seed %d at %v: step at %s: %v", park.Seed, park.Now(), name, err))
+func (cluster *Park) Must(name string, step func(*controlplane.Daemon) error) {
+	if err := cluster.Do(name, 20*time.Second, step); err != nil {
+		panic(fmt.Sprintf("seed %d at %v: step at %s: %v", cluster.Seed, cluster.Now(), name, err))
 	}
 }
 
 // Until lets simulated time pass until the condition holds, at most the given time, and
 // reports whether it holds.
-func (park *Park) Until(span time.Duration, condition func() bool) bool {
+func (cluster *Park) Until(span time.Duration, condition func() bool) bool {
 	for spent := time.Duration(0); spent < span; spent += 50 * time.Millisecond {
 		if condition() {
 			return true
 		}
-		park.Run(50 * time.Millisecond)
+		cluster.Run(50 * time.Millisecond)
 	}
 	return condition()
 }
 
 // Logs returns all requests that replicas accepted, in the order of arrival.
-func (park *Park) Logs() (all []*Served) {
-	for _, stub := range park.past {
+func (cluster *Park) Logs() (all []*Served) {
+	for _, stub := range cluster.past {
 		all = append(all, stub.Log...)
 	}
-	for _, name := range park.ids() {
-		all = append(all, park.Replicas[name].Log...)
+	for _, name := range cluster.ids() {
+		all = append(all, cluster.Replicas[name].Log...)
 	}
 	sort.SliceStable(all, func(a, b int) bool { return all[a].At < all[b].At })
 	return all
 }
 
-func (park *Park) ids() (names []string) {
-	for name := range park.Replicas {
+func (cluster *Park) ids() (names []string) {
+	for name := range cluster.Replicas {
 		names = append(names, name)
 	}
 	sort.Strings(names)
@@ -380,26 +380,26 @@
 }
 
 // Place sets the zone of a machine that isn't part of the plan.
-func (park *Park) Place(name, zone string) { park.zones[name] = zone }
+func (cluster *Park) Place(name, zone string) { cluster.zones[name] = zone }
 
 // Zone returns the zone of a machine.
-func (park *Park) Zone(name string) string { return park.zones[name] }
+func (cluster *Park) Zone(name string) string { return cluster.zones[name] }
 
 // platformClient is a node's client of the simulated platform. No network partition affects
 // it.
 type platformClient struct {
-	park *Park
-	node *sim.Node
+	cluster *Park
+	node    *sim.Node
 }
 
 // List queries the simulated platform for the replicas of a region.
-func (client *platformClient) List(region string, _ []string, patience time.Duration) ([]listing.Instance, error) {
+func (client *platformClient) List(region string, _ []string, timeout time.Duration) ([]listing.Instance, error) {
 	loop.Sleep(client.node, 2*time.Millisecond)
-	status, body := client.park.Platform.List(strings.TrimPrefix(region, "http://"))
+	status, body := client.cluster.Platform.List(strings.TrimPrefix(region, "http://"))
 	listed, err := listing.ParseResponse(status, "", body)
 	for _, instance := range listed {
 		if instance.Leaving {
-			client.park.learnLeaving(instance.ID, client.park.marked[instance.ID])
+			client.cluster.learnLeaving(instance.ID, client.cluster.marked[instance.ID])
 		}
 	}
 	return listed, err
@@ -408,7 +408,7 @@
 // replicaClient is a node's client of simulated replicas. It gives the same guarantees as the
 // real client.
 type replicaClient struct {
-	park      *Park
+	cluster   *Park
 	node      *sim.Node
 	idleConns map[string][]idleConn
 }
@@ -428,7 +428,7 @@
 	for list := client.idleConns[address]; len(list) > 0; list = client.idleConns[address] {
 		last := list[len(list)-1]
 		client.idleConns[address] = list[:len(list)-1]
-		if client.node.Now()-last.since < idleTimeout && client.park.Node(address).Up() && client.park.Replicas[address].Boot == last.boot {
+		if client.node.Now()-last.since < idleTimeout && client.cluster.Node(address).Up() && client.cluster.Replicas[address].Boot == last.boot {
 			return last.boot, true
 		}
 	}
@@ -442,7 +442,7 @@
 type simStream struct {
 	client       *replicaClient
 	boot         string
-	park         *Park
+	cluster      *Park
 	mailbox      loop.Mailbox
 	from         *sim.Node
 	to           string
@@ -478,16 +478,16 @@
 
 // Dispatch sends a request to a simulated replica and waits for the first piece of its answer.
 func (client *replicaClient) Dispatch(request replica.Request) (replica.Stream, *verdict.Error) {
-	park, node := client.park, client.node
+	cluster, node := client.cluster, client.node
 	unreached := func(wait time.Duration) (replica.Stream, *verdict.Error) {
 		loop.Sleep(node, wait)
 		return nil, &verdict.Error{Verdict: verdict.NotRun, Code: "replica_unreached", Status: 502}
 	}
 	boot, isKept := client.takeIdle(request.Address)
 	if !isKept {
-		delay, open := park.Reach(node.Name, request.Address)
-		back, openBack := park.Reach(request.Address, node.Name)
-		target := park.Node(request.Address)
+		delay, open := cluster.Reach(node.Name, request.Address)
+		back, openBack := cluster.Reach(request.Address, node.Name)
+		target := cluster.Node(request.Address)
 		switch {
 		case !open || !openBack || target.Frozen():
 			return unreached(time.Second) // the dial times out
@@ -501,7 +501,7 @@
 		}
 		health, _ := replica.ParseHealth(reply.body)
 		boot = health.Boot
-		park.Greeted++
+		cluster.Greeted++
 	}
 	if boot != request.Boot {
 		client.release(request.Address, boot)
@@ -511,28 +511,28 @@
 	if failure != nil {
 		return nil, failure
 	}
-	stream := &simStream{client: client, boot: boot, park: park, mailbox: node.Mailbox(), from: node, to: request.Address, stallTimeout: request.StallTimeout, deadline: node.Now() + request.Timeout}
-	park.streams[request.Address] = append(park.streams[request.Address], stream)
-	park.streams[node.Name] = append(park.streams[node.Name], stream)
+	stream := &simStream{client: client, boot: boot, cluster: cluster, mailbox: node.Mailbox(), from: node, to: request.Address, stallTimeout: request.StallTimeout, deadline: node.Now() + request.Timeout}
+	cluster.streams[request.Address] = append(cluster.streams[request.Address], stream)
+	cluster.streams[node.Name] = append(cluster.streams[node.Name], stream)
 	if request.OnAbort != nil {
 		request.OnAbort(func() { stream.mailbox.Put(streamPiece{err: errReset}) })
 	}
 	body := bytes.Clone(request.Body)
-	try, sent := park.tries(request.ID), park.Now()
-	park.Deliver(node, request.Address, func(at *sim.Node) {
-		stub := park.Replicas[request.Address]
+	try, sent := cluster.tries(request.ID), cluster.Now()
+	cluster.Deliver(node, request.Address, func(at *sim.Node) {
+		stub := cluster.Replicas[request.Address]
 		if stub.Boot != boot {
-			park.Deliver(at, node.Name, func(*sim.Node) { stream.mailbox.Put(streamPiece{err: errReset}) })
+			cluster.Deliver(at, node.Name, func(*sim.Node) { stream.mailbox.Put(streamPiece{err: errReset}) })
 			return // the connection broke when that process of the replica ended
 		}
 		answer, status, rejection := stub.Arrive(body, request.ID, request.Kind, request.Home, serial, node.Name)
 		if answer != nil {
 			answer.served.Sent = sent
 		}
-		park.Arrivals = append(park.Arrivals, Arrival{At: park.Now(), Sent: sent, Replica: request.Address, Boot: stub.Boot, Daemon: node.Name, ID: request.ID, Home: request.Home, Taken: answer != nil, Try: try})
+		cluster.Arrivals = append(cluster.Arrivals, Arrival{At: cluster.Now(), Sent: sent, Replica: request.Address, Boot: stub.Boot, Daemon: node.Name, ID: request.ID, Home: request.Home, Taken: answer != nil, Try: try})
 		var channel sim.Stream
 		send := func(piece streamPiece) {
-			park.Send(&channel, at, node.Name, func(*sim.Node) { stream.mailbox.Put(piece) })
+			cluster.Send(&channel, at, node.Name, func(*sim.Node) { stream.mailbox.Put(piece) })
 		}
 		if answer == nil {
 			send(streamPiece{rejection: replica.FailureFromAnswer(status, "", rejection)})
@@ -613,17 +613,17 @@
 		stream.client.release(stream.to, stream.boot)
 	}
 	for _, name := range []string{stream.to, stream.from.Name} {
-		list := stream.park.streams[name]
+		list := stream.cluster.streams[name]
 		for index, other := range list {
 			if other == stream {
-				stream.park.streams[name] = append(list[:index:index], list[index+1:]...)
+				stream.cluster.streams[name] = append(list[:index:index], list[index+1:]...)
 				break
 			}
 		}
 	}
 	if !stream.ended && stream.answer != nil {
 		answer := stream.answer
-		stream.park.Deliver(stream.from, stream.to, func(*sim.Node) { answer.Abort() })
+		stream.cluster.Deliver(stream.from, stream.to, func(*sim.Node) { answer.Abort() })
 	}
 }
 
@@ -635,7 +635,7 @@
 	}
 	health, err := replica.ParseHealth(reply.body)
 	if err == nil && health.Leaving {
-		client.park.learnLeaving(address, health.Boot)
+		client.cluster.learnLeaving(address, health.Boot)
 	}
 	return health, err
 }
@@ -644,7 +644,7 @@
 func (client *replicaClient) Order(address string, order replica.Order, timeout time.Duration) error {
 	reply, err := client.exchange(address, timeout, func(stub *Replica) (int, []byte) {
 		if stub == nil { // an engine, which takes no orders
-			client.park.Strayed++
+			client.cluster.Strayed++
 			return 404, nil
 		}
 		return stub.Order(order)
@@ -661,57 +661,57 @@
 }
 
 func (client *replicaClient) exchange(address string, timeout time.Duration, handle func(*Replica) (int, []byte)) (httpReply, error) {
-	park, node := client.park, client.node
+	cluster, node := client.cluster, client.node
 	mailbox := node.Mailbox()
-	if target := park.Node(address); !target.Up() {
+	if target := cluster.Node(address); !target.Up() {
 		loop.Sleep(node, time.Millisecond)
 		return httpReply{}, errReset
 	}
-	park.Deliver(node, address, func(at *sim.Node) {
-		status, body := handle(park.Replicas[address])
-		park.Deliver(at, node.Name, func(*sim.Node) { mailbox.Put(httpReply{status, body}) })
+	cluster.Deliver(node, address, func(at *sim.Node) {
+		status, body := handle(cluster.Replicas[address])
+		cluster.Deliver(at, node.Name, func(*sim.Node) { mailbox.Put(httpReply{status, body}) })
 	})
 	item, ok := mailbox.Take(timeout)
 	if !ok {
-		return httpReply{}, errors.New("no answer")
+		return httpReply{}, errors.New("no reply before the timeout")
 	}
 	return item.(httpReply), nil
 }
 
 // crowd starts a stream of requests.
-func (park *Park) crowd(crowd *Crowd) {
+func (cluster *Park) crowd(crowd *Crowd) {
 	name := "caller-" + crowd.Name
-	park.zones[name] = crowd.Zone
-	park.Start(name, func(node *sim.Node) {
+	cluster.zones[name] = crowd.Zone
+	cluster.Start(name, func(node *sim.Node) {
 		loop.Sleep(node, crowd.From)
 		for count := 0; ; count++ {
-			gap := time.Duration(park.Draw(int64(2 * crowd.Every)))
+			gap := time.Duration(cluster.Draw(int64(2 * crowd.Every)))
 			loop.Sleep(node, gap)
 			if crowd.Until > 0 && node.Now() > crowd.Until {
 				return
 			}
-			if park.Quiet {
+			if cluster.Quiet {
 				continue
 			}
-			park.drawn++
-			request := &Request{ID: fmt.Sprintf("%s.%d", crowd.Name, park.drawn), Crowd: crowd.Name, Kind: crowd.Kind, Home: crowd.Home, At: node.Now()}
-			park.Requests = append(park.Requests, request)
-			park.byID[request.ID] = request
+			cluster.drawn++
+			request := &Request{ID: fmt.Sprintf("%s.%d", crowd.Name, cluster.drawn), Crowd: crowd.Name, Kind: crowd.Kind, Home: crowd.Home, At: node.Now()}
+			cluster.Requests = append(cluster.Requests, request)
+			cluster.byID[request.ID] = request
 			number := count
-			node.Go(func() { park.request(node, crowd, request, number) })
+			node.Go(func() { cluster.request(node, crowd, request, number) })
 		}
 	})
 }
 
-func (park *Park) modelOf(crowd *Crowd) string {
+func (cluster *Park) modelOf(crowd *Crowd) string {
 	if crowd.Model != "" {
 		return crowd.Model
 	}
-	return park.Model
+	return cluster.Model
 }
 
-func (park *Park) tries(id string) int {
-	if request := park.byID[id]; request != nil {
+func (cluster *Park) tries(id string) int {
+	if request := cluster.byID[id]; request != nil {
 		return request.Tries
 	}
 	return 0
@@ -719,24 +719,24 @@
 
 // request sends one request with its retries, as a caller does that keeps to the protocol: it
 // sends the same ID with a new ticket only after not_run.
-func (park *Park) request(node *sim.Node, crowd *Crowd, request *Request, sequence int) {
+func (cluster *Park) request(node *sim.Node, crowd *Crowd, request *Request, sequence int) {
 	var addresses []string
 	ticket := ""
 	defer func() { request.End = node.Now() }()
-	inDoubt := false // whether an earlier attempt may have run
+	mayHaveRun := false // whether an earlier attempt may have run
 	lane := laneKey{crowd.Name, sequence % max(1, crowd.Lanes)}
 	for try := 0; try <= crowd.Retries; try++ {
-		if kept, has := park.lanes[lane]; has && try == 0 && park.Now() < kept.until {
-			addresses, ticket = kept.addresses, kept.ticket
+		if location, isCached := cluster.lanes[lane]; isCached && try == 0 && cluster.Now() < location.until {
+			addresses, ticket = location.addresses, location.ticket
 		}
 		if ticket == "" {
-			delete(park.lanes, lane)
-			addresses, ticket = park.locate(node, crowd, sequence)
-			park.lanes[lane] = callerLocation{addresses, ticket, park.Now() + 54*time.Second}
+			delete(cluster.lanes, lane)
+			addresses, ticket = cluster.locate(node, crowd, sequence)
+			cluster.lanes[lane] = callerLocation{addresses, ticket, cluster.Now() + 54*time.Second}
 			if ticket == "" {
-				delete(park.lanes, lane)
+				delete(cluster.lanes, lane)
 				request.Verdict, request.Code = "not_run", "nowhere"
-				loop.Sleep(node, park.retryDelay(crowd, try))
+				loop.Sleep(node, cluster.retryDelay(crowd, try))
 				continue
 			}
 		}
@@ -746,27 +746,27 @@
 			address = addresses[0]
 		}
 		if crowd.Astray && try == 0 {
-			address = park.datas()[len(park.Plan.Datas)-1]
+			address = cluster.datas()[len(cluster.Plan.Datas)-1]
 		}
 		if crowd.Hasty && try == 0 {
-			park.sendConcurrently(node, crowd, request, sequence, addresses, ticket)
+			cluster.sendConcurrently(node, crowd, request, sequence, addresses, ticket)
 		} else {
-			request.Verdict, request.Code = park.send(node, crowd, request, sequence, address, ticket, try, 30*time.Second)
+			request.Verdict, request.Code = cluster.send(node, crowd, request, sequence, address, ticket, try, 30*time.Second)
 		}
-		if park.Datas[address].Leaving() {
-			delete(park.lanes, lane) // as the answer's header tells the caller
+		if cluster.Datas[address].Leaving() {
+			delete(cluster.lanes, lane) // as the answer's header tells the caller
 		}
 		switch {
 		case request.Verdict == "ok":
 			return
-		case request.Verdict == "not_run" && (!inDoubt || request.Code != "unreached"):
+		case request.Verdict == "not_run" && (!mayHaveRun || request.Code != "unreached"):
 			ticket = "" // unreached is about this attempt only, not about earlier ones
 		case !crowd.Eager:
-			delete(park.lanes, lane)
+			delete(cluster.lanes, lane)
 			return // a caller that keeps to the protocol doesn't retry
 		}
-		inDoubt = inDoubt || request.Verdict != "not_run"
-		loop.Sleep(node, park.retryDelay(crowd, try))
+		mayHaveRun = mayHaveRun || request.Verdict != "not_run"
+		loop.Sleep(node, cluster.retryDelay(crowd, try))
 	}
 }
 
@@ -785,29 +785,29 @@
 
 // sendConcurrently runs several attempts of one request at the same time. If any of them may
 // have run, the request may have run.
-func (park *Park) sendConcurrently(node *sim.Node, crowd *Crowd, request *Request, number int, addresses []string, ticket string) {
-	type ending struct{ verdict, code string }
+func (cluster *Park) sendConcurrently(node *sim.Node, crowd *Crowd, request *Request, number int, addresses []string, ticket string) {
+	type outcome struct{ verdict, code string }
 	mailbox := node.Mailbox()
 	timeout := 30 * time.Second
 	if number%2 == 0 {
 		timeout = 60 * time.Millisecond // gives up on the first attempt while the others run
 	}
-	tries := []struct {
+	attempts := []struct {
 		address, ticket string
 		timeout         time.Duration
 	}{{addresses[0], ticket, timeout}, {addresses[0], ticket, 30 * time.Second}, {addresses[len(addresses)-1], ticket, 30 * time.Second}, {addresses[0], "", 30 * time.Second}, {addresses[len(addresses)-1], "", 30 * time.Second}}
-	for index, try := range tries {
+	for index, try := range attempts {
 		request.Tries = index + 1
 		node.Go(func() {
-			verdict, code := park.send(node, crowd, request, number, try.address, try.ticket, index, try.timeout)
-			mailbox.Put(ending{verdict, code})
+			verdict, code := cluster.send(node, crowd, request, number, try.address, try.ticket, index, try.timeout)
+			mailbox.Put(outcome{verdict, code})
 		})
-		loop.Sleep(node, time.Duration(park.Draw(int64(40*time.Millisecond))))
+		loop.Sleep(node, time.Duration(cluster.Draw(int64(40*time.Millisecond))))
 	}
 	request.Verdict = ""
-	for range tries {
+	for range attempts {
 		item, _ := mailbox.Take(40 * time.Second)
-		end, _ := item.(ending)
+		end, _ := item.(outcome)
 		switch {
 		case request.Verdict == "ok":
 		case end.verdict == "ok", request.Verdict == "", request.Verdict == "not_run":
@@ -816,18 +816,18 @@
 	}
 }
 
-func (park *Park) retryDelay(crowd *Crowd, try int) time.Duration {
+func (cluster *Park) retryDelay(crowd *Crowd, try int) time.Duration {
 	if crowd.Eager {
 		return 50 * time.Millisecond
 	}
-	return time.Duration(200<<min(try, 3))*time.Millisecond + time.Duration(park.Draw(int64(200*time.Millisecond)))
+	return time.Duration(200<<min(try, 3))*time.Millisecond + time.Duration(cluster.Draw(int64(200*time.Millisecond)))
 }
 
 // locate queries a daemon for the addresses to send to and for a ticket. Callers know all
 // daemons by name.
-func (park *Park) locate(node *sim.Node, crowd *Crowd, number int) ([]string, string) {
+func (cluster *Park) locate(node *sim.Node, crowd *Crowd, number int) ([]string, string) {
 	var near, far []string
-	for _, assignment := range park.Plan.Datas {
+	for _, assignment := range cluster.Plan.Datas {
 		name, zone := split(assignment)
 		if zone == crowd.Zone && !crowd.Moves {
 			near = append(near, name)
@@ -837,7 +837,7 @@
 	}
 	shuffle := func(list []string) {
 		for index := len(list) - 1; index > 0; index-- {
-			other := int(park.Draw(int64(index + 1)))
+			other := int(cluster.Draw(int64(index + 1)))
 			list[index], list[other] = list[other], list[index]
 		}
 	}
@@ -849,23 +849,23 @@
 			addresses []string
 			ticket    string
 		}
-		if !park.Node(name).Up() {
+		if !cluster.Node(name).Up() {
 			loop.Sleep(node, time.Millisecond)
 			continue
 		}
-		park.Deliver(node, name, func(at *sim.Node) {
+		cluster.Deliver(node, name, func(at *sim.Node) {
 			var out location
-			members, ticket, _, failure := park.Datas[name].Decider.Locate(park.modelOf(crowd), crowd.Kind, crowd.Home, crowd.Zone, decide.Prefix([]byte(fmt.Sprint(crowd.Name, number%max(1, crowd.Rosters)))))
+			members, ticket, _, failure := cluster.Datas[name].Decider.Locate(cluster.modelOf(crowd), crowd.Kind, crowd.Home, crowd.Zone, decide.Prefix([]byte(fmt.Sprint(crowd.Name, number%max(1, crowd.Rosters)))))
 			if failure == nil {
 				out.ticket = ticket.Seal()
-				located := Located{At: park.Now(), By: name, Home: crowd.Home}
+				located := Located{At: cluster.Now(), By: name, Home: crowd.Home}
 				for _, member := range members {
 					out.addresses = append(out.addresses, member.HTTP)
 					located.Zones = append(located.Zones, member.Zone)
 				}
-				park.Locates = append(park.Locates, located)
+				cluster.Locates = append(cluster.Locates, located)
 			}
-			park.Deliver(at, node.Name, func(*sim.Node) { mailbox.Put(out) })
+			cluster.Deliver(at, node.Name, func(*sim.Node) { mailbox.Put(out) })
 		})
 		if answer, ok := mailbox.Take(500 * time.Millisecond); ok && answer.(location).ticket != "" {
 			return answer.(location).addresses, answer.(location).ticket
@@ -877,77 +877,77 @@
 // sink sends the events of an answer to a caller.
 type sink struct {
 	execute.CallerState
-	park    *Park
-	at      *sim.Node
-	to      *sim.Node
-	mailbox loop.Mailbox
-	stream  *sim.Stream
-	gone    *bool
+	cluster  *Park
+	at       *sim.Node
+	to       *sim.Node
+	mailbox  loop.Mailbox
+	stream   *sim.Stream
+	isClosed *bool
 }
 
 // Event sends one event.
 func (sink *sink) Event(event []byte) error {
-	if *sink.gone {
+	if *sink.isClosed {
 		return errReset
 	}
-	sink.park.Send(sink.stream, sink.at, sink.to.Name, func(*sim.Node) { sink.mailbox.Put(bytes.Clone(event)) })
+	sink.cluster.Send(sink.stream, sink.at, sink.to.Name, func(*sim.Node) { sink.mailbox.Put(bytes.Clone(event)) })
 	return nil
 }
 
 var _ execute.Sink = (*sink)(nil)
 
 // send makes one attempt at a daemon and records its result for the checkers.
-func (park *Park) send(node *sim.Node, crowd *Crowd, request *Request, number int, address, ticket string, try int, timeout time.Duration) (string, string) {
+func (cluster *Park) send(node *sim.Node, crowd *Crowd, request *Request, number int, address, ticket string, try int, timeout time.Duration) (string, string) {
 	sent := node.Now()
-	verdict, code := park.try(node, crowd, request, number, address, ticket, try, timeout)
-	park.Told = append(park.Told, Told{Sent: sent, At: node.Now(), ID: request.ID, Ticket: ticket, Daemon: address, Verdict: verdict, Code: code})
+	verdict, code := cluster.try(node, crowd, request, number, address, ticket, try, timeout)
+	cluster.Told = append(cluster.Told, Told{Sent: sent, At: node.Now(), ID: request.ID, Ticket: ticket, Daemon: address, Verdict: verdict, Code: code})
 	return verdict, code
 }
 
-func (park *Park) try(node *sim.Node, crowd *Crowd, request *Request, number int, address, ticket string, try int, timeout time.Duration) (string, string) {
-	target := park.Node(address)
-	delay, open := park.Reach(node.Name, address)
+func (cluster *Park) try(node *sim.Node, crowd *Crowd, request *Request, number int, address, ticket string, try int, timeout time.Duration) (string, string) {
+	target := cluster.Node(address)
+	delay, open := cluster.Reach(node.Name, address)
 	if !open || target.Frozen() {
 		loop.Sleep(node, time.Second)
 		return "not_run", "unreached"
 	}
-	if !target.Up() || park.closed[address] {
+	if !target.Up() || cluster.closed[address] {
 		loop.Sleep(node, delay)
 		return "not_run", "unreached"
 	}
 	mailbox := node.Mailbox()
-	gone := false
-	daemon := park.Datas[address]
-	link := &simStream{park: park, mailbox: mailbox, from: node, to: address}
+	isClosed := false
+	daemon := cluster.Datas[address]
+	conn := &simStream{cluster: cluster, mailbox: mailbox, from: node, to: address}
 	var responder *sink
-	park.streams[address] = append(park.streams[address], link)
+	cluster.streams[address] = append(cluster.streams[address], conn)
 	defer func() {
-		gone = true
-		link.ended = true
-		link.Close()
+		isClosed = true
+		conn.ended = true
+		conn.Close()
 		// The daemon checks the caller's connection a few times a second.
-		if seen := responder; seen != nil {
-			sim := park.Node(address)
-			park.At(200*time.Millisecond, func() {
-				if sim.Up() {
-					sim.Go(seen.Disconnect)
+		if callerSink := responder; callerSink != nil {
+			machine := cluster.Node(address)
+			cluster.At(200*time.Millisecond, func() {
+				if machine.Up() {
+					machine.Go(callerSink.Disconnect)
 				}
 			})
 		}
 	}()
-	park.Deliver(node, address, func(at *sim.Node) {
-		call := &decide.Call{ID: request.ID, Ticket: ticket, Model: park.modelOf(crowd), Kind: crowd.Kind, Home: crowd.Home, Path: "/v1/completions", Retried: try > 0 && !(crowd.Hasty && number%3 == 0)}
+	cluster.Deliver(node, address, func(at *sim.Node) {
+		call := &decide.Call{ID: request.ID, Ticket: ticket, Model: cluster.modelOf(crowd), Kind: crowd.Kind, Home: crowd.Home, Path: "/v1/completions", Retried: try > 0 && !(crowd.Hasty && number%3 == 0)}
 		text, failure := daemon.Enter(call, func() []byte {
-			park.Entered = append(park.Entered, Entered{At: park.Now(), ID: request.ID, Daemon: address, Home: crowd.Home})
-			return Prompt(park.modelOf(crowd), number%max(1, crowd.Rosters), crowd.Bytes, crowd.Tokens, request.ID)
+			cluster.Entered = append(cluster.Entered, Entered{At: cluster.Now(), ID: request.ID, Daemon: address, Home: crowd.Home})
+			return Prompt(cluster.modelOf(crowd), number%max(1, crowd.Rosters), crowd.Bytes, crowd.Tokens, request.ID)
 		})
 		var lane sim.Stream
 		if failure == nil {
-			responder = &sink{park: park, at: at, to: node, mailbox: mailbox, stream: &lane, gone: &gone}
+			responder = &sink{cluster: cluster, at: at, to: node, mailbox: mailbox, stream: &lane, isClosed: &isClosed}
 			failure = daemon.Executor.Serve(call, text, responder)
 		}
 		if failure != nil {
-			park.Send(&lane, at, node.Name, func(*sim.Node) { mailbox.Put(failure) })
+			cluster.Send(&lane, at, node.Name, func(*sim.Node) { mailbox.Put(failure) })
 		}
 	})
 	events := 0
--- a/fleet/relay.go
+++ b/fleet/relay.go
@@ -16,11 +16,11 @@
 )
 
 // relayer is a data daemon's client of simulated engines. It gives the same guarantees as the
-// real client, replica.ProxyClient.
+// real client, replica.Proxy.
 type relayer struct {
-	park *Park
-	node *sim.Node
-	idle map[string][]*wireLine
+	cluster *Park
+	node    *sim.Node
+	idle    map[string][]*wireLine
 }
 
 // wireLine is a connection to one process of an engine. Late counts the stale answers that
@@ -39,7 +39,7 @@
 
 // engineStream is a routed request in flight between a daemon and an engine.
 type engineStream struct {
-	park     *Park
+	cluster  *Park
 	mailbox  loop.Mailbox
 	from     *sim.Node
 	to       string
@@ -71,27 +71,27 @@
 // take returns an idle connection, or dials a new one. It returns nil if the engine can't be
 // reached.
 func (client *relayer) take(request *replica.RoutedRequest) *wireLine {
-	park, node := client.park, client.node
+	cluster, node := client.cluster, client.node
 	for {
-		waiting := client.idle[request.Address]
-		if len(waiting) == 0 {
+		idle := client.idle[request.Address]
+		if len(idle) == 0 {
 			break
 		}
-		last := waiting[len(waiting)-1]
-		client.idle[request.Address] = waiting[:len(waiting)-1]
+		conn := idle[len(idle)-1]
+		client.idle[request.Address] = idle[:len(idle)-1]
 		if request.NewConnection {
 			break
 		}
-		engine := park.Engines[request.Address]
+		engine := cluster.Engines[request.Address]
 		// A connection with an unsolicited answer is noticed as such only if the answer has
 		// already arrived.
-		if node.Now()-last.since < connIdleTimeout && last.life == request.Replica && engine.Life == last.life && park.Node(request.Address).Up() && (last.late == 0 || park.Draw(2) == 0) {
-			return last
+		if node.Now()-conn.since < connIdleTimeout && conn.life == request.Replica && engine.Life == conn.life && cluster.Node(request.Address).Up() && (conn.late == 0 || cluster.Draw(2) == 0) {
+			return conn
 		}
 	}
-	delay, isOpen := park.Reach(node.Name, request.Address)
-	back, isOpenBack := park.Reach(request.Address, node.Name)
-	target := park.Node(request.Address)
+	delay, isOpen := cluster.Reach(node.Name, request.Address)
+	back, isOpenBack := cluster.Reach(request.Address, node.Name)
+	target := cluster.Node(request.Address)
 	switch {
 	case !isOpen || !isOpenBack || target.Frozen():
 		loop.Sleep(node, request.ConnectTimeout)
@@ -104,8 +104,8 @@
 	if !target.Up() {
 		return nil
 	}
-	park.Dialled++
-	return &wireLine{life: park.Engines[request.Address].Life}
+	cluster.Dialled++
+	return &wireLine{life: cluster.Engines[request.Address].Life}
 }
 
 func (client *relayer) release(address string, conn *wireLine) {
@@ -115,7 +115,7 @@
 
 // Send sends a routed request to an engine and waits for the head of its answer.
 func (client *relayer) Send(request *replica.RoutedRequest) (*replica.Answer, *verdict.Error) {
-	park, node := client.park, client.node
+	cluster, node := client.cluster, client.node
 	conn := client.take(request)
 	if conn == nil {
 		return nil, &verdict.Error{Verdict: verdict.NotRun, Code: "replica_unreached", Status: 503}
@@ -125,23 +125,23 @@
 		return nil, failure
 	}
 	sent := node.Now()
-	stream := &engineStream{park: park, mailbox: node.Mailbox(), from: node, to: request.Address, relayer: client, conn: conn, request: request, deadline: sent + request.Remaining}
-	park.hops[request.Address] = append(park.hops[request.Address], stream)
-	park.hops[node.Name] = append(park.hops[node.Name], stream)
+	stream := &engineStream{cluster: cluster, mailbox: node.Mailbox(), from: node, to: request.Address, relayer: client, conn: conn, request: request, deadline: sent + request.Remaining}
+	cluster.hops[request.Address] = append(cluster.hops[request.Address], stream)
+	cluster.hops[node.Name] = append(cluster.hops[node.Name], stream)
 	if request.OnAbort != nil {
 		request.OnAbort(func() { stream.mailbox.Put(wireMessage{err: errReset}) })
 	}
-	if _, isOpen := park.Reach(node.Name, request.Address); !isOpen {
+	if _, isOpen := cluster.Reach(node.Name, request.Address); !isOpen {
 		stream.resetAt = sent + request.UnackedTimeout
 	}
-	asked, intended, after := park.asked(request.ID), request.Replica, tokenOf(request.After)
+	content, intended, after := cluster.asked(request.ID), request.Replica, tokenOf(request.After)
 	urgency, remaining, tenant := request.Urgency, request.Remaining, request.Tenant
-	park.Deliver(node, request.Address, func(at *sim.Node) {
-		engine := park.Engines[request.Address]
+	cluster.Deliver(node, request.Address, func(at *sim.Node) {
+		engine := cluster.Engines[request.Address]
 		var messages sim.Stream
 		send := func(piece wireMessage) {
 			if engine.Gone == 0 && !stream.isClosed {
-				park.Send(&messages, at, node.Name, func(*sim.Node) { stream.mailbox.Put(piece) })
+				cluster.Send(&messages, at, node.Name, func(*sim.Node) { stream.mailbox.Put(piece) })
 			}
 		}
 		if engine.Life != conn.life {
@@ -152,33 +152,33 @@
 			conn.late--
 			send(wireMessage{head: &replica.Head{Status: 200, OtherRequest: true}})
 		}
-		run := &Run{ID: request.ID, Engine: request.Address, Life: engine.Life, Model: engine.Model, Version: engine.Version, Daemon: node.Name, Tenant: tenant, Sent: sent, At: park.Now(), After: after}
+		run := &Run{ID: request.ID, Engine: request.Address, Life: engine.Life, Model: engine.Model, Version: engine.Version, Daemon: node.Name, Tenant: tenant, Sent: sent, At: cluster.Now(), After: after}
 		if engine.Life != intended {
 			run.Elsewhere = true
-			park.Runs = append(park.Runs, run)
+			cluster.Runs = append(cluster.Runs, run)
 			head := engine.load()
 			head.Status, head.OtherReplica, head.Events = 421, true, false
 			send(wireMessage{head: &head})
 			return
 		}
-		work := &engineRequest{run: run, parts: asked.parts, maxTokens: asked.most, urgency: urgency, deadline: park.Now() + remaining, generated: after, resumedFrom: after, sent: after, send: send}
-		for _, part := range asked.parts {
+		work := &engineRequest{run: run, parts: content.parts, maxTokens: content.most, urgency: urgency, deadline: cluster.Now() + remaining, generated: after, resumedFrom: after, sent: after, send: send}
+		for _, part := range content.parts {
 			run.Prompt += part.Tokens
 		}
 		if stream.isClosed {
 			return // the daemon has closed the connection meanwhile
 		}
 		stream.engine, stream.work = engine, work
-		if engine.Grey.applies(engine, park.zones[node.Name]) {
+		if engine.Grey.applies(engine, cluster.zones[node.Name]) {
 			engine.failPartially(run, work)
 			return
 		}
 		engine.arrive(run, work)
 	})
 	if stream.isFar() {
-		for _, part := range asked.parts {
-			park.FarBytes += tokenBytes * part.Tokens
-			park.FarPrompt += tokenBytes * part.Tokens
+		for _, part := range content.parts {
+			cluster.FarBytes += tokenBytes * part.Tokens
+			cluster.FarPrompt += tokenBytes * part.Tokens
 		}
 	}
 	cut := func(code string) (*replica.Answer, *verdict.Error) {
@@ -218,7 +218,7 @@
 	}
 }
 
-var errExpired = errors.New("the caller's time is over")
+var errExpired = errors.New("the caller's deadline has passed")
 
 // wait waits for the next message. At intervals it calls OnSilence to find out whether to give
 // up.
@@ -260,7 +260,7 @@
 		return nil, io.EOF
 	}
 	if stream.isFar() {
-		stream.park.FarBytes += len(piece.event)
+		stream.cluster.FarBytes += len(piece.event)
 	}
 	return piece.event, nil
 }
@@ -270,7 +270,7 @@
 
 // isFar reports whether the request goes to another region.
 func (stream *engineStream) isFar() bool {
-	return Region(stream.park.zones[stream.from.Name]) != Region(stream.park.zones[stream.to])
+	return Region(stream.cluster.zones[stream.from.Name]) != Region(stream.cluster.zones[stream.to])
 }
 
 // Close ends the stream. The connection is reused only if the answer was received completely.
@@ -287,10 +287,10 @@
 	}
 	stream.isClosed = true
 	for _, name := range []string{stream.to, stream.from.Name} {
-		list := stream.park.hops[name]
+		list := stream.cluster.hops[name]
 		for at, work := range list {
 			if work == stream {
-				stream.park.hops[name] = append(list[:at:at], list[at+1:]...)
+				stream.cluster.hops[name] = append(list[:at:at], list[at+1:]...)
 				break
 			}
 		}
@@ -300,11 +300,11 @@
 	case stream.isEnded && !stream.closesConn:
 		if engine != nil && engine.happens(engine.Repeats) {
 			stream.conn.late++
-			stream.park.Repeated++
+			stream.cluster.Repeated++
 		}
 		stream.relayer.release(stream.to, stream.conn)
 	case engine != nil && !stream.isEnded:
-		stream.park.Deliver(stream.from, stream.to, func(*sim.Node) { engine.drop(work) })
+		stream.cluster.Deliver(stream.from, stream.to, func(*sim.Node) { engine.drop(work) })
 	}
 }
 
@@ -324,25 +324,25 @@
 
 // Probe sends a health check to an engine.
 func (dialect engineDialect) Probe(target replica.Target, timeout time.Duration) (replica.Health, error) {
-	park, node := dialect.client.park, dialect.client.node
+	cluster, node := dialect.client.cluster, dialect.client.node
 	mailbox := node.Mailbox()
-	if park.Node(target.Address) == nil || !park.Node(target.Address).Up() {
+	if cluster.Node(target.Address) == nil || !cluster.Node(target.Address).Up() {
 		loop.Sleep(node, time.Millisecond)
 		return replica.Health{}, errReset
 	}
-	park.Deliver(node, target.Address, func(at *sim.Node) {
-		engine := park.Engines[target.Address]
+	cluster.Deliver(node, target.Address, func(at *sim.Node) {
+		engine := cluster.Engines[target.Address]
 		// Like a request, a health check waits for a slot or is rejected.
 		for len(engine.active) >= engine.Berths && len(engine.waiting) < engine.Queue {
 			loop.Sleep(at, 10*time.Millisecond)
 		}
 		isFull, reportsUnhealthy := len(engine.waiting) >= engine.Queue, engine.SaysIll
-		health := replica.Health{Boot: engine.Life, Load: -1, Leaving: engine.Leaving, Cold: max(0, engine.ColdUntil-park.Now())}
-		park.Deliver(at, node.Name, func(*sim.Node) { mailbox.Put(probeReply{health, isFull, reportsUnhealthy}) })
+		health := replica.Health{Boot: engine.Life, Load: -1, Leaving: engine.Leaving, Cold: max(0, engine.ColdUntil-cluster.Now())}
+		cluster.Deliver(at, node.Name, func(*sim.Node) { mailbox.Put(probeReply{health, isFull, reportsUnhealthy}) })
 	})
 	item, has := mailbox.Take(timeout)
 	if !has {
-		return replica.Health{}, errors.New("no answer")
+		return replica.Health{}, errors.New("no reply before the timeout")
 	}
 	health, isFull := item.(probeReply).health, item.(probeReply).isFull
 	switch {
@@ -350,7 +350,7 @@
 		return replica.Health{}, replica.Restarted()
 	case isFull:
 		// As in the real dialect, a status other than 200 is an error.
-		return health, errors.New("the probe was answered 503")
+		return health, errors.New("health check was rejected with status 503")
 	}
 	// Whether the engine is leaving is known from the platform's list only.
 	health.Unhealthy, health.Leaving = health.Leaving || item.(probeReply).reportsUnhealthy, false
@@ -360,7 +360,7 @@
 // Register is the simulated platform's list of engines. Changes show after a lag, and queries
 // are rate limited.
 type Register struct {
-	park      *Park
+	cluster   *Park
 	entries   []*listedEngine
 	lastQuery map[string]time.Duration
 	// Broken makes every query fail.
@@ -373,8 +373,8 @@
 }
 
 func (register *Register) add(engine *Engine) {
-	at := register.park.Now() + register.park.Plan.Lag
-	if register.park.Now() == 0 {
+	at := register.cluster.Now() + register.cluster.Plan.Lag
+	if register.cluster.Now() == 0 {
 		at = 0
 	}
 	// The previous process at the address has ended; it leaves the list after the same lag.
@@ -387,15 +387,15 @@
 }
 
 // Leave marks an engine's present process as leaving, after the lag.
-func (register *Register) Leave(name string) { register.mark(name, true) }
+func (register *Register) Leave(name string) { register.setEnd(name, true) }
 
 // Remove removes an engine's present process from the list, after the lag.
-func (register *Register) Remove(name string) { register.mark(name, false) }
+func (register *Register) Remove(name string) { register.setEnd(name, false) }
 
-func (register *Register) mark(name string, isLeaving bool) {
-	at := register.park.Now() + register.park.Plan.Lag
+func (register *Register) setEnd(name string, isLeaving bool) {
+	at := register.cluster.Now() + register.cluster.Plan.Lag
 	for _, listed := range register.entries {
-		if listed.engine == register.park.Engines[name] {
+		if listed.engine == register.cluster.Engines[name] {
 			if isLeaving {
 				listed.leaving = min(listed.leaving, at)
 			} else {
@@ -407,21 +407,21 @@
 
 // engineListClient is a node's client of the list of engines.
 type engineListClient struct {
-	park *Park
-	node *sim.Node
+	cluster *Park
+	node    *sim.Node
 }
 
 // List queries the simulated list for the engines of a region.
 func (client *engineListClient) List(address string, _ []string, _ time.Duration) ([]listing.Instance, error) {
-	park, region := client.park, strings.TrimPrefix(address, "http://")
+	cluster, region := client.cluster, strings.TrimPrefix(address, "http://")
 	loop.Sleep(client.node, 2*time.Millisecond)
-	now := park.Now()
-	register := park.Listed
+	now := cluster.Now()
+	register := cluster.Listed
 	if register.Broken {
-		return nil, errors.New("the platform is broken")
+		return nil, errors.New("simulated failure of the platform")
 	}
-	if last, isKnown := register.lastQuery[region]; isKnown && now-last < park.Plan.Least {
-		return nil, &listing.RateLimitedError{RetryAfter: park.Plan.Least}
+	if last, isKnown := register.lastQuery[region]; isKnown && now-last < cluster.Plan.Least {
+		return nil, &listing.RateLimitedError{RetryAfter: cluster.Plan.Least}
 	}
 	register.lastQuery[region] = now
 	var out []listing.Instance
@@ -432,7 +432,7 @@
 		}
 		entry := listing.Instance{ID: engine.Life, Address: engine.Name, Zone: engine.Zone, Model: engine.Model, Version: engine.Version, Cold: max(0, engine.ColdUntil-now), Leaving: listed.leaving <= now}
 		if entry.Leaving {
-			park.learnLeaving(engine.Name, engine.Life)
+			cluster.learnLeaving(engine.Name, engine.Life)
 		}
 		out = append(out, entry)
 	}
--- a/fleet/replica.go
+++ b/fleet/replica.go
@@ -101,7 +101,7 @@
 // Replica is a simulated replica.
 type Replica struct {
 	ReplicaOptions
-	guard    sync.Mutex
+	mutex    sync.Mutex
 	versions map[string]string // state by model/version
 	loadedAt map[string]time.Duration
 	orders   map[string]bool
@@ -109,7 +109,7 @@
 	cache    []uint64
 	running  int
 	units    int
-	answers  int
+	answered int
 	Leaving  bool
 	// Idle makes the replica accept orders without carrying them out.
 	Idle bool
@@ -142,10 +142,10 @@
 // currentCapacity returns the cost units that the replica can run at once, which increase
 // while it warms up.
 func (stub *Replica) currentCapacity() int {
-	if stub.ColdAnswers == 0 || stub.answers >= stub.ColdAnswers {
+	if stub.ColdAnswers == 0 || stub.answered >= stub.ColdAnswers {
 		return stub.Capacity
 	}
-	share := stub.ColdShare + (1-stub.ColdShare)*float64(stub.answers)/float64(stub.ColdAnswers)
+	share := stub.ColdShare + (1-stub.ColdShare)*float64(stub.answered)/float64(stub.ColdAnswers)
 	return max(1, int(share*float64(stub.Capacity)))
 }
 
@@ -160,8 +160,8 @@
 
 // Probe answers GET /health.
 func (stub *Replica) Probe() []byte {
-	stub.guard.Lock()
-	defer stub.guard.Unlock()
+	stub.mutex.Lock()
+	defer stub.mutex.Unlock()
 	stub.finishLoading()
 	type version struct {
 		Model   string `json:"model"`
@@ -187,8 +187,8 @@
 
 // Order answers POST /weights.
 func (stub *Replica) Order(order replica.Order) (int, []byte) {
-	stub.guard.Lock()
-	defer stub.guard.Unlock()
+	stub.mutex.Lock()
+	defer stub.mutex.Unlock()
 	stub.finishLoading()
 	if order.Fence < stub.fences[order.Model] {
 		stub.Fenced++
@@ -240,8 +240,8 @@
 
 // Arrive accepts a request, or rejects it with a status and an error body.
 func (stub *Replica) Arrive(body []byte, id, kind, home string, serial uint64, daemon string) (*Answer, int, []byte) {
-	stub.guard.Lock()
-	defer stub.guard.Unlock()
+	stub.mutex.Lock()
+	defer stub.mutex.Unlock()
 	stub.finishLoading()
 	reject := func(status int, message string) (*Answer, int, []byte) {
 		text, _ := json.Marshal(map[string]any{"error": map[string]string{"message": message}})
@@ -397,8 +397,8 @@
 
 func (answer *Answer) finish(outcome string) {
 	stub := answer.replica
-	stub.guard.Lock()
-	defer stub.guard.Unlock()
+	stub.mutex.Lock()
+	defer stub.mutex.Unlock()
 	if answer.ended {
 		return
 	}
@@ -408,27 +408,27 @@
 	stub.running--
 	stub.units -= answer.cost
 	if outcome == "ok" {
-		stub.answers++
+		stub.answered++
 	}
 }
 
 // Running returns the number of running requests.
 func (stub *Replica) Running() int {
-	stub.guard.Lock()
-	defer stub.guard.Unlock()
+	stub.mutex.Lock()
+	defer stub.mutex.Unlock()
 	return stub.running
 }
 
 // Units returns the number of running cost units.
 func (stub *Replica) Units() int {
-	stub.guard.Lock()
-	defer stub.guard.Unlock()
+	stub.mutex.Lock()
+	defer stub.mutex.Unlock()
 	return stub.units
 }
 
 // Leave marks the replica as leaving.
 func (stub *Replica) Leave() {
-	stub.guard.Lock()
-	defer stub.guard.Unlock()
+	stub.mutex.Lock()
+	defer stub.mutex.Unlock()
 	stub.Leaving = true
 }
--- a/fleet/routed.go
+++ b/fleet/routed.go
@@ -101,7 +101,7 @@
 }
 
 // asked returns the content of an attempt's request.
-func (park *Park) asked(id string) asked { return park.askedOf[id] }
+func (cluster *Park) asked(id string) asked { return cluster.askedOf[id] }
 
 // tokenOf parses an event's ID, the number of tokens up to its end.
 func tokenOf(id string) int {
@@ -110,22 +110,22 @@
 }
 
 // crowdRouted starts the callers of a crowd.
-func (park *Park) crowdRouted(crowd *RoutedCrowd) {
+func (cluster *Park) crowdRouted(crowd *RoutedCrowd) {
 	for worker := range crowd.Workers {
 		name := fmt.Sprintf("caller-%s-%d", crowd.Name, worker)
-		park.zones[name] = crowd.Zone
-		park.Start(name, func(node *sim.Node) {
-			caller := &routedCaller{park: park, node: node, crowd: crowd}
+		cluster.zones[name] = crowd.Zone
+		cluster.Start(name, func(node *sim.Node) {
+			caller := &routedCaller{cluster: cluster, node: node, crowd: crowd}
 			if len(crowd.Keys) > 0 {
 				caller.key = crowd.Keys[worker%len(crowd.Keys)]
 			}
 			loop.Sleep(node, max(0, crowd.From-node.Now()))
 			for {
-				loop.Sleep(node, time.Duration(park.Draw(int64(2*crowd.Pause)))+time.Microsecond)
+				loop.Sleep(node, time.Duration(cluster.Draw(int64(2*crowd.Pause)))+time.Microsecond)
 				if crowd.Until > 0 && node.Now() > crowd.Until {
 					return
 				}
-				if park.Quiet {
+				if cluster.Quiet {
 					loop.Sleep(node, 100*time.Millisecond)
 					continue
 				}
@@ -137,7 +137,7 @@
 
 // routedCaller is one caller.
 type routedCaller struct {
-	park         *Park
+	cluster      *Park
 	node         *sim.Node
 	crowd        *RoutedCrowd
 	key          string
@@ -149,31 +149,31 @@
 
 // chooseDaemon returns a random daemon to send to, or an empty name if none is known.
 func (caller *routedCaller) chooseDaemon() string {
-	park, node := caller.park, caller.node
+	cluster, node := caller.cluster, caller.node
 	if node.Now() >= caller.locatedUntil {
 		caller.locate()
 	}
-	var good []string
+	var usable []string
 	for _, name := range caller.daemons {
 		if node.Now() >= caller.avoidedUntil[name] {
-			good = append(good, name)
+			usable = append(usable, name)
 		}
 	}
-	if len(good) == 0 {
-		good = caller.daemons
+	if len(usable) == 0 {
+		usable = caller.daemons
 	}
-	if len(good) == 0 {
+	if len(usable) == 0 {
 		return ""
 	}
-	return good[park.Draw(int64(len(good)))]
+	return usable[cluster.Draw(int64(len(usable)))]
 }
 
 // locate queries up to three daemons, those in the caller's zone first, for the daemons to
 // send to.
 func (caller *routedCaller) locate() {
-	park, node, zone := caller.park, caller.node, caller.crowd.Zone
+	cluster, node, zone := caller.cluster, caller.node, caller.crowd.Zone
 	var near, far []string
-	for _, assignment := range park.Plan.Datas {
+	for _, assignment := range cluster.Plan.Datas {
 		name, at := split(assignment)
 		if at == zone {
 			near = append(near, name)
@@ -183,27 +183,27 @@
 	}
 	for _, list := range [][]string{near, far} {
 		for index := len(list) - 1; index > 0; index-- {
-			other := int(park.Draw(int64(index + 1)))
+			other := int(cluster.Draw(int64(index + 1)))
 			list[index], list[other] = list[other], list[index]
 		}
 	}
 	candidates := append(near, far...)
 	for _, name := range candidates[:min(3, len(candidates))] {
 		mailbox := node.Mailbox()
-		if !park.Node(name).Up() || park.closed[name] {
+		if !cluster.Node(name).Up() || cluster.closed[name] {
 			loop.Sleep(node, time.Millisecond)
 			continue
 		}
-		park.Deliver(node, name, func(at *sim.Node) {
+		cluster.Deliver(node, name, func(at *sim.Node) {
 			var out []string
-			daemon := park.Datas[name]
+			daemon := cluster.Datas[name]
 			for _, member := range daemon.Decider.EntryDaemons(caller.crowd.Host, Region(zone), zone) {
 				out = append(out, member.Door)
 			}
-			park.Deliver(at, node.Name, func(*sim.Node) { mailbox.Put(out) })
+			cluster.Deliver(at, node.Name, func(*sim.Node) { mailbox.Put(out) })
 		})
 		if item, has := mailbox.Take(locateTimeout); has && len(item.([]string)) > 0 {
-			caller.daemons, caller.locatedUntil = item.([]string), node.Now()+park.Datas[name].LocateTTL()*time.Duration(max(1, caller.crowd.Holds))
+			caller.daemons, caller.locatedUntil = item.([]string), node.Now()+cluster.Datas[name].LocateTTL()*time.Duration(max(1, caller.crowd.Holds))
 			return
 		}
 	}
@@ -211,15 +211,15 @@
 
 // request sends one request with its retries.
 func (caller *routedCaller) request() {
-	park, node, crowd := caller.park, caller.node, caller.crowd
-	park.drawn++
-	number := park.drawn
+	cluster, node, crowd := caller.cluster, caller.node, caller.crowd
+	cluster.drawn++
+	number := cluster.drawn
 	request := &RoutedRequest{ID: fmt.Sprintf("%s.%d", crowd.Name, number), Crowd: crowd, At: node.Now()}
-	park.RoutedRequests = append(park.RoutedRequests, request)
+	cluster.RoutedRequests = append(cluster.RoutedRequests, request)
 	defer func() { request.End = node.Now() }()
 	content := asked{most: crowd.Most}
 	if crowd.Shared > 0 {
-		group := uint64(park.Draw(int64(max(1, crowd.Groups))))
+		group := uint64(cluster.Draw(int64(max(1, crowd.Groups))))
 		content.parts = append(content.parts, decide.Part{ID: 1<<40 + group<<8 + uint64(len(crowd.Path)), Tokens: crowd.Shared})
 	}
 	content.parts = append(content.parts, decide.Part{ID: 1<<50 + uint64(number), Tokens: crowd.Own})
@@ -227,7 +227,7 @@
 	for {
 		try := &RoutedTry{ID: fmt.Sprintf("%s.%d", request.ID, len(request.Tries)), Key: caller.key, Sent: node.Now(), request: request}
 		request.Tries = append(request.Tries, try)
-		park.askedOf[try.ID], park.tried[try.ID] = content, try
+		cluster.askedOf[try.ID], cluster.tried[try.ID] = content, try
 		if crowd.Resume {
 			try.After = request.Got
 		}
@@ -271,7 +271,7 @@
 
 // try makes one attempt at a daemon and returns its outcome.
 func (caller *routedCaller) try(request *RoutedRequest, try *RoutedTry, content asked, deadline time.Duration) string {
-	park, node, crowd := caller.park, caller.node, caller.crowd
+	cluster, node, crowd := caller.cluster, caller.node, caller.crowd
 	name := try.Daemon
 	avoid := func() {
 		if caller.avoidedUntil == nil {
@@ -279,34 +279,34 @@
 		}
 		caller.avoidedUntil[name] = node.Now() + 2*time.Second
 	}
-	delay, isOpen := park.Reach(node.Name, name)
+	delay, isOpen := cluster.Reach(node.Name, name)
 	switch {
-	case !isOpen || park.Node(name).Frozen():
+	case !isOpen || cluster.Node(name).Frozen():
 		loop.Sleep(node, time.Second) // the dial times out
 		avoid()
 		return "unreached"
-	case !park.Node(name).Up() || park.closed[name]:
+	case !cluster.Node(name).Up() || cluster.closed[name]:
 		loop.Sleep(node, 2*delay)
 		avoid()
 		return "unreached"
 	}
 	conn := &callerConn{mailbox: node.Mailbox(), node: node}
-	park.links[name] = append(park.links[name], conn)
+	cluster.links[name] = append(cluster.links[name], conn)
 	callerState := &execute.CallerState{}
 	defer func() {
 		conn.isClosed = true
-		for at, other := range park.links[name] {
+		for at, other := range cluster.links[name] {
 			if other == conn {
-				park.links[name] = append(park.links[name][:at:at], park.links[name][at+1:]...)
+				cluster.links[name] = append(cluster.links[name][:at:at], cluster.links[name][at+1:]...)
 				break
 			}
 		}
 		if try.IsWhole || try.Code != "" {
 			return
 		}
-		daemon, life := park.Node(name), park.Datas[name]
-		park.At(disconnectDelay, func() {
-			if daemon.Up() && park.Datas[name] == life {
+		daemon, life := cluster.Node(name), cluster.Datas[name]
+		cluster.At(disconnectDelay, func() {
+			if daemon.Up() && cluster.Datas[name] == life {
 				daemon.Go(callerState.Disconnect)
 			}
 		})
@@ -317,11 +317,11 @@
 		after = strconv.Itoa(try.After)
 	}
 	remaining := deadline - node.Now()
-	park.Deliver(node, name, func(at *sim.Node) {
+	cluster.Deliver(node, name, func(at *sim.Node) {
 		var lane sim.Stream
 		send := func(piece any) {
 			if !conn.isClosed {
-				park.Send(&lane, at, node.Name, func(*sim.Node) { conn.mailbox.Put(piece) })
+				cluster.Send(&lane, at, node.Name, func(*sim.Node) { conn.mailbox.Put(piece) })
 			}
 		}
 		routed := &decide.Routed{ID: try.ID, Host: crowd.Host, Path: crowd.Path, Key: try.Key, MaxAnswerTokens: content.most, Parts: content.parts, Deadline: at.Now() + remaining}
@@ -329,11 +329,11 @@
 			routed.Tokens += part.Tokens
 		}
 		routed.Bytes = tokenBytes * routed.Tokens
-		serveRouted(park.Datas[name], routed, replica.RoutedRequest{Method: []byte("POST"), Host: []byte(crowd.Host), URI: []byte(crowd.Path), After: after}, callerState, send)
+		serveRouted(cluster.Datas[name], routed, replica.RoutedRequest{Method: []byte("POST"), Host: []byte(crowd.Host), URI: []byte(crowd.Path), After: after}, callerState, send)
 	})
-	silence := max(minSilenceTimeout, silencePerTarget*crowd.Target, silencePerGap*crowd.Gap)
+	silenceTimeout := max(minSilenceTimeout, silencePerTarget*crowd.Target, silencePerGap*crowd.Gap)
 	for {
-		item, has := conn.mailbox.Take(min(silence, deadline-node.Now()))
+		item, has := conn.mailbox.Take(min(silenceTimeout, deadline-node.Now()))
 		if !has {
 			try.IsSilent = true
 			avoid()
--- a/fleet/scale.go
+++ b/fleet/scale.go
@@ -66,20 +66,20 @@
 func (size ScaleSize) Check() error {
 	for _, name := range slices.Sorted(maps.Keys(size.dimensions())) {
 		if value := *size.dimensions()[name]; value < 1 || value > 25000 {
-			return fmt.Errorf("%s is %d, which is not within 1 to 25000", name, value)
+			return fmt.Errorf("%s is %d, which is not between 1 and 25000", name, value)
 		}
 	}
 	switch {
 	case size.Datas < ScaleReal+1 || size.Datas > 1000:
-		return fmt.Errorf("datas is %d, which is not within %d to 1000", size.Datas, ScaleReal+1)
+		return fmt.Errorf("datas is %d, which is not between %d and 1000", size.Datas, ScaleReal+1)
 	case size.Controls > 9:
-		return fmt.Errorf("controls is %d: more than 9 real processes of them are not started", size.Controls)
+		return fmt.Errorf("controls is %d, but at most 9 control daemons are started as processes", size.Controls)
 	case size.Regions > 64 || size.Zones < size.Regions || size.Zones > 256:
-		return errors.New("regions are at most 64, and zones no fewer than they and at most 256")
+		return errors.New("regions must be at most 64, and zones at least as many as regions and at most 256")
 	case size.Replicas > 8000:
-		return fmt.Errorf("replicas is %d, which is more than 8000 listeners", size.Replicas)
+		return fmt.Errorf("replicas is %d, which is more than the maximum of 8000 listeners", size.Replicas)
 	case size.Models > 200:
-		return fmt.Errorf("models is %d, which is more than 200", size.Models)
+		return fmt.Errorf("models is %d, which is more than the maximum of 200", size.Models)
 	}
 	return nil
 }
@@ -448,7 +448,7 @@
 		status, _, err := scale.request("POST", scale.controls[0].http+"/v1/init", nil)
 		return err == nil && status == 200
 	}) {
-		return "", errors.New("no core was made")
+		return "", errors.New("core was not initialized within 10 s")
 	}
 	first := scale.document(platform, 1)
 	status, text := 0, []byte(nil)
@@ -456,7 +456,7 @@
 		status, text, err = scale.request("POST", scale.controls[0].http+"/v1/config", first)
 		return err == nil && status == 200
 	}) {
-		return "", fmt.Errorf("the first configuration (%d bytes) was answered %d %s %v", len(first), status, text, err)
+		return "", fmt.Errorf("the first configuration (%d bytes) was answered with %d %s %v", len(first), status, text, err)
 	}
 	for index := range ScaleReal {
 		at := 2 * (scale.size.Controls + index)
@@ -476,8 +476,8 @@
 		valid = 0
 		for _, process := range scale.hollows {
 			rows := 0
-			for _, standing := range process.Holder.View().RoutingTables {
-				rows += len(standing.Rows)
+			for _, table := range process.Holder.View().RoutingTables {
+				rows += len(table.Rows)
 			}
 			if process.Holder.View().IsValid(process.world.Now()) && rows == scale.size.Replicas {
 				valid++
@@ -485,18 +485,18 @@
 		}
 		return valid == len(scale.hollows)
 	}) {
-		held, most := 0, 0
+		withLease, mostRows := 0, 0
 		for _, process := range scale.hollows {
 			rows := 0
-			for _, standing := range process.Holder.View().RoutingTables {
-				rows += len(standing.Rows)
+			for _, table := range process.Holder.View().RoutingTables {
+				rows += len(table.Rows)
 			}
 			if process.Holder.View().IsValid(process.world.Now()) {
-				held++
+				withLease++
 			}
-			most = max(most, rows)
+			mostRows = max(mostRows, rows)
 		}
-		return platform, fmt.Errorf("after 30 s %d of %d hollow daemons held a permit, and one knew %d of %d replicas at the most", held, len(scale.hollows), most, scale.size.Replicas)
+		return platform, fmt.Errorf("after 30 s %d of %d hollow daemons had a valid lease, and the most complete routing tables had %d of %d replicas", withLease, len(scale.hollows), mostRows, scale.size.Replicas)
 	}
 	return platform, nil
 }
@@ -524,13 +524,13 @@
 	at                 time.Time
 	usages             map[string]usage
 	own                usage
-	made               map[string][]wire.CallStats // by control daemon; "" for the hollow daemons
+	calls              map[string][]wire.CallStats // by control daemon; "" for the hollow daemons
 	syncs, reads       map[string]float64
 	probes, probeBytes float64
 }
 
 func (scale *scale) takeSnapshot() snapshot {
-	out := snapshot{at: time.Now(), usages: map[string]usage{}, own: usageOf(os.Getpid()), made: map[string][]wire.CallStats{"": scale.counter.Snapshot()}, syncs: map[string]float64{}, reads: map[string]float64{}, probes: float64(scale.probes.requests.Load()), probeBytes: float64(scale.probes.bytes.Load())}
+	out := snapshot{at: time.Now(), usages: map[string]usage{}, own: usageOf(os.Getpid()), calls: map[string][]wire.CallStats{"": scale.counter.Snapshot()}, syncs: map[string]float64{}, reads: map[string]float64{}, probes: float64(scale.probes.requests.Load()), probeBytes: float64(scale.probes.bytes.Load())}
 	for _, process := range append(slices.Clone(scale.datas), scale.controls...) {
 		out.usages[process.name] = usageOf(process.command.Process.Pid)
 	}
@@ -545,7 +545,7 @@
 			Rounds struct{ Reads, Writes, Conflicts float64 }
 		}
 		_ = json.Unmarshal(text, &counters)
-		out.made[process.name], out.syncs[process.name], out.reads[process.name] = counters.Calls, counters.Syncs, counters.Rounds.Reads
+		out.calls[process.name], out.syncs[process.name], out.reads[process.name] = counters.Calls, counters.Syncs, counters.Rounds.Reads
 	}
 	return out
 }
@@ -558,25 +558,25 @@
 		return (after.usages[name].processor - before.usages[name].processor) / span
 	}
 	figure("seconds", span)
-	data, resident := 0.0, 0.0
+	dataCores, dataMB := 0.0, 0.0
 	for _, process := range scale.datas {
-		data += processor(process.name) / ScaleReal
-		resident = max(resident, after.usages[process.name].resident)
+		dataCores += processor(process.name) / ScaleReal
+		dataMB = max(dataMB, after.usages[process.name].resident)
 	}
-	figure("data_cores", data)
-	figure("data_mb", resident)
-	most, all, large, syncs, reads := 0.0, 0.0, 0.0, 0.0, 0.0
+	figure("data_cores", dataCores)
+	figure("data_mb", dataMB)
+	controlCores, controlCoresAll, controlMB, syncs, reads := 0.0, 0.0, 0.0, 0.0, 0.0
 	wires := map[string]string{}
 	for _, process := range scale.controls {
 		wires[process.wire] = process.name
-		most, all = max(most, processor(process.name)), all+processor(process.name)
-		large = max(large, after.usages[process.name].resident)
+		controlCores, controlCoresAll = max(controlCores, processor(process.name)), controlCoresAll+processor(process.name)
+		controlMB = max(controlMB, after.usages[process.name].resident)
 		syncs = max(syncs, (after.syncs[process.name]-before.syncs[process.name])/span)
 		reads = max(reads, (after.reads[process.name]-before.reads[process.name])/span)
 	}
-	figure("control_cores", most)
-	figure("control_cores_all", all)
-	figure("control_mb", large)
+	figure("control_cores", controlCores)
+	figure("control_cores_all", controlCoresAll)
+	figure("control_mb", controlMB)
 	figure("acceptor_syncs_s", syncs)
 	figure("control_rounds_s", reads)
 	figure("probes_s", (after.probes-before.probes)/span)
@@ -584,58 +584,58 @@
 	figure("hollow_cores", (after.own.processor-before.own.processor)/span)
 	figure("hollow_mb", after.own.resident)
 	// The separate data daemons are assumed to send as many messages as the hollow ones.
-	whole := float64(scale.size.Datas) / float64(len(scale.hollows))
-	touches, carried := map[string]float64{}, map[string]float64{}
-	queries, queried, toData, toDataBytes := 0.0, 0.0, 0.0, 0.0
-	share, shared := 0.0, 0.0
-	for caller, rows := range after.made {
-		role, times := "control", 1.0
+	dataFactor := float64(scale.size.Datas) / float64(len(scale.hollows))
+	callsOf, bytesOf := map[string]float64{}, map[string]float64{}
+	registerCalls, registerBytes, dataCalls, dataBytes := 0.0, 0.0, 0.0, 0.0
+	shareCalls, shareBytes := 0.0, 0.0
+	for caller, rows := range after.calls {
+		role, factor := "control", 1.0
 		if caller == "" {
-			role, times = "data", whole
+			role, factor = "data", dataFactor
 		}
 		old := map[[2]string]wire.CallStats{}
-		for _, row := range before.made[caller] {
+		for _, row := range before.calls[caller] {
 			old[[2]string{row.Address, row.Method}] = row
 		}
 		for _, row := range rows {
-			was := old[[2]string{row.Address, row.Method}]
-			calls := float64(row.Requests-was.Requests) / span * times
-			moved := float64(row.SentBytes+row.ReceivedBytes-was.SentBytes-was.ReceivedBytes) / span * times
+			previous := old[[2]string{row.Address, row.Method}]
+			calls := float64(row.Requests-previous.Requests) / span * factor
+			transferred := float64(row.SentBytes+row.ReceivedBytes-previous.SentBytes-previous.ReceivedBytes) / span * factor
 			key := role + " " + row.Method
 			if prefix == "" {
 				sum := point.Calls[key]
-				point.Calls[key] = ScaleCalls{Calls: math.Round((sum.Calls+calls)*100) / 100, Bytes: math.Round(sum.Bytes + moved)}
+				point.Calls[key] = ScaleCalls{Calls: math.Round((sum.Calls+calls)*100) / 100, Bytes: math.Round(sum.Bytes + transferred)}
 			}
 			callee := wires[row.Address]
-			touches[callee], carried[callee] = touches[callee]+calls, carried[callee]+moved
+			callsOf[callee], bytesOf[callee] = callsOf[callee]+calls, bytesOf[callee]+transferred
 			if caller != "" {
-				touches[caller], carried[caller] = touches[caller]+calls, carried[caller]+moved
+				callsOf[caller], bytesOf[caller] = callsOf[caller]+calls, bytesOf[caller]+transferred
 			}
 			isData := caller == "" || callee == ""
 			switch {
 			case isData:
-				toData, toDataBytes = toData+calls, toDataBytes+moved
+				dataCalls, dataBytes = dataCalls+calls, dataBytes+transferred
 			case strings.HasPrefix(row.Method, "Register."):
-				queries, queried = queries+calls, queried+moved
+				registerCalls, registerBytes = registerCalls+calls, registerBytes+transferred
 			default:
-				share, shared = share+calls, shared+moved
+				shareCalls, shareBytes = shareCalls+calls, shareBytes+transferred
 			}
 		}
 	}
-	delete(touches, "")
-	delete(carried, "")
-	figure("data_calls_s", toData/float64(scale.size.Datas))
-	figure("data_bytes_s", toDataBytes/float64(scale.size.Datas))
-	figure("register_calls_s", queries)
-	figure("register_bytes_s", queried)
-	figure("share_calls_s", share)
-	figure("share_bytes_s", shared)
-	calls, moved := 0.0, 0.0
-	for name := range touches {
-		calls, moved = max(calls, touches[name]), max(moved, carried[name])
+	delete(callsOf, "")
+	delete(bytesOf, "")
+	figure("data_calls_s", dataCalls/float64(scale.size.Datas))
+	figure("data_bytes_s", dataBytes/float64(scale.size.Datas))
+	figure("register_calls_s", registerCalls)
+	figure("register_bytes_s", registerBytes)
+	figure("share_calls_s", shareCalls)
+	figure("share_bytes_s", shareBytes)
+	calls, transferred := 0.0, 0.0
+	for name := range callsOf {
+		calls, transferred = max(calls, callsOf[name]), max(transferred, bytesOf[name])
 	}
 	figure("control_calls_s", calls)
-	figure("control_bytes_s", moved)
+	figure("control_bytes_s", transferred)
 }
 
 // change sends a configuration and waits until the last hollow daemon has applied it.
@@ -706,8 +706,8 @@
 	sleep(ctx, options.Warm)
 	before := scale.takeSnapshot()
 	sleep(ctx, options.Span)
-	calm := scale.takeSnapshot()
-	scale.addFigures(before, calm, &point, "")
+	idle := scale.takeSnapshot()
+	scale.addFigures(before, idle, &point, "")
 	point.Figures["document_bytes"] = float64(len(scale.document(platform, 1)))
 	for turn := range options.Changes {
 		if ctx.Err() != nil {
@@ -721,7 +721,7 @@
 		sleep(ctx, options.Pause-time.Since(sent))
 	}
 	if options.Changes > 0 {
-		scale.addFigures(calm, scale.takeSnapshot(), &point, "changing_")
+		scale.addFigures(idle, scale.takeSnapshot(), &point, "changing_")
 	}
 	valid := 0
 	for _, daemon := range scale.hollows {
