--- a/fleet/http.go
+++ b/fleet/http.go
@@ -119,15 +119,15 @@
 }
 
 type platformEntry struct {
-	at, until time.Duration
-	Region    string
-	ID        string `json:"id"`
-	Address   string `json:"address"`
-	Zone      string `json:"zone"`
-	State     string `json:"state"`
-	Model     string `json:"model,omitempty"`
-	Version   string `json:"version,omitempty"`
-	leavingAt time.Duration
+	listedAt, removedAt time.Duration
+	Region              string
+	ID                  string `json:"id"`
+	Address             string `json:"address"`
+	Zone                string `json:"zone"`
+	State               string `json:"state"`
+	Model               string `json:"model,omitempty"`
+	Version             string `json:"version,omitempty"`
+	leavingAt           time.Duration
 }
 
 // NewPlatform makes a platform that reads the time from now.
@@ -149,13 +149,13 @@
 	if platform.now() == 0 {
 		at = 0
 	}
-	platform.entries = append(platform.entries, platformEntry{at: at, until: Never, leavingAt: Never, Region: region, ID: id, Address: address, Zone: zone, Model: model, Version: version})
+	platform.entries = append(platform.entries, platformEntry{listedAt: at, removedAt: Never, leavingAt: Never, Region: region, ID: id, Address: address, Zone: zone, Model: model, Version: version})
 }
 
 // Leave marks a replica as leaving, after the lag.
 func (platform *Platform) Leave(id string) {
 	for index := range platform.entries {
-		if entry := &platform.entries[index]; entry.ID == id && entry.until == Never {
+		if entry := &platform.entries[index]; entry.ID == id && entry.removedAt == Never {
 			entry.leavingAt = platform.now() + platform.Lag
 		}
 	}
@@ -164,8 +164,8 @@
 // Remove removes a replica from the list, after the lag.
 func (platform *Platform) Remove(id string) {
 	for index := range platform.entries {
-		if entry := &platform.entries[index]; entry.ID == id && entry.until == Never {
-			entry.until = platform.now() + platform.Lag
+		if entry := &platform.entries[index]; entry.ID == id && entry.removedAt == Never {
+			entry.removedAt = platform.now() + platform.Lag
 		}
 	}
 }
@@ -182,7 +182,7 @@
 	platform.lastQuery[region] = now
 	list := []platformEntry{}
 	for _, entry := range platform.entries {
-		if entry.Region == region && entry.at <= now && now < entry.until {
+		if entry.Region == region && entry.listedAt <= now && now < entry.removedAt {
 			entry.State = "running"
 			if entry.leavingAt <= now {
 				entry.State = "leaving"
--- a/fleet/park.go
+++ b/fleet/park.go
@@ -89,20 +89,20 @@
 	Requests []*Request
 	Troubles map[string]error
 	Seen
-	byID    map[string]*Request
-	zones   map[string]string
-	streams map[string][]*simStream // by replica and by data daemon
-	lives   int
-	past    []*Replica // replaced replicas, kept for their logs
-	drawn   int
-	Quiet   bool // no new requests are sent
+	requestsByID map[string]*Request
+	zones        map[string]string
+	streams      map[string][]*simStream // by replica and by data daemon
+	lives        int
+	past         []*Replica // replaced replicas, kept for their logs
+	drawn        int
+	Quiet        bool // no new requests are sent
 	// SeedsOf overrides the seeds of a daemon, by name, from its next start on.
 	SeedsOf map[string][]string
 	// Spoilt names the daemons whose settings file is invalid.
-	Spoilt map[string]bool
-	varied int
-	lanes  map[laneKey]callerLocation
-	closed map[string]bool // daemons whose listeners are closed in a planned stop
+	Spoilt    map[string]bool
+	varied    int
+	locations map[laneKey]callerLocation
+	closed    map[string]bool // daemons whose listeners are closed in a planned stop
 
 	Engines map[string]*Engine
 	Listed  *Register
@@ -119,12 +119,12 @@
 	// of them that were prompts.
 	FarBytes, FarPrompt int
 
-	pastEngines []*Engine
-	everRead    map[readKey]bool
-	hops        map[string][]*engineStream // by engine and by data daemon
-	links       map[string][]*callerConn   // by data daemon
-	askedOf     map[string]asked
-	tried       map[string]*RoutedTry
+	pastEngines   []*Engine
+	everRead      map[readKey]bool
+	engineStreams map[string][]*engineStream // by engine and by data daemon
+	callerConns   map[string][]*callerConn   // by data daemon
+	askedOf       map[string]asked
+	tried         map[string]*RoutedTry
 }
 
 // Region returns the region of a zone in the plans: the part before the first dash.
@@ -162,8 +162,8 @@
 
 // NewBarePark starts only a cluster's machines: without a core, a configuration or callers.
 func NewBarePark(seed uint64, plan Plan) *Park {
-	cluster := &Park{Sim: sim.New(seed), Plan: plan, Controls: map[string]*controlplane.Daemon{}, Datas: map[string]*dataplane.Daemon{}, Replicas: map[string]*Replica{}, Troubles: map[string]error{}, Seen: newSeen(), byID: map[string]*Request{}, lanes: map[laneKey]callerLocation{}, Spoilt: map[string]bool{}, closed: map[string]bool{}, zones: map[string]string{}, streams: map[string][]*simStream{}}
-	cluster.Engines, cluster.hops, cluster.links, cluster.askedOf, cluster.tried = map[string]*Engine{}, map[string][]*engineStream{}, map[string][]*callerConn{}, map[string]asked{}, map[string]*RoutedTry{}
+	cluster := &Park{Sim: sim.New(seed), Plan: plan, Controls: map[string]*controlplane.Daemon{}, Datas: map[string]*dataplane.Daemon{}, Replicas: map[string]*Replica{}, Troubles: map[string]error{}, Seen: newSeen(), requestsByID: map[string]*Request{}, locations: map[laneKey]callerLocation{}, Spoilt: map[string]bool{}, closed: map[string]bool{}, zones: map[string]string{}, streams: map[string][]*simStream{}}
+	cluster.Engines, cluster.engineStreams, cluster.callerConns, cluster.askedOf, cluster.tried = map[string]*Engine{}, map[string][]*engineStream{}, map[string][]*callerConn{}, map[string]asked{}, map[string]*RoutedTry{}
 	cluster.everRead = map[readKey]bool{}
 	cluster.Listed = &Register{cluster: cluster, lastQuery: map[string]time.Duration{}}
 	cluster.Platform = NewPlatform(cluster.Now, plan.Lag, plan.Least)
@@ -317,14 +317,14 @@
 		stream.broken(name)
 	}
 	delete(cluster.streams, name)
-	for _, hop := range append([]*engineStream{}, cluster.hops[name]...) {
+	for _, hop := range append([]*engineStream{}, cluster.engineStreams[name]...) {
 		hop.broken(name)
 	}
-	delete(cluster.hops, name)
-	for _, link := range cluster.links[name] {
+	delete(cluster.engineStreams, name)
+	for _, link := range cluster.callerConns[name] {
 		link.mailbox.Put(streamPiece{err: errReset})
 	}
-	delete(cluster.links, name)
+	delete(cluster.callerConns, name)
 }
 
 // Do runs a step on a control daemon and waits for its end, at most the given time.
@@ -696,7 +696,7 @@
 			cluster.drawn++
 			request := &Request{ID: fmt.Sprintf("%s.%d", crowd.Name, cluster.drawn), Crowd: crowd.Name, Kind: crowd.Kind, Home: crowd.Home, At: node.Now()}
 			cluster.Requests = append(cluster.Requests, request)
-			cluster.byID[request.ID] = request
+			cluster.requestsByID[request.ID] = request
 			number := count
 			node.Go(func() { cluster.request(node, crowd, request, number) })
 		}
@@ -711,7 +711,7 @@
 }
 
 func (cluster *Park) tries(id string) int {
-	if request := cluster.byID[id]; request != nil {
+	if request := cluster.requestsByID[id]; request != nil {
 		return request.Tries
 	}
 	return 0
@@ -726,15 +726,15 @@
 	mayHaveRun := false // whether an earlier attempt may have run
 	lane := laneKey{crowd.Name, sequence % max(1, crowd.Lanes)}
 	for try := 0; try <= crowd.Retries; try++ {
-		if location, isCached := cluster.lanes[lane]; isCached && try == 0 && cluster.Now() < location.until {
+		if location, isCached := cluster.locations[lane]; isCached && try == 0 && cluster.Now() < location.until {
 			addresses, ticket = location.addresses, location.ticket
 		}
 		if ticket == "" {
-			delete(cluster.lanes, lane)
+			delete(cluster.locations, lane)
 			addresses, ticket = cluster.locate(node, crowd, sequence)
-			cluster.lanes[lane] = callerLocation{addresses, ticket, cluster.Now() + 54*time.Second}
+			cluster.locations[lane] = callerLocation{addresses, ticket, cluster.Now() + 54*time.Second}
 			if ticket == "" {
-				delete(cluster.lanes, lane)
+				delete(cluster.locations, lane)
 				request.Verdict, request.Code = "not_run", "nowhere"
 				loop.Sleep(node, cluster.retryDelay(crowd, try))
 				continue
@@ -754,7 +754,7 @@
 			request.Verdict, request.Code = cluster.send(node, crowd, request, sequence, address, ticket, try, 30*time.Second)
 		}
 		if cluster.Datas[address].Leaving() {
-			delete(cluster.lanes, lane) // as the answer's header tells the caller
+			delete(cluster.locations, lane) // as the answer's header tells the caller
 		}
 		switch {
 		case request.Verdict == "ok":
@@ -762,7 +762,7 @@
 		case request.Verdict == "not_run" && (!mayHaveRun || request.Code != "unreached"):
 			ticket = "" // unreached is about this attempt only, not about earlier ones
 		case !crowd.Eager:
-			delete(cluster.lanes, lane)
+			delete(cluster.locations, lane)
 			return // a caller that keeps to the protocol doesn't retry
 		}
 		mayHaveRun = mayHaveRun || request.Verdict != "not_run"
@@ -823,8 +823,8 @@
 	return time.Duration(200<<min(try, 3))*time.Millisecond + time.Duration(cluster.Draw(int64(200*time.Millisecond)))
 }
 
-// locate queries a daemon for the addresses to send to and for a ticket. Callers know all
-// daemons by name.
+// locate queries a daemon for the addresses to send to and for a ticket. Callers know the
+// addresses of all daemons.
 func (cluster *Park) locate(node *sim.Node, crowd *Crowd, number int) ([]string, string) {
 	var near, far []string
 	for _, assignment := range cluster.Plan.Datas {
@@ -941,13 +941,13 @@
 			cluster.Entered = append(cluster.Entered, Entered{At: cluster.Now(), ID: request.ID, Daemon: address, Home: crowd.Home})
 			return Prompt(cluster.modelOf(crowd), number%max(1, crowd.Rosters), crowd.Bytes, crowd.Tokens, request.ID)
 		})
-		var lane sim.Stream
+		var messages sim.Stream
 		if failure == nil {
-			responder = &sink{cluster: cluster, at: at, to: node, mailbox: mailbox, stream: &lane, isClosed: &isClosed}
+			responder = &sink{cluster: cluster, at: at, to: node, mailbox: mailbox, stream: &messages, isClosed: &isClosed}
 			failure = daemon.Executor.Serve(call, text, responder)
 		}
 		if failure != nil {
-			cluster.Send(&lane, at, node.Name, func(*sim.Node) { mailbox.Put(failure) })
+			cluster.Send(&messages, at, node.Name, func(*sim.Node) { mailbox.Put(failure) })
 		}
 	})
 	events := 0
--- a/fleet/relay.go
+++ b/fleet/relay.go
@@ -49,7 +49,7 @@
 	relayer  *relayer
 	request  *replica.RoutedRequest
 	deadline time.Duration
-	// resetAt is when the kernel resets the connection because the request was never
+	// resetAt is when the kernel gives up the connection because the request was never
 	// acknowledged; zero if it was delivered.
 	resetAt                       time.Duration
 	isEnded, isClosed, closesConn bool
@@ -126,8 +126,8 @@
 	}
 	sent := node.Now()
 	stream := &engineStream{cluster: cluster, mailbox: node.Mailbox(), from: node, to: request.Address, relayer: client, conn: conn, request: request, deadline: sent + request.Remaining}
-	cluster.hops[request.Address] = append(cluster.hops[request.Address], stream)
-	cluster.hops[node.Name] = append(cluster.hops[node.Name], stream)
+	cluster.engineStreams[request.Address] = append(cluster.engineStreams[request.Address], stream)
+	cluster.engineStreams[node.Name] = append(cluster.engineStreams[node.Name], stream)
 	if request.OnAbort != nil {
 		request.OnAbort(func() { stream.mailbox.Put(wireMessage{err: errReset}) })
 	}
@@ -139,9 +139,9 @@
 	cluster.Deliver(node, request.Address, func(at *sim.Node) {
 		engine := cluster.Engines[request.Address]
 		var messages sim.Stream
-		send := func(piece wireMessage) {
+		send := func(message wireMessage) {
 			if engine.Gone == 0 && !stream.isClosed {
-				cluster.Send(&messages, at, node.Name, func(*sim.Node) { stream.mailbox.Put(piece) })
+				cluster.Send(&messages, at, node.Name, func(*sim.Node) { stream.mailbox.Put(message) })
 			}
 		}
 		if engine.Life != conn.life {
@@ -189,23 +189,23 @@
 		return nil, &verdict.Error{Verdict: verdict.MayHaveRun, Code: code, Status: 502}
 	}
 	for stale := 0; ; stale++ {
-		piece, err := stream.wait(false)
+		message, err := stream.wait(false)
 		switch {
 		case errors.Is(err, replica.ErrSilent):
 			return cut("replica_silent")
 		case errors.Is(err, errExpired):
 			return cut("expired")
-		case err != nil || piece.err != nil || piece.head == nil:
+		case err != nil || message.err != nil || message.head == nil:
 			return cut("replica_cut")
 		}
-		head := *piece.head
+		head := *message.head
 		if head.OtherRequest {
 			if stale >= maxStaleAnswers {
 				return cut("replica_garbled")
 			}
 			continue
 		}
-		stream.closesConn = piece.closesConn
+		stream.closesConn = message.closesConn
 		if head.NotRun || head.OtherReplica {
 			stream.isEnded = true
 			stream.Close()
@@ -251,18 +251,18 @@
 	if stream.isEnded {
 		return nil, io.EOF
 	}
-	piece, err := stream.wait(true)
+	message, err := stream.wait(true)
 	switch {
-	case err != nil || piece.err != nil || piece.head != nil:
+	case err != nil || message.err != nil || message.head != nil:
 		return nil, replica.ErrCut
-	case piece.isEnd:
-		stream.isEnded, stream.closesConn = true, stream.closesConn || piece.closesConn
+	case message.isEnd:
+		stream.isEnded, stream.closesConn = true, stream.closesConn || message.closesConn
 		return nil, io.EOF
 	}
 	if stream.isFar() {
-		stream.cluster.FarBytes += len(piece.event)
+		stream.cluster.FarBytes += len(message.event)
 	}
-	return piece.event, nil
+	return message.event, nil
 }
 
 // tokenBytes is the number of bytes of one prompt token in a request's body.
@@ -287,10 +287,10 @@
 	}
 	stream.isClosed = true
 	for _, name := range []string{stream.to, stream.from.Name} {
-		list := stream.cluster.hops[name]
-		for at, work := range list {
-			if work == stream {
-				stream.cluster.hops[name] = append(list[:at:at], list[at+1:]...)
+		list := stream.cluster.engineStreams[name]
+		for at, other := range list {
+			if other == stream {
+				stream.cluster.engineStreams[name] = append(list[:at:at], list[at+1:]...)
 				break
 			}
 		}
@@ -368,8 +368,8 @@
 }
 
 type listedEngine struct {
-	engine             *Engine
-	at, leaving, until time.Duration
+	engine                         *Engine
+	listedAt, leavingAt, removedAt time.Duration
 }
 
 func (register *Register) add(engine *Engine) {
@@ -380,7 +380,7 @@
 	// The previous process at the address has ended; it leaves the list after the same lag.
 	for _, listed := range register.entries {
 		if listed.engine.Name == engine.Name {
-			listed.until = min(listed.until, at)
+			listed.removedAt = min(listed.removedAt, at)
 		}
 	}
 	register.entries = append(register.entries, &listedEngine{engine, at, Never, Never})
@@ -397,9 +397,9 @@
 	for _, listed := range register.entries {
 		if listed.engine == register.cluster.Engines[name] {
 			if isLeaving {
-				listed.leaving = min(listed.leaving, at)
+				listed.leavingAt = min(listed.leavingAt, at)
 			} else {
-				listed.until = min(listed.until, at)
+				listed.removedAt = min(listed.removedAt, at)
 			}
 		}
 	}
@@ -427,10 +427,10 @@
 	var out []listing.Instance
 	for _, listed := range register.entries {
 		engine := listed.engine
-		if Region(engine.Zone) != region || listed.at > now || listed.until <= now {
+		if Region(engine.Zone) != region || listed.listedAt > now || listed.removedAt <= now {
 			continue
 		}
-		entry := listing.Instance{ID: engine.Life, Address: engine.Name, Zone: engine.Zone, Model: engine.Model, Version: engine.Version, Cold: max(0, engine.ColdUntil-now), Leaving: listed.leaving <= now}
+		entry := listing.Instance{ID: engine.Life, Address: engine.Name, Zone: engine.Zone, Model: engine.Model, Version: engine.Version, Cold: max(0, engine.ColdUntil-now), Leaving: listed.leavingAt <= now}
 		if entry.Leaving {
 			cluster.learnLeaving(engine.Name, engine.Life)
 		}
--- a/fleet/replica.go
+++ b/fleet/replica.go
@@ -281,7 +281,7 @@
 	}
 	stub.running++
 	stub.units += cost
-	// A single request never exceeds the capacity.
+	// A request that runs alone doesn't count as overload, whatever its cost.
 	if stub.units > stub.currentCapacity() && stub.running > 1 {
 		if stub.currentCapacity() < stub.Capacity {
 			stub.Flooded++
--- a/fleet/routed.go
+++ b/fleet/routed.go
@@ -38,8 +38,8 @@
 	// last event received. Tries is the number of attempts of a caller, one or two.
 	Repeatable, Resume bool
 	Tries              int
-	// Holds multiplies the time for which a caller uses its list of daemons, beyond the
-	// permitted TTL; zero means once the TTL.
+	// Holds is the number of TTLs for which a caller uses its list of daemons, where the
+	// protocol permits one; zero means one.
 	Holds int
 	// From and Until bound the time in which requests are sent; zero means always.
 	From, Until time.Duration
@@ -291,13 +291,13 @@
 		return "unreached"
 	}
 	conn := &callerConn{mailbox: node.Mailbox(), node: node}
-	cluster.links[name] = append(cluster.links[name], conn)
+	cluster.callerConns[name] = append(cluster.callerConns[name], conn)
 	callerState := &execute.CallerState{}
 	defer func() {
 		conn.isClosed = true
-		for at, other := range cluster.links[name] {
+		for at, other := range cluster.callerConns[name] {
 			if other == conn {
-				cluster.links[name] = append(cluster.links[name][:at:at], cluster.links[name][at+1:]...)
+				cluster.callerConns[name] = append(cluster.callerConns[name][:at:at], cluster.callerConns[name][at+1:]...)
 				break
 			}
 		}
@@ -318,10 +318,10 @@
 	}
 	remaining := deadline - node.Now()
 	cluster.Deliver(node, name, func(at *sim.Node) {
-		var lane sim.Stream
+		var messages sim.Stream
 		send := func(piece any) {
 			if !conn.isClosed {
-				cluster.Send(&lane, at, node.Name, func(*sim.Node) { conn.mailbox.Put(piece) })
+				cluster.Send(&messages, at, node.Name, func(*sim.Node) { conn.mailbox.Put(piece) })
 			}
 		}
 		routed := &decide.Routed{ID: try.ID, Host: crowd.Host, Path: crowd.Path, Key: try.Key, MaxAnswerTokens: content.most, Parts: content.parts, Deadline: at.Now() + remaining}
@@ -360,7 +360,7 @@
 				return "failed"
 			}
 			if request.Got != crowd.Most {
-				request.Wrong = fmt.Sprintf("looked whole with %d of %d tokens", request.Got, crowd.Most)
+				request.Wrong = fmt.Sprintf("answer ended cleanly with %d of %d tokens", request.Got, crowd.Most)
 			}
 			return "ok"
 		}
@@ -383,16 +383,16 @@
 		var id, from, until int
 		var name, life string
 		if _, err := fmt.Sscanf(string(event), "id: %d\ndata: %s %s %d %d\n\n", &id, &name, &life, &from, &until); err != nil {
-			request.Wrong = fmt.Sprintf("got %q", event)
+			request.Wrong = fmt.Sprintf("received malformed event %q", event)
 			return
 		}
 		switch {
 		case name != try.ID:
-			request.Wrong = "got an event of " + name
+			request.Wrong = "received an event of attempt " + name
 		case from != request.Got || until <= from || id != until:
-			request.Wrong = fmt.Sprintf("got tokens %d to %d behind %d", from, until, request.Got)
+			request.Wrong = fmt.Sprintf("received tokens %d to %d after token %d", from, until, request.Got)
 		case life != request.lastLife && request.lastLife != "" && !caller.crowd.Resume:
-			request.Wrong = "got pieces of two runs"
+			request.Wrong = "received events of two runs"
 		}
 		request.Got, request.lastLife = until, life
 		try.Tokens += until - from
