--- a/fleet/http.go
+++ b/fleet/http.go
@@ -76,7 +76,7 @@
 		}
 		if inner, isWrapped := conn.(interface{ UnsafeConn() net.Conn }); isWrapped && strings.HasPrefix(way, "reset") {
 			if tcp, isTCP := inner.UnsafeConn().(*net.TCPConn); isTCP {
-				time.Sleep(20 * time.Millisecond) // a reset would overtake what was sent
+				time.Sleep(20 * time.Millisecond) // lets the client read what was sent, which a reset would discard
 				_ = tcp.SetLinger(0)
 			}
 		}
@@ -90,22 +90,22 @@
 	pending []byte
 }
 
-func (feed *answerBody) Read(out []byte) (int, error) {
-	if len(feed.pending) == 0 {
-		event, err := feed.answer.Next()
+func (body *answerBody) Read(out []byte) (int, error) {
+	if len(body.pending) == 0 {
+		event, err := body.answer.Next()
 		if errors.Is(err, io.EOF) {
 			return 0, io.EOF
 		} else if err != nil {
 			return 0, errFailed
 		}
-		feed.pending = event
+		body.pending = event
 	}
-	count := copy(out, feed.pending)
-	feed.pending = feed.pending[count:]
+	count := copy(out, body.pending)
+	body.pending = body.pending[count:]
 	return count, nil
 }
 
-func (feed *answerBody) Close() error { feed.answer.Abort(); return nil }
+func (body *answerBody) Close() error { body.answer.Abort(); return nil }
 
 // Platform is a simulated platform. It lists replicas; changes show after a lag, and queries
 // are rate limited.
