--- a/fleet/experiment.go
+++ b/fleet/experiment.go
@@ -11,66 +11,67 @@
 	"swifttiller/settings"
 )
 
-// ExperimentOptions are a load and a fleet that plays it in virtual time.
+// ExperimentOptions are a load and the cluster that runs it in virtual time.
 type ExperimentOptions struct {
-	// Shape names one of ExperimentShapes; Load multiplies its callers.
+	// Shape names one of ExperimentShapes; Load multiplies the number of its callers.
 	Shape string
 	Load  float64
 	Seed  uint64
-	// Warm is played before anything is measured, Span is measured.
+	// Warm is the time that runs before the measurement, Span the time that is measured.
 	Warm, Span time.Duration
-	// Limits are the document's, by name.
+	// Limits are set in the document, by name.
 	Limits map[string]float64
 }
 
-// Quantiles of spans, in milliseconds.
+// Quantiles are quantiles of durations, in milliseconds.
 type Quantiles struct {
 	P50 float64 `json:"p50_ms"`
 	P90 float64 `json:"p90_ms"`
 	P99 float64 `json:"p99_ms"`
 }
 
-// Figures are what an experiment measured, of requests that began in its span.
+// Figures are the results of an experiment, for the requests that began in its span.
 type Figures struct {
 	Asked    int `json:"asked"`
 	Answered int `json:"answered"`
-	// First is the time from a caller's first try to its first event, Pause the longest
-	// one between two events of a request, both by kind.
+	// First is the time from a caller's first attempt to its first event, Pause the longest
+	// pause between two events of a request, both by kind.
 	First map[string]Quantiles `json:"first"`
 	Pause map[string]Quantiles `json:"pause"`
-	// InTime is the share of requests whose first event came within the aim and whose
-	// pauses all were in time.
+	// InTime is the share of requests whose first event arrived within the target and whose
+	// pauses were all in time.
 	InTime float64 `json:"in_time"`
-	// KeptShare is the share of prompt tokens that were not read as they were kept, and
-	// Again the tokens a request that were read though some replica had read them.
+	// KeptShare is the share of prompt tokens that were cached and needed no prefill. Again is
+	// the number of tokens per request that were prefilled although some replica had prefilled
+	// them before.
 	KeptShare float64 `json:"kept_share"`
 	Again     float64 `json:"read_again_tokens_per_request"`
-	// FarKB are the kilobytes a request between regions, FarShare the share of dispatches
-	// that went to another region.
+	// FarKB is the number of kilobytes between regions per request, FarShare the share of
+	// attempts that went to another region.
 	FarKB    float64 `json:"far_kb_per_request"`
 	FarShare float64 `json:"far_share"`
-	// Dispatches are those a request.
+	// Dispatches is the number of attempts per request.
 	Dispatches float64 `json:"dispatches_per_request"`
-	// Firsts are all times to the first event, in order, in milliseconds.
+	// Firsts are all times to the first event, sorted, in milliseconds.
 	Firsts []float64 `json:"-"`
 }
 
-// Check finds what is wrong with the options.
+// Check returns the first problem of the options.
 func (options ExperimentOptions) Check() error {
 	shape, isKnown := ExperimentShapes()[options.Shape]
 	switch {
 	case !isKnown:
-		return fmt.Errorf("shape %q is none of %s", options.Shape, strings.Join(slices.Sorted(maps.Keys(ExperimentShapes())), ", "))
+		return fmt.Errorf("shape %q is not one of %s", options.Shape, strings.Join(slices.Sorted(maps.Keys(ExperimentShapes())), ", "))
 	case options.Load <= 0 || options.Load > 50:
-		return fmt.Errorf("load %v is not above 0 and up to 50", options.Load)
+		return fmt.Errorf("load %v is not above 0 and at most 50", options.Load)
 	case options.Warm < time.Second || options.Warm > 10*time.Minute:
-		return fmt.Errorf("warm %v is not within 1s to 10m", options.Warm)
+		return fmt.Errorf("warm %v is not between 1s and 10m", options.Warm)
 	case options.Span < time.Second || options.Span > 10*time.Minute:
-		return fmt.Errorf("span %v is not within 1s to 10m", options.Span)
+		return fmt.Errorf("span %v is not between 1s and 10m", options.Span)
 	}
 	for _, name := range slices.Sorted(maps.Keys(options.Limits)) {
 		if _, isKnown := settings.Limits[name]; !isKnown {
-			return fmt.Errorf("setting %q is no limit", name)
+			return fmt.Errorf("setting %q is not a limit", name)
 		}
 	}
 	shape.Limits = options.Limits
@@ -80,7 +81,7 @@
 	return nil
 }
 
-// Experiment plays the load and measures it.
+// Experiment runs the load and measures it.
 func Experiment(options ExperimentOptions) (Figures, error) {
 	if err := options.Check(); err != nil {
 		return Figures{}, err
@@ -88,45 +89,45 @@
 	shape := ExperimentShapes()[options.Shape]
 	shape.Limits = options.Limits
 	shape.Busy *= options.Load
-	park := NewPark(options.Seed, shape.Plan())
-	defer park.Close()
-	park.Run(options.Warm)
-	from := park.Now()
+	cluster := NewPark(options.Seed, shape.Plan())
+	defer cluster.Close()
+	cluster.Run(options.Warm)
+	from := cluster.Now()
 	type sums struct{ read, kept, again, far int }
 	sum := func() (out sums) {
-		for _, engine := range park.engines() {
+		for _, engine := range cluster.engines() {
 			out.read += engine.ReadTokens
 			out.kept += engine.KeptTokens
 			out.again += engine.AgainTokens
 		}
-		out.far = park.FarBytes
+		out.far = cluster.FarBytes
 		return out
 	}
-	before, runsBefore := sum(), len(park.Runs)
-	park.Run(options.Span)
-	after, runs := sum(), park.Runs[runsBefore:]
-	until := park.Now()
-	park.Quiet = true
-	park.Run(5 * time.Second)
+	before, runsBefore := sum(), len(cluster.Runs)
+	cluster.Run(options.Span)
+	after, runs := sum(), cluster.Runs[runsBefore:]
+	until := cluster.Now()
+	cluster.Quiet = true
+	cluster.Run(5 * time.Second)
 
 	out := Figures{First: map[string]Quantiles{}, Pause: map[string]Quantiles{}}
 	firsts, pauses := map[string][]float64{}, map[string][]float64{}
 	inTime := 0
-	for _, one := range park.RoutedRequests {
-		if one.At < from || one.At >= until {
+	for _, request := range cluster.RoutedRequests {
+		if request.At < from || request.At >= until {
 			continue
 		}
 		out.Asked++
-		if one.Verdict != "ok" {
+		if request.Verdict != "ok" {
 			continue
 		}
 		out.Answered++
-		kind, _, _ := strings.Cut(one.Crowd.Name, "-")
-		first := float64(one.First-one.At) / float64(time.Millisecond)
+		kind, _, _ := strings.Cut(request.Crowd.Name, "-")
+		first := float64(request.First-request.At) / float64(time.Millisecond)
 		firsts[kind] = append(firsts[kind], first)
-		pauses[kind] = append(pauses[kind], float64(one.Pause)/float64(time.Millisecond))
+		pauses[kind] = append(pauses[kind], float64(request.Pause)/float64(time.Millisecond))
 		out.Firsts = append(out.Firsts, first)
-		if one.First-one.At <= one.Crowd.Target && one.Pause <= one.Crowd.Gap {
+		if request.First-request.At <= request.Crowd.Target && request.Pause <= request.Crowd.Gap {
 			inTime++
 		}
 	}
@@ -142,7 +143,7 @@
 	out.FarKB = float64(after.far-before.far) / 1000 / requests
 	far := 0
 	for _, run := range runs {
-		if Region(park.zones[run.Daemon]) != Region(park.zones[run.Engine]) {
+		if Region(cluster.zones[run.Daemon]) != Region(cluster.zones[run.Engine]) {
 			far++
 		}
 	}
@@ -156,7 +157,7 @@
 	return Quantiles{quantile(list, 0.5), quantile(list, 0.9), quantile(list, 0.99)}
 }
 
-// quantile gives the value below which the share of a sorted list is, which is not empty.
+// quantile returns the value below which the given share of a sorted, non-empty list lies.
 func quantile[T any](sorted []T, share float64) T {
 	return sorted[min(len(sorted)-1, int(share*float64(len(sorted))))]
 }
--- a/fleet/park.go
+++ b/fleet/park.go
@@ -22,45 +22,48 @@
 	"swifttiller/verdict"
 )
 
-// Plan is a fleet as data: machines, replicas and callers.
+// Plan describes a simulated cluster: its machines, replicas and callers.
 type Plan struct {
 	Model    string
 	Document string
-	// Controls with a disk, controls without, and data daemons, as name:zone.
+	// Control daemons with a disk, control daemons without one, and data daemons, each as
+	// name:zone.
 	Controls, Diskless, Datas []string
 	Replicas                  []ReplicaOptions
 	Callers                   []Crowd
-	// Engines are replicas with an engine, Routed the callers whose requests go to them
-	// by routes.
+	// Engines are replicas with a simulated inference engine. Routed are the callers whose
+	// requests are routed to them by host and path.
 	Engines []EngineOptions
 	Routed  []RoutedCrowd
 	Shape   RoutedShape
-	// Lag and Least are the platform's; Grace its grace when stopping a replica.
+	// Lag is the delay until a change shows in the platform's list, Least the minimum interval
+	// between two queries of it, and Grace the time that the platform gives a replica to stop.
 	Lag, Least, Grace time.Duration
-	// First is whether daemons are told that the system starts for the first time.
+	// First is whether daemons are started with the setting that the system starts for the
+	// first time.
 	First bool
 }
 
-// Crowd is a stream of like requests from one zone.
+// Crowd is a stream of similar requests from one zone.
 type Crowd struct {
 	Name, Zone, Kind, Home string
-	Model                  string        // the plan's, if empty
+	Model                  string        // the plan's model, if empty
 	Every                  time.Duration // mean time between requests
 	Bytes, Tokens, Rosters int
 	Retries                int
-	// Eager crowds retry at once, also what may have run, under the same ticket.
+	// Eager callers retry at once with the same ticket, even if the request may have run.
 	Eager bool
-	// Hasty crowds do not wait for an answer's end: they send the same id again at
-	// once, to the same daemon and to another one, with the ticket and without,
-	// while the first try still streams; half of them drop the first.
+	// Hasty callers don't wait for the end of an answer: while the first attempt still
+	// streams, they send the same ID again at once, to the same daemon and to another one,
+	// with the ticket and without. Half of them give up the first attempt.
 	Hasty bool
-	// From and Until bound it; 0 and 0 mean always.
+	// From and Until bound the time in which requests are sent; 0 and 0 mean always.
 	From, Until time.Duration
-	// Lanes are the connections that its callers keep; 0 and 1 are one.
+	// Lanes is the number of connections that the callers keep; 0 and 1 mean one.
 	Lanes int
-	// Astray crowds send to a daemon outside their home first.
+	// Astray callers send their first attempt to a daemon outside the request's home region.
 	Astray bool
-	// Moves makes the callers ask daemons of any zone.
+	// Moves makes the callers locate through daemons of any zone.
 	Moves bool
 }
 
@@ -69,13 +72,13 @@
 	ID, Crowd, Kind, Home string
 	At, End               time.Duration
 	Tries                 int
-	Verdict, Code         string // ok, or the last error's
+	Verdict, Code         string // ok, or those of the last error
 	Foreign, Whole        bool
-	// Wholes are the whole answers that reached the user, of all tries.
+	// Wholes counts the complete answers that reached the user, over all attempts.
 	Wholes int
 }
 
-// Park is a whole simulated fleet running the product's own code.
+// Park is a whole simulated cluster that runs the product's own code.
 type Park struct {
 	*sim.Sim
 	Plan
@@ -86,111 +89,113 @@
 	Requests []*Request
 	Troubles map[string]error
 	Seen
-	byID    map[string]*Request
-	zones   map[string]string
-	streams map[string][]*simStream // by replica and by data daemon
-	lives   int
-	past    []*Replica // replaced ones, for their logs
-	drawn   int
-	Quiet   bool // no new requests
-	// SeedsOf gives a daemon other seeds at its next start.
+	requestsByID map[string]*Request
+	zones        map[string]string
+	streams      map[string][]*simStream // by replica and by data daemon
+	lives        int
+	past         []*Replica // replaced replicas, kept for their logs
+	drawn        int
+	Quiet        bool // no new requests are sent
+	// SeedsOf overrides the seeds of a daemon, by name, from its next start on.
 	SeedsOf map[string][]string
-	// Spoilt are daemons whose settings file does not hold.
-	Spoilt map[string]bool
-	varied int
-	lanes  map[laneKey]kept
-	closed map[string]bool // daemons whose listeners are closed in a planned stop
+	// Spoilt names the daemons whose settings file is invalid.
+	Spoilt    map[string]bool
+	varied    int
+	locations map[laneKey]callerLocation
+	closed    map[string]bool // daemons whose listeners are closed in a planned stop
 
 	Engines map[string]*Engine
 	Listed  *Register
-	// Runs are all requests that arrived at engines, RoutedRequests all of callers.
+	// Runs are all requests that arrived at engines, RoutedRequests all requests of routed
+	// callers.
 	Runs           []*Run
 	RoutedRequests []*RoutedRequest
-	// Dialled counts connections to engines, Repeated answers that came once more,
-	// Fallen cold engines that were sent too much, Strayed orders that engines got.
+	// Dialled counts connections made to engines, Repeated the answers that an engine sent
+	// twice, Fallen the cold engines that crashed from overload, and Strayed the weight orders
+	// that engines received although they take none.
 	Dialled, Repeated, Fallen, Strayed int
 
-	// FarBytes went between a daemon and an engine of another region, FarPrompt of them
-	// with prompts.
+	// FarBytes counts the bytes between daemons and engines of other regions, FarPrompt those
+	// of them that were prompts.
 	FarBytes, FarPrompt int
 
-	pastEngines []*Engine
-	everRead    map[readKey]bool
-	hops        map[string][]*hop  // by engine and by data daemon
-	links       map[string][]*link // by data daemon
-	askedOf     map[string]asked
-	tried       map[string]*RoutedTry
+	pastEngines   []*Engine
+	everRead      map[readKey]bool
+	engineStreams map[string][]*engineStream // by engine and by data daemon
+	callerConns   map[string][]*callerConn   // by data daemon
+	askedOf       map[string]asked
+	tried         map[string]*RoutedTry
 }
 
-// Region of a zone in the plans: what stands before the dash.
+// Region returns the region of a zone in the plans: the part before the first dash.
 func Region(zone string) string { return strings.SplitN(zone, "-", 2)[0] }
 
-func split(word string) (name, zone string) {
-	name, zone, _ = strings.Cut(word, ":")
+func split(assignment string) (name, zone string) {
+	name, zone, _ = strings.Cut(assignment, ":")
 	return name, zone
 }
 
-// NewPark starts a fleet, makes its core and applies its configuration.
+// NewPark starts a cluster, initializes its core, applies its configuration and starts its
+// callers. It panics if the cluster isn't ready after 20 s.
 func NewPark(seed uint64, plan Plan) *Park {
-	park := NewBarePark(seed, plan)
+	cluster := NewBarePark(seed, plan)
 	first, _ := split(plan.Controls[0])
-	park.Must(first, func(daemon *controlplane.Daemon) error {
-		_, err := daemon.Init(park.seeds())
+	cluster.Must(first, func(daemon *controlplane.Daemon) error {
+		_, err := daemon.Init(cluster.seeds())
 		return err
 	})
-	park.Must(first, func(daemon *controlplane.Daemon) error {
+	cluster.Must(first, func(daemon *controlplane.Daemon) error {
 		_, err := daemon.Apply([]byte(plan.Document), nil, false)
 		return err
 	})
-	if !park.Until(20*time.Second, park.Ready) {
-		panic(fmt.Sprintf("seed %d: the fleet never got ready", seed))
+	if !cluster.Until(20*time.Second, cluster.Ready) {
+		panic(fmt.Sprintf("seed %d: the cluster did not become ready within 20 s", seed))
 	}
 	for index := range plan.Callers {
-		park.crowd(&plan.Callers[index])
+		cluster.crowd(&plan.Callers[index])
 	}
 	for index := range plan.Routed {
-		park.crowdRouted(&plan.Routed[index])
+		cluster.crowdRouted(&plan.Routed[index])
 	}
-	return park
+	return cluster
 }
 
-// NewBarePark starts a fleet's machines and nothing more: it has no core, no
-// configuration and no callers.
+// NewBarePark starts only a cluster's machines: without a core, a configuration or callers.
 func NewBarePark(seed uint64, plan Plan) *Park {
-	park := &Park{Sim: sim.New(seed), Plan: plan, Controls: map[string]*controlplane.Daemon{}, Datas: map[string]*dataplane.Daemon{}, Replicas: map[string]*Replica{}, Troubles: map[string]error{}, Seen: newSeen(), byID: map[string]*Request{}, lanes: map[laneKey]kept{}, Spoilt: map[string]bool{}, closed: map[string]bool{}, zones: map[string]string{}, streams: map[string][]*simStream{}}
-	park.Engines, park.hops, park.links, park.askedOf, park.tried = map[string]*Engine{}, map[string][]*hop{}, map[string][]*link{}, map[string]asked{}, map[string]*RoutedTry{}
-	park.everRead = map[readKey]bool{}
-	park.Listed = &Register{park: park, asked: map[string]time.Duration{}}
-	park.Platform = NewPlatform(park.Now, plan.Lag, plan.Least)
-	park.watch()
-	for _, word := range append(append([]string{}, plan.Controls...), plan.Diskless...) {
-		name, zone := split(word)
-		park.zones[name] = zone
-		park.StartControl(name)
+	cluster := &Park{Sim: sim.New(seed), Plan: plan, Controls: map[string]*controlplane.Daemon{}, Datas: map[string]*dataplane.Daemon{}, Replicas: map[string]*Replica{}, Troubles: map[string]error{}, Seen: newSeen(), requestsByID: map[string]*Request{}, locations: map[laneKey]callerLocation{}, Spoilt: map[string]bool{}, closed: map[string]bool{}, zones: map[string]string{}, streams: map[string][]*simStream{}}
+	cluster.Engines, cluster.engineStreams, cluster.callerConns, cluster.askedOf, cluster.tried = map[string]*Engine{}, map[string][]*engineStream{}, map[string][]*callerConn{}, map[string]asked{}, map[string]*RoutedTry{}
+	cluster.everRead = map[readKey]bool{}
+	cluster.Listed = &Register{cluster: cluster, lastQuery: map[string]time.Duration{}}
+	cluster.Platform = NewPlatform(cluster.Now, plan.Lag, plan.Least)
+	cluster.watch()
+	for _, assignment := range append(append([]string{}, plan.Controls...), plan.Diskless...) {
+		name, zone := split(assignment)
+		cluster.zones[name] = zone
+		cluster.StartControl(name)
 	}
 	for _, options := range plan.Replicas {
-		park.zones[options.ID] = options.Zone
-		park.StartReplica(options)
-		park.List(options)
+		cluster.zones[options.ID] = options.Zone
+		cluster.StartReplica(options)
+		cluster.List(options)
 	}
 	for _, options := range plan.Engines {
-		park.StartEngine(options)
+		cluster.StartEngine(options)
 	}
-	for _, word := range plan.Datas {
-		name, zone := split(word)
-		park.zones[name] = zone
-		park.StartData(name)
+	for _, assignment := range plan.Datas {
+		name, zone := split(assignment)
+		cluster.zones[name] = zone
+		cluster.StartData(name)
 	}
-	park.Run(300 * time.Millisecond)
-	return park
+	cluster.Run(300 * time.Millisecond)
+	return cluster
 }
 
-// Ready tells whether every data daemon may serve and knows replicas in all
-// regions.
-func (park *Park) Ready() bool {
-	for _, daemon := range park.Datas {
+// Ready reports whether every data daemon has a valid lease and a routing table with replicas
+// for every region.
+func (cluster *Park) Ready() bool {
+	for _, daemon := range cluster.Datas {
 		view := daemon.Holder.View()
-		if !view.IsValid(park.Now()) {
+		if !view.IsValid(cluster.Now()) {
 			return false
 		}
 		for _, region := range view.Tree.Regions() {
@@ -202,265 +207,268 @@
 	return true
 }
 
-func (park *Park) seeds() (seeds []string) {
-	for _, word := range park.Plan.Controls[:min(3, len(park.Plan.Controls))] {
-		name, _ := split(word)
+func (cluster *Park) seeds() (seeds []string) {
+	for _, assignment := range cluster.Plan.Controls[:min(3, len(cluster.Plan.Controls))] {
+		name, _ := split(assignment)
 		seeds = append(seeds, name)
 	}
 	return seeds
 }
 
-func (park *Park) process(name string) settings.Process {
-	zone := park.zones[name]
-	seeds := park.SeedsOf[name]
+func (cluster *Park) process(name string) settings.Process {
+	zone := cluster.zones[name]
+	seeds := cluster.SeedsOf[name]
 	if seeds == nil {
-		seeds = park.seeds()
+		seeds = cluster.seeds()
 	}
-	process := settings.Process{Name: name, Zone: zone, Region: Region(zone), Wire: name, HTTP: name, Seeds: seeds, First: park.First}
-	if len(park.Plan.Engines) > 0 {
+	process := settings.Process{Name: name, Zone: zone, Region: Region(zone), Wire: name, HTTP: name, Seeds: seeds, First: cluster.First}
+	if len(cluster.Plan.Engines) > 0 {
 		process.Door = name
 	}
 	return process
 }
 
-// live are a daemon's settings, reread from what the park would start it with.
-func (park *Park) live(name string) *settings.Live {
-	return settings.NewLive(settings.LiveOptions{Process: park.process(name), Read: func() (*settings.Process, error) {
-		if park.Spoilt[name] {
+// live returns a daemon's settings, which on a reload are read again from the same source as
+// at its start.
+func (cluster *Park) live(name string) *settings.Live {
+	return settings.NewLive(settings.LiveOptions{Process: cluster.process(name), Read: func() (*settings.Process, error) {
+		if cluster.Spoilt[name] {
 			return nil, settings.Problems{{Path: "$.seeds.0", Reason: "is no IP:port"}}
 		}
-		process := park.process(name)
+		process := cluster.process(name)
 		return &process, nil
 	}})
 }
 
-// StartControl starts a control daemon, anew if it ran before.
-func (park *Park) StartControl(name string) {
-	park.lives++
-	life := fmt.Sprint(park.lives)
-	park.born(name)
-	park.Start(name, func(node *sim.Node) {
+// StartControl starts a control daemon, or restarts it if it ran before.
+func (cluster *Park) StartControl(name string) {
+	cluster.lives++
+	life := fmt.Sprint(cluster.lives)
+	cluster.born(name)
+	cluster.Start(name, func(node *sim.Node) {
 		var folder disk.Folder = node.Disk
-		for _, word := range park.Plan.Diskless {
-			if diskless, _ := split(word); diskless == name {
+		for _, assignment := range cluster.Plan.Diskless {
+			if diskless, _ := split(assignment); diskless == name {
 				folder = nil
 			}
 		}
 		options := controlplane.Options{
-			World: node, Net: sim.Net{Node: node}, Process: park.process(name), Live: park.live(name), Folder: folder, Incarnation: life,
-			Replicas: &client{park, node, map[string][]idleLine{}}, Platform: &list{park, node}, Point: func(point string) { park.Point(node, point) },
+			World: node, Net: sim.Net{Node: node}, Process: cluster.process(name), Live: cluster.live(name), Folder: folder, Incarnation: life,
+			Replicas: &replicaClient{cluster, node, map[string][]idleConn{}}, Platform: &platformClient{cluster, node}, Point: func(point string) { cluster.Point(node, point) },
 		}
-		if len(park.Plan.Engines) > 0 {
-			options.Dialect, options.Platform = engineDialect{client: &client{park, node, nil}}, &engineList{park, node}
+		if len(cluster.Plan.Engines) > 0 {
+			options.Dialect, options.Platform = engineDialect{client: &replicaClient{cluster, node, nil}}, &engineListClient{cluster, node}
 		}
 		daemon, err := controlplane.New(options)
-		park.Troubles[name] = err
+		cluster.Troubles[name] = err
 		if err != nil {
 			return
 		}
-		park.Controls[name] = daemon
+		cluster.Controls[name] = daemon
 		node.Serve(daemon.Services())
 		daemon.Run()
 	})
 }
 
-// StartData starts a data daemon.
-func (park *Park) StartData(name string) {
-	park.lives++
-	life := fmt.Sprint(park.lives)
-	park.born(name)
-	park.Start(name, func(node *sim.Node) {
-		options := dataplane.Options{World: node, Net: sim.Net{Node: node}, Process: park.process(name), Live: park.live(name), Incarnation: life, Replicas: &client{park, node, map[string][]idleLine{}}, ProxyClient: &relayer{park, node, map[string][]*wireLine{}}}
-		if len(park.Plan.Engines) > 0 {
-			options.Probe = engineDialect{client: &client{park, node, nil}}.Probe
+// StartData starts a data daemon, or restarts it if it ran before.
+func (cluster *Park) StartData(name string) {
+	cluster.lives++
+	life := fmt.Sprint(cluster.lives)
+	cluster.born(name)
+	cluster.Start(name, func(node *sim.Node) {
+		options := dataplane.Options{World: node, Net: sim.Net{Node: node}, Process: cluster.process(name), Live: cluster.live(name), Incarnation: life, Replicas: &replicaClient{cluster, node, map[string][]idleConn{}}, ProxyClient: &relayer{cluster, node, map[string][]*wireLine{}}}
+		if len(cluster.Plan.Engines) > 0 {
+			options.Probe = engineDialect{client: &replicaClient{cluster, node, nil}}.Probe
 		}
 		daemon := dataplane.New(options)
-		park.Datas[name] = daemon
+		cluster.Datas[name] = daemon
 		node.Serve(daemon.Services())
 		daemon.Run()
 	})
 }
 
-// StartReplica starts a stand-in replica; one of the same id comes back cold.
-func (park *Park) StartReplica(options ReplicaOptions) {
-	park.lives++
-	node := park.Node(options.ID)
-	options.World, options.Boot, options.Address = node, fmt.Sprint("boot", park.lives), options.ID
-	if before := park.Replicas[options.ID]; before != nil {
-		before.Gone = park.Now()
-		park.past = append(park.past, before)
+// StartReplica starts a simulated replica. It replaces one with the same ID and starts cold.
+func (cluster *Park) StartReplica(options ReplicaOptions) {
+	cluster.lives++
+	node := cluster.Node(options.ID)
+	options.World, options.Boot, options.Address = node, fmt.Sprint("boot", cluster.lives), options.ID
+	if before := cluster.Replicas[options.ID]; before != nil {
+		before.Gone = cluster.Now()
+		cluster.past = append(cluster.past, before)
 	}
-	park.zones[options.ID] = options.Zone
-	park.Replicas[options.ID] = NewReplica(options)
-	park.Start(options.ID, func(*sim.Node) {})
+	cluster.zones[options.ID] = options.Zone
+	cluster.Replicas[options.ID] = NewReplica(options)
+	cluster.Start(options.ID, func(*sim.Node) {})
 }
 
-// List has the platform list a replica from now on.
-func (park *Park) List(options ReplicaOptions) {
+// List adds a replica to the platform's list.
+func (cluster *Park) List(options ReplicaOptions) {
 	model, version := "", ""
 	if options.Mute {
 		model, version, _ = strings.Cut(options.Held[0], "/")
 	}
-	park.Platform.AddServing(Region(options.Zone), options.ID, options.ID, options.Zone, model, version)
+	cluster.Platform.AddServing(Region(options.Zone), options.ID, options.ID, options.Zone, model, version)
 }
 
-// Crash kills any process; its connections break.
-func (park *Park) Crash(name string) {
-	park.Kill(name)
-	for _, stream := range park.streams[name] {
+// Crash kills a process of any kind; its connections break.
+func (cluster *Park) Crash(name string) {
+	cluster.Kill(name)
+	for _, stream := range cluster.streams[name] {
 		stream.broken(name)
 	}
-	delete(park.streams, name)
-	for _, hop := range append([]*hop{}, park.hops[name]...) {
+	delete(cluster.streams, name)
+	for _, hop := range append([]*engineStream{}, cluster.engineStreams[name]...) {
 		hop.broken(name)
 	}
-	delete(park.hops, name)
-	for _, link := range park.links[name] {
-		link.box.Put(piece{err: errReset})
+	delete(cluster.engineStreams, name)
+	for _, link := range cluster.callerConns[name] {
+		link.mailbox.Put(streamPiece{err: errReset})
 	}
-	delete(park.links, name)
+	delete(cluster.callerConns, name)
 }
 
-// Do runs a step on a control daemon and waits for it for at most the span.
-func (park *Park) Do(name string, span time.Duration, step func(*controlplane.Daemon) error) (err error) {
+// Do runs a step on a control daemon and waits for its end, at most the given time.
+func (cluster *Park) Do(name string, span time.Duration, step func(*controlplane.Daemon) error) (err error) {
 	done := false
-	park.Node(name).Go(func() { err = step(park.Controls[name]); done = true })
+	cluster.Node(name).Go(func() { err = step(cluster.Controls[name]); done = true })
 	for spent := time.Duration(0); spent < span && !done; spent += 10 * time.Millisecond {
-		park.Run(10 * time.Millisecond)
+		cluster.Run(10 * time.Millisecond)
 	}
 	if !done {
-		return errors.New("not done in time")
+		return errors.New("step did not finish in time")
 	}
 	return err
 }
 
-// Must is Do for steps that have to go well.
-func (park *Park) Must(name string, step func(*controlplane.Daemon) error) {
-	if err := park.Do(name, 20*time.Second, step); err != nil {
-		panic(fmt.Sprintf("seed %d at %v: step at %s: %v", park.Seed, park.Now(), name, err))
+// Must is Do with a limit of 20 s; it panics if the step fails.
+func (cluster *Park) Must(name string, step func(*controlplane.Daemon) error) {
+	if err := cluster.Do(name, 20*time.Second, step); err != nil {
+		panic(fmt.Sprintf("seed %d at %v: step at %s: %v", cluster.Seed, cluster.Now(), name, err))
 	}
 }
 
-// Until lets time pass until the question is answered yes, at most the span.
-func (park *Park) Until(span time.Duration, isIt func() bool) bool {
+// Until lets simulated time pass until the condition holds, at most the given time, and
+// reports whether it holds.
+func (cluster *Park) Until(span time.Duration, condition func() bool) bool {
 	for spent := time.Duration(0); spent < span; spent += 50 * time.Millisecond {
-		if isIt() {
+		if condition() {
 			return true
 		}
-		park.Run(50 * time.Millisecond)
+		cluster.Run(50 * time.Millisecond)
 	}
-	return isIt()
+	return condition()
 }
 
-// Logs are all requests that replicas took, in the order of their arrival.
-func (park *Park) Logs() (all []*Served) {
-	for _, one := range park.past {
-		all = append(all, one.Log...)
+// Logs returns all requests that replicas accepted, in the order of arrival.
+func (cluster *Park) Logs() (all []*Served) {
+	for _, stub := range cluster.past {
+		all = append(all, stub.Log...)
 	}
-	for _, name := range park.ids() {
-		all = append(all, park.Replicas[name].Log...)
+	for _, name := range cluster.ids() {
+		all = append(all, cluster.Replicas[name].Log...)
 	}
 	sort.SliceStable(all, func(a, b int) bool { return all[a].At < all[b].At })
 	return all
 }
 
-func (park *Park) ids() (names []string) {
-	for name := range park.Replicas {
+func (cluster *Park) ids() (names []string) {
+	for name := range cluster.Replicas {
 		names = append(names, name)
 	}
 	sort.Strings(names)
 	return names
 }
 
-// Place says in which zone a machine is that the plan does not have.
-func (park *Park) Place(name, zone string) { park.zones[name] = zone }
+// Place sets the zone of a machine that isn't part of the plan.
+func (cluster *Park) Place(name, zone string) { cluster.zones[name] = zone }
 
-// Zone of a node.
-func (park *Park) Zone(name string) string { return park.zones[name] }
+// Zone returns the zone of a machine.
+func (cluster *Park) Zone(name string) string { return cluster.zones[name] }
 
-// list is the platform as a node asks it; the platform itself stands outside
-// of all cuts.
-type list struct {
-	park *Park
-	node *sim.Node
+// platformClient is a node's client of the simulated platform. No network partition affects
+// it.
+type platformClient struct {
+	cluster *Park
+	node    *sim.Node
 }
 
-// List asks the stand-in platform.
-func (list *list) List(region string, _ []string, patience time.Duration) ([]listing.Instance, error) {
-	loop.Sleep(list.node, 2*time.Millisecond)
-	status, body := list.park.Platform.List(strings.TrimPrefix(region, "http://"))
+// List queries the simulated platform for the replicas of a region.
+func (client *platformClient) List(region string, _ []string, timeout time.Duration) ([]listing.Instance, error) {
+	loop.Sleep(client.node, 2*time.Millisecond)
+	status, body := client.cluster.Platform.List(strings.TrimPrefix(region, "http://"))
 	listed, err := listing.ParseResponse(status, "", body)
-	for _, one := range listed {
-		if one.Leaving {
-			list.park.learnLeaving(one.ID, list.park.marked[one.ID])
+	for _, instance := range listed {
+		if instance.Leaving {
+			client.cluster.learnLeaving(instance.ID, client.cluster.marked[instance.ID])
 		}
 	}
 	return listed, err
 }
 
-// client is a node's client of stand-in replicas, with the same promises as the
-// real one.
-type client struct {
-	park  *Park
-	node  *sim.Node
-	lines map[string][]idleLine
+// replicaClient is a node's client of simulated replicas. It gives the same guarantees as the
+// real client.
+type replicaClient struct {
+	cluster   *Park
+	node      *sim.Node
+	idleConns map[string][]idleConn
 }
 
-// idleLine is a connection that waits for its next request.
-type idleLine struct {
+// idleConn is a kept-alive connection without a request.
+type idleConn struct {
 	boot  string
 	since time.Duration
 }
 
-// idleSpan is how long one waits, as in the real client.
-const idleSpan = 3 * time.Second
+// idleTimeout is how long an idle connection is kept, as in the real client.
+const idleTimeout = 3 * time.Second
 
-// idle takes a waiting connection to the replica, which has not ended with its life,
-// and gives the life.
-func (client *client) idle(address string) (boot string, isKept bool) {
-	for list := client.lines[address]; len(list) > 0; list = client.lines[address] {
+// takeIdle takes an idle connection to the replica that is neither expired nor broken by a
+// restart, and returns the boot ID of the replica's process at its other end.
+func (client *replicaClient) takeIdle(address string) (boot string, isKept bool) {
+	for list := client.idleConns[address]; len(list) > 0; list = client.idleConns[address] {
 		last := list[len(list)-1]
-		client.lines[address] = list[:len(list)-1]
-		if client.node.Now()-last.since < idleSpan && client.park.Node(address).Up() && client.park.Replicas[address].Boot == last.boot {
+		client.idleConns[address] = list[:len(list)-1]
+		if client.node.Now()-last.since < idleTimeout && client.cluster.Node(address).Up() && client.cluster.Replicas[address].Boot == last.boot {
 			return last.boot, true
 		}
 	}
 	return "", false
 }
 
-func (client *client) keep(address, boot string) {
-	client.lines[address] = append(client.lines[address], idleLine{boot, client.node.Now()})
+func (client *replicaClient) release(address, boot string) {
+	client.idleConns[address] = append(client.idleConns[address], idleConn{boot, client.node.Now()})
 }
 
 type simStream struct {
-	client *client
-	boot   string
-	park   *Park
-	box    loop.Mailbox
-	from   *sim.Node
-	to     string
-	answer *Answer
-	stall  time.Duration
-	expiry time.Duration
-	closed bool
-	ended  bool
-	head   *piece // taken by Dispatch, read first by Next
-}
-
-type piece struct {
-	event    []byte
-	err      error
-	declined *verdict.Error
-	begun    bool
+	client       *replicaClient
+	boot         string
+	cluster      *Park
+	mailbox      loop.Mailbox
+	from         *sim.Node
+	to           string
+	answer       *Answer
+	stallTimeout time.Duration
+	deadline     time.Duration
+	closed       bool
+	ended        bool
+	head         *streamPiece // received by Dispatch and returned by the first Next
+}
+
+type streamPiece struct {
+	event     []byte
+	err       error
+	rejection *verdict.Error
+	isFirst   bool
 }
 
 var errReset = errors.New("connection reset")
 
-// broken is told to the other end when one end's process dies.
+// broken handles the death of the process dead at one end of the stream: it notifies the other
+// end.
 func (stream *simStream) broken(dead string) {
 	if dead == stream.to {
 		if stream.from.Up() {
-			stream.box.Put(piece{err: errReset})
+			stream.mailbox.Put(streamPiece{err: errReset})
 		}
 	} else if stream.answer != nil {
 		stream.answer.Abort()
@@ -468,66 +476,66 @@
 	stream.closed = true
 }
 
-// Dispatch sends a request to a stand-in.
-func (client *client) Dispatch(request replica.Request) (replica.Stream, *verdict.Error) {
-	park, node := client.park, client.node
+// Dispatch sends a request to a simulated replica and waits for the first piece of its answer.
+func (client *replicaClient) Dispatch(request replica.Request) (replica.Stream, *verdict.Error) {
+	cluster, node := client.cluster, client.node
 	unreached := func(wait time.Duration) (replica.Stream, *verdict.Error) {
 		loop.Sleep(node, wait)
 		return nil, &verdict.Error{Verdict: verdict.NotRun, Code: "replica_unreached", Status: 502}
 	}
-	boot, isKept := client.idle(request.Address)
+	boot, isKept := client.takeIdle(request.Address)
 	if !isKept {
-		delay, open := park.Reach(node.Name, request.Address)
-		back, openBack := park.Reach(request.Address, node.Name)
-		target := park.Node(request.Address)
+		delay, open := cluster.Reach(node.Name, request.Address)
+		back, openBack := cluster.Reach(request.Address, node.Name)
+		target := cluster.Node(request.Address)
 		switch {
 		case !open || !openBack || target.Frozen():
-			return unreached(time.Second) // the dial runs out
+			return unreached(time.Second) // the dial times out
 		case !target.Up():
 			return unreached(delay + back)
 		}
 		loop.Sleep(node, delay+back)
-		greeting, err := client.small(request.Address, request.IdentifyTimeout, func(stand *Replica) (int, []byte) { return 200, stand.Probe() })
+		reply, err := client.exchange(request.Address, request.IdentifyTimeout, func(stub *Replica) (int, []byte) { return 200, stub.Probe() })
 		if err != nil {
 			return unreached(0)
 		}
-		vitals, _ := replica.ParseHealth(greeting.body)
-		boot = vitals.Boot
-		park.Greeted++
+		health, _ := replica.ParseHealth(reply.body)
+		boot = health.Boot
+		cluster.Greeted++
 	}
 	if boot != request.Boot {
-		client.keep(request.Address, boot)
+		client.release(request.Address, boot)
 		return nil, replica.Restarted()
 	}
-	serial, mishap := request.Gate()
-	if mishap != nil {
-		return nil, mishap
+	serial, failure := request.Gate()
+	if failure != nil {
+		return nil, failure
 	}
-	stream := &simStream{client: client, boot: boot, park: park, box: node.Mailbox(), from: node, to: request.Address, stall: request.StallTimeout, expiry: node.Now() + request.Timeout}
-	park.streams[request.Address] = append(park.streams[request.Address], stream)
-	park.streams[node.Name] = append(park.streams[node.Name], stream)
+	stream := &simStream{client: client, boot: boot, cluster: cluster, mailbox: node.Mailbox(), from: node, to: request.Address, stallTimeout: request.StallTimeout, deadline: node.Now() + request.Timeout}
+	cluster.streams[request.Address] = append(cluster.streams[request.Address], stream)
+	cluster.streams[node.Name] = append(cluster.streams[node.Name], stream)
 	if request.OnAbort != nil {
-		request.OnAbort(func() { stream.box.Put(piece{err: errReset}) })
+		request.OnAbort(func() { stream.mailbox.Put(streamPiece{err: errReset}) })
 	}
 	body := bytes.Clone(request.Body)
-	try, sent := park.tries(request.ID), park.Now()
-	park.Deliver(node, request.Address, func(at *sim.Node) {
-		stand := park.Replicas[request.Address]
-		if stand.Boot != boot {
-			park.Deliver(at, node.Name, func(*sim.Node) { stream.box.Put(piece{err: errReset}) })
-			return // the connection ended with the life that it led to
-		}
-		answer, status, declined := stand.Arrive(body, request.ID, request.Kind, request.Home, serial, node.Name)
+	try, sent := cluster.tries(request.ID), cluster.Now()
+	cluster.Deliver(node, request.Address, func(at *sim.Node) {
+		stub := cluster.Replicas[request.Address]
+		if stub.Boot != boot {
+			cluster.Deliver(at, node.Name, func(*sim.Node) { stream.mailbox.Put(streamPiece{err: errReset}) })
+			return // the connection broke when that process of the replica ended
+		}
+		answer, status, rejection := stub.Arrive(body, request.ID, request.Kind, request.Home, serial, node.Name)
 		if answer != nil {
 			answer.served.Sent = sent
 		}
-		park.Arrivals = append(park.Arrivals, Arrival{At: park.Now(), Sent: sent, Replica: request.Address, Boot: stand.Boot, Daemon: node.Name, ID: request.ID, Home: request.Home, Taken: answer != nil, Try: try})
-		var lane sim.Stream
-		send := func(one piece) {
-			park.Send(&lane, at, node.Name, func(*sim.Node) { stream.box.Put(one) })
+		cluster.Arrivals = append(cluster.Arrivals, Arrival{At: cluster.Now(), Sent: sent, Replica: request.Address, Boot: stub.Boot, Daemon: node.Name, ID: request.ID, Home: request.Home, Taken: answer != nil, Try: try})
+		var channel sim.Stream
+		send := func(piece streamPiece) {
+			cluster.Send(&channel, at, node.Name, func(*sim.Node) { stream.mailbox.Put(piece) })
 		}
 		if answer == nil {
-			send(piece{declined: replica.FailureFromAnswer(status, "", declined)})
+			send(streamPiece{rejection: replica.FailureFromAnswer(status, "", rejection)})
 			return
 		}
 		stream.answer = answer
@@ -540,37 +548,37 @@
 			event, err := answer.Next()
 			if err != nil {
 				if first {
-					send(piece{declined: replica.FailureFromAnswer(500, "", []byte(`{"error":{"message":"failed"}}`))})
+					send(streamPiece{rejection: replica.FailureFromAnswer(500, "", []byte(`{"error":{"message":"failed"}}`))})
 				} else {
-					send(piece{err: err})
+					send(streamPiece{err: err})
 				}
 				return
 			}
-			send(piece{event: event, begun: first})
+			send(streamPiece{event: event, isFirst: first})
 			first = false
 		}
 	})
-	got, ok := stream.box.Take(min(stream.stall, stream.expiry-node.Now()))
-	doubt := func(code string) (replica.Stream, *verdict.Error) {
+	item, ok := stream.mailbox.Take(min(stream.stallTimeout, stream.deadline-node.Now()))
+	mayHaveRun := func(code string) (replica.Stream, *verdict.Error) {
 		stream.Close()
 		return nil, &verdict.Error{Verdict: verdict.MayHaveRun, Code: code, Status: 502}
 	}
 	if !ok {
-		return doubt("replica_cut")
+		return mayHaveRun("replica_cut")
 	}
-	one := got.(piece)
+	piece := item.(streamPiece)
 	switch {
-	case one.declined != nil:
+	case piece.rejection != nil:
 		stream.Close()
-		return nil, one.declined
-	case one.err != nil:
-		return doubt("replica_cut")
+		return nil, piece.rejection
+	case piece.err != nil:
+		return mayHaveRun("replica_cut")
 	}
-	stream.head = &one
+	stream.head = &piece
 	return stream, nil
 }
 
-// Next gives the next event.
+// Next returns the next event.
 func (stream *simStream) Next() ([]byte, error) {
 	if stream.ended {
 		return nil, io.EOF
@@ -580,191 +588,191 @@
 		stream.ended = replica.IsTerminalEvent(head.event)
 		return head.event, nil
 	}
-	got, ok := stream.box.Take(min(stream.stall, stream.expiry-stream.from.Now()))
+	item, ok := stream.mailbox.Take(min(stream.stallTimeout, stream.deadline-stream.from.Now()))
 	if !ok {
 		return nil, replica.ErrCut
 	}
-	one := got.(piece)
-	if one.err != nil && !errors.Is(one.err, io.EOF) {
+	piece := item.(streamPiece)
+	if piece.err != nil && !errors.Is(piece.err, io.EOF) {
 		return nil, replica.ErrCut
 	}
-	if errors.Is(one.err, io.EOF) {
+	if errors.Is(piece.err, io.EOF) {
 		return nil, io.EOF
 	}
-	stream.ended = replica.IsTerminalEvent(one.event)
-	return one.event, nil
+	stream.ended = replica.IsTerminalEvent(piece.event)
+	return piece.event, nil
 }
 
-// Close cancels what still runs.
+// Close ends the stream, and cancels the request if it is still running.
 func (stream *simStream) Close() {
 	if stream.closed {
 		return
 	}
 	stream.closed = true
-	if stream.ended && stream.client != nil { // a caller's own stream has none
-		stream.client.keep(stream.to, stream.boot)
+	if stream.ended && stream.client != nil { // a stream between caller and daemon has no client
+		stream.client.release(stream.to, stream.boot)
 	}
 	for _, name := range []string{stream.to, stream.from.Name} {
-		list := stream.park.streams[name]
-		for index, one := range list {
-			if one == stream {
-				stream.park.streams[name] = append(list[:index:index], list[index+1:]...)
+		list := stream.cluster.streams[name]
+		for index, other := range list {
+			if other == stream {
+				stream.cluster.streams[name] = append(list[:index:index], list[index+1:]...)
 				break
 			}
 		}
 	}
 	if !stream.ended && stream.answer != nil {
 		answer := stream.answer
-		stream.park.Deliver(stream.from, stream.to, func(*sim.Node) { answer.Abort() })
+		stream.cluster.Deliver(stream.from, stream.to, func(*sim.Node) { answer.Abort() })
 	}
 }
 
-// Probe asks a stand-in how it does.
-func (client *client) Probe(address string, patience time.Duration) (replica.Health, error) {
-	body, err := client.small(address, patience, func(stand *Replica) (int, []byte) { return 200, stand.Probe() })
+// Probe sends a health check to a simulated replica.
+func (client *replicaClient) Probe(address string, timeout time.Duration) (replica.Health, error) {
+	reply, err := client.exchange(address, timeout, func(stub *Replica) (int, []byte) { return 200, stub.Probe() })
 	if err != nil {
 		return replica.Health{}, err
 	}
-	vitals, err := replica.ParseHealth(body.body)
-	if err == nil && vitals.Leaving {
-		client.park.learnLeaving(address, vitals.Boot)
+	health, err := replica.ParseHealth(reply.body)
+	if err == nil && health.Leaving {
+		client.cluster.learnLeaving(address, health.Boot)
 	}
-	return vitals, err
+	return health, err
 }
 
-// Order gives an order to a stand-in.
-func (client *client) Order(address string, order replica.Order, patience time.Duration) error {
-	got, err := client.small(address, patience, func(stand *Replica) (int, []byte) {
-		if stand == nil { // an engine, which takes none
-			client.park.Strayed++
+// Order sends an order to load or unload weights to a simulated replica.
+func (client *replicaClient) Order(address string, order replica.Order, timeout time.Duration) error {
+	reply, err := client.exchange(address, timeout, func(stub *Replica) (int, []byte) {
+		if stub == nil { // an engine, which takes no orders
+			client.cluster.Strayed++
 			return 404, nil
 		}
-		return stand.Order(order)
+		return stub.Order(order)
 	})
 	if err != nil {
 		return err
 	}
-	return replica.OrderError(got.status, "", got.body)
+	return replica.OrderError(reply.status, "", reply.body)
 }
 
-type small struct {
+type httpReply struct {
 	status int
 	body   []byte
 }
 
-func (client *client) small(address string, patience time.Duration, do func(*Replica) (int, []byte)) (small, error) {
-	park, node := client.park, client.node
-	box := node.Mailbox()
-	if target := park.Node(address); !target.Up() {
+func (client *replicaClient) exchange(address string, timeout time.Duration, handle func(*Replica) (int, []byte)) (httpReply, error) {
+	cluster, node := client.cluster, client.node
+	mailbox := node.Mailbox()
+	if target := cluster.Node(address); !target.Up() {
 		loop.Sleep(node, time.Millisecond)
-		return small{}, errReset
+		return httpReply{}, errReset
 	}
-	park.Deliver(node, address, func(at *sim.Node) {
-		status, body := do(park.Replicas[address])
-		park.Deliver(at, node.Name, func(*sim.Node) { box.Put(small{status, body}) })
+	cluster.Deliver(node, address, func(at *sim.Node) {
+		status, body := handle(cluster.Replicas[address])
+		cluster.Deliver(at, node.Name, func(*sim.Node) { mailbox.Put(httpReply{status, body}) })
 	})
-	got, ok := box.Take(patience)
+	item, ok := mailbox.Take(timeout)
 	if !ok {
-		return small{}, errors.New("no answer")
+		return httpReply{}, errors.New("no reply before the timeout")
 	}
-	return got.(small), nil
+	return item.(httpReply), nil
 }
 
 // crowd starts a stream of requests.
-func (park *Park) crowd(crowd *Crowd) {
+func (cluster *Park) crowd(crowd *Crowd) {
 	name := "caller-" + crowd.Name
-	park.zones[name] = crowd.Zone
-	park.Start(name, func(node *sim.Node) {
+	cluster.zones[name] = crowd.Zone
+	cluster.Start(name, func(node *sim.Node) {
 		loop.Sleep(node, crowd.From)
 		for count := 0; ; count++ {
-			gap := time.Duration(park.Draw(int64(2 * crowd.Every)))
+			gap := time.Duration(cluster.Draw(int64(2 * crowd.Every)))
 			loop.Sleep(node, gap)
 			if crowd.Until > 0 && node.Now() > crowd.Until {
 				return
 			}
-			if park.Quiet {
+			if cluster.Quiet {
 				continue
 			}
-			park.drawn++
-			one := &Request{ID: fmt.Sprintf("%s.%d", crowd.Name, park.drawn), Crowd: crowd.Name, Kind: crowd.Kind, Home: crowd.Home, At: node.Now()}
-			park.Requests = append(park.Requests, one)
-			park.byID[one.ID] = one
+			cluster.drawn++
+			request := &Request{ID: fmt.Sprintf("%s.%d", crowd.Name, cluster.drawn), Crowd: crowd.Name, Kind: crowd.Kind, Home: crowd.Home, At: node.Now()}
+			cluster.Requests = append(cluster.Requests, request)
+			cluster.requestsByID[request.ID] = request
 			number := count
-			node.Go(func() { park.request(node, crowd, one, number) })
+			node.Go(func() { cluster.request(node, crowd, request, number) })
 		}
 	})
 }
 
-func (park *Park) modelOf(crowd *Crowd) string {
+func (cluster *Park) modelOf(crowd *Crowd) string {
 	if crowd.Model != "" {
 		return crowd.Model
 	}
-	return park.Model
+	return cluster.Model
 }
 
-func (park *Park) tries(id string) int {
-	if one := park.byID[id]; one != nil {
-		return one.Tries
+func (cluster *Park) tries(id string) int {
+	if request := cluster.requestsByID[id]; request != nil {
+		return request.Tries
 	}
 	return 0
 }
 
-// request takes one request through its tries, as a caller does that keeps to
-// the rules: the same id goes out under a new ticket only after not_run.
-func (park *Park) request(node *sim.Node, crowd *Crowd, one *Request, number int) {
+// request sends one request with its retries, as a caller does that keeps to the protocol: it
+// sends the same ID with a new ticket only after not_run.
+func (cluster *Park) request(node *sim.Node, crowd *Crowd, request *Request, sequence int) {
 	var addresses []string
 	ticket := ""
-	defer func() { one.End = node.Now() }()
-	inDoubt := false // whether an earlier try may have run
-	lane := laneKey{crowd.Name, number % max(1, crowd.Lanes)}
+	defer func() { request.End = node.Now() }()
+	mayHaveRun := false // whether an earlier attempt may have run
+	lane := laneKey{crowd.Name, sequence % max(1, crowd.Lanes)}
 	for try := 0; try <= crowd.Retries; try++ {
-		if kept, has := park.lanes[lane]; has && try == 0 && park.Now() < kept.until {
-			addresses, ticket = kept.addresses, kept.ticket
+		if location, isCached := cluster.locations[lane]; isCached && try == 0 && cluster.Now() < location.until {
+			addresses, ticket = location.addresses, location.ticket
 		}
 		if ticket == "" {
-			delete(park.lanes, lane)
-			addresses, ticket = park.locate(node, crowd, number)
-			park.lanes[lane] = kept{addresses, ticket, park.Now() + 54*time.Second}
+			delete(cluster.locations, lane)
+			addresses, ticket = cluster.locate(node, crowd, sequence)
+			cluster.locations[lane] = callerLocation{addresses, ticket, cluster.Now() + 54*time.Second}
 			if ticket == "" {
-				delete(park.lanes, lane)
-				one.Verdict, one.Code = "not_run", "nowhere"
-				loop.Sleep(node, park.pause(crowd, try))
+				delete(cluster.locations, lane)
+				request.Verdict, request.Code = "not_run", "nowhere"
+				loop.Sleep(node, cluster.retryDelay(crowd, try))
 				continue
 			}
 		}
-		one.Tries = try + 1
+		request.Tries = try + 1
 		address := addresses[try%min(2, len(addresses))]
 		if !crowd.Eager {
 			address = addresses[0]
 		}
 		if crowd.Astray && try == 0 {
-			address = park.datas()[len(park.Plan.Datas)-1]
+			address = cluster.datas()[len(cluster.Plan.Datas)-1]
 		}
 		if crowd.Hasty && try == 0 {
-			park.hurry(node, crowd, one, number, addresses, ticket)
+			cluster.sendConcurrently(node, crowd, request, sequence, addresses, ticket)
 		} else {
-			one.Verdict, one.Code = park.send(node, crowd, one, number, address, ticket, try, 30*time.Second)
+			request.Verdict, request.Code = cluster.send(node, crowd, request, sequence, address, ticket, try, 30*time.Second)
 		}
-		if park.Datas[address].Leaving() {
-			delete(park.lanes, lane) // as the answer's header says
+		if cluster.Datas[address].Leaving() {
+			delete(cluster.locations, lane) // as the answer's header tells the caller
 		}
 		switch {
-		case one.Verdict == "ok":
+		case request.Verdict == "ok":
 			return
-		case one.Verdict == "not_run" && (!inDoubt || one.Code != "unreached"):
-			ticket = "" // unreached speaks of this try only
+		case request.Verdict == "not_run" && (!mayHaveRun || request.Code != "unreached"):
+			ticket = "" // unreached is about this attempt only, not about earlier ones
 		case !crowd.Eager:
-			delete(park.lanes, lane)
-			return // a caller that keeps to the rules stops here
+			delete(cluster.locations, lane)
+			return // a caller that keeps to the protocol doesn't retry
 		}
-		inDoubt = inDoubt || one.Verdict != "not_run"
-		loop.Sleep(node, park.pause(crowd, try))
+		mayHaveRun = mayHaveRun || request.Verdict != "not_run"
+		loop.Sleep(node, cluster.retryDelay(crowd, try))
 	}
 }
 
-// kept is what a caller that keeps its connection goes by: a place and a ticket,
-// for all requests on it until one of them fails.
-type kept struct {
+// callerLocation is the result of a locate query that a caller with a kept-alive connection
+// reuses: the daemons' addresses and a ticket, for all requests on it until one fails.
+type callerLocation struct {
 	addresses []string
 	ticket    string
 	until     time.Duration
@@ -775,51 +783,52 @@
 	number int
 }
 
-// hurry has several tries of one request in flight at once. What may have run by
-// any of them may have run.
-func (park *Park) hurry(node *sim.Node, crowd *Crowd, one *Request, number int, addresses []string, ticket string) {
-	type ending struct{ verdict, code string }
-	box := node.Mailbox()
-	patience := 30 * time.Second
+// sendConcurrently runs several attempts of one request at the same time. If any of them may
+// have run, the request may have run.
+func (cluster *Park) sendConcurrently(node *sim.Node, crowd *Crowd, request *Request, number int, addresses []string, ticket string) {
+	type outcome struct{ verdict, code string }
+	mailbox := node.Mailbox()
+	timeout := 30 * time.Second
 	if number%2 == 0 {
-		patience = 60 * time.Millisecond // gives up on the first and asks again
+		timeout = 60 * time.Millisecond // gives up on the first attempt while the others run
 	}
-	tries := []struct {
+	attempts := []struct {
 		address, ticket string
-		patience        time.Duration
-	}{{addresses[0], ticket, patience}, {addresses[0], ticket, 30 * time.Second}, {addresses[len(addresses)-1], ticket, 30 * time.Second}, {addresses[0], "", 30 * time.Second}, {addresses[len(addresses)-1], "", 30 * time.Second}}
-	for index, try := range tries {
-		one.Tries = index + 1
+		timeout         time.Duration
+	}{{addresses[0], ticket, timeout}, {addresses[0], ticket, 30 * time.Second}, {addresses[len(addresses)-1], ticket, 30 * time.Second}, {addresses[0], "", 30 * time.Second}, {addresses[len(addresses)-1], "", 30 * time.Second}}
+	for index, try := range attempts {
+		request.Tries = index + 1
 		node.Go(func() {
-			verdict, code := park.send(node, crowd, one, number, try.address, try.ticket, index, try.patience)
-			box.Put(ending{verdict, code})
+			verdict, code := cluster.send(node, crowd, request, number, try.address, try.ticket, index, try.timeout)
+			mailbox.Put(outcome{verdict, code})
 		})
-		loop.Sleep(node, time.Duration(park.Draw(int64(40*time.Millisecond))))
+		loop.Sleep(node, time.Duration(cluster.Draw(int64(40*time.Millisecond))))
 	}
-	one.Verdict = ""
-	for range tries {
-		got, _ := box.Take(40 * time.Second)
-		end, _ := got.(ending)
+	request.Verdict = ""
+	for range attempts {
+		item, _ := mailbox.Take(40 * time.Second)
+		end, _ := item.(outcome)
 		switch {
-		case one.Verdict == "ok":
-		case end.verdict == "ok", one.Verdict == "", one.Verdict == "not_run":
-			one.Verdict, one.Code = end.verdict, end.code
+		case request.Verdict == "ok":
+		case end.verdict == "ok", request.Verdict == "", request.Verdict == "not_run":
+			request.Verdict, request.Code = end.verdict, end.code
 		}
 	}
 }
 
-func (park *Park) pause(crowd *Crowd, try int) time.Duration {
+func (cluster *Park) retryDelay(crowd *Crowd, try int) time.Duration {
 	if crowd.Eager {
 		return 50 * time.Millisecond
 	}
-	return time.Duration(200<<min(try, 3))*time.Millisecond + time.Duration(park.Draw(int64(200*time.Millisecond)))
+	return time.Duration(200<<min(try, 3))*time.Millisecond + time.Duration(cluster.Draw(int64(200*time.Millisecond)))
 }
 
-// locate asks a daemon where to go; callers know all daemons by their numbers.
-func (park *Park) locate(node *sim.Node, crowd *Crowd, number int) ([]string, string) {
+// locate queries a daemon for the addresses to send to and for a ticket. Callers know the
+// addresses of all daemons.
+func (cluster *Park) locate(node *sim.Node, crowd *Crowd, number int) ([]string, string) {
 	var near, far []string
-	for _, word := range park.Plan.Datas {
-		name, zone := split(word)
+	for _, assignment := range cluster.Plan.Datas {
+		name, zone := split(assignment)
 		if zone == crowd.Zone && !crowd.Moves {
 			near = append(near, name)
 		} else {
@@ -828,140 +837,140 @@
 	}
 	shuffle := func(list []string) {
 		for index := len(list) - 1; index > 0; index-- {
-			other := int(park.Draw(int64(index + 1)))
+			other := int(cluster.Draw(int64(index + 1)))
 			list[index], list[other] = list[other], list[index]
 		}
 	}
 	shuffle(near)
 	shuffle(far)
 	for _, name := range append(near, far...)[:min(4, len(near)+len(far))] {
-		box := node.Mailbox()
-		type got struct {
+		mailbox := node.Mailbox()
+		type location struct {
 			addresses []string
 			ticket    string
 		}
-		if !park.Node(name).Up() {
+		if !cluster.Node(name).Up() {
 			loop.Sleep(node, time.Millisecond)
 			continue
 		}
-		park.Deliver(node, name, func(at *sim.Node) {
-			var out got
-			members, ticket, _, mishap := park.Datas[name].Decider.Locate(park.modelOf(crowd), crowd.Kind, crowd.Home, crowd.Zone, decide.Prefix([]byte(fmt.Sprint(crowd.Name, number%max(1, crowd.Rosters)))))
-			if mishap == nil {
+		cluster.Deliver(node, name, func(at *sim.Node) {
+			var out location
+			members, ticket, _, failure := cluster.Datas[name].Decider.Locate(cluster.modelOf(crowd), crowd.Kind, crowd.Home, crowd.Zone, decide.Prefix([]byte(fmt.Sprint(crowd.Name, number%max(1, crowd.Rosters)))))
+			if failure == nil {
 				out.ticket = ticket.Seal()
-				located := Located{At: park.Now(), By: name, Home: crowd.Home}
+				located := Located{At: cluster.Now(), By: name, Home: crowd.Home}
 				for _, member := range members {
 					out.addresses = append(out.addresses, member.HTTP)
 					located.Zones = append(located.Zones, member.Zone)
 				}
-				park.Locates = append(park.Locates, located)
+				cluster.Locates = append(cluster.Locates, located)
 			}
-			park.Deliver(at, node.Name, func(*sim.Node) { box.Put(out) })
+			cluster.Deliver(at, node.Name, func(*sim.Node) { mailbox.Put(out) })
 		})
-		if answer, ok := box.Take(500 * time.Millisecond); ok && answer.(got).ticket != "" {
-			return answer.(got).addresses, answer.(got).ticket
+		if answer, ok := mailbox.Take(500 * time.Millisecond); ok && answer.(location).ticket != "" {
+			return answer.(location).addresses, answer.(location).ticket
 		}
 	}
 	return nil, ""
 }
 
-// sink brings events to a caller.
+// sink sends the events of an answer to a caller.
 type sink struct {
 	execute.CallerState
-	park *Park
-	at   *sim.Node
-	to   *sim.Node
-	box  loop.Mailbox
-	lane *sim.Stream
-	gone *bool
+	cluster  *Park
+	at       *sim.Node
+	to       *sim.Node
+	mailbox  loop.Mailbox
+	stream   *sim.Stream
+	isClosed *bool
 }
 
-// Event passes one event on.
+// Event sends one event.
 func (sink *sink) Event(event []byte) error {
-	if *sink.gone {
+	if *sink.isClosed {
 		return errReset
 	}
-	sink.park.Send(sink.lane, sink.at, sink.to.Name, func(*sim.Node) { sink.box.Put(bytes.Clone(event)) })
+	sink.cluster.Send(sink.stream, sink.at, sink.to.Name, func(*sim.Node) { sink.mailbox.Put(bytes.Clone(event)) })
 	return nil
 }
 
 var _ execute.Sink = (*sink)(nil)
 
-// send makes one try at a daemon and notes what it was told.
-func (park *Park) send(node *sim.Node, crowd *Crowd, one *Request, number int, address, ticket string, try int, patience time.Duration) (string, string) {
+// send makes one attempt at a daemon and records its result for the checkers.
+func (cluster *Park) send(node *sim.Node, crowd *Crowd, request *Request, number int, address, ticket string, try int, timeout time.Duration) (string, string) {
 	sent := node.Now()
-	verdict, code := park.try(node, crowd, one, number, address, ticket, try, patience)
-	park.Told = append(park.Told, Told{Sent: sent, At: node.Now(), ID: one.ID, Ticket: ticket, Daemon: address, Verdict: verdict, Code: code})
+	verdict, code := cluster.try(node, crowd, request, number, address, ticket, try, timeout)
+	cluster.Told = append(cluster.Told, Told{Sent: sent, At: node.Now(), ID: request.ID, Ticket: ticket, Daemon: address, Verdict: verdict, Code: code})
 	return verdict, code
 }
 
-func (park *Park) try(node *sim.Node, crowd *Crowd, one *Request, number int, address, ticket string, try int, patience time.Duration) (string, string) {
-	target := park.Node(address)
-	delay, open := park.Reach(node.Name, address)
+func (cluster *Park) try(node *sim.Node, crowd *Crowd, request *Request, number int, address, ticket string, try int, timeout time.Duration) (string, string) {
+	target := cluster.Node(address)
+	delay, open := cluster.Reach(node.Name, address)
 	if !open || target.Frozen() {
 		loop.Sleep(node, time.Second)
 		return "not_run", "unreached"
 	}
-	if !target.Up() || park.closed[address] {
+	if !target.Up() || cluster.closed[address] {
 		loop.Sleep(node, delay)
 		return "not_run", "unreached"
 	}
-	box := node.Mailbox()
-	gone := false
-	daemon := park.Datas[address]
-	link := &simStream{park: park, box: box, from: node, to: address}
-	var end *sink
-	park.streams[address] = append(park.streams[address], link)
+	mailbox := node.Mailbox()
+	isClosed := false
+	daemon := cluster.Datas[address]
+	conn := &simStream{cluster: cluster, mailbox: mailbox, from: node, to: address}
+	var responder *sink
+	cluster.streams[address] = append(cluster.streams[address], conn)
 	defer func() {
-		gone = true
-		link.ended = true
-		link.Close()
-		// The daemon looks at the connection a few times a second.
-		if seen := end; seen != nil {
-			sim := park.Node(address)
-			park.At(200*time.Millisecond, func() {
-				if sim.Up() {
-					sim.Go(seen.Disconnect)
+		isClosed = true
+		conn.ended = true
+		conn.Close()
+		// The daemon checks the caller's connection a few times a second.
+		if callerSink := responder; callerSink != nil {
+			machine := cluster.Node(address)
+			cluster.At(200*time.Millisecond, func() {
+				if machine.Up() {
+					machine.Go(callerSink.Disconnect)
 				}
 			})
 		}
 	}()
-	park.Deliver(node, address, func(at *sim.Node) {
-		call := &decide.Call{ID: one.ID, Ticket: ticket, Model: park.modelOf(crowd), Kind: crowd.Kind, Home: crowd.Home, Path: "/v1/completions", Retried: try > 0 && !(crowd.Hasty && number%3 == 0)}
-		text, mishap := daemon.Enter(call, func() []byte {
-			park.Entered = append(park.Entered, Entered{At: park.Now(), ID: one.ID, Daemon: address, Home: crowd.Home})
-			return Prompt(park.modelOf(crowd), number%max(1, crowd.Rosters), crowd.Bytes, crowd.Tokens, one.ID)
+	cluster.Deliver(node, address, func(at *sim.Node) {
+		call := &decide.Call{ID: request.ID, Ticket: ticket, Model: cluster.modelOf(crowd), Kind: crowd.Kind, Home: crowd.Home, Path: "/v1/completions", Retried: try > 0 && !(crowd.Hasty && number%3 == 0)}
+		text, failure := daemon.Enter(call, func() []byte {
+			cluster.Entered = append(cluster.Entered, Entered{At: cluster.Now(), ID: request.ID, Daemon: address, Home: crowd.Home})
+			return Prompt(cluster.modelOf(crowd), number%max(1, crowd.Rosters), crowd.Bytes, crowd.Tokens, request.ID)
 		})
-		var lane sim.Stream
-		if mishap == nil {
-			end = &sink{park: park, at: at, to: node, box: box, lane: &lane, gone: &gone}
-			mishap = daemon.Executor.Serve(call, text, end)
+		var messages sim.Stream
+		if failure == nil {
+			responder = &sink{cluster: cluster, at: at, to: node, mailbox: mailbox, stream: &messages, isClosed: &isClosed}
+			failure = daemon.Executor.Serve(call, text, responder)
 		}
-		if mishap != nil {
-			park.Send(&lane, at, node.Name, func(*sim.Node) { box.Put(mishap) })
+		if failure != nil {
+			cluster.Send(&messages, at, node.Name, func(*sim.Node) { mailbox.Put(failure) })
 		}
 	})
 	events := 0
-	expiry := node.Now() + patience
+	deadline := node.Now() + timeout
 	for {
-		got, ok := box.Take(expiry - node.Now())
+		item, ok := mailbox.Take(deadline - node.Now())
 		if !ok {
 			return "cut", "silent"
 		}
-		switch got := got.(type) {
-		case piece:
+		switch item := item.(type) {
+		case streamPiece:
 			return "cut", "reset"
 		case *verdict.Error:
-			return got.Verdict.String(), got.Code
+			return item.Verdict.String(), item.Code
 		case []byte:
 			events++
-			if replica.IsTerminalEvent(got) {
-				one.Wholes++
-				one.Whole = events == (crowd.Tokens+Chunk-1)/Chunk+1
+			if replica.IsTerminalEvent(item) {
+				request.Wholes++
+				request.Whole = events == (crowd.Tokens+Chunk-1)/Chunk+1
 				return "ok", "ok"
 			}
-			if !bytes.Contains(got, []byte(`"`+one.ID+":")) {
-				one.Foreign = true
+			if !bytes.Contains(item, []byte(`"`+request.ID+":")) {
+				request.Foreign = true
 			}
 		}
 	}
--- a/fleet/relay.go
+++ b/fleet/relay.go
@@ -15,421 +15,424 @@
 	"swifttiller/verdict"
 )
 
-// relayer is a data daemon's client of engines, with the same promises as the real one
-// (replica.Relay).
+// relayer is a data daemon's client of simulated engines. It gives the same guarantees as the
+// real client, replica.Proxy.
 type relayer struct {
-	park *Park
-	node *sim.Node
-	idle map[string][]*wireLine
+	cluster *Park
+	node    *sim.Node
+	idle    map[string][]*wireLine
 }
 
-// wireLine is a connection to one life of an engine. Late are answers that come on it
-// in the place of others.
+// wireLine is a connection to one process of an engine. Late counts the stale answers that
+// will arrive on it before the answer to the next request.
 type wireLine struct {
 	life  string
 	since time.Duration
 	late  int
 }
 
-// Spans of the connection, as a kernel and the real client have them.
+// Settings of the connections, as in the real client.
 const (
-	lineKeep   = 3 * time.Second
-	mostPassed = 2
+	connIdleTimeout = 3 * time.Second
+	maxStaleAnswers = 2
 )
 
-// hop is a routed request under way between a daemon and an engine.
-type hop struct {
-	park    *Park
-	box     loop.Mailbox
-	from    *sim.Node
-	to      string
-	engine  *Engine
-	one     *work
-	line    *wireLine
-	relayer *relayer
-	ask     *replica.RoutedRequest
-	expiry  time.Duration
-	// cutAt is when the kernel gives the connection up, as nothing that was sent was
-	// heard of; zero while all was.
-	cutAt                     time.Duration
-	isEnded, isClosed, closes bool
+// engineStream is a routed request in flight between a daemon and an engine.
+type engineStream struct {
+	cluster  *Park
+	mailbox  loop.Mailbox
+	from     *sim.Node
+	to       string
+	engine   *Engine
+	work     *engineRequest
+	conn     *wireLine
+	relayer  *relayer
+	request  *replica.RoutedRequest
+	deadline time.Duration
+	// resetAt is when the kernel gives up the connection because the request was never
+	// acknowledged; zero if it was delivered.
+	resetAt                       time.Duration
+	isEnded, isClosed, closesConn bool
 }
 
-// broken ends it as one of its processes died.
-func (hop *hop) broken(dead string) {
+// broken handles the death of the process dead at one end of the stream.
+func (stream *engineStream) broken(dead string) {
 	switch {
-	case hop.isClosed:
-	case dead == hop.to:
-		if hop.from.Up() {
-			hop.box.Put(wirePiece{err: errReset})
+	case stream.isClosed:
+	case dead == stream.to:
+		if stream.from.Up() {
+			stream.mailbox.Put(wireMessage{err: errReset})
 		}
-	case hop.engine != nil && hop.one != nil:
-		hop.engine.drop(hop.one)
+	case stream.engine != nil && stream.work != nil:
+		stream.engine.drop(stream.work)
 	}
 }
 
-// take gives a waiting connection, or makes one.
-func (relayer *relayer) take(ask *replica.RoutedRequest) *wireLine {
-	park, node := relayer.park, relayer.node
+// take returns an idle connection, or dials a new one. It returns nil if the engine can't be
+// reached.
+func (client *relayer) take(request *replica.RoutedRequest) *wireLine {
+	cluster, node := client.cluster, client.node
 	for {
-		waiting := relayer.idle[ask.Address]
-		if len(waiting) == 0 {
+		idle := client.idle[request.Address]
+		if len(idle) == 0 {
 			break
 		}
-		last := waiting[len(waiting)-1]
-		relayer.idle[ask.Address] = waiting[:len(waiting)-1]
-		if ask.NewConnection {
+		conn := idle[len(idle)-1]
+		client.idle[request.Address] = idle[:len(idle)-1]
+		if request.NewConnection {
 			break
 		}
-		engine := park.Engines[ask.Address]
-		// One with bytes that nobody asked for, if they came already, shows it.
-		if node.Now()-last.since < lineKeep && last.life == ask.Replica && engine.Life == last.life && park.Node(ask.Address).Up() && (last.late == 0 || park.Draw(2) == 0) {
-			return last
+		engine := cluster.Engines[request.Address]
+		// A connection with an unsolicited answer is noticed as such only if the answer has
+		// already arrived.
+		if node.Now()-conn.since < connIdleTimeout && conn.life == request.Replica && engine.Life == conn.life && cluster.Node(request.Address).Up() && (conn.late == 0 || cluster.Draw(2) == 0) {
+			return conn
 		}
 	}
-	delay, isOpen := park.Reach(node.Name, ask.Address)
-	back, isOpenBack := park.Reach(ask.Address, node.Name)
-	target := park.Node(ask.Address)
+	delay, isOpen := cluster.Reach(node.Name, request.Address)
+	back, isOpenBack := cluster.Reach(request.Address, node.Name)
+	target := cluster.Node(request.Address)
 	switch {
 	case !isOpen || !isOpenBack || target.Frozen():
-		loop.Sleep(node, ask.ConnectTimeout)
+		loop.Sleep(node, request.ConnectTimeout)
 		return nil
-	case delay+back > ask.ConnectTimeout:
-		loop.Sleep(node, ask.ConnectTimeout)
+	case delay+back > request.ConnectTimeout:
+		loop.Sleep(node, request.ConnectTimeout)
 		return nil
 	}
 	loop.Sleep(node, delay+back)
 	if !target.Up() {
 		return nil
 	}
-	park.Dialled++
-	return &wireLine{life: park.Engines[ask.Address].Life}
+	cluster.Dialled++
+	return &wireLine{life: cluster.Engines[request.Address].Life}
 }
 
-func (relayer *relayer) give(address string, line *wireLine) {
-	line.since = relayer.node.Now()
-	relayer.idle[address] = append(relayer.idle[address], line)
+func (client *relayer) release(address string, conn *wireLine) {
+	conn.since = client.node.Now()
+	client.idle[address] = append(client.idle[address], conn)
 }
 
 // Send sends a routed request to an engine and waits for the head of its answer.
-func (relayer *relayer) Send(ask *replica.RoutedRequest) (*replica.Answer, *verdict.Error) {
-	park, node := relayer.park, relayer.node
-	line := relayer.take(ask)
-	if line == nil {
+func (client *relayer) Send(request *replica.RoutedRequest) (*replica.Answer, *verdict.Error) {
+	cluster, node := client.cluster, client.node
+	conn := client.take(request)
+	if conn == nil {
 		return nil, &verdict.Error{Verdict: verdict.NotRun, Code: "replica_unreached", Status: 503}
 	}
-	if mishap := ask.Gate(); mishap != nil {
-		relayer.give(ask.Address, line)
-		return nil, mishap
+	if failure := request.Gate(); failure != nil {
+		client.release(request.Address, conn)
+		return nil, failure
 	}
 	sent := node.Now()
-	hop := &hop{park: park, box: node.Mailbox(), from: node, to: ask.Address, relayer: relayer, line: line, ask: ask, expiry: sent + ask.Remaining}
-	park.hops[ask.Address] = append(park.hops[ask.Address], hop)
-	park.hops[node.Name] = append(park.hops[node.Name], hop)
-	if ask.OnAbort != nil {
-		ask.OnAbort(func() { hop.box.Put(wirePiece{err: errReset}) })
+	stream := &engineStream{cluster: cluster, mailbox: node.Mailbox(), from: node, to: request.Address, relayer: client, conn: conn, request: request, deadline: sent + request.Remaining}
+	cluster.engineStreams[request.Address] = append(cluster.engineStreams[request.Address], stream)
+	cluster.engineStreams[node.Name] = append(cluster.engineStreams[node.Name], stream)
+	if request.OnAbort != nil {
+		request.OnAbort(func() { stream.mailbox.Put(wireMessage{err: errReset}) })
 	}
-	if _, isOpen := park.Reach(node.Name, ask.Address); !isOpen {
-		hop.cutAt = sent + ask.UnackedTimeout
+	if _, isOpen := cluster.Reach(node.Name, request.Address); !isOpen {
+		stream.resetAt = sent + request.UnackedTimeout
 	}
-	asked, meant, after := park.asked(ask.ID), ask.Replica, tokenOf(ask.After)
-	urgency, left, tenant := ask.Urgency, ask.Remaining, ask.Tenant
-	park.Deliver(node, ask.Address, func(at *sim.Node) {
-		engine := park.Engines[ask.Address]
-		var lane sim.Stream
-		send := func(piece wirePiece) {
-			if engine.Gone == 0 && !hop.isClosed {
-				park.Send(&lane, at, node.Name, func(*sim.Node) { hop.box.Put(piece) })
+	content, intended, after := cluster.asked(request.ID), request.Replica, tokenOf(request.After)
+	urgency, remaining, tenant := request.Urgency, request.Remaining, request.Tenant
+	cluster.Deliver(node, request.Address, func(at *sim.Node) {
+		engine := cluster.Engines[request.Address]
+		var messages sim.Stream
+		send := func(message wireMessage) {
+			if engine.Gone == 0 && !stream.isClosed {
+				cluster.Send(&messages, at, node.Name, func(*sim.Node) { stream.mailbox.Put(message) })
 			}
 		}
-		if engine.Life != line.life {
-			send(wirePiece{err: errReset})
-			return // the connection ended with the life that it led to
+		if engine.Life != conn.life {
+			send(wireMessage{err: errReset})
+			return // the connection broke when that process of the engine ended
 		}
-		if line.late > 0 {
-			line.late--
-			send(wirePiece{head: &replica.Head{Status: 200, OtherRequest: true}})
+		if conn.late > 0 {
+			conn.late--
+			send(wireMessage{head: &replica.Head{Status: 200, OtherRequest: true}})
 		}
-		run := &Run{ID: ask.ID, Engine: ask.Address, Life: engine.Life, Model: engine.Model, Version: engine.Version, Daemon: node.Name, Tenant: tenant, Sent: sent, At: park.Now(), After: after}
-		if engine.Life != meant {
+		run := &Run{ID: request.ID, Engine: request.Address, Life: engine.Life, Model: engine.Model, Version: engine.Version, Daemon: node.Name, Tenant: tenant, Sent: sent, At: cluster.Now(), After: after}
+		if engine.Life != intended {
 			run.Elsewhere = true
-			park.Runs = append(park.Runs, run)
+			cluster.Runs = append(cluster.Runs, run)
 			head := engine.load()
 			head.Status, head.OtherReplica, head.Events = 421, true, false
-			send(wirePiece{head: &head})
+			send(wireMessage{head: &head})
 			return
 		}
-		one := &work{run: run, parts: asked.parts, most: asked.most, urgency: urgency, expiry: park.Now() + left, made: after, from: after, sent: after, send: send}
-		for _, part := range asked.parts {
+		work := &engineRequest{run: run, parts: content.parts, maxTokens: content.most, urgency: urgency, deadline: cluster.Now() + remaining, generated: after, resumedFrom: after, sent: after, send: send}
+		for _, part := range content.parts {
 			run.Prompt += part.Tokens
 		}
-		if hop.isClosed {
-			return // its daemon has closed the connection meanwhile
+		if stream.isClosed {
+			return // the daemon has closed the connection meanwhile
 		}
-		hop.engine, hop.one = engine, one
-		if engine.Grey.happens(engine, park.zones[node.Name]) {
-			engine.greyed(run, one)
+		stream.engine, stream.work = engine, work
+		if engine.Grey.applies(engine, cluster.zones[node.Name]) {
+			engine.failPartially(run, work)
 			return
 		}
-		engine.arrive(run, one)
+		engine.arrive(run, work)
 	})
-	if hop.isFar() {
-		for _, part := range asked.parts {
-			park.FarBytes += tokenBytes * part.Tokens
-			park.FarPrompt += tokenBytes * part.Tokens
+	if stream.isFar() {
+		for _, part := range content.parts {
+			cluster.FarBytes += tokenBytes * part.Tokens
+			cluster.FarPrompt += tokenBytes * part.Tokens
 		}
 	}
 	cut := func(code string) (*replica.Answer, *verdict.Error) {
-		if ask.OnAbort != nil {
-			ask.OnAbort(nil)
+		if request.OnAbort != nil {
+			request.OnAbort(nil)
 		}
-		hop.close()
+		stream.close()
 		return nil, &verdict.Error{Verdict: verdict.MayHaveRun, Code: code, Status: 502}
 	}
-	for passed := 0; ; passed++ {
-		piece, err := hop.wait(false)
+	for stale := 0; ; stale++ {
+		message, err := stream.wait(false)
 		switch {
 		case errors.Is(err, replica.ErrSilent):
 			return cut("replica_silent")
 		case errors.Is(err, errExpired):
 			return cut("expired")
-		case err != nil || piece.err != nil || piece.head == nil:
+		case err != nil || message.err != nil || message.head == nil:
 			return cut("replica_cut")
 		}
-		head := *piece.head
+		head := *message.head
 		if head.OtherRequest {
-			if passed >= mostPassed {
+			if stale >= maxStaleAnswers {
 				return cut("replica_garbled")
 			}
 			continue
 		}
-		hop.closes = piece.closing
+		stream.closesConn = message.closesConn
 		if head.NotRun || head.OtherReplica {
-			hop.isEnded = true
-			hop.Close()
+			stream.isEnded = true
+			stream.Close()
 			if head.OtherReplica {
 				return nil, replica.Restarted()
 			}
 			return nil, &verdict.Error{Verdict: verdict.NotRun, Code: "replica_declined", Status: 503}
 		}
-		return &replica.Answer{Head: head, Header: &fasthttp.ResponseHeader{}, Length: -1, Source: hop}, nil
+		return &replica.Answer{Head: head, Header: &fasthttp.ResponseHeader{}, Length: -1, Source: stream}, nil
 	}
 }
 
-var errExpired = errors.New("the caller's time is over")
+var errExpired = errors.New("the caller's deadline has passed")
 
-// wait waits for the next piece, asking now and then whether to go on.
-func (hop *hop) wait(hasBegun bool) (wirePiece, error) {
+// wait waits for the next message. At intervals it calls OnSilence to find out whether to give
+// up.
+func (stream *engineStream) wait(hasBegun bool) (wireMessage, error) {
 	for {
-		left := hop.expiry - hop.from.Now()
-		if left <= 0 {
-			return wirePiece{}, errExpired
+		remaining := stream.deadline - stream.from.Now()
+		if remaining <= 0 {
+			return wireMessage{}, errExpired
 		}
-		if hop.ask.OnSilence != nil && hop.ask.SilenceInterval > 0 {
-			left = min(left, hop.ask.SilenceInterval)
+		if stream.request.OnSilence != nil && stream.request.SilenceInterval > 0 {
+			remaining = min(remaining, stream.request.SilenceInterval)
 		}
-		if hop.cutAt > 0 {
-			left = min(left, max(time.Microsecond, hop.cutAt-hop.from.Now()))
+		if stream.resetAt > 0 {
+			remaining = min(remaining, max(time.Microsecond, stream.resetAt-stream.from.Now()))
 		}
-		if got, has := hop.box.Take(left); has {
-			return got.(wirePiece), nil
+		if item, has := stream.mailbox.Take(remaining); has {
+			return item.(wireMessage), nil
 		}
-		if hop.cutAt > 0 && hop.from.Now() >= hop.cutAt {
-			return wirePiece{}, errReset
+		if stream.resetAt > 0 && stream.from.Now() >= stream.resetAt {
+			return wireMessage{}, errReset
 		}
-		if hop.ask.OnSilence != nil && hop.ask.OnSilence(hasBegun) {
-			return wirePiece{}, replica.ErrSilent
+		if stream.request.OnSilence != nil && stream.request.OnSilence(hasBegun) {
+			return wireMessage{}, replica.ErrSilent
 		}
 	}
 }
 
-// Next gives the next event.
-func (hop *hop) Next() ([]byte, error) {
-	if hop.isEnded {
+// Next returns the next event.
+func (stream *engineStream) Next() ([]byte, error) {
+	if stream.isEnded {
 		return nil, io.EOF
 	}
-	piece, err := hop.wait(true)
+	message, err := stream.wait(true)
 	switch {
-	case err != nil || piece.err != nil || piece.head != nil:
+	case err != nil || message.err != nil || message.head != nil:
 		return nil, replica.ErrCut
-	case piece.isEnd:
-		hop.isEnded, hop.closes = true, hop.closes || piece.closing
+	case message.isEnd:
+		stream.isEnded, stream.closesConn = true, stream.closesConn || message.closesConn
 		return nil, io.EOF
 	}
-	if hop.isFar() {
-		hop.park.FarBytes += len(piece.event)
+	if stream.isFar() {
+		stream.cluster.FarBytes += len(message.event)
 	}
-	return piece.event, nil
+	return message.event, nil
 }
 
-// tokenBytes are those of a prompt's token in a request's body.
+// tokenBytes is the number of bytes of one prompt token in a request's body.
 const tokenBytes = 4
 
-// isFar tells whether it goes to another region.
-func (hop *hop) isFar() bool {
-	return Region(hop.park.zones[hop.from.Name]) != Region(hop.park.zones[hop.to])
+// isFar reports whether the request goes to another region.
+func (stream *engineStream) isFar() bool {
+	return Region(stream.cluster.zones[stream.from.Name]) != Region(stream.cluster.zones[stream.to])
 }
 
-// Close ends it; the connection is kept only after a clean end.
-func (hop *hop) Close() {
-	if hop.ask.OnAbort != nil {
-		hop.ask.OnAbort(nil)
+// Close ends the stream. The connection is reused only if the answer was received completely.
+func (stream *engineStream) Close() {
+	if stream.request.OnAbort != nil {
+		stream.request.OnAbort(nil)
 	}
-	hop.close()
+	stream.close()
 }
 
-func (hop *hop) close() {
-	if hop.isClosed {
+func (stream *engineStream) close() {
+	if stream.isClosed {
 		return
 	}
-	hop.isClosed = true
-	for _, name := range []string{hop.to, hop.from.Name} {
-		list := hop.park.hops[name]
-		for at, one := range list {
-			if one == hop {
-				hop.park.hops[name] = append(list[:at:at], list[at+1:]...)
+	stream.isClosed = true
+	for _, name := range []string{stream.to, stream.from.Name} {
+		list := stream.cluster.engineStreams[name]
+		for at, other := range list {
+			if other == stream {
+				stream.cluster.engineStreams[name] = append(list[:at:at], list[at+1:]...)
 				break
 			}
 		}
 	}
-	engine, one := hop.engine, hop.one
+	engine, work := stream.engine, stream.work
 	switch {
-	case hop.isEnded && !hop.closes:
+	case stream.isEnded && !stream.closesConn:
 		if engine != nil && engine.happens(engine.Repeats) {
-			hop.line.late++
-			hop.park.Repeated++
+			stream.conn.late++
+			stream.cluster.Repeated++
 		}
-		hop.relayer.give(hop.to, hop.line)
-	case engine != nil && !hop.isEnded:
-		hop.park.Deliver(hop.from, hop.to, func(*sim.Node) { engine.drop(one) })
+		stream.relayer.release(stream.to, stream.conn)
+	case engine != nil && !stream.isEnded:
+		stream.cluster.Deliver(stream.from, stream.to, func(*sim.Node) { engine.drop(work) })
 	}
 }
 
-// probed is what a probe brings.
-type probed struct {
-	vitals replica.Health
+// probeReply is the reply to a health check.
+type probeReply struct {
+	health replica.Health
 	isFull bool
-	// saysIll is a false word.
-	saysIll bool
+	// reportsUnhealthy is set if the engine reports itself unhealthy whatever its state.
+	reportsUnhealthy bool
 }
 
-// engineDialect is how control daemons probe engines.
+// engineDialect is how daemons health-check engines.
 type engineDialect struct {
 	replica.Dialect
-	client *client
+	client *replicaClient
 }
 
-// Probe asks an engine how it does.
-func (dialect engineDialect) Probe(target replica.Target, patience time.Duration) (replica.Health, error) {
-	park, node := dialect.client.park, dialect.client.node
-	box := node.Mailbox()
-	if park.Node(target.Address) == nil || !park.Node(target.Address).Up() {
+// Probe sends a health check to an engine.
+func (dialect engineDialect) Probe(target replica.Target, timeout time.Duration) (replica.Health, error) {
+	cluster, node := dialect.client.cluster, dialect.client.node
+	mailbox := node.Mailbox()
+	if cluster.Node(target.Address) == nil || !cluster.Node(target.Address).Up() {
 		loop.Sleep(node, time.Millisecond)
 		return replica.Health{}, errReset
 	}
-	park.Deliver(node, target.Address, func(at *sim.Node) {
-		engine := park.Engines[target.Address]
-		// A probe waits for a slot, or is turned away, as a request is.
+	cluster.Deliver(node, target.Address, func(at *sim.Node) {
+		engine := cluster.Engines[target.Address]
+		// Like a request, a health check waits for a slot or is rejected.
 		for len(engine.active) >= engine.Berths && len(engine.waiting) < engine.Queue {
 			loop.Sleep(at, 10*time.Millisecond)
 		}
-		isFull, saysIll := len(engine.waiting) >= engine.Queue, engine.SaysIll
-		vitals := replica.Health{Boot: engine.Life, Load: -1, Leaving: engine.Leaving, Cold: max(0, engine.ColdUntil-park.Now())}
-		park.Deliver(at, node.Name, func(*sim.Node) { box.Put(probed{vitals, isFull, saysIll}) })
+		isFull, reportsUnhealthy := len(engine.waiting) >= engine.Queue, engine.SaysIll
+		health := replica.Health{Boot: engine.Life, Load: -1, Leaving: engine.Leaving, Cold: max(0, engine.ColdUntil-cluster.Now())}
+		cluster.Deliver(at, node.Name, func(*sim.Node) { mailbox.Put(probeReply{health, isFull, reportsUnhealthy}) })
 	})
-	got, has := box.Take(patience)
+	item, has := mailbox.Take(timeout)
 	if !has {
-		return replica.Health{}, errors.New("no answer")
+		return replica.Health{}, errors.New("no reply before the timeout")
 	}
-	vitals, isFull := got.(probed).vitals, got.(probed).isFull
+	health, isFull := item.(probeReply).health, item.(probeReply).isFull
 	switch {
-	case vitals.Boot != target.ID:
+	case health.Boot != target.ID:
 		return replica.Health{}, replica.Restarted()
 	case isFull:
-		// As the real dialect: a status that is no 200 is no answer.
-		return vitals, errors.New("the probe was answered 503")
+		// As in the real dialect, a status other than 200 is an error.
+		return health, errors.New("health check was rejected with status 503")
 	}
-	// Whether it leaves only the list tells.
-	vitals.Unhealthy, vitals.Leaving = vitals.Leaving || got.(probed).saysIll, false
-	return vitals, nil
+	// Whether the engine is leaving is known from the platform's list only.
+	health.Unhealthy, health.Leaving = health.Leaving || item.(probeReply).reportsUnhealthy, false
+	return health, nil
 }
 
-// Register is a stand-in platform's list of engines, that lags and limits how often it
-// may be asked.
+// Register is the simulated platform's list of engines. Changes show after a lag, and queries
+// are rate limited.
 type Register struct {
-	park    *Park
-	entries []*listedEngine
-	asked   map[string]time.Duration
-	// Broken makes it answer nothing.
+	cluster   *Park
+	entries   []*listedEngine
+	lastQuery map[string]time.Duration
+	// Broken makes every query fail.
 	Broken bool
 }
 
 type listedEngine struct {
-	engine             *Engine
-	at, leaving, until time.Duration
+	engine                         *Engine
+	listedAt, leavingAt, removedAt time.Duration
 }
 
 func (register *Register) add(engine *Engine) {
-	at := register.park.Now() + register.park.Plan.Lag
-	if register.park.Now() == 0 {
+	at := register.cluster.Now() + register.cluster.Plan.Lag
+	if register.cluster.Now() == 0 {
 		at = 0
 	}
-	// The one before it at the address is gone, as the list finds in its time.
-	for _, one := range register.entries {
-		if one.engine.Name == engine.Name {
-			one.until = min(one.until, at)
+	// The previous process at the address has ended; it leaves the list after the same lag.
+	for _, listed := range register.entries {
+		if listed.engine.Name == engine.Name {
+			listed.removedAt = min(listed.removedAt, at)
 		}
 	}
 	register.entries = append(register.entries, &listedEngine{engine, at, Never, Never})
 }
 
-// Leave marks an engine's present life as leaving, after the lag; Remove takes it off.
-func (register *Register) Leave(name string) { register.mark(name, true) }
+// Leave marks an engine's present process as leaving, after the lag.
+func (register *Register) Leave(name string) { register.setEnd(name, true) }
 
-// Remove takes an engine's present life off the list, after the lag.
-func (register *Register) Remove(name string) { register.mark(name, false) }
+// Remove removes an engine's present process from the list, after the lag.
+func (register *Register) Remove(name string) { register.setEnd(name, false) }
 
-func (register *Register) mark(name string, isLeaving bool) {
-	at := register.park.Now() + register.park.Plan.Lag
-	for _, one := range register.entries {
-		if one.engine == register.park.Engines[name] {
+func (register *Register) setEnd(name string, isLeaving bool) {
+	at := register.cluster.Now() + register.cluster.Plan.Lag
+	for _, listed := range register.entries {
+		if listed.engine == register.cluster.Engines[name] {
 			if isLeaving {
-				one.leaving = min(one.leaving, at)
+				listed.leavingAt = min(listed.leavingAt, at)
 			} else {
-				one.until = min(one.until, at)
+				listed.removedAt = min(listed.removedAt, at)
 			}
 		}
 	}
 }
 
-// engineList is the list as a node asks for it.
-type engineList struct {
-	park *Park
-	node *sim.Node
+// engineListClient is a node's client of the list of engines.
+type engineListClient struct {
+	cluster *Park
+	node    *sim.Node
 }
 
-// List asks the stand-in.
-func (asks *engineList) List(address string, _ []string, _ time.Duration) ([]listing.Instance, error) {
-	park, region := asks.park, strings.TrimPrefix(address, "http://")
-	loop.Sleep(asks.node, 2*time.Millisecond)
-	now := park.Now()
-	register := park.Listed
+// List queries the simulated list for the engines of a region.
+func (client *engineListClient) List(address string, _ []string, _ time.Duration) ([]listing.Instance, error) {
+	cluster, region := client.cluster, strings.TrimPrefix(address, "http://")
+	loop.Sleep(client.node, 2*time.Millisecond)
+	now := cluster.Now()
+	register := cluster.Listed
 	if register.Broken {
-		return nil, errors.New("the platform is broken")
+		return nil, errors.New("simulated failure of the platform")
 	}
-	if last, isKnown := register.asked[region]; isKnown && now-last < park.Plan.Least {
-		return nil, &listing.RateLimitedError{RetryAfter: park.Plan.Least}
+	if last, isKnown := register.lastQuery[region]; isKnown && now-last < cluster.Plan.Least {
+		return nil, &listing.RateLimitedError{RetryAfter: cluster.Plan.Least}
 	}
-	register.asked[region] = now
+	register.lastQuery[region] = now
 	var out []listing.Instance
-	for _, one := range register.entries {
-		engine := one.engine
-		if Region(engine.Zone) != region || one.at > now || one.until <= now {
+	for _, listed := range register.entries {
+		engine := listed.engine
+		if Region(engine.Zone) != region || listed.listedAt > now || listed.removedAt <= now {
 			continue
 		}
-		entry := listing.Instance{ID: engine.Life, Address: engine.Name, Zone: engine.Zone, Model: engine.Model, Version: engine.Version, Cold: max(0, engine.ColdUntil-now), Leaving: one.leaving <= now}
+		entry := listing.Instance{ID: engine.Life, Address: engine.Name, Zone: engine.Zone, Model: engine.Model, Version: engine.Version, Cold: max(0, engine.ColdUntil-now), Leaving: listed.leavingAt <= now}
 		if entry.Leaving {
-			park.learnLeaving(engine.Name, engine.Life)
+			cluster.learnLeaving(engine.Name, engine.Life)
 		}
 		out = append(out, entry)
 	}
--- a/fleet/replica.go
+++ b/fleet/replica.go
@@ -1,6 +1,6 @@
-// Package fleet is a proof tool, not product: stand-ins for what the system
-// meets outside (replicas, platforms, callers), over HTTP for local fleets and
-// in memory for simulations.
+// Package fleet is a test tool and not part of the product. It simulates what the system
+// depends on (replicas, platforms and callers), over HTTP for local clusters and in memory for
+// simulations.
 package fleet
 
 import (
@@ -18,55 +18,57 @@
 	"swifttiller/replica"
 )
 
-// ReplicaOptions say what a stand-in replica is like.
+// ReplicaOptions describe a simulated replica.
 type ReplicaOptions struct {
 	World    loop.World
 	ID, Zone string
 	Address  string
-	// Boot tells one life of the replica from the next.
+	// Boot identifies the replica's process; it differs after every restart.
 	Boot string
-	// Capacity is how many cost units it bears at once when warm, ColdShare the
-	// share that it bears cold, and ColdAnswers how many answers warm it.
+	// Capacity is the number of cost units that the warm replica can run at once. ColdShare is
+	// the share of it that a cold replica can run, and ColdAnswers the number of answers after
+	// which it is warm.
 	Capacity    int
 	ColdShare   float64
 	ColdAnswers int
-	// Loading is how long loading a version takes.
+	// Loading is the time that it takes to load a version.
 	Loading time.Duration
-	// Prefill is per 1024 bytes of prompt not in its cache, Decode per token.
+	// Prefill is the time per 1024 bytes of prompt that aren't in the prefix cache, Decode the
+	// time per token.
 	Prefill, Decode time.Duration
-	// Cached is how many prompt beginnings it keeps.
+	// Cached is the number of prompt prefixes in the cache.
 	Cached int
-	// Reports tells whether its probes report load.
+	// Reports is whether health checks report the load.
 	Reports bool
-	// Bad says whether a version fails a kind at a number of running requests, and
-	// How in which way; the empty one is an error answer.
+	// Bad reports whether a version fails requests of a kind at a number of running requests.
+	// How says in which way; the zero value is an error response.
 	Bad func(version, kind string, running int) bool
 	How Way
-	// Odd makes requests of the kinds odd-… go wrong on the wire (HTTP only).
+	// Odd makes requests of the kinds odd-… fail at the level of the connection (HTTP only).
 	Odd bool
-	// Down ends the replica's process, for the way Crashes.
+	// Down kills the replica's process, for the failure Crashes.
 	Down func(id string)
-	// Cuts is a kind whose answers it cuts after the first event.
+	// Cuts is a kind of requests whose answers are cut off after the first event.
 	Cuts string
-	// Guards makes it turn away, with 429, what is more than it bears; how many it
-	// turned away while cold is the flood that it was offered.
+	// Guards makes the replica reject requests beyond its current capacity with status 429.
+	// The number rejected while it was cold shows how much overload it was offered.
 	Guards bool
-	// Lingers makes it take requests although it has said that it leaves.
+	// Lingers makes the replica accept requests after it has announced that it is leaving.
 	Lingers bool
-	// Slower multiplies all its times; 0 is 1.
+	// Slower multiplies all times; 0 means 1.
 	Slower float64
-	// Held are versions loaded from the start, as model/version.
+	// Held are the versions that are loaded from the start, as model/version.
 	Held []string
-	// Mute makes its probes name no versions: the platform's list tells what it
-	// serves, the first of Held.
+	// Mute makes health checks report no versions. The platform's list then says that the
+	// replica serves the first of Held.
 	Mute bool
 }
 
-// Way is how a version fails.
+// Way is the way in which a version fails.
 type Way string
 
-// The ways. A hanging or slow answer has failed once its user has waited for
-// FailedAfter without a piece of it.
+// The ways in which a version fails. A hanging or slow answer counts as failed once its caller
+// has waited FailedAfter without receiving anything.
 const (
 	Errs    Way = ""
 	Hangs   Way = "hangs"
@@ -77,144 +79,145 @@
 	Crashes Way = "crashes"
 )
 
-// FailedAfter is when an answer without a piece has failed for its user.
+// FailedAfter is the time without any output after which an answer has failed for its caller.
 const FailedAfter = 2 * time.Second
 
 // Served is one request as the replica saw it.
 type Served struct {
-	At, Sent                   time.Duration // taken; let go by its daemon, where known
+	At, Sent                   time.Duration // when it was accepted; when its daemon sent it, if known
 	Replica, Boot, ID          string
 	Model, Version, Kind, Home string
 	Serial                     uint64
-	Hit                        bool // its prompt's beginning was cached
+	Hit                        bool // the prompt's prefix was cached
 	Bytes                      int
 	Ended                      string // ok, bad, cut, gone
-	// Failed says that the stand-in failed it on purpose, as of FailedAt.
+	// Failed is set if the replica failed the request on purpose, at FailedAt.
 	Failed   bool
 	FailedAt time.Duration
 	Took     time.Duration
-	Daemon   string // who sent it, where the stand-in can know
+	Daemon   string // the daemon that sent it, if known
 }
 
-// Replica is a stand-in.
+// Replica is a simulated replica.
 type Replica struct {
 	ReplicaOptions
-	guard    sync.Mutex
-	versions map[string]string // model/version: state
+	mutex    sync.Mutex
+	versions map[string]string // state by model/version
 	loadedAt map[string]time.Duration
 	orders   map[string]bool
 	fences   map[string]uint64
 	cache    []uint64
 	running  int
 	units    int
-	answers  int
+	answered int
 	Leaving  bool
-	// Idle makes it take orders and do nothing.
+	// Idle makes the replica accept orders without carrying them out.
 	Idle bool
-	// What was seen, for proofs.
+	// Counters and logs for the checkers.
 	Log          []*Served
-	Loads        []string // orders that were carried out, by name
+	Loads        []string // IDs of the orders that were carried out
 	Fenced       int
 	Peak         int
-	Flooded      int           // requests that came, while it was cold, on top of all that it could bear
-	Over         int           // the same while it was warm
-	TurnedAway   int           // with 429 while it was cold
-	ColdTaken    int           // requests taken while it was cold
-	Gone         time.Duration // when this life ended
+	Flooded      int           // requests above the capacity that arrived while it was cold
+	Over         int           // requests above the capacity that arrived while it was warm
+	TurnedAway   int           // requests rejected with 429 while it was cold
+	ColdTaken    int           // requests accepted while it was cold
+	Gone         time.Duration // when this process ended
 	PrefillBytes int
 	HitBytes     int
 }
 
-// NewReplica makes a stand-in.
+// NewReplica makes a simulated replica.
 func NewReplica(options ReplicaOptions) *Replica {
-	one := &Replica{ReplicaOptions: options, versions: map[string]string{}, loadedAt: map[string]time.Duration{}, orders: map[string]bool{}, fences: map[string]uint64{}}
+	stub := &Replica{ReplicaOptions: options, versions: map[string]string{}, loadedAt: map[string]time.Duration{}, orders: map[string]bool{}, fences: map[string]uint64{}}
 	for _, held := range options.Held {
-		one.versions[held] = "ready"
+		stub.versions[held] = "ready"
 	}
-	if one.Slower == 0 {
-		one.Slower = 1
+	if stub.Slower == 0 {
+		stub.Slower = 1
 	}
-	return one
+	return stub
 }
 
-// bears is what the replica can take at once now.
-func (one *Replica) bears() int {
-	if one.ColdAnswers == 0 || one.answers >= one.ColdAnswers {
-		return one.Capacity
+// currentCapacity returns the cost units that the replica can run at once, which increase
+// while it warms up.
+func (stub *Replica) currentCapacity() int {
+	if stub.ColdAnswers == 0 || stub.answered >= stub.ColdAnswers {
+		return stub.Capacity
 	}
-	share := one.ColdShare + (1-one.ColdShare)*float64(one.answers)/float64(one.ColdAnswers)
-	return max(1, int(share*float64(one.Capacity)))
+	share := stub.ColdShare + (1-stub.ColdShare)*float64(stub.answered)/float64(stub.ColdAnswers)
+	return max(1, int(share*float64(stub.Capacity)))
 }
 
-func (one *Replica) settle() {
-	for name, at := range one.loadedAt {
-		if one.World.Now() >= at && one.versions[name] == "loading" {
-			one.versions[name] = "ready"
-			delete(one.loadedAt, name)
+func (stub *Replica) finishLoading() {
+	for name, at := range stub.loadedAt {
+		if stub.World.Now() >= at && stub.versions[name] == "loading" {
+			stub.versions[name] = "ready"
+			delete(stub.loadedAt, name)
 		}
 	}
 }
 
 // Probe answers GET /health.
-func (one *Replica) Probe() []byte {
-	one.guard.Lock()
-	defer one.guard.Unlock()
-	one.settle()
+func (stub *Replica) Probe() []byte {
+	stub.mutex.Lock()
+	defer stub.mutex.Unlock()
+	stub.finishLoading()
 	type version struct {
 		Model   string `json:"model"`
 		Version string `json:"version"`
 		State   string `json:"state"`
 	}
-	out := map[string]any{"boot": one.Boot, "leaving": one.Leaving}
+	out := map[string]any{"boot": stub.Boot, "leaving": stub.Leaving}
 	list := []version{}
-	for name, state := range one.versions {
-		if one.Mute {
+	for name, state := range stub.versions {
+		if stub.Mute {
 			break
 		}
 		model, at, _ := strings.Cut(name, "/")
 		list = append(list, version{model, at, state})
 	}
 	out["versions"] = list
-	if one.Reports {
-		out["load"] = float64(one.units) / float64(one.Capacity)
+	if stub.Reports {
+		out["load"] = float64(stub.units) / float64(stub.Capacity)
 	}
 	body, _ := json.Marshal(out)
 	return body
 }
 
 // Order answers POST /weights.
-func (one *Replica) Order(order replica.Order) (int, []byte) {
-	one.guard.Lock()
-	defer one.guard.Unlock()
-	one.settle()
-	if order.Fence < one.fences[order.Model] {
-		one.Fenced++
+func (stub *Replica) Order(order replica.Order) (int, []byte) {
+	stub.mutex.Lock()
+	defer stub.mutex.Unlock()
+	stub.finishLoading()
+	if order.Fence < stub.fences[order.Model] {
+		stub.Fenced++
 		return 409, []byte(`{"error":{"message":"an older fence"}}`)
 	}
-	one.fences[order.Model] = order.Fence
-	if one.orders[order.ID] {
-		return 200, []byte(`{}`) // carried out already
+	stub.fences[order.Model] = order.Fence
+	if stub.orders[order.ID] {
+		return 200, []byte(`{}`) // already carried out: orders are idempotent
 	}
-	if one.Idle {
+	if stub.Idle {
 		return 200, []byte(`{}`)
 	}
-	one.orders[order.ID] = true
-	one.Loads = append(one.Loads, order.ID)
+	stub.orders[order.ID] = true
+	stub.Loads = append(stub.Loads, order.ID)
 	name := order.Model + "/" + order.Version
 	switch order.State {
 	case replica.Load:
-		if one.versions[name] != "ready" {
-			one.versions[name] = "loading"
-			one.loadedAt[name] = one.World.Now() + one.Loading
+		if stub.versions[name] != "ready" {
+			stub.versions[name] = "loading"
+			stub.loadedAt[name] = stub.World.Now() + stub.Loading
 		}
 	case replica.Standby:
-		if one.versions[name] != "" {
-			one.versions[name] = "standby"
-			delete(one.loadedAt, name)
+		if stub.versions[name] != "" {
+			stub.versions[name] = "standby"
+			delete(stub.loadedAt, name)
 		}
 	case replica.Drop:
-		delete(one.versions, name)
-		delete(one.loadedAt, name)
+		delete(stub.versions, name)
+		delete(stub.loadedAt, name)
 	default:
 		return 422, []byte(`{"error":{"message":"no such state"}}`)
 	}
@@ -227,30 +230,30 @@
 	served  *Served
 	cost    int
 	version string
-	// plan
-	wait, step time.Duration
-	tokens     int
-	sent       int
-	fails      bool
-	ended      bool
+	// timing and length, decided at arrival
+	firstDelay, tokenDelay time.Duration
+	tokens                 int
+	sent                   int
+	fails                  bool
+	ended                  bool
 }
 
-// Arrive takes a request, or answers at once with a status and an error's body.
-func (one *Replica) Arrive(body []byte, id, kind, home string, serial uint64, daemon string) (*Answer, int, []byte) {
-	one.guard.Lock()
-	defer one.guard.Unlock()
-	one.settle()
-	decline := func(status int, message string) (*Answer, int, []byte) {
+// Arrive accepts a request, or rejects it with a status and an error body.
+func (stub *Replica) Arrive(body []byte, id, kind, home string, serial uint64, daemon string) (*Answer, int, []byte) {
+	stub.mutex.Lock()
+	defer stub.mutex.Unlock()
+	stub.finishLoading()
+	reject := func(status int, message string) (*Answer, int, []byte) {
 		text, _ := json.Marshal(map[string]any{"error": map[string]string{"message": message}})
 		return nil, status, text
 	}
-	if one.Leaving && !one.Lingers {
-		return decline(503, "leaving")
+	if stub.Leaving && !stub.Lingers {
+		return reject(503, "leaving")
 	}
 	root := gjson.ParseBytes(body)
 	model, version, _ := strings.Cut(root.Get("model").String(), "@")
-	if state := one.versions[model+"/"+version]; state != "ready" {
-		return decline(503, fmt.Sprintf("%s@%s is not loaded", model, version))
+	if state := stub.versions[model+"/"+version]; state != "ready" {
+		return reject(503, fmt.Sprintf("%s@%s is not loaded", model, version))
 	}
 	prompt := root.Get("prompt").Raw
 	if prompt == "" {
@@ -261,170 +264,171 @@
 		tokens = 16
 	}
 	cost := min(8, 1+len(prompt)/8192+tokens/512)
-	isCold := one.bears() < one.Capacity
-	if one.Guards && one.running > 0 && one.units+cost > one.bears() {
+	isCold := stub.currentCapacity() < stub.Capacity
+	if stub.Guards && stub.running > 0 && stub.units+cost > stub.currentCapacity() {
 		if isCold {
-			one.TurnedAway++
+			stub.TurnedAway++
 		}
-		return decline(429, "full")
+		return reject(429, "full")
 	}
-	sum := fnv.New64a()
-	_, _ = sum.Write([]byte(prompt[:min(len(prompt), 1024)]))
-	served := &Served{At: one.World.Now(), Replica: one.ID, Boot: one.Boot, ID: id, Model: model, Version: version, Kind: kind, Home: home, Serial: serial, Bytes: len(prompt), Daemon: daemon}
-	served.Hit = one.recall(sum.Sum64())
-	one.Log = append(one.Log, served)
-	if one.bears() < one.Capacity {
-		one.ColdTaken++
+	hash := fnv.New64a()
+	_, _ = hash.Write([]byte(prompt[:min(len(prompt), 1024)]))
+	served := &Served{At: stub.World.Now(), Replica: stub.ID, Boot: stub.Boot, ID: id, Model: model, Version: version, Kind: kind, Home: home, Serial: serial, Bytes: len(prompt), Daemon: daemon}
+	served.Hit = stub.touchCache(hash.Sum64())
+	stub.Log = append(stub.Log, served)
+	if stub.currentCapacity() < stub.Capacity {
+		stub.ColdTaken++
 	}
-	one.running++
-	one.units += cost
-	// One request alone it always bears.
-	if one.units > one.bears() && one.running > 1 {
-		if one.bears() < one.Capacity {
-			one.Flooded++
+	stub.running++
+	stub.units += cost
+	// A request that runs alone doesn't count as overload, whatever its cost.
+	if stub.units > stub.currentCapacity() && stub.running > 1 {
+		if stub.currentCapacity() < stub.Capacity {
+			stub.Flooded++
 		} else {
-			one.Over++
+			stub.Over++
 		}
 	}
-	one.Peak = max(one.Peak, one.units)
-	fresh := len(prompt)
+	stub.Peak = max(stub.Peak, stub.units)
+	uncached := len(prompt)
 	if served.Hit {
-		one.HitBytes += len(prompt)
-		fresh /= 16 // its shared beginning is kept; the rest is read
+		stub.HitBytes += len(prompt)
+		uncached /= 16 // the shared prefix is cached; only the rest is prefilled
 	}
-	one.PrefillBytes += fresh
-	crowd := max(1, float64(one.units)/float64(max(1, one.bears())))
-	slower := one.Slower * crowd
-	out := &Answer{replica: one, served: served, cost: cost, version: version, tokens: tokens,
-		wait: time.Duration(slower * float64(one.Prefill) * float64(fresh) / 1024), step: time.Duration(slower * float64(one.Decode))}
-	out.fails = one.Bad != nil && one.Bad(version, kind, one.running)
+	stub.PrefillBytes += uncached
+	overload := max(1, float64(stub.units)/float64(max(1, stub.currentCapacity())))
+	slowdown := stub.Slower * overload
+	out := &Answer{replica: stub, served: served, cost: cost, version: version, tokens: tokens,
+		firstDelay: time.Duration(slowdown * float64(stub.Prefill) * float64(uncached) / 1024), tokenDelay: time.Duration(slowdown * float64(stub.Decode))}
+	out.fails = stub.Bad != nil && stub.Bad(version, kind, stub.running)
 	return out, 200, nil
 }
 
-func (one *Replica) recall(mark uint64) bool {
-	for index, have := range one.cache {
-		if have == mark {
-			one.cache = append(append(one.cache[:index:index], one.cache[index+1:]...), mark)
+func (stub *Replica) touchCache(prefix uint64) bool {
+	for index, cached := range stub.cache {
+		if cached == prefix {
+			stub.cache = append(append(stub.cache[:index:index], stub.cache[index+1:]...), prefix)
 			return true
 		}
 	}
-	one.cache = append(one.cache, mark)
-	if over := len(one.cache) - max(1, one.Cached); over > 0 {
-		one.cache = one.cache[over:]
+	stub.cache = append(stub.cache, prefix)
+	if over := len(stub.cache) - max(1, stub.Cached); over > 0 {
+		stub.cache = stub.cache[over:]
 	}
 	return false
 }
 
-// Chunk is how many tokens one event carries.
+// Chunk is the number of tokens in one event.
 const Chunk = 16
 
-// Next gives the next event after its time, or io.EOF after the terminal one;
-// any other error is the replica's failing.
+// Next waits until the next event is due and returns it, or io.EOF after the terminal event.
+// Any other error is a failure of the replica.
 func (answer *Answer) Next() ([]byte, error) {
-	one := answer.replica
+	stub := answer.replica
 	switch {
 	case answer.ended:
 		return nil, io.EOF
 	case answer.sent == 0:
-		loop.Sleep(one.World, max(answer.wait, time.Microsecond))
+		loop.Sleep(stub.World, max(answer.firstDelay, time.Microsecond))
 		if answer.fails {
 			if event, err := answer.fail(); event != nil || err != nil {
 				return event, err
 			}
 		}
 	case answer.sent >= answer.tokens:
-		answer.end("ok")
+		answer.finish("ok")
 		return []byte("data: [DONE]\n\n"), nil
 	default:
-		loop.Sleep(one.World, answer.step*Chunk)
-		if answer.fails && one.How == Cut || one.Cuts != "" && answer.served.Kind == one.Cuts {
+		loop.Sleep(stub.World, answer.tokenDelay*Chunk)
+		if answer.fails && stub.How == Cut || stub.Cuts != "" && answer.served.Kind == stub.Cuts {
 			if answer.fails {
-				answer.served.Failed, answer.served.FailedAt = true, one.World.Now()
+				answer.served.Failed, answer.served.FailedAt = true, stub.World.Now()
 			}
-			answer.end("cut")
+			answer.finish("cut")
 			return nil, fmt.Errorf("cut")
 		}
 	}
-	// The text names its request, so that a mix-up is seen by the caller.
+	// The text contains the request's ID, so that the caller notices an answer to another
+	// request.
 	text := fmt.Sprintf("%s:%d ", answer.served.ID, answer.sent)
 	answer.sent += Chunk
 	body, _ := json.Marshal(map[string]any{"model": answer.served.Model + "@" + answer.version, "choices": []any{map[string]any{"text": text}}})
 	return append(append([]byte("data: "), body...), "\n\n"...), nil
 }
 
-// fail fails the first piece in the stand-in's way; nothing at all means that it
-// comes as usual, and the way shows later.
+// fail fails the first event in the configured way. Two nil results mean that the event is
+// sent as usual and the failure follows later.
 func (answer *Answer) fail() ([]byte, error) {
-	one := answer.replica
+	stub := answer.replica
 	failed := func(at time.Duration) { answer.served.Failed, answer.served.FailedAt = true, at }
-	switch one.How {
+	switch stub.How {
 	case Hangs:
 		failed(answer.served.At + FailedAfter)
 		for !answer.ended {
-			loop.Sleep(one.World, time.Second)
+			loop.Sleep(stub.World, time.Second)
 		}
 		return nil, fmt.Errorf("gone")
 	case Slow:
 		failed(answer.served.At + FailedAfter)
-		loop.Sleep(one.World, 2*FailedAfter)
+		loop.Sleep(stub.World, 2*FailedAfter)
 		return nil, nil
 	case Cut:
 		return nil, nil
 	case Empty:
-		failed(one.World.Now())
-		answer.end("ok")
+		failed(stub.World.Now())
+		answer.finish("ok")
 		return []byte("data: [DONE]\n\n"), nil
 	case Garbled:
-		failed(one.World.Now())
+		failed(stub.World.Now())
 		answer.sent = answer.tokens
 		return []byte("data: {\"choices\":[{\"te\n\n"), nil
 	case Crashes:
-		failed(one.World.Now())
-		one.Down(one.ID)
-		loop.Sleep(one.World, time.Millisecond) // a killed process never comes back from here
+		failed(stub.World.Now())
+		stub.Down(stub.ID)
+		loop.Sleep(stub.World, time.Millisecond) // a killed process doesn't return from here
 	}
-	failed(one.World.Now())
-	answer.end("bad")
+	failed(stub.World.Now())
+	answer.finish("bad")
 	return nil, fmt.Errorf("failed")
 }
 
-// Abort ends an answer whose caller went away.
-func (answer *Answer) Abort() { answer.end("gone") }
+// Abort ends an answer whose caller has disconnected.
+func (answer *Answer) Abort() { answer.finish("gone") }
 
-func (answer *Answer) end(how string) {
-	one := answer.replica
-	one.guard.Lock()
-	defer one.guard.Unlock()
+func (answer *Answer) finish(outcome string) {
+	stub := answer.replica
+	stub.mutex.Lock()
+	defer stub.mutex.Unlock()
 	if answer.ended {
 		return
 	}
 	answer.ended = true
-	answer.served.Ended = how
-	answer.served.Took = one.World.Now() - answer.served.At
-	one.running--
-	one.units -= answer.cost
-	if how == "ok" {
-		one.answers++
+	answer.served.Ended = outcome
+	answer.served.Took = stub.World.Now() - answer.served.At
+	stub.running--
+	stub.units -= answer.cost
+	if outcome == "ok" {
+		stub.answered++
 	}
 }
 
-// Running tells how many requests run.
-func (one *Replica) Running() int {
-	one.guard.Lock()
-	defer one.guard.Unlock()
-	return one.running
+// Running returns the number of running requests.
+func (stub *Replica) Running() int {
+	stub.mutex.Lock()
+	defer stub.mutex.Unlock()
+	return stub.running
 }
 
-// Units tells how many cost units run.
-func (one *Replica) Units() int {
-	one.guard.Lock()
-	defer one.guard.Unlock()
-	return one.units
+// Units returns the number of running cost units.
+func (stub *Replica) Units() int {
+	stub.mutex.Lock()
+	defer stub.mutex.Unlock()
+	return stub.units
 }
 
-// Leave begins the replica's end.
-func (one *Replica) Leave() {
-	one.guard.Lock()
-	defer one.guard.Unlock()
-	one.Leaving = true
+// Leave marks the replica as leaving.
+func (stub *Replica) Leave() {
+	stub.mutex.Lock()
+	defer stub.mutex.Unlock()
+	stub.Leaving = true
 }
--- a/fleet/routed.go
+++ b/fleet/routed.go
@@ -17,29 +17,31 @@
 	"swifttiller/verdict"
 )
 
-// RoutedCrowd are callers of one route in one zone. Each is a closed loop: a pause, a
-// request to its end, and so on.
+// RoutedCrowd describes the callers of one route in one zone. Each caller is a closed loop: it
+// pauses, sends a request, waits for its end, and starts over.
 type RoutedCrowd struct {
 	Name, Zone, Host, Path string
 	Workers                int
-	// Pause is the mean time between a request's end and the next one's beginning.
+	// Pause is the mean time between the end of a request and the start of the next.
 	Pause time.Duration
-	// Shared tokens begin the prompt and are the same for all of one of Groups; Own are
-	// the request's. Most are those of the answer.
+	// Shared is the number of tokens of the prompt's prefix, which is the same for all
+	// requests of one of the Groups. Own is the number of the request's own prompt tokens, and
+	// Most the number of the answer's tokens.
 	Shared, Own, Groups, Most int
-	// Keys are those of its callers, who each have one of them; none send no key.
+	// Keys are the API keys of the callers, one for each caller in turn; without any, no key
+	// is sent.
 	Keys []string
-	// Patience is how long a caller waits for the whole, Target the aim for the first
-	// event, Gap the pause between events that is still in time.
+	// Patience is the caller's timeout for the whole request, Target the target for the time
+	// to the first event, and Gap the longest pause between events that is in time.
 	Patience, Target, Gap time.Duration
-	// Repeatable requests are tried again after any mishap, Resume ones behind the last
-	// event. Tries are those of a caller, one or two.
+	// Repeatable requests are retried after any failure; Resume requests continue after the
+	// last event received. Tries is the number of attempts of a caller, one or two.
 	Repeatable, Resume bool
 	Tries              int
-	// Holds are how many times as long as it may a caller goes by its list of daemons;
-	// zero means once.
+	// Holds is the number of TTLs for which a caller uses its list of daemons, where the
+	// protocol permits one; zero means one.
 	Holds int
-	// From and Until bound it; zero means always.
+	// From and Until bound the time in which requests are sent; zero means always.
 	From, Until time.Duration
 }
 
@@ -48,33 +50,33 @@
 	ID        string
 	Crowd     *RoutedCrowd
 	At, End   time.Duration
-	First     time.Duration // when the first event came, zero if none did
-	Pause     time.Duration // the longest between two events
+	First     time.Duration // when the first event arrived, zero if none did
+	Pause     time.Duration // the longest pause between two events
 	Tries     []*RoutedTry
-	Got       int // tokens, in order
+	Got       int // number of tokens received in order
 	Verdict   string
-	Wrong     string // what was wrong with what it got; empty when nothing was
+	Wrong     string // what was wrong with the answer received, empty if nothing was
 	lastEvent time.Duration
 	lastLife  string
 }
 
-// RoutedTry is one try of it; it has its own id, and goes to one daemon.
+// RoutedTry is one attempt of a request. It has its own ID and goes to one daemon.
 type RoutedTry struct {
 	ID, Daemon, Key string
 	Sent, End       time.Duration
 	After           int
-	// Status is that of the answer, zero when none came; Code is a decline's.
+	// Status is the answer's status, zero if there was none; Code is the code of a rejection.
 	Status   int
 	Code     string
 	ComeBack time.Duration
-	// IsRead tells whether the daemon had the request, IsWhole whether the answer ended
-	// cleanly, IsSilent whether the caller gave it up.
+	// IsRead is whether the daemon received the request, IsWhole whether the answer ended
+	// cleanly, and IsSilent whether the caller gave up because nothing arrived.
 	IsRead, IsWhole, IsSilent bool
 	Tokens                    int
 	request                   *RoutedRequest
 }
 
-// promised tells whether the try was told that it has not run and never will.
+// promised reports whether the answer guarantees that the attempt has not run and never will.
 func (try *RoutedTry) promised() bool {
 	switch try.Status {
 	case 408, 421, 429, 503:
@@ -83,14 +85,14 @@
 	return false
 }
 
-// Spans of callers, as the protocol has them.
+// Timeouts of callers, as the protocol defines them.
 const (
-	doorPatience  = time.Second
-	leastSilence  = 2 * time.Second
-	targetSilence = 4
-	gapSilence    = 8
-	// leaveSeen is how soon a daemon notices that its caller has gone.
-	leaveSeen = 200 * time.Millisecond
+	locateTimeout     = time.Second
+	minSilenceTimeout = 2 * time.Second
+	silencePerTarget  = 4
+	silencePerGap     = 8
+	// disconnectDelay is the time until a daemon notices that its caller has disconnected.
+	disconnectDelay = 200 * time.Millisecond
 )
 
 type asked struct {
@@ -98,32 +100,32 @@
 	most  int
 }
 
-// asked is what a try asked for.
-func (park *Park) asked(id string) asked { return park.askedOf[id] }
+// asked returns the content of an attempt's request.
+func (cluster *Park) asked(id string) asked { return cluster.askedOf[id] }
 
-// tokenOf reads the id of an event.
+// tokenOf parses an event's ID, the number of tokens up to its end.
 func tokenOf(id string) int {
 	token, _ := strconv.Atoi(id)
 	return token
 }
 
 // crowdRouted starts the callers of a crowd.
-func (park *Park) crowdRouted(crowd *RoutedCrowd) {
+func (cluster *Park) crowdRouted(crowd *RoutedCrowd) {
 	for worker := range crowd.Workers {
 		name := fmt.Sprintf("caller-%s-%d", crowd.Name, worker)
-		park.zones[name] = crowd.Zone
-		park.Start(name, func(node *sim.Node) {
-			caller := &routedCaller{park: park, node: node, crowd: crowd}
+		cluster.zones[name] = crowd.Zone
+		cluster.Start(name, func(node *sim.Node) {
+			caller := &routedCaller{cluster: cluster, node: node, crowd: crowd}
 			if len(crowd.Keys) > 0 {
 				caller.key = crowd.Keys[worker%len(crowd.Keys)]
 			}
 			loop.Sleep(node, max(0, crowd.From-node.Now()))
 			for {
-				loop.Sleep(node, time.Duration(park.Draw(int64(2*crowd.Pause)))+time.Microsecond)
+				loop.Sleep(node, time.Duration(cluster.Draw(int64(2*crowd.Pause)))+time.Microsecond)
 				if crowd.Until > 0 && node.Now() > crowd.Until {
 					return
 				}
-				if park.Quiet {
+				if cluster.Quiet {
 					loop.Sleep(node, 100*time.Millisecond)
 					continue
 				}
@@ -133,45 +135,46 @@
 	}
 }
 
-// routedCaller is one worker.
+// routedCaller is one caller.
 type routedCaller struct {
-	park  *Park
-	node  *sim.Node
-	crowd *RoutedCrowd
-	key   string
-	doors []string
-	until time.Duration
-	// shunned are daemons that failed it, until when.
-	shunned map[string]time.Duration
+	cluster      *Park
+	node         *sim.Node
+	crowd        *RoutedCrowd
+	key          string
+	daemons      []string
+	locatedUntil time.Duration
+	// avoidedUntil says until when the caller avoids a daemon that failed it.
+	avoidedUntil map[string]time.Duration
 }
 
-// door gives a daemon to send to; empty when none is known.
-func (caller *routedCaller) door() string {
-	park, node := caller.park, caller.node
-	if node.Now() >= caller.until {
-		caller.look()
+// chooseDaemon returns a random daemon to send to, or an empty name if none is known.
+func (caller *routedCaller) chooseDaemon() string {
+	cluster, node := caller.cluster, caller.node
+	if node.Now() >= caller.locatedUntil {
+		caller.locate()
 	}
-	var good []string
-	for _, name := range caller.doors {
-		if node.Now() >= caller.shunned[name] {
-			good = append(good, name)
+	var usable []string
+	for _, name := range caller.daemons {
+		if node.Now() >= caller.avoidedUntil[name] {
+			usable = append(usable, name)
 		}
 	}
-	if len(good) == 0 {
-		good = caller.doors
+	if len(usable) == 0 {
+		usable = caller.daemons
 	}
-	if len(good) == 0 {
+	if len(usable) == 0 {
 		return ""
 	}
-	return good[park.Draw(int64(len(good)))]
+	return usable[cluster.Draw(int64(len(usable)))]
 }
 
-// look asks up to three daemons, the near ones first, where to go.
-func (caller *routedCaller) look() {
-	park, node, zone := caller.park, caller.node, caller.crowd.Zone
+// locate queries up to three daemons, those in the caller's zone first, for the daemons to
+// send to.
+func (caller *routedCaller) locate() {
+	cluster, node, zone := caller.cluster, caller.node, caller.crowd.Zone
 	var near, far []string
-	for _, word := range park.Plan.Datas {
-		name, at := split(word)
+	for _, assignment := range cluster.Plan.Datas {
+		name, at := split(assignment)
 		if at == zone {
 			near = append(near, name)
 		} else {
@@ -180,63 +183,63 @@
 	}
 	for _, list := range [][]string{near, far} {
 		for index := len(list) - 1; index > 0; index-- {
-			other := int(park.Draw(int64(index + 1)))
+			other := int(cluster.Draw(int64(index + 1)))
 			list[index], list[other] = list[other], list[index]
 		}
 	}
-	asks := append(near, far...)
-	for _, name := range asks[:min(3, len(asks))] {
-		box := node.Mailbox()
-		if !park.Node(name).Up() || park.closed[name] {
+	candidates := append(near, far...)
+	for _, name := range candidates[:min(3, len(candidates))] {
+		mailbox := node.Mailbox()
+		if !cluster.Node(name).Up() || cluster.closed[name] {
 			loop.Sleep(node, time.Millisecond)
 			continue
 		}
-		park.Deliver(node, name, func(at *sim.Node) {
+		cluster.Deliver(node, name, func(at *sim.Node) {
 			var out []string
-			daemon := park.Datas[name]
-			for _, one := range daemon.Decider.EntryDaemons(caller.crowd.Host, Region(zone), zone) {
-				out = append(out, one.Door)
+			daemon := cluster.Datas[name]
+			for _, member := range daemon.Decider.EntryDaemons(caller.crowd.Host, Region(zone), zone) {
+				out = append(out, member.Door)
 			}
-			park.Deliver(at, node.Name, func(*sim.Node) { box.Put(out) })
+			cluster.Deliver(at, node.Name, func(*sim.Node) { mailbox.Put(out) })
 		})
-		if got, has := box.Take(doorPatience); has && len(got.([]string)) > 0 {
-			caller.doors, caller.until = got.([]string), node.Now()+park.Datas[name].LocateTTL()*time.Duration(max(1, caller.crowd.Holds))
+		if item, has := mailbox.Take(locateTimeout); has && len(item.([]string)) > 0 {
+			caller.daemons, caller.locatedUntil = item.([]string), node.Now()+cluster.Datas[name].LocateTTL()*time.Duration(max(1, caller.crowd.Holds))
 			return
 		}
 	}
 }
 
-// request takes one request through its tries.
+// request sends one request with its retries.
 func (caller *routedCaller) request() {
-	park, node, crowd := caller.park, caller.node, caller.crowd
-	park.drawn++
-	number := park.drawn
-	one := &RoutedRequest{ID: fmt.Sprintf("%s.%d", crowd.Name, number), Crowd: crowd, At: node.Now()}
-	park.RoutedRequests = append(park.RoutedRequests, one)
-	defer func() { one.End = node.Now() }()
-	ask := asked{most: crowd.Most}
+	cluster, node, crowd := caller.cluster, caller.node, caller.crowd
+	cluster.drawn++
+	number := cluster.drawn
+	request := &RoutedRequest{ID: fmt.Sprintf("%s.%d", crowd.Name, number), Crowd: crowd, At: node.Now()}
+	cluster.RoutedRequests = append(cluster.RoutedRequests, request)
+	defer func() { request.End = node.Now() }()
+	content := asked{most: crowd.Most}
 	if crowd.Shared > 0 {
-		group := uint64(park.Draw(int64(max(1, crowd.Groups))))
-		ask.parts = append(ask.parts, decide.Part{ID: 1<<40 + group<<8 + uint64(len(crowd.Path)), Tokens: crowd.Shared})
+		group := uint64(cluster.Draw(int64(max(1, crowd.Groups))))
+		content.parts = append(content.parts, decide.Part{ID: 1<<40 + group<<8 + uint64(len(crowd.Path)), Tokens: crowd.Shared})
 	}
-	ask.parts = append(ask.parts, decide.Part{ID: 1<<50 + uint64(number), Tokens: crowd.Own})
-	expiry := one.At + crowd.Patience
+	content.parts = append(content.parts, decide.Part{ID: 1<<50 + uint64(number), Tokens: crowd.Own})
+	deadline := request.At + crowd.Patience
 	for {
-		try := &RoutedTry{ID: fmt.Sprintf("%s.%d", one.ID, len(one.Tries)), Key: caller.key, Sent: node.Now(), request: one}
-		one.Tries = append(one.Tries, try)
-		park.askedOf[try.ID], park.tried[try.ID] = ask, try
+		try := &RoutedTry{ID: fmt.Sprintf("%s.%d", request.ID, len(request.Tries)), Key: caller.key, Sent: node.Now(), request: request}
+		request.Tries = append(request.Tries, try)
+		cluster.askedOf[try.ID], cluster.tried[try.ID] = content, try
 		if crowd.Resume {
-			try.After = one.Got
+			try.After = request.Got
 		}
-		try.Daemon = caller.door()
-		one.Verdict = "nowhere"
+		try.Daemon = caller.chooseDaemon()
+		request.Verdict = "nowhere"
 		if try.Daemon != "" {
-			one.Verdict = caller.try(one, try, ask, expiry)
+			request.Verdict = caller.try(request, try, content, deadline)
 		}
 		try.End = node.Now()
-		left := expiry - node.Now()
+		remaining := deadline - node.Now()
 		switch {
-		case one.Verdict == "ok" || left <= 0 || len(one.Tries) >= max(1, crowd.Tries) && try.Daemon != "" || len(one.Tries) > 8:
+		case request.Verdict == "ok" || remaining <= 0 || len(request.Tries) >= max(1, crowd.Tries) && try.Daemon != "" || len(request.Tries) > 8:
 			return
 		case try.Status >= 200 && try.Status < 300 && !crowd.Resume && !crowd.Repeatable:
 			return
@@ -244,67 +247,67 @@
 			return
 		case !crowd.Repeatable && !try.promised() && try.IsRead:
 			return
-		case !crowd.Resume && one.Got > 0:
-			return // what it has can't be taken back
+		case !crowd.Resume && request.Got > 0:
+			return // what was received can't be taken back
 		}
-		loop.Sleep(node, max(20*time.Millisecond, min(try.ComeBack, left/3)))
+		loop.Sleep(node, max(20*time.Millisecond, min(try.ComeBack, remaining/3)))
 	}
 }
 
-// doorHead, doorEnd are what a daemon's answer begins and ends with.
-type doorHead struct{ status int }
+// answerHead and answerEnd are the beginning and the end of a daemon's answer.
+type answerHead struct{ status int }
 
-type doorEnd struct {
-	mishap *verdict.Error // of a request that was declined; nil behind a head
-	err    error
+type answerEnd struct {
+	failure *verdict.Error // of a rejected request; nil after an answerHead
+	err     error
 }
 
-// link is a caller's connection to a daemon.
-type link struct {
-	box  loop.Mailbox
-	node *sim.Node
-	gone bool
+// callerConn is a caller's connection to a daemon.
+type callerConn struct {
+	mailbox  loop.Mailbox
+	node     *sim.Node
+	isClosed bool
 }
 
-// try makes one try at a daemon, and tells how it ended.
-func (caller *routedCaller) try(one *RoutedRequest, try *RoutedTry, ask asked, expiry time.Duration) string {
-	park, node, crowd := caller.park, caller.node, caller.crowd
+// try makes one attempt at a daemon and returns its outcome.
+func (caller *routedCaller) try(request *RoutedRequest, try *RoutedTry, content asked, deadline time.Duration) string {
+	cluster, node, crowd := caller.cluster, caller.node, caller.crowd
 	name := try.Daemon
-	shun := func() {
-		if caller.shunned == nil {
-			caller.shunned = map[string]time.Duration{}
+	avoid := func() {
+		if caller.avoidedUntil == nil {
+			caller.avoidedUntil = map[string]time.Duration{}
 		}
-		caller.shunned[name] = node.Now() + 2*time.Second
+		caller.avoidedUntil[name] = node.Now() + 2*time.Second
 	}
-	delay, isOpen := park.Reach(node.Name, name)
+	delay, isOpen := cluster.Reach(node.Name, name)
 	switch {
-	case !isOpen || park.Node(name).Frozen():
-		loop.Sleep(node, time.Second) // the dial runs out
-		shun()
+	case !isOpen || cluster.Node(name).Frozen():
+		loop.Sleep(node, time.Second) // the dial times out
+		avoid()
 		return "unreached"
-	case !park.Node(name).Up() || park.closed[name]:
+	case !cluster.Node(name).Up() || cluster.closed[name]:
 		loop.Sleep(node, 2*delay)
-		shun()
+		avoid()
 		return "unreached"
 	}
-	link := &link{box: node.Mailbox(), node: node}
-	park.links[name] = append(park.links[name], link)
-	leaver := &execute.CallerState{}
+	conn := &callerConn{mailbox: node.Mailbox(), node: node}
+	cluster.callerConns[name] = append(cluster.callerConns[name], conn)
+	callerState := &execute.CallerState{}
 	defer func() {
-		link.gone = true
-		for at, other := range park.links[name] {
-			if other == link {
-				park.links[name] = append(park.links[name][:at:at], park.links[name][at+1:]...)
+		conn.isClosed = true
+		for at, other := range cluster.callerConns[name] {
+			if other == conn {
+				cluster.callerConns[name] = append(cluster.callerConns[name][:at:at], cluster.callerConns[name][at+1:]...)
 				break
 			}
 		}
 		if try.IsWhole || try.Code != "" {
 			return
 		}
-		daemon, life := park.Node(name), park.Datas[name]
-		park.At(leaveSeen, func() {
-			if daemon.Up() && park.Datas[name] == life {
-				daemon.Go(leaver.Disconnect)
+		daemon, life := cluster.Node(name), cluster.Datas[name]
+		cluster.At(disconnectDelay, func() {
+			if daemon.Up() && cluster.Datas[name] == life {
+				daemon.Go(callerState.Disconnect)
 			}
 		})
 	}()
@@ -313,66 +316,66 @@
 	if try.After > 0 {
 		after = strconv.Itoa(try.After)
 	}
-	left := expiry - node.Now()
-	park.Deliver(node, name, func(at *sim.Node) {
-		var lane sim.Stream
+	remaining := deadline - node.Now()
+	cluster.Deliver(node, name, func(at *sim.Node) {
+		var messages sim.Stream
 		send := func(piece any) {
-			if !link.gone {
-				park.Send(&lane, at, node.Name, func(*sim.Node) { link.box.Put(piece) })
+			if !conn.isClosed {
+				cluster.Send(&messages, at, node.Name, func(*sim.Node) { conn.mailbox.Put(piece) })
 			}
 		}
-		routed := &decide.Routed{ID: try.ID, Host: crowd.Host, Path: crowd.Path, Key: try.Key, MaxAnswerTokens: ask.most, Parts: ask.parts, Deadline: at.Now() + left}
-		for _, part := range ask.parts {
+		routed := &decide.Routed{ID: try.ID, Host: crowd.Host, Path: crowd.Path, Key: try.Key, MaxAnswerTokens: content.most, Parts: content.parts, Deadline: at.Now() + remaining}
+		for _, part := range content.parts {
 			routed.Tokens += part.Tokens
 		}
 		routed.Bytes = tokenBytes * routed.Tokens
-		serveRouted(park.Datas[name], routed, replica.RoutedRequest{Method: []byte("POST"), Host: []byte(crowd.Host), URI: []byte(crowd.Path), After: after}, leaver, send)
+		serveRouted(cluster.Datas[name], routed, replica.RoutedRequest{Method: []byte("POST"), Host: []byte(crowd.Host), URI: []byte(crowd.Path), After: after}, callerState, send)
 	})
-	silence := max(leastSilence, targetSilence*crowd.Target, gapSilence*crowd.Gap)
+	silenceTimeout := max(minSilenceTimeout, silencePerTarget*crowd.Target, silencePerGap*crowd.Gap)
 	for {
-		got, has := link.box.Take(min(silence, expiry-node.Now()))
+		item, has := conn.mailbox.Take(min(silenceTimeout, deadline-node.Now()))
 		if !has {
 			try.IsSilent = true
-			shun()
+			avoid()
 			return "silent"
 		}
-		switch got := got.(type) {
-		case piece:
-			shun()
+		switch item := item.(type) {
+		case streamPiece:
+			avoid()
 			return "reset"
-		case doorHead:
-			try.Status = got.status
+		case answerHead:
+			try.Status = item.status
 		case []byte:
-			caller.event(one, try, got)
-		case doorEnd:
+			caller.event(request, try, item)
+		case answerEnd:
 			switch {
-			case got.mishap != nil:
-				try.Status, try.Code, try.ComeBack = got.mishap.Status, got.mishap.Code, got.mishap.ComeBack
+			case item.failure != nil:
+				try.Status, try.Code, try.ComeBack = item.failure.Status, item.failure.Code, item.failure.ComeBack
 				return "declined"
-			case got.err != nil:
+			case item.err != nil:
 				return "cut"
 			}
 			try.IsWhole = true
 			if try.Status >= 300 {
 				return "failed"
 			}
-			if one.Got != crowd.Most {
-				one.Wrong = fmt.Sprintf("looked whole with %d of %d tokens", one.Got, crowd.Most)
+			if request.Got != crowd.Most {
+				request.Wrong = fmt.Sprintf("answer ended cleanly with %d of %d tokens", request.Got, crowd.Most)
 			}
 			return "ok"
 		}
 	}
 }
 
-// event notes an event that came, which has to go on where the one before ended.
-func (caller *routedCaller) event(one *RoutedRequest, try *RoutedTry, text []byte) {
+// event records a received event, which has to continue where the previous one ended.
+func (caller *routedCaller) event(request *RoutedRequest, try *RoutedTry, text []byte) {
 	now := caller.node.Now()
-	if one.First == 0 {
-		one.First = now
+	if request.First == 0 {
+		request.First = now
 	} else {
-		one.Pause = max(one.Pause, now-one.lastEvent)
+		request.Pause = max(request.Pause, now-request.lastEvent)
 	}
-	one.lastEvent = now
+	request.lastEvent = now
 	for _, event := range bytes.SplitAfter(text, []byte("\n\n")) {
 		if len(event) == 0 {
 			continue
@@ -380,46 +383,46 @@
 		var id, from, until int
 		var name, life string
 		if _, err := fmt.Sscanf(string(event), "id: %d\ndata: %s %s %d %d\n\n", &id, &name, &life, &from, &until); err != nil {
-			one.Wrong = fmt.Sprintf("got %q", event)
+			request.Wrong = fmt.Sprintf("received malformed event %q", event)
 			return
 		}
 		switch {
 		case name != try.ID:
-			one.Wrong = "got an event of " + name
-		case from != one.Got || until <= from || id != until:
-			one.Wrong = fmt.Sprintf("got tokens %d to %d behind %d", from, until, one.Got)
-		case life != one.lastLife && one.lastLife != "" && !caller.crowd.Resume:
-			one.Wrong = "got pieces of two runs"
+			request.Wrong = "received an event of attempt " + name
+		case from != request.Got || until <= from || id != until:
+			request.Wrong = fmt.Sprintf("received tokens %d to %d after token %d", from, until, request.Got)
+		case life != request.lastLife && request.lastLife != "" && !caller.crowd.Resume:
+			request.Wrong = "received events of two runs"
 		}
-		one.Got, one.lastLife = until, life
+		request.Got, request.lastLife = until, life
 		try.Tokens += until - from
 	}
 }
 
-// serveRouted does what a daemon's door does with a request, without sockets.
-func serveRouted(daemon *dataplane.Daemon, routed *decide.Routed, ask replica.RoutedRequest, leaver *execute.CallerState, send func(any)) {
-	if mishap := daemon.Decider.Resolve(routed); mishap != nil {
-		send(doorEnd{mishap: mishap})
+// serveRouted does what a daemon's HTTP server does with a request, without sockets.
+func serveRouted(daemon *dataplane.Daemon, routed *decide.Routed, request replica.RoutedRequest, callerState *execute.CallerState, send func(any)) {
+	if failure := daemon.Decider.Resolve(routed); failure != nil {
+		send(answerEnd{failure: failure})
 		return
 	}
-	passage, mishap := daemon.Executor.Proxy(routed, ask, leaver)
-	if mishap != nil {
-		send(doorEnd{mishap: mishap})
+	answer, failure := daemon.Executor.Proxy(routed, request, callerState)
+	if failure != nil {
+		send(answerEnd{failure: failure})
 		return
 	}
-	defer passage.Close()
-	send(doorHead{passage.Status})
+	defer answer.Close()
+	send(answerHead{answer.Status})
 	buffer := make([]byte, 4<<10)
 	for {
-		count, err := passage.Read(buffer)
+		count, err := answer.Read(buffer)
 		if count > 0 {
 			send(bytes.Clone(buffer[:count]))
 		}
 		if errors.Is(err, io.EOF) {
-			send(doorEnd{})
+			send(answerEnd{})
 			return
 		} else if err != nil {
-			send(doorEnd{err: err})
+			send(answerEnd{err: err})
 			return
 		}
 	}
--- a/fleet/scale.go
+++ b/fleet/scale.go
@@ -30,7 +30,9 @@
 	"swifttiller/wire"
 )
 
-// ScaleSize is the size of a fleet of which a part is hollow.
+// ScaleSize is the size of a cluster that is partly simulated: its replicas are stubs, and
+// most of its data daemons are hollow, which means that they run inside this process and serve
+// no callers.
 type ScaleSize struct {
 	Datas    int `json:"datas"`
 	Replicas int `json:"replicas"`
@@ -41,17 +43,18 @@
 	Controls int `json:"controls"`
 }
 
-// dimensions are what a size is made of, by name.
+// dimensions returns pointers to the fields of a size, by name.
 func (size *ScaleSize) dimensions() map[string]*int {
 	return map[string]*int{"datas": &size.Datas, "replicas": &size.Replicas, "regions": &size.Regions, "zones": &size.Zones, "routes": &size.Routes, "models": &size.Models, "controls": &size.Controls}
 }
 
-// With gives the size with one of its dimensions changed; false when it has none of
-// that name. Zones follow regions where those are more.
+// With returns the size with one dimension changed, and false if there is no dimension of that
+// name. If there are fewer zones than regions then, the number of zones is raised to that of
+// the regions.
 func (size ScaleSize) With(dimension string, value int) (ScaleSize, bool) {
-	place, known := size.dimensions()[dimension]
+	field, known := size.dimensions()[dimension]
 	if known {
-		*place = value
+		*field = value
 		if dimension == "regions" {
 			size.Zones = max(size.Zones, value)
 		}
@@ -59,74 +62,75 @@
 	return size, known
 }
 
-// Check gives what is wrong with a size.
+// Check returns the first problem of a size.
 func (size ScaleSize) Check() error {
 	for _, name := range slices.Sorted(maps.Keys(size.dimensions())) {
 		if value := *size.dimensions()[name]; value < 1 || value > 25000 {
-			return fmt.Errorf("%s is %d, which is not within 1 to 25000", name, value)
+			return fmt.Errorf("%s is %d, which is not between 1 and 25000", name, value)
 		}
 	}
 	switch {
 	case size.Datas < ScaleReal+1 || size.Datas > 1000:
-		return fmt.Errorf("datas is %d, which is not within %d to 1000", size.Datas, ScaleReal+1)
+		return fmt.Errorf("datas is %d, which is not between %d and 1000", size.Datas, ScaleReal+1)
 	case size.Controls > 9:
-		return fmt.Errorf("controls is %d: more than 9 real processes of them are not started", size.Controls)
+		return fmt.Errorf("controls is %d, but at most 9 control daemons are started as processes", size.Controls)
 	case size.Regions > 64 || size.Zones < size.Regions || size.Zones > 256:
-		return errors.New("regions are at most 64, and zones no fewer than they and at most 256")
+		return errors.New("regions must be at most 64, and zones at least as many as regions and at most 256")
 	case size.Replicas > 8000:
-		return fmt.Errorf("replicas is %d, which is more than 8000 listeners", size.Replicas)
+		return fmt.Errorf("replicas is %d, which is more than the maximum of 8000 listeners", size.Replicas)
 	case size.Models > 200:
-		return fmt.Errorf("models is %d, which is more than 200", size.Models)
+		return fmt.Errorf("models is %d, which is more than the maximum of 200", size.Models)
 	}
 	return nil
 }
 
-// ScaleReal is how many of the data daemons are processes of their own.
+// ScaleReal is the number of data daemons that run as separate processes.
 const ScaleReal = 2
 
-// ScaleOptions say how a point is measured.
+// ScaleOptions describe how a point is measured.
 type ScaleOptions struct {
-	// Programs is the folder of the programs controlplane and dataplane.
+	// Programs is the folder with the executables controlplane and dataplane.
 	Programs string
-	// Warm and Span are the calm before and while anything is measured. Changes
-	// configurations are then sent, Pause apart.
+	// Warm is the idle time before the measurement, and Span the idle time that is measured.
+	// After that, Changes configurations are sent, one every Pause.
 	Warm, Span, Pause time.Duration
 	Changes           int
 }
 
-// ScaleCalls are calls of one method by one role, a second, of all its daemons.
+// ScaleCalls are the calls of one method per second, summed over all daemons of a role.
 type ScaleCalls struct {
 	Calls float64 `json:"calls_s"`
 	Bytes float64 `json:"bytes_s"`
 }
 
-// ScalePoint is what was measured at a size.
+// ScalePoint is the measurement at one size.
 type ScalePoint struct {
 	ScaleSize
-	// Figures by name. Those of a data daemon are means over the hollow ones for
-	// messages, over the real ones for processor time and memory; those of a control
-	// daemon are of the one that has most.
+	// Figures are the results by name. Those of a data daemon are means, over the hollow
+	// daemons for messages and over the separate processes for processor time; its memory is
+	// that of the separate process that uses most. Those of a control daemon are of the one
+	// that has the highest.
 	Figures map[string]float64 `json:"figures"`
-	// Calls are by caller's role and method.
+	// Calls are by the caller's role and method.
 	Calls map[string]ScaleCalls `json:"calls"`
-	// Changes are the times of each change, in milliseconds: until it was acknowledged,
-	// and until the last hollow daemon applied it.
+	// Changes are the times of each change, in milliseconds: until it was acknowledged, and
+	// until the last hollow daemon applied it.
 	Changes []ScaleChange `json:"changes"`
-	// Trouble says why the point could not be measured whole.
+	// Trouble says why the point could not be measured completely.
 	Trouble string `json:"trouble,omitempty"`
 }
 
-// ScaleChange is one configuration's way.
+// ScaleChange is the result of sending one configuration.
 type ScaleChange struct {
 	Acknowledged float64 `json:"acknowledged_ms"`
 	Last         float64 `json:"last_apply_ms"`
 	Status       int     `json:"status"`
 	Applied      int     `json:"applied"`
-	// Code says why a change was not acknowledged.
+	// Code is the error code if a change was not acknowledged.
 	Code string `json:"code,omitempty"`
 }
 
-// scaleProcess is a real daemon.
+// scaleProcess is a daemon that runs as a separate process.
 type scaleProcess struct {
 	command    *exec.Cmd
 	name       string
@@ -134,11 +138,11 @@
 	ended      chan struct{}
 }
 
-// usage is what the kernel says of a process: processor time in seconds, and resident
-// megabytes now and at the most.
-type usage struct{ processor, resident, most float64 }
+// usage is a process's resource usage from the kernel: processor time in seconds, and its
+// current and peak resident memory in megabytes.
+type usage struct{ processor, resident, peak float64 }
 
-// clockTicks is the kernel's unit of processor time, a second's part.
+// clockTicks is the number of the kernel's units of processor time in a second.
 const clockTicks = 100
 
 func usageOf(pid int) (out usage) {
@@ -147,37 +151,37 @@
 		return out
 	}
 	_, rest, _ := strings.Cut(string(text), ") ")
-	if words := strings.Fields(rest); len(words) > 12 {
-		for _, word := range words[11:13] {
-			ticks, _ := strconv.ParseFloat(word, 64)
+	if fields := strings.Fields(rest); len(fields) > 12 {
+		for _, field := range fields[11:13] {
+			ticks, _ := strconv.ParseFloat(field, 64)
 			out.processor += ticks / clockTicks
 		}
 	}
 	text, _ = os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	for _, line := range strings.Split(string(text), "\n") {
-		words := strings.Fields(line)
-		if len(words) < 2 {
+		fields := strings.Fields(line)
+		if len(fields) < 2 {
 			continue
 		}
-		kilobytes, _ := strconv.ParseFloat(words[1], 64)
-		switch words[0] {
+		kilobytes, _ := strconv.ParseFloat(fields[1], 64)
+		switch fields[0] {
 		case "VmRSS:":
 			out.resident = kilobytes / 1024
 		case "VmHWM:":
-			out.most = kilobytes / 1024
+			out.peak = kilobytes / 1024
 		}
 	}
 	return out
 }
 
-// hollow is a data daemon that serves nothing.
+// hollow is a data daemon inside this process that serves no callers.
 type hollow struct {
 	*dataplane.Daemon
 	world    *loop.Machine
 	listener net.Listener
 }
 
-// scale is a fleet that stands while a point is measured.
+// scale is a running cluster at which a point is measured.
 type scale struct {
 	ScaleOptions
 	size     ScaleSize
@@ -191,46 +195,46 @@
 	client   *http.Client
 }
 
-// probes counts what control daemons ask of replicas and of the platform, and connections
-// that had to wait as this process had no file left for them.
-type probes struct{ asked, bytes, fileless atomic.Int64 }
+// probes counts the requests that the replicas' stubs and the platform's stub received, and
+// the connections that were delayed because this process had no free file descriptor.
+type probes struct{ requests, bytes, outOfFiles atomic.Int64 }
 
-type probedListener struct {
+type countingListener struct {
 	net.Listener
 	probes *probes
 }
 
-// Accept counts what goes over the connection. Where this process has no file left it
-// tries again: a server that was told so would end for good.
-func (listener probedListener) Accept() (net.Conn, error) {
+// Accept returns a connection that counts its bytes. It retries if this process has no free
+// file descriptor, since the server would stop for good on that error.
+func (listener countingListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := listener.Listener.Accept()
 		if errors.Is(err, syscall.EMFILE) {
-			listener.probes.fileless.Add(1)
+			listener.probes.outOfFiles.Add(1)
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
 		if err != nil {
 			return nil, err
 		}
-		return probedConn{conn, listener.probes}, nil
+		return countingConn{conn, listener.probes}, nil
 	}
 }
 
-type probedConn struct {
+type countingConn struct {
 	net.Conn
 	probes *probes
 }
 
-// Read counts.
-func (conn probedConn) Read(out []byte) (int, error) {
+// Read counts the bytes read.
+func (conn countingConn) Read(out []byte) (int, error) {
 	count, err := conn.Conn.Read(out)
 	conn.probes.bytes.Add(int64(count))
 	return count, err
 }
 
-// Write counts.
-func (conn probedConn) Write(text []byte) (int, error) {
+// Write counts the bytes written.
+func (conn countingConn) Write(text []byte) (int, error) {
 	count, err := conn.Conn.Write(text)
 	conn.probes.bytes.Add(int64(count))
 	return count, err
@@ -238,7 +242,8 @@
 
 func (scale *scale) region(index int) string { return fmt.Sprintf("g%d", index%scale.size.Regions+1) }
 
-// zone is the one of a number; zone n lies in region n modulo their count.
+// zone returns the zone with a number and its region: zone n belongs to region n modulo the
+// number of regions.
 func (scale *scale) zone(index int) (region, zone string) {
 	index %= scale.size.Zones
 	return scale.region(index), fmt.Sprintf("%s-%d", scale.region(index), index/scale.size.Regions+1)
@@ -246,7 +251,8 @@
 
 func (scale *scale) model(index int) string { return fmt.Sprintf("m%d", index%scale.size.Models+1) }
 
-// document is the fleet's configuration; label tells one from another.
+// document returns the cluster's configuration. The label distinguishes one version from the
+// next.
 func (scale *scale) document(platform string, label int) []byte {
 	placements, engines, regions := map[string]any{}, map[string]any{}, map[string]any{}
 	for index := range scale.size.Models {
@@ -275,29 +281,30 @@
 	return text
 }
 
-// serve answers HTTP at a listener until the fleet is closed.
+// serve starts an HTTP server on an address; it runs until the cluster is stopped.
 func (scale *scale) serve(address string, handler fasthttp.RequestHandler) (string, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return "", err
 	}
 	server := &fasthttp.Server{Handler: handler, NoDefaultServerHeader: true}
-	go func() { _ = server.Serve(probedListener{listener, &scale.probes}) }()
+	go func() { _ = server.Serve(countingListener{listener, &scale.probes}) }()
 	scale.closing = append(scale.closing, func() { listener.Close() })
 	return listener.Addr().String(), nil
 }
 
-// replicas starts the hollow replicas and the platform that lists them.
+// replicas starts the replicas' stubs and the platform's stub that lists them.
 func (scale *scale) replicas() (platform string, err error) {
 	lists := map[string][]map[string]string{}
-	vitals := func(ctx *fasthttp.RequestCtx) {
-		scale.probes.asked.Add(1)
+	health := func(ctx *fasthttp.RequestCtx) {
+		scale.probes.requests.Add(1)
 		ctx.SetContentType("application/json")
 		fmt.Fprintf(ctx, `{"boot":"b-%s","versions":[]}`, ctx.LocalAddr())
 	}
 	for index := range scale.size.Replicas {
-		// The whole of 127/8 is loopback: so many ports of one address are needed by others.
-		address, err := scale.serve(fmt.Sprintf("127.7.%d.%d:0", 1+index/200, 1+index%200), vitals)
+		// All of 127/8 is loopback. Spreading the listeners over addresses leaves the ports of
+		// 127.0.0.1 to the other processes.
+		address, err := scale.serve(fmt.Sprintf("127.7.%d.%d:0", 1+index/200, 1+index%200), health)
 		if err != nil {
 			return "", err
 		}
@@ -315,8 +322,8 @@
 	})
 }
 
-// vacant gives addresses that nobody listens at.
-func vacant(count int) (out []string, err error) {
+// freeAddresses returns addresses on which nothing listens.
+func freeAddresses(count int) (out []string, err error) {
 	for range count {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -328,18 +335,18 @@
 	return out, nil
 }
 
-// launch starts a real daemon.
-func (scale *scale) launch(program, name string, at int, seeds, places []string, more ...string) (*scaleProcess, error) {
+// launch starts a daemon as a separate process.
+func (scale *scale) launch(program, name string, at int, seeds, addresses []string, more ...string) (*scaleProcess, error) {
 	region, zone := scale.zone(at)
-	words := append([]string{"run", "--name", name, "--region", region, "--zone", zone, "--wire", places[0], "--http", places[1], "--seeds", strings.Join(seeds, ","), "--log", "warn", "--grace", "1"}, more...)
-	out := &scaleProcess{command: exec.Command(filepath.Join(scale.Programs, program), words...), name: name, wire: places[0], http: places[1], ended: make(chan struct{})}
+	arguments := append([]string{"run", "--name", name, "--region", region, "--zone", zone, "--wire", addresses[0], "--http", addresses[1], "--seeds", strings.Join(seeds, ","), "--log", "warn", "--grace", "1"}, more...)
+	out := &scaleProcess{command: exec.Command(filepath.Join(scale.Programs, program), arguments...), name: name, wire: addresses[0], http: addresses[1], ended: make(chan struct{})}
 	log, err := os.Create(filepath.Join(scale.folder, name+".log"))
 	if err != nil {
 		return nil, err
 	}
 	defer log.Close()
 	out.command.Stderr, out.command.Stdout = log, log
-	// Whatever ends this process ends its own children too.
+	// The kernel kills the daemon if this process dies for whatever reason.
 	out.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := out.command.Start(); err != nil {
 		return nil, err
@@ -351,37 +358,37 @@
 	return out, nil
 }
 
-// stop ends everything that was started.
+// stop stops everything that was started.
 func (scale *scale) stop() {
-	for _, one := range scale.hollows {
-		one.world.End()
-		one.listener.Close()
+	for _, process := range scale.hollows {
+		process.world.End()
+		process.listener.Close()
 	}
 	processes := append(slices.Clone(scale.datas), scale.controls...)
-	for _, one := range processes {
-		_ = one.command.Process.Signal(syscall.SIGTERM)
+	for _, process := range processes {
+		_ = process.command.Process.Signal(syscall.SIGTERM)
 	}
-	late := time.After(4 * time.Second)
-	for _, one := range processes {
+	deadline := time.After(4 * time.Second)
+	for _, process := range processes {
 		select {
-		case <-one.ended:
-		case <-late:
-			_ = one.command.Process.Kill()
-			<-one.ended
-			late = time.After(0)
+		case <-process.ended:
+		case <-deadline:
+			_ = process.command.Process.Kill()
+			<-process.ended
+			deadline = time.After(0)
 		}
 	}
 	for _, close := range scale.closing {
 		close()
 	}
-	for _, one := range scale.hollows {
-		one.world.Wait(time.Second)
+	for _, process := range scale.hollows {
+		process.world.Wait(time.Second)
 	}
 	_ = os.RemoveAll(scale.folder)
 }
 
-// ask asks a daemon over HTTP.
-func (scale *scale) ask(method, url string, body []byte) (int, []byte, error) {
+// request sends an HTTP request to a daemon.
+func (scale *scale) request(method, url string, body []byte) (int, []byte, error) {
 	request, err := http.NewRequest(method, "http://"+url, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, err
@@ -395,104 +402,106 @@
 	return answer.StatusCode, text, err
 }
 
-// until asks again and again.
-func until(ctx context.Context, patience time.Duration, isIt func() bool) bool {
-	for expiry := time.Now().Add(patience); time.Now().Before(expiry) && ctx.Err() == nil; {
-		if isIt() {
+// waitUntil polls the condition until it holds, the timeout passes or the context ends, and
+// reports whether it holds.
+func waitUntil(ctx context.Context, timeout time.Duration, condition func() bool) bool {
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline) && ctx.Err() == nil; {
+		if condition() {
 			return true
 		}
-		rest(ctx, 20*time.Millisecond)
+		sleep(ctx, 20*time.Millisecond)
 	}
 	return false
 }
 
-// rest waits, or until the context ends.
-func rest(ctx context.Context, span time.Duration) {
+// sleep waits for the given time, or until the context ends.
+func sleep(ctx context.Context, span time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(span):
 	}
 }
 
-// start starts the fleet and waits until it does what it is to do.
+// start starts the cluster and waits until every hollow daemon has a valid lease and a
+// complete routing table.
 func (scale *scale) start(ctx context.Context) (platform string, err error) {
 	if platform, err = scale.replicas(); err != nil {
 		return "", err
 	}
-	places, err := vacant(2 * (scale.size.Controls + ScaleReal))
+	addresses, err := freeAddresses(2 * (scale.size.Controls + ScaleReal))
 	if err != nil {
 		return "", err
 	}
 	var seeds []string
 	for index := range scale.size.Controls {
-		seeds = append(seeds, places[2*index])
+		seeds = append(seeds, addresses[2*index])
 	}
 	for index := range scale.size.Controls {
 		name := fmt.Sprintf("c%d", index+1)
-		one, err := scale.launch("controlplane", name, index, seeds, places[2*index:], "--data", filepath.Join(scale.folder, name), "--count")
+		process, err := scale.launch("controlplane", name, index, seeds, addresses[2*index:], "--data", filepath.Join(scale.folder, name), "--count")
 		if err != nil {
 			return "", err
 		}
-		scale.controls = append(scale.controls, one)
+		scale.controls = append(scale.controls, process)
 	}
-	if !until(ctx, 10*time.Second, func() bool {
-		status, _, err := scale.ask("POST", scale.controls[0].http+"/v1/init", nil)
+	if !waitUntil(ctx, 10*time.Second, func() bool {
+		status, _, err := scale.request("POST", scale.controls[0].http+"/v1/init", nil)
 		return err == nil && status == 200
 	}) {
-		return "", errors.New("no core was made")
+		return "", errors.New("core was not initialized within 10 s")
 	}
 	first := scale.document(platform, 1)
 	status, text := 0, []byte(nil)
-	if !until(ctx, 20*time.Second, func() bool {
-		status, text, err = scale.ask("POST", scale.controls[0].http+"/v1/config", first)
+	if !waitUntil(ctx, 20*time.Second, func() bool {
+		status, text, err = scale.request("POST", scale.controls[0].http+"/v1/config", first)
 		return err == nil && status == 200
 	}) {
-		return "", fmt.Errorf("the first configuration (%d bytes) was answered %d %s %v", len(first), status, text, err)
+		return "", fmt.Errorf("the first configuration (%d bytes) was answered with %d %s %v", len(first), status, text, err)
 	}
 	for index := range ScaleReal {
 		at := 2 * (scale.size.Controls + index)
-		one, err := scale.launch("dataplane", fmt.Sprintf("d%d", index+1), index, seeds, places[at:])
+		process, err := scale.launch("dataplane", fmt.Sprintf("d%d", index+1), index, seeds, addresses[at:])
 		if err != nil {
 			return "", err
 		}
-		scale.datas = append(scale.datas, one)
+		scale.datas = append(scale.datas, process)
 	}
 	for index := ScaleReal; index < scale.size.Datas; index++ {
 		if err := scale.hollow(index, seeds); err != nil {
 			return "", err
 		}
 	}
-	stand := 0
-	if !until(ctx, 30*time.Second, func() bool {
-		stand = 0
-		for _, one := range scale.hollows {
+	valid := 0
+	if !waitUntil(ctx, 30*time.Second, func() bool {
+		valid = 0
+		for _, process := range scale.hollows {
 			rows := 0
-			for _, standing := range one.Holder.View().RoutingTables {
-				rows += len(standing.Rows)
+			for _, table := range process.Holder.View().RoutingTables {
+				rows += len(table.Rows)
 			}
-			if one.Holder.View().IsValid(one.world.Now()) && rows == scale.size.Replicas {
-				stand++
+			if process.Holder.View().IsValid(process.world.Now()) && rows == scale.size.Replicas {
+				valid++
 			}
 		}
-		return stand == len(scale.hollows)
+		return valid == len(scale.hollows)
 	}) {
-		held, most := 0, 0
-		for _, one := range scale.hollows {
+		withLease, mostRows := 0, 0
+		for _, process := range scale.hollows {
 			rows := 0
-			for _, standing := range one.Holder.View().RoutingTables {
-				rows += len(standing.Rows)
+			for _, table := range process.Holder.View().RoutingTables {
+				rows += len(table.Rows)
 			}
-			if one.Holder.View().IsValid(one.world.Now()) {
-				held++
+			if process.Holder.View().IsValid(process.world.Now()) {
+				withLease++
 			}
-			most = max(most, rows)
+			mostRows = max(mostRows, rows)
 		}
-		return platform, fmt.Errorf("after 30 s %d of %d hollow daemons held a permit, and one knew %d of %d replicas at the most", held, len(scale.hollows), most, scale.size.Replicas)
+		return platform, fmt.Errorf("after 30 s %d of %d hollow daemons had a valid lease, and the most complete routing tables had %d of %d replicas", withLease, len(scale.hollows), mostRows, scale.size.Replicas)
 	}
 	return platform, nil
 }
 
-// hollow starts one hollow data daemon: the product's own, with nobody who calls.
+// hollow starts one hollow data daemon: the product's own code, without callers.
 func (scale *scale) hollow(index int, seeds []string) error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -510,126 +519,126 @@
 	return nil
 }
 
-// reading is all counts at one time.
-type reading struct {
-	at            time.Time
-	usages        map[string]usage
-	own           usage
-	made          map[string][]wire.CallStats // by control daemon; "" for the hollow ones'
-	syncs, reads  map[string]float64
-	asked, probed float64
+// snapshot holds all counters at one time.
+type snapshot struct {
+	at                 time.Time
+	usages             map[string]usage
+	own                usage
+	calls              map[string][]wire.CallStats // by control daemon; "" for the hollow daemons
+	syncs, reads       map[string]float64
+	probes, probeBytes float64
 }
 
-func (scale *scale) read() reading {
-	out := reading{at: time.Now(), usages: map[string]usage{}, own: usageOf(os.Getpid()), made: map[string][]wire.CallStats{"": scale.counter.Snapshot()}, syncs: map[string]float64{}, reads: map[string]float64{}, asked: float64(scale.probes.asked.Load()), probed: float64(scale.probes.bytes.Load())}
-	for _, one := range append(slices.Clone(scale.datas), scale.controls...) {
-		out.usages[one.name] = usageOf(one.command.Process.Pid)
+func (scale *scale) takeSnapshot() snapshot {
+	out := snapshot{at: time.Now(), usages: map[string]usage{}, own: usageOf(os.Getpid()), calls: map[string][]wire.CallStats{"": scale.counter.Snapshot()}, syncs: map[string]float64{}, reads: map[string]float64{}, probes: float64(scale.probes.requests.Load()), probeBytes: float64(scale.probes.bytes.Load())}
+	for _, process := range append(slices.Clone(scale.datas), scale.controls...) {
+		out.usages[process.name] = usageOf(process.command.Process.Pid)
 	}
-	for _, one := range scale.controls {
-		_, text, err := scale.ask("GET", one.http+"/v1/counters", nil)
+	for _, process := range scale.controls {
+		_, text, err := scale.request("GET", process.http+"/v1/counters", nil)
 		if err != nil {
 			continue
 		}
-		var got struct {
+		var counters struct {
 			Calls  []wire.CallStats
 			Syncs  float64 `json:"disk_syncs"`
 			Rounds struct{ Reads, Writes, Conflicts float64 }
 		}
-		_ = json.Unmarshal(text, &got)
-		out.made[one.name], out.syncs[one.name], out.reads[one.name] = got.Calls, got.Syncs, got.Rounds.Reads
+		_ = json.Unmarshal(text, &counters)
+		out.calls[process.name], out.syncs[process.name], out.reads[process.name] = counters.Calls, counters.Syncs, counters.Rounds.Reads
 	}
 	return out
 }
 
-// between turns two readings into figures.
-func (scale *scale) between(before, after reading, point *ScalePoint, prefix string) {
+// addFigures computes the figures from the difference of two snapshots.
+func (scale *scale) addFigures(before, after snapshot, point *ScalePoint, prefix string) {
 	span := after.at.Sub(before.at).Seconds()
 	figure := func(name string, value float64) { point.Figures[prefix+name] = math.Round(value*1e4) / 1e4 }
 	processor := func(name string) float64 {
 		return (after.usages[name].processor - before.usages[name].processor) / span
 	}
 	figure("seconds", span)
-	data, resident := 0.0, 0.0
-	for _, one := range scale.datas {
-		data += processor(one.name) / ScaleReal
-		resident = max(resident, after.usages[one.name].resident)
-	}
-	figure("data_cores", data)
-	figure("data_mb", resident)
-	most, all, large, syncs, reads := 0.0, 0.0, 0.0, 0.0, 0.0
+	dataCores, dataMB := 0.0, 0.0
+	for _, process := range scale.datas {
+		dataCores += processor(process.name) / ScaleReal
+		dataMB = max(dataMB, after.usages[process.name].resident)
+	}
+	figure("data_cores", dataCores)
+	figure("data_mb", dataMB)
+	controlCores, controlCoresAll, controlMB, syncs, reads := 0.0, 0.0, 0.0, 0.0, 0.0
 	wires := map[string]string{}
-	for _, one := range scale.controls {
-		wires[one.wire] = one.name
-		most, all = max(most, processor(one.name)), all+processor(one.name)
-		large = max(large, after.usages[one.name].resident)
-		syncs = max(syncs, (after.syncs[one.name]-before.syncs[one.name])/span)
-		reads = max(reads, (after.reads[one.name]-before.reads[one.name])/span)
-	}
-	figure("control_cores", most)
-	figure("control_cores_all", all)
-	figure("control_mb", large)
+	for _, process := range scale.controls {
+		wires[process.wire] = process.name
+		controlCores, controlCoresAll = max(controlCores, processor(process.name)), controlCoresAll+processor(process.name)
+		controlMB = max(controlMB, after.usages[process.name].resident)
+		syncs = max(syncs, (after.syncs[process.name]-before.syncs[process.name])/span)
+		reads = max(reads, (after.reads[process.name]-before.reads[process.name])/span)
+	}
+	figure("control_cores", controlCores)
+	figure("control_cores_all", controlCoresAll)
+	figure("control_mb", controlMB)
 	figure("acceptor_syncs_s", syncs)
 	figure("control_rounds_s", reads)
-	figure("probes_s", (after.asked-before.asked)/span)
-	figure("probe_bytes_s", (after.probed-before.probed)/span)
+	figure("probes_s", (after.probes-before.probes)/span)
+	figure("probe_bytes_s", (after.probeBytes-before.probeBytes)/span)
 	figure("hollow_cores", (after.own.processor-before.own.processor)/span)
 	figure("hollow_mb", after.own.resident)
-	// The real data daemons are taken to say as much as the hollow ones.
-	whole := float64(scale.size.Datas) / float64(len(scale.hollows))
-	touches, carried := map[string]float64{}, map[string]float64{}
-	queries, queried, told, taken := 0.0, 0.0, 0.0, 0.0
-	share, shared := 0.0, 0.0
-	for caller, rows := range after.made {
-		role, times := "control", 1.0
+	// The separate data daemons are assumed to send as many messages as the hollow ones.
+	dataFactor := float64(scale.size.Datas) / float64(len(scale.hollows))
+	callsOf, bytesOf := map[string]float64{}, map[string]float64{}
+	registerCalls, registerBytes, dataCalls, dataBytes := 0.0, 0.0, 0.0, 0.0
+	shareCalls, shareBytes := 0.0, 0.0
+	for caller, rows := range after.calls {
+		role, factor := "control", 1.0
 		if caller == "" {
-			role, times = "data", whole
+			role, factor = "data", dataFactor
 		}
 		old := map[[2]string]wire.CallStats{}
-		for _, row := range before.made[caller] {
+		for _, row := range before.calls[caller] {
 			old[[2]string{row.Address, row.Method}] = row
 		}
 		for _, row := range rows {
-			was := old[[2]string{row.Address, row.Method}]
-			calls := float64(row.Requests-was.Requests) / span * times
-			moved := float64(row.SentBytes+row.ReceivedBytes-was.SentBytes-was.ReceivedBytes) / span * times
+			previous := old[[2]string{row.Address, row.Method}]
+			calls := float64(row.Requests-previous.Requests) / span * factor
+			transferred := float64(row.SentBytes+row.ReceivedBytes-previous.SentBytes-previous.ReceivedBytes) / span * factor
 			key := role + " " + row.Method
 			if prefix == "" {
 				sum := point.Calls[key]
-				point.Calls[key] = ScaleCalls{Calls: math.Round((sum.Calls+calls)*100) / 100, Bytes: math.Round(sum.Bytes + moved)}
+				point.Calls[key] = ScaleCalls{Calls: math.Round((sum.Calls+calls)*100) / 100, Bytes: math.Round(sum.Bytes + transferred)}
 			}
 			callee := wires[row.Address]
-			touches[callee], carried[callee] = touches[callee]+calls, carried[callee]+moved
+			callsOf[callee], bytesOf[callee] = callsOf[callee]+calls, bytesOf[callee]+transferred
 			if caller != "" {
-				touches[caller], carried[caller] = touches[caller]+calls, carried[caller]+moved
+				callsOf[caller], bytesOf[caller] = callsOf[caller]+calls, bytesOf[caller]+transferred
 			}
 			isData := caller == "" || callee == ""
 			switch {
 			case isData:
-				told, taken = told+calls, taken+moved
+				dataCalls, dataBytes = dataCalls+calls, dataBytes+transferred
 			case strings.HasPrefix(row.Method, "Register."):
-				queries, queried = queries+calls, queried+moved
+				registerCalls, registerBytes = registerCalls+calls, registerBytes+transferred
 			default:
-				share, shared = share+calls, shared+moved
+				shareCalls, shareBytes = shareCalls+calls, shareBytes+transferred
 			}
 		}
 	}
-	delete(touches, "")
-	delete(carried, "")
-	figure("data_calls_s", told/float64(scale.size.Datas))
-	figure("data_bytes_s", taken/float64(scale.size.Datas))
-	figure("register_calls_s", queries)
-	figure("register_bytes_s", queried)
-	figure("share_calls_s", share)
-	figure("share_bytes_s", shared)
-	calls, moved := 0.0, 0.0
-	for name := range touches {
-		calls, moved = max(calls, touches[name]), max(moved, carried[name])
+	delete(callsOf, "")
+	delete(bytesOf, "")
+	figure("data_calls_s", dataCalls/float64(scale.size.Datas))
+	figure("data_bytes_s", dataBytes/float64(scale.size.Datas))
+	figure("register_calls_s", registerCalls)
+	figure("register_bytes_s", registerBytes)
+	figure("share_calls_s", shareCalls)
+	figure("share_bytes_s", shareBytes)
+	calls, transferred := 0.0, 0.0
+	for name := range callsOf {
+		calls, transferred = max(calls, callsOf[name]), max(transferred, bytesOf[name])
 	}
 	figure("control_calls_s", calls)
-	figure("control_bytes_s", moved)
+	figure("control_bytes_s", transferred)
 }
 
-// change sends a configuration and waits for the last hollow daemon to apply it.
+// change sends a configuration and waits until the last hollow daemon has applied it.
 func (scale *scale) change(ctx context.Context, document []byte) ScaleChange {
 	type ending struct {
 		status int
@@ -638,27 +647,27 @@
 	}
 	ended := make(chan ending, 1)
 	before := uint64(0)
-	for _, one := range scale.hollows {
-		before = max(before, one.Holder.View().Serial)
+	for _, daemon := range scale.hollows {
+		before = max(before, daemon.Holder.View().Serial)
 	}
 	began := time.Now()
 	go func() {
-		status, text, _ := scale.ask("POST", scale.controls[0].http+"/v1/config", document)
+		status, text, _ := scale.request("POST", scale.controls[0].http+"/v1/config", document)
 		ended <- ending{status, gjson.GetBytes(text, "code").Str, time.Since(began)}
 	}()
 	out := ScaleChange{}
 	milliseconds := func(span time.Duration) float64 { return math.Round(span.Seconds()*1e4) / 10 }
-	// One that was not acknowledged may yet come, but need not.
-	patience := func() time.Duration {
+	// A change that was not acknowledged may still be applied, but need not be.
+	timeout := func() time.Duration {
 		if out.Status != 0 && out.Status != http.StatusOK {
 			return 5 * time.Second
 		}
 		return 20 * time.Second
 	}
-	for !(out.Acknowledged > 0 && out.Applied == len(scale.hollows)) && time.Since(began) < patience() && ctx.Err() == nil {
+	for !(out.Acknowledged > 0 && out.Applied == len(scale.hollows)) && time.Since(began) < timeout() && ctx.Err() == nil {
 		out.Applied = 0
-		for _, one := range scale.hollows {
-			if one.Holder.View().Serial > before {
+		for _, daemon := range scale.hollows {
+			if daemon.Holder.View().Serial > before {
 				out.Applied++
 			}
 		}
@@ -666,15 +675,15 @@
 			out.Last = milliseconds(time.Since(began))
 		}
 		select {
-		case got := <-ended:
-			out.Status, out.Code, out.Acknowledged = got.status, got.code, milliseconds(got.took)
+		case result := <-ended:
+			out.Status, out.Code, out.Acknowledged = result.status, result.code, milliseconds(result.took)
 		case <-time.After(time.Millisecond):
 		}
 	}
 	return out
 }
 
-// MeasureScale starts a fleet of the size, measures it and ends it. The error tells that
+// MeasureScale starts a cluster of the size, measures it and stops it. An error means that
 // nothing could be measured.
 func MeasureScale(ctx context.Context, options ScaleOptions, size ScaleSize) (point ScalePoint, err error) {
 	point = ScalePoint{ScaleSize: size, Figures: map[string]float64{}, Calls: map[string]ScaleCalls{}}
@@ -694,11 +703,11 @@
 			return point, nil
 		}
 	}
-	rest(ctx, options.Warm)
-	before := scale.read()
-	rest(ctx, options.Span)
-	calm := scale.read()
-	scale.between(before, calm, &point, "")
+	sleep(ctx, options.Warm)
+	before := scale.takeSnapshot()
+	sleep(ctx, options.Span)
+	idle := scale.takeSnapshot()
+	scale.addFigures(before, idle, &point, "")
 	point.Figures["document_bytes"] = float64(len(scale.document(platform, 1)))
 	for turn := range options.Changes {
 		if ctx.Err() != nil {
@@ -709,35 +718,36 @@
 		point.Changes = append(point.Changes, change)
 		point.Figures["acknowledged_ms"] = max(point.Figures["acknowledged_ms"], change.Acknowledged)
 		point.Figures["last_apply_ms"] = max(point.Figures["last_apply_ms"], change.Last)
-		rest(ctx, options.Pause-time.Since(sent))
+		sleep(ctx, options.Pause-time.Since(sent))
 	}
 	if options.Changes > 0 {
-		scale.between(calm, scale.read(), &point, "changing_")
+		scale.addFigures(idle, scale.takeSnapshot(), &point, "changing_")
 	}
-	stand := 0
-	for _, one := range scale.hollows {
-		if one.Holder.View().IsValid(one.world.Now()) {
-			stand++
+	valid := 0
+	for _, daemon := range scale.hollows {
+		if daemon.Holder.View().IsValid(daemon.world.Now()) {
+			valid++
 		}
 	}
-	point.Figures["fileless"] = float64(scale.probes.fileless.Load())
-	point.Figures["permits_stand"] = float64(stand) / float64(len(scale.hollows))
+	point.Figures["fileless"] = float64(scale.probes.outOfFiles.Load())
+	point.Figures["permits_stand"] = float64(valid) / float64(len(scale.hollows))
 	return point, ctx.Err()
 }
 
-// ScaleSlope is how a figure goes with a dimension: a straight line by least squares.
+// ScaleSlope is how a figure depends on a dimension: a linear least-squares fit.
 type ScaleSlope struct {
 	Dimension string `json:"dimension"`
 	Figure    string `json:"figure"`
-	// Base is the figure at none, Each what one more adds, Spread its standard error.
+	// Base is the figure at zero, Each the increase per unit of the dimension, and Spread the
+	// standard error of Each.
 	Base   float64 `json:"base"`
 	Each   float64 `json:"each"`
 	Spread float64 `json:"spread"`
 	Points int     `json:"points"`
 }
 
-// Slope fits a line through points whose sizes differ in the dimension; those in trouble
-// are left out. False when there are fewer than three.
+// Slope fits a line through points whose sizes differ in the dimension, leaving out points
+// with a Trouble. It returns false if there are fewer than three points.
 func Slope(points []ScalePoint, dimension, figure string) (ScaleSlope, bool) {
 	out := ScaleSlope{Dimension: dimension, Figure: figure}
 	var xs, ys []float64
@@ -762,16 +772,16 @@
 	}
 	out.Points, out.Each = len(xs), products/squares
 	out.Base = sumY/count - out.Each*sumX/count
-	rests := 0.0
+	residuals := 0.0
 	for index := range xs {
-		one := ys[index] - out.Base - out.Each*xs[index]
-		rests += one * one
+		residual := ys[index] - out.Base - out.Each*xs[index]
+		residuals += residual * residual
 	}
-	out.Spread = math.Sqrt(rests / (count - 2) / squares)
+	out.Spread = math.Sqrt(residuals / (count - 2) / squares)
 	return out, true
 }
 
-// The users' budget of control costs for each data daemon: parts of a core, megabytes,
+// The users' budget of control costs for each data daemon: fraction of a core, megabytes, and
 // bytes a second.
 const (
 	BudgetCores = 0.012
@@ -779,15 +789,15 @@
 	BudgetBytes = 20e3
 )
 
-// Value is the point's size in a dimension, zero when there is none of that name.
+// Value returns the size in a dimension, zero if there is no dimension of that name.
 func (size ScaleSize) Value(dimension string) int {
-	if place := size.dimensions()[dimension]; place != nil {
-		return *place
+	if field := size.dimensions()[dimension]; field != nil {
+		return *field
 	}
 	return 0
 }
 
-// ScaleFigures are the names of all figures of the points, in order.
+// ScaleFigures returns the names of all figures of the points, sorted.
 func ScaleFigures(points []ScalePoint) []string {
 	names := map[string]bool{}
 	for _, point := range points {
