--- a/fleet/check.go
+++ b/fleet/check.go
@@ -7,67 +7,68 @@
 	"time"
 )
 
-// Broken is one breach of a rule, as seen from outside.
+// Broken is one violation of a rule, judged from what callers, replicas and operators observed.
 type Broken struct {
 	Rule   string
 	At     time.Duration
 	Detail string
 }
 
-// String is one line.
+// String formats the violation as one line.
 func (broken Broken) String() string {
 	return fmt.Sprintf("%s at %v: %s", broken.Rule, broken.At.Round(time.Millisecond), broken.Detail)
 }
 
-// Facts are what the operators and the faults did, for the checkers.
+// Facts records what operators and faults did during a run, for the checkers.
 type Facts struct {
-	// Acked are configurations by serial: when each was acknowledged and what
-	// its contents were.
+	// Acked holds the acknowledged configurations by document version: the time of the
+	// acknowledgement and a hash of the contents.
 	Acked map[uint64]Ack
-	// Evacuated are spans of zones being out: from an acknowledgement to the
-	// hand-back's beginning, 0 while it is out.
+	// Evacuated holds the periods in which zones were evacuated: from the acknowledgement to
+	// the start of the hand-back, which is 0 while the zone is still evacuated.
 	Evacuated []Evacuation
-	// Bad is a version that fails, BadFrom when its handover started, and Moved
-	// when a region's route went over to it.
+	// Bad is a model version that fails, BadFrom the start of its rollout, and Moved the
+	// time at which a region routed all its traffic to it.
 	Bad     string
 	BadFrom time.Duration
 	Moved   map[string]time.Duration
-	// Planned says that nothing but planned work was done, so nothing may be lost.
+	// Planned is set if only planned maintenance was done, during which no request may be lost.
 	Planned bool
-	// From is since when; before it the fleet is still warming up.
+	// From is the start of the measured period; before it the fleet is warming up.
 	From time.Duration
-	// Homes are the regions of each home tag; a later entry replaces an earlier
-	// one from OldConfigBound after its acknowledgement.
+	// Homes lists the regions of each home tag. A later entry replaces an earlier one
+	// OldConfigBound after it was acknowledged.
 	Homes []Homes
-	// SmallShare is the most of a kind's requests that the bad version may have
-	// got in a region before the route moved.
+	// SmallShare is the largest share of a request kind that the bad version may get in a
+	// region before that region routes all its traffic to it.
 	SmallShare float64
-	// Books are the configurations with routes, in the order in which they were asked
-	// for.
+	// Books lists the configurations with routes in the order in which they were submitted.
 	Books []Book
-	// Missed is what had to have happened and did not: the run showed nothing.
+	// Missed lists preconditions of the fault that did not come about. The run proves
+	// nothing if there are any.
 	Missed []error
 }
 
-// Ack is an acknowledgement.
+// Ack records when a configuration was acknowledged, and a hash of its contents.
 type Ack struct {
 	At   time.Duration
 	Mark uint64
 }
 
-// Evacuation is a zone out of service.
+// Evacuation is a period in which a zone was out of service.
 type Evacuation struct {
 	Zone        string
 	From, Until time.Duration
 }
 
-// Homes are home tags since an acknowledgement.
+// Homes holds the regions of each home tag as of one configuration.
 type Homes struct {
-	From, Since time.Duration // asked for, and acknowledged
+	From, Since time.Duration // submitted and acknowledged
 	Of          map[string][]string
 }
 
-// The brief's bounds.
+// Bounds of the requirements: how long after the triggering event the system may still act
+// on the previous state, and how many retries it may send per new request.
 const (
 	OldConfigBound = 3 * time.Second
 	LeavingBound   = 5 * time.Second
@@ -76,9 +77,8 @@
 	RetryBound     = 0.2
 )
 
-// Check applies every rule to what callers, replicas and operators saw. Judged
-// tells how many cases each rule had to judge: a rule that judged none has shown
-// nothing.
+// Check applies every rule to what callers, replicas and operators observed. judged holds
+// how many cases each rule had to judge; a rule without any has proved nothing.
 func Check(park *Park, facts Facts) (all []Broken, judged map[string]int) {
 	return apply(Rules, park, facts)
 }
@@ -93,190 +93,193 @@
 	return all, judged
 }
 
-// Rule is one line of what must never happen.
+// Rule is an invariant that must hold in every run. Check returns the violations and the
+// number of cases that it judged.
 type Rule struct {
 	Name  string
 	Check func(park *Park, facts Facts) (broken []Broken, judged int)
 }
 
-// Rules are all of them.
+// Rules are the invariants for requests that are addressed to a model by name.
 var Rules = []Rule{
 	{"twice", twice}, {"foreign", foreign}, {"lost", lost}, {"old config", oldConfig}, {"fallback", fallback}, {"leaving", leaving},
 	{"bad version", badVersion}, {"flooded", flooded}, {"home", home}, {"evacuated", evacuated}, {"retries", retries},
 }
 
-// twice: a request id that reached a model twice ran twice; so did one that ran
-// before or after its caller was told not_run, except by a try that was sent
-// after that word. Callers here send an id under a new ticket only after
-// not_run. A user gets one whole answer at the most. Judged: ids tried more than
-// once.
+// twice checks that no request runs more than once. A violation is a request ID that reached
+// a model twice, or one that ran before or after its caller got the verdict not_run, unless it
+// ran because of an attempt sent after that reply. Simulated callers send an ID with a new
+// ticket only after not_run. A user gets at most one complete answer. Judged are the IDs with
+// more than one attempt.
 func twice(park *Park, _ Facts) (all []Broken, judged int) {
 	ran := map[string]*Served{}
-	for _, one := range park.Logs() {
-		if before := ran[one.ID]; before != nil {
-			all = append(all, Broken{"twice", one.At, fmt.Sprintf("%s ran at %s by %s at %v and at %s by %s", one.ID, before.Replica, before.Daemon, before.At, one.Replica, one.Daemon)})
+	for _, served := range park.Logs() {
+		if before := ran[served.ID]; before != nil {
+			all = append(all, Broken{"twice", served.At, fmt.Sprintf("%s ran on %s, sent by %s, at %v and on %s, sent by %s", served.ID, before.Replica, before.Daemon, before.At, served.Replica, served.Daemon)})
 		}
-		ran[one.ID] = one
+		ran[served.ID] = served
 	}
 	sent := map[string][]Told{}
-	for _, one := range park.Told {
-		sent[one.ID] = append(sent[one.ID], one)
+	for _, reply := range park.Told {
+		sent[reply.ID] = append(sent[reply.ID], reply)
 	}
-	for id, told := range sent {
-		if len(told) > 1 {
+	for id, replies := range sent {
+		if len(replies) > 1 {
 			judged++
 		}
 		served := ran[id]
 		if served == nil {
 			continue
 		}
-		for _, one := range told {
-			if one.Verdict != "not_run" || one.Code == "unreached" {
-				continue // unreached is the caller's own finding, of that try only
+		for _, reply := range replies {
+			if reply.Verdict != "not_run" || reply.Code == "unreached" {
+				continue // the caller itself reports unreached, and only for that attempt
 			}
 			later := false
-			for _, other := range told {
-				later = later || other.Sent >= one.At && other.Sent <= served.At
+			for _, other := range replies {
+				later = later || other.Sent >= reply.At && other.Sent <= served.At
 			}
-			if served.At <= one.At || !later {
-				all = append(all, Broken{"twice", one.At, fmt.Sprintf("%s was told not_run (%s by %s) but ran at %v by %s", id, one.Code, one.Daemon, served.At, served.Daemon)})
+			if served.At <= reply.At || !later {
+				all = append(all, Broken{"twice", reply.At, fmt.Sprintf("%s got the verdict not_run (%s from %s) but ran at %v, sent by %s", id, reply.Code, reply.Daemon, served.At, served.Daemon)})
 			}
 		}
 	}
-	for _, one := range park.Requests {
-		if one.Wholes > 1 {
-			all = append(all, Broken{"twice", one.End, fmt.Sprintf("%s: the user got %d whole answers", one.ID, one.Wholes)})
+	for _, request := range park.Requests {
+		if request.Wholes > 1 {
+			all = append(all, Broken{"twice", request.End, fmt.Sprintf("%s: the user got %d complete answers", request.ID, request.Wholes)})
 		}
 	}
 	return all, judged
 }
 
-// foreign: bytes of another request, or a cut answer that looks whole. Judged:
-// answers that ended.
+// foreign checks that no caller gets bytes of another request, or a truncated answer that
+// looks complete. Judged are the requests whose answer ended.
 func foreign(park *Park, _ Facts) (all []Broken, judged int) {
-	for _, one := range park.Requests {
-		if one.Verdict == "ok" || one.Verdict == "cut" {
+	for _, request := range park.Requests {
+		if request.Verdict == "ok" || request.Verdict == "cut" {
 			judged++
 		}
-		if one.Foreign {
-			all = append(all, Broken{"foreign", one.End, one.ID + " got another's bytes"})
+		if request.Foreign {
+			all = append(all, Broken{"foreign", request.End, request.ID + " got bytes of another request"})
 		}
-		if one.Verdict == "ok" && !one.Whole {
-			all = append(all, Broken{"foreign", one.End, one.ID + " looked whole and was not"})
+		if request.Verdict == "ok" && !request.Whole {
+			all = append(all, Broken{"foreign", request.End, request.ID + " looked complete but was not"})
 		}
 	}
 	return all, judged
 }
 
-// lost: in planned work every request ends well, also those that were under way
-// when it began. One that never ended is lost. Judged: requests.
+// lost checks that during planned maintenance every request succeeds, including those in
+// flight when it began. A request that never ended counts as lost. Judged are all requests.
 func lost(park *Park, facts Facts) (all []Broken, judged int) {
 	if !facts.Planned {
 		return nil, 0
 	}
 	const underWay = 3 * time.Second
-	for _, one := range park.Requests {
-		if one.At < facts.From-underWay {
+	for _, request := range park.Requests {
+		if request.At < facts.From-underWay {
 			continue
 		}
 		judged++
 		switch {
-		case one.End == 0:
-			all = append(all, Broken{"lost", one.At, fmt.Sprintf("%s (%s) never ended, after %d tries", one.ID, one.Crowd, one.Tries)})
-		case one.Verdict != "ok":
-			all = append(all, Broken{"lost", one.End, fmt.Sprintf("%s (%s, from %v) ended %s (%s) after %d tries", one.ID, one.Crowd, one.At.Round(time.Millisecond), one.Verdict, one.Code, one.Tries)})
+		case request.End == 0:
+			all = append(all, Broken{"lost", request.At, fmt.Sprintf("%s (%s) never ended, after %d attempts", request.ID, request.Crowd, request.Tries)})
+		case request.Verdict != "ok":
+			all = append(all, Broken{"lost", request.End, fmt.Sprintf("%s (%s, from %v) ended %s (%s) after %d attempts", request.ID, request.Crowd, request.At.Round(time.Millisecond), request.Verdict, request.Code, request.Tries)})
 		}
 	}
 	return all, judged
 }
 
-// oldConfig: nothing is dispatched under a serial below an acknowledged one from
-// the bound on, and what a serial holds is the same everywhere, and what its
-// operator was told. Judged: dispatches after an acknowledgement's bound.
+// oldConfig checks that no request is sent under a document version that is older than one
+// acknowledged more than OldConfigBound earlier, and that a version has the same contents on
+// every process, namely those that were acknowledged to its operator. Judged are the requests
+// sent more than OldConfigBound after an acknowledgement.
 func oldConfig(park *Park, facts Facts) (all []Broken, judged int) {
-	for _, one := range park.Logs() {
+	for _, served := range park.Logs() {
 		newest := uint64(0)
 		for serial, ack := range facts.Acked {
-			if one.Sent > ack.At+OldConfigBound {
+			if served.Sent > ack.At+OldConfigBound {
 				newest = max(newest, serial)
 			}
 		}
 		if newest > 0 {
 			judged++
 		}
-		if one.Serial < newest {
-			all = append(all, Broken{"old config", one.Sent, fmt.Sprintf("%s under serial %d, though %d was acknowledged at %v", one.ID, one.Serial, newest, facts.Acked[newest].At)})
+		if served.Serial < newest {
+			all = append(all, Broken{"old config", served.Sent, fmt.Sprintf("%s was sent under version %d, though %d was acknowledged at %v", served.ID, served.Serial, newest, facts.Acked[newest].At)})
 		}
 	}
 	marks := map[uint64]uint64{}
 	for serial, ack := range facts.Acked {
 		marks[serial] = ack.Mark
 	}
-	for _, one := range park.Adopted {
-		if have, known := marks[one.Serial]; known && have != one.Mark && have != 0 {
-			all = append(all, Broken{"old config", one.At, fmt.Sprintf("%s goes by other contents of serial %d", one.Daemon, one.Serial)})
+	for _, adopted := range park.Adopted {
+		if mark, known := marks[adopted.Serial]; known && mark != adopted.Mark && mark != 0 {
+			all = append(all, Broken{"old config", adopted.At, fmt.Sprintf("%s uses different contents of version %d", adopted.Daemon, adopted.Serial)})
 		}
-		marks[one.Serial] = one.Mark
+		marks[adopted.Serial] = adopted.Mark
 	}
 	return all, judged
 }
 
-// fallback, over the whole system: no process goes by a lower serial than it went
-// by before; none that began, or woke from a freeze longer than a permit, goes by
-// or dispatches under a lower one than anybody went by until then. Judged: lives
-// that began when there was a configuration.
+// fallback checks that document versions never go backwards, over the whole system. No process
+// uses a lower version than it used before. A process that started, or resumed after a freeze
+// longer than a lease, neither uses nor sends requests under a lower version than the highest
+// that any process had used by then. Judged are the process starts that followed a first
+// configuration.
 func fallback(park *Park, _ Facts) (all []Broken, judged int) {
 	lives := map[string][]Life{}
-	for _, one := range park.Lives {
-		lives[one.Daemon] = append(lives[one.Daemon], one)
-		if one.Least > 0 {
+	for _, life := range park.Lives {
+		lives[life.Daemon] = append(lives[life.Daemon], life)
+		if life.Least > 0 {
 			judged++
 		}
 	}
 	least := func(daemon string, at time.Duration) (serial uint64) {
-		for _, one := range lives[daemon] {
-			if one.At <= at {
-				serial = max(serial, one.Least)
+		for _, life := range lives[daemon] {
+			if life.At <= at {
+				serial = max(serial, life.Least)
 			}
 		}
 		return serial
 	}
-	last := map[string]uint64{}
-	for _, one := range park.Adopted {
-		key := one.Daemon + "#" + one.Life
-		if one.Serial < last[key] {
-			all = append(all, Broken{"fallback", one.At, fmt.Sprintf("%s went from serial %d to %d", one.Daemon, last[key], one.Serial)})
+	lastSerials := map[string]uint64{}
+	for _, adopted := range park.Adopted {
+		key := adopted.Daemon + "#" + adopted.Life
+		if adopted.Serial < lastSerials[key] {
+			all = append(all, Broken{"fallback", adopted.At, fmt.Sprintf("%s went from version %d to %d", adopted.Daemon, lastSerials[key], adopted.Serial)})
 		}
-		last[key] = one.Serial
-		if bound := least(one.Daemon, one.At); one.Serial < bound {
-			all = append(all, Broken{"fallback", one.At, fmt.Sprintf("%s took up serial %d; when it began or woke, %d was known", one.Daemon, one.Serial, bound)})
+		lastSerials[key] = adopted.Serial
+		if bound := least(adopted.Daemon, adopted.At); adopted.Serial < bound {
+			all = append(all, Broken{"fallback", adopted.At, fmt.Sprintf("%s adopted version %d; when it started or resumed, %d was in use", adopted.Daemon, adopted.Serial, bound)})
 		}
 	}
-	highest := map[string]uint64{}
+	highestSent := map[string]uint64{}
 	logs := park.Logs()
 	sort.SliceStable(logs, func(a, b int) bool { return logs[a].Sent < logs[b].Sent })
-	for _, one := range logs {
-		if bound := max(highest[one.Daemon], least(one.Daemon, one.Sent)); one.Serial < bound {
-			all = append(all, Broken{"fallback", one.At, fmt.Sprintf("%s dispatched under serial %d; it had to know %d", one.Daemon, one.Serial, bound)})
+	for _, served := range logs {
+		if bound := max(highestSent[served.Daemon], least(served.Daemon, served.Sent)); served.Serial < bound {
+			all = append(all, Broken{"fallback", served.At, fmt.Sprintf("%s sent a request under version %d; it had to use at least %d", served.Daemon, served.Serial, bound)})
 		}
-		highest[one.Daemon] = max(highest[one.Daemon], one.Serial)
+		highestSent[served.Daemon] = max(highestSent[served.Daemon], served.Serial)
 	}
 	return all, judged
 }
 
-// leaving: a life of a replica gets nothing from the bound on, counted from when
-// the first daemon learned that it ends. Judged: lives that stood on past it, and were in
-// use when that was learned.
+// leaving checks that a replica process gets no request sent more than LeavingBound after the
+// first data daemon learned that it is being terminated. Judged are the processes that ran on
+// for at least a second past the bound and got requests when the termination was learned.
 func leaving(park *Park, _ Facts) (all []Broken, judged int) {
-	for _, one := range park.Arrivals {
-		if since, known := park.Learned[one.Replica+"/"+one.Boot]; known && one.Sent > since+LeavingBound {
-			all = append(all, Broken{"leaving", one.At, fmt.Sprintf("%s (%s) got %s by %s, known to be leaving since %v", one.Replica, one.Boot, one.ID, one.Daemon, since)})
+	for _, arrival := range park.Arrivals {
+		if since, known := park.Learned[arrival.Replica+"/"+arrival.Boot]; known && arrival.Sent > since+LeavingBound {
+			all = append(all, Broken{"leaving", arrival.At, fmt.Sprintf("%s (%s) got %s from %s, though its termination was known since %v", arrival.Replica, arrival.Boot, arrival.ID, arrival.Daemon, since)})
 		}
 	}
 	isUsed := map[string]bool{}
-	for _, one := range park.Arrivals {
-		life := one.Replica + "/" + one.Boot
-		if since, known := park.Learned[life]; known && one.Sent > since-lateSpan && one.Sent <= since+LeavingBound {
+	for _, arrival := range park.Arrivals {
+		life := arrival.Replica + "/" + arrival.Boot
+		if since, known := park.Learned[life]; known && arrival.Sent > since-lateSpan && arrival.Sent <= since+LeavingBound {
 			isUsed[life] = true
 		}
 	}
@@ -284,12 +287,12 @@
 		if !isUsed[life] {
 			continue
 		}
-		for _, one := range append(append([]*Replica{}, park.past...), park.stands()...) {
+		for _, replica := range append(append([]*Replica{}, park.past...), park.stands()...) {
 			ended := park.Now()
-			if one.Gone > 0 {
-				ended = one.Gone
+			if replica.Gone > 0 {
+				ended = replica.Gone
 			}
-			if one.ID+"/"+one.Boot == life && ended > since+LeavingBound+time.Second {
+			if replica.ID+"/"+replica.Boot == life && ended > since+LeavingBound+time.Second {
 				judged++
 			}
 		}
@@ -297,82 +300,86 @@
 	return all, judged
 }
 
-// badVersion: plain is the third failure of the version on a kind; from five
-// seconds after that it gets nothing. At no moment from the handover's start
-// until its route moved has a kind in a region given it more than a small share.
-// Judged: requests that it got.
+// badVersion checks the damage that a failing model version does. The version counts as
+// failing from its third failure on one kind of request; BadBound (five seconds) later it gets
+// nothing. From the start of the rollout until a region routes all its traffic to the version,
+// no kind of request in that region gives it more than SmallShare. Judged are the requests that
+// the version got.
 func badVersion(park *Park, facts Facts) (all []Broken, judged int) {
 	if facts.Bad == "" {
 		return nil, 0
 	}
-	mishaps := map[string]int{}
-	plain := time.Duration(0)
+	failures := map[string]int{}
+	failingSince := time.Duration(0)
 	logs := park.Logs()
-	var ends []*Served
-	for _, one := range logs {
-		if one.Version == facts.Bad && one.Failed {
-			ends = append(ends, one)
+	var failed []*Served
+	for _, served := range logs {
+		if served.Version == facts.Bad && served.Failed {
+			failed = append(failed, served)
 		}
 	}
-	sort.SliceStable(ends, func(a, b int) bool { return ends[a].FailedAt < ends[b].FailedAt })
-	for _, one := range ends {
-		if mishaps[one.Kind]++; mishaps[one.Kind] == 3 && plain == 0 {
-			plain = one.FailedAt
+	sort.SliceStable(failed, func(a, b int) bool { return failed[a].FailedAt < failed[b].FailedAt })
+	for _, failure := range failed {
+		if failures[failure.Kind]++; failures[failure.Kind] == 3 && failingSince == 0 {
+			failingSince = failure.FailedAt
 		}
 	}
-	type lot struct{ region, kind string }
-	mine, whole := map[lot]int{}, map[lot]int{}
-	told := map[lot]bool{}
-	for _, one := range logs {
-		if one.At < facts.BadFrom {
+	type group struct{ region, kind string }
+	toBad, total := map[group]int{}, map[group]int{}
+	reported := map[group]bool{}
+	for _, served := range logs {
+		if served.At < facts.BadFrom {
 			continue
 		}
-		region := Region(park.zones[one.Replica])
-		at := lot{region, one.Kind}
-		whole[at]++
-		if one.Version != facts.Bad {
+		region := Region(park.zones[served.Replica])
+		key := group{region, served.Kind}
+		total[key]++
+		if served.Version != facts.Bad {
 			continue
 		}
 		judged++
-		if plain > 0 && one.At > plain+BadBound {
-			all = append(all, Broken{"bad version", one.At, fmt.Sprintf("%s (%s) got %s by %s, plainly failing since %v", one.ID, one.Kind, facts.Bad, one.Daemon, plain)})
+		if failingSince > 0 && served.At > failingSince+BadBound {
+			all = append(all, Broken{"bad version", served.At, fmt.Sprintf("%s (%s) got %s from %s, which was known to fail since %v", served.ID, served.Kind, facts.Bad, served.Daemon, failingSince)})
 		}
-		if moved, has := facts.Moved[region]; has && one.At >= moved {
+		if moved, has := facts.Moved[region]; has && served.At >= moved {
 			continue
 		}
-		mine[at]++
-		// A request counts as demand where it is asked, shortly before it comes.
-		if facts.SmallShare > 0 && float64(mine[at]) > facts.SmallShare*float64(whole[at]+shareRounding) && !told[at] {
-			told[at] = true
-			all = append(all, Broken{"bad version", one.At, fmt.Sprintf("%s got %d of the first %d %s in %s", facts.Bad, mine[at], whole[at], one.Kind, region)})
+		toBad[key]++
+		// A request counts as demand when it is received, shortly before it reaches a replica.
+		if facts.SmallShare > 0 && float64(toBad[key]) > facts.SmallShare*float64(total[key]+shareRounding) && !reported[key] {
+			reported[key] = true
+			all = append(all, Broken{"bad version", served.At, fmt.Sprintf("%s got %d of the first %d %s in %s", facts.Bad, toBad[key], total[key], served.Kind, region)})
 		}
 	}
 	return all, judged
 }
 
-// shareRounding is how many requests of a kind may be on their way, counted as
-// demand already and not yet seen at replicas.
+// shareRounding is how many requests of a kind may be in flight: already counted as demand
+// but not yet at a replica.
 const shareRounding = 10
 
-// offeredFlood is how much of what a cold replica is sent it may turn away itself,
-// where it bears less than the settings say: what it takes to learn that.
+// offeredFlood is the largest share of the requests sent to a cold replica that it may reject
+// itself. A replica that bears less load than the settings say rejects some until the routing
+// has learned its limit.
 const offeredFlood = 0.25
 
-// flooded: by the stand-ins' own count, of what they took beyond what they bear
-// and of what they turned away. Judged: requests taken while cold.
+// flooded checks that cold replicas are not overloaded, by the counts of the simulated
+// replicas: requests taken beyond their capacity, and requests rejected. Judged are the
+// requests taken while cold.
 func flooded(park *Park, _ Facts) (all []Broken, judged int) {
-	for _, one := range append(append([]*Replica{}, park.past...), park.stands()...) {
-		judged += one.ColdTaken
-		if away := float64(one.TurnedAway); away > 3 && away > offeredFlood*float64(one.ColdTaken+one.TurnedAway) {
-			all = append(all, Broken{"flooded", 0, fmt.Sprintf("%s (%s) turned away %d requests while cold, and took %d", one.ID, one.Boot, one.TurnedAway, one.ColdTaken)})
+	for _, replica := range append(append([]*Replica{}, park.past...), park.stands()...) {
+		judged += replica.ColdTaken
+		if rejected := float64(replica.TurnedAway); rejected > 3 && rejected > offeredFlood*float64(replica.ColdTaken+replica.TurnedAway) {
+			all = append(all, Broken{"flooded", 0, fmt.Sprintf("%s (%s) rejected %d requests while cold, and took %d", replica.ID, replica.Boot, replica.TurnedAway, replica.ColdTaken)})
 		}
-		if one.Flooded > 0 {
-			all = append(all, Broken{"flooded", 0, fmt.Sprintf("%s (%s) took %d requests beyond what it could bear, peak %d", one.ID, one.Boot, one.Flooded, one.Peak)})
+		if replica.Flooded > 0 {
+			all = append(all, Broken{"flooded", 0, fmt.Sprintf("%s (%s) took %d requests beyond its capacity, peak %d", replica.ID, replica.Boot, replica.Flooded, replica.Peak)})
 		}
 	}
 	return all, judged
 }
 
+// stands returns the current replicas in the order of their names.
 func (park *Park) stands() (list []*Replica) {
 	for _, name := range park.ids() {
 		list = append(list, park.Replicas[name])
@@ -380,52 +387,53 @@
 	return list
 }
 
-// home: no node outside a request's homes reads its body, relays it, or is sent
-// it. Judged: bodies and dispatches of home-bound requests.
+// home checks that no node outside a request's home regions reads its body, proxies it, gets it
+// or caches it. Judged are the bodies read and the requests sent that are bound to homes.
 func home(park *Park, facts Facts) (all []Broken, judged int) {
-	// From when a change was asked for until its bound, both homes will do.
+	// Both the old and the new homes are allowed from the submission of a change until
+	// OldConfigBound after its acknowledgement.
 	within := func(tag, node string, at time.Duration) bool {
 		for index := len(facts.Homes) - 1; index >= 0; index-- {
-			one := facts.Homes[index]
-			if at < one.From {
+			homes := facts.Homes[index]
+			if at < homes.From {
 				continue
 			}
-			if slices.Contains(one.Of[tag], Region(park.zones[node])) {
+			if slices.Contains(homes.Of[tag], Region(park.zones[node])) {
 				return true
 			}
-			if at > one.Since+OldConfigBound {
+			if at > homes.Since+OldConfigBound {
 				return false
 			}
 		}
 		return false
 	}
-	hold := func(at time.Duration, what, id, tag, node string) {
+	check := func(at time.Duration, action, id, tag, node string) {
 		if tag == "" {
 			return
 		}
 		judged++
 		if !within(tag, node, at) {
-			all = append(all, Broken{"home", at, fmt.Sprintf("%s (%s) %s %s", id, tag, what, node)})
+			all = append(all, Broken{"home", at, fmt.Sprintf("%s (%s) %s %s", id, tag, action, node)})
 		}
 	}
-	for _, one := range park.Entered {
-		hold(one.At, "was read at", one.ID, one.Home, one.Daemon)
+	for _, entered := range park.Entered {
+		check(entered.At, "was read at", entered.ID, entered.Home, entered.Daemon)
 	}
-	for _, one := range park.Arrivals {
-		hold(one.At, "was relayed by", one.ID, one.Home, one.Daemon)
-		hold(one.At, "was sent to", one.ID, one.Home, one.Replica)
+	for _, arrival := range park.Arrivals {
+		check(arrival.At, "was proxied by", arrival.ID, arrival.Home, arrival.Daemon)
+		check(arrival.At, "was sent to", arrival.ID, arrival.Home, arrival.Replica)
 	}
-	for _, one := range park.Logs() {
-		hold(one.At, "was cached at", one.ID, one.Home, one.Replica)
+	for _, served := range park.Logs() {
+		check(served.At, "was cached at", served.ID, served.Home, served.Replica)
 	}
 	return all, judged
 }
 
-// evacuated: from the bound on no request is let in by a daemon of the zone or
-// reaches a replica there, and no caller is sent there. Judged: arrivals and
-// answers while a zone was out.
+// evacuated checks that more than EvacuatedBound after a zone's evacuation no daemon of the zone
+// accepts a request, no replica there gets one, and no caller is sent there. Judged are the
+// arrivals and replies while any zone was evacuated.
 func evacuated(park *Park, facts Facts) (all []Broken, judged int) {
-	out := func(zone string, at time.Duration) bool {
+	isOut := func(zone string, at time.Duration) bool {
 		for _, span := range facts.Evacuated {
 			if span.Zone == zone && at > span.From+EvacuatedBound && (span.Until == 0 || at < span.Until) {
 				return true
@@ -435,68 +443,68 @@
 	}
 	anyOut := func(at time.Duration) bool {
 		for _, span := range facts.Evacuated {
-			if out(span.Zone, at) {
+			if isOut(span.Zone, at) {
 				return true
 			}
 		}
 		return false
 	}
-	hold := func(at time.Duration, what, zone string) {
+	check := func(at time.Duration, event, zone string) {
 		if anyOut(at) {
 			judged++
 		}
-		if out(zone, at) {
-			all = append(all, Broken{"evacuated", at, what + " in the evacuated zone " + zone})
+		if isOut(zone, at) {
+			all = append(all, Broken{"evacuated", at, event + " in the evacuated zone " + zone})
 		}
 	}
-	for _, one := range park.Arrivals {
-		hold(one.Sent, one.ID+" reached "+one.Replica, park.zones[one.Replica])
-		hold(one.Sent, one.ID+" was relayed by "+one.Daemon, park.zones[one.Daemon])
+	for _, arrival := range park.Arrivals {
+		check(arrival.Sent, arrival.ID+" reached "+arrival.Replica, park.zones[arrival.Replica])
+		check(arrival.Sent, arrival.ID+" was proxied by "+arrival.Daemon, park.zones[arrival.Daemon])
 	}
-	for _, one := range park.Entered {
-		hold(one.At, one.ID+" was let in by "+one.Daemon, park.zones[one.Daemon])
+	for _, entered := range park.Entered {
+		check(entered.At, entered.ID+" was accepted by "+entered.Daemon, park.zones[entered.Daemon])
 	}
-	for _, one := range park.Locates {
-		for _, zone := range one.Zones {
-			hold(one.At, one.By+" named a daemon", zone)
+	for _, located := range park.Locates {
+		for _, zone := range located.Zones {
+			check(located.At, located.By+" sent a caller to a daemon", zone)
 		}
 	}
 	return all, judged
 }
 
-// retries: what reaches replicas as a repeat (of a request that was sent before,
-// by its caller or by us), against real demand, in every window of ten seconds
-// that ends with one. A repeat may have waited in a queue since it was let in, so
-// demand counts from that much earlier; one is granted per daemon for rounding.
-// Judged: repeats.
+// retries checks the retry budget: requests that reach replicas repeatedly, whether the caller
+// or the system retried, against new requests, in every window of ten seconds that ends with a
+// repeat. A repeat may have waited in a queue since it was accepted, so new requests count from
+// retryQueued before the window. One repeat per data daemon is allowed for rounding. Judged are
+// the repeats.
 func retries(park *Park, _ Facts) (all []Broken, judged int) {
-	var told time.Duration
+	var reportedAt time.Duration
 	eachRepeat(park, func(at time.Duration, count, fresh int) {
 		judged++
-		if float64(count) > RetryBound*float64(fresh)+float64(len(park.Plan.Datas)) && (told == 0 || at > told+retryWindow) {
-			told = at
+		if float64(count) > RetryBound*float64(fresh)+float64(len(park.Plan.Datas)) && (reportedAt == 0 || at > reportedAt+retryWindow) {
+			reportedAt = at
 			all = append(all, Broken{"retries", at, fmt.Sprintf("%d repeats against %d new requests", count, fresh)})
 		}
 	})
 	return all, judged
 }
 
-// retryWindow is what repeats are counted in, and retryQueued how long one may
-// have waited in a queue since it was let in.
+// retryWindow is the window over which repeats are counted, and retryQueued how long a repeat
+// may have waited in a queue since it was accepted.
 const (
 	retryWindow = 10 * time.Second
 	retryQueued = 1500 * time.Millisecond
 )
 
-// eachRepeat visits, for every repeat, the window that ends with it: how many
-// repeats came in it, and against how many new requests.
+// eachRepeat visits, for every repeat, the window that ends with it, with the number of repeats
+// in the window and the number of new requests that they count against.
 func eachRepeat(park *Park, visit func(at time.Duration, count, fresh int)) {
 	fresh := append([]*Request{}, park.Requests...)
 	sort.SliceStable(fresh, func(a, b int) bool { return fresh[a].At < fresh[b].At })
-	again := repeats(park)
+	repeated := repeats(park)
 	begin := 0
-	for index, at := range again {
-		for again[begin] <= at-retryWindow {
+	for index, at := range repeated {
+		for repeated[begin] <= at-retryWindow {
 			begin++
 		}
 		from := sort.Search(len(fresh), func(n int) bool { return fresh[n].At > at-retryWindow-retryQueued })
@@ -505,27 +513,27 @@
 	}
 }
 
-// repeats are when replicas were sent a request that had been sent before.
-func repeats(park *Park) (again []time.Duration) {
+// repeats returns the times at which replicas got a request that had been sent before.
+func repeats(park *Park) (repeated []time.Duration) {
 	first := map[string]bool{}
 	arrivals := append([]Arrival{}, park.Arrivals...)
 	sort.SliceStable(arrivals, func(a, b int) bool { return arrivals[a].At < arrivals[b].At })
-	for _, one := range arrivals {
-		if one.Try > 1 || first[one.ID] {
-			again = append(again, one.At)
+	for _, arrival := range arrivals {
+		if arrival.Try > 1 || first[arrival.ID] {
+			repeated = append(repeated, arrival.At)
 		}
-		first[one.ID] = true
+		first[arrival.ID] = true
 	}
-	return again
+	return repeated
 }
 
-// Rate counts answers that ended whole within a span of time.
+// Rate counts the requests that succeeded within a period, and those that started in it.
 func Rate(park *Park, from, until time.Duration) (answered, asked int) {
-	for _, one := range park.Requests {
-		if one.End >= from && one.End < until && one.Verdict == "ok" {
+	for _, request := range park.Requests {
+		if request.End >= from && request.End < until && request.Verdict == "ok" {
 			answered++
 		}
-		if one.At >= from && one.At < until {
+		if request.At >= from && request.At < until {
 			asked++
 		}
 	}
