--- a/fleet/checkrouted.go
+++ b/fleet/checkrouted.go
@@ -12,8 +12,8 @@
 	"swifttiller/settings"
 )
 
-// Book is a configuration with routes that may be in force: it was asked for, and
-// acknowledged; zero while it was not.
+// Book is a configuration with routes that may be in force: when it was submitted, when it was
+// acknowledged (zero until then), and its contents.
 type Book struct {
 	Asked, Acked time.Duration
 	Tree         *settings.Tree
@@ -21,26 +21,27 @@
 
 // Bounds of the rules for routed requests.
 const (
-	// coldExcess is how many times its cold rate, and coldSlack how many requests more,
-	// a cold engine may get in one second.
+	// A cold engine may get coldExcess times its cold rate, and coldSlack requests more, in one
+	// second.
 	coldExcess = 1.5
 	coldSlack  = 5
 )
 
-// RoutedRules are the rules for routed requests, by what callers and engines saw.
+// RoutedRules are the invariants for requests that reach models by routes, judged from what
+// callers and engines observed.
 var RoutedRules = []Rule{
 	{"rerun", rerun}, {"promise", promise}, {"whole", whole}, {"held", held}, {"routes", routes}, {"routed leaving", routedLeaving}, {"cold", cold},
 	{"routed home", routedHome}, {"routed evacuated", routedEvacuated}, {"routed retries", routedRetries}, {"routed lost", routedLost}, {"fallback", fallback},
 	{"keys", keys}, {"tenant", tenants}, {"quota", quotas},
 }
 
-// CheckRouted applies them.
+// CheckRouted applies RoutedRules; see Check.
 func CheckRouted(park *Park, facts Facts) (all []Broken, judged map[string]int) {
 	return apply(RoutedRules, park, facts)
 }
 
-// runsOf are the runs of each try, in the order in which they arrived.
-func (park *Park) runsOf() map[string][]*Run {
+// runsByAttempt returns the runs of each attempt ID, in the order of their arrival.
+func (park *Park) runsByAttempt() map[string][]*Run {
 	out := map[string][]*Run{}
 	for _, run := range park.Runs {
 		out[run.ID] = append(out[run.ID], run)
@@ -48,18 +49,18 @@
 	return out
 }
 
-// rerun: a request that may not be repeated runs once at most, whatever its tries are
-// told. Judged: those that were sent more than once, or whose try did not end well.
+// rerun checks that a request that is not repeatable runs at most once, whatever status its
+// attempts got. Judged are the requests that were sent more than once or did not succeed.
 func rerun(park *Park, _ Facts) (all []Broken, judged int) {
-	runs := park.runsOf()
-	for _, one := range park.RoutedRequests {
-		if one.Crowd.Repeatable {
+	runs := park.runsByAttempt()
+	for _, request := range park.RoutedRequests {
+		if request.Crowd.Repeatable {
 			continue
 		}
 		ran, sent := 0, 0
 		var last *Run
-		for _, try := range one.Tries {
-			for _, run := range runs[try.ID] {
+		for _, attempt := range request.Tries {
+			for _, run := range runs[attempt.ID] {
 				sent++
 				if run.Ran > 0 {
 					ran++
@@ -67,29 +68,29 @@
 				}
 			}
 		}
-		if sent > 1 || len(one.Tries) > 1 || one.Verdict != "ok" {
+		if sent > 1 || len(request.Tries) > 1 || request.Verdict != "ok" {
 			judged++
 		}
 		if ran > 1 {
-			all = append(all, Broken{"rerun", last.Ran, fmt.Sprintf("%s ran %d times, at last on %s by %s", one.ID, ran, last.Engine, last.Daemon)})
+			all = append(all, Broken{"rerun", last.Ran, fmt.Sprintf("%s ran %d times, last on %s, sent by %s", request.ID, ran, last.Engine, last.Daemon)})
 		}
 	}
 	return all, judged
 }
 
-// promise: what was told 408, 421, 429 or 503 has not run and never does. Judged: tries
-// that were told so.
+// promise checks that an attempt answered with status 408, 421, 429 or 503 has not run and never
+// does, as these statuses promise. Judged are the attempts that got one of them.
 func promise(park *Park, _ Facts) (all []Broken, judged int) {
-	runs := park.runsOf()
-	for _, one := range park.RoutedRequests {
-		for _, try := range one.Tries {
-			if !try.promised() {
+	runs := park.runsByAttempt()
+	for _, request := range park.RoutedRequests {
+		for _, attempt := range request.Tries {
+			if !attempt.promised() {
 				continue
 			}
 			judged++
-			for _, run := range runs[try.ID] {
+			for _, run := range runs[attempt.ID] {
 				if run.Ran > 0 {
-					all = append(all, Broken{"promise", try.End, fmt.Sprintf("%s was told %d %s by %s but ran on %s at %v", try.ID, try.Status, try.Code, try.Daemon, run.Engine, run.Ran)})
+					all = append(all, Broken{"promise", attempt.End, fmt.Sprintf("%s got %d %s from %s but ran on %s at %v", attempt.ID, attempt.Status, attempt.Code, attempt.Daemon, run.Engine, run.Ran)})
 				}
 			}
 		}
@@ -97,34 +98,35 @@
 	return all, judged
 }
 
-// whole: a caller gets its own events, each once and in order, also over a resumption;
-// a stream that ended cleanly is complete, and a run that goes on with another one was
-// asked to go on behind the last event. Judged: requests that got anything.
+// whole checks that a caller gets the events of its own request, each once and in order, also
+// after a resumption. A stream that ended cleanly must be complete, and a run that resumes another
+// one must have been asked to continue after the last event. Judged are the requests that got any
+// event or succeeded.
 func whole(park *Park, _ Facts) (all []Broken, judged int) {
-	for _, one := range park.RoutedRequests {
-		if one.Got > 0 || one.Verdict == "ok" {
+	for _, request := range park.RoutedRequests {
+		if request.Got > 0 || request.Verdict == "ok" {
 			judged++
 		}
-		if one.Wrong != "" {
-			all = append(all, Broken{"whole", one.End, one.ID + " " + one.Wrong})
+		if request.Wrong != "" {
+			all = append(all, Broken{"whole", request.End, request.ID + " " + request.Wrong})
 		}
-		if one.Verdict == "ok" && one.Got != one.Crowd.Most {
-			all = append(all, Broken{"whole", one.End, fmt.Sprintf("%s is called whole with %d of %d tokens", one.ID, one.Got, one.Crowd.Most)})
+		if request.Verdict == "ok" && request.Got != request.Crowd.Most {
+			all = append(all, Broken{"whole", request.End, fmt.Sprintf("%s ended as complete with %d of %d tokens", request.ID, request.Got, request.Crowd.Most)})
 		}
 	}
 	return all, judged
 }
 
-// held: every request ends, and no try is held past its caller's patience. Judged:
-// requests that began early enough to have ended.
+// held checks that every request ends, within its caller's timeout plus two seconds. Judged are
+// the requests that began early enough to have ended.
 func held(park *Park, _ Facts) (all []Broken, judged int) {
-	for _, one := range park.RoutedRequests {
-		bound := one.At + one.Crowd.Patience + 2*time.Second
+	for _, request := range park.RoutedRequests {
+		bound := request.At + request.Crowd.Patience + 2*time.Second
 		switch {
 		case park.Now() < bound:
-		case one.End == 0 || one.End > bound:
+		case request.End == 0 || request.End > bound:
 			judged++
-			all = append(all, Broken{"held", one.At, fmt.Sprintf("%s was held from %v to %v (0: to the end), %d tries", one.ID, one.At, one.End, len(one.Tries))})
+			all = append(all, Broken{"held", request.At, fmt.Sprintf("%s was pending from %v to %v (0: to the end), %d attempts", request.ID, request.At, request.End, len(request.Tries))})
 		default:
 			judged++
 		}
@@ -132,73 +134,74 @@
 	return all, judged
 }
 
-// books are those that a request sent at one time and handled at another may have been
-// handled by: those asked for before, but for ones that a newer one had replaced for
-// longer than the bound.
-func (facts Facts) books(sent, handled time.Duration) (out []Book) {
-	for at, one := range facts.Books {
-		if one.Asked > handled {
+// configsInForce returns the configurations under which a request sent at one time and handled
+// at another may have been handled. These are the ones submitted by the time of handling, except
+// those that a newer one had replaced more than OldConfigBound before the request was sent.
+func (facts Facts) configsInForce(sent, handled time.Duration) (configs []Book) {
+	for index, config := range facts.Books {
+		if config.Asked > handled {
 			continue
 		}
 		isOld := false
-		for _, newer := range facts.Books[at+1:] {
+		for _, newer := range facts.Books[index+1:] {
 			isOld = isOld || newer.Acked > 0 && sent > newer.Acked+OldConfigBound
 		}
 		if !isOld {
-			out = append(out, one)
+			configs = append(configs, config)
 		}
 	}
-	return out
+	return configs
 }
 
-// routes: nothing runs on a model, and nothing is told that there is no route, by a
-// configuration that was replaced for longer than the bound, or by none. Judged: runs
-// and such words.
+// routes checks that no request runs on a model, and none gets 404 (no route), unless a
+// configuration in force says so; a configuration replaced for longer than OldConfigBound is not
+// in force. Judged are the runs and the 404 replies.
 func routes(park *Park, facts Facts) (all []Broken, judged int) {
 	for _, run := range park.Runs {
 		if run.Elsewhere || run.NotRun || len(facts.Books) == 0 {
 			continue
 		}
 		judged++
-		try := park.tried[run.ID]
-		crowd := try.request.Crowd
+		attempt := park.tried[run.ID]
+		crowd := attempt.request.Crowd
 		isAllowed := false
-		for _, book := range facts.books(try.Sent, run.At) {
-			if route := book.Tree.Route(crowd.Host, crowd.Path); route != nil {
+		for _, config := range facts.configsInForce(attempt.Sent, run.At) {
+			if route := config.Tree.Route(crowd.Host, crowd.Path); route != nil {
 				for _, share := range route.Shares {
 					isAllowed = isAllowed || share.Model == run.Model && share.Weight > 0
 				}
 			}
 		}
 		if !isAllowed {
-			all = append(all, Broken{"routes", run.At, fmt.Sprintf("%s of %s ran on %s (%s) by %s, which no configuration in force allows", run.ID, crowd.Path, run.Engine, run.Model, run.Daemon)})
+			all = append(all, Broken{"routes", run.At, fmt.Sprintf("%s for %s ran on %s (%s), sent by %s, which no configuration in force allows", run.ID, crowd.Path, run.Engine, run.Model, run.Daemon)})
 		}
 	}
-	for _, one := range park.RoutedRequests {
-		for _, try := range one.Tries {
-			if try.Status != 404 {
+	for _, request := range park.RoutedRequests {
+		for _, attempt := range request.Tries {
+			if attempt.Status != 404 {
 				continue
 			}
 			judged++
 			isAllowed := false
-			for _, book := range facts.books(try.Sent, try.End) {
-				isAllowed = isAllowed || book.Tree.Route(one.Crowd.Host, one.Crowd.Path) == nil
+			for _, config := range facts.configsInForce(attempt.Sent, attempt.End) {
+				isAllowed = isAllowed || config.Tree.Route(request.Crowd.Host, request.Crowd.Path) == nil
 			}
 			if !isAllowed {
-				all = append(all, Broken{"routes", try.End, fmt.Sprintf("%s was told by %s that %s has no route, which every configuration in force has", try.ID, try.Daemon, one.Crowd.Path)})
+				all = append(all, Broken{"routes", attempt.End, fmt.Sprintf("%s got from %s that %s has no route, which every configuration in force has", attempt.ID, attempt.Daemon, request.Crowd.Path)})
 			}
 		}
 	}
 	return all, judged
 }
 
-// routedLeaving: a life gets nothing that was sent later than the bound after the list
-// showed that it ends. Judged: lives that stood on past it.
+// routedLeaving checks that an engine process gets no request sent more than LeavingBound after
+// the platform's list showed that it is being terminated. Judged are the processes that ran on
+// past the bound.
 func routedLeaving(park *Park, _ Facts) (all []Broken, judged int) {
 	for _, run := range park.Runs {
 		since, isKnown := park.Learned[run.Engine+"/"+run.Life]
 		if isKnown && !run.Elsewhere && run.Sent > since+LeavingBound {
-			all = append(all, Broken{"routed leaving", run.At, fmt.Sprintf("%s (%s) got %s by %s, known to be leaving since %v", run.Engine, run.Life, run.ID, run.Daemon, since)})
+			all = append(all, Broken{"routed leaving", run.At, fmt.Sprintf("%s (%s) got %s from %s, though its termination was known since %v", run.Engine, run.Life, run.ID, run.Daemon, since)})
 		}
 	}
 	for _, engine := range park.engines() {
@@ -213,7 +216,7 @@
 	return all, judged
 }
 
-// engines are all lives, those that are gone first.
+// engines returns all engine processes of the run, those that have ended first.
 func (park *Park) engines() []*Engine {
 	out := append([]*Engine{}, park.pastEngines...)
 	var names []string
@@ -227,9 +230,9 @@
 	return out
 }
 
-// cold: a cold engine gets, from all daemons together, no more in any second than its
-// rate allows, and none falls over. Counted are those sent and arrived within the
-// second. Judged: requests that came to a cold one.
+// cold checks that a cold engine gets no more requests in any second, from all data daemons
+// together, than its cold rate allows, and that no engine falls over. Requests count if they were
+// both sent and received within the second. Judged are the requests that reached a cold engine.
 func cold(park *Park, _ Facts) (all []Broken, judged int) {
 	lives := map[string][]*Run{}
 	for _, run := range park.Runs {
@@ -240,10 +243,10 @@
 	}
 	for _, engine := range park.engines() {
 		runs := lives[engine.Life]
-		for at, last := range runs {
+		for index, last := range runs {
 			count := 0
-			for _, one := range runs[:at+1] {
-				if one.Sent > last.At-time.Second {
+			for _, run := range runs[:index+1] {
+				if run.Sent > last.At-time.Second {
 					count++
 				}
 			}
@@ -259,93 +262,95 @@
 	return all, judged
 }
 
-// holderOf is by which tenant's key a try may run under the book: nil for nobody's; false
-// when it may not run at all.
-func (book Book) holderOf(try *RoutedTry) (holder *settings.Tenant, mayRun bool) {
-	crowd := try.request.Crowd
-	switch route := book.Tree.Route(crowd.Host, crowd.Path); {
+// tenantOf returns the tenant under whose key the attempt may run in this configuration: nil if
+// the route needs no key. mayRun is false if the attempt may not run at all.
+func (config Book) tenantOf(attempt *RoutedTry) (tenant *settings.Tenant, mayRun bool) {
+	crowd := attempt.request.Crowd
+	switch route := config.Tree.Route(crowd.Host, crowd.Path); {
 	case route == nil:
 		return nil, false
-	case route.Keyless || !book.Tree.HasTenants():
+	case route.Keyless || !config.Tree.HasTenants():
 		return nil, true
 	}
-	holder = book.Tree.TenantByKey(try.Key)
-	return holder, holder != nil
+	tenant = config.Tree.TenantByKey(attempt.Key)
+	return tenant, tenant != nil
 }
 
-// keys: nothing runs with a key that no configuration in force has, nor is anything told
-// that its key is not known which all of them have. Judged: runs where a key is needed,
-// and such words.
+// keys checks that nothing runs with a key that no configuration in force has, and that no
+// attempt gets 401 (unknown key) for a key that all of them have. Judged are the runs where a key
+// is needed and the 401 replies.
 func keys(park *Park, facts Facts) (all []Broken, judged int) {
 	for _, run := range park.Runs {
 		if run.Elsewhere || run.NotRun {
 			continue
 		}
-		try := park.tried[run.ID]
+		attempt := park.tried[run.ID]
 		isNeeded, mayRun := false, false
-		for _, book := range facts.books(try.Sent, run.At) {
-			holder, may := book.holderOf(try)
-			isNeeded, mayRun = isNeeded || holder != nil || !may, mayRun || may
+		for _, config := range facts.configsInForce(attempt.Sent, run.At) {
+			tenant, may := config.tenantOf(attempt)
+			isNeeded, mayRun = isNeeded || tenant != nil || !may, mayRun || may
 		}
 		if !isNeeded {
 			continue
 		}
 		judged++
 		if !mayRun {
-			all = append(all, Broken{"keys", run.At, fmt.Sprintf("%s ran on %s by %s with the key %q, which no configuration in force has", run.ID, run.Engine, run.Daemon, try.Key)})
+			all = append(all, Broken{"keys", run.At, fmt.Sprintf("%s ran on %s, sent by %s, with the key %q, which no configuration in force has", run.ID, run.Engine, run.Daemon, attempt.Key)})
 		}
 	}
-	for _, one := range park.RoutedRequests {
-		for _, try := range one.Tries {
-			if try.Status != 401 {
+	for _, request := range park.RoutedRequests {
+		for _, attempt := range request.Tries {
+			if attempt.Status != 401 {
 				continue
 			}
 			judged++
 			mayNot := false
-			for _, book := range facts.books(try.Sent, try.End) {
-				_, may := book.holderOf(try)
+			for _, config := range facts.configsInForce(attempt.Sent, attempt.End) {
+				_, may := config.tenantOf(attempt)
 				mayNot = mayNot || !may
 			}
 			if !mayNot {
-				all = append(all, Broken{"keys", try.End, fmt.Sprintf("%s was told by %s that its key %q is not known, which every configuration in force has", try.ID, try.Daemon, try.Key)})
+				all = append(all, Broken{"keys", attempt.End, fmt.Sprintf("%s got from %s that its key %q is unknown, which every configuration in force has", attempt.ID, attempt.Daemon, attempt.Key)})
 			}
 		}
 	}
 	return all, judged
 }
 
-// tenants: an engine is told the tenant that holds its request's key by a configuration in
-// force, and none where no key is needed. Judged: runs under books with tenants.
+// tenants checks that the tenant named to an engine is the one that has the request's key in a
+// configuration in force, and that none is named where no key is needed. Judged are the runs
+// under configurations with tenants.
 func tenants(park *Park, facts Facts) (all []Broken, judged int) {
 	for _, run := range park.Runs {
-		try := park.tried[run.ID]
-		isTenanted, isHolder := false, false
-		for _, book := range facts.books(try.Sent, run.At) {
-			isTenanted = isTenanted || book.Tree.HasTenants()
-			if holder, may := book.holderOf(try); may {
-				isHolder = isHolder || holder == nil && run.Tenant == "" || holder != nil && holder.Name == run.Tenant
+		attempt := park.tried[run.ID]
+		isTenanted, isRightTenant := false, false
+		for _, config := range facts.configsInForce(attempt.Sent, run.At) {
+			isTenanted = isTenanted || config.Tree.HasTenants()
+			if tenant, may := config.tenantOf(attempt); may {
+				isRightTenant = isRightTenant || tenant == nil && run.Tenant == "" || tenant != nil && tenant.Name == run.Tenant
 			}
 		}
 		if !isTenanted && run.Tenant == "" {
 			continue
 		}
 		judged++
-		if !isHolder {
-			all = append(all, Broken{"tenant", run.At, fmt.Sprintf("%s with the key %q is %q's by the word of %s", run.ID, try.Key, run.Tenant, run.Daemon)})
+		if !isRightTenant {
+			all = append(all, Broken{"tenant", run.At, fmt.Sprintf("%s with the key %q was sent for tenant %q by %s", run.ID, attempt.Key, run.Tenant, run.Daemon)})
 		}
 	}
 	return all, judged
 }
 
-// Terms of the rule for tenants' limits.
+// Bounds of the rule for tenants' limits: the window, and by which share and by how many requests
+// a tenant may exceed its limit in it.
 const (
 	quotaWindow = 5 * time.Second
 	quotaExcess = 0.1
 	quotaSlack  = 20
 )
 
-// quotas: in no window do more requests of a tenant run than its limit and the error allow,
-// counted over all daemons. Judged: windows that end with a run of a tenant with a limit.
+// quotas checks that in no window more requests of a tenant run, over all daemons, than its limit
+// and the error bounds allow. Judged are the windows that end with a run of a tenant with a limit.
 func quotas(park *Park, facts Facts) (all []Broken, judged int) {
 	byTenant := map[string][]*Run{}
 	for _, run := range park.Runs {
@@ -357,46 +362,47 @@
 		runs := byTenant[name]
 		slices.SortStableFunc(runs, func(a, b *Run) int { return cmp.Compare(a.At, b.At) })
 		begin, isBroken := 0, false
-		for at, run := range runs {
+		for index, run := range runs {
 			for runs[begin].Sent <= run.At-quotaWindow {
 				begin++
 			}
-			// A lower limit binds a window after it is in force everywhere.
-			most := 0.0
-			for _, book := range facts.books(max(0, run.At-2*quotaWindow), run.At) {
-				holder := book.Tree.TenantByName(name)
-				if holder == nil || holder.PerSecond <= 0 {
-					most = math.Inf(1)
+			// A lower limit applies only to windows that begin after it is in force everywhere,
+			// so configurations from up to two windows ago count.
+			limit := 0.0
+			for _, config := range facts.configsInForce(max(0, run.At-2*quotaWindow), run.At) {
+				tenant := config.Tree.TenantByName(name)
+				if tenant == nil || tenant.PerSecond <= 0 {
+					limit = math.Inf(1)
 					break
 				}
-				most = max(most, (holder.PerSecond*quotaWindow.Seconds()+holder.Burst)*(1+quotaExcess)+quotaSlack)
+				limit = max(limit, (tenant.PerSecond*quotaWindow.Seconds()+tenant.Burst)*(1+quotaExcess)+quotaSlack)
 			}
-			if math.IsInf(most, 1) {
+			if math.IsInf(limit, 1) {
 				continue
 			}
 			judged++
-			if count := at - begin + 1; float64(count) > most && !isBroken {
+			if count := index - begin + 1; float64(count) > limit && !isBroken {
 				isBroken = true
-				all = append(all, Broken{"quota", run.At, fmt.Sprintf("%d requests of %s ran within %v, at the most %.0f may", count, name, quotaWindow, most)})
+				all = append(all, Broken{"quota", run.At, fmt.Sprintf("%d requests of %s ran within %v, at most %.0f may", count, name, quotaWindow, limit)})
 			}
 		}
 	}
 	return all, judged
 }
 
-// routedHome: a request whose route or tenant has homes reaches engines in those alone,
-// which are those of both where both have some. Judged: runs of such requests.
+// routedHome checks that a request whose route or tenant has home regions reaches engines there
+// only; if both have some, only regions in both are allowed. Judged are the runs of such requests.
 func routedHome(park *Park, facts Facts) (all []Broken, judged int) {
 	for _, run := range park.Runs {
-		try := park.tried[run.ID]
-		crowd := try.request.Crowd
+		attempt := park.tried[run.ID]
+		crowd := attempt.request.Crowd
 		isBound, isHome := false, false
-		for _, book := range facts.books(try.Sent, run.At) {
-			if route := book.Tree.Route(crowd.Host, crowd.Path); route != nil {
-				holder, _ := book.holderOf(try)
+		for _, config := range facts.configsInForce(attempt.Sent, run.At) {
+			if route := config.Tree.Route(crowd.Host, crowd.Path); route != nil {
+				tenant, _ := config.tenantOf(attempt)
 				region := Region(park.zones[run.Engine])
-				isBound = isBound || len(route.Homes) > 0 || holder != nil && len(holder.Homes) > 0
-				isHome = isHome || route.AllowedIn(region) && holder.AllowedIn(region)
+				isBound = isBound || len(route.Homes) > 0 || tenant != nil && len(tenant.Homes) > 0
+				isHome = isHome || route.AllowedIn(region) && tenant.AllowedIn(region)
 			}
 		}
 		if !isBound {
@@ -404,14 +410,14 @@
 		}
 		judged++
 		if !isHome {
-			all = append(all, Broken{"routed home", run.At, fmt.Sprintf("%s of %s reached %s by %s", run.ID, crowd.Path, run.Engine, run.Daemon)})
+			all = append(all, Broken{"routed home", run.At, fmt.Sprintf("%s for %s reached %s, sent by %s", run.ID, crowd.Path, run.Engine, run.Daemon)})
 		}
 	}
 	return all, judged
 }
 
-// routedEvacuated: from the bound on nothing that is sent then reaches an engine of a
-// zone that is out. Judged: runs anywhere while one was.
+// routedEvacuated checks that nothing sent more than EvacuatedBound after a zone's evacuation
+// reaches an engine of that zone. Judged are the runs anywhere while a zone was evacuated.
 func routedEvacuated(park *Park, facts Facts) (all []Broken, judged int) {
 	for _, run := range park.Runs {
 		for _, span := range facts.Evacuated {
@@ -420,58 +426,58 @@
 			}
 			judged++
 			if park.zones[run.Engine] == span.Zone {
-				all = append(all, Broken{"routed evacuated", run.At, fmt.Sprintf("%s reached %s in %s by %s", run.ID, run.Engine, span.Zone, run.Daemon)})
+				all = append(all, Broken{"routed evacuated", run.At, fmt.Sprintf("%s reached %s in %s, sent by %s", run.ID, run.Engine, span.Zone, run.Daemon)})
 			}
 		}
 	}
 	return all, judged
 }
 
-// routedRetries: what a model's engines get beyond the first arrival of each try, in
-// any window, is within a share of what callers sent to its routes in it, whether or not
-// it arrived, or in the window before or the one half a window before, whichever had
-// most, and one per daemon.
-// Judged: such arrivals.
+// routedRetries checks the retry budget per model: in any window, the arrivals at its engines
+// beyond the first of each attempt are at most a share (RetryBound) of the attempts that callers
+// sent to its routes, whether or not they arrived, plus one per data daemon. The attempts are
+// counted in the same window, in the window before and in the one half a window before, and the
+// largest count is used. Judged are the arrivals beyond the first.
 func routedRetries(park *Park, facts Facts) (all []Broken, judged int) {
-	again, sent := map[string][]time.Duration{}, map[string][]time.Duration{}
+	repeatTimes, sent := map[string][]time.Duration{}, map[string][]time.Duration{}
 	isSeen := map[string]bool{}
 	for _, run := range park.Runs {
 		if isSeen[run.ID] {
-			again[run.Model] = append(again[run.Model], run.At)
+			repeatTimes[run.Model] = append(repeatTimes[run.Model], run.At)
 			judged++
 		}
 		isSeen[run.ID] = true
 	}
-	for _, one := range park.RoutedRequests {
-		for _, try := range one.Tries {
+	for _, request := range park.RoutedRequests {
+		for _, attempt := range request.Tries {
 			models := map[string]bool{}
-			for _, book := range facts.books(try.Sent, try.Sent) {
-				if route := book.Tree.Route(one.Crowd.Host, one.Crowd.Path); route != nil {
+			for _, config := range facts.configsInForce(attempt.Sent, attempt.Sent) {
+				if route := config.Tree.Route(request.Crowd.Host, request.Crowd.Path); route != nil {
 					models[route.Shares[0].Model] = true
 				}
 			}
 			for model := range models {
-				sent[model] = append(sent[model], try.Sent)
+				sent[model] = append(sent[model], attempt.Sent)
 			}
 		}
 	}
-	for model, list := range again {
-		asks := sent[model]
-		sort.Slice(asks, func(a, b int) bool { return asks[a] < asks[b] })
+	for model, times := range repeatTimes {
+		demand := sent[model]
+		sort.Slice(demand, func(a, b int) bool { return demand[a] < demand[b] })
 		count := func(from, until time.Duration) int {
-			return sort.Search(len(asks), func(n int) bool { return asks[n] > until }) - sort.Search(len(asks), func(n int) bool { return asks[n] > from })
+			return sort.Search(len(demand), func(n int) bool { return demand[n] > until }) - sort.Search(len(demand), func(n int) bool { return demand[n] > from })
 		}
 		begin := 0
-		for at, now := range list {
-			for list[begin] <= now-retryWindow {
+		for index, end := range times {
+			for times[begin] <= end-retryWindow {
 				begin++
 			}
 			fresh := 0
-			for _, back := range []time.Duration{0, retryWindow / 2, retryWindow} {
-				fresh = max(fresh, count(now-back-retryWindow, now-back))
+			for _, shift := range []time.Duration{0, retryWindow / 2, retryWindow} {
+				fresh = max(fresh, count(end-shift-retryWindow, end-shift))
 			}
-			if more := at - begin + 1; float64(more) > RetryBound*float64(fresh)+float64(len(park.Plan.Datas)) {
-				all = append(all, Broken{"routed retries", now, fmt.Sprintf("%s got %d repeats against %d requests", model, more, fresh)})
+			if repeated := index - begin + 1; float64(repeated) > RetryBound*float64(fresh)+float64(len(park.Plan.Datas)) {
+				all = append(all, Broken{"routed retries", end, fmt.Sprintf("%s got %d repeats against %d requests", model, repeated, fresh)})
 				break
 			}
 		}
@@ -479,34 +485,34 @@
 	return all, judged
 }
 
-// routedLost: in planned work no request that a daemon has read ends without a whole
-// answer or a clear word. Judged: requests since the facts' beginning.
+// routedLost checks that during planned maintenance no request that a daemon has read ends
+// without a complete answer or an error code. Judged are the attempts of requests since Facts.From.
 func routedLost(park *Park, facts Facts) (all []Broken, judged int) {
 	if !facts.Planned {
 		return nil, 0
 	}
-	for _, one := range park.RoutedRequests {
-		if one.At < facts.From || one.End == 0 {
+	for _, request := range park.RoutedRequests {
+		if request.At < facts.From || request.End == 0 {
 			continue
 		}
-		for _, try := range one.Tries {
+		for _, attempt := range request.Tries {
 			judged++
-			if try.IsRead && !try.IsWhole && try.Code == "" {
-				all = append(all, Broken{"routed lost", one.End, fmt.Sprintf("%s ended %s at %s, status %d, %d tokens", try.ID, one.Verdict, try.Daemon, try.Status, try.Tokens)})
+			if attempt.IsRead && !attempt.IsWhole && attempt.Code == "" {
+				all = append(all, Broken{"routed lost", request.End, fmt.Sprintf("%s ended %s at %s, status %d, %d tokens", attempt.ID, request.Verdict, attempt.Daemon, attempt.Status, attempt.Tokens)})
 			}
 		}
 	}
 	return all, judged
 }
 
-// RoutedRate counts requests that ended well, and all, of those begun within a span.
+// RoutedRate counts the requests that were started in a period, and those of them that succeeded.
 func RoutedRate(park *Park, from, until time.Duration) (answered, asked int) {
-	for _, one := range park.RoutedRequests {
-		if one.At < from || one.At >= until {
+	for _, request := range park.RoutedRequests {
+		if request.At < from || request.At >= until {
 			continue
 		}
 		asked++
-		if one.Verdict == "ok" {
+		if request.Verdict == "ok" {
 			answered++
 		}
 	}
--- a/fleet/plans.go
+++ b/fleet/plans.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// stands makes a region's stand-in replicas.
-func stands(zone string, count int, held string, reports bool) (list []ReplicaOptions) {
+// stands returns options for a zone's simulated replicas.
+func stands(zone string, count int, held string, reports bool) (replicas []ReplicaOptions) {
 	for index := 1; index <= count; index++ {
-		list = append(list, ReplicaOptions{
+		replicas = append(replicas, ReplicaOptions{
 			ID: fmt.Sprintf("%s-r%d", zone, index), Zone: zone, Capacity: 8, ColdShare: 0.125, ColdAnswers: 20,
 			Loading: 2 * time.Second, Prefill: 20 * time.Millisecond, Decode: 4 * time.Millisecond, Cached: 6, Reports: reports, Held: []string{held},
 		})
 	}
-	return list
+	return replicas
 }
 
-// Sahayogi is the first deployment: about ten machines, three zones and
-// regions, replicas 7/6/5 that report load, mostly coverage checks with a thin
-// stream of notices.
+// Sahayogi is the first reference deployment: about ten machines in three regions of one zone
+// each, with 7, 6 and 5 replicas that report their load. The traffic is mostly coverage checks,
+// with a small stream of notices.
 func Sahayogi() Plan {
 	plan := Plan{
 		Model: "roster", Lag: 700 * time.Millisecond, Least: 300 * time.Millisecond, Grace: 5 * time.Second,
@@ -46,8 +46,8 @@
 	return plan
 }
 
-// Sklepik is the second: about a dozen machines, replicas 4/3/2 that report
-// nothing, some of the traffic bound to two home regions.
+// Sklepik is the second reference deployment: about a dozen machines, with 4, 3 and 2 replicas
+// that do not report their load. Some of the traffic is bound to two home regions.
 func Sklepik() Plan {
 	plan := Plan{
 		Model: "shop", Lag: 1200 * time.Millisecond, Least: 500 * time.Millisecond, Grace: 4 * time.Second,
@@ -75,5 +75,5 @@
 	return plan
 }
 
-// Plans are both deployments by name.
+// Plans holds both deployments by name.
 var Plans = map[string]func() Plan{"sahayogi": Sahayogi, "sklepik": Sklepik}
--- a/fleet/worst.go
+++ b/fleet/worst.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// Worst gives, per rule with a bound, how near a run came to it: seconds after the
-// acknowledgement or word, or a share. A rule that had no case is left out.
+// Worst returns, per rule with a bound, how near a run came to the bound: in seconds after the
+// acknowledgement or the event, or as a share. Rules without any case are left out.
 func Worst(park *Park, facts Facts) map[string]float64 {
-	out := map[string]float64{}
+	worst := map[string]float64{}
 	note := func(rule string, value float64) {
-		if have, seen := out[rule]; !seen || value > have {
-			out[rule] = value
+		if highest, isKnown := worst[rule]; !isKnown || value > highest {
+			worst[rule] = value
 		}
 	}
-	for _, one := range park.Logs() {
+	for _, served := range park.Logs() {
 		for serial, ack := range facts.Acked {
-			if one.Serial < serial {
-				note("old config", (one.Sent - ack.At).Seconds())
+			if served.Serial < serial {
+				note("old config", (served.Sent - ack.At).Seconds())
 			}
 		}
 	}
-	for _, one := range park.Arrivals {
-		if since, known := park.Learned[one.Replica+"/"+one.Boot]; known {
-			note("leaving", (one.Sent - since).Seconds())
+	for _, arrival := range park.Arrivals {
+		if since, known := park.Learned[arrival.Replica+"/"+arrival.Boot]; known {
+			note("leaving", (arrival.Sent - since).Seconds())
 		}
 		for _, span := range facts.Evacuated {
-			inside := span.Zone == park.zones[one.Replica] || span.Zone == park.zones[one.Daemon]
-			if inside && (span.Until == 0 || one.Sent < span.Until) {
-				note("evacuated", (one.Sent - span.From).Seconds())
+			inside := span.Zone == park.zones[arrival.Replica] || span.Zone == park.zones[arrival.Daemon]
+			if inside && (span.Until == 0 || arrival.Sent < span.Until) {
+				note("evacuated", (arrival.Sent - span.From).Seconds())
 			}
 		}
 	}
@@ -35,9 +35,9 @@
 		}
 	})
 	beyond := 0
-	for _, one := range append(append([]*Replica{}, park.past...), park.stands()...) {
-		beyond += one.Flooded
+	for _, replica := range append(append([]*Replica{}, park.past...), park.stands()...) {
+		beyond += replica.Flooded
 	}
 	note("flooded", float64(beyond))
-	return out
+	return worst
 }
