--- a/fleet/call.go
+++ b/fleet/call.go
@@ -92,7 +92,7 @@
 					return
 				}
 				id := fmt.Sprintf("%x-%d", mark, number)
-				code, verdictWord, foreign, retried := caller.one(id, number)
+				code, verdictWord, foreign, retried := caller.request(id, number)
 				guard.Lock()
 				total.Retried += retried
 				if foreign {
@@ -158,8 +158,8 @@
 	return false
 }
 
-// one sends a request, and again only while it is known not to have run.
-func (caller *caller) one(id string, number int) (code, word string, foreign bool, retried int) {
+// request sends a request, and again only while it is known not to have run.
+func (caller *caller) request(id string, number int) (code, word string, foreign bool, retried int) {
 	for try := 0; ; try++ {
 		if direct := caller.options.Direct; direct != "" {
 			caller.addresses, caller.ticket, caller.until = []string{direct}, "none", time.Now().Add(time.Hour)
--- a/fleet/check.go
+++ b/fleet/check.go
@@ -279,7 +279,7 @@
 	isUsed := map[string]bool{}
 	for _, arrival := range park.Arrivals {
 		life := arrival.Replica + "/" + arrival.Boot
-		if since, known := park.Learned[life]; known && arrival.Sent > since-lateSpan && arrival.Sent <= since+LeavingBound {
+		if since, known := park.Learned[life]; known && arrival.Sent > since-recentSpan && arrival.Sent <= since+LeavingBound {
 			isUsed[life] = true
 		}
 	}
--- a/fleet/days.go
+++ b/fleet/days.go
@@ -19,15 +19,15 @@
 // what they were told can be judged.
 type day struct {
 	*Park
-	facts    *Facts
-	draw     *rand.Rand
-	out      string // the zone that is out
-	isBusy   bool
-	isLost   bool // a disk is gone, and its machine to be readmitted
-	isBad    bool // a bad version is on its way or was
-	passed   []string
-	narrowed bool
-	wide     string
+	facts          *Facts
+	rng            *rand.Rand
+	evacuatedZone  string // the zone that is out
+	isOperatorBusy bool
+	isDiskLost     bool // a disk is gone, and its machine to be readmitted
+	hasBadVersion  bool // a bad version is on its way or was
+	started        []string
+	isNarrowed     bool
+	wideDocument   string
 }
 
 // Event is something that may begin on a day. It tells whether it did; it can't
@@ -38,10 +38,10 @@
 }
 
 func (day *day) span(least, most time.Duration) time.Duration {
-	return least + time.Duration(day.draw.Int64N(int64(most-least)))
+	return least + time.Duration(day.rng.Int64N(int64(most-least)))
 }
 
-func (day *day) one(names []string) string { return names[day.draw.IntN(len(names))] }
+func (day *day) choose(names []string) string { return names[day.rng.IntN(len(names))] }
 
 func (day *day) running(names []string) (up []string) {
 	for _, name := range names {
@@ -54,8 +54,8 @@
 
 func (day *day) daemons() []string { return append(day.controls(), day.datas()...) }
 
-// back starts again whatever of the named is down after the span.
-func (day *day) back(after time.Duration, names ...string) {
+// restartAfter starts again whatever of the named is down after the span.
+func (day *day) restartAfter(after time.Duration, names ...string) {
 	day.At(after, func() {
 		for _, name := range names {
 			if !day.Node(name).Up() {
@@ -65,15 +65,15 @@
 	})
 }
 
-// fall crashes one of the named that runs, and brings it back later.
-func (day *day) fall(names []string, least, most time.Duration) bool {
+// crashOne crashes one of the named that runs, and brings it back later.
+func (day *day) crashOne(names []string, least, most time.Duration) bool {
 	up := day.running(names)
 	if len(up) == 0 {
 		return false
 	}
-	name := day.one(up)
+	name := day.choose(up)
 	day.Crash(name)
-	day.back(day.span(least, most), name)
+	day.restartAfter(day.span(least, most), name)
 	return true
 }
 
@@ -82,19 +82,19 @@
 	if len(up) == 0 {
 		return false
 	}
-	day.Freeze(day.one(up), day.span(300*time.Millisecond, most))
+	day.Freeze(day.choose(up), day.span(300*time.Millisecond, most))
 	return true
 }
 
-// part cuts some from the rest for a while.
-func (day *day) part(inside []string) bool {
+// partition cuts some from the rest for a while.
+func (day *day) partition(inside []string) bool {
 	var outside []string
 	for _, name := range day.NodeNames() {
 		if !slices.Contains(inside, name) {
 			outside = append(outside, name)
 		}
 	}
-	way := day.draw.IntN(4) // 0 and 1: one way only
+	way := day.rng.IntN(4) // 0 and 1: one way only
 	cut := func(isCut bool) {
 		for _, a := range inside {
 			for _, b := range outside {
@@ -116,15 +116,15 @@
 // way.
 func (day *day) operate(do func(daemon *controlplane.Daemon)) bool {
 	up := day.running(day.controls())
-	if day.isBusy || len(up) == 0 {
+	if day.isOperatorBusy || len(up) == 0 {
 		return false
 	}
-	name := day.one(up)
+	name := day.choose(up)
 	daemon := day.Controls[name]
-	day.isBusy = true
-	day.Node(name).Go(func() { do(daemon); day.isBusy = false })
+	day.isOperatorBusy = true
+	day.Node(name).Go(func() { do(daemon); day.isOperatorBusy = false })
 	// One that died with its operator's question unanswered leaves it so.
-	day.At(25*time.Second, func() { day.isBusy = false })
+	day.At(25*time.Second, func() { day.isOperatorBusy = false })
 	return true
 }
 
@@ -154,7 +154,7 @@
 		switch {
 		case err != nil:
 		case isBack:
-			day.out = ""
+			day.evacuatedZone = ""
 			day.acknowledge(day.facts, daemon, applied.Serial)
 		default:
 			day.acknowledge(day.facts, daemon, applied.Serial)
@@ -169,12 +169,12 @@
 	if len(up) == 0 {
 		return false
 	}
-	name := day.one(up)
+	name := day.choose(up)
 	stand := day.Replicas[name]
 	if stand.Leaving {
 		return false
 	}
-	way := day.draw.IntN(3)
+	way := day.rng.IntN(3)
 	if way != 0 {
 		stand.Lingers = true
 		stand.Leave()
@@ -206,7 +206,7 @@
 	if len(up) < 2 {
 		return false
 	}
-	name := day.one(up)
+	name := day.choose(up)
 	daemon := day.Datas[name]
 	day.Node(name).Go(func() {
 		daemon.Stop(8 * time.Second)
@@ -214,16 +214,16 @@
 		day.At(200*time.Millisecond, func() {
 			day.closed[name] = false
 			day.Crash(name)
-			day.back(300*time.Millisecond, name)
+			day.restartAfter(300*time.Millisecond, name)
 		})
 	})
 	day.At(12*time.Second, func() { day.closed[name] = false })
 	return true
 }
 
-func (day *day) press(change func(crowd *Crowd)) bool {
-	crowd := day.Plan.Callers[day.draw.IntN(len(day.Plan.Callers))]
-	crowd.Name, crowd.From, crowd.Until = fmt.Sprint("day-", day.draw.Uint32(), "-", crowd.Name), 0, day.Now()+day.span(2*time.Second, 10*time.Second)
+func (day *day) addCallers(change func(crowd *Crowd)) bool {
+	crowd := day.Plan.Callers[day.rng.IntN(len(day.Plan.Callers))]
+	crowd.Name, crowd.From, crowd.Until = fmt.Sprint("day-", day.rng.Uint32(), "-", crowd.Name), 0, day.Now()+day.span(2*time.Second, 10*time.Second)
 	crowd.Every = min(crowd.Every/4, 60*time.Millisecond)
 	change(&crowd)
 	day.crowd(&crowd)
@@ -235,13 +235,13 @@
 	if len(up) == 0 {
 		return false
 	}
-	name := day.one(up)
+	name := day.choose(up)
 	change(day.Node(name).Disk)
 	day.At(day.span(time.Second, 9*time.Second), func() {
 		restore(day.Node(name).Disk)
 		if isDying && day.Node(name).Up() {
 			day.Crash(name)
-			day.back(500*time.Millisecond, name)
+			day.restartAfter(500*time.Millisecond, name)
 		}
 	})
 	return true
@@ -249,12 +249,12 @@
 
 // handover starts a run to a version that is good, or bad in a drawn way.
 func (day *day) handover(isBad bool) bool {
-	if isBad && day.isBad {
+	if isBad && day.hasBadVersion {
 		return false
 	}
-	version := fmt.Sprint("v", day.draw.IntN(1000)+2)
+	version := fmt.Sprint("v", day.rng.IntN(1000)+2)
 	if isBad {
-		how := []Way{Errs, Cut, Empty, Garbled}[day.draw.IntN(4)]
+		how := []Way{Errs, Cut, Empty, Garbled}[day.rng.IntN(4)]
 		fails := func(held, _ string, _ int) bool { return held == "bad" }
 		for index := range day.Plan.Replicas {
 			day.Plan.Replicas[index].Bad, day.Plan.Replicas[index].How = fails, how
@@ -265,15 +265,15 @@
 		version = "bad"
 	}
 	return day.operate(func(daemon *controlplane.Daemon) {
-		if isBad && !day.isBad {
-			day.isBad, day.facts.Bad, day.facts.BadFrom = true, version, day.Now()
+		if isBad && !day.hasBadVersion {
+			day.hasBadVersion, day.facts.Bad, day.facts.BadFrom = true, version, day.Now()
 		}
 		_, _ = daemon.Handover(fmt.Sprint("day-", version, "-", day.Now().Milliseconds()), day.Model, version, nil)
 	})
 }
 
-// moves notes when a region's route is first seen to have moved to the bad version.
-func (day *day) moves() {
+// watchRouting notes when a region's route is first seen to have moved to the bad version.
+func (day *day) watchRouting() {
 	for _, name := range day.datas() {
 		for region, one := range day.Datas[name].Holder.View().RoutingTables {
 			for _, row := range one.Rows {
@@ -283,20 +283,20 @@
 			}
 		}
 	}
-	day.At(lookEvery, day.moves)
+	day.At(observeInterval, day.watchRouting)
 }
 
 // Events are all that a day may be made of.
 var Events = []Event{
-	{"data daemon killed", func(day *day) bool { return day.fall(day.datas(), 300*time.Millisecond, 5*time.Second) }},
-	{"control daemon killed", func(day *day) bool { return day.fall(day.controls(), 300*time.Millisecond, 8*time.Second) }},
-	{"replica killed", func(day *day) bool { return day.fall(day.ids(), 300*time.Millisecond, 8*time.Second) }},
+	{"data daemon killed", func(day *day) bool { return day.crashOne(day.datas(), 300*time.Millisecond, 5*time.Second) }},
+	{"control daemon killed", func(day *day) bool { return day.crashOne(day.controls(), 300*time.Millisecond, 8*time.Second) }},
+	{"replica killed", func(day *day) bool { return day.crashOne(day.ids(), 300*time.Millisecond, 8*time.Second) }},
 	{"daemons killed in a herd", func(day *day) bool {
 		up := day.running(day.daemons())
-		day.draw.Shuffle(len(up), func(a, b int) { up[a], up[b] = up[b], up[a] })
+		day.rng.Shuffle(len(up), func(a, b int) { up[a], up[b] = up[b], up[a] })
 		for _, name := range up[:len(up)/2] {
 			day.Crash(name)
-			day.back(day.span(300*time.Millisecond, 5*time.Second), name)
+			day.restartAfter(day.span(300*time.Millisecond, 5*time.Second), name)
 		}
 		return len(up) > 1
 	}},
@@ -304,25 +304,25 @@
 	{"data daemon frozen", func(day *day) bool { return day.freeze(day.datas(), 9*time.Second) }},
 	{"control daemon frozen", func(day *day) bool { return day.freeze(day.controls(), 9*time.Second) }},
 	{"replica frozen", func(day *day) bool { return day.freeze(day.ids(), 9*time.Second) }},
-	{"a machine parted", func(day *day) bool { return day.part([]string{day.one(append(day.daemons(), day.ids()...))}) }},
-	{"core machine parted", func(day *day) bool { return day.part([]string{day.one(day.seeds())}) }},
+	{"a machine parted", func(day *day) bool { return day.partition([]string{day.choose(append(day.daemons(), day.ids()...))}) }},
+	{"core machine parted", func(day *day) bool { return day.partition([]string{day.choose(day.seeds())}) }},
 	{"region parted", func(day *day) bool {
-		inside, _ := day.inRegion(day.one(day.Regions()))
-		return day.part(inside)
+		inside, _ := day.inRegion(day.choose(day.Regions()))
+		return day.partition(inside)
 	}},
 	{"region lost", func(day *day) bool {
-		inside, _ := day.inRegion(day.one(day.Regions()))
+		inside, _ := day.inRegion(day.choose(day.Regions()))
 		ends := day.Lose(inside)
-		day.back(day.span(time.Second, 8*time.Second), ends...)
+		day.restartAfter(day.span(time.Second, 8*time.Second), ends...)
 		return len(ends) > 0
 	}},
 	{"everything lost", func(day *day) bool {
-		if day.draw.IntN(4) > 0 {
+		if day.rng.IntN(4) > 0 {
 			return false
 		}
 		ends := day.Lose(day.NodeNames())
 		for _, name := range ends {
-			day.back(day.span(500*time.Millisecond, 3*time.Second), name)
+			day.restartAfter(day.span(500*time.Millisecond, 3*time.Second), name)
 		}
 		return true
 	}},
@@ -338,14 +338,14 @@
 	}},
 	{"disk lost", func(day *day) bool {
 		up := day.running(day.seeds())
-		if day.isLost || len(up) < 3 {
+		if day.isDiskLost || len(up) < 3 {
 			return false
 		}
-		day.isLost = true
-		name := day.one(up)
+		day.isDiskLost = true
+		name := day.choose(up)
 		day.Crash(name)
 		day.Node(name).Disk.Wipe()
-		day.back(day.span(300*time.Millisecond, 3*time.Second), name)
+		day.restartAfter(day.span(300*time.Millisecond, 3*time.Second), name)
 		return true
 	}},
 	{"calls mistreated", func(day *day) bool {
@@ -356,26 +356,26 @@
 	{"a configuration", func(day *day) bool { return day.operate(day.apply) }},
 	{"homes change", func(day *day) bool {
 		return day.operate(func(daemon *controlplane.Daemon) {
-			if day.narrowed = !day.narrowed; day.narrowed {
-				day.Document = narrow(day.wide)
+			if day.isNarrowed = !day.isNarrowed; day.isNarrowed {
+				day.Document = narrowHomes(day.wideDocument)
 			} else {
-				day.Document = day.wide
+				day.Document = day.wideDocument
 			}
 			day.apply(daemon)
 		})
 	}},
 	{"a zone evacuated", func(day *day) bool {
-		if day.out != "" {
+		if day.evacuatedZone != "" {
 			return false
 		}
-		day.out = day.zones[day.one(day.datas())]
-		if !day.evacuate(day.out, false) {
-			day.out = ""
+		day.evacuatedZone = day.zones[day.choose(day.datas())]
+		if !day.evacuate(day.evacuatedZone, false) {
+			day.evacuatedZone = ""
 			return false
 		}
 		return true
 	}},
-	{"a zone handed back", func(day *day) bool { return day.out != "" && day.evacuate(day.out, true) }},
+	{"a zone handed back", func(day *day) bool { return day.evacuatedZone != "" && day.evacuate(day.evacuatedZone, true) }},
 	{"a replica leaves", (*day).leave},
 	{"a handover", func(day *day) bool { return day.handover(false) }},
 	{"a bad version", func(day *day) bool { return day.handover(true) }},
@@ -384,21 +384,21 @@
 			_, _ = daemon.Objects.Rollback(day.Model, nil, 10*time.Second)
 		})
 	}},
-	{"a crowd", func(day *day) bool { return day.press(func(*Crowd) {}) }},
+	{"a crowd", func(day *day) bool { return day.addCallers(func(*Crowd) {}) }},
 	{"an eager crowd", func(day *day) bool {
-		return day.press(func(crowd *Crowd) { crowd.Eager, crowd.Retries = true, 6 })
+		return day.addCallers(func(crowd *Crowd) { crowd.Eager, crowd.Retries = true, 6 })
 	}},
 	{"a hasty crowd", func(day *day) bool {
-		return day.press(func(crowd *Crowd) {
+		return day.addCallers(func(crowd *Crowd) {
 			crowd.Hasty, crowd.Eager, crowd.Every = true, true, 200*time.Millisecond
 		})
 	}},
 	{"callers astray", func(day *day) bool {
-		return day.press(func(crowd *Crowd) { crowd.Astray, crowd.Home = true, day.anyHome() })
+		return day.addCallers(func(crowd *Crowd) { crowd.Astray, crowd.Home = true, day.anyHome() })
 	}},
-	{"long answers", func(day *day) bool { return day.press(func(crowd *Crowd) { crowd.Tokens *= 12 }) }},
+	{"long answers", func(day *day) bool { return day.addCallers(func(crowd *Crowd) { crowd.Tokens *= 12 }) }},
 	{"a region slows", func(day *day) bool {
-		region := day.one(day.Regions())
+		region := day.choose(day.Regions())
 		pace := func(slower float64) {
 			for _, name := range day.ids() {
 				if Region(day.zones[name]) == region {
@@ -412,8 +412,8 @@
 	}},
 	{"clocks part", func(day *day) bool {
 		for _, name := range day.daemons() {
-			day.Node(name).SetClockRate(float64(day.draw.IntN(5)-2) / 100)
-			day.Node(name).Skew = time.Duration(day.draw.IntN(7200)-3600) * time.Second
+			day.Node(name).SetClockRate(float64(day.rng.IntN(5)-2) / 100)
+			day.Node(name).Skew = time.Duration(day.rng.IntN(7200)-3600) * time.Second
 		}
 		return true
 	}},
@@ -422,15 +422,15 @@
 // Day runs a day of so many events within the span, drawn from the seed, and mends
 // everything after it. It tells which began, in order.
 func (park *Park) Day(facts *Facts, seed uint64, count int, span time.Duration) []string {
-	day := &day{Park: park, facts: facts, draw: rand.New(rand.NewPCG(seed, 9)), wide: park.Document}
+	day := &day{Park: park, facts: facts, rng: rand.New(rand.NewPCG(seed, 9)), wideDocument: park.Document}
 	began := park.Now()
 	facts.Moved = map[string]time.Duration{}
-	day.moves()
+	day.watchRouting()
 	for index := 0; index < count; index++ {
-		event := Events[day.draw.IntN(len(Events))]
+		event := Events[day.rng.IntN(len(Events))]
 		day.At(day.span(0, span), func() {
 			if event.Run(day) {
-				day.passed = append(day.passed, fmt.Sprintf("%s at %v", event.Name, (day.Now()-began).Round(10*time.Millisecond)))
+				day.started = append(day.started, fmt.Sprintf("%s at %v", event.Name, (day.Now()-began).Round(10*time.Millisecond)))
 			}
 		})
 	}
@@ -447,20 +447,20 @@
 				return false
 			}
 		}
-		return !day.isBusy
+		return !day.isOperatorBusy
 	}))
-	if day.isLost {
+	if day.isDiskLost {
 		for _, name := range park.seeds() {
 			if !isVoter(park, name) {
 				facts.Need("readmit "+name, park.Readd(name))
 			}
 		}
 	}
-	if day.out != "" {
-		facts.Need("hand back", park.Evacuate(facts, day.out, true))
+	if day.evacuatedZone != "" {
+		facts.Need("hand back", park.Evacuate(facts, day.evacuatedZone, true))
 	}
 	facts.Need("a configuration in the end", park.Apply(facts, park.control()))
-	return day.passed
+	return day.started
 }
 
 // isVoter tells whether the machine's present acceptor is in the core, as any
--- a/fleet/explain.go
+++ b/fleet/explain.go
@@ -38,8 +38,8 @@
 // causes in the order of the table.
 var causes = []Cause{CauseTriedBefore, CauseHeld, CauseTooLong, CauseReadAgain, CauseQueuedAtOwner, CauseFar, CauseQueued}
 
-// farWay is what a way to another region and back is taken for, where it decides.
-const farWay = 110 * time.Millisecond
+// interRegionRoundTrip is what a way to another region and back is taken for, where it decides.
+const interRegionRoundTrip = 110 * time.Millisecond
 
 // ReadChoices takes the choices out of a log, whose lines may have something before the JSON.
 // Lines that are no choices are passed over.
@@ -131,7 +131,7 @@
 		return CauseReadAgain
 	case choice.Rank == decide.RankOwner:
 		return CauseQueuedAtOwner
-	case choice.Region != choice.From && choice.First-farWay <= choice.Target:
+	case choice.Region != choice.From && choice.First-interRegionRoundTrip <= choice.Target:
 		return CauseFar
 	}
 	return CauseQueued
--- a/fleet/faults.go
+++ b/fleet/faults.go
@@ -14,55 +14,57 @@
 	"swifttiller/sim"
 )
 
-// Fault is something that goes wrong, or an operator's work, put into a running
-// park. It may let time pass and fills in the facts that checkers need.
+// Fault is a failure, or an operator's action, that is injected into a running simulated cluster.
+// It may let time pass, and fills in the facts that checkers need.
 type Fault struct {
 	Name string
-	// Planned faults may lose no request.
+	// Planned faults are maintenance, during which no request may be lost.
 	Planned bool
-	// Run brings it about. What has to have happened for it to be one is stated
-	// by facts.Need; what did not makes the run vacuous, which is a failure.
+	// Run injects the fault. It states with facts.Need and facts.Must what has to happen for
+	// the fault to be one; if any of it did not, the run proves nothing, which is a failure.
 	Run func(park *Park, facts *Facts)
-	// Judges are the rules that must have had cases to judge in such a run.
+	// Judges are the rules that must have judged at least one case in such a run.
 	Judges []string
 }
 
-// Need notes what did not happen that had to.
-func (facts *Facts) Need(what string, err error) {
+// Need records a step that the run depends on and that failed.
+func (facts *Facts) Need(step string, err error) {
 	if err != nil {
-		facts.Missed = append(facts.Missed, fmt.Errorf("%s: %w", what, err))
+		facts.Missed = append(facts.Missed, fmt.Errorf("%s: %w", step, err))
 	}
 }
 
-// Must notes that something was not so that had to be.
-func (facts *Facts) Must(what string, isIt bool) {
-	if !isIt {
-		facts.Missed = append(facts.Missed, errors.New(what))
+// Must records a condition that the run depends on and that did not hold.
+func (facts *Facts) Must(condition string, holds bool) {
+	if !holds {
+		facts.Missed = append(facts.Missed, errors.New(condition))
 	}
 }
 
-func (park *Park) pick(words []string) string {
-	name, _ := split(words[park.Draw(int64(len(words)))])
+// pick draws one of the machines, given as name:zone, and returns its name.
+func (park *Park) pick(specs []string) string {
+	name, _ := split(specs[park.Draw(int64(len(specs)))])
 	return name
 }
 
+// anyReplica draws a replica.
 func (park *Park) anyReplica() string {
 	names := park.ids()
 	return names[park.Draw(int64(len(names)))]
 }
 
-// control gives a running control daemon that isn't frozen.
+// control returns the first running control daemon that is not frozen.
 func (park *Park) control() string {
-	for _, word := range park.Plan.Controls {
-		if name, _ := split(word); park.Node(name).Up() && !park.Node(name).Frozen() {
+	for _, spec := range park.Plan.Controls {
+		if name, _ := split(spec); park.Node(name).Up() && !park.Node(name).Frozen() {
 			return name
 		}
 	}
 	panic("no control daemon runs")
 }
 
-// Acknowledge notes a configuration's acknowledgement by the daemon, and the
-// contents that it was given for.
+// acknowledge records that the daemon acknowledged a document version, and a hash of the
+// version's contents if it is still the current one.
 func (park *Park) acknowledge(facts *Facts, daemon *controlplane.Daemon, serial uint64) {
 	if facts.Acked == nil {
 		facts.Acked = map[uint64]Ack{}
@@ -74,55 +76,55 @@
 	facts.Acked[serial] = ack
 }
 
-// Vary gives the plan's document with a difference from every one before.
+// Vary returns the plan's document with a setting that differs from every earlier variant.
 func (park *Park) Vary() []byte {
 	park.varied++
 	return []byte(strings.Replace(park.Document, `"limits":{`, fmt.Sprintf(`"limits":{"archive_ms":%d,`, 21600000+park.varied), 1))
 }
 
-// Apply applies the plan's document anew, with a difference.
+// Apply applies a new variant of the plan's document.
 func (park *Park) Apply(facts *Facts, at string) error {
 	return park.ApplyExpecting(facts, at, nil)
 }
 
-// ApplyExpecting is Apply with an expectation of the current serial. It notes the
-// homes that the document has.
+// ApplyExpecting is Apply with a precondition on the current document version. It records the
+// document's homes.
 func (park *Park) ApplyExpecting(facts *Facts, at string, expect *uint64) error {
 	document := park.Vary()
 	homes := park.homesOf(document)
-	asked := park.Now()
+	submitted := park.Now()
 	return park.Do(at, 20*time.Second, func(daemon *controlplane.Daemon) error {
 		applied, err := daemon.Apply(document, expect, false)
 		if err == nil {
 			park.acknowledge(facts, daemon, applied.Serial)
-			facts.Homes = append(facts.Homes, Homes{From: asked, Since: park.Now(), Of: homes})
+			facts.Homes = append(facts.Homes, Homes{From: submitted, Since: park.Now(), Of: homes})
 		}
 		return err
 	})
 }
 
-// homesOf reads the homes of a document.
+// homesOf returns the regions of each home tag in a document.
 func (park *Park) homesOf(document []byte) map[string][]string {
 	tree, problems := settings.Parse(document)
 	if len(problems) > 0 {
 		panic(problems.Error())
 	}
-	out := map[string][]string{}
+	homes := map[string][]string{}
 	leaves, _ := tree.Effective("")
 	for key := range leaves {
 		if tag, isHome := strings.CutPrefix(key, "homes."); isHome {
-			out[tag], _ = tree.Homes(tag, "")
+			homes[tag], _ = tree.Homes(tag, "")
 		}
 	}
-	return out
+	return homes
 }
 
-// Start gives the facts that hold before anything is done.
+// Begin returns the facts that hold before anything is done.
 func (park *Park) Begin() Facts {
 	return Facts{From: park.Now(), Homes: []Homes{{Of: park.homesOf([]byte(park.Document))}}}
 }
 
-// Evacuate takes a zone out, or hands it back.
+// Evacuate takes a zone out of service, or hands it back.
 func (park *Park) Evacuate(facts *Facts, zone string, back bool) error {
 	if back {
 		for index := range facts.Evacuated {
@@ -143,20 +145,20 @@
 	})
 }
 
-// StopData is a planned stop of a data daemon, and its return.
+// StopData stops a data daemon as planned maintenance does. The caller starts it again.
 func (park *Park) StopData(name string) {
 	done := false
 	daemon := park.Datas[name]
 	park.Node(name).Go(func() { daemon.Stop(8 * time.Second); done = true })
 	park.Until(10*time.Second, func() bool { return done })
-	// The listener closes; what came before gets its answer.
+	// Close the listener; requests that were accepted before still get their answers.
 	park.closed[name] = true
 	park.Run(200 * time.Millisecond)
 	park.closed[name] = false
 	park.Crash(name)
 }
 
-// StopControl is a planned stop of a control daemon.
+// StopControl stops a control daemon as planned maintenance does.
 func (park *Park) StopControl(name string) {
 	done := false
 	daemon := park.Controls[name]
@@ -165,18 +167,18 @@
 	park.Crash(name)
 }
 
-// Lose crashes all of the named that run, callers aside, and tells which.
-func (park *Park) Lose(names []string) (ends []string) {
+// Lose crashes those of the named nodes that run, except callers, and returns their names.
+func (park *Park) Lose(names []string) (crashed []string) {
 	for _, name := range names {
 		if park.Node(name).Up() && !strings.HasPrefix(name, "caller") {
 			park.Crash(name)
-			ends = append(ends, name)
+			crashed = append(crashed, name)
 		}
 	}
-	return ends
+	return crashed
 }
 
-// Return starts the named again, whatever they are; replicas come back cold.
+// Return restarts the named nodes of any kind. Replicas come back with a cold cache.
 func (park *Park) Return(names []string) {
 	for _, name := range names {
 		switch {
@@ -192,8 +194,8 @@
 	}
 }
 
-// Replace ends a replica as platforms do: it is marked, gets a short grace, and
-// comes back under its name, cold.
+// Replace ends a replica as hosting platforms do: it is marked as leaving, gets the grace period,
+// and comes back under its name three seconds later, cold.
 func (park *Park) Replace(name string) {
 	options := park.Replicas[name].ReplicaOptions
 	park.Replicas[name].Leave()
@@ -206,7 +208,8 @@
 	park.Platform.Add(Region(options.Zone), name, name, options.Zone)
 }
 
-func (park *Park) rest(name string) (others []string) {
+// othersThan returns all nodes but the named one.
+func (park *Park) othersThan(name string) (others []string) {
 	for _, other := range park.NodeNames() {
 		if other != name {
 			others = append(others, other)
@@ -215,6 +218,7 @@
 	return others
 }
 
+// inRegion splits the nodes into those of the region and all others.
 func (park *Park) inRegion(region string) (inside, outside []string) {
 	for _, name := range park.NodeNames() {
 		if Region(park.zones[name]) == region {
@@ -229,7 +233,7 @@
 func firstZone(park *Park) string { return park.Plan.Replicas[0].Zone }
 func lastZone(park *Park) string  { return park.Plan.Replicas[len(park.Plan.Replicas)-1].Zone }
 
-// Faults are all that is tried, singly and in pairs.
+// Faults are all faults that are tested, singly and in pairs.
 var Faults = []Fault{
 	{"configuration storm", true, func(park *Park, facts *Facts) {
 		for turn := 0; turn < 6; turn++ {
@@ -256,8 +260,8 @@
 	}, []string{"old config"}},
 	{"evacuation and hand-back", true, func(park *Park, facts *Facts) {
 		zone := lastZone(park)
-		// Some callers of the zone come back, with the ticket that they kept, only
-		// when the bound is over.
+		// Some callers of the zone return only after EvacuatedBound, with a ticket that
+		// they got before the evacuation.
 		idle := park.Plan.Callers[len(park.Plan.Callers)-1]
 		idle.Name, idle.Zone, idle.Lanes, idle.Every, idle.Until = fmt.Sprint("idle-", park.Now().Milliseconds()), zone, 14, 500*time.Millisecond, park.Now()+24*time.Second
 		park.crowd(&idle)
@@ -267,8 +271,8 @@
 		facts.Need("evacuate", park.Evacuate(facts, zone, true))
 	}, []string{"evacuated", "lost"}},
 	{"data daemons restarted one by one", true, func(park *Park, facts *Facts) {
-		for _, word := range park.Plan.Datas[:3] {
-			name, _ := split(word)
+		for _, spec := range park.Plan.Datas[:3] {
+			name, _ := split(spec)
 			park.StopData(name)
 			park.Run(500 * time.Millisecond)
 			park.StartData(name)
@@ -276,8 +280,8 @@
 		}
 	}, []string{"lost", "fallback"}},
 	{"control daemons restarted one by one", true, func(park *Park, facts *Facts) {
-		for _, word := range park.Plan.Controls {
-			name, _ := split(word)
+		for _, spec := range park.Plan.Controls {
+			name, _ := split(spec)
 			if !park.Node(name).Up() {
 				continue
 			}
@@ -302,9 +306,9 @@
 	}, nil},
 	{"replica goes dark", false, func(park *Park, facts *Facts) {
 		name := park.anyReplica()
-		park.Split([]string{name}, park.rest(name), true)
+		park.Split([]string{name}, park.othersThan(name), true)
 		park.Run(6 * time.Second)
-		park.Split([]string{name}, park.rest(name), false)
+		park.Split([]string{name}, park.othersThan(name), false)
 	}, nil},
 	{"replica freezes", false, func(park *Park, facts *Facts) { park.Freeze(park.anyReplica(), 5*time.Second) }, nil},
 	{"data daemon killed", false, func(park *Park, facts *Facts) {
@@ -314,13 +318,13 @@
 		park.StartData(name)
 	}, nil},
 	{"herd of data daemons killed", false, func(park *Park, facts *Facts) {
-		for _, word := range park.Plan.Datas[1:] {
-			name, _ := split(word)
+		for _, spec := range park.Plan.Datas[1:] {
+			name, _ := split(spec)
 			park.Crash(name)
 		}
 		park.Run(3 * time.Second)
-		for _, word := range park.Plan.Datas[1:] {
-			name, _ := split(word)
+		for _, spec := range park.Plan.Datas[1:] {
+			name, _ := split(spec)
 			park.StartData(name)
 		}
 	}, nil},
@@ -330,22 +334,22 @@
 		facts.Need("apply", park.Apply(facts, park.control()))
 	}, []string{"old config", "fallback"}},
 	{"data daemon frozen over one configuration, and cut off over the next", false, func(park *Park, facts *Facts) {
-		// The first one's offer waits in its line; of the second it hears nothing.
+		// The first configuration is delivered when the daemon resumes; the second cannot reach it.
 		name := park.pick(park.Plan.Datas)
 		park.Freeze(name, 7*time.Second)
 		park.Run(300 * time.Millisecond)
 		facts.Need("apply", park.Apply(facts, park.control()))
 		park.Split([]string{name}, park.controls(), true)
 		facts.Need("apply", park.Apply(facts, park.control()))
-		facts.Must("it sleeps over both", park.Node(name).Frozen())
+		facts.Must("the daemon is frozen during both applies", park.Node(name).Frozen())
 		park.Run(5 * time.Second)
 		park.Split([]string{name}, park.controls(), false)
 	}, []string{"old config", "fallback"}},
 	{"data daemon cut off over an evacuation", false, func(park *Park, facts *Facts) {
 		name := park.pick(park.Plan.Datas)
 		var controls []string
-		for _, word := range append(append([]string{}, park.Plan.Controls...), park.Plan.Diskless...) {
-			control, _ := split(word)
+		for _, spec := range append(append([]string{}, park.Plan.Controls...), park.Plan.Diskless...) {
+			control, _ := split(spec)
 			controls = append(controls, control)
 		}
 		park.Split([]string{name}, controls, true)
@@ -366,11 +370,11 @@
 	}, nil},
 	{"one way cut", false, func(park *Park, facts *Facts) {
 		name, _ := split(park.Plan.Controls[park.Draw(3)])
-		for _, other := range park.rest(name) {
+		for _, other := range park.othersThan(name) {
 			park.Cut(name, other, true)
 		}
 		park.Run(5 * time.Second)
-		for _, other := range park.rest(name) {
+		for _, other := range park.othersThan(name) {
 			park.Cut(name, other, false)
 		}
 	}, nil},
@@ -381,7 +385,7 @@
 		park.Split([]string{a}, []string{b, c}, true)
 		park.Run(5 * time.Second)
 		facts.Need("apply", park.Apply(facts, b))
-		// One that begins beside the cut-off acceptor must not take its word.
+		// A daemon that starts next to the isolated acceptor must not adopt that acceptor's state.
 		lonely := fmt.Sprint("lonely-", park.Now().Milliseconds())
 		park.zones[lonely] = park.zones[a]
 		park.SeedsOf = map[string][]string{lonely: {a}}
@@ -423,8 +427,8 @@
 		facts.Need("readmit", park.Readd(name))
 	}, nil},
 	{"core machines replaced in turn", true, func(park *Park, facts *Facts) {
-		for _, word := range park.Plan.Controls {
-			name, _ := split(word)
+		for _, spec := range park.Plan.Controls {
+			name, _ := split(spec)
 			if !park.Node(name).Up() {
 				continue
 			}
@@ -448,8 +452,8 @@
 		park.StartControl(fresh)
 		park.Run(4 * time.Second)
 		at := park.control()
-		facts.Must("the new machine has the old one's vote, without an operator", park.Votes(fresh) && len(park.Controls[at].Core().Members) == 3)
-		// The new core decides without the old machine, and one more lost.
+		facts.Must("the new machine replaces the old one in the core without an operator", park.Votes(fresh) && len(park.Controls[at].Core().Members) == 3)
+		// The new core must have a quorum without the old machine.
 		facts.Need("apply", park.Apply(facts, at))
 	}, nil},
 	{"seeds swapped", false, func(park *Park, facts *Facts) {
@@ -464,45 +468,45 @@
 		park.Run(4 * time.Second)
 	}, nil},
 	{"one machine isolated", false, func(park *Park, facts *Facts) {
-		words := append(append([]string{}, park.Plan.Controls...), park.Plan.Datas...)
-		name := park.pick(words)
-		park.Split([]string{name}, park.rest(name), true)
+		specs := append(append([]string{}, park.Plan.Controls...), park.Plan.Datas...)
+		name := park.pick(specs)
+		park.Split([]string{name}, park.othersThan(name), true)
 		park.Run(6 * time.Second)
-		park.Split([]string{name}, park.rest(name), false)
+		park.Split([]string{name}, park.othersThan(name), false)
 	}, nil},
 	{"region lost and back", false, func(park *Park, facts *Facts) {
 		inside, _ := park.inRegion(Region(lastZone(park)))
-		ends := park.Lose(inside)
+		crashed := park.Lose(inside)
 		park.Run(8 * time.Second)
-		park.Return(ends)
+		park.Return(crashed)
 		park.Run(4 * time.Second)
 	}, []string{"flooded", "fallback"}},
 	{"whole region slows", false, func(park *Park, facts *Facts) {
-		for name, one := range park.Replicas {
+		for name, replica := range park.Replicas {
 			if park.zones[name] == firstZone(park) {
-				one.Slower = 4
+				replica.Slower = 4
 			}
 		}
 		park.Run(8 * time.Second)
-		for _, one := range park.Replicas {
-			one.Slower = 1
+		for _, replica := range park.Replicas {
+			replica.Slower = 1
 		}
 	}, nil},
 	{"replicas taken at short notice", true, func(park *Park, facts *Facts) {
-		// Several at once, with the platform's grace and no more.
-		for _, one := range park.Plan.Replicas[:2] {
-			park.Replicas[one.ID].Leave()
-			park.LeaveByPlatform(one.ID)
+		// Two at once, with no more than the platform's grace period.
+		for _, replica := range park.Plan.Replicas[:2] {
+			park.Replicas[replica.ID].Leave()
+			park.LeaveByPlatform(replica.ID)
 		}
 		park.Run(park.Grace)
-		for _, one := range park.Plan.Replicas[:2] {
-			park.Crash(one.ID)
-			park.Platform.Remove(one.ID)
+		for _, replica := range park.Plan.Replicas[:2] {
+			park.Crash(replica.ID)
+			park.Platform.Remove(replica.ID)
 		}
 		park.Run(6 * time.Second)
-		for _, one := range park.Plan.Replicas[:2] {
-			park.StartReplica(one)
-			park.Platform.Add(Region(one.Zone), one.ID, one.ID, one.Zone)
+		for _, replica := range park.Plan.Replicas[:2] {
+			park.StartReplica(replica)
+			park.Platform.Add(Region(replica.Zone), replica.ID, replica.ID, replica.Zone)
 		}
 	}, nil},
 	{"crowd", false, func(park *Park, facts *Facts) {
@@ -528,106 +532,107 @@
 		park.Run(8 * time.Second)
 	}, nil},
 	{"replica lingers, known by the list only", true, func(park *Park, facts *Facts) {
-		one := park.Used()
-		park.LeaveByPlatform(one.ID)
+		replica := park.Used()
+		park.LeaveByPlatform(replica.ID)
 		park.Run(park.Lag + 14*time.Second)
-		park.swap(one)
+		park.replaceReplica(replica)
 	}, []string{"leaving", "lost"}},
 	{"replica lingers, known by its probes only", true, func(park *Park, facts *Facts) {
-		one := park.Used()
-		park.Replicas[one.ID].Lingers = true
-		park.Replicas[one.ID].Leave()
+		replica := park.Used()
+		park.Replicas[replica.ID].Lingers = true
+		park.Replicas[replica.ID].Leave()
 		park.Run(14 * time.Second)
-		park.swap(one)
+		park.replaceReplica(replica)
 	}, []string{"leaving", "lost"}},
 	{"replica lingers and whoever knows of it dies", false, func(park *Park, facts *Facts) {
-		// Its word gets to one daemon, once, by the list.
-		one := park.Used()
-		park.LeaveByPlatform(one.ID)
-		key := one.ID + "/" + park.Replicas[one.ID].Boot
+		// Only one daemon learns of the termination, from the platform's list.
+		replica := park.Used()
+		park.LeaveByPlatform(replica.ID)
+		key := replica.ID + "/" + park.Replicas[replica.ID].Boot
 		for spent := time.Duration(0); spent < 10*time.Second && park.Learned[key] == 0; spent += 2 * time.Millisecond {
 			park.Run(2 * time.Millisecond)
 		}
-		holder := park.Holder(Region(one.Zone))
-		facts.Must("somebody knew of the replica's end", park.Learned[key] > 0 && holder != "")
-		if holder != "" {
-			park.Crash(holder)
+		leader := park.Holder(Region(replica.Zone))
+		facts.Must("a daemon learned of the replica's termination, and the region has a leader", park.Learned[key] > 0 && leader != "")
+		if leader != "" {
+			park.Crash(leader)
 			park.Run(14 * time.Second)
-			park.StartControl(holder)
+			park.StartControl(leader)
 		}
-		park.swap(one)
+		park.replaceReplica(replica)
 	}, []string{"leaving"}},
 	{"all control daemons killed at once", false, func(park *Park, facts *Facts) {
-		ends := park.Lose(park.controls())
+		crashed := park.Lose(park.controls())
 		park.Run(1 * time.Second)
-		park.Return(ends)
+		park.Return(crashed)
 		park.Run(6 * time.Second)
 	}, []string{"fallback"}},
 	{"two of three core machines lost and back", false, func(park *Park, facts *Facts) {
 		facts.Need("apply", park.Apply(facts, park.control()))
-		ends := park.Lose(park.seeds()[:2])
+		crashed := park.Lose(park.seeds()[:2])
 		park.Run(7 * time.Second)
-		park.Return(ends)
+		park.Return(crashed)
 		park.Run(6 * time.Second)
 		facts.Need("apply", park.Apply(facts, park.control()))
 	}, []string{"old config", "fallback"}},
 	{"three-way core split", false, func(park *Park, facts *Facts) {
-		park.shatter(true)
+		park.splitCore(true)
 		park.Run(4 * time.Second)
-		facts.Must("no majority, and yet a configuration was acknowledged", park.Apply(&Facts{}, park.seeds()[0]) != nil)
-		park.shatter(false)
+		facts.Must("no configuration is acknowledged without a majority", park.Apply(&Facts{}, park.seeds()[0]) != nil)
+		park.splitCore(false)
 		park.Run(4 * time.Second)
 		facts.Need("apply", park.Apply(facts, park.control()))
 	}, []string{"old config"}},
 	{"a replica's end is learned while core machines can't reach each other", false, func(park *Park, facts *Facts) {
-		park.endUnwritten(facts, func() { park.shatter(true) }, func() { park.shatter(false) })
+		park.terminateUnrecorded(facts, func() { park.splitCore(true) }, func() { park.splitCore(false) })
 	}, []string{"leaving"}},
 	{"a replica's end is learned while two core machines are down", false, func(park *Park, facts *Facts) {
-		holder := park.Holder(Region(firstZone(park)))
-		facts.Must("the region's duty is held", holder != "")
-		var ends []string
+		leader := park.Holder(Region(firstZone(park)))
+		facts.Must("the region has a leader", leader != "")
+		var crashed []string
 		for _, name := range park.seeds() {
-			if name != holder && len(ends) < 2 {
-				ends = append(ends, name)
+			if name != leader && len(crashed) < 2 {
+				crashed = append(crashed, name)
 			}
 		}
-		park.endUnwritten(facts, func() { park.Lose(ends) }, func() { park.Return(ends) })
+		park.terminateUnrecorded(facts, func() { park.Lose(crashed) }, func() { park.Return(crashed) })
 	}, []string{"leaving"}},
 	{"core machines can't reach each other while a region's replicas begin anew", false, func(park *Park, facts *Facts) {
-		holder := park.Holder(Region(firstZone(park)))
-		facts.Must("the region's duty is held", holder != "")
-		park.shatter(true)
+		leader := park.Holder(Region(firstZone(park)))
+		facts.Must("the region has a leader", leader != "")
+		park.splitCore(true)
 		park.Run(1500 * time.Millisecond)
-		var ends []string
-		for _, one := range park.Plan.Replicas {
-			if one.Zone == firstZone(park) {
-				ends = append(ends, one.ID)
-				park.Crash(one.ID)
+		var crashed []string
+		for _, replica := range park.Plan.Replicas {
+			if replica.Zone == firstZone(park) {
+				crashed = append(crashed, replica.ID)
+				park.Crash(replica.ID)
 			}
 		}
 		park.Run(time.Second)
-		park.Return(ends)
+		park.Return(crashed)
 		crowd := park.Plan.Callers[0]
 		crowd.Name, crowd.Every, crowd.Until = fmt.Sprint("again-", park.Now().Milliseconds()), crowd.Every/8, park.Now()+8*time.Second
 		park.crowd(&crowd)
 		park.Run(time.Duration(1500+park.Draw(3000)) * time.Millisecond)
-		park.shatter(false)
+		park.splitCore(false)
 		park.Run(6 * time.Second)
-		facts.Must("the holder lived through it", park.Node(holder).Up())
+		facts.Must("the leader is still running", park.Node(leader).Up())
 	}, []string{"flooded"}},
 	{"all core disks slow at once", true, func(park *Park, facts *Facts) {
-		park.disks(func(name string) { park.Node(name).Disk.SyncDelay = 400 * time.Millisecond })
-		// Whether it is decided in time may remain unknown; serving goes on.
+		park.eachCoreMachine(func(name string) { park.Node(name).Disk.SyncDelay = 400 * time.Millisecond })
+		// The outcome may stay unknown if no decision comes in time; requests must be served
+		// meanwhile.
 		_ = park.Apply(facts, park.control())
 		park.Run(8 * time.Second)
-		park.disks(func(name string) { park.Node(name).Disk.SyncDelay = 0 })
+		park.eachCoreMachine(func(name string) { park.Node(name).Disk.SyncDelay = 0 })
 		facts.Need("apply", park.Apply(facts, park.control()))
 	}, []string{"old config", "lost"}},
 	{"all core disks full at once", false, func(park *Park, facts *Facts) {
-		park.disks(func(name string) { park.Node(name).Disk.Full = true })
-		facts.Must("all disks are full, and yet a configuration was acknowledged", park.Apply(&Facts{}, park.control()) != nil)
+		park.eachCoreMachine(func(name string) { park.Node(name).Disk.Full = true })
+		facts.Must("no configuration is acknowledged while all disks are full", park.Apply(&Facts{}, park.control()) != nil)
 		park.Run(4 * time.Second)
-		park.disks(func(name string) {
+		park.eachCoreMachine(func(name string) {
 			park.Node(name).Disk.Full = false
 			park.Crash(name)
 			park.Run(500 * time.Millisecond)
@@ -651,7 +656,7 @@
 	{"data daemon's line flaps, one way", false, func(park *Park, facts *Facts) {
 		name := park.pick(park.Plan.Datas)
 		for turn := 0; turn < 12; turn++ {
-			for _, other := range park.rest(name) {
+			for _, other := range park.othersThan(name) {
 				if turn%4 < 2 {
 					park.Cut(name, other, turn%2 == 0)
 				} else {
@@ -673,9 +678,9 @@
 		park.Run(20 * time.Second)
 	}, []string{"old config", "fallback"}},
 	{"herd of replicas frozen", false, func(park *Park, facts *Facts) {
-		for index, one := range park.Plan.Replicas {
+		for index, replica := range park.Plan.Replicas {
 			if index%2 == 0 {
-				park.Freeze(one.ID, 6*time.Second)
+				park.Freeze(replica.ID, 6*time.Second)
 			}
 		}
 		park.Run(8 * time.Second)
@@ -695,7 +700,7 @@
 	{"calls lost, repeated and late", false, func(park *Park, facts *Facts) {
 		park.Faults = sim.NetworkFaults{Lost: 0.05, Duplicated: 0.1, Delayed: 0.1, MaxDelay: 1500 * time.Millisecond}
 		for turn := 0; turn < 3; turn++ {
-			// What got no answer is looked up, never guessed.
+			// An apply without a reply may or may not have taken effect.
 			if err := park.Apply(facts, park.control()); err != nil {
 				park.Run(time.Second)
 			}
@@ -706,7 +711,7 @@
 	}, []string{"old config"}},
 	{"homes narrowed under traffic", false, func(park *Park, facts *Facts) {
 		wide := park.Document
-		park.Document = narrow(park.Document)
+		park.Document = narrowHomes(park.Document)
 		facts.Must("the document has homes to narrow", park.Document != wide)
 		facts.Need("apply", park.Apply(facts, park.control()))
 		park.Run(8 * time.Second)
@@ -715,7 +720,7 @@
 	}, []string{"home", "old config"}},
 	{"the only home is evacuated", false, func(park *Park, facts *Facts) {
 		wide := park.Document
-		park.Document = narrow(park.Document)
+		park.Document = narrowHomes(park.Document)
 		facts.Need("apply", park.Apply(facts, park.control()))
 		zone := firstZone(park)
 		facts.Need("evacuate", park.Evacuate(facts, zone, false))
@@ -732,11 +737,11 @@
 			return count
 		}
 		before := spilled()
-		var ends []string
-		for _, one := range park.Plan.Replicas {
-			if one.Zone == firstZone(park) && len(ends) < 3 {
-				ends = append(ends, one.ID)
-				park.Crash(one.ID)
+		var crashed []string
+		for _, replica := range park.Plan.Replicas {
+			if replica.Zone == firstZone(park) && len(crashed) < 3 {
+				crashed = append(crashed, replica.ID)
+				park.Crash(replica.ID)
 			}
 		}
 		for _, crowd := range park.Plan.Callers[:2] {
@@ -745,8 +750,8 @@
 			park.crowd(&crowd)
 		}
 		park.Run(10 * time.Second)
-		facts.Must("load crossed into another region", spilled() > before)
-		park.Return(ends)
+		facts.Must("load spilled into another region", spilled() > before)
+		park.Return(crashed)
 	}, []string{"home", "flooded"}},
 	{"a home region is cut off", false, func(park *Park, facts *Facts) {
 		inside, outside := park.inRegion(Region(firstZone(park)))
@@ -761,19 +766,19 @@
 				bound = crowd
 			}
 		}
-		facts.Must("a crowd is bound to homes", bound.Home != "")
+		facts.Must("the plan has callers bound to home regions", bound.Home != "")
 		bound.Name, bound.Zone, bound.Astray, bound.Until = fmt.Sprint("astray-", park.Now().Milliseconds()), lastZone(park), true, park.Now()+7*time.Second
 		bound.Every = 100 * time.Millisecond
 		declined := len(park.Told)
 		park.crowd(&bound)
 		park.Run(8 * time.Second)
 		outside := 0
-		for _, one := range park.Told[declined:] {
-			if one.Code == "outside_home" {
+		for _, reply := range park.Told[declined:] {
+			if reply.Code == "outside_home" {
 				outside++
 			}
 		}
-		facts.Must("daemons outside the home were asked", outside > 10)
+		facts.Must("daemons outside the home regions got requests", outside > 10)
 	}, []string{"home"}},
 	{"several tries of a request in flight", false, func(park *Park, facts *Facts) {
 		for _, crowd := range park.Plan.Callers[:4] {
@@ -782,7 +787,7 @@
 			crowd.Every = min(crowd.Every, 150*time.Millisecond)
 			park.crowd(&crowd)
 		}
-		// Permits lapse and come back between two tries of a request.
+		// Leases expire and are granted again between two attempts of a request.
 		for turn := 0; turn < 3; turn++ {
 			park.Split(park.datas()[:2], park.controls(), true)
 			park.Run(2200 * time.Millisecond)
@@ -805,18 +810,18 @@
 		park.crowd(&crowd)
 		park.Run(2 * time.Second)
 		facts.Need("evacuate", park.Evacuate(facts, zone, false))
-		holder := park.Holder(Region(zone))
-		facts.Must("the region's duty is held", holder != "")
-		if holder != "" {
-			park.Crash(holder)
+		leader := park.Holder(Region(zone))
+		facts.Must("the region has a leader", leader != "")
+		if leader != "" {
+			park.Crash(leader)
 		}
 		for _, name := range park.datas()[:2] {
 			park.Crash(name)
 			park.StartData(name)
 		}
 		park.Run(12 * time.Second)
-		if holder != "" {
-			park.StartControl(holder)
+		if leader != "" {
+			park.StartControl(leader)
 		}
 		facts.Need("hand back", park.Evacuate(facts, zone, true))
 	}, []string{"evacuated"}},
@@ -842,17 +847,17 @@
 			park.SeedsOf[name] = []string{"nobody", park.controls()[(index+1)%len(park.controls())]}
 			park.Spoilt[name] = true
 			_, err := park.reload(name)
-			facts.Must(name+" declines a bad settings file with its path", err != nil && strings.Contains(err.Error(), "$.seeds.0"))
-			facts.Must(name+" keeps its settings then", slices.Equal(park.seedsNow(name), old))
+			facts.Must(name+" rejects an invalid settings file with the path of the error", err != nil && strings.Contains(err.Error(), "$.seeds.0"))
+			facts.Must(name+" keeps its settings after an invalid file", slices.Equal(park.seedsNow(name), old))
 			park.Spoilt[name] = false
 			reloaded, err := park.reload(name)
 			facts.Need("reload", err)
-			facts.Must(name+" changes its seeds in place", slices.Equal(reloaded.Changed, []string{"seeds"}) && slices.Equal(park.seedsNow(name), park.SeedsOf[name]))
+			facts.Must(name+" changes its seeds without a restart", slices.Equal(reloaded.Changed, []string{"seeds"}) && slices.Equal(park.seedsNow(name), park.SeedsOf[name]))
 			park.Run(700 * time.Millisecond)
 		}
 		_, err := park.reload("nobody-here")
-		facts.Must("a daemon that is no member is not reloaded", err != nil)
-		// From here on the new seeds have to do.
+		facts.Must("reloading an unknown daemon fails", err != nil)
+		// A restarted daemon has only the new seeds to find the core.
 		park.StopControl(park.controls()[1])
 		park.Run(500 * time.Millisecond)
 		park.StartControl(park.controls()[1])
@@ -874,14 +879,14 @@
 			})
 			park.Run(time.Duration(20+park.Draw(60)) * time.Millisecond)
 			park.StartData(name)
-			facts.Must("the operator was answered", park.Until(8*time.Second, func() bool { return isDone }))
+			facts.Must("the operator got a reply", park.Until(8*time.Second, func() bool { return isDone }))
 		}
 		park.Run(4 * time.Second)
-		// Daemons that were never seen before begin at the moment of an
-		// acknowledgement that had to wait for nobody.
+		// New daemons start right after an acknowledgement, which did not have to wait for
+		// them.
 		facts.Need("apply", park.Apply(facts, park.seeds()[2]))
-		for index, word := range append(append([]string{}, park.Plan.Controls...), park.Plan.Diskless...) {
-			_, zone := split(word)
+		for index, spec := range append(append([]string{}, park.Plan.Controls...), park.Plan.Diskless...) {
+			_, zone := split(spec)
 			fresh := fmt.Sprint("fresh-", index, "-", park.Now().Milliseconds())
 			park.zones[fresh] = zone
 			park.StartData(fresh)
@@ -889,47 +894,47 @@
 		park.Run(3 * time.Second)
 	}, []string{"fallback", "old config"}},
 	{"replicas return that warm more slowly than the settings say, and say so", false, func(park *Park, facts *Facts) {
-		var ends []string
-		for _, one := range park.Plan.Replicas {
-			if one.Zone == firstZone(park) {
-				ends = append(ends, one.ID)
-				options := park.Replicas[one.ID].ReplicaOptions
+		var crashed []string
+		for _, replica := range park.Plan.Replicas {
+			if replica.Zone == firstZone(park) {
+				crashed = append(crashed, replica.ID)
+				options := park.Replicas[replica.ID].ReplicaOptions
 				options.ColdAnswers, options.Guards = int(100+park.Draw(300)), true
-				park.Crash(one.ID)
-				park.Replicas[one.ID].ReplicaOptions = options
+				park.Crash(replica.ID)
+				park.Replicas[replica.ID].ReplicaOptions = options
 			}
 		}
 		park.Run(2 * time.Second)
-		park.Return(ends)
+		park.Return(crashed)
 		park.Crash(park.datas()[0])
 		crowd := park.Plan.Callers[0]
 		crowd.Name, crowd.Every, crowd.Until = fmt.Sprint("warmer-", park.Now().Milliseconds()), crowd.Every/10, park.Now()+14*time.Second
 		crowd.Tokens *= 6
 		park.crowd(&crowd)
 		park.Run(3 * time.Second)
-		if holder := park.Holder(Region(firstZone(park))); holder != "" {
-			park.Crash(holder)
+		if leader := park.Holder(Region(firstZone(park))); leader != "" {
+			park.Crash(leader)
 			park.Run(7 * time.Second)
-			park.StartControl(holder)
+			park.StartControl(leader)
 		}
 		park.StartData(park.datas()[0])
 		park.Run(5 * time.Second)
 		cold := 0
-		for _, name := range ends {
+		for _, name := range crashed {
 			cold += park.Replicas[name].ColdTaken
 		}
-		facts.Must("cold replicas were sent to", cold > 50)
+		facts.Must("cold replicas got requests", cold > 50)
 	}, []string{"flooded"}},
 	{"regions return one after another after a full loss, a core disk gone", false, func(park *Park, facts *Facts) {
 		facts.Need("apply", park.Apply(facts, park.control()))
-		ends := park.Lose(park.NodeNames())
+		crashed := park.Lose(park.NodeNames())
 		park.Node(park.seeds()[0]).Disk.Wipe()
 		crowd := park.Plan.Callers[0]
 		crowd.Name, crowd.Every, crowd.Eager, crowd.Retries, crowd.Until = fmt.Sprint("return-", park.Now().Milliseconds()), crowd.Every/4, true, 6, park.Now()+12*time.Second
 		park.crowd(&crowd)
 		park.Run(2 * time.Second)
 		for _, region := range park.Regions() {
-			for _, name := range ends {
+			for _, name := range crashed {
 				if Region(park.zones[name]) == region {
 					park.Return([]string{name})
 				}
@@ -941,94 +946,97 @@
 	}, []string{"fallback", "flooded", "retries"}},
 }
 
-// Used is the replica of the first one's zone that got most requests of late: one that
-// gets none anyway proves nothing by getting none.
+// Used returns the replica that got most requests recently, of those in the first replica's zone.
+// Checking that a replica gets no more requests proves nothing for one that got none anyway.
 func (park *Park) Used() ReplicaOptions {
 	counts := map[string]int{}
-	for _, one := range park.Arrivals {
-		if one.Sent > park.Now()-lateSpan {
-			counts[one.Replica]++
+	for _, arrival := range park.Arrivals {
+		if arrival.Sent > park.Now()-recentSpan {
+			counts[arrival.Replica]++
 		}
 	}
-	best := park.Plan.Replicas[0]
-	for _, one := range park.Plan.Replicas {
-		if one.Zone == best.Zone && counts[one.ID] > counts[best.ID] {
-			best = one
+	busiest := park.Plan.Replicas[0]
+	for _, replica := range park.Plan.Replicas {
+		if replica.Zone == busiest.Zone && counts[replica.ID] > counts[busiest.ID] {
+			busiest = replica
 		}
 	}
-	return best
+	return busiest
 }
 
-// lateSpan is how far back what a replica got of late reaches.
-const lateSpan = 5 * time.Second
+// recentSpan is the period that counts as recent for the requests that a replica got.
+const recentSpan = 5 * time.Second
 
-// endUnwritten has a replica's end learned by a duty's holder that can't write it,
-// from the loss until longer than the bound.
-func (park *Park) endUnwritten(facts *Facts, loss, back func()) {
-	one := park.Used()
-	key := one.ID + "/" + park.Replicas[one.ID].Boot
-	loss()
-	park.Replicas[one.ID].Lingers = true
-	park.Replicas[one.ID].Leave()
-	park.LeaveByPlatform(one.ID)
+// terminateUnrecorded terminates a replica while the core has no quorum, so that the region's leader
+// learns of the termination but cannot record it, for longer than LeavingBound.
+func (park *Park) terminateUnrecorded(facts *Facts, breakCore, restoreCore func()) {
+	replica := park.Used()
+	key := replica.ID + "/" + park.Replicas[replica.ID].Boot
+	breakCore()
+	park.Replicas[replica.ID].Lingers = true
+	park.Replicas[replica.ID].Leave()
+	park.LeaveByPlatform(replica.ID)
 	park.Run(7 * time.Second)
-	facts.Must("somebody learned of it in time", park.Learned[key] > 0 && park.Learned[key] < park.Now()-LeavingBound)
+	facts.Must("a daemon learned of the termination longer than the bound ago", park.Learned[key] > 0 && park.Learned[key] < park.Now()-LeavingBound)
 	crowd := park.Plan.Callers[0]
 	crowd.Name, crowd.Every, crowd.Until = fmt.Sprint("still-", park.Now().Milliseconds()), crowd.Every/8, park.Now()+6*time.Second
 	park.crowd(&crowd)
-	back()
+	restoreCore()
 	park.Run(6 * time.Second)
-	park.swap(one)
+	park.replaceReplica(replica)
 }
 
-// shatter parts every core machine from every other, or mends that.
-func (park *Park) shatter(isCut bool) {
+// splitCore disconnects all core machines from each other, or reconnects them.
+func (park *Park) splitCore(isCut bool) {
 	seeds := park.seeds()
 	park.Split(seeds[:1], seeds[1:], isCut)
 	park.Split(seeds[1:2], seeds[2:], isCut)
 }
 
-// narrow leaves the first region of each home.
-func narrow(document string) string {
-	return homesShape.ReplaceAllString(document, `"homes":{"$1":["$2"]}`)
+// narrowHomes reduces each home tag of a document to its first region.
+func narrowHomes(document string) string {
+	return homesPattern.ReplaceAllString(document, `"homes":{"$1":["$2"]}`)
 }
 
-var homesShape = regexp.MustCompile(`"homes":\{"(\w+)":\["(\w+)"[^\]]*\]\}`)
+var homesPattern = regexp.MustCompile(`"homes":\{"(\w+)":\["(\w+)"[^\]]*\]\}`)
 
+// controls returns the names of all control daemons, with and without a disk.
 func (park *Park) controls() (names []string) {
-	for _, word := range append(append([]string{}, park.Plan.Controls...), park.Plan.Diskless...) {
-		name, _ := split(word)
+	for _, spec := range append(append([]string{}, park.Plan.Controls...), park.Plan.Diskless...) {
+		name, _ := split(spec)
 		names = append(names, name)
 	}
 	return names
 }
 
+// datas returns the names of all data daemons.
 func (park *Park) datas() (names []string) {
-	for _, word := range park.Plan.Datas {
-		name, _ := split(word)
+	for _, spec := range park.Plan.Datas {
+		name, _ := split(spec)
 		names = append(names, name)
 	}
 	return names
 }
 
-// Regions are the regions, in the order of their control daemons.
+// Regions returns the regions in the order of their control daemons.
 func (park *Park) Regions() (regions []string) {
-	for _, word := range park.Plan.Controls {
-		_, zone := split(word)
+	for _, spec := range park.Plan.Controls {
+		_, zone := split(spec)
 		regions = append(regions, Region(zone))
 	}
 	return regions
 }
 
-func (park *Park) disks(each func(name string)) {
+// eachCoreMachine visits the running core machines.
+func (park *Park) eachCoreMachine(visit func(name string)) {
 	for _, name := range park.seeds() {
 		if park.Node(name).Up() {
-			each(name)
+			visit(name)
 		}
 	}
 }
 
-// Holder is the running control daemon that holds a region's duty.
+// Holder returns the running control daemon that is the region's leader, or an empty name.
 func (park *Park) Holder(region string) string {
 	for _, name := range park.controls() {
 		if park.Node(name).Up() && park.Controls[name] != nil {
@@ -1040,6 +1048,7 @@
 	return ""
 }
 
+// seedsNow returns the daemon's current seeds.
 func (park *Park) seedsNow(name string) []string {
 	if daemon := park.Datas[name]; daemon != nil {
 		return daemon.Live.Seeds()
@@ -1047,17 +1056,17 @@
 	return park.Controls[name].Live.Seeds()
 }
 
-// reload is an operator's command at some control daemon.
-func (park *Park) reload(name string) (out settings.ReloadResult, err error) {
+// reload has a control daemon reload the settings of the named daemon, as an operator would.
+func (park *Park) reload(name string) (result settings.ReloadResult, err error) {
 	err = park.Do(park.control(), 5*time.Second, func(daemon *controlplane.Daemon) error {
 		var err error
-		out, err = daemon.Reload(name)
+		result, err = daemon.Reload(name)
 		return err
 	})
-	return out, err
+	return result, err
 }
 
-// anyHome is a home tag of the plan.
+// anyHome returns a home tag of the plan, or an empty one if it has none.
 func (park *Park) anyHome() string {
 	for _, crowd := range park.Plan.Callers {
 		if crowd.Home != "" {
@@ -1067,8 +1076,8 @@
 	return ""
 }
 
-// swap ends a replica that was told to leave, and brings a new one in its place.
-func (park *Park) swap(options ReplicaOptions) {
+// replaceReplica ends a replica that was marked as leaving, and starts a new one in its place.
+func (park *Park) replaceReplica(options ReplicaOptions) {
 	park.Crash(options.ID)
 	park.Platform.Remove(options.ID)
 	park.Run(3 * time.Second)
@@ -1076,19 +1085,19 @@
 	park.Platform.Add(Region(options.Zone), options.ID, options.ID, options.Zone)
 }
 
-// twoOperators applies two documents at once at two control daemons. With the
-// same expectation exactly one wins; without, the one decided last stands. No
-// acknowledged change vanishes: its serial keeps its contents everywhere.
+// twoOperators applies two documents at the same time at two control daemons. If both expect the
+// same current version, exactly one must succeed; otherwise both do, and the version decided last
+// is in force. No acknowledged change may be lost: its version keeps its contents on all daemons.
 func (park *Park) twoOperators(facts *Facts, expecting bool) {
-	type ending struct {
+	type result struct {
 		serial uint64
 		err    error
 		mark   uint64
 	}
-	var ends []ending
+	var results []result
 	var expect *uint64
 	if expecting {
-		at := park.highest
+		at := park.highestSerial
 		expect = &at
 	}
 	started := 0
@@ -1103,24 +1112,24 @@
 			if err == nil {
 				park.acknowledge(facts, daemon, applied.Serial)
 			}
-			ends = append(ends, ending{applied.Serial, err, mark(lease.Config{Document: document, Evacuated: park.out(facts)})})
+			results = append(results, result{applied.Serial, err, mark(lease.Config{Document: document, Evacuated: park.evacuatedZones(facts)})})
 		})
 	}
-	facts.Must("both operators were answered", park.Until(12*time.Second, func() bool { return len(ends) == started }))
-	won := 0
-	last := ending{}
-	for _, one := range ends {
-		if one.err == nil {
-			won++
-			if one.serial > last.serial {
-				last = one
+	facts.Must("both operators got a reply", park.Until(12*time.Second, func() bool { return len(results) == started }))
+	succeeded := 0
+	last := result{}
+	for _, result := range results {
+		if result.err == nil {
+			succeeded++
+			if result.serial > last.serial {
+				last = result
 			}
 		}
 	}
 	if expecting {
-		facts.Must(fmt.Sprintf("exactly one of two operators with the same expectation wins, %d did", won), won == 1)
+		facts.Must(fmt.Sprintf("exactly one of two operators with the same expectation succeeds, %d did", succeeded), succeeded == 1)
 	} else {
-		facts.Must("both operators without an expectation are served", won == started)
+		facts.Must("both operators without an expectation succeed", succeeded == started)
 	}
 	park.Run(3 * time.Second)
 	for _, name := range park.datas() {
@@ -1128,66 +1137,66 @@
 			continue
 		}
 		view := park.Datas[name].Holder.View()
-		facts.Must(fmt.Sprintf("%s goes by the configuration decided last, serial %d", name, last.serial), view.Serial != last.serial || mark(view.Config()) == last.mark)
+		facts.Must(fmt.Sprintf("%s uses the configuration decided last, version %d", name, last.serial), view.Serial != last.serial || mark(view.Config()) == last.mark)
 	}
 }
 
-// out lists the zones that are evacuated.
-func (park *Park) out(facts *Facts) (zones []string) {
-	for _, one := range facts.Evacuated {
-		if one.Until == 0 {
-			zones = append(zones, one.Zone)
+// evacuatedZones returns the zones that are evacuated now.
+func (park *Park) evacuatedZones(facts *Facts) (zones []string) {
+	for _, span := range facts.Evacuated {
+		if span.Until == 0 {
+			zones = append(zones, span.Zone)
 		}
 	}
 	return zones
 }
 
-// Votes tells whether every running control daemon knows the machine's present
-// acceptor to be in the core, in which nobody else has its name or address.
+// Votes reports whether every running control daemon counts the machine's current acceptor as a
+// member of the core, and no other member has the machine's name or address.
 func (park *Park) Votes(name string) bool {
-	for _, at := range park.controls() {
-		if !park.Node(at).Up() || park.Node(at).Frozen() {
+	for _, peer := range park.controls() {
+		if !park.Node(peer).Up() || park.Node(peer).Frozen() {
 			continue
 		}
 		if park.Controls[name] == nil {
 			return false // starting
 		}
-		is := false
-		for _, member := range park.Controls[at].Core().Members {
+		isMember := false
+		for _, member := range park.Controls[peer].Core().Members {
 			if member.ID == park.Controls[name].Acceptor.ID() {
-				is = true
+				isMember = true
 			} else if member.Name == name || member.Address == name {
 				return false
 			}
 		}
-		if !is {
+		if !isMember {
 			return false
 		}
 	}
 	return true
 }
 
-// Readd puts a control machine that came back without its disk into the core
-// in the place of its former self, unless the core did so by itself.
+// Readd adds a control machine that came back without its disk to the core, in place of its former
+// acceptor, unless the core does so by itself within two seconds.
 func (park *Park) Readd(name string) error {
 	if park.Until(2*time.Second, func() bool { return park.Votes(name) }) {
 		return nil
 	}
-	at := ""
-	for _, word := range park.Plan.Controls {
-		if other, _ := split(word); other != name && park.Node(other).Up() && !park.Node(other).Frozen() {
-			at = other
+	peer := ""
+	for _, spec := range park.Plan.Controls {
+		if other, _ := split(spec); other != name && park.Node(other).Up() && !park.Node(other).Frozen() {
+			peer = other
 		}
 	}
-	return park.Do(at, 20*time.Second, func(daemon *controlplane.Daemon) error {
-		fresh := park.Controls[name].Acceptor.ID()
-		var gone []string
+	return park.Do(peer, 20*time.Second, func(daemon *controlplane.Daemon) error {
+		newID := park.Controls[name].Acceptor.ID()
+		var oldIDs []string
 		for _, member := range daemon.Core().Members {
-			if member.Address == name && member.ID != fresh {
-				gone = append(gone, member.ID)
+			if member.Address == name && member.ID != newID {
+				oldIDs = append(oldIDs, member.ID)
 			}
 		}
-		_, err := daemon.ChangeCoreMembers([]string{fresh}, gone)
+		_, err := daemon.ChangeCoreMembers([]string{newID}, oldIDs)
 		return err
 	})
 }
--- a/fleet/faultsrouted.go
+++ b/fleet/faultsrouted.go
@@ -37,17 +37,17 @@
 	return park.ApplyRoutes(facts, park.Shape.Routes())
 }
 
-// keyed starts callers with keys that come, go and pass on in a fault, for a while.
-func (park *Park) keyed(span time.Duration, keys ...string) {
+// startKeyedCallers starts callers with keys that come, go and pass on in a fault, for a while.
+func (park *Park) startKeyedCallers(span time.Duration, keys ...string) {
 	crowd := park.Plan.Routed[0]
 	crowd.Name, crowd.Keys, crowd.Workers, crowd.Until = "keyed", keys, 2*len(keys), park.Now()+span
 	crowd.Pause = 200 * time.Millisecond
 	park.crowdRouted(&crowd)
 }
 
-// told counts the tries of keyed callers with the key that were answered with the status,
+// countAttempts counts the tries of keyed callers with the key that were answered with the status,
 // and the runs of such by the tenant.
-func (park *Park) told(key string, status int, tenant string) (tries, runs int) {
+func (park *Park) countAttempts(key string, status int, tenant string) (tries, runs int) {
 	for _, one := range park.RoutedRequests {
 		for _, try := range one.Tries {
 			if try.Key == key && try.Status == status {
@@ -101,8 +101,8 @@
 	park.StartEngine(options)
 }
 
-// troubled lets some of all engines' answers go wrong for a while.
-func troubled(troubles Troubles, span time.Duration) func(*Park, *Facts) {
+// withTroubles lets some of all engines' answers go wrong for a while.
+func withTroubles(troubles Troubles, span time.Duration) func(*Park, *Facts) {
 	return func(park *Park, _ *Facts) {
 		park.eachEngine(func(engine *Engine) { engine.Troubles = troubles })
 		park.Run(span)
@@ -110,10 +110,10 @@
 	}
 }
 
-func (park *Park) someData() string { return park.pick(park.Plan.Datas) }
+func (park *Park) anyData() string { return park.pick(park.Plan.Datas) }
 
-// flood starts callers of the fair in all regions for the span, several times above its limit.
-func (park *Park) flood(span time.Duration) {
+// floodFairTenant starts callers of the fair in all regions for the span, several times above its limit.
+func (park *Park) floodFairTenant(span time.Duration) {
 	for _, region := range park.Shape.Regions {
 		for _, crowd := range park.Plan.Routed {
 			if crowd.Name == "check-"+region {
@@ -125,10 +125,10 @@
 	}
 }
 
-// fair has the fair flood while a trouble runs, and looks whether its limit was used up.
-func fair(trouble func(park *Park, facts *Facts)) func(*Park, *Facts) {
+// withFairFlood has the fair flood while a trouble runs, and looks whether its limit was used up.
+func withFairFlood(trouble func(park *Park, facts *Facts)) func(*Park, *Facts) {
 	return func(park *Park, facts *Facts) {
-		park.flood(9 * time.Second)
+		park.floodFairTenant(9 * time.Second)
 		park.Run(time.Second)
 		trouble(park, facts)
 		park.Run(10 * time.Second)
@@ -149,8 +149,8 @@
 	}
 }
 
-// hubs are the data daemons that count for others.
-func (park *Park) hubs() (names []string) {
+// aggregators are the data daemons that count for others.
+func (park *Park) aggregators() (names []string) {
 	for _, word := range park.Plan.Datas {
 		if name, _ := split(word); park.Node(name).Up() && park.Datas[name].Limiter.Status().Aggregator == name {
 			names = append(names, name)
@@ -161,9 +161,9 @@
 
 // RoutedFaults are all that is tried with routed requests, singly.
 var RoutedFaults = []Fault{
-	{"a tenant far above its limit", true, fair(func(*Park, *Facts) {}), []string{"quota"}},
-	{"a tenant far above its limit, and its hubs die", false, fair(func(park *Park, _ *Facts) {
-		names := park.hubs()
+	{"a tenant far above its limit", true, withFairFlood(func(*Park, *Facts) {}), []string{"quota"}},
+	{"a tenant far above its limit, and its hubs die", false, withFairFlood(func(park *Park, _ *Facts) {
+		names := park.aggregators()
 		for _, name := range names {
 			park.Crash(name)
 			park.Run(300 * time.Millisecond)
@@ -173,17 +173,17 @@
 			park.StartData(name)
 		}
 	}), []string{"quota"}},
-	{"a tenant far above its limit, and a hub freezes", false, fair(func(park *Park, _ *Facts) {
-		park.Freeze(park.hubs()[0], 2500*time.Millisecond)
+	{"a tenant far above its limit, and a hub freezes", false, withFairFlood(func(park *Park, _ *Facts) {
+		park.Freeze(park.aggregators()[0], 2500*time.Millisecond)
 		park.Run(3 * time.Second)
 	}), []string{"quota"}},
-	{"a tenant far above its limit, and a region is cut off", false, fair(func(park *Park, _ *Facts) {
+	{"a tenant far above its limit, and a region is cut off", false, withFairFlood(func(park *Park, _ *Facts) {
 		in, out := park.inRegion(park.Shape.Regions[1])
 		park.Split(in, out, true)
 		park.Run(4 * time.Second)
 		park.Split(in, out, false)
 	}), []string{"quota"}},
-	{"a tenant far above its limit, and all control daemons die", false, fair(func(park *Park, _ *Facts) {
+	{"a tenant far above its limit, and all control daemons die", false, withFairFlood(func(park *Park, _ *Facts) {
 		for _, name := range park.controls() {
 			park.Crash(name)
 		}
@@ -212,9 +212,9 @@
 	}, []string{"routes"}},
 	{"engine goes dark", false, func(park *Park, _ *Facts) {
 		name := park.anyEngine()
-		park.Split([]string{name}, park.rest(name), true)
+		park.Split([]string{name}, park.othersThan(name), true)
 		park.Run(5 * time.Second)
-		park.Split([]string{name}, park.rest(name), false)
+		park.Split([]string{name}, park.othersThan(name), false)
 	}, []string{"whole"}},
 	{"engine freezes", false, func(park *Park, _ *Facts) {
 		park.Freeze(park.anyEngine(), 4*time.Second)
@@ -278,12 +278,12 @@
 	}, []string{"whole"}},
 	{"core machine cut", false, func(park *Park, _ *Facts) {
 		name := park.pick(park.Plan.Controls)
-		park.Split([]string{name}, park.rest(name), true)
+		park.Split([]string{name}, park.othersThan(name), true)
 		park.Run(5 * time.Second)
-		park.Split([]string{name}, park.rest(name), false)
+		park.Split([]string{name}, park.othersThan(name), false)
 	}, []string{"whole"}},
 	{"data daemon killed", false, func(park *Park, _ *Facts) {
-		name := park.someData()
+		name := park.anyData()
 		park.Crash(name)
 		park.Run(2 * time.Second)
 		park.StartData(name)
@@ -330,7 +330,7 @@
 		facts.Must("an added route served", ran > 0)
 	}, []string{"routes", "routed lost"}},
 	{"routes moved while a data daemon is cut from the core", false, func(park *Park, facts *Facts) {
-		name := park.someData()
+		name := park.anyData()
 		park.Split([]string{name}, park.controls(), true)
 		words := park.Shape.Routes()
 		words["moved"] = `"host":"office.example","prefix":"/moved/","kind":"streamed","timeout_ms":6000,"target_ms":800,"tries":1,"shares":[{"model":"scribe","weight":1}]`
@@ -344,7 +344,7 @@
 		first["market"] = `"keys":["market-1","market-2","dropped","passed"]`
 		second["school"] = `"keys":["school-1","added"],"urgency":3`
 		second["harbour"] = strings.Replace(before["harbour"], `"keys":[`, `"keys":["passed",`, 1)
-		park.keyed(16*time.Second, "dropped", "passed", "added", "never")
+		park.startKeyedCallers(16*time.Second, "dropped", "passed", "added", "never")
 		facts.Need("apply", park.ApplyTenants(facts, first))
 		park.Run(4 * time.Second)
 		facts.Need("apply", park.ApplyTenants(facts, second))
@@ -355,11 +355,11 @@
 		park.Run(2 * time.Second)
 		for key, tenants := range map[string][]string{"dropped": {"market"}, "passed": {"market", "harbour"}, "added": {"school"}} {
 			for _, tenant := range tenants {
-				told, runs := park.told(key, 401, tenant)
+				told, runs := park.countAttempts(key, 401, tenant)
 				facts.Must(fmt.Sprintf("%s ran as %s's %d times, and was not known %d times", key, tenant, runs, told), runs > 5 && told > 5)
 			}
 		}
-		told, runs := park.told("never", 401, "")
+		told, runs := park.countAttempts("never", 401, "")
 		facts.Must("a key that nobody holds was not known, and did not run", told > 5 && runs == 0)
 	}, []string{"keys", "tenant", "routed home", "routed lost"}},
 	{"keys dropped while data daemons are cut from the core and frozen", false, func(park *Park, facts *Facts) {
@@ -368,7 +368,7 @@
 		first["market"] = `"keys":["market-1","market-2","dropped","passed"]`
 		second := maps.Clone(before)
 		second["school"] = `"keys":["school-1","passed"],"urgency":3`
-		park.keyed(14*time.Second, "dropped", "passed")
+		park.startKeyedCallers(14*time.Second, "dropped", "passed")
 		facts.Need("apply", park.ApplyTenants(facts, first))
 		park.Run(3 * time.Second)
 		var names []string
@@ -383,9 +383,9 @@
 		park.Split(names[:1], park.controls(), false)
 		park.Run(2 * time.Second)
 		facts.Need("apply", park.ApplyTenants(facts, before))
-		told, runs := park.told("dropped", 401, "market")
+		told, runs := park.countAttempts("dropped", 401, "market")
 		facts.Must("a dropped key ran, and was not known later", told > 5 && runs > 5)
-		_, runs = park.told("passed", 0, "school")
+		_, runs = park.countAttempts("passed", 0, "school")
 		facts.Must("a key was passed on", runs > 5)
 	}, []string{"keys", "tenant"}},
 	{"evacuation and return", true, func(park *Park, facts *Facts) {
@@ -448,11 +448,11 @@
 		park.eachEngine(func(engine *Engine) { engine.Fails = 0 })
 	}, []string{"routed retries"}},
 	{"late second answers", false, func(park *Park, facts *Facts) {
-		troubled(Troubles{Repeats: 0.3}, 6*time.Second)(park, facts)
+		withTroubles(Troubles{Repeats: 0.3}, 6*time.Second)(park, facts)
 		facts.Must("some answers came twice", park.Repeated > 0)
 	}, []string{"whole"}},
 	{"answers broken off", false, func(park *Park, facts *Facts) {
-		troubled(Troubles{Breaks: 0.15}, 6*time.Second)(park, facts)
+		withTroubles(Troubles{Breaks: 0.15}, 6*time.Second)(park, facts)
 		resumed := 0
 		for _, run := range park.Runs {
 			if try := park.tried[run.ID]; run.After > 0 && try.After == 0 && try.IsWhole {
@@ -461,8 +461,8 @@
 		}
 		facts.Must("streams went on at other engines within one answer", resumed > 0)
 	}, []string{"rerun", "routed retries"}},
-	{"answers lost", false, troubled(Troubles{Loses: 0.1}, 6*time.Second), []string{"rerun"}},
-	{"answers failed", false, troubled(Troubles{Fails: 0.15}, 6*time.Second), []string{"rerun", "routed retries"}},
+	{"answers lost", false, withTroubles(Troubles{Loses: 0.1}, 6*time.Second), []string{"rerun"}},
+	{"answers failed", false, withTroubles(Troubles{Fails: 0.15}, 6*time.Second), []string{"rerun", "routed retries"}},
 	{"calls lost, repeated and late", false, func(park *Park, _ *Facts) {
 		park.Faults = sim.NetworkFaults{Lost: 0.05, Duplicated: 0.1, Delayed: 0.1, MaxDelay: 1500 * time.Millisecond}
 		park.Run(6 * time.Second)
--- a/fleet/seen.go
+++ b/fleet/seen.go
@@ -33,9 +33,9 @@
 	// longer than any permit, in order.
 	Lives []Life
 	// adopted is each process's last, by name and life; highest is by anyone.
-	adopted map[string]Adopted
-	highest uint64
-	frozen  map[string]Life
+	adopted       map[string]Adopted
+	highestSerial uint64
+	frozen        map[string]Life
 	// marks are those of contents that were looked at, which is done often.
 	marks map[string]uint64
 }
@@ -126,13 +126,13 @@
 	park.Platform.Leave(id)
 }
 
-// lookEvery is how often the watcher looks at what the processes go by.
-const lookEvery = 10 * time.Millisecond
+// observeInterval is how often the watcher looks at what the processes go by.
+const observeInterval = 10 * time.Millisecond
 
 // watch notes every process's configuration from now on, at every instant that
 // the watcher looks.
 func (park *Park) watch() {
-	park.At(lookEvery, func() {
+	park.At(observeInterval, func() {
 		var names []string
 		for name := range park.Controls {
 			names = append(names, name)
@@ -142,13 +142,13 @@
 		}
 		sort.Strings(names)
 		for _, name := range names {
-			park.look(name)
+			park.observe(name)
 		}
 		park.watch()
 	})
 }
 
-func (park *Park) look(name string) {
+func (park *Park) observe(name string) {
 	node := park.Node(name)
 	if !node.Up() {
 		return
@@ -175,7 +175,7 @@
 		if !known {
 			began.At = park.Now()
 		}
-		began.Least = park.highest
+		began.Least = park.highestSerial
 		park.frozen[name] = began
 		return
 	}
@@ -197,10 +197,10 @@
 	}
 	park.adopted[key] = now
 	park.Adopted = append(park.Adopted, now)
-	park.highest = max(park.highest, serial)
+	park.highestSerial = max(park.highestSerial, serial)
 }
 
 func (park *Park) born(name string) {
 	delete(park.frozen, name)
-	park.Lives = append(park.Lives, Life{park.Now(), name, park.highest})
+	park.Lives = append(park.Lives, Life{park.Now(), name, park.highestSerial})
 }
