--- a/fleet/call.go
+++ b/fleet/call.go
@@ -19,7 +19,7 @@
 	"swifttiller/replica"
 )
 
-// App serves the stand-in platform over HTTP.
+// App serves the simulated hosting platform over HTTP.
 func (platform *Platform) App() *fiber.App {
 	app := fiber.New(fiber.Config{DisableStartupMessage: true})
 	var guard sync.Mutex
@@ -41,7 +41,7 @@
 	return app
 }
 
-// CallerOptions say what callers do.
+// CallerOptions configure the callers of Call.
 type CallerOptions struct {
 	At                      []string
 	Model, Kind, Home, Zone string
@@ -50,8 +50,8 @@
 	Retries                 int
 	Pause                   time.Duration
 	Show                    bool
-	// Direct is a replica to send to without any daemon, for comparison; the
-	// model is then the replica's name for it.
+	// Direct is the address of a replica to which requests are sent without a daemon, for
+	// comparison. Model is then the name that the replica has for the model.
 	Direct string
 }
 
@@ -61,45 +61,46 @@
 	Codes                                              map[string]int
 }
 
-// String is one line.
+// String formats the counts as one line.
 func (tally Tally) String() string {
 	return fmt.Sprintf("ok %d, not run %d, may have run %d, ran %d, cut %d, foreign bytes %d, retried %d, codes %v", tally.OK, tally.NotRun, tally.MayHaveRun, tally.Ran, tally.Cut, tally.Foreign, tally.Retried, tally.Codes)
 }
 
-// Prompt is a request's body: one of a few long beginnings, and a tail.
+// Prompt returns the body of a request whose prompt is one of a few long shared prefixes, followed by
+// a unique suffix.
 func Prompt(model string, roster, size, tokens int, id string) []byte {
 	head := strings.Repeat(fmt.Sprintf("roster %d line. ", roster), size/14+1)[:max(1, size)]
 	body, _ := json.Marshal(map[string]any{"model": model, "stream": true, "max_tokens": tokens, "prompt": head + " question " + id})
 	return body
 }
 
-// Call runs callers over HTTP until all requests have ended.
+// Call sends the requests over HTTP with concurrent callers, and returns when all have ended.
 func Call(options CallerOptions) Tally {
 	client := &http.Client{Timeout: 2 * time.Minute, Transport: &http.Transport{MaxIdleConnsPerHost: options.Workers}}
 	var next atomic.Int64
 	var guard sync.Mutex
 	total := Tally{Codes: map[string]int{}}
-	var group sync.WaitGroup
-	mark := time.Now().UnixNano()
+	var workers sync.WaitGroup
+	runID := time.Now().UnixNano()
 	for worker := 0; worker < options.Workers; worker++ {
-		group.Add(1)
+		workers.Add(1)
 		go func() {
-			defer group.Done()
+			defer workers.Done()
 			caller := caller{options: options, client: client}
 			for {
 				number := int(next.Add(1))
 				if number > options.Count {
 					return
 				}
-				id := fmt.Sprintf("%x-%d", mark, number)
-				code, verdictWord, foreign, retried := caller.request(id, number)
+				id := fmt.Sprintf("%x-%d", runID, number)
+				code, verdict, foreign, retried := caller.request(id, number)
 				guard.Lock()
 				total.Retried += retried
 				if foreign {
 					total.Foreign++
 				}
 				total.Codes[code]++
-				switch verdictWord {
+				switch verdict {
 				case "ok":
 					total.OK++
 				case "not_run":
@@ -113,17 +114,18 @@
 				}
 				guard.Unlock()
 				if options.Show {
-					fmt.Printf("%s %s (%s)\n", id, verdictWord, code)
+					fmt.Printf("%s %s (%s)\n", id, verdict, code)
 				}
 				time.Sleep(options.Pause)
 			}
 		}()
 	}
-	group.Wait()
+	workers.Wait()
 	return total
 }
 
-// caller keeps a place and a ticket until either fails it.
+// caller sends requests to the same daemons with the same ticket, until the ticket expires or a
+// request fails.
 type caller struct {
 	options   CallerOptions
 	client    *http.Client
@@ -133,17 +135,19 @@
 	turn      int
 }
 
+// locate asks the configured daemons in turn for addresses and a ticket, and reports whether one of
+// them answered.
 func (caller *caller) locate() bool {
 	query := url.Values{"model": {caller.options.Model}, "kind": {caller.options.Kind}, "home": {caller.options.Home}, "zone": {caller.options.Zone}}
 	for range caller.options.At {
 		caller.turn++
-		answer, err := caller.client.Get("http://" + caller.options.At[caller.turn%len(caller.options.At)] + "/v1/locate?" + query.Encode())
+		response, err := caller.client.Get("http://" + caller.options.At[caller.turn%len(caller.options.At)] + "/v1/locate?" + query.Encode())
 		if err != nil {
 			continue
 		}
-		body, _ := io.ReadAll(answer.Body)
-		answer.Body.Close()
-		if answer.StatusCode != 200 {
+		body, _ := io.ReadAll(response.Body)
+		response.Body.Close()
+		if response.StatusCode != 200 {
 			continue
 		}
 		root := gjson.ParseBytes(body)
@@ -158,65 +162,67 @@
 	return false
 }
 
-// request sends a request, and again only while it is known not to have run.
-func (caller *caller) request(id string, number int) (code, word string, foreign bool, retried int) {
-	for try := 0; ; try++ {
+// request sends a request, and retries it only while it is known not to have run.
+func (caller *caller) request(id string, number int) (code, verdict string, foreign bool, retried int) {
+	for attempt := 0; ; attempt++ {
 		if direct := caller.options.Direct; direct != "" {
 			caller.addresses, caller.ticket, caller.until = []string{direct}, "none", time.Now().Add(time.Hour)
 		}
 		if caller.ticket == "" || time.Now().After(caller.until) {
 			if !caller.locate() {
-				code, word = "nowhere", "not_run"
+				code, verdict = "nowhere", "not_run"
 			}
 		}
 		if caller.ticket != "" {
-			code, word, foreign = caller.send(id, number, try)
+			code, verdict, foreign = caller.send(id, number, attempt)
 		}
-		if word != "not_run" || try >= caller.options.Retries {
-			return code, word, foreign, retried
+		if verdict != "not_run" || attempt >= caller.options.Retries {
+			return code, verdict, foreign, retried
 		}
-		caller.ticket = "" // locate anew: the place may have changed
+		caller.ticket = "" // locate again, as the endpoint may have changed
 		retried++
-		time.Sleep(time.Duration(100<<min(try, 4)) * time.Millisecond)
+		time.Sleep(time.Duration(100<<min(attempt, 4)) * time.Millisecond)
 	}
 }
 
-func (caller *caller) send(id string, number, try int) (code, word string, foreign bool) {
+// send makes one attempt and returns its error code and verdict, and whether the answer had bytes of
+// another request.
+func (caller *caller) send(id string, number, attempt int) (code, verdict string, foreign bool) {
 	options := caller.options
 	path := "/v1/completions"
 	body := Prompt(options.Model, number%max(1, options.Prefixes), options.Bytes, options.Tokens, id)
-	ask, _ := http.NewRequest("POST", "http://"+caller.addresses[0]+path, bytes.NewReader(body))
-	ask.Header.Set("Content-Type", "application/json")
+	request, _ := http.NewRequest("POST", "http://"+caller.addresses[0]+path, bytes.NewReader(body))
+	request.Header.Set("Content-Type", "application/json")
 	for name, value := range map[string]string{"Request-Id": id, "Ticket": caller.ticket, "Model": options.Model, "Kind": options.Kind, "Home": options.Home} {
 		if value != "" {
-			ask.Header.Set("Swifttiller-"+name, value)
+			request.Header.Set("Swifttiller-"+name, value)
 		}
 	}
-	if try > 0 {
-		ask.Header.Set("Swifttiller-Retry", fmt.Sprint(try))
+	if attempt > 0 {
+		request.Header.Set("Swifttiller-Retry", fmt.Sprint(attempt))
 	}
-	answer, err := caller.client.Do(ask)
+	response, err := caller.client.Do(request)
 	if err != nil {
 		if strings.Contains(err.Error(), "refused") {
 			return "unreached", "not_run", false
 		}
 		return "cut", "cut", false
 	}
-	defer answer.Body.Close()
-	if answer.Header.Get("Swifttiller-Locate") != "" {
+	defer response.Body.Close()
+	if response.Header.Get("Swifttiller-Locate") != "" {
 		defer func() { caller.ticket = "" }()
 	}
-	if answer.StatusCode != 200 {
-		text, _ := io.ReadAll(answer.Body)
+	if response.StatusCode != 200 {
+		text, _ := io.ReadAll(response.Body)
 		return gjson.GetBytes(text, "code").Str, gjson.GetBytes(text, "verdict").Str, false
 	}
-	code, word, foreign, _ = Read(answer.Body, id)
-	return code, word, foreign
+	code, verdict, foreign, _ = Read(response.Body, id)
+	return code, verdict, foreign
 }
 
-// Read takes an event stream to its end and says how it ended; every piece must
-// name the request.
-func Read(stream io.Reader, id string) (code, word string, foreign bool, events int) {
+// Read reads an event stream to its end and reports how it ended. Every event must start with the ID
+// of the request; otherwise the answer is foreign.
+func Read(stream io.Reader, id string) (code, verdict string, foreign bool, events int) {
 	reader := bufio.NewReader(stream)
 	var pending []byte
 	done := false
@@ -234,7 +240,7 @@
 				done = true
 			case bytes.HasPrefix(event, []byte("event: error")):
 				_, data, _ := strings.Cut(string(event), "data: ")
-				code, word = gjson.Get(data, "code").Str, gjson.Get(data, "verdict").Str
+				code, verdict = gjson.Get(data, "code").Str, gjson.Get(data, "verdict").Str
 			default:
 				text := gjson.Get(strings.TrimPrefix(string(event), "data: "), "choices.0.text").Str
 				foreign = foreign || !strings.HasPrefix(text, id+":")
@@ -247,9 +253,9 @@
 				return "ok", "ok", foreign, events
 			}
 			if code == "" {
-				code, word = "cut", "cut"
+				code, verdict = "cut", "cut"
 			}
-			return code, word, foreign, events
+			return code, verdict, foreign, events
 		}
 	}
 }
--- a/fleet/explain.go
+++ b/fleet/explain.go
@@ -14,35 +14,40 @@
 	"swifttiller/decide"
 )
 
-// Cause is why a first piece came later than its route's target.
+// Cause is the reason why the first piece of an answer came later than the target of its route.
 type Cause string
 
-// Causes, in the order in which they are looked for.
+// Causes, in the order in which they are checked.
 const (
 	// CauseTriedBefore: an earlier attempt of the same request failed.
 	CauseTriedBefore Cause = "an earlier attempt failed"
-	// CauseHeld: it waited at its daemon for a replica that it might have.
+	// CauseHeld: the request was queued at its daemon until a replica had capacity.
 	CauseHeld Cause = "held at its daemon"
-	// CauseTooLong: its prompt takes longer than the target, wherever it is read.
+	// CauseTooLong: the forecast alone exceeds the target, as the prefill of the prompt takes too
+	// long on any replica.
 	CauseTooLong Cause = "longer to read than the target"
-	// CauseReadAgain: its shared parts were read at another replica than their owner.
+	// CauseReadAgain: shared prefixes of the prompt were prefilled on a replica other than the
+	// one that has them cached.
 	CauseReadAgain Cause = "shared parts read elsewhere"
-	// CauseQueuedAtOwner: the owner of its shared parts had more to do than was foreseen.
+	// CauseQueuedAtOwner: the replica that has the shared prefixes cached had more load than
+	// forecast.
 	CauseQueuedAtOwner Cause = "queued at the owner"
-	// CauseFar: it went to another region, and would have been in time without the way.
+	// CauseFar: the request went to another region, and would have met the target without the
+	// round trip.
 	CauseFar Cause = "far way"
-	// CauseQueued: the replica had more to do than was foreseen.
+	// CauseQueued: the replica had more load than forecast.
 	CauseQueued Cause = "queued at the replica"
 )
 
-// causes in the order of the table.
+// causes lists the causes in the order of the table.
 var causes = []Cause{CauseTriedBefore, CauseHeld, CauseTooLong, CauseReadAgain, CauseQueuedAtOwner, CauseFar, CauseQueued}
 
-// interRegionRoundTrip is what a way to another region and back is taken for, where it decides.
+// interRegionRoundTrip is the assumed round trip to another region when deciding whether CauseFar
+// applies.
 const interRegionRoundTrip = 110 * time.Millisecond
 
-// ReadChoices takes the choices out of a log, whose lines may have something before the JSON.
-// Lines that are no choices are passed over.
+// ReadChoices reads the routing decisions from a log. Lines may have a prefix before the JSON; lines
+// that are not routing decisions are skipped.
 func ReadChoices(log io.Reader) (choices []decide.Choice, err error) {
 	lines := bufio.NewScanner(log)
 	lines.Buffer(make([]byte, 0, 1<<16), 1<<22)
@@ -63,62 +68,63 @@
 	return choices, lines.Err()
 }
 
-// Explained sums up the choices of one route.
+// Explained summarizes the routing decisions of one route.
 type Explained struct {
 	Route string
-	// Attempts are dispatches, Failed those that ended in a failure, Late the first pieces
-	// that came after the target.
+	// Attempts counts the requests sent to replicas, Failed those that ended in a failure, and
+	// Late the first pieces that came after the target.
 	Attempts, Failed, Late int
 	Causes                 map[Cause]int
-	// Bias, Median and P95 are of the forecast's error: how much later the first piece came
-	// than was foreseen.
+	// Bias (the mean), Median and P95 describe the error of the forecast: how much later than
+	// forecast the first piece came.
 	Bias, Median, P95 time.Duration
-	// ReadAgain are shared tokens that were read at others than their owner.
+	// ReadAgain counts tokens of shared prefixes that were prefilled on replicas other than their
+	// owner.
 	ReadAgain int
 }
 
-// Explain sums up choices by route, the busiest first. Choices stand in the order in which
-// they ended.
-func Explain(choices []decide.Choice) (out []Explained) {
+// Explain summarizes choices by route, the route with most attempts first. Choices must be in the
+// order in which their attempts ended.
+func Explain(choices []decide.Choice) (summaries []Explained) {
 	routes := map[string]*Explained{}
-	misses := map[string][]time.Duration{}
+	forecastErrors := map[string][]time.Duration{}
 	failed := map[string]bool{}
 	for _, choice := range choices {
-		one := routes[choice.Route]
-		if one == nil {
-			one = &Explained{Route: choice.Route, Causes: map[Cause]int{}}
-			routes[choice.Route] = one
+		summary := routes[choice.Route]
+		if summary == nil {
+			summary = &Explained{Route: choice.Route, Causes: map[Cause]int{}}
+			routes[choice.Route] = summary
 		}
-		one.Attempts++
+		summary.Attempts++
 		if choice.Rank != decide.RankOwner && choice.Owner != "" {
-			one.ReadAgain += choice.UnreadShared
+			summary.ReadAgain += choice.UnreadShared
 		}
 		if choice.First > 0 {
-			misses[choice.Route] = append(misses[choice.Route], choice.First-choice.Foreseen)
+			forecastErrors[choice.Route] = append(forecastErrors[choice.Route], choice.First-choice.Foreseen)
 			if choice.Target > 0 && choice.Waited+choice.First > choice.Target {
-				one.Late++
-				one.Causes[cause(choice, failed[choice.Request])]++
+				summary.Late++
+				summary.Causes[cause(choice, failed[choice.Request])]++
 			}
 		}
 		if choice.Code != "" {
-			one.Failed++
+			summary.Failed++
 			failed[choice.Request] = true
 		}
 	}
-	for name, one := range routes {
-		one.Bias, one.Median, one.P95 = spread(misses[name])
-		out = append(out, *one)
+	for name, summary := range routes {
+		summary.Bias, summary.Median, summary.P95 = spread(forecastErrors[name])
+		summaries = append(summaries, *summary)
 	}
-	slices.SortFunc(out, func(a, b Explained) int {
+	slices.SortFunc(summaries, func(a, b Explained) int {
 		if a.Attempts != b.Attempts {
 			return b.Attempts - a.Attempts
 		}
 		return strings.Compare(a.Route, b.Route)
 	})
-	return out
+	return summaries
 }
 
-// cause is why a late first piece was late.
+// cause returns the reason why a late first piece was late.
 func cause(choice decide.Choice, hasFailed bool) Cause {
 	switch {
 	case hasFailed:
@@ -137,26 +143,26 @@
 	return CauseQueued
 }
 
-// spread gives mean, median and 95th percentile.
-func spread(values []time.Duration) (mean, median, most time.Duration) {
+// spread returns the mean, the median and the 95th percentile of the values, and sorts them.
+func spread(values []time.Duration) (mean, median, p95 time.Duration) {
 	if len(values) == 0 {
 		return 0, 0, 0
 	}
 	slices.Sort(values)
-	for _, one := range values {
-		mean += one
+	for _, value := range values {
+		mean += value
 	}
 	return mean / time.Duration(len(values)), quantile(values, 0.5), quantile(values, 0.95)
 }
 
-// WriteExplained writes a table of the routes, and of why they were late.
-func WriteExplained(out io.Writer, list []Explained) {
+// WriteExplained writes a table of the routes, with the causes of their late first pieces.
+func WriteExplained(out io.Writer, routes []Explained) {
 	fmt.Fprintf(out, "%-16s %9s %7s %6s %9s %9s %9s %12s\n", "route", "attempts", "failed", "late", "bias", "median", "p95", "read again")
-	for _, one := range list {
-		fmt.Fprintf(out, "%-16s %9d %7d %6d %9s %9s %9s %12d\n", one.Route, one.Attempts, one.Failed, one.Late,
-			one.Bias.Round(time.Millisecond), one.Median.Round(time.Millisecond), one.P95.Round(time.Millisecond), one.ReadAgain)
+	for _, route := range routes {
+		fmt.Fprintf(out, "%-16s %9d %7d %6d %9s %9s %9s %12d\n", route.Route, route.Attempts, route.Failed, route.Late,
+			route.Bias.Round(time.Millisecond), route.Median.Round(time.Millisecond), route.P95.Round(time.Millisecond), route.ReadAgain)
 		for _, cause := range causes {
-			if count := one.Causes[cause]; count > 0 {
+			if count := route.Causes[cause]; count > 0 {
 				fmt.Fprintf(out, "    %6d late: %s\n", count, cause)
 			}
 		}
--- a/fleet/faultsrouted.go
+++ b/fleet/faultsrouted.go
@@ -11,7 +11,7 @@
 	"swifttiller/sim"
 )
 
-// ApplyRoutes applies the shape's document with other routes, and notes it.
+// ApplyRoutes applies the shape's document with other routes, and records it in the facts.
 func (park *Park) ApplyRoutes(facts *Facts, routes RouteWords) error {
 	park.Document = park.Shape.Document(routes)
 	document := park.Vary()
@@ -19,25 +19,26 @@
 	if len(problems) > 0 {
 		return problems
 	}
-	at := len(facts.Books)
+	index := len(facts.Books)
 	facts.Books = append(facts.Books, Book{Asked: park.Now(), Tree: tree})
 	return park.Do(park.control(), 20*time.Second, func(daemon *controlplane.Daemon) error {
 		applied, err := daemon.Apply(document, nil, false)
 		if err == nil {
-			facts.Books[at].Acked = park.Now()
+			facts.Books[index].Acked = park.Now()
 			park.acknowledge(facts, daemon, applied.Serial)
 		}
 		return err
 	})
 }
 
-// ApplyTenants applies the shape's document with other tenants, and notes it.
+// ApplyTenants applies the shape's document with other tenants, and records it in the facts.
 func (park *Park) ApplyTenants(facts *Facts, tenants TenantWords) error {
 	park.Shape.Tenants = tenants
 	return park.ApplyRoutes(facts, park.Shape.Routes())
 }
 
-// startKeyedCallers starts callers with keys that come, go and pass on in a fault, for a while.
+// startKeyedCallers starts callers for a while that use keys which the fault adds, drops or passes
+// on to another tenant.
 func (park *Park) startKeyedCallers(span time.Duration, keys ...string) {
 	crowd := park.Plan.Routed[0]
 	crowd.Name, crowd.Keys, crowd.Workers, crowd.Until = "keyed", keys, 2*len(keys), park.Now()+span
@@ -45,13 +46,13 @@
 	park.crowdRouted(&crowd)
 }
 
-// countAttempts counts the tries of keyed callers with the key that were answered with the status,
-// and the runs of such by the tenant.
-func (park *Park) countAttempts(key string, status int, tenant string) (tries, runs int) {
-	for _, one := range park.RoutedRequests {
-		for _, try := range one.Tries {
-			if try.Key == key && try.Status == status {
-				tries++
+// countAttempts counts the attempts with the key that were answered with the status, and the runs
+// of attempts with the key that were sent for the tenant.
+func (park *Park) countAttempts(key string, status int, tenant string) (attempts, runs int) {
+	for _, request := range park.RoutedRequests {
+		for _, attempt := range request.Tries {
+			if attempt.Key == key && attempt.Status == status {
+				attempts++
 			}
 		}
 	}
@@ -60,10 +61,10 @@
 			runs++
 		}
 	}
-	return tries, runs
+	return attempts, runs
 }
 
-// BeginRouted gives the facts that hold before anything is done.
+// BeginRouted returns the facts that hold before anything is done.
 func (park *Park) BeginRouted() Facts {
 	facts := Facts{From: park.Now()}
 	tree, _ := settings.Parse([]byte(park.Document))
@@ -71,7 +72,7 @@
 	return facts
 }
 
-// anyEngine draws an engine of the main model that runs.
+// anyEngine draws a running engine of the main model.
 func (park *Park) anyEngine() string {
 	var names []string
 	for _, options := range park.Plan.Engines {
@@ -82,14 +83,15 @@
 	return names[park.Draw(int64(len(names)))]
 }
 
-func (park *Park) eachEngine(do func(engine *Engine)) {
+// eachEngine visits the engines in the order of the plan.
+func (park *Park) eachEngine(visit func(engine *Engine)) {
 	for _, options := range park.Plan.Engines {
-		do(park.Engines[options.Name])
+		visit(park.Engines[options.Name])
 	}
 }
 
-// ReplaceEngine ends an engine as platforms do: it is marked and gets its grace, then
-// another one begins at its address.
+// ReplaceEngine ends an engine as hosting platforms do: it is marked as leaving and gets its grace
+// period, then another one starts at its address.
 func (park *Park) ReplaceEngine(name string, grace time.Duration) {
 	options := park.Engines[name].EngineOptions
 	park.Engines[name].Leaving = true
@@ -101,7 +103,7 @@
 	park.StartEngine(options)
 }
 
-// withTroubles lets some of all engines' answers go wrong for a while.
+// withTroubles makes a share of all engines' answers fail for a while.
 func withTroubles(troubles Troubles, span time.Duration) func(*Park, *Facts) {
 	return func(park *Park, _ *Facts) {
 		park.eachEngine(func(engine *Engine) { engine.Troubles = troubles })
@@ -110,9 +112,11 @@
 	}
 }
 
+// anyData draws a data daemon.
 func (park *Park) anyData() string { return park.pick(park.Plan.Datas) }
 
-// floodFairTenant starts callers of the fair in all regions for the span, several times above its limit.
+// floodFairTenant starts callers of the tenant "fair" in all regions for the span, with several
+// times as many requests as its limit allows.
 func (park *Park) floodFairTenant(span time.Duration) {
 	for _, region := range park.Shape.Regions {
 		for _, crowd := range park.Plan.Routed {
@@ -125,41 +129,42 @@
 	}
 }
 
-// withFairFlood has the fair flood while a trouble runs, and looks whether its limit was used up.
-func withFairFlood(trouble func(park *Park, facts *Facts)) func(*Park, *Facts) {
+// withFairFlood injects a failure while the tenant "fair" floods the system, and checks that the
+// tenant used up its limit and had requests rejected.
+func withFairFlood(failure func(park *Park, facts *Facts)) func(*Park, *Facts) {
 	return func(park *Park, facts *Facts) {
 		park.floodFairTenant(9 * time.Second)
 		park.Run(time.Second)
-		trouble(park, facts)
+		failure(park, facts)
 		park.Run(10 * time.Second)
-		ran, declined := 0, 0
+		ran, rejected := 0, 0
 		for _, run := range park.Runs {
 			if run.Tenant == "fair" && run.Ran > 0 {
 				ran++
 			}
 		}
-		for _, one := range park.RoutedRequests {
-			for _, try := range one.Tries {
-				if try.Key == "fair-1" && try.Code == "over_quota" {
-					declined++
+		for _, request := range park.RoutedRequests {
+			for _, attempt := range request.Tries {
+				if attempt.Key == "fair-1" && attempt.Code == "over_quota" {
+					rejected++
 				}
 			}
 		}
-		facts.Must(fmt.Sprintf("of the fair's requests %d ran and %d were declined", ran, declined), ran >= 30 && declined >= 50)
+		facts.Must(fmt.Sprintf("of the requests of tenant fair %d ran and %d were rejected", ran, rejected), ran >= 30 && rejected >= 50)
 	}
 }
 
-// aggregators are the data daemons that count for others.
+// aggregators returns the running data daemons that aggregate the rate limiters' counts for others.
 func (park *Park) aggregators() (names []string) {
-	for _, word := range park.Plan.Datas {
-		if name, _ := split(word); park.Node(name).Up() && park.Datas[name].Limiter.Status().Aggregator == name {
+	for _, spec := range park.Plan.Datas {
+		if name, _ := split(spec); park.Node(name).Up() && park.Datas[name].Limiter.Status().Aggregator == name {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-// RoutedFaults are all that is tried with routed requests, singly.
+// RoutedFaults are all faults that are tested with routed requests, singly.
 var RoutedFaults = []Fault{
 	{"a tenant far above its limit", true, withFairFlood(func(*Park, *Facts) {}), []string{"quota"}},
 	{"a tenant far above its limit, and its hubs die", false, withFairFlood(func(park *Park, _ *Facts) {
@@ -289,16 +294,16 @@
 		park.StartData(name)
 	}, []string{"rerun"}},
 	{"data daemon frozen", false, func(park *Park, _ *Facts) {
-		// One after the other, so that some request is caught whatever the seed.
-		for _, word := range park.Plan.Datas[:2] {
-			name, _ := split(word)
+		// Two in turn, so that requests are in flight at a freeze with every seed.
+		for _, spec := range park.Plan.Datas[:2] {
+			name, _ := split(spec)
 			park.Freeze(name, 5*time.Second)
 			park.Run(6 * time.Second)
 		}
 	}, []string{"rerun"}},
 	{"data daemons restarted", true, func(park *Park, _ *Facts) {
-		for _, word := range park.Plan.Datas[:2] {
-			name, _ := split(word)
+		for _, spec := range park.Plan.Datas[:2] {
+			name, _ := split(spec)
 			park.StopData(name)
 			park.Run(500 * time.Millisecond)
 			park.StartData(name)
@@ -306,20 +311,21 @@
 		}
 	}, []string{"routed lost", "fallback"}},
 	{"routes moved, added and dropped", true, func(park *Park, facts *Facts) {
-		// One that holds an old view sends on by it, as far as it may.
+		// Callers of the added route; daemons with an old view keep using it within
+		// OldConfigBound.
 		crowd := park.Plan.Routed[len(park.Plan.Routed)-1]
 		crowd.Name, crowd.Path, crowd.Workers, crowd.From = "more", "/more/one", 3, park.Now()
 		crowd.Until = park.Now() + 12*time.Second
 		park.crowdRouted(&crowd)
-		words := park.Shape.Routes()
-		before := words["moved"]
-		words["moved"] = `"host":"office.example","prefix":"/moved/","kind":"streamed","timeout_ms":6000,"target_ms":800,"tries":1,"shares":[{"model":"scribe","weight":1}]`
-		words["more"] = `"host":"office.example","prefix":"/more/","kind":"streamed","timeout_ms":6000,"target_ms":800,"tries":1,"shares":[{"model":"clerk","weight":1}]`
-		facts.Need("apply", park.ApplyRoutes(facts, words))
+		routes := park.Shape.Routes()
+		before := routes["moved"]
+		routes["moved"] = `"host":"office.example","prefix":"/moved/","kind":"streamed","timeout_ms":6000,"target_ms":800,"tries":1,"shares":[{"model":"scribe","weight":1}]`
+		routes["more"] = `"host":"office.example","prefix":"/more/","kind":"streamed","timeout_ms":6000,"target_ms":800,"tries":1,"shares":[{"model":"clerk","weight":1}]`
+		facts.Need("apply", park.ApplyRoutes(facts, routes))
 		park.Run(4 * time.Second)
-		words["moved"] = before
-		delete(words, "more")
-		facts.Need("apply", park.ApplyRoutes(facts, words))
+		routes["moved"] = before
+		delete(routes, "more")
+		facts.Need("apply", park.ApplyRoutes(facts, routes))
 		park.Run(4 * time.Second)
 		ran := 0
 		for _, run := range park.Runs {
@@ -327,14 +333,14 @@
 				ran++
 			}
 		}
-		facts.Must("an added route served", ran > 0)
+		facts.Must("requests of an added route ran", ran > 0)
 	}, []string{"routes", "routed lost"}},
 	{"routes moved while a data daemon is cut from the core", false, func(park *Park, facts *Facts) {
 		name := park.anyData()
 		park.Split([]string{name}, park.controls(), true)
-		words := park.Shape.Routes()
-		words["moved"] = `"host":"office.example","prefix":"/moved/","kind":"streamed","timeout_ms":6000,"target_ms":800,"tries":1,"shares":[{"model":"scribe","weight":1}]`
-		facts.Need("apply", park.ApplyRoutes(facts, words))
+		routes := park.Shape.Routes()
+		routes["moved"] = `"host":"office.example","prefix":"/moved/","kind":"streamed","timeout_ms":6000,"target_ms":800,"tries":1,"shares":[{"model":"scribe","weight":1}]`
+		facts.Need("apply", park.ApplyRoutes(facts, routes))
 		park.Run(5 * time.Second)
 		park.Split([]string{name}, park.controls(), false)
 	}, []string{"routes"}},
@@ -355,12 +361,12 @@
 		park.Run(2 * time.Second)
 		for key, tenants := range map[string][]string{"dropped": {"market"}, "passed": {"market", "harbour"}, "added": {"school"}} {
 			for _, tenant := range tenants {
-				told, runs := park.countAttempts(key, 401, tenant)
-				facts.Must(fmt.Sprintf("%s ran as %s's %d times, and was not known %d times", key, tenant, runs, told), runs > 5 && told > 5)
+				unknown, runs := park.countAttempts(key, 401, tenant)
+				facts.Must(fmt.Sprintf("key %s ran for tenant %s %d times, and was unknown %d times", key, tenant, runs, unknown), runs > 5 && unknown > 5)
 			}
 		}
-		told, runs := park.countAttempts("never", 401, "")
-		facts.Must("a key that nobody holds was not known, and did not run", told > 5 && runs == 0)
+		unknown, runs := park.countAttempts("never", 401, "")
+		facts.Must("a key of no tenant was unknown, and did not run", unknown > 5 && runs == 0)
 	}, []string{"keys", "tenant", "routed home", "routed lost"}},
 	{"keys dropped while data daemons are cut from the core and frozen", false, func(park *Park, facts *Facts) {
 		before := park.Shape.Tenants
@@ -372,8 +378,8 @@
 		facts.Need("apply", park.ApplyTenants(facts, first))
 		park.Run(3 * time.Second)
 		var names []string
-		for _, word := range park.Plan.Datas[:2] {
-			name, _ := split(word)
+		for _, spec := range park.Plan.Datas[:2] {
+			name, _ := split(spec)
 			names = append(names, name)
 		}
 		park.Split(names[:1], park.controls(), true)
@@ -383,10 +389,10 @@
 		park.Split(names[:1], park.controls(), false)
 		park.Run(2 * time.Second)
 		facts.Need("apply", park.ApplyTenants(facts, before))
-		told, runs := park.countAttempts("dropped", 401, "market")
-		facts.Must("a dropped key ran, and was not known later", told > 5 && runs > 5)
+		unknown, runs := park.countAttempts("dropped", 401, "market")
+		facts.Must("a dropped key ran, and was unknown later", unknown > 5 && runs > 5)
 		_, runs = park.countAttempts("passed", 0, "school")
-		facts.Must("a key was passed on", runs > 5)
+		facts.Must("a key ran for the tenant that it was passed on to", runs > 5)
 	}, []string{"keys", "tenant"}},
 	{"evacuation and return", true, func(park *Park, facts *Facts) {
 		zone := park.Plan.Engines[0].Zone
@@ -408,7 +414,8 @@
 		park.Run(9 * time.Second)
 	}, []string{"whole"}},
 	{"flood", false, func(park *Park, facts *Facts) {
-		// Far more than the engines have places for, by callers that give up and try again.
+		// Far more requests than the engines have capacity for, by callers that time out and
+		// retry.
 		park.eachEngine(func(engine *Engine) { engine.Berths, engine.Queue = 6, 3 })
 		engines := 0
 		for _, count := range park.Shape.Engines {
@@ -423,19 +430,20 @@
 		park.Run(8 * time.Second)
 		park.eachEngine(func(engine *Engine) { engine.Berths, engine.Queue = 64, 16 })
 		park.Run(2 * time.Second)
-		declined := 0
+		rejected := 0
 		for _, run := range park.Runs {
 			if run.NotRun {
-				declined++
+				rejected++
 			}
 		}
-		facts.Must("engines turned requests away", declined > 0)
+		facts.Must("engines rejected requests", rejected > 0)
 	}, []string{"whole", "promise", "routed retries"}},
 	{"engines of the quiet model fail", false, func(park *Park, facts *Facts) {
-		// What the busy model's requests allow in repeats is nothing that the other may use.
-		words := park.Shape.Routes()
-		words["more"] = `"host":"office.example","prefix":"/more/","kind":"streamed","timeout_ms":8000,"target_ms":800,"gap_ms":300,"urgency":2,"tries":3,"resume":true,"shares":[{"model":"clerk","weight":1}]`
-		facts.Need("apply", park.ApplyRoutes(facts, words))
+		// The retry budget earned by the busy model's requests must not be usable for the other
+		// model.
+		routes := park.Shape.Routes()
+		routes["more"] = `"host":"office.example","prefix":"/more/","kind":"streamed","timeout_ms":8000,"target_ms":800,"gap_ms":300,"urgency":2,"tries":3,"resume":true,"shares":[{"model":"clerk","weight":1}]`
+		facts.Need("apply", park.ApplyRoutes(facts, routes))
 		park.eachEngine(func(engine *Engine) {
 			if engine.Model == spareModel {
 				engine.Fails = 0.9
@@ -449,17 +457,17 @@
 	}, []string{"routed retries"}},
 	{"late second answers", false, func(park *Park, facts *Facts) {
 		withTroubles(Troubles{Repeats: 0.3}, 6*time.Second)(park, facts)
-		facts.Must("some answers came twice", park.Repeated > 0)
+		facts.Must("some answers were sent twice", park.Repeated > 0)
 	}, []string{"whole"}},
 	{"answers broken off", false, func(park *Park, facts *Facts) {
 		withTroubles(Troubles{Breaks: 0.15}, 6*time.Second)(park, facts)
 		resumed := 0
 		for _, run := range park.Runs {
-			if try := park.tried[run.ID]; run.After > 0 && try.After == 0 && try.IsWhole {
+			if attempt := park.tried[run.ID]; run.After > 0 && attempt.After == 0 && attempt.IsWhole {
 				resumed++
 			}
 		}
-		facts.Must("streams went on at other engines within one answer", resumed > 0)
+		facts.Must("streams were resumed on other engines within one answer", resumed > 0)
 	}, []string{"rerun", "routed retries"}},
 	{"answers lost", false, withTroubles(Troubles{Loses: 0.1}, 6*time.Second), []string{"rerun"}},
 	{"answers failed", false, withTroubles(Troubles{Fails: 0.15}, 6*time.Second), []string{"rerun", "routed retries"}},
@@ -470,7 +478,7 @@
 	}, []string{"whole"}},
 }
 
-// String names a run, for messages.
+// String identifies the run in messages.
 func (run *Run) String() string {
 	return fmt.Sprintf("%s on %s (%s)", run.ID, run.Engine, run.Life)
 }
--- a/fleet/seen.go
+++ b/fleet/seen.go
@@ -14,34 +14,38 @@
 	"swifttiller/settings"
 )
 
-// Seen is what an outside watcher of a park notes, for the checkers. Nothing is
-// ever taken out of it.
+// Seen records what an outside observer of a simulated cluster notes, for the checkers. Entries are
+// never removed from its lists.
 type Seen struct {
 	Arrivals []Arrival
 	Told     []Told
 	Locates  []Located
 	Entered  []Entered
 	Adopted  []Adopted
-	// Greeted counts new connections to replicas, each of which asked whose it is.
+	// Greeted counts new connections to replicas, on each of which the daemon asks for the
+	// identity of the replica.
 	Greeted int
-	// Learned is when the first daemon knew that a life of a replica ends, by
-	// id/boot.
+	// Learned holds the time at which the first daemon knew that a replica process is being
+	// terminated, by id/boot.
 	Learned map[string]time.Duration
-	// marked is the life that was meant when the platform was told.
+	// marked holds the process (boot ID) of each replica that was current when the platform was
+	// told to terminate the replica.
 	marked map[string]string
-	// Lives are the beginnings of processes, and their wakings from a freeze
-	// longer than any permit, in order.
+	// Lives lists, in order, the starts of processes, and their resumptions after a freeze that
+	// was longer than any lease.
 	Lives []Life
-	// adopted is each process's last, by name and life; highest is by anyone.
+	// adopted holds each process's latest configuration, by name and incarnation; highestSerial is
+	// the highest document version that any process has used. frozen holds the processes that are
+	// frozen now, with the time at which that began.
 	adopted       map[string]Adopted
 	highestSerial uint64
 	frozen        map[string]Life
-	// marks are those of contents that were looked at, which is done often.
+	// marks caches the hashes of contents, as they are needed at every observation.
 	marks map[string]uint64
 }
 
-// Arrival is a request that reached a replica, taken or not. Sent is when the
-// daemon let it go; a frozen replica finds it when it wakes, much later.
+// Arrival is a request that reached a replica, whether the replica took it or not. Sent is when the
+// daemon sent it; a frozen replica reads it only when it resumes, much later.
 type Arrival struct {
 	At, Sent              time.Duration
 	Replica, Boot, Daemon string
@@ -50,13 +54,13 @@
 	Try                   int
 }
 
-// Told is the end of one try, as the caller was told it.
+// Told is the outcome of one attempt, as the caller got it.
 type Told struct {
 	Sent, At                          time.Duration
 	ID, Ticket, Daemon, Verdict, Code string
 }
 
-// Located is an answer to a caller that asked where to go.
+// Located is a reply to a caller that asked which daemons to use.
 type Located struct {
 	At       time.Duration
 	By, Home string
@@ -69,18 +73,18 @@
 	ID, Daemon, Home string
 }
 
-// Adopted is a process that goes by a configuration from now on.
+// Adopted records that a process uses a configuration from this time on.
 type Adopted struct {
 	At           time.Duration
 	Daemon, Life string
 	Serial       uint64
-	Mark         uint64 // of the contents
+	Mark         uint64 // hash of the contents
 	tree         *settings.Tree
 	out          string // the evacuated zones
 }
 
-// Life is a process that began or woke. Least is the highest serial that anyone
-// had been seen to go by then.
+// Life is a process that started, or resumed after a freeze. Least is the highest document version
+// that any process had been seen to use by then.
 type Life struct {
 	At     time.Duration
 	Daemon string
@@ -91,46 +95,48 @@
 	return Seen{Learned: map[string]time.Duration{}, marked: map[string]string{}, adopted: map[string]Adopted{}, frozen: map[string]Life{}, marks: map[string]uint64{}}
 }
 
-// mark is a hash of a configuration's contents.
+// mark returns a hash of the contents of a configuration.
 func mark(config lease.Config) uint64 {
-	sum := fnv.New64a()
-	var tight bytes.Buffer // white space is not content
-	_ = json.Compact(&tight, config.Document)
-	_, _ = sum.Write(tight.Bytes())
+	hash := fnv.New64a()
+	var compact bytes.Buffer // white space does not count as a difference
+	_ = json.Compact(&compact, config.Document)
+	_, _ = hash.Write(compact.Bytes())
 	for _, zone := range config.Evacuated {
-		_, _ = sum.Write([]byte("|" + zone))
+		_, _ = hash.Write([]byte("|" + zone))
 	}
-	return sum.Sum64()
+	return hash.Sum64()
 }
 
-// mark is that of the contents, kept for the next time.
+// mark returns the hash of the contents, and caches it.
 func (seen *Seen) mark(config lease.Config) uint64 {
 	key := string(config.Document) + "|" + strings.Join(config.Evacuated, "|")
-	out, isKnown := seen.marks[key]
+	sum, isKnown := seen.marks[key]
 	if !isKnown {
-		out = mark(config)
-		seen.marks[key] = out
+		sum = mark(config)
+		seen.marks[key] = sum
 	}
-	return out
+	return sum
 }
 
+// learnLeaving records the first time at which a daemon learned that a replica process is being
+// terminated.
 func (park *Park) learnLeaving(id, boot string) {
 	if _, known := park.Learned[id+"/"+boot]; !known {
 		park.Learned[id+"/"+boot] = park.Now()
 	}
 }
 
-// LeaveByPlatform marks a replica at the platform, and nowhere else.
+// LeaveByPlatform marks a replica as leaving in the platform's list only; the replica itself does not
+// know of it.
 func (park *Park) LeaveByPlatform(id string) {
 	park.marked[id] = park.Replicas[id].Boot
 	park.Platform.Leave(id)
 }
 
-// observeInterval is how often the watcher looks at what the processes go by.
+// observeInterval is how often the observer reads the configurations of the processes.
 const observeInterval = 10 * time.Millisecond
 
-// watch notes every process's configuration from now on, at every instant that
-// the watcher looks.
+// watch records changes of every process's configuration from now on, every observeInterval.
 func (park *Park) watch() {
 	park.At(observeInterval, func() {
 		var names []string
@@ -148,6 +154,8 @@
 	})
 }
 
+// observe records the process's configuration if it has changed, and its resumption if it was frozen
+// longer than a lease.
 func (park *Park) observe(name string) {
 	node := park.Node(name)
 	if !node.Up() {
@@ -166,40 +174,41 @@
 		if daemon == nil {
 			return
 		}
-		var have lease.Config
-		serial, have, tree = daemon.Issuer.Current()
-		config, life, out = func() lease.Config { return have }, daemon.Incarnation, strings.Join(have.Evacuated, "|")
+		var contents lease.Config
+		serial, contents, tree = daemon.Issuer.Current()
+		config, life, out = func() lease.Config { return contents }, daemon.Incarnation, strings.Join(contents.Evacuated, "|")
 	}
 	if node.Frozen() {
-		began, known := park.frozen[name]
+		freeze, known := park.frozen[name]
 		if !known {
-			began.At = park.Now()
+			freeze.At = park.Now()
 		}
-		began.Least = park.highestSerial
-		park.frozen[name] = began
+		freeze.Least = park.highestSerial
+		park.frozen[name] = freeze
 		return
 	}
-	if began, was := park.frozen[name]; was {
+	if freeze, wasFrozen := park.frozen[name]; wasFrozen {
 		delete(park.frozen, name)
-		if park.Now()-began.At > 3*time.Second {
-			park.Lives = append(park.Lives, Life{park.Now(), name, began.Least})
+		if park.Now()-freeze.At > 3*time.Second {
+			park.Lives = append(park.Lives, Life{park.Now(), name, freeze.Least})
 		}
 	}
 	key := name + "#" + life
-	have := park.adopted[key]
-	// A tree is never changed once it is shown, so the same one has the same contents.
-	if serial == have.Serial && (serial == 0 || tree == have.tree && out == have.out) {
+	last := park.adopted[key]
+	// A tree is immutable once published, so the same pointer means the same contents.
+	if serial == last.Serial && (serial == 0 || tree == last.tree && out == last.out) {
 		return
 	}
-	now := Adopted{At: park.Now(), Daemon: name, Life: life, Serial: serial, Mark: park.mark(config()), tree: tree, out: out}
-	if serial == have.Serial && now.Mark == have.Mark {
+	current := Adopted{At: park.Now(), Daemon: name, Life: life, Serial: serial, Mark: park.mark(config()), tree: tree, out: out}
+	if serial == last.Serial && current.Mark == last.Mark {
 		return
 	}
-	park.adopted[key] = now
-	park.Adopted = append(park.Adopted, now)
+	park.adopted[key] = current
+	park.Adopted = append(park.Adopted, current)
 	park.highestSerial = max(park.highestSerial, serial)
 }
 
+// born records the start of a process.
 func (park *Park) born(name string) {
 	delete(park.frozen, name)
 	park.Lives = append(park.Lives, Life{park.Now(), name, park.highestSerial})
