--- a/fleet/days.go
+++ b/fleet/days.go
@@ -10,39 +10,42 @@
 	"swifttiller/sim"
 )
 
-// day is a drawn course of mishaps and operators' work that overlap as they may,
-// where Faults come one after another. Every event begins at its time and mends
-// itself later, whatever else goes on by then.
+// day is a random sequence of failures and operators' actions that may overlap, whereas Faults are
+// injected one at a time. Every event begins at its time and is repaired later, whatever else is
+// going on by then.
 //
-// Invariants: what the registers may lose is one disk of the core, once a day; one
-// zone is out at a time; operators' work is answered before the next begins, so that
-// what they were told can be judged.
+// Invariants: at most one disk of the core is lost per day, which is what the registers tolerate.
+// At most one zone is evacuated at a time. An operator's action is answered before the next one
+// begins, so that the replies can be judged.
 type day struct {
 	*Park
 	facts          *Facts
 	rng            *rand.Rand
-	evacuatedZone  string // the zone that is out
+	evacuatedZone  string // empty if none is
 	isOperatorBusy bool
-	isDiskLost     bool // a disk is gone, and its machine to be readmitted
-	hasBadVersion  bool // a bad version is on its way or was
+	isDiskLost     bool // a core disk was wiped; its machine must be readmitted to the core
+	hasBadVersion  bool // the rollout of a failing version was started
 	started        []string
 	isNarrowed     bool
 	wideDocument   string
 }
 
-// Event is something that may begin on a day. It tells whether it did; it can't
-// where it makes no sense just then.
+// Event is something that may begin during a day. Run reports whether it did; it does not if the event
+// makes no sense in the current state.
 type Event struct {
 	Name string
 	Run  func(day *day) bool
 }
 
+// span draws a duration of at least least and below most.
 func (day *day) span(least, most time.Duration) time.Duration {
 	return least + time.Duration(day.rng.Int64N(int64(most-least)))
 }
 
+// choose draws one of the names.
 func (day *day) choose(names []string) string { return names[day.rng.IntN(len(names))] }
 
+// running returns those of the named nodes that are up and not frozen.
 func (day *day) running(names []string) (up []string) {
 	for _, name := range names {
 		if day.Node(name).Up() && !day.Node(name).Frozen() {
@@ -54,7 +57,7 @@
 
 func (day *day) daemons() []string { return append(day.controls(), day.datas()...) }
 
-// restartAfter starts again whatever of the named is down after the span.
+// restartAfter restarts those of the named nodes that are down after the delay.
 func (day *day) restartAfter(after time.Duration, names ...string) {
 	day.At(after, func() {
 		for _, name := range names {
@@ -65,7 +68,7 @@
 	})
 }
 
-// crashOne crashes one of the named that runs, and brings it back later.
+// crashOne crashes one of the named nodes that are running, and restarts it later.
 func (day *day) crashOne(names []string, least, most time.Duration) bool {
 	up := day.running(names)
 	if len(up) == 0 {
@@ -77,6 +80,7 @@
 	return true
 }
 
+// freeze freezes one of the named nodes that are running, for at least 300 ms.
 func (day *day) freeze(names []string, most time.Duration) bool {
 	up := day.running(names)
 	if len(up) == 0 {
@@ -86,7 +90,7 @@
 	return true
 }
 
-// partition cuts some from the rest for a while.
+// partition disconnects the named nodes from all others for a while, in one direction or both.
 func (day *day) partition(inside []string) bool {
 	var outside []string
 	for _, name := range day.NodeNames() {
@@ -94,14 +98,14 @@
 			outside = append(outside, name)
 		}
 	}
-	way := day.rng.IntN(4) // 0 and 1: one way only
+	direction := day.rng.IntN(4) // 0 and 1: one direction only
 	cut := func(isCut bool) {
 		for _, a := range inside {
 			for _, b := range outside {
-				if way != 0 {
+				if direction != 0 {
 					day.Cut(a, b, isCut)
 				}
-				if way != 1 {
+				if direction != 1 {
 					day.Cut(b, a, isCut)
 				}
 			}
@@ -112,9 +116,8 @@
 	return true
 }
 
-// operate runs an operator's work at a running control daemon, if none is under
-// way.
-func (day *day) operate(do func(daemon *controlplane.Daemon)) bool {
+// operate runs an operator's action at a running control daemon, unless another action is pending.
+func (day *day) operate(operation func(daemon *controlplane.Daemon)) bool {
 	up := day.running(day.controls())
 	if day.isOperatorBusy || len(up) == 0 {
 		return false
@@ -122,25 +125,26 @@
 	name := day.choose(up)
 	daemon := day.Controls[name]
 	day.isOperatorBusy = true
-	day.Node(name).Go(func() { do(daemon); day.isOperatorBusy = false })
-	// One that died with its operator's question unanswered leaves it so.
+	day.Node(name).Go(func() { operation(daemon); day.isOperatorBusy = false })
+	// A daemon that crashes during the action never replies.
 	day.At(25*time.Second, func() { day.isOperatorBusy = false })
 	return true
 }
 
-// apply applies the document that the park has.
+// apply applies the current document.
 func (day *day) apply(daemon *controlplane.Daemon) {
 	document := day.Vary()
-	homes, asked := day.homesOf(document), day.Now()
-	// Until it is known what it came to, both homes will do.
-	at := len(day.facts.Homes)
-	day.facts.Homes = append(day.facts.Homes, Homes{From: asked, Since: 1 << 60, Of: homes})
+	homes, submitted := day.homesOf(document), day.Now()
+	// Both the old and the new homes are allowed until the outcome is known.
+	index := len(day.facts.Homes)
+	day.facts.Homes = append(day.facts.Homes, Homes{From: submitted, Since: 1 << 60, Of: homes})
 	if applied, err := daemon.Apply(document, nil, false); err == nil {
 		day.acknowledge(day.facts, daemon, applied.Serial)
-		day.facts.Homes[at].Since = day.Now()
+		day.facts.Homes[index].Since = day.Now()
 	}
 }
 
+// evacuate takes a zone out of service or hands it back, as an operator would.
 func (day *day) evacuate(zone string, isBack bool) bool {
 	return day.operate(func(daemon *controlplane.Daemon) {
 		if isBack {
@@ -163,27 +167,28 @@
 	})
 }
 
-// leave has a replica end as platforms do it, by a drawn word of it.
+// leave ends a replica as hosting platforms do. Its end is announced by the replica's probes, by the
+// platform's list or by both, as drawn.
 func (day *day) leave() bool {
 	up := day.running(day.ids())
 	if len(up) == 0 {
 		return false
 	}
 	name := day.choose(up)
-	stand := day.Replicas[name]
-	if stand.Leaving {
+	replica := day.Replicas[name]
+	if replica.Leaving {
 		return false
 	}
-	way := day.rng.IntN(3)
-	if way != 0 {
-		stand.Lingers = true
-		stand.Leave()
+	notice := day.rng.IntN(3)
+	if notice != 0 {
+		replica.Lingers = true
+		replica.Leave()
 	}
-	if way != 1 {
+	if notice != 1 {
 		day.LeaveByPlatform(name)
 	}
 	day.At(day.span(day.Grace, 14*time.Second), func() {
-		if day.Replicas[name] == stand && day.Node(name).Up() {
+		if day.Replicas[name] == replica && day.Node(name).Up() {
 			day.Crash(name)
 		}
 		day.Platform.Remove(name)
@@ -191,7 +196,7 @@
 			if day.Node(name).Up() {
 				day.Crash(name)
 			}
-			options := stand.ReplicaOptions
+			options := replica.ReplicaOptions
 			options.Lingers = false
 			day.StartReplica(options)
 			day.Platform.Add(Region(options.Zone), name, name, options.Zone)
@@ -200,7 +205,7 @@
 	return true
 }
 
-// stop is a planned stop of a data daemon, without waiting for it here.
+// stop begins a planned stop and restart of a data daemon, and does not wait for it.
 func (day *day) stop() bool {
 	up := day.running(day.datas())
 	if len(up) < 2 {
@@ -221,25 +226,28 @@
 	return true
 }
 
-func (day *day) addCallers(change func(crowd *Crowd)) bool {
+// addCallers starts more callers for a while, modelled after drawn callers of the plan.
+func (day *day) addCallers(modify func(crowd *Crowd)) bool {
 	crowd := day.Plan.Callers[day.rng.IntN(len(day.Plan.Callers))]
 	crowd.Name, crowd.From, crowd.Until = fmt.Sprint("day-", day.rng.Uint32(), "-", crowd.Name), 0, day.Now()+day.span(2*time.Second, 10*time.Second)
 	crowd.Every = min(crowd.Every/4, 60*time.Millisecond)
-	change(&crowd)
+	modify(&crowd)
 	day.crowd(&crowd)
 	return true
 }
 
-func (day *day) disk(change func(disk *sim.Disk), restore func(disk *sim.Disk), isDying bool) bool {
+// disk makes the disk of a running core machine fail for a while. If isCrashing is set, the machine
+// crashes at the end of it and is restarted.
+func (day *day) disk(breakDisk func(disk *sim.Disk), restore func(disk *sim.Disk), isCrashing bool) bool {
 	up := day.running(day.seeds())
 	if len(up) == 0 {
 		return false
 	}
 	name := day.choose(up)
-	change(day.Node(name).Disk)
+	breakDisk(day.Node(name).Disk)
 	day.At(day.span(time.Second, 9*time.Second), func() {
 		restore(day.Node(name).Disk)
-		if isDying && day.Node(name).Up() {
+		if isCrashing && day.Node(name).Up() {
 			day.Crash(name)
 			day.restartAfter(500*time.Millisecond, name)
 		}
@@ -247,20 +255,20 @@
 	return true
 }
 
-// handover starts a run to a version that is good, or bad in a drawn way.
+// handover starts a rollout to a version that works, or that fails in a drawn way.
 func (day *day) handover(isBad bool) bool {
 	if isBad && day.hasBadVersion {
 		return false
 	}
 	version := fmt.Sprint("v", day.rng.IntN(1000)+2)
 	if isBad {
-		how := []Way{Errs, Cut, Empty, Garbled}[day.rng.IntN(4)]
-		fails := func(held, _ string, _ int) bool { return held == "bad" }
+		failure := []Way{Errs, Cut, Empty, Garbled}[day.rng.IntN(4)]
+		isFailing := func(heldVersion, _ string, _ int) bool { return heldVersion == "bad" }
 		for index := range day.Plan.Replicas {
-			day.Plan.Replicas[index].Bad, day.Plan.Replicas[index].How = fails, how
+			day.Plan.Replicas[index].Bad, day.Plan.Replicas[index].How = isFailing, failure
 		}
 		for _, name := range day.ids() {
-			day.Replicas[name].Bad, day.Replicas[name].How = fails, how
+			day.Replicas[name].Bad, day.Replicas[name].How = isFailing, failure
 		}
 		version = "bad"
 	}
@@ -272,11 +280,11 @@
 	})
 }
 
-// watchRouting notes when a region's route is first seen to have moved to the bad version.
+// watchRouting records when a region is first seen to route its traffic to the bad version.
 func (day *day) watchRouting() {
 	for _, name := range day.datas() {
-		for region, one := range day.Datas[name].Holder.View().RoutingTables {
-			for _, row := range one.Rows {
+		for region, table := range day.Datas[name].Holder.View().RoutingTables {
+			for _, row := range table.Rows {
 				if row.Version == day.facts.Bad && !row.Trial && !row.Back && day.facts.Moved[region] == 0 {
 					day.facts.Moved[region] = day.Now()
 				}
@@ -286,7 +294,7 @@
 	day.At(observeInterval, day.watchRouting)
 }
 
-// Events are all that a day may be made of.
+// Events are all events that a day may consist of.
 var Events = []Event{
 	{"data daemon killed", func(day *day) bool { return day.crashOne(day.datas(), 300*time.Millisecond, 5*time.Second) }},
 	{"control daemon killed", func(day *day) bool { return day.crashOne(day.controls(), 300*time.Millisecond, 8*time.Second) }},
@@ -312,16 +320,16 @@
 	}},
 	{"region lost", func(day *day) bool {
 		inside, _ := day.inRegion(day.choose(day.Regions()))
-		ends := day.Lose(inside)
-		day.restartAfter(day.span(time.Second, 8*time.Second), ends...)
-		return len(ends) > 0
+		crashed := day.Lose(inside)
+		day.restartAfter(day.span(time.Second, 8*time.Second), crashed...)
+		return len(crashed) > 0
 	}},
 	{"everything lost", func(day *day) bool {
 		if day.rng.IntN(4) > 0 {
 			return false
 		}
-		ends := day.Lose(day.NodeNames())
-		for _, name := range ends {
+		crashed := day.Lose(day.NodeNames())
+		for _, name := range crashed {
 			day.restartAfter(day.span(500*time.Millisecond, 3*time.Second), name)
 		}
 		return true
@@ -419,29 +427,29 @@
 	}},
 }
 
-// Day runs a day of so many events within the span, drawn from the seed, and mends
-// everything after it. It tells which began, in order.
+// Day runs a day of count events, drawn from the seed, at times within the span, and repairs everything
+// afterwards. It returns the events that began, in order.
 func (park *Park) Day(facts *Facts, seed uint64, count int, span time.Duration) []string {
 	day := &day{Park: park, facts: facts, rng: rand.New(rand.NewPCG(seed, 9)), wideDocument: park.Document}
-	began := park.Now()
+	start := park.Now()
 	facts.Moved = map[string]time.Duration{}
 	day.watchRouting()
 	for index := 0; index < count; index++ {
 		event := Events[day.rng.IntN(len(Events))]
 		day.At(day.span(0, span), func() {
 			if event.Run(day) {
-				day.started = append(day.started, fmt.Sprintf("%s at %v", event.Name, (day.Now()-began).Round(10*time.Millisecond)))
+				day.started = append(day.started, fmt.Sprintf("%s at %v", event.Name, (day.Now()-start).Round(10*time.Millisecond)))
 			}
 		})
 	}
 	park.Run(span + 15*time.Second)
-	// The machines come back by themselves; the rest is for operators.
+	// Machines restart by their own timers; everything else is repaired here, as an operator would.
 	park.Faults = sim.NetworkFaults{}
 	for _, name := range day.daemons() {
 		park.Node(name).SetClockRate(0)
 		park.Node(name).Skew = 0
 	}
-	facts.Must("every machine is back", park.Until(20*time.Second, func() bool {
+	facts.Must("every machine is running again", park.Until(20*time.Second, func() bool {
 		for _, name := range append(day.daemons(), park.ids()...) {
 			if !park.Node(name).Up() || park.Node(name).Frozen() {
 				return false
@@ -459,12 +467,12 @@
 	if day.evacuatedZone != "" {
 		facts.Need("hand back", park.Evacuate(facts, day.evacuatedZone, true))
 	}
-	facts.Need("a configuration in the end", park.Apply(facts, park.control()))
+	facts.Need("apply a configuration after the day", park.Apply(facts, park.control()))
 	return day.started
 }
 
-// isVoter tells whether the machine's present acceptor is in the core, as any
-// running control daemon knows it.
+// isVoter reports whether the machine's current acceptor is a member of the core, according to a
+// running control daemon.
 func isVoter(park *Park, name string) bool {
 	for _, member := range park.Controls[park.control()].Core().Members {
 		if member.ID == park.Controls[name].Acceptor.ID() {
