--- a/fleet/call.go
+++ b/fleet/call.go
@@ -127,12 +127,12 @@
 // caller sends requests to the same daemons with the same ticket, until the ticket expires or a
 // request fails.
 type caller struct {
-	options   CallerOptions
-	client    *http.Client
-	addresses []string
-	ticket    string
-	until     time.Time
-	turn      int
+	options        CallerOptions
+	client         *http.Client
+	addresses      []string
+	ticket         string
+	ticketDeadline time.Time
+	turn           int
 }
 
 // locate asks the configured daemons in turn for addresses and a ticket, and reports whether one of
@@ -156,7 +156,7 @@
 			caller.addresses = append(caller.addresses, address.Str)
 		}
 		caller.ticket = root.Get("ticket").Str
-		caller.until = time.Now().Add(time.Duration(root.Get("expires_in_ms").Int()) * time.Millisecond)
+		caller.ticketDeadline = time.Now().Add(time.Duration(root.Get("expires_in_ms").Int()) * time.Millisecond)
 		return true
 	}
 	return false
@@ -166,9 +166,9 @@
 func (caller *caller) request(id string, number int) (code, verdict string, foreign bool, retried int) {
 	for attempt := 0; ; attempt++ {
 		if direct := caller.options.Direct; direct != "" {
-			caller.addresses, caller.ticket, caller.until = []string{direct}, "none", time.Now().Add(time.Hour)
+			caller.addresses, caller.ticket, caller.ticketDeadline = []string{direct}, "none", time.Now().Add(time.Hour)
 		}
-		if caller.ticket == "" || time.Now().After(caller.until) {
+		if caller.ticket == "" || time.Now().After(caller.ticketDeadline) {
 			if !caller.locate() {
 				code, verdict = "nowhere", "not_run"
 			}
--- a/fleet/check.go
+++ b/fleet/check.go
@@ -169,8 +169,9 @@
 	return all, judged
 }
 
-// lost checks that during planned maintenance every request succeeds, including those in
-// flight when it began. A request that never ended counts as lost. Judged are all requests.
+// lost checks that during planned maintenance every request succeeds, including those in flight when
+// it began, which are the ones from three seconds before. A request that never ended counts as lost.
+// Judged are all these requests.
 func lost(park *Park, facts Facts) (all []Broken, judged int) {
 	if !facts.Planned {
 		return nil, 0
@@ -268,7 +269,7 @@
 }
 
 // leaving checks that a replica process gets no request sent more than LeavingBound after the
-// first data daemon learned that it is being terminated. Judged are the processes that ran on
+// first daemon learned that it is being terminated. Judged are the processes that ran on
 // for at least a second past the bound and got requests when the termination was learned.
 func leaving(park *Park, _ Facts) (all []Broken, judged int) {
 	for _, arrival := range park.Arrivals {
@@ -287,7 +288,7 @@
 		if !isUsed[life] {
 			continue
 		}
-		for _, replica := range append(append([]*Replica{}, park.past...), park.stands()...) {
+		for _, replica := range append(append([]*Replica{}, park.past...), park.currentReplicas()...) {
 			ended := park.Now()
 			if replica.Gone > 0 {
 				ended = replica.Gone
@@ -358,18 +359,18 @@
 // but not yet at a replica.
 const shareRounding = 10
 
-// offeredFlood is the largest share of the requests sent to a cold replica that it may reject
+// maxColdRejectedShare is the largest share of the requests sent to a cold replica that it may reject
 // itself. A replica that bears less load than the settings say rejects some until the routing
 // has learned its limit.
-const offeredFlood = 0.25
+const maxColdRejectedShare = 0.25
 
 // flooded checks that cold replicas are not overloaded, by the counts of the simulated
 // replicas: requests taken beyond their capacity, and requests rejected. Judged are the
 // requests taken while cold.
 func flooded(park *Park, _ Facts) (all []Broken, judged int) {
-	for _, replica := range append(append([]*Replica{}, park.past...), park.stands()...) {
+	for _, replica := range append(append([]*Replica{}, park.past...), park.currentReplicas()...) {
 		judged += replica.ColdTaken
-		if rejected := float64(replica.TurnedAway); rejected > 3 && rejected > offeredFlood*float64(replica.ColdTaken+replica.TurnedAway) {
+		if rejected := float64(replica.TurnedAway); rejected > 3 && rejected > maxColdRejectedShare*float64(replica.ColdTaken+replica.TurnedAway) {
 			all = append(all, Broken{"flooded", 0, fmt.Sprintf("%s (%s) rejected %d requests while cold, and took %d", replica.ID, replica.Boot, replica.TurnedAway, replica.ColdTaken)})
 		}
 		if replica.Flooded > 0 {
@@ -379,8 +380,8 @@
 	return all, judged
 }
 
-// stands returns the current replicas in the order of their names.
-func (park *Park) stands() (list []*Replica) {
+// currentReplicas returns the current replicas in the order of their names.
+func (park *Park) currentReplicas() (list []*Replica) {
 	for _, name := range park.ids() {
 		list = append(list, park.Replicas[name])
 	}
@@ -527,7 +528,8 @@
 	return repeated
 }
 
-// Rate counts the requests that succeeded within a period, and those that started in it.
+// Rate counts the requests that ended with a complete answer within a period, and those that started
+// in it.
 func Rate(park *Park, from, until time.Duration) (answered, asked int) {
 	for _, request := range park.Requests {
 		if request.End >= from && request.End < until && request.Verdict == "ok" {
--- a/fleet/days.go
+++ b/fleet/days.go
@@ -315,11 +315,11 @@
 	{"a machine parted", func(day *day) bool { return day.partition([]string{day.choose(append(day.daemons(), day.ids()...))}) }},
 	{"core machine parted", func(day *day) bool { return day.partition([]string{day.choose(day.seeds())}) }},
 	{"region parted", func(day *day) bool {
-		inside, _ := day.inRegion(day.choose(day.Regions()))
+		inside, _ := day.splitByRegion(day.choose(day.Regions()))
 		return day.partition(inside)
 	}},
 	{"region lost", func(day *day) bool {
-		inside, _ := day.inRegion(day.choose(day.Regions()))
+		inside, _ := day.splitByRegion(day.choose(day.Regions()))
 		crashed := day.Lose(inside)
 		day.restartAfter(day.span(time.Second, 8*time.Second), crashed...)
 		return len(crashed) > 0
--- a/fleet/faults.go
+++ b/fleet/faults.go
@@ -218,8 +218,8 @@
 	return others
 }
 
-// inRegion splits the nodes into those of the region and all others.
-func (park *Park) inRegion(region string) (inside, outside []string) {
+// splitByRegion splits the nodes into those of the region and all others.
+func (park *Park) splitByRegion(region string) (inside, outside []string) {
 	for _, name := range park.NodeNames() {
 		if Region(park.zones[name]) == region {
 			inside = append(inside, name)
@@ -230,6 +230,7 @@
 	return inside, outside
 }
 
+// firstZone and lastZone return the zones of the first and the last replica of the plan.
 func firstZone(park *Park) string { return park.Plan.Replicas[0].Zone }
 func lastZone(park *Park) string  { return park.Plan.Replicas[len(park.Plan.Replicas)-1].Zone }
 
@@ -386,15 +387,15 @@
 		park.Run(5 * time.Second)
 		facts.Need("apply", park.Apply(facts, b))
 		// A daemon that starts next to the isolated acceptor must not adopt that acceptor's state.
-		lonely := fmt.Sprint("lonely-", park.Now().Milliseconds())
-		park.zones[lonely] = park.zones[a]
-		park.SeedsOf = map[string][]string{lonely: {a}}
-		park.StartData(lonely)
+		isolated := fmt.Sprint("lonely-", park.Now().Milliseconds())
+		park.zones[isolated] = park.zones[a]
+		park.SeedsOf = map[string][]string{isolated: {a}}
+		park.StartData(isolated)
 		park.Run(6 * time.Second)
 		park.Split([]string{a}, []string{b, c}, false)
 	}, []string{"fallback", "old config"}},
 	{"region cut off", false, func(park *Park, facts *Facts) {
-		inside, outside := park.inRegion(Region(lastZone(park)))
+		inside, outside := park.splitByRegion(Region(lastZone(park)))
 		park.Split(inside, outside, true)
 		park.Run(8 * time.Second)
 		park.Split(inside, outside, false)
@@ -475,7 +476,7 @@
 		park.Split([]string{name}, park.othersThan(name), false)
 	}, nil},
 	{"region lost and back", false, func(park *Park, facts *Facts) {
-		inside, _ := park.inRegion(Region(lastZone(park)))
+		inside, _ := park.splitByRegion(Region(lastZone(park)))
 		crashed := park.Lose(inside)
 		park.Run(8 * time.Second)
 		park.Return(crashed)
@@ -754,7 +755,7 @@
 		park.Return(crashed)
 	}, []string{"home", "flooded"}},
 	{"a home region is cut off", false, func(park *Park, facts *Facts) {
-		inside, outside := park.inRegion(Region(firstZone(park)))
+		inside, outside := park.splitByRegion(Region(firstZone(park)))
 		park.Split(inside, outside, true)
 		park.Run(8 * time.Second)
 		park.Split(inside, outside, false)
@@ -964,7 +965,7 @@
 	return busiest
 }
 
-// recentSpan is the period that counts as recent for the requests that a replica got.
+// recentSpan is how long ago a replica may have got a request that still counts as recent.
 const recentSpan = 5 * time.Second
 
 // terminateUnrecorded terminates a replica while the core has no quorum, so that the region's leader
--- a/fleet/faultsrouted.go
+++ b/fleet/faultsrouted.go
@@ -183,7 +183,7 @@
 		park.Run(3 * time.Second)
 	}), []string{"quota"}},
 	{"a tenant far above its limit, and a region is cut off", false, withFairFlood(func(park *Park, _ *Facts) {
-		in, out := park.inRegion(park.Shape.Regions[1])
+		in, out := park.splitByRegion(park.Shape.Regions[1])
 		park.Split(in, out, true)
 		park.Run(4 * time.Second)
 		park.Split(in, out, false)
@@ -259,14 +259,14 @@
 		park.Run(5 * time.Second)
 	}, nil},
 	{"region lost", false, func(park *Park, _ *Facts) {
-		inside, _ := park.inRegion(park.Shape.Regions[2])
+		inside, _ := park.splitByRegion(park.Shape.Regions[2])
 		lost := park.Lose(inside)
 		park.Run(5 * time.Second)
 		park.Return(lost)
 		park.Run(5 * time.Second)
 	}, []string{"cold"}},
 	{"region cut", false, func(park *Park, _ *Facts) {
-		inside, outside := park.inRegion(park.Shape.Regions[1])
+		inside, outside := park.splitByRegion(park.Shape.Regions[1])
 		park.Split(inside, outside, true)
 		park.Run(7 * time.Second)
 		park.Split(inside, outside, false)
--- a/fleet/plans.go
+++ b/fleet/plans.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// stands returns options for a zone's simulated replicas.
-func stands(zone string, count int, held string, reports bool) (replicas []ReplicaOptions) {
+// replicaOptions returns options for a zone's simulated replicas.
+func replicaOptions(zone string, count int, held string, reports bool) (replicas []ReplicaOptions) {
 	for index := 1; index <= count; index++ {
 		replicas = append(replicas, ReplicaOptions{
 			ID: fmt.Sprintf("%s-r%d", zone, index), Zone: zone, Capacity: 8, ColdShare: 0.125, ColdAnswers: 20,
@@ -38,7 +38,7 @@
 		if region.zone == "east-1" {
 			home = "hills"
 		}
-		plan.Replicas = append(plan.Replicas, stands(region.zone, region.count, "roster/v1", true)...)
+		plan.Replicas = append(plan.Replicas, replicaOptions(region.zone, region.count, "roster/v1", true)...)
 		plan.Callers = append(plan.Callers,
 			Crowd{Name: "check-" + region.zone, Zone: region.zone, Kind: "check", Every: 1000 * time.Millisecond / time.Duration(5*region.count), Bytes: 6000, Tokens: 16, Rosters: 6, Lanes: 6, Retries: 4},
 			Crowd{Name: "notice-" + region.zone, Zone: region.zone, Kind: "notice", Home: home, Every: 700 * time.Millisecond, Bytes: 300, Tokens: 256, Rosters: 40, Lanes: 4, Retries: 4})
@@ -63,7 +63,7 @@
 		zone  string
 		count int
 	}{{"north-1", 4}, {"south-1", 3}, {"sea-1", 2}} {
-		plan.Replicas = append(plan.Replicas, stands(region.zone, region.count, "shop/v1", false)...)
+		plan.Replicas = append(plan.Replicas, replicaOptions(region.zone, region.count, "shop/v1", false)...)
 		home := ""
 		if region.zone != "sea-1" {
 			home = "inland"
--- a/fleet/seen.go
+++ b/fleet/seen.go
@@ -80,7 +80,7 @@
 	Serial       uint64
 	Mark         uint64 // hash of the contents
 	tree         *settings.Tree
-	out          string // the evacuated zones
+	evacuated    string // the evacuated zones, separated by |
 }
 
 // Life is a process that started, or resumed after a freeze. Least is the highest document version
@@ -164,11 +164,11 @@
 	var serial uint64
 	var tree *settings.Tree
 	var config func() lease.Config
-	var life, out string
+	var life, evacuated string
 	if daemon := park.Datas[name]; daemon != nil {
 		view := daemon.Holder.View()
 		serial, tree, config, life = view.Serial, view.Tree, view.Config, daemon.Incarnation
-		out = strings.Join(slices.Sorted(maps.Keys(view.Evacuated)), "|")
+		evacuated = strings.Join(slices.Sorted(maps.Keys(view.Evacuated)), "|")
 	} else {
 		daemon := park.Controls[name]
 		if daemon == nil {
@@ -176,7 +176,7 @@
 		}
 		var contents lease.Config
 		serial, contents, tree = daemon.Issuer.Current()
-		config, life, out = func() lease.Config { return contents }, daemon.Incarnation, strings.Join(contents.Evacuated, "|")
+		config, life, evacuated = func() lease.Config { return contents }, daemon.Incarnation, strings.Join(contents.Evacuated, "|")
 	}
 	if node.Frozen() {
 		freeze, known := park.frozen[name]
@@ -196,10 +196,10 @@
 	key := name + "#" + life
 	last := park.adopted[key]
 	// A tree is immutable once published, so the same pointer means the same contents.
-	if serial == last.Serial && (serial == 0 || tree == last.tree && out == last.out) {
+	if serial == last.Serial && (serial == 0 || tree == last.tree && evacuated == last.evacuated) {
 		return
 	}
-	current := Adopted{At: park.Now(), Daemon: name, Life: life, Serial: serial, Mark: park.mark(config()), tree: tree, out: out}
+	current := Adopted{At: park.Now(), Daemon: name, Life: life, Serial: serial, Mark: park.mark(config()), tree: tree, evacuated: evacuated}
 	if serial == last.Serial && current.Mark == last.Mark {
 		return
 	}
--- a/fleet/worst.go
+++ b/fleet/worst.go
@@ -35,7 +35,7 @@
 		}
 	})
 	beyond := 0
-	for _, replica := range append(append([]*Replica{}, park.past...), park.stands()...) {
+	for _, replica := range append(append([]*Replica{}, park.past...), park.currentReplicas()...) {
 		beyond += replica.Flooded
 	}
 	note("flooded", float64(beyond))
