--- a/fleet/order_test.go
+++ b/fleet/order_test.go
@@ -15,18 +15,18 @@
 	"swifttiller/loop"
 )
 
-// answerBound is within which a control daemon answers an operator, whose call goes on to
-// another daemon after a second.
+// answerBound is the maximum time for a control daemon to answer an operator call. An operator
+// retries at another daemon after one second.
 const answerBound = time.Second
 
-// operatorCall is one call of an operator in these tests.
+// operatorCall is an operator request that these tests send to a daemon.
 type operatorCall struct {
 	name string
 	call func(daemon *controlplane.Daemon) error
 }
 
-// operatorCalls are all calls of the operator, each of them proper. The document builds on
-// the label that it is given.
+// operatorCalls returns one valid request of each operator call. The document in it replaces
+// the configuration with the given label.
 func operatorCalls(cluster *fleet.Park, label uint64) []operatorCall {
 	zone := cluster.Zone(cluster.Plan.Replicas[0].ID)
 	return []operatorCall{
@@ -42,9 +42,9 @@
 	}
 }
 
-// TestMinorityAnswersAtOnce: a control daemon that is cut off from the others answers each
-// call of an operator within a second, by a 5xx: it neither refuses nor confirms nor shows
-// what it remembers, at any time of the cut.
+// TestMinorityAnswersAtOnce checks that a control daemon partitioned from the majority answers
+// each operator call within a second with a 5xx status, at any time of the partition. It must
+// not reject or acknowledge the call, nor return its cached state.
 func TestMinorityAnswersAtOnce(t *testing.T) {
 	t.Parallel()
 	eachSeed(t, func(t *testing.T, seed uint64) {
@@ -58,32 +58,33 @@
 		}
 		cutAt := cluster.Now()
 		cluster.Split([]string{"c1"}, []string{"c2", "c3"}, true)
-		asked := 0
+		attempts := 0
 		for _, since := range []time.Duration{0, 4 * time.Second, 20 * time.Second} {
 			if wait := cutAt + since - cluster.Now(); wait > 0 {
 				cluster.Run(wait)
 			}
-			for _, one := range operatorCalls(cluster, 1) {
+			for _, operation := range operatorCalls(cluster, 1) {
 				began := cluster.Now()
-				err := cluster.Do("c1", 10*time.Second, one.call)
+				err := cluster.Do("c1", 10*time.Second, operation.call)
 				took := cluster.Now() - began
 				if err == nil {
-					t.Errorf("order: %v into the cut: %s: answered without a majority", since, one.name)
+					t.Errorf("order: %v into the partition: %s: succeeded without a majority", since, operation.name)
 				} else if status := controlplane.OperatorError(err).Status; status < 500 {
-					t.Errorf("order: %v into the cut: %s: answered %d: %v", since, one.name, status, err)
+					t.Errorf("order: %v into the partition: %s: got status %d, want 5xx: %v", since, operation.name, status, err)
 				}
 				if took > answerBound {
-					t.Errorf("order: %v into the cut: %s: answered after %v", since, one.name, took)
+					t.Errorf("order: %v into the partition: %s: answer took %v", since, operation.name, took)
 				}
-				asked++
+				attempts++
 			}
 		}
-		if asked != 18 {
-			t.Errorf("vacuous: %d calls", asked)
+		if attempts != 18 {
+			t.Errorf("vacuous: made %d calls", attempts)
 		}
-		// Meanwhile the others went on; what the cut daemon shows from then on is that.
+		// The majority changes the configuration during the partition. After it heals, the daemon
+		// must return the new configuration only.
 		if _, err := replace(cluster, "c3", labelled(cluster, 5, "b"), 1); err != nil {
-			t.Fatal("the majority:", err)
+			t.Fatal("replace at the majority:", err)
 		}
 		cluster.Split([]string{"c1"}, []string{"c2", "c3"}, false)
 		for until := cluster.Now() + 5*time.Second; cluster.Now() < until; cluster.Run(200 * time.Millisecond) {
@@ -93,20 +94,21 @@
 				return err
 			})
 			if err == nil && label != 5 {
-				t.Errorf("after the cut: %d is shown", label)
+				t.Errorf("after the partition: the daemon returns configuration %d", label)
 			}
 		}
 		if label, _ := newest(t, cluster, "c1"); label != 5 {
-			t.Errorf("long after the cut: %d is shown", label)
+			t.Errorf("long after the partition: the daemon returns configuration %d", label)
 		}
 	})
 }
 
-// TestAFrozenDaemonWritesNoOldOrder: a control daemon that is frozen while it carries out an
-// order writes nothing of it when it wakes, as the opposite was acknowledged elsewhere since.
+// TestAFrozenDaemonWritesNoOldOrder checks that a control daemon that freezes while it executes
+// an order writes nothing of it after it resumes: another daemon has acknowledged the opposite
+// order since.
 func TestAFrozenDaemonWritesNoOldOrder(t *testing.T) {
 	t.Parallel()
-	var frozenFirst atomic.Int64 // how often the order was not yet written when the freeze came
+	var frozenFirst atomic.Int64 // runs in which the freeze came before the order was written
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		for step := 0; step < 8; step++ {
 			cluster := ordering(seed)
@@ -127,34 +129,34 @@
 			cluster.Run(time.Duration(step) * 300 * time.Microsecond)
 			cluster.Freeze("c1", 1300*time.Millisecond)
 			if err := evacuate("c2", false); err != nil {
-				t.Fatal("the order at another daemon:", err)
+				t.Fatal("evacuate at another daemon:", err)
 			}
 			if err := evacuate("c2", true); err != nil {
-				t.Fatal("its opposite:", err)
+				t.Fatal("hand back at another daemon:", err)
 			}
 			cluster.Run(20 * time.Second)
 			if !isOver {
-				t.Errorf("step %d: the late order has no end", step)
+				t.Errorf("step %d: the frozen daemon's order never returned", step)
 			}
 			if late != nil {
 				frozenFirst.Add(1)
 			}
 			if _, config := newest(t, cluster, "c3"); len(config.Evacuated) > 0 {
-				t.Errorf("order: step %d: the zone is out of service, though it was handed back last (%v)", step, late)
+				t.Errorf("order: step %d: the zone is still evacuated though handing it back was acknowledged last (frozen daemon's order: %v)", step, late)
 			}
 			cluster.Close()
 		}
 	})
 	t.Cleanup(func() {
 		if frozenFirst.Load() == 0 {
-			t.Error("vacuous: each order was written before the freeze")
+			t.Error("vacuous: every order was written before the freeze")
 		}
 	})
 }
 
-// TestAnOrderUnreadThroughAFreezeIsNotCarriedOut: an order that lies in the socket of a frozen
-// daemon, whose caller keeps the connection open, is declined when the daemon wakes; one that
-// comes a little later is carried out.
+// TestAnOrderUnreadThroughAFreezeIsNotCarriedOut checks that an order left unread in the socket
+// of a frozen daemon is rejected when the daemon resumes, even if the caller keeps the connection
+// open. An order that arrives a little later is executed.
 func TestAnOrderUnreadThroughAFreezeIsNotCarriedOut(t *testing.T) {
 	t.Parallel()
 	eachSeed(t, func(t *testing.T, seed uint64) {
@@ -173,36 +175,36 @@
 			cluster.Run(time.Duration(step) * 20 * time.Millisecond)
 			var late error
 			isOver := false
-			cluster.Node("c1").Go(func() { // runs when the machine wakes
+			cluster.Node("c1").Go(func() { // runs when the machine resumes
 				_, late = cluster.Controls["c1"].Evacuate(zone, false)
 				isOver = true
 			})
 			if err := evacuate("c2", false); err != nil {
-				t.Fatal("the order at another daemon:", err)
+				t.Fatal("evacuate at another daemon:", err)
 			}
 			if err := evacuate("c2", true); err != nil {
-				t.Fatal("its opposite:", err)
+				t.Fatal("hand back at another daemon:", err)
 			}
 			if took := cluster.Now() - began; took > 1400*time.Millisecond {
-				t.Fatalf("vacuous: the other orders took %v", took)
+				t.Fatalf("vacuous: the orders at the other daemon took %v", took)
 			}
 			cluster.Run(4 * time.Second)
 			if !isOver || !errors.Is(late, controlplane.ErrAbandoned) {
-				t.Errorf("order: step %d: what lay unread ended: %v, %v", step, isOver, late)
+				t.Errorf("order: step %d: the unread order: returned %v, error %v", step, isOver, late)
 			}
 			if _, config := newest(t, cluster, "c3"); len(config.Evacuated) > 0 {
-				t.Errorf("order: step %d: the zone is out of service, though it was handed back last (%v)", step, late)
+				t.Errorf("order: step %d: the zone is still evacuated though handing it back was acknowledged last (frozen daemon's order: %v)", step, late)
 			}
 			if err := evacuate("c1", false); err != nil {
-				t.Errorf("a fresh order at the daemon that had been frozen: %v", err)
+				t.Errorf("new order at the daemon that was frozen: %v", err)
 			}
 			cluster.Close()
 		}
 	})
 }
 
-// TestNothingIsWrittenForACallerThatLeft: an order whose caller has closed its connection
-// before it is written comes to nothing, and says so.
+// TestNothingIsWrittenForACallerThatLeft checks that an order is abandoned, with an error that
+// says so, if its caller closes the connection before the order is written.
 func TestNothingIsWrittenForACallerThatLeft(t *testing.T) {
 	t.Parallel()
 	cluster := fleet.NewPark(3, func() fleet.Plan { plan := openPlan("sahayogi"); plan.Callers = nil; return plan }())
@@ -232,27 +234,28 @@
 			t.Errorf("order: %s: %v", name, err)
 		}
 	}
-	// One that lies long between its arrival and its carrying out, as in a freeze.
+	// An order that waits 1100 ms between its arrival and its execution, as in a freeze.
 	if err := cluster.Do("c1", 10*time.Second, func(daemon *controlplane.Daemon) error {
 		operator := daemon.OperatorFor(controlplane.Caller{})
 		loop.Sleep(daemon.World, 1100*time.Millisecond)
 		_, err := operator.Evacuate(zone, false)
 		return err
 	}); !errors.Is(err, controlplane.ErrAbandoned) {
-		t.Error("order: an old one:", err)
+		t.Error("order: an order executed too late:", err)
 	}
 	cluster.Run(3 * time.Second)
 	if label, config := newest(t, cluster, "c2"); label != 0 || len(config.Evacuated) > 0 {
-		t.Errorf("order: label %d stands, evacuated %v", label, config.Evacuated)
+		t.Errorf("order: current label is %d, evacuated zones %v", label, config.Evacuated)
 	}
 	if state := stands(cluster); state.State != "" {
-		t.Errorf("order: a roll-out is under way: %+v", state)
+		t.Errorf("order: a rollout is running: %+v", state)
 	}
 }
 
-// TestOrdersAreRememberedThroughManyChanges: after hundreds of changes each of them is
-// acknowledged again, at each daemon, also one that has just begun; who lost a number is told
-// so as long; and what leases read stays short.
+// TestOrdersAreRememberedThroughManyChanges checks that after hundreds of changes every daemon,
+// even one that has just started, still acknowledges a repeat of each change, and still reports
+// the conflict to a caller whose label went to another document. The part of the record that
+// lease issuers read must stay short.
 func TestOrdersAreRememberedThroughManyChanges(t *testing.T) {
 	t.Parallel()
 	skipLong(t)
@@ -273,34 +276,34 @@
 	}
 	_, config := newest(t, cluster, "c1")
 	if len(config.Taken) > lease.MaxMarks+lease.MaxMarks/2 {
-		t.Errorf("the configuration itself names %d orders", len(config.Taken))
+		t.Errorf("the configuration record itself lists %d orders", len(config.Taken))
 	}
 	cluster.Crash("c2")
 	cluster.Run(time.Second)
 	cluster.StartControl("c2")
-	// It knows nothing of the configuration yet, and must ask.
+	// It has no configuration yet and must read it from its peers.
 	if _, err := replace(cluster, "c2", labelled(cluster, changes, "a"), changes-1); err != nil && controlplane.OperatorError(err).Status < 500 {
-		t.Error("order: a repeat at a daemon that has just begun:", err)
+		t.Error("order: a repeat at a daemon that has just started:", err)
 	}
 	cluster.Run(3 * time.Second)
 	for _, label := range []uint64{1, 2, 31, 32, 33, 64, 65, 200, changes - 100, changes - 65, changes - 1, changes} {
 		for _, at := range controls {
 			if _, err := replace(cluster, at, labelled(cluster, label, "a"), label-1); err != nil {
-				t.Errorf("order: %s: a repeat of %d: %v", at, label, err)
+				t.Errorf("order: %s: repeat of change %d: %v", at, label, err)
 			}
 			if _, err := replace(cluster, at, labelled(cluster, label, "lost"), label-1); label < changes && !isOutdated(err, changes, label-1) {
-				t.Errorf("order: %s: who lost %d is told: %v", at, label, err)
+				t.Errorf("order: %s: conflicting document with label %d got: %v", at, label, err)
 			}
 		}
 	}
 	if label, again := newest(t, cluster, "c3"); label != changes || !slices.Equal(again.Taken, config.Taken) {
-		t.Errorf("repeats changed the configuration: %d stands", label)
+		t.Errorf("repeats changed the configuration: current label is %d", label)
 	}
 	once(t, cluster)
 }
 
-// TestHistorySaysWhatItForgot: an order older than all that is remembered gets no clear
-// answer, as nobody can tell whether it was taken.
+// TestHistorySaysWhatItForgot checks that a repeat of an order older than the kept history gets
+// a 503, which leaves the outcome open: no daemon knows any more whether it was applied.
 func TestHistorySaysWhatItForgot(t *testing.T) {
 	t.Parallel()
 	cluster := ordering(22)
@@ -308,7 +311,8 @@
 	if _, err := replace(cluster, "c1", labelled(cluster, 90000, "a"), 0); err != nil {
 		t.Fatal(err)
 	}
-	// The registers as they are after so many orders that the first pages were replaced.
+	// Writes the registers as they are after so many orders that the first history pages were
+	// overwritten.
 	const archived = lease.HistoryPages + 3
 	forget := func(daemon *controlplane.Daemon) error {
 		for number := uint64(3); number < archived; number++ {
@@ -328,13 +332,13 @@
 	for label, want := range map[uint64]int{102: 503, 103: 409, 200: 409} {
 		_, err := replace(cluster, "c2", labelled(cluster, label, "b"), label-1)
 		if got := controlplane.OperatorError(err).Status; got != want {
-			t.Errorf("order: %d is answered %d (%v), not %d", label, got, err, want)
+			t.Errorf("order: label %d got status %d (%v), want %d", label, got, err, want)
 		}
 	}
 }
 
-// TestAMinorityDoesNotArchive: orders go on, and are remembered, where a page of the history
-// can't be written for a while.
+// TestAMinorityDoesNotArchive checks that orders are still accepted and recorded while a history
+// page can't be written, up to a limit of 2*lease.MaxMarks.
 func TestAMinorityDoesNotArchive(t *testing.T) {
 	t.Parallel()
 	full := lease.Config{}
@@ -346,11 +350,11 @@
 		full = next
 	}
 	if _, err := full.WithDocument([]byte("{}"), "999/x", 0); !errors.Is(err, lease.ErrHistoryFull) {
-		t.Error("order: one more than can be remembered:", err)
+		t.Error("order: one order more than the history holds:", err)
 	}
 	next, err := full.WithDocument([]byte("{}"), "999/x", 1)
 	if err != nil || next.Archived != 1 || len(next.Taken) != len(full.Taken)-lease.MaxMarks/2+1 {
-		t.Error("order: after a page was written:", err, next.Archived, len(next.Taken))
+		t.Error("order: after a history page was written:", err, next.Archived, len(next.Taken))
 	}
 	packed, err := next.Pack()
 	if err != nil {
--- a/fleet/power_test.go
+++ b/fleet/power_test.go
@@ -10,7 +10,7 @@
 	"swifttiller/fleet"
 )
 
-// powerCut ends all daemons, and gives their names in order.
+// powerCut crashes all daemons and returns their names, sorted.
 func powerCut(park *fleet.Park) (controls, datas []string) {
 	controls, datas = slices.Sorted(maps.Keys(park.Controls)), slices.Sorted(maps.Keys(park.Datas))
 	for _, name := range slices.Concat(controls, datas) {
@@ -19,10 +19,10 @@
 	return controls, datas
 }
 
-// TestPowerCutStandingsAreKeptSoon: after a power cut of all daemons, of which the control
-// daemons come back one by one, all data daemons have permits 0.5 s after the last of
-// them, and standings that are kept up to date 1.8 s after it; by those before, all
-// replicas count as cold.
+// TestPowerCutStandingsAreKeptSoon checks the recovery after a power cut of all daemons, where
+// the control daemons restart one by one. All data daemons must have leases 0.5 s after the last
+// control daemon starts, and confirmed routing tables 1.8 s after it. Until then they go by
+// unconfirmed routing tables, which count all replicas as cold.
 func TestPowerCutStandingsAreKeptSoon(t *testing.T) {
 	t.Parallel()
 	skipLong(t)
@@ -56,47 +56,47 @@
 			t.Fatal("vacuous")
 		}
 		if !park.Until(500*time.Millisecond, has(false)) {
-			t.Errorf("seed %d: no permits after %v", seed, park.Now()-began)
+			t.Errorf("seed %d: data daemons without a lease after %v", seed, park.Now()-began)
 		}
 		if !park.Until(10*time.Second, has(true)) {
-			t.Errorf("seed %d: standings are not kept", seed)
+			t.Errorf("seed %d: routing tables are never confirmed", seed)
 		}
-		t.Logf("seed %d: kept %v after the last control daemon", seed, park.Now()-began)
+		t.Logf("seed %d: routing tables confirmed %v after the last control daemon started", seed, park.Now()-began)
 		worst = max(worst, park.Now()-began)
 		park.Close()
 	}
 	if worst > 1800*time.Millisecond {
-		t.Errorf("standings are kept %v after the last control daemon", worst)
+		t.Errorf("routing tables are confirmed only %v after the last control daemon started", worst)
 	}
 }
 
-// TestPowerCutAsksAreSpread: data daemons that all begin at once with the control daemons,
-// of which one is there a little earlier, do not all ask that one for their permits: it
-// would take them one after the other.
+// TestPowerCutAsksAreSpread checks that data daemons that all start together with the control
+// daemons don't all request their leases from the control daemon that starts a little before
+// the others: it would serve them one after the other.
 func TestPowerCutAsksAreSpread(t *testing.T) {
 	t.Parallel()
 	skipLong(t)
 	for _, earlier := range []time.Duration{0, 150 * time.Millisecond} {
-		t.Run(earlier.String(), func(t *testing.T) { asksAreSpread(t, earlier) })
+		t.Run(earlier.String(), func(t *testing.T) { checkSpread(t, earlier) })
 	}
 }
 
-func asksAreSpread(t *testing.T, earlier time.Duration) {
+func checkSpread(t *testing.T, earlier time.Duration) {
 	plan := grown(36, 9, 6)
 	park := apart(1, plan)
 	defer park.Close()
 	controls, datas := powerCut(park)
-	park.Run(3 * time.Second)             // the permits of before have ended
-	asked := map[string]map[string]bool{} // who asked each control daemon before it had a permit
+	park.Run(3 * time.Second)             // the leases from before the power cut have expired
+	requesters := map[string]map[string]bool{} // by control daemon, the data daemons that requested a lease there while they had none
 	park.OnBytes = func(from, to, method string, _ int) {
 		daemon := park.Datas[from]
 		if method != "Permit.Renew" || daemon == nil || daemon.Holder.View().Tree != nil {
 			return
 		}
-		if asked[to] == nil {
-			asked[to] = map[string]bool{}
+		if requesters[to] == nil {
+			requesters[to] = map[string]bool{}
 		}
-		asked[to][from] = true
+		requesters[to][from] = true
 	}
 	park.StartControl(controls[0])
 	for _, name := range datas {
@@ -115,19 +115,20 @@
 		return true
 	}
 	if !park.Until(5*time.Second, has) {
-		t.Fatal("no permits")
+		t.Fatal("data daemons without a lease")
 	}
-	for name, by := range asked {
-		t.Logf("%s was asked by %d of %d", name, len(by), len(datas))
-		if len(by) > len(datas)/2 {
-			t.Errorf("%s was asked by %d of %d data daemons", name, len(by), len(datas))
+	for name, sources := range requesters {
+		t.Logf("%s got lease requests of %d of %d", name, len(sources), len(datas))
+		if len(sources) > len(datas)/2 {
+			t.Errorf("%s got lease requests of %d of %d data daemons", name, len(sources), len(datas))
 		}
 	}
 }
 
-// TestPowerCutOfALargeFleet: when 294 data daemons begin anew at once with six control daemons
-// that take a millisecond for each call, and whose disks take 5 ms, all have permits 1.5 s
-// after the last control daemon: their records are written many at a time.
+// TestPowerCutOfALargeFleet restarts 294 data daemons at once with six control daemons that take
+// 1 ms for each call and whose disks take 5 ms for a sync. All data daemons must have leases
+// 1.5 s after the last control daemon starts, which requires that lease records are written in
+// batches.
 func TestPowerCutOfALargeFleet(t *testing.T) {
 	t.Parallel()
 	skipLong(t)
@@ -145,21 +146,21 @@
 		park.Run(30 * time.Millisecond)
 		park.StartControl(name)
 	}
-	began, stand := park.Now(), 0
+	began, leased := park.Now(), 0
 	if !park.Until(10*time.Second, func() bool {
-		stand = 0
+		leased = 0
 		for _, daemon := range park.Datas {
 			if daemon.Holder.View().IsValid(park.Now()) {
-				stand++
+				leased++
 			}
 		}
-		return stand == len(datas)
+		return leased == len(datas)
 	}) {
-		t.Fatalf("%d of %d have permits", stand, len(datas))
+		t.Fatalf("%d of %d data daemons have leases", leased, len(datas))
 	}
 	took := park.Now() - began
-	t.Logf("%d have permits after %v", stand, took)
+	t.Logf("%d data daemons have leases after %v", leased, took)
 	if took > 1500*time.Millisecond {
-		t.Errorf("control traffic: permits stand after %v", took)
+		t.Errorf("control traffic: all leases are valid only after %v", took)
 	}
 }
--- a/fleet/rollout_test.go
+++ b/fleet/rollout_test.go
@@ -17,14 +17,14 @@
 	"swifttiller/workflow"
 )
 
-// quick is sahayogi with short waits, for tests of the roll-out's steps.
+// quick returns the sahayogi plan with short trials and watches, for tests of the rollout's steps.
 func quick() fleet.Plan {
 	plan := fleet.Sahayogi()
 	plan.Document = strings.Replace(plan.Document, `"trial_ms":6000,"trial_most_ms":20000,"watch_ms":8000`, `"trial_ms":1500,"trial_most_ms":3000,"watch_ms":1500`, 1)
 	return plan
 }
 
-// begin starts a handover to v2 in the regions given.
+// begin starts a handover to v2 in the given regions, or in all if there are none.
 func begin(park *fleet.Park, id string, regions ...string) {
 	park.Must("c1", func(daemon *controlplane.Daemon) error {
 		_, err := daemon.Handover(id, park.Model, "v2", regions)
@@ -32,7 +32,7 @@
 	})
 }
 
-// status reads a model's state at the first running control daemon.
+// status reads the model's state from the first control daemon that is up and answers.
 func status(park *fleet.Park) (out controlplane.ModelStatus) {
 	for _, name := range []string{"c1", "c2", "c3"} {
 		if !park.Node(name).Up() {
@@ -46,22 +46,22 @@
 			return out
 		}
 	}
-	panic("nobody tells the status")
+	panic("no control daemon returned the model status")
 }
 
-// settled waits until the region's run has ended and gives it.
+// settled waits up to span for the region's run to end and returns the run as last read.
 func settled(park *fleet.Park, region string, span time.Duration) workflow.Run {
 	var run workflow.Run
 	park.Until(span, func() bool {
-		if shelf := status(park).Shelves[region]; shelf.Run != nil {
-			run = *shelf.Run
+		if rollouts := status(park).Shelves[region]; rollouts.Run != nil {
+			run = *rollouts.Run
 		}
 		return run.State != workflow.Running && run.State != ""
 	})
 	return run
 }
 
-// worsen makes a version fail on every stand-in by the rule.
+// worsen makes every simulated replica of the plan fail the requests for which bad returns true.
 func worsen(plan fleet.Plan, bad func(version, kind string, running int) bool) fleet.Plan {
 	for index := range plan.Replicas {
 		plan.Replicas[index].Bad = bad
@@ -72,7 +72,7 @@
 func TestRolloutMovesAndIsTakenBack(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
-		t.Skip("a long simulation; the race detector has one task at a time to look at")
+		t.Skip("a long simulation with one task at a time, of little use under the race detector")
 	}
 	Convey("a good version goes region by region, under load, and one step takes it back; nothing is lost", t, func() {
 		park := fleet.NewPark(1, quick())
@@ -107,12 +107,12 @@
 		took := park.Now() - at
 		park.Run(8 * time.Second)
 		last := time.Duration(0)
-		for _, one := range park.Logs() {
-			if one.Version == "v2" {
-				last = one.At
+		for _, request := range park.Logs() {
+			if request.Version == "v2" {
+				last = request.At
 			}
 		}
-		t.Logf("rollback took %v, the last request of v2 came %v after it was asked", took, last-at)
+		t.Logf("rollback took %v; the last request to v2 came %v after the rollback call", took, last-at)
 		So(last-at, ShouldBeLessThan, 5*time.Second)
 		model = status(park)
 		So(model.RolledBack, ShouldBeTrue)
@@ -135,20 +135,20 @@
 	})
 }
 
-// badCase is a way in which a version is bad.
+// badCase describes how a version fails.
 type badCase struct {
 	name string
 	how  fleet.Way
 	bad  func(version, kind string, running int) bool
-	// after says that it fails only once a route has moved to it; alone, that it
-	// fails in the last region only; unseen, that the thin kind comes to no region
-	// before the first one's watch is over.
+	// With after, the version fails only once a route has moved to it. With alone, it fails
+	// in the last region only. With unseen, the rare kinds of requests reach no region before
+	// the first region's watch is over.
 	after, alone, unseen bool
-	// plainly is done once the failures have become plain.
+	// plainly, if set, injects a further fault after the third failure, or after fewFailures.
 	plainly func(park *fleet.Park)
 }
 
-// thin is the kind that comes seldom.
+// thin reports whether requests of this kind are rare.
 func thin(kind string) bool { return kind == "notice" || kind == "chat" }
 
 var badCases = []badCase{
@@ -173,7 +173,7 @@
 		park.Run(9 * time.Second)
 		park.Return(ends)
 	}},
-	// Permits stand meanwhile, as reading waits for no disk, and nobody can write a route.
+	// Leases stay valid meanwhile, as reads wait for no disk, but no daemon can write a route.
 	{name: "errors after the move, and no core disk writes", after: true, plainly: func(park *fleet.Park) {
 		slow := func(span time.Duration) {
 			for _, name := range []string{"c1", "c2", "c3"} {
@@ -186,61 +186,63 @@
 	}},
 }
 
-// fewFailures is how long after a bad version's first failure a mishap strikes though no
-// three came.
+// fewFailures is how long after a bad version's first failure the further fault is injected if
+// there were fewer than three failures.
 const fewFailures = 2 * time.Second
 
+// killRunner crashes the leader of the first region and restarts it 9 s later.
 func killRunner(park *fleet.Park) {
-	if holder := park.Holder(park.Regions()[0]); holder != "" {
-		park.Crash(holder)
+	if leader := park.Holder(park.Regions()[0]); leader != "" {
+		park.Crash(leader)
 		park.Run(9 * time.Second)
-		park.StartControl(holder)
+		park.StartControl(leader)
 	}
 }
 
-// TestBadVersions: whatever way a version is bad in, it gets nothing from five
-// seconds after that is plain, no kind of a region gives it more than its small
-// share before its route moved, and the route goes back.
+// TestBadVersions checks, for each way in which a version fails, that it gets no requests from
+// five seconds after the failure is evident, that it gets at most its small share of each kind
+// of requests of a region before the region's route moves, and that the route returns to the
+// old version.
 func TestBadVersions(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
-		t.Skip("a long simulation; the race detector has one task at a time to look at")
+		t.Skip("a long simulation with one task at a time, of little use under the race detector")
 	}
 	for name := range fleet.Plans {
-		for _, one := range badCases {
+		for _, failure := range badCases {
 			for seed := *first; seed < *first+uint64(*seeds); seed++ {
-				t.Run(fmt.Sprintf("%s/%s/%d", name, one.name, seed), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%s/%s/%d", name, failure.name, seed), func(t *testing.T) {
 					t.Parallel()
-					tryBad(t, name, one, seed)
+					tryBad(t, name, failure, seed)
 				})
 			}
 		}
 	}
 }
 
-func tryBad(t *testing.T, name string, one badCase, seed uint64) {
+func tryBad(t *testing.T, name string, failure badCase, seed uint64) {
 	plan := fleet.Plans[name]()
 	plan.Document = strings.Replace(plan.Document, `"trial_ms":6000,"trial_most_ms":20000,"watch_ms":8000`, `"trial_ms":4000,"trial_most_ms":12000,"watch_ms":8000`, 1)
 	var park *fleet.Park
 	isMoved := false
 	plan = worsen(plan, func(version, kind string, running int) bool {
-		return version == "v2" && (isMoved || !one.after) && (one.bad == nil || one.bad(version, kind, running))
+		return version == "v2" && (isMoved || !failure.after) && (failure.bad == nil || failure.bad(version, kind, running))
 	})
 	for index := range plan.Replicas {
-		stand := &plan.Replicas[index]
-		stand.How = one.how
-		stand.Down = func(id string) {
+		replica := &plan.Replicas[index]
+		replica.How = failure.how
+		replica.Down = func(id string) {
 			park.At(0, func() { park.Crash(id) })
 			park.At(3*time.Second, func() { park.Return([]string{id}) })
 		}
-		if one.alone && fleet.Region(stand.Zone) != fleet.Region(plan.Replicas[len(plan.Replicas)-1].Zone) {
-			stand.Bad = nil
+		if failure.alone && fleet.Region(replica.Zone) != fleet.Region(plan.Replicas[len(plan.Replicas)-1].Zone) {
+			replica.Bad = nil
 		}
 	}
 	for index := range plan.Callers {
 		if thin(plan.Callers[index].Kind) {
 			plan.Callers[index].Every = 200 * time.Millisecond
-			if one.unseen {
+			if failure.unseen {
 				plan.Callers[index].From = 45 * time.Second
 			}
 		}
@@ -253,7 +255,7 @@
 	begin(park, "h1")
 	done, failed := false, 0
 	var firstFailed time.Duration
-	look := func() {
+	observe := func() {
 		for region, route := range status(park).Routes {
 			if route.Version == "v2" && facts.Moved[region] == 0 {
 				facts.Moved[region], isMoved = park.Now(), true
@@ -268,45 +270,46 @@
 		if failed > 0 && firstFailed == 0 {
 			firstFailed = park.Now()
 		}
-		// A small trial may end at its first failures: what is done about them is done then.
+		// A small trial may end at its first failures, before a third: the fault is injected
+		// fewFailures after the first one then.
 		if !done && (failed >= 3 || failed > 0 && park.Now()-firstFailed >= fewFailures) {
 			done = true
-			if one.plainly != nil {
-				one.plainly(park)
+			if failure.plainly != nil {
+				failure.plainly(park)
 			}
 		}
 	}
 	for until := park.Now() + 70*time.Second; park.Now() < until; park.Run(200 * time.Millisecond) {
-		look()
+		observe()
 	}
 	park.Quiet = true
 	park.Run(14 * time.Second)
-	mine := 0
+	newCount := 0
 	for _, served := range park.Logs() {
 		if served.Version == "v2" {
-			mine++
+			newCount++
 		}
 	}
 	var ends []string
 	for _, region := range park.Regions() {
 		run := settled(park, region, 60*time.Second)
 		ends = append(ends, fmt.Sprint(region, " ", run.State, " ", run.Reason))
-		if at := status(park).Routes[region].Version; at != "v1" && (!one.alone || region == park.Regions()[2]) {
+		if at := status(park).Routes[region].Version; at != "v1" && (!failure.alone || region == park.Regions()[2]) {
 			t.Errorf("%s serves %s", region, at)
 		}
 	}
-	t.Logf("v2 got %d of %d requests, moved %v; %s", mine, len(park.Logs()), facts.Moved, strings.Join(ends, "; "))
-	if failed == 0 || !done && one.plainly != nil {
-		t.Errorf("vacuous: %d failures, and nothing was done about them", failed)
+	t.Logf("v2 got %d of %d requests, routes moved at %v; %s", newCount, len(park.Logs()), facts.Moved, strings.Join(ends, "; "))
+	if failed == 0 || !done && failure.plainly != nil {
+		t.Errorf("vacuous: %d failures, and no further fault was injected", failed)
 	}
 	clean(t, park, facts)
 }
 
-// orders are the loads of v2 that replicas carried out, by replica.
+// orders counts the completed loads of v2 by replica.
 func orders(park *fleet.Park) map[string]int {
 	out := map[string]int{}
-	for name, one := range park.Replicas {
-		for _, order := range one.Loads {
+	for name, replica := range park.Replicas {
+		for _, order := range replica.Loads {
 			if strings.Contains(order, "/v2/") && strings.HasSuffix(order, "/ready") {
 				out[name]++
 			}
@@ -315,6 +318,9 @@
 	return out
 }
 
+// TestRunnerCrashesAtEveryStep crashes the control daemon that runs a rollout at each of its
+// steps. The run must be resumed and finished, with each step recorded once and no replica
+// loaded again needlessly.
 func TestRunnerCrashesAtEveryStep(t *testing.T) {
 	t.Parallel()
 	steps := []string{"validate", "trial-select", "trial-order", "send", "trial-ready", "trial-route", "trial-judge", "order", "ready", "serial", "route", "watch", "live", "standby"}
@@ -337,7 +343,7 @@
 			})
 			begin(park, "h1", "east")
 			if !park.Until(40*time.Second, func() bool { return crashed != "" }) {
-				t.Fatal("the step was never reached")
+				t.Fatal("the rollout never reached the step")
 			}
 			park.Run(5 * time.Second)
 			park.StartControl(crashed)
@@ -346,17 +352,17 @@
 				t.Fatalf("the run ended %s (%s)", run.State, run.Reason)
 			}
 			names := map[string]bool{}
-			for _, one := range run.Steps {
-				if names[one.Name] {
-					t.Errorf("step %s is recorded twice", one.Name)
+			for _, recorded := range run.Steps {
+				if names[recorded.Name] {
+					t.Errorf("step %s is recorded twice", recorded.Name)
 				}
-				names[one.Name] = true
+				names[recorded.Name] = true
 			}
-			// The trial replica is ordered once for the trial and once more when
-			// all are, which it takes as done; the others once.
+			// The trial replica gets one load order for the trial and one more when all
+			// replicas do, which it acknowledges as done already. The others get one.
 			for name, count := range orders(park) {
 				if count > 2 || count > 1 && name != "east-1-r1" {
-					t.Errorf("%s carried out %d orders: %v", name, count, park.Replicas[name].Loads)
+					t.Errorf("%s executed %d load orders: %v", name, count, park.Replicas[name].Loads)
 				}
 			}
 			if at := status(park).Routes["east"].Version; at != "v2" {
@@ -366,8 +372,9 @@
 	}
 }
 
-// rollback takes the model's traffic back, again where the daemon says so: another that resumed
-// the run may write the routes at the same time.
+// rollback returns the model's traffic to the old version, with up to five attempts where the
+// daemon says to try again: another daemon that resumed the run may write the routes at the same
+// time.
 func rollback(daemon *controlplane.Daemon) (err error) {
 	for range 5 {
 		if _, err = daemon.Objects.Rollback("roster", nil, time.Minute); err == nil || !strings.Contains(err.Error(), "try again") {
@@ -378,10 +385,12 @@
 	return err
 }
 
+// TestPausedRunnerWritesNothing freezes the daemon that runs a rollout until another has resumed
+// the run and rolled it back. After it resumes it must not write its outdated routes.
 func TestPausedRunnerWritesNothing(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
-		t.Skip("a long simulation; the race detector has one task at a time to look at")
+		t.Skip("a long simulation with one task at a time, of little use under the race detector")
 	}
 	Convey("a runner that slept while another resumed its run changes nothing when it wakes", t, func() {
 		for _, step := range []string{"trial-route", "order", "route", "watch"} {
@@ -411,7 +420,7 @@
 				}
 			}
 			before := status(park)
-			park.Run(15 * time.Second) // the sleeper wakes in here
+			park.Run(15 * time.Second) // the frozen runner resumes within this span
 			after := status(park)
 			if before.Routes["east"].Version == "v1" && before.RolledBack {
 				So(after.Routes["east"].Version, ShouldEqual, "v1")
@@ -424,6 +433,8 @@
 	})
 }
 
+// TestNonces checks that a scheduled change of state does nothing after a newer one replaced it,
+// and that the newer one still works.
 func TestNonces(t *testing.T) {
 	t.Parallel()
 	Convey("a newer schedule makes the older order a no-op", t, func() {
@@ -462,10 +473,12 @@
 	})
 }
 
+// TestUnloadWaitsForStreams guards against streams that are cut because their version is unloaded
+// while they run.
 func TestUnloadWaitsForStreams(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
-		t.Skip("a long simulation; the race detector has one task at a time to look at")
+		t.Skip("a long simulation with one task at a time, of little use under the race detector")
 	}
 	Convey("a version given up is unloaded only when its streams have ended, or after unload_wait_ms", t, func() {
 		for _, seed := range []uint64{3, 4, 6} {
@@ -474,7 +487,7 @@
 			for index := range plan.Callers {
 				if plan.Callers[index].Kind == "notice" {
 					plan.Callers[index].Tokens = 1500 // streams of six seconds
-					plan.Callers[index].Every *= 4    // as much to do as before
+					plan.Callers[index].Every *= 4    // the same load as before
 				}
 			}
 			park := fleet.NewPark(seed, plan)
@@ -482,8 +495,8 @@
 			begin(park, "h1", "east")
 			So(settled(park, "east", 60*time.Second).State, ShouldEqual, workflow.Done)
 			unloaded := func() (count int) {
-				for _, one := range park.Replicas {
-					for _, order := range one.Loads {
+				for _, replica := range park.Replicas {
+					for _, order := range replica.Loads {
 						if strings.Contains(order, "/v1/east/") && strings.HasSuffix(order, "/standby") {
 							count++
 						}
@@ -500,12 +513,12 @@
 	})
 }
 
-// TestCalendarsThatJump: a trial and a watch last as long as they should, whatever
-// the calendars say meanwhile; a version is not judged by a clock.
+// TestCalendarsThatJump checks that a trial and a watch last their full time while wall clocks
+// jump by an hour: a version is not judged by wall-clock time.
 func TestCalendarsThatJump(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
-		t.Skip("a long simulation; the race detector has one task at a time to look at")
+		t.Skip("a long simulation with one task at a time, of little use under the race detector")
 	}
 	for _, jump := range []time.Duration{time.Hour, -time.Hour} {
 		park := fleet.NewPark(3, fleet.Sahayogi())
@@ -516,24 +529,24 @@
 				park.Node(name).Skew += jump
 			}
 		}
-		// since is how long the route's state lasts, from when it is first seen.
-		lasts := func(what string, isIt func(route routing.Route) bool) (span time.Duration) {
+		// lasts measures how long the route stays in a state, from when it is first observed.
+		lasts := func(phase string, matches func(route routing.Route) bool) (span time.Duration) {
 			route := func() routing.Route { return status(park).Routes["east"] }
-			if !park.Until(30*time.Second, func() bool { return isIt(route()) }) {
-				t.Fatalf("vacuous: %s never came", what)
+			if !park.Until(30*time.Second, func() bool { return matches(route()) }) {
+				t.Fatalf("vacuous: %s never began", phase)
 			}
 			began := park.Now()
 			jumps()
-			if !park.Until(60*time.Second, func() bool { return !isIt(route()) }) {
-				t.Errorf("%s never ended after a jump of %v", what, jump)
+			if !park.Until(60*time.Second, func() bool { return !matches(route()) }) {
+				t.Errorf("%s never ended after a clock jump of %v", phase, jump)
 			}
 			return park.Now() - began
 		}
 		if span := lasts("a trial", func(route routing.Route) bool { return route.Trial == "v2" }); span < 5500*time.Millisecond {
-			t.Errorf("bad version: a trial of 6 s was over after %v, as the calendars had jumped by %v", span, jump)
+			t.Errorf("bad version: a trial of 6 s ended after %v when wall clocks jumped by %v", span, jump)
 		}
 		if span := lasts("a watch", func(route routing.Route) bool { return route.Version == "v2" && route.Watched }); span < 7500*time.Millisecond {
-			t.Errorf("bad version: a watch of 8 s was over after %v, as the calendars had jumped by %v", span, jump)
+			t.Errorf("bad version: a watch of 8 s ended after %v when wall clocks jumped by %v", span, jump)
 		}
 		park.Close()
 	}
