--- a/fleet/power_test.go
+++ b/fleet/power_test.go
@@ -86,7 +86,7 @@
 	park := apart(1, plan)
 	defer park.Close()
 	controls, datas := powerCut(park)
-	park.Run(3 * time.Second)             // the leases from before the power cut have expired
+	park.Run(3 * time.Second)                  // the leases from before the power cut have expired
 	requesters := map[string]map[string]bool{} // by control daemon, the data daemons that requested a lease there while they had none
 	park.OnBytes = func(from, to, method string, _ int) {
 		daemon := park.Datas[from]
--- a/fleet/tender_test.go
+++ b/fleet/tender_test.go
@@ -12,11 +12,11 @@
 	"swifttiller/sim"
 )
 
-// catchUp is how long a core machine may take from its start until it votes.
+// catchUp is the maximum time from the start of a core member until it votes.
 const catchUp = 4 * time.Second
 
-// selfMade starts a fleet that nobody makes a core for: the first six are its
-// acceptors, or as many as are asked for.
+// selfMade starts a fleet in which the control daemons create the core themselves on their first
+// start, with the given number of acceptors, at most six. It applies a configuration.
 func selfMade(t *testing.T, seed uint64, votes int) *fleet.Park {
 	t.Helper()
 	plan := fleet.Sahayogi()
@@ -28,17 +28,17 @@
 	}
 	park := fleet.NewBarePark(seed, plan)
 	if !park.Until(6*time.Second, func() bool { return len(core(park).Members) == votes }) {
-		t.Fatalf("seed %d: the core is %v", seed, core(park))
+		t.Fatalf("seed %d: no core of the wanted size was created: %v", seed, core(park))
 	}
 	park.Plan.First = false
 	if err := park.Apply(&fleet.Facts{}, "c2"); err != nil {
-		t.Fatalf("seed %d: no configuration: %v", seed, err)
+		t.Fatalf("seed %d: the first configuration was not applied: %v", seed, err)
 	}
 	park.Run(5 * time.Second)
 	return park
 }
 
-// core is the newest that a running daemon knows.
+// core returns the newest core configuration that a running control daemon has.
 func core(park *fleet.Park) (newest register.Core) {
 	for name, daemon := range park.Controls {
 		if park.Node(name).Up() && daemon.Core().Epoch > newest.Epoch {
@@ -48,7 +48,8 @@
 	return newest
 }
 
-// tending is the running daemon that holds the core's duty.
+// tending returns the running control daemon that leads the core's election, whose membership
+// reconciler replaces core members; "" if there is none.
 func tending(park *fleet.Park) string {
 	for name, daemon := range park.Controls {
 		if _, held := daemon.Elections.Term(controlplane.CoreElection); held && park.Node(name).Up() {
@@ -58,7 +59,8 @@
 	return ""
 }
 
-// serial is the configuration's at a majority, 0 if there is none.
+// serial returns the version of the configuration as the daemon reads it from a majority, 0 if it
+// can't.
 func serial(park *fleet.Park, at string) (serial uint64) {
 	_ = park.Do(at, 10*time.Second, func(daemon *controlplane.Daemon) error {
 		err := daemon.Issuer.Refresh()
@@ -70,7 +72,7 @@
 	return serial
 }
 
-// wipe starts a machine again that lost its disk.
+// wipe restarts a machine with an empty disk.
 func wipe(park *fleet.Park, name string) {
 	park.Crash(name)
 	park.Node(name).Disk.Wipe()
@@ -78,15 +80,15 @@
 	park.Run(50 * time.Millisecond)
 }
 
-// skipLong leaves a long simulation to the run of all tests.
+// skipLong skips a long simulation under -short.
 func skipLong(t *testing.T) {
 	t.Helper()
 	if testing.Short() {
-		t.Skip("a long simulation; the race detector has one task at a time to look at")
+		t.Skip("a long simulation with one task at a time, of little use under the race detector")
 	}
 }
 
-// eachSeed runs the step under a few seeds.
+// eachSeed runs the test step in a subtest for each of a few seeds; it skips under -short.
 func eachSeed(t *testing.T, step func(t *testing.T, seed uint64)) {
 	skipLong(t)
 	for seed := *first; seed < *first+4+uint64(*seeds); seed++ {
@@ -94,20 +96,23 @@
 	}
 }
 
+// TestFirstStartNeedsNoOperator checks that a fleet creates its core on the first start, keeps it
+// over a restart, and takes an emptied member back, though the settings still declare a first start.
+// A second core would lose acknowledged configurations.
 func TestFirstStartNeedsNoOperator(t *testing.T) {
 	t.Parallel()
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		for votes := 3; votes <= 6; votes += 3 {
 			park := selfMade(t, seed, votes)
 			members := core(park).Members
-			// All of it again, from the disks; the file still says that it is the first time.
+			// Restarts everything from its disks; the settings still declare a first start.
 			park.Plan.First = true
 			park.Return(park.Lose(park.NodeNames()))
 			park.Run(4 * time.Second)
 			if now := core(park); len(now.Members) != votes || !now.Has(members[0].ID) || serial(park, "c1") == 0 {
-				t.Errorf("seed %d: after a restart the core is %v, the configuration %d", seed, now, serial(park, "c1"))
+				t.Errorf("seed %d: after a restart the core is %v, the configuration's version %d", seed, now, serial(park, "c1"))
 			}
-			// One comes back empty, and is still told so.
+			// One member restarts with an empty disk, still with the first-start setting.
 			wipe(park, "c2")
 			if !park.Until(catchUp, func() bool { return park.Votes("c2") }) || len(core(park).Members) != votes || serial(park, "c2") == 0 {
 				t.Errorf("seed %d: a seed that came back empty made a core or did not join: %v", seed, core(park))
@@ -117,6 +122,8 @@
 	})
 }
 
+// TestAnEmptyDiskMakesNoCore checks that daemons with empty disks create no core unless the
+// settings declare a first start.
 func TestAnEmptyDiskMakesNoCore(t *testing.T) {
 	t.Parallel()
 	plan := fleet.Sahayogi()
@@ -124,10 +131,12 @@
 	defer park.Close()
 	park.Run(10 * time.Second)
 	if made := core(park); made.Epoch != 0 {
-		t.Errorf("made %v though it is not the first start", made)
+		t.Errorf("core %v was created though it is not the first start", made)
 	}
 }
 
+// TestAWipedDiskAndNoPower restarts the whole fleet, with the disk of one core member empty each
+// time. The member must rejoin with a vote, and no acknowledged configuration may be lost.
 func TestAWipedDiskAndNoPower(t *testing.T) {
 	t.Parallel()
 	eachSeed(t, func(t *testing.T, seed uint64) {
@@ -148,26 +157,29 @@
 				t.Errorf("seed %d: %s has no vote in %v", seed, lost, core(park))
 			}
 			if read := serial(park, lost); read != acknowledged {
-				t.Errorf("seed %d: acknowledged %d, read back %d", seed, acknowledged, read)
+				t.Errorf("seed %d: version %d was acknowledged, but %d is read back", seed, acknowledged, read)
 			}
-			// The next one lost is another, so the newcomer's copy is needed.
+			// Next, another member loses its disk, so the majority needs the rejoined member's copy.
 			lost = fmt.Sprint("c", 1+(seed+uint64(turn)+1)%3)
 		}
 	})
 }
 
+// TestAMachineIsReplacedWithoutAnOperator replaces core members by new machines, one after the
+// other, and then restarts the core. Each new machine must get a vote though some of its seed
+// addresses are dead, and no acknowledged configuration may be lost.
 func TestAMachineIsReplacedWithoutAnOperator(t *testing.T) {
 	t.Parallel()
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		for _, votes := range []int{3, 6} {
 			park := selfMade(t, seed, votes)
 			acknowledged := serial(park, "c1")
-			// Every machine of the first core goes, the duty's holder first, and each new
-			// one has two seeds that are gone or never were.
+			// Three members of the first core are replaced, the leader first. Two seeds of each
+			// new machine are dead or never existed.
 			for turn := 0; turn < 3; turn++ {
 				old := tending(park)
 				if old == "" {
-					t.Fatalf("seed %d: nobody tends the core", seed)
+					t.Fatalf("seed %d: no daemon leads the core's election", seed)
 				}
 				if turn > 0 || old == "c4" {
 					for _, member := range core(park).Members {
@@ -192,29 +204,32 @@
 					t.Errorf("seed %d: %s has no vote in %v", seed, fresh, core(park))
 				}
 				if now := core(park); len(now.Members) != votes {
-					t.Errorf("seed %d: the core has %d votes, not %d", seed, len(now.Members), votes)
+					t.Errorf("seed %d: the core has %d votes, want %d", seed, len(now.Members), votes)
 				}
 				if read := serial(park, fresh); read != acknowledged {
-					t.Errorf("seed %d: acknowledged %d, read back %d", seed, acknowledged, read)
+					t.Errorf("seed %d: version %d was acknowledged, but %d is read back", seed, acknowledged, read)
 				}
 			}
-			// All of it from the disks, with seeds that are all gone by now.
+			// Restarts the core from its disks; all seed addresses are dead by now.
 			for name := range park.Controls {
 				park.SeedsOf[name] = []string{"nobody", "gone"}
 			}
 			park.Return(park.Lose(running(park)))
 			park.Run(50 * time.Millisecond)
 			if !park.Until(2*time.Second, func() bool { return allLive(park, votes) }) {
-				t.Errorf("seed %d: the core's machines do not find each other", seed)
+				t.Errorf("seed %d: the core members don't find each other after a restart", seed)
 			}
 			if read := serial(park, "f2-"+fmt.Sprint(votes)); read != acknowledged {
-				t.Errorf("seed %d: acknowledged %d, read back %d", seed, acknowledged, read)
+				t.Errorf("seed %d: version %d was acknowledged, but %d is read back", seed, acknowledged, read)
 			}
 			park.Close()
 		}
 	})
 }
 
+// TestMachinesReplacedByOnesThatComeFirst starts each new machine before the one that it replaces
+// is stopped, or after a crash of it. The core must return to its size: votes of stopped
+// machines that stay would cost the majority at the next failure.
 func TestMachinesReplacedByOnesThatComeFirst(t *testing.T) {
 	t.Parallel()
 	eachSeed(t, func(t *testing.T, seed uint64) {
@@ -222,8 +237,8 @@
 			park := selfMade(t, seed, votes)
 			acknowledged := serial(park, "c1")
 			for turn := 0; turn < 3; turn++ {
-				// The first two come before the one that they replace goes in order, the
-				// third after a machine was lost.
+				// The first two new machines start before the replaced one stops in order, the
+				// third after a machine crashed.
 				var there []string
 				for _, member := range core(park).Members {
 					if park.Node(member.Name).Up() {
@@ -247,18 +262,18 @@
 				}
 				park.Run(2 * catchUp)
 				if now := core(park); len(now.Members) != votes {
-					t.Errorf("dead vote: seed %d: after %d replacements the core has %d votes, not %d", seed, turn+1, len(now.Members), votes)
+					t.Errorf("dead vote: seed %d: after %d replacements the core has %d votes, want %d", seed, turn+1, len(now.Members), votes)
 				}
 			}
 			if read := serial(park, "f2-"+fmt.Sprint(votes)); read != acknowledged {
-				t.Errorf("seed %d: acknowledged %d, read back %d", seed, acknowledged, read)
+				t.Errorf("seed %d: version %d was acknowledged, but %d is read back", seed, acknowledged, read)
 			}
 			park.Close()
 		}
 	})
 }
 
-// running are the control daemons with a disk that run.
+// running returns the control daemons with an acceptor that are up.
 func running(park *fleet.Park) (names []string) {
 	for _, name := range park.NodeNames() {
 		if daemon := park.Controls[name]; daemon != nil && daemon.Acceptor != nil && park.Node(name).Up() {
@@ -268,12 +283,12 @@
 	return names
 }
 
-// allLive tells whether every acceptor that runs knows as many acceptors as members.
+// allLive reports whether every running acceptor has live sessions of at least votes acceptors.
 func allLive(park *fleet.Park, votes int) bool {
 	for _, name := range running(park) {
 		count := 0
-		for _, one := range park.Controls[name].Sessions.Live(session.Control) {
-			if one.Member.Acceptor != "" {
+		for _, peer := range park.Controls[name].Sessions.Live(session.Control) {
+			if peer.Member.Acceptor != "" {
 				count++
 			}
 		}
@@ -284,15 +299,18 @@
 	return true
 }
 
+// TestTheTenderDiesInAReplacement crashes the membership reconciler's daemon at several moments of
+// a change of the core. Its successor must finish the change, and no acknowledged configuration
+// may be lost.
 func TestTheTenderDiesInAReplacement(t *testing.T) {
 	t.Parallel()
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		for at := 0; at < 6; at++ {
 			park := selfMade(t, seed, 3)
 			acknowledged := serial(park, "c1")
-			killed, holder := "", tending(park)
+			killed, leader := "", tending(park)
 			lost := "c1"
-			if holder == "c1" {
+			if leader == "c1" {
 				lost = "c2"
 			}
 			park.SetHook("tender.change", func(node *sim.Node, _ int) {
@@ -305,7 +323,7 @@
 			park.Run(catchUp)
 			park.SetHook("tender.change", nil)
 			if killed == "" {
-				t.Fatalf("seed %d: vacuous: nobody was killed in a change", seed)
+				t.Fatalf("seed %d: vacuous: no daemon was killed during a change of the core", seed)
 			}
 			park.StartControl(killed)
 			park.Run(50 * time.Millisecond)
@@ -313,13 +331,16 @@
 				t.Errorf("seed %d, %d: %s has no vote in %v", seed, at, lost, core(park))
 			}
 			if read := serial(park, lost); read != acknowledged {
-				t.Errorf("seed %d, %d: acknowledged %d, read back %d", seed, at, acknowledged, read)
+				t.Errorf("seed %d, %d: version %d was acknowledged, but %d is read back", seed, at, acknowledged, read)
 			}
 			park.Close()
 		}
 	})
 }
 
+// TestASplitInAReplacement partitions a core member from the others during a change of the core.
+// After the partition heals, all three members must vote, and no acknowledged configuration may be
+// lost.
 func TestASplitInAReplacement(t *testing.T) {
 	t.Parallel()
 	eachSeed(t, func(t *testing.T, seed uint64) {
@@ -346,18 +367,21 @@
 		park.Run(6 * time.Second)
 		park.SetHook("tender.change", nil)
 		if !isCut {
-			t.Fatalf("seed %d: vacuous: no change was cut", seed)
+			t.Fatalf("seed %d: vacuous: no change of the core was interrupted by the partition", seed)
 		}
 		park.Split([]string{cut}, rest(), false)
 		if !park.Until(catchUp, func() bool { return park.Votes(lost) && park.Votes(cut) }) || len(core(park).Members) != 3 {
 			t.Errorf("seed %d: the core is %v", seed, core(park))
 		}
 		if read := serial(park, cut); read != acknowledged {
-			t.Errorf("seed %d: acknowledged %d, read back %d", seed, acknowledged, read)
+			t.Errorf("seed %d: version %d was acknowledged, but %d is read back", seed, acknowledged, read)
 		}
 	})
 }
 
+// TestTwoEmptyOfThreeLoseNothing empties the disks of two of three core members at once. The third
+// alone must neither change the core nor acknowledge a configuration; when one disk comes back, the
+// core recovers with all that it acknowledged.
 func TestTwoEmptyOfThreeLoseNothing(t *testing.T) {
 	t.Parallel()
 	eachSeed(t, func(t *testing.T, seed uint64) {
@@ -367,12 +391,12 @@
 		before := core(park)
 		disk := park.Node("c1").Disk
 		kept := *disk
-		park.Crash("c1") // both at once: one after the other, the first is whole before
+		park.Crash("c1") // both at once: one after the other, the first would have recovered before the second is lost
 		wipe(park, "c2")
 		park.Node("c1").Disk.Wipe()
 		park.StartControl("c1")
 		park.Run(20 * time.Second)
-		// No majority remembers: nothing is decided, and above all nothing new is made.
+		// No majority has the state left, so nothing may be decided, and no new core created.
 		if now := core(park); now.Epoch != before.Epoch || park.Controls["c3"].Client.Core().Epoch != before.Epoch {
 			t.Errorf("seed %d: the core moved without a majority: %v", seed, now)
 		}
@@ -382,7 +406,7 @@
 		}); err == nil {
 			t.Errorf("seed %d: a configuration was acknowledged without a majority", seed)
 		}
-		// One disk is found again.
+		// One of the lost disks comes back.
 		park.Crash("c1")
 		*disk = kept
 		park.StartControl("c1")
@@ -391,19 +415,21 @@
 			t.Errorf("seed %d: the core is %v", seed, core(park))
 		}
 		if read := serial(park, "c2"); read < acknowledged {
-			t.Errorf("seed %d: acknowledged %d, read back %d", seed, acknowledged, read)
+			t.Errorf("seed %d: version %d was acknowledged, but %d is read back", seed, acknowledged, read)
 		}
 	})
 }
 
+// TestAddressesOfTheCoreChange checks that the core follows a member that restarts with its disk at
+// a new address, and that a diskless daemon finds the core by a single live seed.
 func TestAddressesOfTheCoreChange(t *testing.T) {
 	t.Parallel()
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		park := selfMade(t, seed, 3)
 		defer park.Close()
 		acknowledged := serial(park, "c1")
-		// c2 comes back with its disk at another address; c1 and c3 know it by the core
-		// alone, and a diskless daemon knows one seed.
+		// c2 restarts with its disk at another address, where c1 and c3 know it only from the
+		// core's configuration. A diskless daemon has one live seed.
 		park.Crash("c2")
 		park.Place("c2-moved", "middle-1")
 		park.Node("c2-moved").Disk.MoveFrom(park.Node("c2").Disk)
@@ -417,14 +443,14 @@
 			return false
 		}
 		if !park.Until(catchUp+2*time.Second, moved) || len(core(park).Members) != 3 {
-			t.Errorf("seed %d: the core does not follow an address: %v", seed, core(park))
+			t.Errorf("seed %d: the core does not follow the member's new address: %v", seed, core(park))
 		}
 		park.SeedsOf = map[string][]string{"c4": {"nobody", "c3"}}
 		park.Crash("c4")
 		park.StartControl("c4")
 		park.Run(2 * time.Second)
 		if read := serial(park, "c4"); read != acknowledged {
-			t.Errorf("seed %d: a diskless daemon with one seed reads %d, not %d", seed, read, acknowledged)
+			t.Errorf("seed %d: a diskless daemon with one live seed reads version %d, want %d", seed, read, acknowledged)
 		}
 	})
 }
--- a/fleet/term_test.go
+++ b/fleet/term_test.go
@@ -15,42 +15,44 @@
 	"swifttiller/verdict"
 )
 
-// term is what the roll-outs here are given.
+// term is the time limit of the rollouts in these tests.
 const term = 12 * time.Second
 
-// openPlan is a deployment whose placement holds any version: the platform lists what
-// its replicas serve, and their probes do not say.
+// openPlan returns the named plan with a placement that allows any version: the platform lists
+// the version of each replica, and the replicas' own probes don't report it.
 func openPlan(name string) fleet.Plan {
 	plan := fleet.Plans[name]()
 	plan.Document = strings.NewReplacer(`"version":"v1"`, `"version":"any"`, `"warm_ms":6000`, `"warm_ms":0,"cold_share":1`).Replace(plan.Document)
 	for index := range plan.Replicas {
-		one := &plan.Replicas[index]
-		one.Mute, one.ColdAnswers = true, 0
+		replica := &plan.Replicas[index]
+		replica.Mute, replica.ColdAnswers = true, 0
 	}
 	for index := range plan.Callers {
-		plan.Callers[index].Rosters = 1 << 20 // no prompt is known anywhere
+		plan.Callers[index].Rosters = 1 << 20 // no prompt is in any replica's cache
 	}
 	return plan
 }
 
-// joins starts a replica of v2 next to every one of the plan's.
+// joins starts a replica of v2 next to each of the plan's replicas, as changed by revise, which
+// may clear the ID to leave one out. It returns the names of the started replicas.
 func joins(park *fleet.Park, revise func(*fleet.ReplicaOptions)) (names []string) {
-	for _, one := range park.Plan.Replicas {
-		one.ID, one.Held = one.ID+"-next", []string{park.Model + "/v2"}
+	for _, replica := range park.Plan.Replicas {
+		replica.ID, replica.Held = replica.ID+"-next", []string{park.Model + "/v2"}
 		if revise != nil {
-			revise(&one)
+			revise(&replica)
 		}
-		if one.ID == "" {
+		if replica.ID == "" {
 			continue
 		}
-		park.StartReplica(one)
-		park.List(one)
-		names = append(names, one.ID)
+		park.StartReplica(replica)
+		park.List(replica)
+		names = append(names, replica.ID)
 	}
 	return names
 }
 
-// order asks a running control daemon for v2 within the term.
+// order begins a rollout to the version within the term at the first control daemon that accepts
+// it, and returns the last error if none does.
 func order(park *fleet.Park, version string) (err error) {
 	for _, name := range []string{"c1", "c2", "c3", "c4"} {
 		if park.Node(name).Up() && !park.Node(name).Frozen() {
@@ -64,7 +66,7 @@
 	return err
 }
 
-// stands is how the order stands; empty while nobody tells.
+// stands returns the state of the rollout, which is empty if no control daemon answers.
 func stands(park *fleet.Park) (out controlplane.RolloutState) {
 	for _, name := range []string{"c1", "c2", "c3", "c4"} {
 		if park.Node(name).Up() && !park.Node(name).Frozen() {
@@ -79,9 +81,9 @@
 	return controlplane.RolloutState{}
 }
 
-// obey does as the platform does while an order is under way: on done the old replicas
-// stop at once, on back the new ones drain some seconds later. It gives the end and how
-// long that took, 0 if it never came.
+// obey acts as the platform during a rollout: when the traffic has moved, the old replicas stop
+// at once; when it is rolled back, the new ones drain some seconds later. It returns the final
+// state and the time until then, or "" and 0 if the rollout doesn't end within the span.
 func obey(t *testing.T, park *fleet.Park, began, span time.Duration, fresh []string) (string, time.Duration) {
 	t.Helper()
 	for park.Now() < began+span {
@@ -89,18 +91,18 @@
 		case rollout.Moved:
 			took := park.Now() - began
 			cut := 0
-			for _, one := range park.Plan.Replicas {
-				cut += park.Replicas[one.ID].Running()
-				park.Crash(one.ID)
-				park.Platform.Remove(one.ID)
+			for _, replica := range park.Plan.Replicas {
+				cut += park.Replicas[replica.ID].Running()
+				park.Crash(replica.ID)
+				park.Platform.Remove(replica.ID)
 			}
 			if cut > 0 {
-				t.Errorf("%d answers ran on the old replicas when they were stopped", cut)
+				t.Errorf("%d requests were running on the old replicas when they were stopped", cut)
 			}
 			return state.State, took
 		case rollout.RolledBack:
 			took := park.Now() - began
-			t.Logf("taken back after %v: %s", took, state.Reason)
+			t.Logf("rolled back after %v: %s", took, state.Reason)
 			park.Run(2 * time.Second)
 			for _, name := range fresh {
 				park.Platform.Leave(name)
@@ -112,59 +114,60 @@
 	return "", 0
 }
 
-// exposed checks what v2 got: at every moment until it was moved to no more than its
-// small share of all since the order, and, of one that is bad, no more than a tenth of
-// all and 50 within the term, and nothing later than 5 s after its 50th bad answer.
+// exposed checks the number of requests that v2 got. Until the route moves, v2 gets at every
+// moment at most its small share of all requests since the rollout began. A bad version also gets
+// at most a tenth of all requests plus 50 within the term, and none later than 5 s after its 50th
+// failure. It returns the numbers of requests to v2 and to all versions.
 func exposed(t *testing.T, park *fleet.Park, began, moved time.Duration, isBad bool) (mine, whole int) {
 	t.Helper()
 	var bad []time.Duration
-	for _, one := range park.Logs() {
-		if one.Version == "v2" && one.Failed {
-			bad = append(bad, one.FailedAt)
+	for _, request := range park.Logs() {
+		if request.Version == "v2" && request.Failed {
+			bad = append(bad, request.FailedAt)
 		}
 	}
 	slices.Sort(bad)
-	told := false
+	isReported := false
 	allWithin, mineWithin := 0, 0
-	for _, one := range park.Logs() {
-		if one.At < began {
+	for _, request := range park.Logs() {
+		if request.At < began {
 			continue
 		}
 		whole++
-		if one.At < began+term {
+		if request.At < began+term {
 			allWithin++
-			if one.Version == "v2" {
+			if request.Version == "v2" {
 				mineWithin++
 			}
 		}
-		if one.Version != "v2" {
+		if request.Version != "v2" {
 			continue
 		}
 		mine++
-		if !told && one.At < moved && float64(mine) > 0.08*float64(whole)+10 {
-			told = true
-			t.Errorf("bad version: at %v v2 had got %d of %d requests", one.At-began, mine, whole)
+		if !isReported && request.At < moved && float64(mine) > 0.08*float64(whole)+10 {
+			isReported = true
+			t.Errorf("bad version: after %v v2 had got %d of %d requests", request.At-began, mine, whole)
 		}
-		if isBad && len(bad) >= 50 && one.At > bad[49]+5*time.Second {
-			t.Fatalf("bad version: v2 got a request %v after its 50th bad answer", one.At-bad[49])
+		if isBad && len(bad) >= 50 && request.At > bad[49]+5*time.Second {
+			t.Fatalf("bad version: v2 got a request %v after its 50th failure", request.At-bad[49])
 		}
 	}
 	if isBad && float64(mineWithin) > 0.1*float64(allWithin)+50 {
-		t.Errorf("bad version: v2 got %d of %d within the term", mineWithin, allWithin)
+		t.Errorf("bad version: v2 got %d of %d requests within the term", mineWithin, allWithin)
 	}
 	return mine, whole
 }
 
-// openCase is a version under a term.
+// openCase describes a version that is rolled out under a time limit.
 type openCase struct {
 	name string
 	bad  func(since time.Duration, kind string, running int) bool
 	how  fleet.Way
-	// slower is by how many times its answers come more slowly.
+	// slower is the factor by which its answers are slower.
 	slower float64
-	// late is when its replicas start; without says where there are none.
+	// late delays the start of its replicas; without reports the zones that get none.
 	late time.Duration
-	// after says that it is bad only once a route has moved to it.
+	// With after, it fails only once a route has moved to it.
 	after   bool
 	without func(zone string) bool
 	want    string
@@ -187,19 +190,20 @@
 	{name: "three times slower", slower: 3, want: rollout.RolledBack},
 }
 
-// TestRolloutsUnderATerm: replicas of the version start next to the old ones; a good
-// one is done within the term, a bad one taken back, and its share is bounded.
+// TestRolloutsUnderATerm starts replicas of a new version next to the old ones. A good version
+// must get all traffic within the term, a bad one must be rolled back, and the share of requests
+// that it gets is bounded.
 func TestRolloutsUnderATerm(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
-		t.Skip("a long simulation; the race detector has one task at a time to look at")
+		t.Skip("a long simulation with one task at a time, of little use under the race detector")
 	}
 	for name := range fleet.Plans {
 		for seed := *first; seed < *first+uint64(*seeds); seed++ {
-			for _, one := range openCases {
-				t.Run(fmt.Sprintf("%s/%s/%d", name, one.name, seed), func(t *testing.T) {
+			for _, variant := range openCases {
+				t.Run(fmt.Sprintf("%s/%s/%d", name, variant.name, seed), func(t *testing.T) {
 					t.Parallel()
-					tryOpen(t, name, one, seed)
+					tryOpen(t, name, variant, seed)
 				})
 			}
 			t.Run(fmt.Sprintf("%s/bad in a fifth of its answers/%d", name, seed), func(t *testing.T) {
@@ -211,7 +215,7 @@
 	}
 }
 
-func tryOpen(t *testing.T, name string, one openCase, seed uint64) {
+func tryOpen(t *testing.T, name string, variant openCase, seed uint64) {
 	park := fleet.NewPark(seed, openPlan(name))
 	defer park.Close()
 	park.Run(warm)
@@ -219,64 +223,64 @@
 	if err := order(park, "v2"); err != nil {
 		t.Fatal(err)
 	}
-	if one.late > 0 {
-		park.Run(one.late)
+	if variant.late > 0 {
+		park.Run(variant.late)
 	}
-	isMoved := !one.after
-	if one.after {
+	isMoved := !variant.after
+	if variant.after {
 		park.SetHook("settle", func(*sim.Node, int) { isMoved = true })
 	}
 	fresh := joins(park, func(options *fleet.ReplicaOptions) {
-		if one.without != nil && one.without(options.Zone) {
+		if variant.without != nil && variant.without(options.Zone) {
 			options.ID = ""
 		}
-		options.How, options.Slower = one.how, one.slower
-		if one.bad != nil {
-			options.Bad = func(_, kind string, running int) bool { return isMoved && one.bad(park.Now()-began, kind, running) }
+		options.How, options.Slower = variant.how, variant.slower
+		if variant.bad != nil {
+			options.Bad = func(_, kind string, running int) bool { return isMoved && variant.bad(park.Now()-began, kind, running) }
 		}
 	})
 	park.Run(500 * time.Millisecond)
 	if err := order(park, "v2"); err != nil {
-		t.Errorf("the same order again: %v", err)
+		t.Errorf("repeat of the rollout order: %v", err)
 	}
-	var mishap *verdict.Error
-	if err := order(park, "v3"); stands(park).State == rollout.Moving && (!errors.As(err, &mishap) || mishap.Status != 409) {
-		t.Errorf("another order meanwhile: %v", err)
+	var conflict *verdict.Error
+	if err := order(park, "v3"); stands(park).State == rollout.Moving && (!errors.As(err, &conflict) || conflict.Status != 409) {
+		t.Errorf("order of another version during the rollout: got %v, want status 409", err)
 	}
 	state, took := obey(t, park, began, term, fresh)
 	moved := began + took
-	if state != one.want {
-		t.Errorf("the end is %q, not %q", state, one.want)
+	if state != variant.want {
+		t.Errorf("the rollout ended as %q, want %q", state, variant.want)
 	}
-	if one.want == rollout.Moved {
+	if variant.want == rollout.Moved {
 		for _, route := range status(park).Routes {
 			moved = min(moved, began+route.Moved.Sub(park.Node("c1").WallTime())+park.Now()-began)
 		}
 	}
 	park.Run(8 * time.Second)
 	if err := order(park, "v2"); err != nil || stands(park).State != state {
-		t.Errorf("the same order after its end: %v, %v", err, stands(park))
+		t.Errorf("repeat of the order after the rollout's end: error %v, state %v", err, stands(park))
 	}
 	from := park.Now()
 	park.Run(5 * time.Second)
 	answered, asked := fleet.Rate(park, from, park.Now())
 	if answered*10 < asked*9 {
-		t.Errorf("%d of %d were answered at the end", answered, asked)
+		t.Errorf("%d of %d requests were answered after the end", answered, asked)
 	}
 	for _, served := range park.Logs() {
 		if served.At > from && (served.Version == "v2") != (state == rollout.Moved) {
-			t.Fatalf("%s served %s at %v, after the end", served.Replica, served.Version, served.At-began)
+			t.Fatalf("%s served %s at %v, after the rollout's end", served.Replica, served.Version, served.At-began)
 		}
 	}
-	mine, whole := exposed(t, park, began, moved, one.want == rollout.RolledBack)
+	mine, whole := exposed(t, park, began, moved, variant.want == rollout.RolledBack)
 	t.Logf("%s after %v; v2 got %d of %d", state, took, mine, whole)
-	if one.want == rollout.RolledBack && one.without == nil && mine == 0 {
-		t.Error("vacuous: v2 was never tried")
+	if variant.want == rollout.RolledBack && variant.without == nil && mine == 0 {
+		t.Error("vacuous: v2 never got a request")
 	}
 }
 
-// TestOpenPlacementServesVersionsAsEquals: replicas replaced one by one with another
-// version get their part without any order.
+// TestOpenPlacementServesVersionsAsEquals checks that replicas which the platform replaced by
+// ones of another version get their share of requests without a rollout.
 func TestOpenPlacementServesVersionsAsEquals(t *testing.T) {
 	t.Parallel()
 	park := fleet.NewPark(2, openPlan("sahayogi"))
@@ -287,32 +291,33 @@
 			options.ID = ""
 		}
 	})
-	for _, one := range park.Plan.Replicas {
-		if one.Zone == "east-1" {
-			park.Platform.Leave(one.ID)
+	for _, replica := range park.Plan.Replicas {
+		if replica.Zone == "east-1" {
+			park.Platform.Leave(replica.ID)
 		}
 	}
 	park.Run(4 * time.Second)
 	from := park.Now()
 	park.Run(5 * time.Second)
 	mine := 0
-	for _, one := range park.Logs() {
-		if one.At > from && one.Version == "v2" {
+	for _, request := range park.Logs() {
+		if request.At > from && request.Version == "v2" {
 			mine++
 		}
 	}
 	if answered, asked := fleet.Rate(park, from, park.Now()); answered*10 < asked*9 || mine*4 < asked {
-		t.Errorf("%d of %d were answered, %d by the new version", answered, asked, mine)
+		t.Errorf("%d of %d requests were answered, %d by the new version", answered, asked, mine)
 	}
-	for name, one := range park.Replicas {
-		if len(one.Loads) > 0 {
-			t.Errorf("%s got orders: %v", name, one.Loads)
+	for name, replica := range park.Replicas {
+		if len(replica.Loads) > 0 {
+			t.Errorf("%s got load orders: %v", name, replica.Loads)
 		}
 	}
 }
 
-// TestRolloutUnderATermOutlives: whoever is lost at whichever step, the order lasts and
-// ends as it should, and the share stays bounded.
+// TestRolloutUnderATermOutlives checks that a rollout survives the loss of its runner or of all
+// control daemons at any of its steps: it ends as it would without, and the new version's share of
+// requests stays bounded.
 func TestRolloutUnderATermOutlives(t *testing.T) {
 	t.Parallel()
 	steps := []string{"validate", "ready", "trial-judge", "pass", "agree", "serial", "route", "settle", "live"}
@@ -340,13 +345,13 @@
 			node.Crash()
 		},
 	}
-	for what, lose := range losses {
+	for fault, lose := range losses {
 		for _, step := range steps {
 			for _, isBad := range []bool{false, true} {
 				if isBad && !slices.Contains([]string{"validate", "ready", "trial-judge"}, step) {
-					continue // it is taken back before
+					continue // a bad version is rolled back before this step
 				}
-				t.Run(fmt.Sprintf("%s at %s, bad %v", what, step, isBad), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%s at %s, bad %v", fault, step, isBad), func(t *testing.T) {
 					t.Parallel()
 					outlive(t, step, isBad, lose)
 				})
@@ -368,6 +373,7 @@
 	})
 }
 
+// outlive runs a rollout during which lose is called at the given step.
 func outlive(t *testing.T, step string, isBad bool, lose func(*fleet.Park, *sim.Node)) {
 	park := fleet.NewPark(3, openPlan("sahayogi"))
 	defer park.Close()
@@ -394,7 +400,7 @@
 	}
 	state, took := obey(t, park, began, 3*term, fresh)
 	if state != want || !isLost {
-		t.Fatalf("the end is %q after %v; lost %v", state, took, isLost)
+		t.Fatalf("the rollout ended as %q after %v; fault injected: %v", state, took, isLost)
 	}
 	moved := began + took
 	for _, route := range status(park).Routes {
@@ -403,18 +409,18 @@
 		}
 	}
 	park.Run(12 * time.Second)
-	if got := stands(park).State; got != state {
-		t.Errorf("it was %s and is %s", state, got)
+	if later := stands(park).State; later != state {
+		t.Errorf("the rollout's state changed from %s to %s after its end", state, later)
 	}
 	mine, whole := exposed(t, park, began, moved, isBad)
 	t.Logf("%s after %v; v2 got %d of %d", state, took, mine, whole)
-	for region, shelf := range status(park).Shelves {
+	for region, rollouts := range status(park).Shelves {
 		names := map[string]bool{}
-		for _, one := range shelf.Run.Steps {
-			if names[one.Name] {
-				t.Errorf("%s: step %s is recorded twice", region, one.Name)
+		for _, recorded := range rollouts.Run.Steps {
+			if names[recorded.Name] {
+				t.Errorf("%s: step %s is recorded twice", region, recorded.Name)
 			}
-			names[one.Name] = true
+			names[recorded.Name] = true
 		}
 	}
 }
