--- a/fleet/replace_test.go
+++ b/fleet/replace_test.go
@@ -19,22 +19,22 @@
 	"swifttiller/verdict"
 )
 
-// labelled is the plan's document under a label; the mark tells documents of one label
-// apart.
+// labelled returns the plan's document with the label; the mark makes documents of the same label
+// different.
 func labelled(park *fleet.Park, label uint64, mark string) []byte {
 	document := strings.Replace(park.Document, "{", fmt.Sprintf(`{"label":%d,`, label), 1)
 	last := strings.LastIndex(document, "}")
 	return []byte(document[:last] + fmt.Sprintf(`,"origin":{ "mark":%q}}`, mark))
 }
 
-// ordering is a calm fleet without callers.
+// ordering returns a fleet without callers and without faults.
 func ordering(seed uint64) *fleet.Park {
 	plan := quick()
 	plan.Callers = nil
 	return fleet.NewPark(seed, plan)
 }
 
-// replace has a control daemon replace the configuration.
+// replace sends a document that replaces the one with the label expect to a control daemon.
 func replace(park *fleet.Park, at string, document []byte, expect uint64) (applied lease.Applied, err error) {
 	err = park.Do(at, 30*time.Second, func(daemon *controlplane.Daemon) (err error) {
 		applied, err = daemon.Replace(document, expect)
@@ -43,7 +43,7 @@
 	return applied, err
 }
 
-// newest is what stands, as a majority tells it.
+// newest returns the label and the configuration that a majority has, as read by the daemon.
 func newest(t *testing.T, park *fleet.Park, at string) (label uint64, config lease.Config) {
 	t.Helper()
 	if err := park.Do(at, 10*time.Second, func(daemon *controlplane.Daemon) error {
@@ -53,7 +53,7 @@
 		}
 		_, config, _ = daemon.Issuer.Current()
 		if label = read; string(document) != string(config.WithOrigin()) {
-			return errors.New("the document is not that of the configuration")
+			return errors.New("the returned document differs from the configuration's")
 		}
 		return nil
 	}); err != nil {
@@ -62,9 +62,9 @@
 	return label, config
 }
 
-func isOutdated(err error, have, want uint64) bool {
+func isOutdated(err error, current, want uint64) bool {
 	var outdated *controlplane.Outdated
-	return errors.As(err, &outdated) && *outdated == controlplane.Outdated{Have: have, Want: want} && controlplane.OperatorError(err).Status == 409
+	return errors.As(err, &outdated) && *outdated == controlplane.Outdated{Have: current, Want: want} && controlplane.OperatorError(err).Status == 409
 }
 
 func hasProblem(err error, path string) bool {
@@ -72,7 +72,7 @@
 	return errors.As(err, &problems) && len(problems) == 1 && problems[0].Path == path
 }
 
-// TestReplace: a document replaces the one that it builds on, once; a repeat of it is
+// TestReplace checks that a document replaces the one that it is based on, once, and that a repeat is
 // acknowledged at any time and changes nothing.
 func TestReplace(t *testing.T) {
 	t.Parallel()
@@ -86,7 +86,7 @@
 	if _, err := replace(park, "c1", third, 0); err != nil {
 		t.Error("order: a repeat at the same daemon:", err)
 	}
-	// Spaces are no difference; the order may come over any daemon.
+	// White space makes no difference, and the repeat may go to any daemon.
 	if again, err := replace(park, "c2", []byte(strings.Replace(string(third), `{"label":3`, ` { "label" : 3 `, 1)), 0); err != nil || again.Serial != first.Serial {
 		t.Error("a repeat at another daemon:", again, err)
 	}
@@ -95,7 +95,7 @@
 	if again, err := replace(park, "c3", []byte(made), 0); err != nil || again.Serial != first.Serial {
 		t.Error("order: a repeat that was made otherwise:", again, err)
 	}
-	for what, isSo := range map[string]bool{
+	for name, isReported := range map[string]bool{
 		"built on none":  isOutdated(second(replace(park, "c2", labelled(park, 4, "b"), 0)), 3, 0),
 		"built on later": isOutdated(second(replace(park, "c2", labelled(park, 4, "b"), 4)), 3, 4),
 		"the same label": hasProblem(second(replace(park, "c2", labelled(park, 3, "b"), 3)), "$.label"),
@@ -103,8 +103,8 @@
 		"no label":       hasProblem(second(replace(park, "c2", []byte(park.Document), 3)), "$.label"),
 		"invalid":        hasProblem(second(replace(park, "c2", []byte(strings.Replace(string(labelled(park, 4, "b")), `"origin"`, `"oregano"`, 1)), 3)), "$.oregano"),
 	} {
-		if !isSo {
-			t.Error("order:", what, "is not told so")
+		if !isReported {
+			t.Error("order:", name, "is not reported as such")
 		}
 	}
 	if label, config := newest(t, park, "c3"); label != 3 || string(config.WithOrigin()) != tight(third) {
@@ -114,12 +114,12 @@
 		t.Error(err)
 	}
 	if _, err := replace(park, "c1", third, 0); err != nil {
-		t.Error("a repeat after a newer one:", err)
+		t.Error("a repeat after a newer order:", err)
 	}
 	if label, config := newest(t, park, "c2"); label != 5 || string(config.WithOrigin()) != tight(fifth) {
 		t.Errorf("label %d, %s", label, config.WithOrigin())
 	}
-	// All are remembered, by the configuration itself or by the history before it.
+	// All orders stay recorded, in the configuration itself or in the history pages.
 	for label := uint64(6); label < 6+2*lease.MaxMarks; label++ {
 		if _, err := replace(park, "c1", labelled(park, label, "a"), label-1); err != nil {
 			t.Fatal(err)
@@ -127,15 +127,15 @@
 	}
 	last := uint64(5 + 2*lease.MaxMarks)
 	if _, config := newest(t, park, "c2"); len(config.Taken) > lease.MaxMarks || config.Archived == 0 || strings.HasPrefix(string(config.Taken[0]), "3/") {
-		t.Errorf("remembered by the configuration itself: %v", config.Taken)
+		t.Errorf("orders recorded in the configuration itself: %v", config.Taken)
 	}
-	for _, one := range [][]byte{third, fifth, labelled(park, 6, "a")} {
-		if _, err := replace(park, "c2", one, 0); err != nil {
-			t.Error("a repeat of one of the first:", err)
+	for _, document := range [][]byte{third, fifth, labelled(park, 6, "a")} {
+		if _, err := replace(park, "c2", document, 0); err != nil {
+			t.Error("repeat of one of the first orders:", err)
 		}
 	}
 	if _, err := replace(park, "c2", labelled(park, 4, "b"), 0); !isOutdated(err, last, 0) {
-		t.Error("one that was never taken:", err)
+		t.Error("an outdated order that was never applied:", err)
 	}
 	once(t, park)
 }
@@ -146,9 +146,9 @@
 	return out.String()
 }
 
-// TestAcknowledgedInTime: a silent holder is waited for until its permit ends, once, and
-// no longer where the core can't be read meanwhile. What every holder has taken is not
-// waited for again, though one has gone silent since and its permit still stands.
+// TestAcknowledgedInTime checks that a change waits for a silent lease holder until its lease expires,
+// once, and no longer if the core can't be read meanwhile. A change that every lease holder has
+// acknowledged is not waited for again, though one has gone silent since and its lease is still valid.
 func TestAcknowledgedInTime(t *testing.T) {
 	t.Parallel()
 	park := ordering(14)
@@ -163,10 +163,10 @@
 	first := took("c1", 1, 0)
 	park.Freeze("d1", time.Minute)
 	if again := took("c1", 1, 0); first > time.Second || again > 100*time.Millisecond {
-		t.Errorf("order: taken by all after %v, and again, with one silent, after %v", first, again)
+		t.Errorf("order: acknowledged by all after %v, and the repeat, with one silent, after %v", first, again)
 	}
 	if first, again := took("c1", 2, 1), took("c1", 2, 1); first < time.Second || first > 2500*time.Millisecond || again > 100*time.Millisecond {
-		t.Errorf("order: acknowledged after %v, and again after %v", first, again)
+		t.Errorf("order: acknowledged after %v, the repeat after %v", first, again)
 	}
 	park.At(300*time.Millisecond, func() { park.Split([]string{"c1"}, []string{"c2", "c3"}, true) })
 	if span := took("c1", 3, 2); span < time.Second || span > 2500*time.Millisecond {
@@ -176,20 +176,20 @@
 
 func second[A, B any](_ A, b B) B { return b }
 
-// once checks that no serial was ever gone by with two contents.
+// once checks that no version of the configuration was ever in use with two contents.
 func once(t *testing.T, park *fleet.Park) {
 	t.Helper()
 	marks := map[uint64]uint64{}
-	for _, one := range park.Adopted {
-		if have, known := marks[one.Serial]; known && have != one.Mark {
-			t.Errorf("old config: seed %d: two contents are gone by under serial %d", park.Seed, one.Serial)
+	for _, adopted := range park.Adopted {
+		if mark, known := marks[adopted.Serial]; known && mark != adopted.Mark {
+			t.Errorf("old config: seed %d: two contents are in use under version %d", park.Seed, adopted.Serial)
 		}
-		marks[one.Serial] = one.Mark
+		marks[adopted.Serial] = adopted.Mark
 	}
 }
 
-// TestEvacuationsAgain: an evacuation that stands is acknowledged again without a
-// change, and outlasts configurations.
+// TestEvacuationsAgain checks that a repeated evacuation is acknowledged without a change, and that
+// an evacuation outlasts a replacement of the configuration.
 func TestEvacuationsAgain(t *testing.T) {
 	t.Parallel()
 	park := ordering(12)
@@ -215,9 +215,9 @@
 	if _, config := newest(t, park, "c2"); len(config.Evacuated) != 1 || config.Evacuated[0] != zone {
 		t.Error("evacuated:", config.Evacuated)
 	}
-	for name, one := range park.Datas {
-		if !one.Holder.View().Evacuated[zone] {
-			t.Error(name, "does not know of the evacuation")
+	for name, daemon := range park.Datas {
+		if !daemon.Holder.View().Evacuated[zone] {
+			t.Error(name, "does not have the evacuation in its view")
 		}
 	}
 	back, err := evacuate("c2", zone, true)
@@ -228,14 +228,14 @@
 		t.Error(again, err)
 	}
 	for _, isBack := range []bool{false, true} {
-		var mishap *verdict.Error
-		if _, err := evacuate("c1", "nowhere-1", isBack); !errors.As(err, &mishap) || mishap.Status != 404 {
-			t.Error("a zone that is not known:", err)
+		var failure *verdict.Error
+		if _, err := evacuate("c1", "nowhere-1", isBack); !errors.As(err, &failure) || failure.Status != 404 {
+			t.Error("evacuating an unknown zone:", err)
 		}
 	}
 }
 
-// TestReplaceRace: of two documents that build on the same one, exactly one is taken.
+// TestReplaceRace checks that of two concurrent documents based on the same one, exactly one is applied.
 func TestReplaceRace(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(1); seed <= 12; seed++ {
@@ -252,7 +252,7 @@
 			})
 		}
 		if !park.Until(10*time.Second, func() bool { return done == 2 }) {
-			t.Fatalf("seed %d: no end", seed)
+			t.Fatalf("seed %d: the two orders never ended", seed)
 		}
 		winner := 0
 		if errs[0] != nil {
@@ -262,15 +262,15 @@
 			t.Errorf("seed %d: %v, %v", seed, errs[0], errs[1])
 		}
 		if label, config := newest(t, park, "c3"); label != labels[winner] || !strings.Contains(string(config.WithOrigin()), fmt.Sprintf(`"mark":"c%d"`, winner+1)) {
-			t.Errorf("seed %d: label %d stands, and c%d's was taken", seed, label, winner+1)
+			t.Errorf("seed %d: the current label is %d, but c%d's document was acknowledged", seed, label, winner+1)
 		}
 		once(t, park)
 		park.Close()
 	}
 }
 
-// TestReplaceLostAnswer: a daemon that hears nothing any more in mid-write says soon that it
-// can't tell what became of it; a repeat elsewhere is acknowledged, and the document is taken
+// TestReplaceLostAnswer cuts a daemon off from all replies during its write. It must report soon that
+// the outcome is unknown; a repeat at another daemon is acknowledged, and the document is applied
 // once.
 func TestReplaceLostAnswer(t *testing.T) {
 	t.Parallel()
@@ -294,7 +294,7 @@
 		applied, err := replace(park, "c1", document, 0)
 		took := park.Now() - began
 		switch {
-		case err == nil: // decided before it went deaf, and acknowledged when older permits were over
+		case err == nil: // decided before replies were lost, and acknowledged when older leases had expired
 			decided++
 		case errors.Is(err, register.ErrUncertain):
 			if open++; controlplane.OperatorError(err).Status != 504 {
@@ -304,10 +304,10 @@
 			if unwritten++; controlplane.OperatorError(err).Status != 503 {
 				t.Errorf("seed %d: %v", seed, controlplane.OperatorError(err))
 			}
-			// Nothing was written, so it never comes to stand by itself.
+			// Nothing was written, so the document must not become current without a repeat.
 			park.Run(3 * time.Second)
 			if label, _ := newest(t, park, "c2"); label != 0 {
-				t.Errorf("order: seed %d: it was said that nothing was written, and %d stands", seed, label)
+				t.Errorf("order: seed %d: the daemon reported that nothing was written, but the current label is %d", seed, label)
 			}
 		default:
 			t.Errorf("order: seed %d: %v after %v: %v", seed, applied, took, err)
@@ -317,29 +317,29 @@
 		}
 		again, err := replace(park, "c2", document, 0)
 		if err != nil {
-			t.Errorf("seed %d: the repeat: %v", seed, err)
+			t.Errorf("seed %d: the repeat failed: %v", seed, err)
 		}
 		park.Run(3 * time.Second)
 		if label, config := newest(t, park, "c3"); label != 7 || len(config.Taken) != 1 {
-			t.Errorf("seed %d: label %d stands, taken %v (%v)", seed, label, config.Taken, again)
+			t.Errorf("seed %d: the current label is %d, applied orders are %v (repeat: %v)", seed, label, config.Taken, again)
 		}
 		once(t, park)
 		park.Close()
 	}
-	if t.Logf("%d decided, %d not written, %d left open", decided, unwritten, open); decided < 3 || unwritten < 1 || open < 3 {
+	if t.Logf("%d decided, %d not written, %d of unknown outcome", decided, unwritten, open); decided < 3 || unwritten < 1 || open < 3 {
 		t.Error("vacuous")
 	}
 }
 
-// TestReplaceBeneath: a daemon that finds its own change beneath a later one offers the
-// later one's contents under the later one's serial.
+// TestReplaceBeneath checks a daemon that learns of the success of its own change only after a later
+// change has followed: it must publish the later contents under the later version, not its own.
 func TestReplaceBeneath(t *testing.T) {
 	t.Parallel()
 	beneath := 0
 	for seed := uint64(1); seed <= 16; seed++ {
 		park := ordering(seed)
-		// One data daemon hears of configurations from c1 alone, and c1 hears nothing for
-		// a while after its write has gone out.
+		// One data daemon gets configurations from c1 alone, and c1 gets no replies for a while
+		// after it sent its write.
 		park.Split([]string{"d1"}, []string{"c2", "c3"}, true)
 		deaf := func(isDeaf bool) {
 			for _, other := range []string{"c2", "c3"} {
@@ -347,9 +347,9 @@
 			}
 		}
 		park.At(time.Duration(seed)*500*time.Microsecond, func() { deaf(true) })
-		// When it hears again decides whether its change, which tries once more after half a
-		// second, or another of its readings is the first to tell it what stands; the former
-		// is the one that may offer the wrong one.
+		// The time of healing decides whether c1's change, which is retried after half a second, or
+		// another of its reads first returns the current configuration. In the former case it
+		// might publish the wrong one.
 		park.At(400*time.Millisecond+time.Duration(seed)*8*time.Millisecond, func() { deaf(false) })
 		done := false
 		var applied lease.Applied
@@ -361,7 +361,7 @@
 		park.Run(100 * time.Millisecond)
 		later, laterErr := replace(park, "c2", labelled(park, 8, "b"), 7)
 		park.Until(10*time.Second, func() bool { return done })
-		// It may have no time left to find out, and then says so.
+		// If it has no time left to find out, it reports an unknown outcome.
 		if !done || err != nil && controlplane.OperatorError(err).Status < 500 {
 			t.Errorf("seed %d: %v", seed, err)
 		}
@@ -372,13 +372,13 @@
 		once(t, park)
 		park.Close()
 	}
-	if t.Logf("%d lay beneath", beneath); beneath < 2 {
+	if t.Logf("%d changes were found followed by a later one", beneath); beneath < 2 {
 		t.Error("vacuous")
 	}
 }
 
-// TestReplaceStorm: with a change every 80 ms over all daemons and a data daemon that
-// stands still, or is cut off, each is acknowledged within 5 s.
+// TestReplaceStorm checks that, with a change every 80 ms across all control daemons and a data daemon
+// that is frozen or cut off, each change is acknowledged within 5 s.
 func TestReplaceStorm(t *testing.T) {
 	t.Parallel()
 	const count = 40
@@ -409,7 +409,7 @@
 			at := fmt.Sprintf("c%d", 1+index%3)
 			park.At(time.Duration(index)*80*time.Millisecond, func() {
 				run(at, func(daemon *controlplane.Daemon) error {
-					// The one before is under way, and may not have been decided yet.
+					// The previous change is still running and may not have been decided yet.
 					for {
 						if _, label, err := daemon.Current(); err == nil && label >= index {
 							break
@@ -423,7 +423,7 @@
 				})
 				if index%8 == 0 {
 					run(at, func(daemon *controlplane.Daemon) error {
-						// One that is given up is sent again, as operators do.
+						// An abandoned order is retried, as operators do.
 						began := park.Now()
 						for {
 							_, err := daemon.Evacuate(zone, index%16 != 0)
@@ -436,18 +436,18 @@
 			})
 		}
 		if !park.Until(20*time.Second, func() bool { return ended == count+count/8 }) {
-			t.Fatalf("%s: %d of them ended", name, ended)
+			t.Fatalf("%s: only %d orders ended", name, ended)
 		}
-		t.Logf("%s: the last after %v", name, worst)
+		t.Logf("%s: the slowest order took %v", name, worst)
 		if worst > 5*time.Second {
-			t.Errorf("%s: acknowledged after %v", name, worst)
+			t.Errorf("%s: an order was acknowledged after %v", name, worst)
 		}
 		if label, config := newest(t, park, "c3"); label != count || len(config.Taken) != count {
-			t.Errorf("%s: label %d stands, %d were taken", name, label, len(config.Taken))
+			t.Errorf("%s: the current label is %d, %d orders were applied", name, label, len(config.Taken))
 		}
-		for at, one := range park.Datas {
-			if view := one.Holder.View(); at != "d1" && view.Config().Label() != count {
-				t.Errorf("%s: %s goes by %d", name, at, view.Config().Label())
+		for at, daemon := range park.Datas {
+			if view := daemon.Holder.View(); at != "d1" && view.Config().Label() != count {
+				t.Errorf("%s: %s uses configuration %d", name, at, view.Config().Label())
 			}
 		}
 		once(t, park)
@@ -455,21 +455,22 @@
 	}
 }
 
+// wait blocks for the span of simulated time.
 func wait(daemon *controlplane.Daemon, span time.Duration) {
 	daemon.World.(*sim.Node).Mailbox().Take(span)
 }
 
-// TestBegunGoesByTheNewest: a data daemon that begins right after a change was acknowledged
-// goes by that change from its first permit on, also where the control daemon that it asks
-// has not heard of it: no other data daemon fetches there, and it reads the configuration by
-// itself only now and then.
+// TestBegunGoesByTheNewest checks that a data daemon which starts right after a change was acknowledged
+// uses that change from its first lease on, even if the control daemon that grants the lease does
+// not have the change yet: no other data daemon fetches there, and it reads the configuration by
+// itself only periodically.
 func TestBegunGoesByTheNewest(t *testing.T) {
 	t.Parallel()
 	skipLong(t)
 	unknown := 0
 	for seed := uint64(1); seed <= 6; seed++ {
 		park := ordering(seed)
-		// No other data daemon gets through to c1; the late one asks there first.
+		// No other data daemon reaches c1; the late one requests its lease there first.
 		late := ""
 		for at := 0; late == ""; at++ {
 			client := &session.Client{World: park.Node("c3"), Seeds: func() []string { return []string{"c1", "c2", "c3"} }, SessionTimeout: func() time.Duration { return time.Second }, Name: fmt.Sprintf("late-%d", at)}
@@ -499,11 +500,11 @@
 			park.Run(time.Millisecond)
 		}
 		if view().Serial < applied.Serial {
-			t.Errorf("fallback: seed %d: it begins under serial %d, after %d was acknowledged", seed, view().Serial, applied.Serial)
+			t.Errorf("fallback: seed %d: the daemon starts with version %d, though %d was acknowledged", seed, view().Serial, applied.Serial)
 		}
 		park.Close()
 	}
 	if unknown < 3 {
-		t.Errorf("vacuous: c1 knew of the change in %d of 6 runs", 6-unknown)
+		t.Errorf("vacuous: c1 already had the change in %d of 6 runs", 6-unknown)
 	}
 }
--- a/fleet/tenants_test.go
+++ b/fleet/tenants_test.go
@@ -16,34 +16,35 @@
 	"swifttiller/tenant"
 )
 
-// checkTenant is the tenant whose callers move.
+// checkTenant is the tenant whose callers move to another region.
 const checkTenant = "office.example/check/"
 
-// tenantWindow is how often its sessions are looked at, moveAt when its callers move.
+// tenantWindow is the interval at which the tenants' placements are reviewed (the setting
+// tenant_ms). The callers move at moveAt.
 const (
 	tenantWindow = 3 * time.Second
 	moveAt       = 75 * time.Second
-	// tenantAgain is the budget as it is by default; with a fifth of it the move takes
-	// some turns.
+	// tenantAgain is the default budget of prompt tokens that a move may cause to be prefilled
+	// again. With a fifth of it the move takes several rounds.
 	tenantAgain = 0.1
 )
 
-// tenantPlan is a fleet of three like regions, apart, whose tenant of long prompts has
+// tenantPlan returns a fleet of three equal regions, where the tenant with long prompts has most of
 // its callers in the first region until moveAt, and in the last one from then on.
 func tenantPlan(window time.Duration, again float64) fleet.Plan {
 	shape := fleet.RoutedShape{Regions: []string{"north", "south", "sea"}, Engines: []int{4, 4, 4}, Datas: []int{2, 2, 2}, Busy: 2, Limits: map[string]float64{"tenant_ms": float64(window / time.Millisecond), "tenant_again": again}}
 	plan := shape.Plan()
 	var crowds []fleet.RoutedCrowd
-	for _, one := range plan.Routed {
-		if !strings.HasPrefix(one.Name, "check-") {
-			crowds = append(crowds, one)
+	for _, crowd := range plan.Routed {
+		if !strings.HasPrefix(crowd.Name, "check-") {
+			crowds = append(crowds, crowd)
 			continue
 		}
-		one.Workers, one.Groups = 1, 24
-		crowds = append(crowds, one)
-		more := one
+		crowd.Workers, crowd.Groups = 1, 24
+		crowds = append(crowds, crowd)
+		more := crowd
 		more.Workers = 6
-		switch one.Name {
+		switch crowd.Name {
 		case "check-north":
 			more.Name, more.Until = "check-former", moveAt
 			crowds = append(crowds, more)
@@ -56,7 +57,7 @@
 	return plan
 }
 
-// tenantPark starts it.
+// tenantPark starts the fleet of tenantPlan with a delay of 55 ms between regions.
 func tenantPark(seed uint64, window time.Duration, again float64) *fleet.Park {
 	park := fleet.NewPark(seed, tenantPlan(window, again))
 	for _, from := range park.NodeNames() {
@@ -69,21 +70,21 @@
 	return park
 }
 
-// placedIn is where a daemon's view has the owners of the tenant's parts; "?" while it
-// moves, or while the daemon may not go by it.
+// placedIn returns the regions where the daemon's view places the tenant: "" if the view has no
+// valid placement, "?" while the placement moves.
 func placedIn(park *fleet.Park, name string) string {
 	daemon := park.Datas[name]
-	one := daemon.Holder.View().Placement(checkTenant, daemon.World.Now())
+	placement := daemon.Holder.View().Placement(checkTenant, daemon.World.Now())
 	switch {
-	case one == nil:
+	case placement == nil:
 		return ""
-	case one.Moving:
+	case placement.Moving:
 		return "?"
 	}
-	return strings.Join(one.Now, " ")
+	return strings.Join(placement.Now, " ")
 }
 
-// arePlaced tells whether all data daemons have the tenant placed in the regions.
+// arePlaced reports whether all data daemons place the tenant in the regions.
 func arePlaced(park *fleet.Park, regions string) bool {
 	for name := range park.Datas {
 		if placedIn(park, name) != regions {
@@ -93,19 +94,19 @@
 	return true
 }
 
-// TestTenantMoves: a tenant whose callers move to another region is noticed, its
-// placement follows within a bound, its shared parts are read again no more than the
-// budget has it, and first tokens come sooner than without.
+// TestTenantMoves moves a tenant's callers to another region. The placement must follow within a
+// bound, prompt tokens prefilled again must stay within the budget, and the time to first token must
+// be lower than without placements.
 func TestTenantMoves(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
-		t.Skip("a long simulation; the race detector has one task at a time to look at")
+		t.Skip("a long simulation with one task at a time, of little use under the race detector")
 	}
 	type figures struct {
-		first         time.Duration
-		asked, failed int
-		again, far    int
-		placed        time.Duration
+		first            time.Duration
+		requests, failed int
+		again, far       int
+		placed           time.Duration
 	}
 	play := func(seed uint64, window time.Duration) (out figures) {
 		park := tenantPark(seed, window, tenantAgain)
@@ -137,18 +138,18 @@
 		until := park.Now()
 		park.Quiet = true
 		park.Run(6500 * time.Millisecond)
-		for _, one := range park.RoutedRequests {
-			if one.Crowd.Name != "check-later" || one.At < from || one.At >= until {
+		for _, request := range park.RoutedRequests {
+			if request.Crowd.Name != "check-later" || request.At < from || request.At >= until {
 				continue
 			}
-			out.asked++
-			if one.Verdict != "ok" {
+			out.requests++
+			if request.Verdict != "ok" {
 				out.failed++
 				continue
 			}
-			out.first += one.First - one.At
+			out.first += request.First - request.At
 		}
-		out.first /= time.Duration(max(1, out.asked-out.failed))
+		out.first /= time.Duration(max(1, out.requests-out.failed))
 		broken, judged := fleet.CheckRouted(park, facts)
 		show(t, seed, broken)
 		if judged["routed lost"] == 0 || judged["whole"] == 0 || judged["routed home"] == 0 {
@@ -158,25 +159,27 @@
 	}
 	for seed := uint64(1); seed <= 2; seed++ {
 		off, on := play(seed, 0), play(seed, tenantWindow)
-		t.Logf("seed %d: placed everywhere %v after the callers moved; read again in 60 s %d tokens off, %d on; then the first token after %v off, %v on (%d and %d requests), %d and %d KB between regions in 20 s",
-			seed, on.placed, off.again, on.again, off.first.Round(time.Millisecond), on.first.Round(time.Millisecond), off.asked, on.asked, off.far/1000, on.far/1000)
-		if on.first > off.first*9/10 || on.failed > 0 || on.asked*10 < off.asked*9 {
-			t.Errorf("seed %d: the first token comes after %v, without after %v; %d of %d failed", seed, on.first, off.first, on.failed, on.asked)
+		t.Logf("seed %d: placed at all daemons %v after the callers moved; tokens prefilled again in 60 s: %d off, %d on; then time to first token %v off, %v on (%d and %d requests), %d and %d KB between regions in 20 s",
+			seed, on.placed, off.again, on.again, off.first.Round(time.Millisecond), on.first.Round(time.Millisecond), off.requests, on.requests, off.far/1000, on.far/1000)
+		if on.first > off.first*9/10 || on.failed > 0 || on.requests*10 < off.requests*9 {
+			t.Errorf("seed %d: the time to first token is %v, without placements %v; %d of %d requests failed", seed, on.first, off.first, on.failed, on.requests)
 		}
-		// 24 beginnings of 13,300 tokens, once more at most in the new region, and a half.
+		// Each of the 24 shared prefixes of 13,300 tokens may be prefilled once more in the new
+		// region, plus a margin of a half.
 		if on.again > off.again+24*13300*3/2 {
-			t.Errorf("seed %d: %d tokens read again, without %d", seed, on.again, off.again)
+			t.Errorf("seed %d: %d tokens were prefilled again, without placements %d", seed, on.again, off.again)
 		}
 	}
 }
 
-// watchPlacements follows all data daemons' views: an old placement is gone by no longer
-// than the bound after another one was first gone by, and homes are never left.
+// watchPlacements checks the views of all data daemons during the span: no daemon may use an old
+// version of the placements for longer than the bound after any daemon first used a newer one, and
+// homes are never left.
 //
-// Invariant: serials of a daemon's placements never fall within its life.
+// Invariant: the placements' version never decreases within the life of a daemon.
 func watchPlacements(t *testing.T, park *fleet.Park, span time.Duration) {
 	t.Helper()
-	bound := 1800 * time.Millisecond * 11 / 10 // a permit's length, and its drift
+	bound := 1800 * time.Millisecond * 11 / 10 // the duration of a lease and its clock drift
 	first := map[uint64]time.Duration{}
 	for until := park.Now() + span; park.Now() < until; park.Run(50 * time.Millisecond) {
 		for _, name := range slices.Sorted(maps.Keys(park.Datas)) {
@@ -189,9 +192,9 @@
 			if _, known := first[view.PlacementsVersion]; !known {
 				first[view.PlacementsVersion] = park.Now()
 			}
-			for serial, at := range first {
-				if serial > view.PlacementsVersion && park.Now() > at+bound {
-					t.Errorf("at %v %s goes by placements %d, and %d are in force since %v", park.Now(), name, view.PlacementsVersion, serial, at)
+			for version, at := range first {
+				if version > view.PlacementsVersion && park.Now() > at+bound {
+					t.Errorf("at %v %s uses placements version %d, but version %d is in use since %v", park.Now(), name, view.PlacementsVersion, version, at)
 					return
 				}
 			}
@@ -199,7 +202,7 @@
 	}
 }
 
-// tenantHolder is the control daemon that holds the duty.
+// tenantHolder returns the running control daemon that leads the tenants' election, or "".
 func tenantHolder(park *fleet.Park) string {
 	for _, name := range slices.Sorted(maps.Keys(park.Controls)) {
 		if _, held := park.Controls[name].Elections.Term(controlplane.TenantElection); held && park.Node(name).Up() {
@@ -209,22 +212,22 @@
 	return ""
 }
 
-// TestTenantMoveFaults: whatever happens in a move at each of its points, nothing is
-// dropped or run twice, no two placements are in force for longer than the bound, and the
-// move is finished.
+// TestTenantMoveFaults injects faults at each point of a tenant's move. No request may be dropped or
+// run twice, no two versions of the placements may be in use for longer than the bound, and the move
+// must be finished.
 func TestTenantMoveFaults(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
-		t.Skip("a long simulation; the race detector has one task at a time to look at")
+		t.Skip("a long simulation with one task at a time, of little use under the race detector")
 	}
 	type fault struct {
 		name  string
 		point string
-		// nth is at which passing of the point after the callers moved, strike what then
-		// happens to the node.
+		// strike is applied to the node that passes the point for the nth time after the
+		// callers moved.
 		nth    int
 		strike func(park *fleet.Park, name string)
-		// calm has no mishaps of its own: every request has to be answered.
+		// isCalm says that the fault affects no requests, so every one has to be answered.
 		isCalm bool
 	}
 	kill := func(park *fleet.Park, name string) {
@@ -235,8 +238,8 @@
 	}
 	pause := func(park *fleet.Park, name string) { park.Freeze(name, 5*time.Second) }
 	var faults []fault
-	// The change is noticed in the third turn or so, the move begins two later, and goes on
-	// for some; each turn of it writes once.
+	// The change is noticed in about the third round. The move begins two rounds later and takes
+	// several; each of its rounds writes once.
 	for point, numbers := range map[string][]int{controlplane.PointRead: {1, 8}, controlplane.PointPlanned: {1, 6, 8}, controlplane.PointWritten: {1, 2, 3}, controlplane.PointBaselineWritten: {1}} {
 		for _, nth := range numbers {
 			faults = append(faults, fault{fmt.Sprintf("killed at %s %d", point, nth), point, nth, kill, true}, fault{fmt.Sprintf("paused at %s %d", point, nth), point, nth, pause, true})
@@ -259,36 +262,36 @@
 			park.At(6*time.Second, func() { park.Split(in, out, false) })
 		}, false},
 		fault{"core minority", controlplane.PointPlanned, 3, func(park *fleet.Park, name string) {
-			in, out := names(park, func(one string) bool { return one == name })
+			in, out := names(park, func(node string) bool { return node == name })
 			park.Split(in, out, true)
 			park.At(6*time.Second, func() { park.Split(in, out, false) })
 		}, false},
 		fault{"data daemon wakes with an old placement", controlplane.PointPlanned, 1, func(park *fleet.Park, _ string) { park.Freeze("d-south-1", 25*time.Second) }, false},
 	)
-	for _, one := range faults {
-		t.Run(one.name, func(t *testing.T) {
+	for _, fault := range faults {
+		t.Run(fault.name, func(t *testing.T) {
 			t.Parallel()
 			park := tenantPark(3, tenantWindow, tenantAgain/5)
 			defer park.Close()
 			park.Run(moveAt - park.Now())
 			facts := park.BeginRouted()
-			facts.Planned = one.isCalm
+			facts.Planned = fault.isCalm
 			passed, struck := 0, time.Duration(0)
-			park.SetHook(one.point, func(node *sim.Node, _ int) {
-				if passed++; passed == one.nth && struck == 0 {
+			park.SetHook(fault.point, func(node *sim.Node, _ int) {
+				if passed++; passed == fault.nth && struck == 0 {
 					struck = park.Now()
-					one.strike(park, node.Name)
+					fault.strike(park, node.Name)
 				}
 			})
 			watchPlacements(t, park, 75*time.Second)
 			if struck == 0 {
-				t.Fatal("vacuous: the point was not passed")
+				t.Fatal("vacuous: the fault's point was never reached")
 			}
 			if !park.Until(90*time.Second, func() bool { return arePlaced(park, "sea") }) {
 				for _, name := range slices.Sorted(maps.Keys(park.Datas)) {
 					t.Logf("%s: %q", name, placedIn(park, name))
 				}
-				t.Errorf("the move never ended; the duty is %q's", tenantHolder(park))
+				t.Errorf("the move never ended; the leader is %q", tenantHolder(park))
 			}
 			from := park.Now()
 			park.Run(3 * time.Second)
@@ -296,19 +299,20 @@
 			park.Quiet = true
 			park.Run(6500 * time.Millisecond)
 			if answered, asked := fleet.RoutedRate(park, from, until); asked == 0 || answered*10 < asked*9 {
-				t.Errorf("serves %d of %d afterwards", answered, asked)
+				t.Errorf("%d of %d requests were answered after the fault", answered, asked)
 			}
 			broken, judged := fleet.CheckRouted(park, facts)
 			show(t, park.Seed, broken)
-			if judged["whole"] == 0 || judged["routed home"] == 0 || one.isCalm && judged["routed lost"] == 0 {
+			if judged["whole"] == 0 || judged["routed home"] == 0 || fault.isCalm && judged["routed lost"] == 0 {
 				t.Errorf("vacuous: judged %v", judged)
 			}
 		})
 	}
 }
 
-// TestTenantPins: an operator's pin is obeyed by all data daemons within a permit's
-// length, survives the duty's holder, and is released; what may not be is declined.
+// TestTenantPins checks that all data daemons follow an operator's pin, and its release, within the
+// duration of a lease, that the pin survives a crash of the leader, and that invalid pins are
+// rejected.
 func TestTenantPins(t *testing.T) {
 	t.Parallel()
 	plan := tenantPlan(tenantWindow, tenantAgain)
@@ -323,30 +327,30 @@
 	}
 	for _, wrong := range []error{pin("nobody.example/x/", "sea"), pin(checkTenant, "nowhere"), pin("office.example/notice/", "south"), pin(checkTenant, "sea", "sea"), pin(checkTenant)} {
 		if wrong == nil {
-			t.Error("a wrong pin was taken")
+			t.Error("an invalid pin was accepted")
 		}
 	}
 	if err := pin(checkTenant, "south"); err != nil {
 		t.Fatal(err)
 	}
 	if !park.Until(1900*time.Millisecond, func() bool { return arePlaced(park, "south") }) {
-		t.Error("not obeyed within a permit's length")
+		t.Error("the pin was not in use at all data daemons within the duration of a lease")
 	}
-	if holder := tenantHolder(park); holder != "" {
-		park.Crash(holder)
+	if leader := tenantHolder(park); leader != "" {
+		park.Crash(leader)
 		park.Run(8 * time.Second)
-		park.StartControl(holder)
+		park.StartControl(leader)
 		park.Run(4 * time.Second)
 	} else {
-		t.Error("vacuous: nobody holds the duty")
+		t.Error("vacuous: no control daemon leads the tenants' election")
 	}
 	if !arePlaced(park, "south") {
-		t.Error("the pin did not last")
+		t.Error("the pin was lost with its leader")
 	}
 	park.Must("c2", func(daemon *controlplane.Daemon) error {
 		seen, err := daemon.Tenants()
 		if err == nil && (len(seen.Placed) != 1 || !seen.Placed[0].Pinned || len(seen.Seen) == 0 || seen.Trouble != "") {
-			t.Errorf("shown as %+v", seen)
+			t.Errorf("the tenants' state is %+v", seen)
 		}
 		return err
 	})
@@ -354,12 +358,12 @@
 		t.Error(err)
 	}
 	if !park.Until(1900*time.Millisecond, func() bool { return arePlaced(park, "") }) {
-		t.Error("not released within a permit's length")
+		t.Error("the pin was not released at all data daemons within the duration of a lease")
 	}
 }
 
-// TestTenantsOff: while nobody is to look at tenants nothing is counted, told, written or
-// gone by, and a pin is declined.
+// TestTenantsOff checks that, with placements of tenants switched off, nothing is counted, reported,
+// written or used, and a pin is rejected.
 func TestTenantsOff(t *testing.T) {
 	t.Parallel()
 	park := fleet.NewPark(8, fleet.RoutedShapes["small"].Plan())
@@ -372,23 +376,23 @@
 	}
 	park.Must("c1", func(daemon *controlplane.Daemon) error {
 		if _, err := daemon.Pin(checkTenant, []string{"north"}); err == nil {
-			t.Error("a pin was taken")
+			t.Error("a pin was accepted")
 		}
 		seen, err := daemon.Tenants()
 		if err == nil && (seen.Serial != 0 || seen.IsOn || tenantHolder(park) != "") {
-			t.Errorf("seen as %+v", seen)
+			t.Errorf("the tenants' state is %+v", seen)
 		}
 		return err
 	})
 }
 
-// TestManyTenants: 21,000 tenants cost no more bytes than a few: what daemons tell of them
-// is bounded by the sketches.
+// TestManyTenants checks that 21,000 tenants cost hardly more bytes than a few: the sketches bound
+// the size of the daemons' reports.
 func TestManyTenants(t *testing.T) {
 	t.Parallel()
 	shape := fleet.RoutedShapes["small"]
 	shape.Limits = map[string]float64{"tenant_ms": 2000}
-	told := func(tenants int) (data, control float64) {
+	measure := func(tenants int) (data, control float64) {
 		plan := shape.Plan()
 		var routes []string
 		for index := range tenants {
@@ -402,8 +406,8 @@
 			park.Node(name).Go(func() {
 				for index := range 30000 {
 					routed := &decide.Routed{ID: fmt.Sprint(index), Host: fmt.Sprintf("t%d.example", index%tenants), Path: "/x/y", Tokens: 1000, MaxAnswerTokens: 50, Bytes: 4000, Parts: []decide.Part{{ID: 1, Tokens: 500}, {ID: uint64(index + 2), Tokens: 500}}, Deadline: park.Now() + time.Minute}
-					if mishap := park.Datas[name].Decider.Resolve(routed); mishap != nil {
-						t.Errorf("declined: %v", mishap)
+					if failure := park.Datas[name].Decider.Resolve(routed); failure != nil {
+						t.Errorf("rejected: %v", failure)
 						return
 					}
 				}
@@ -425,15 +429,16 @@
 	if testing.Short() {
 		many = 2100
 	}
-	fewData, fewControl := told(few)
-	manyData, manyControl := told(many)
-	t.Logf("a data daemon's beats: %.0f bytes a second with %d tenants, %.0f with %d; a control daemon's shares: %.0f and %.0f", fewData, few, manyData, many, fewControl, manyControl)
+	fewData, fewControl := measure(few)
+	manyData, manyControl := measure(many)
+	t.Logf("a data daemon's heartbeats: %.0f bytes/s with %d tenants, %.0f with %d; a control daemon's shared reports: %.0f and %.0f", fewData, few, manyData, many, fewControl, manyControl)
 	if fewData == 0 || fewControl == 0 || manyData > 1.3*fewData || manyControl > 1.3*fewControl {
-		t.Error("what is told grows with the tenants")
+		t.Error("the size of reports grows with the number of tenants")
 	}
 }
 
-// TestTenantLimits: the settings of tenants hold at their ends.
+// TestTenantLimits runs a fleet with each tenant setting at its minimum and maximum; no rule may be
+// broken.
 func TestTenantLimits(t *testing.T) {
 	t.Parallel()
 	for name, bound := range settings.Limits {
@@ -452,7 +457,7 @@
 			broken, _ := fleet.CheckRouted(park, facts)
 			show(t, 11, broken)
 			if answered, asked := fleet.RoutedRate(park, facts.From, facts.From+8*time.Second); asked == 0 || answered*10 < asked*9 {
-				t.Errorf("%s=%v: %d of %d answered", name, value, answered, asked)
+				t.Errorf("%s=%v: %d of %d requests were answered", name, value, answered, asked)
 			}
 			park.Close()
 		}
