--- a/fleet/operators_test.go
+++ b/fleet/operators_test.go
@@ -11,46 +11,46 @@
 	"swifttiller/fleet"
 )
 
-// operatorPause is the first pause of a simulated operator between two tries; it grows by
-// half with each.
-const operatorPause = 100 * time.Millisecond
+// operatorBackoff is the initial backoff of a simulated operator between two attempts; it grows by
+// half with each attempt.
+const operatorBackoff = 100 * time.Millisecond
 
-// operatorWait is after which silence a simulated operator goes on to another daemon.
-const operatorWait = time.Second
+// operatorTimeout is the timeout after which a simulated operator retries at another daemon.
+const operatorTimeout = time.Second
 
-// simulatedOperator sends one order after the other, each to the daemons in turn until it
-// gets a clear answer. Answers are lost on their way.
+// simulatedOperator sends one order after the other. It sends each to the daemons in turn until it
+// gets a definite answer; most answers are lost.
 type simulatedOperator struct {
 	name    string
 	cluster *fleet.Park
-	turn    int // of the daemon that is asked next
+	turn    int // index of the daemon for the next attempt
 	next    func(operator *simulatedOperator) *simulatedOrder
 	order   *simulatedOrder
 	pause   time.Duration
-	until   time.Duration // the try under way, or the pause after it, ends then
-	waiting bool          // for an answer
+	until   time.Duration // end of the running attempt or of the backoff after it
+	waiting bool          // for an answer to the running attempt
 	try     int
 	ended   []*simulatedOrder
 }
 
-// simulatedOrder is an order and all that was ever answered to it, heard or lost.
+// simulatedOrder is an order and the counts of all answers to it, including lost ones.
 type simulatedOrder struct {
 	label, base  uint64 // of a configuration
 	mark         string
 	call         func(daemon *controlplane.Daemon) error
 	acknowledged int
 	refused      int
-	heard        bool // an answer reached the operator, and was clear
-	isTaken      bool // the answer heard was an acknowledgement
+	answered     bool // a definite answer reached the operator
+	isAcked      bool // the answer that reached the operator was an acknowledgement
 }
 
-// orderTakers are whom operators ask.
-var orderTakers = []string{"c1", "c2", "c3"}
+// orderDaemons are the daemons to which operators send orders.
+var orderDaemons = []string{"c1", "c2", "c3"}
 
-// step lets the operator do what is due.
+// step advances the operator: it starts its next order or attempt, or ends a timed-out one, if due.
 func (operator *simulatedOperator) step() {
 	cluster := operator.cluster
-	if operator.order != nil && operator.order.heard {
+	if operator.order != nil && operator.order.answered {
 		operator.ended = append(operator.ended, operator.order)
 		operator.order, operator.waiting = nil, false
 	}
@@ -58,21 +58,21 @@
 		if operator.order = operator.next(operator); operator.order == nil {
 			return
 		}
-		operator.pause, operator.until = operatorPause, 0
+		operator.pause, operator.until = operatorBackoff, 0
 	}
 	if cluster.Now() < operator.until {
 		return
 	}
-	if operator.waiting { // in vain
+	if operator.waiting { // timed out
 		operator.waiting = false
 		operator.until = cluster.Now() + operator.pause
 		operator.pause += operator.pause / 2
 		return
 	}
-	at := orderTakers[operator.turn%len(orderTakers)]
+	at := orderDaemons[operator.turn%len(orderDaemons)]
 	operator.turn++
 	operator.try++
-	operator.waiting, operator.until = true, cluster.Now()+operatorWait
+	operator.waiting, operator.until = true, cluster.Now()+operatorTimeout
 	if !cluster.Node(at).Up() {
 		return
 	}
@@ -93,18 +93,18 @@
 		if isLost || status >= 500 || operator.try != try || operator.order != order {
 			return
 		}
-		order.heard, order.isTaken = true, status == 200
+		order.answered, order.isAcked = true, status == 200
 	})
 }
 
-// configures has an operator replace the configuration on top of the newest that it reads.
+// configures returns an order that replaces the newest configuration that a random daemon has.
 func configures(operator *simulatedOperator) *simulatedOrder {
 	cluster := operator.cluster
-	at := orderTakers[int(cluster.Draw(3))]
+	at := orderDaemons[int(cluster.Draw(3))]
 	if !cluster.Node(at).Up() {
 		return nil
 	}
-	// What it builds on may be old by the time that it comes.
+	// The label that it is based on may be outdated when the order arrives.
 	_, config, _ := cluster.Controls[at].Issuer.Current()
 	base := config.Label()
 	order := &simulatedOrder{label: base + 1 + uint64(cluster.Draw(2)), base: base, mark: fmt.Sprint(operator.name, len(operator.ended))}
@@ -116,7 +116,7 @@
 	return order
 }
 
-// evacuates has an operator take a zone out of service and bring it back, by turns.
+// evacuates returns a source of orders that evacuate the zone and hand it back, alternately.
 func evacuates(zone string) func(operator *simulatedOperator) *simulatedOrder {
 	return func(operator *simulatedOperator) *simulatedOrder {
 		isBack := len(operator.ended)%2 == 1
@@ -127,14 +127,14 @@
 	}
 }
 
-// disturb makes one mishap of the control side, within what a core of three bears.
+// disturb injects one fault into the control daemons that a core of three must survive.
 func disturb(cluster *fleet.Park, turn int) {
-	name := orderTakers[int(cluster.Draw(3))]
+	name := orderDaemons[int(cluster.Draw(3))]
 	switch turn % 5 {
 	case 0:
 		cluster.Freeze(name, 500*time.Millisecond+time.Duration(cluster.Draw(int64(2*time.Second))))
 	case 1:
-		cluster.Return(cluster.Lose(orderTakers)) // power
+		cluster.Return(cluster.Lose(orderDaemons)) // a power cut
 	case 2:
 		rest := others(cluster, name)
 		cluster.Split([]string{name}, rest, true)
@@ -143,15 +143,15 @@
 		cluster.Crash(name)
 		cluster.At(700*time.Millisecond, func() { cluster.StartControl(name) })
 	case 4:
-		wipe(cluster, name) // the core changes
+		wipe(cluster, name) // the membership of the core changes
 	}
 }
 
-// TestOperatorsWhoseAnswersAreLost: eight orders under way at once, two operators of which
-// pick the same numbers, seven of ten answers lost, while control daemons freeze, are cut
-// off, die, lose power and disks: an order is never both acknowledged and refused, of two
-// under one number at most one is acknowledged, whoever has heard an answer has the truth,
-// and what was acknowledged last stands.
+// TestOperatorsWhoseAnswersAreLost runs eight operators at once, some of which choose the same labels.
+// Seven of ten answers are lost, and control daemons freeze, are partitioned, crash, or lose power or
+// disks. No order may be both acknowledged and rejected, at most one order of a label may be
+// acknowledged, an answer that an operator gets must be true, and the last acknowledged configuration
+// must stay in force.
 func TestOperatorsWhoseAnswersAreLost(t *testing.T) {
 	t.Parallel()
 	var acknowledged, refused atomic.Int64
@@ -193,39 +193,39 @@
 					continue
 				}
 				if order.acknowledged > 0 && order.refused > 0 {
-					t.Errorf("order: %s under %d on top of %d was acknowledged %d times and refused %d times", order.mark, order.label, order.base, order.acknowledged, order.refused)
+					t.Errorf("order: %s under %d on top of %d was acknowledged %d times and rejected %d times", order.mark, order.label, order.base, order.acknowledged, order.refused)
 				}
 				if order.acknowledged > 0 {
-					if have := byLabel[order.label]; have != "" {
-						t.Errorf("order: %s and %s were both acknowledged under %d", have, order.mark, order.label)
+					if other := byLabel[order.label]; other != "" {
+						t.Errorf("order: %s and %s were both acknowledged under %d", other, order.mark, order.label)
 					}
 					byLabel[order.label] = order.mark
 					newest = max(newest, order.label)
 					acknowledged.Add(1)
 				}
-				if order.heard && !order.isTaken {
+				if order.answered && !order.isAcked {
 					refused.Add(1)
 				}
 			}
 		}
 		label, _ := newestOf(t, cluster)
 		if label < newest {
-			t.Errorf("order: %d was acknowledged, %d stands", newest, label)
+			t.Errorf("order: label %d was acknowledged, but the current one is %d", newest, label)
 		}
 		once(t, cluster)
 	})
 	t.Cleanup(func() {
-		if t.Logf("%d acknowledged, %d refused", acknowledged.Load(), refused.Load()); acknowledged.Load() < 50 || refused.Load() < 10 {
+		if t.Logf("%d acknowledged, %d rejected", acknowledged.Load(), refused.Load()); acknowledged.Load() < 50 || refused.Load() < 10 {
 			t.Error("vacuous")
 		}
 	})
 }
 
-// newestOf is the newest configuration's label as any daemon that has a majority tells it.
+// newestOf returns the configuration's label from the first daemon that reaches a majority.
 func newestOf(t *testing.T, cluster *fleet.Park) (label uint64, err error) {
 	t.Helper()
-	err = errors.New("nobody tells")
-	for _, at := range orderTakers {
+	err = errors.New("no daemon reached a majority")
+	for _, at := range orderDaemons {
 		if err = cluster.Do(at, 10*time.Second, func(daemon *controlplane.Daemon) (err error) {
 			_, label, err = daemon.Current()
 			return err
--- a/fleet/peerreport_test.go
+++ b/fleet/peerreport_test.go
@@ -9,11 +9,11 @@
 	"swifttiller/fleet"
 )
 
-// manyDaemons is a deployment whose first region has many data daemons before few engines.
+// manyDaemons is a deployment whose first region has more data daemons than engines.
 var manyDaemons = fleet.RoutedShape{Regions: []string{"north", "south"}, Engines: []int{10, 4}, Datas: []int{16, 2}, Busy: 8, Reports: true}
 
-// lostAt gives how many requests are lost within 10 s once two engines of the first region
-// fail all that they get, and how many were made.
+// lostAt returns how many requests are lost in the 10 s after two engines of the first region begin
+// to fail all requests, and how many were made. With areCutOff, data daemons can't reach each other.
 func lostAt(t *testing.T, seed uint64, areCutOff bool) (lost, asked int) {
 	t.Helper()
 	cluster := fleet.NewPark(seed, manyDaemons.Plan())
@@ -36,24 +36,24 @@
 	return asked - answered, asked
 }
 
-// TestPeersLearnOfFailures: not each of a region's daemons loses a request of its own at an
-// engine that fails all, but where they can't tell each other.
+// TestPeersLearnOfFailures checks that daemons share reports of failing engines: without the reports,
+// each daemon of a region loses requests of its own at an engine that fails all.
 func TestPeersLearnOfFailures(t *testing.T) {
 	t.Parallel()
-	told, apart := 0, 0
+	connected, apart := 0, 0
 	seeds := []uint64{1, 2, 3, 4}
 	if testing.Short() {
-		seeds = seeds[1:2] // under the race detector, which has one task at a time to look at
+		seeds = seeds[1:2] // a simulation has one task at a time, so the race detector gains little from more
 	}
 	for _, seed := range seeds {
 		lost, asked := lostAt(t, seed, false)
-		t.Logf("seed %d: %d of %d lost where daemons tell each other", seed, lost, asked)
-		told += lost
+		t.Logf("seed %d: %d of %d requests lost with reports between daemons", seed, lost, asked)
+		connected += lost
 		lost, asked = lostAt(t, seed, true)
-		t.Logf("seed %d: %d of %d lost where they can't", seed, lost, asked)
+		t.Logf("seed %d: %d of %d requests lost without", seed, lost, asked)
 		apart += lost
 	}
-	if told*2 > apart {
-		t.Errorf("worth: %d requests were lost where daemons tell each other, %d where they can't", told, apart)
+	if connected*2 > apart {
+		t.Errorf("worth: %d requests were lost with reports between daemons, %d without", connected, apart)
 	}
 }
--- a/fleet/points_test.go
+++ b/fleet/points_test.go
@@ -12,10 +12,10 @@
 	"swifttiller/sim"
 )
 
-var points = flag.Int("points", 1, "at how many numbered points of each step and fate a fault is put, spread evenly; 0: at every one")
+var points = flag.Int("points", 1, "number of points of each step and fate, spread evenly, where a fault is injected; 0: at every point")
 
-// step is an operator's or the system's own step whose calls and disk steps are
-// numbered. It tells what it came to, if that has to be so even with one fault.
+// step is an operation of an operator or of the system itself whose calls and disk syncs are
+// numbered. It records its outcome in the facts, if that must hold even with one fault.
 type step struct {
 	name string
 	run  func(park *fleet.Park, facts *fleet.Facts)
@@ -49,10 +49,10 @@
 		})
 	}},
 	{"duty change", func(park *fleet.Park, _ *fleet.Facts) {
-		if holder := park.Holder("east"); holder != "" {
-			park.StopControl(holder)
+		if leader := park.Holder("east"); leader != "" {
+			park.StopControl(leader)
 			park.Run(5 * time.Second)
-			park.StartControl(holder)
+			park.StartControl(leader)
 		}
 	}},
 	{"planned stop", func(park *fleet.Park, _ *fleet.Facts) {
@@ -61,8 +61,8 @@
 	}},
 }
 
-// counted are the calls that carry the steps; beats, renewals and reads go on all
-// the time.
+// counted reports whether calls of the method are numbered: those that carry out the steps.
+// Heartbeats, lease renewals and reads, which are sent all the time, aren't.
 func counted(method string) bool {
 	for _, name := range []string{"Register.Prepare", "Register.Accept", "Register.Seal", "Register.Install", "Permit.Take", "Permit.Fetch", "Ticket."} {
 		if strings.HasPrefix(method, name) {
@@ -72,15 +72,15 @@
 	return false
 }
 
-const diskDies = sim.Fate(100) // the process dies at a numbered disk step
+const diskDies = sim.Fate(100) // the process is killed at a numbered disk sync
 
-// pointed runs a step with one fault at a numbered point; 0 is none. It gives how
-// many points the step has.
-func pointed(t *testing.T, one step, fate sim.Fate, point int) (total int) {
+// pointed runs a step with one fault at the numbered point, or without one if point is 0. It
+// returns the number of points that the step has.
+func pointed(t *testing.T, operation step, fate sim.Fate, point int) (total int) {
 	park := fleet.NewPark(5, quick())
 	defer park.Close()
 	park.Run(10 * time.Second)
-	if one.name == "rollback" {
+	if operation.name == "rollback" {
 		begin(park, "h0")
 		for _, region := range park.Regions() {
 			settled(park, region, 60*time.Second)
@@ -119,7 +119,7 @@
 			return sim.Delivered
 		}
 	}
-	one.run(park, &facts)
+	operation.run(park, &facts)
 	count := total
 	park.OnCall = nil
 	park.SetHook("disk.sync", nil)
@@ -127,18 +127,18 @@
 		return count
 	}
 	if !struck {
-		t.Errorf("vacuous: %s has only %d points, %d was meant", one.name, count, point)
+		t.Errorf("vacuous: %s has only %d points, want a fault at point %d", operation.name, count, point)
 	}
 	park.Run(8 * time.Second)
 	facts.Need("a configuration afterwards", park.Apply(&facts, "c2"))
 	from := park.Now()
 	park.Run(5 * time.Second)
 	if answered, asked := fleet.Rate(park, from, park.Now()); answered*10 < asked*9 {
-		t.Errorf("serves %d of %d afterwards", answered, asked)
+		t.Errorf("%d of %d requests were answered after the fault", answered, asked)
 	}
-	if one.name == "handover" {
+	if operation.name == "handover" {
 		if run := settled(park, "east", 60*time.Second); run.ID != "" && run.State == "running" {
-			t.Errorf("the run never ends: at %s %s", run.At, run.Last)
+			t.Errorf("the rollout's run never ends: it is at %s, last %s", run.At, run.Last)
 		}
 	}
 	park.Quiet = true
@@ -147,23 +147,23 @@
 	return count
 }
 
-// TestNumberedPoints numbers every call and disk step of the steps in a recorded
-// run and then puts a fault at each in turn: the call is lost, or its answer, or
-// it comes late or twice, or its sender or receiver dies, or the process dies at
-// the disk. CI takes a spread-out part; -points 0 takes all.
+// TestNumberedPoints numbers all calls and disk syncs of each step in a run without faults, and then
+// injects one fault at each point in turn: the call or its reply is lost, the call is delayed or
+// duplicated, its sender or receiver crashes, or the process crashes at a disk sync. CI runs an
+// evenly spread part of the points; -points 0 runs all.
 func TestNumberedPoints(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
-		t.Skip("a long simulation; the race detector has one task at a time to look at")
+		t.Skip("a long simulation with one task at a time, of little use under the race detector")
 	}
 	fates := map[string]sim.Fate{"call lost": sim.RequestLost, "answer lost": sim.ResponseLost, "late": sim.RequestDelayed, "twice": sim.RequestDuplicated, "sender dies": sim.SenderKilled, "receiver dies": sim.ReceiverKilled, "dies at the disk": diskDies}
-	for _, one := range steps {
-		t.Run(one.name, func(t *testing.T) {
+	for _, operation := range steps {
+		t.Run(operation.name, func(t *testing.T) {
 			t.Parallel()
-			calls, disks := pointed(t, one, sim.Delivered, 0), pointed(t, one, diskDies, 0)
-			t.Logf("%s: %d calls, %d disk steps", one.name, calls, disks)
+			calls, disks := pointed(t, operation, sim.Delivered, 0), pointed(t, operation, diskDies, 0)
+			t.Logf("%s: %d calls, %d disk syncs", operation.name, calls, disks)
 			if calls == 0 || disks == 0 {
-				t.Fatal("vacuous: nothing to put a fault at")
+				t.Fatal("vacuous: the step has no points for a fault")
 			}
 			for name, fate := range fates {
 				total := calls
@@ -179,7 +179,7 @@
 					point = min(point, total)
 					t.Run(fmt.Sprintf("%s/%d", name, point), func(t *testing.T) {
 						t.Parallel()
-						pointed(t, one, fate, point)
+						pointed(t, operation, fate, point)
 					})
 				}
 			}
--- a/fleet/repeated_test.go
+++ b/fleet/repeated_test.go
@@ -7,9 +7,9 @@
 	"swifttiller/controlplane"
 )
 
-// An operator who gives up on a try after a second goes on to another daemon, which must
-// not begin to wait anew for a data daemon that is gone; nor may it answer before the
-// permits under the configuration before are over.
+// TestARepeatedOrderIsNotWaitedForAnew checks an order that an operator retries at another daemon after
+// a second. That daemon must not start a new wait for a crashed data daemon, nor acknowledge before
+// the leases under the previous configuration have expired.
 func TestARepeatedOrderIsNotWaitedForAnew(t *testing.T) {
 	t.Parallel()
 	eachSeed(t, func(t *testing.T, seed uint64) {
@@ -35,7 +35,7 @@
 				_, err := daemon.Evacuate("west-1", false)
 				return err
 			}
-			// One try every second, each at another daemon.
+			// One attempt every second, each at another daemon.
 			acknowledged := time.Duration(0)
 			for turn, name := range []string{"c1", "c2", "c3", "c1", "c2", "c3"} {
 				if err := park.Do(name, time.Second, evacuate); err == nil {
@@ -45,11 +45,11 @@
 				park.Run(time.Duration(turn+1)*time.Second - (park.Now() - began))
 			}
 			if acknowledged == 0 || acknowledged-began > length+300*time.Millisecond {
-				t.Errorf("order: seed %d: acknowledged %v after the first try; permits are over after %v", seed, acknowledged-began, length)
+				t.Errorf("order: seed %d: acknowledged %v after the first attempt; leases expire after %v", seed, acknowledged-began, length)
 			}
 			if isCut {
 				if view := park.Datas[lost].Holder.View(); acknowledged < view.Deadline {
-					t.Errorf("order: seed %d: acknowledged at %v, but a daemon that was cut off served under the configuration before until %v", seed, acknowledged, view.Deadline)
+					t.Errorf("order: seed %d: acknowledged at %v, but a daemon that was cut off served under the previous configuration until %v", seed, acknowledged, view.Deadline)
 				}
 			}
 			park.Close()
@@ -57,8 +57,9 @@
 	})
 }
 
-// What a daemon knows to be taken it acknowledges by itself: rounds of its own would outvote
-// the colleague's that carries the same order out.
+// TestARepeatedOrderTakesNoRounds checks that a daemon which knows that an order was applied
+// acknowledges it without consensus rounds: these would preempt the ballot of the peer that carries
+// out the same order.
 func TestARepeatedOrderTakesNoRounds(t *testing.T) {
 	t.Parallel()
 	park := ordering(5)
@@ -70,18 +71,18 @@
 	}
 	park.Run(2 * time.Second)
 	if _, config, _ := park.Controls["c2"].Issuer.Current(); len(config.Taken) == 0 {
-		t.Fatal("vacuous: c2 does not know of the change")
+		t.Fatal("vacuous: c2 does not have the change yet")
 	}
 	count := func() int { return park.Messages["Register.Prepare"] + park.Messages["Register.Accept"] }
 	before := count()
 	again, err := replace(park, "c2", document, 0)
 	if err != nil || again.Serial != first.Serial {
-		t.Errorf("order: the same order at another daemon: serial %d, then %d %v", first.Serial, again.Serial, err)
+		t.Errorf("order: the same order at another daemon: version %d, then %d %v", first.Serial, again.Serial, err)
 	}
 	if rounds := count() - before; before == 0 || rounds > 0 {
-		t.Errorf("order: %d messages of rounds for an order that is known to be taken", rounds)
+		t.Errorf("order: %d messages of consensus rounds for an order that is known to be applied", rounds)
 	}
 	if _, err := replace(park, "c2", labelled(park, 1, "b"), 0); err == nil {
-		t.Error("order: another document under the same label is taken for the same")
+		t.Error("order: another document under the same label is acknowledged as the same")
 	}
 }
--- a/fleet/routed_test.go
+++ b/fleet/routed_test.go
@@ -11,11 +11,11 @@
 	"swifttiller/settings"
 )
 
-// warmRouted is when a routed fleet has settled: its permits stand, and its engines
-// have kept what is shared.
+// warmRouted is the time after which a routed fleet has settled: its daemons have leases, and its
+// engines have cached the shared prefixes.
 const warmRouted = 5 * time.Second
 
-// tryRouted runs a fault over a warm routed fleet and checks every rule.
+// tryRouted injects a fault into a warm routed fleet and checks every rule.
 func tryRouted(t *testing.T, shape string, seed uint64, fault fleet.Fault) {
 	t.Helper()
 	park := fleet.NewPark(seed, fleet.RoutedShapes[shape].Tenanted().Plan())
@@ -39,24 +39,24 @@
 	}
 	for _, rule := range fault.Judges {
 		if judged[rule] == 0 {
-			t.Errorf("vacuous: the checker for %q had nothing to judge", rule)
+			t.Errorf("vacuous: the checker for %q judged nothing", rule)
 		}
 	}
 	if asked == 0 || answered*10 < asked*9 {
-		t.Errorf("serves %d of %d after the fault is over", answered, asked)
+		t.Errorf("%d of %d requests were answered after the fault ended", answered, asked)
 	}
-	t.Logf("%d of %d ended well from the fault on, %d of %d behind it; judged %v", during, all, answered, asked, judged)
+	t.Logf("%d of %d requests succeeded during the fault, %d of %d after it; judged %v", during, all, answered, asked, judged)
 	if t.Failed() {
 		t.Logf("replay: go test ./fleet -run '%s' -seed %d", t.Name(), seed)
 	}
 }
 
-// TestRoutedCalm: nothing goes wrong where nothing does.
+// TestRoutedCalm checks that no rule is broken, and every request is answered, without faults.
 func TestRoutedCalm(t *testing.T) {
 	t.Parallel()
 	for name := range fleet.RoutedShapes {
 		if testing.Short() && name != "small" {
-			continue // the race detector has one task at a time to look at
+			continue // a simulation has one task at a time, so the race detector gains little from it
 		}
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -76,7 +76,7 @@
 	}
 }
 
-// TestRoutedFaults puts each fault into a fleet of each shape.
+// TestRoutedFaults injects each fault into a fleet of each shape.
 func TestRoutedFaults(t *testing.T) {
 	t.Parallel()
 	for offset := uint64(0); offset < uint64(*seeds); offset++ {
@@ -95,8 +95,8 @@
 	}
 }
 
-// TestEveryRoutedCheckerCanFire shows each checker a history with one forbidden sight in
-// it; without that sight none of them says anything.
+// TestEveryRoutedCheckerCanFire gives each checker a history with one forged violation, which it must
+// report. None of them may report anything on the history without it.
 func TestEveryRoutedCheckerCanFire(t *testing.T) {
 	t.Parallel()
 	park := fleet.NewPark(3, fleet.RoutedShapes["small"].Tenanted().Plan())
@@ -109,16 +109,16 @@
 	park.Run(6500 * time.Millisecond)
 	broken, _ := fleet.CheckRouted(park, facts)
 	show(t, 3, broken)
-	// runOf gives a run of a crowd, and the request that it is of.
+	// runOf returns a successful run of one of the crowd's requests, and the request.
 	runOf := func(crowd string) (*fleet.Run, *fleet.RoutedRequest) {
-		for _, one := range park.RoutedRequests {
+		for _, request := range park.RoutedRequests {
 			for _, run := range park.Runs {
-				if one.Crowd.Name == crowd && one.Verdict == "ok" && one.At > facts.From && run.ID == one.Tries[0].ID && run.Ran > 0 {
-					return run, one
+				if request.Crowd.Name == crowd && request.Verdict == "ok" && request.At > facts.From && run.ID == request.Tries[0].ID && run.Ran > 0 {
+					return run, request
 				}
 			}
 		}
-		t.Fatalf("no run of %s", crowd)
+		t.Fatalf("no successful run of the crowd %s", crowd)
 		return nil, nil
 	}
 	shown := map[string]bool{}
@@ -131,21 +131,21 @@
 			return func() { park.Runs = before }
 		},
 		"promise": func(*fleet.Facts) func() {
-			_, one := runOf("notice-north")
-			before := *one.Tries[0]
-			one.Tries[0].Status = 503
-			return func() { *one.Tries[0] = before }
+			_, request := runOf("notice-north")
+			before := *request.Tries[0]
+			request.Tries[0].Status = 503
+			return func() { *request.Tries[0] = before }
 		},
 		"whole": func(*fleet.Facts) func() {
-			_, one := runOf("check-south")
-			one.Got--
-			return func() { one.Got++ }
+			_, request := runOf("check-south")
+			request.Got--
+			return func() { request.Got++ }
 		},
 		"held": func(*fleet.Facts) func() {
-			_, one := runOf("check-south")
-			before := one.End
-			one.End = 0
-			return func() { one.End = before }
+			_, request := runOf("check-south")
+			before := request.End
+			request.End = 0
+			return func() { request.End = before }
 		},
 		"routes": func(*fleet.Facts) func() {
 			run, _ := runOf("moved-sea")
@@ -154,17 +154,17 @@
 			return func() { run.Model = before }
 		},
 		"routes/404": func(*fleet.Facts) func() {
-			_, one := runOf("moved-sea")
-			before := *one.Tries[0]
-			one.Tries[0].Status = 404
-			return func() { *one.Tries[0] = before }
+			_, request := runOf("moved-sea")
+			before := *request.Tries[0]
+			request.Tries[0].Status = 404
+			return func() { *request.Tries[0] = before }
 		},
 		"routes/acknowledged": func(facts *fleet.Facts) func() {
-			// An older configuration is handled by, though a newer one without routes to the
-			// model was acknowledged.
-			words := park.Shape.Routes()
-			delete(words, "moved")
-			tree, problems := settings.Parse([]byte(park.Shape.Document(words)))
+			// Requests run under an older configuration, though a newer one without routes to
+			// the model was acknowledged.
+			routes := park.Shape.Routes()
+			delete(routes, "moved")
+			tree, problems := settings.Parse([]byte(park.Shape.Document(routes)))
 			if len(problems) > 0 {
 				t.Fatal(problems)
 			}
@@ -177,7 +177,7 @@
 			return func() { delete(park.Learned, run.Engine+"/"+run.Life) }
 		},
 		"cold": func(*fleet.Facts) func() {
-			// All are called cold, by a rate under which two in a second are too many.
+			// Marks all runs as cold, and sets a rate limit that two cold runs a second exceed.
 			for _, run := range park.Runs {
 				run.Cold = true
 			}
@@ -202,7 +202,7 @@
 			return func() { run.Engine = before }
 		},
 		"routed home/tenant": func(*fleet.Facts) func() {
-			// The harbour may not be served there, and the route may.
+			// The tenant harbour has no home in that region, though its route does.
 			for _, run := range park.Runs {
 				if run.Tenant == "harbour" && run.Ran > 0 && strings.HasPrefix(run.ID, "check-north") {
 					before := run.Engine
@@ -210,17 +210,17 @@
 					return func() { run.Engine = before }
 				}
 			}
-			t.Fatal("nothing of the harbour ran")
+			t.Fatal("no request of the tenant harbour ran")
 			return nil
 		},
 		"keys": func(*fleet.Facts) func() {
-			_, one := runOf("check-south")
-			before := one.Tries[0].Key
-			one.Tries[0].Key = "nobody's"
-			return func() { one.Tries[0].Key = before }
+			_, request := runOf("check-south")
+			before := request.Tries[0].Key
+			request.Tries[0].Key = "nobody's"
+			return func() { request.Tries[0].Key = before }
 		},
 		"quota": func(*fleet.Facts) func() {
-			// All that ran is called the fair's.
+			// Counts all runs as the tenant fair's.
 			before := map[*fleet.Run]string{}
 			for _, run := range park.Runs {
 				before[run], run.Tenant = run.Tenant, "fair"
@@ -232,17 +232,17 @@
 			}
 		},
 		"keys/401": func(*fleet.Facts) func() {
-			_, one := runOf("check-south")
-			before := *one.Tries[0]
-			one.Tries[0].Status = 401
-			return func() { *one.Tries[0] = before }
+			_, request := runOf("check-south")
+			before := *request.Tries[0]
+			request.Tries[0].Status = 401
+			return func() { *request.Tries[0] = before }
 		},
 		"keys/acknowledged": func(facts *fleet.Facts) func() {
-			// A key runs on, though one without it was acknowledged.
-			words := maps.Clone(park.Shape.Tenants)
-			words["market"] = `"keys":["market-2"]`
+			// A key still works, though a configuration without it was acknowledged.
+			tenants := maps.Clone(park.Shape.Tenants)
+			tenants["market"] = `"keys":["market-2"]`
 			shape := park.Shape
-			shape.Tenants = words
+			shape.Tenants = tenants
 			tree, problems := settings.Parse([]byte(shape.Document(shape.Routes())))
 			if len(problems) > 0 {
 				t.Fatal(problems)
@@ -285,9 +285,9 @@
 			return func() { park.Runs = before }
 		},
 		"routed lost": func(*fleet.Facts) func() {
-			_, one := runOf("check-south")
-			one.Tries[0].IsWhole = false
-			return func() { one.Tries[0].IsWhole = true }
+			_, request := runOf("check-south")
+			request.Tries[0].IsWhole = false
+			return func() { request.Tries[0].IsWhole = true }
 		},
 		"fallback": func(*fleet.Facts) func() {
 			before, lives := park.Adopted, park.Lives
@@ -308,8 +308,8 @@
 			if judged[rule] == 0 {
 				t.Errorf("the checker for %q judged nothing", rule)
 			}
-			for _, one := range broken {
-				if one.Rule == rule {
+			for _, violation := range broken {
+				if violation.Rule == rule {
 					return
 				}
 			}
@@ -318,12 +318,12 @@
 	}
 	for _, rule := range fleet.RoutedRules {
 		if !shown[rule.Name] {
-			t.Errorf("nothing shows that the checker for %q can fire", rule.Name)
+			t.Errorf("no forged history shows that the checker for %q can fire", rule.Name)
 		}
 	}
 }
 
-// TestLyingEngine: an event that is missing in the middle of a stream is seen.
+// TestLyingEngine checks that an event missing in the middle of a stream is detected.
 func TestLyingEngine(t *testing.T) {
 	t.Parallel()
 	plan := fleet.RoutedShapes["small"].Plan()
@@ -334,8 +334,8 @@
 	defer park.Close()
 	park.Run(4 * time.Second)
 	broken, _ := fleet.CheckRouted(park, park.BeginRouted())
-	for _, one := range broken {
-		if one.Rule == "whole" {
+	for _, violation := range broken {
+		if violation.Rule == "whole" {
 			return
 		}
 	}
--- a/fleet/stop_test.go
+++ b/fleet/stop_test.go
@@ -9,9 +9,9 @@
 	"swifttiller/fleet"
 )
 
-// TestStopServesLateComers: callers that go by their list of daemons for three times as
-// long as they may are served by a daemon that stops, as long as one of them has come within
-// the span that a list may be gone by; and a stop that nobody comes to is short.
+// TestStopServesLateComers checks a stopping daemon whose callers use their list of daemons for three
+// times its lifetime. It must keep serving as long as a request arrived within one lifetime of
+// such a list, and stop soon if none arrives.
 func TestStopServesLateComers(t *testing.T) {
 	t.Parallel()
 	late, lost := 0, 0
@@ -20,8 +20,8 @@
 		for at := range plan.Routed {
 			plan.Routed[at].Holds = 3
 		}
-		name := func(word string) string { before, _, _ := strings.Cut(word, ":"); return before }
-		one, other := name(plan.Datas[0]), name(plan.Datas[1])
+		name := func(placed string) string { before, _, _ := strings.Cut(placed, ":"); return before }
+		stopped, other := name(plan.Datas[0]), name(plan.Datas[1])
 		park := fleet.NewPark(seed, plan)
 		park.Run(warmRouted)
 		stop := func(name string) time.Duration {
@@ -30,43 +30,43 @@
 			return park.Now() - began
 		}
 		began := park.Now()
-		took := stop(one)
-		var came, declined []time.Duration
+		took := stop(stopped)
+		var arrivals, rejected []time.Duration
 		for _, request := range park.RoutedRequests {
 			for _, try := range request.Tries {
-				if try.Daemon != one || try.Sent < began {
+				if try.Daemon != stopped || try.Sent < began {
 					continue
 				}
-				came = append(came, try.Sent)
+				arrivals = append(arrivals, try.Sent)
 				if try.Sent > began+1500*time.Millisecond {
 					late++
 				}
 				if try.Status == 503 && try.Code == "stopping" {
-					declined = append(declined, try.Sent)
+					rejected = append(rejected, try.Sent)
 				} else if try.Status != 200 && try.Sent < began+took-200*time.Millisecond {
 					t.Errorf("planned: seed %d: %s, sent %v after the stop began, ended with %d %s", seed, try.ID, try.Sent-began, try.Status, try.Code)
 				}
 			}
 		}
 		span := park.Datas[other].LocateTTL()
-		for _, sent := range declined {
+		for _, sent := range rejected {
 			lost++
-			if slices.ContainsFunc(came, func(before time.Duration) bool { return before < sent && before >= sent-span+100*time.Millisecond }) {
-				t.Errorf("planned: seed %d: declined %v after the stop began, though one came less than %v before", seed, sent-began, span)
+			if slices.ContainsFunc(arrivals, func(before time.Duration) bool { return before < sent && before >= sent-span+100*time.Millisecond }) {
+				t.Errorf("planned: seed %d: a request was rejected %v after the stop began, though another arrived less than %v before", seed, sent-began, span)
 			}
 		}
 		park.Quiet = true
 		park.Run(3 * time.Second)
 		if idle := stop(other); idle > 2*time.Second {
-			t.Errorf("planned: seed %d: a stop that nobody comes to takes %v", seed, idle)
+			t.Errorf("planned: seed %d: a stop without arriving requests takes %v", seed, idle)
 		}
 		park.Close()
 	}
-	t.Logf("%d came late, %d of them too late", late, lost)
+	t.Logf("%d requests arrived late, %d of them too late", late, lost)
 	if lost*5 > late {
-		t.Errorf("planned: %d of %d late comers were declined", lost, late)
+		t.Errorf("planned: %d of %d late requests were rejected", lost, late)
 	}
 	if late < 5 {
-		t.Errorf("vacuous: only %d came late", late)
+		t.Errorf("vacuous: only %d requests arrived late", late)
 	}
 }
--- a/fleet/way_test.go
+++ b/fleet/way_test.go
@@ -7,12 +7,12 @@
 	"swifttiller/fleet"
 )
 
-// TestRegionOutOfReach: where one of the homes of requests that may be sent once only goes
-// dark, the data daemons of a region that is none of them lose few of them there.
+// TestRegionOutOfReach checks requests that may be sent only once when one of their home regions is
+// partitioned: the data daemons of a region that isn't one of the homes must lose few of them.
 func TestRegionOutOfReach(t *testing.T) {
 	t.Parallel()
 	skipLong(t)
-	lost, declined, asked, inTime := 0, 0, 0, 0
+	lost, rejected, requests, inTime := 0, 0, 0, 0
 	for seed := uint64(1); seed <= 2; seed++ {
 		shape := fleet.GrownShape
 		shape.Busy = 1.6
@@ -32,18 +32,18 @@
 		park.Run(5 * time.Second)
 		park.Split(inside, outside, false)
 		park.Run(5 * time.Second)
-		for _, one := range park.RoutedRequests {
-			if one.At < began+20*time.Millisecond || one.At > began+5*time.Second || one.Crowd.Target != 600*time.Millisecond || fleet.Region(one.Crowd.Zone) == "sea" {
+		for _, request := range park.RoutedRequests {
+			if request.At < began+20*time.Millisecond || request.At > began+5*time.Second || request.Crowd.Target != 600*time.Millisecond || fleet.Region(request.Crowd.Zone) == "sea" {
 				continue
 			}
-			asked++
-			last := one.Tries[len(one.Tries)-1]
+			requests++
+			last := request.Tries[len(request.Tries)-1]
 			switch {
-			case one.Verdict == "ok" && one.First-one.At <= one.Crowd.Target:
+			case request.Verdict == "ok" && request.First-request.At <= request.Crowd.Target:
 				inTime++
-			case one.Verdict == "ok":
+			case request.Verdict == "ok":
 			case last.Status == 503:
-				declined++
+				rejected++
 			default:
 				lost++
 			}
@@ -54,8 +54,8 @@
 		show(t, seed, broken)
 		park.Close()
 	}
-	t.Logf("of %d, %d in time, %d lost, %d declined", asked, inTime, lost, declined)
-	if asked == 0 || lost*100 > asked || inTime*100 < 87*asked {
-		t.Error("too many are lost or late")
+	t.Logf("of %d requests, %d in time, %d lost, %d rejected", requests, inTime, lost, rejected)
+	if requests == 0 || lost*100 > requests || inTime*100 < 87*requests {
+		t.Error("too many requests are lost or late")
 	}
 }
