--- a/fleet/oneway_test.go
+++ b/fleet/oneway_test.go
@@ -9,8 +9,8 @@
 	"swifttiller/fleet"
 )
 
-// olderThan names a data daemon that serves under an older configuration than the version;
-// empty if none does.
+// olderThan describes a data daemon that serves under an older version of the configuration than the
+// given one; it returns "" if none does.
 func olderThan(cluster *fleet.Park, version uint64) string {
 	for name, daemon := range cluster.Datas {
 		node := cluster.Node(name)
@@ -18,14 +18,14 @@
 			continue
 		}
 		if view := daemon.Holder.View(); view.MayServe(node.Now()) && view.Serial < version {
-			return fmt.Sprintf("%s serves under %d", name, view.Serial)
+			return fmt.Sprintf("%s serves under version %d", name, view.Serial)
 		}
 	}
 	return ""
 }
 
-// towards delays or cuts the ways from all control daemons to the data daemon, but not the
-// ways back.
+// towards delays or cuts the network paths from all control daemons to the data daemon, but not the
+// paths back.
 func towards(cluster *fleet.Park, data string, delay time.Duration, isCut bool) {
 	for _, control := range []string{"c1", "c2", "c3"} {
 		cluster.Delay(control, data, delay)
@@ -33,9 +33,9 @@
 	}
 }
 
-// TestAnswersLateOneWay: a data daemon asks for its lease at once, but gets the answers as late
-// as it waits for them, and after one of them nothing more. No configuration is acknowledged
-// under whose predecessor it still serves.
+// TestAnswersLateOneWay delays all replies to a data daemon by almost its timeout for lease requests,
+// and then cuts them off. No configuration may be acknowledged while the daemon still serves under
+// the previous one.
 func TestAnswersLateOneWay(t *testing.T) {
 	t.Parallel()
 	shape := fleet.RoutedShapes["large"]
@@ -73,7 +73,7 @@
 				acknowledged++
 				for range 60 {
 					if older := olderThan(cluster, version); older != "" {
-						t.Fatalf("old config: %s, and %d is acknowledged", older, version)
+						t.Fatalf("old config: %s, but version %d is acknowledged", older, version)
 					}
 					cluster.Run(30 * time.Millisecond)
 				}
@@ -81,7 +81,7 @@
 				cluster.Run(3 * time.Second)
 			}
 			if acknowledged < 6 {
-				t.Errorf("vacuous: %d changes acknowledged", acknowledged)
+				t.Errorf("vacuous: only %d changes were acknowledged", acknowledged)
 			}
 		})
 	}
--- a/fleet/park_test.go
+++ b/fleet/park_test.go
@@ -11,7 +11,7 @@
 	"swifttiller/fleet"
 )
 
-// clean fails the test with every breach, the seed and how to replay it.
+// clean checks every rule and fails the test with each violation, the seed and a command to replay it.
 func clean(t *testing.T, park *fleet.Park, facts fleet.Facts) {
 	t.Helper()
 	broken, _ := fleet.Check(park, facts)
@@ -24,20 +24,21 @@
 	}
 }
 
-// begun gives the facts of a park that was warm at the time.
+// begun returns the facts of a warm cluster, for checks from the time when it became warm.
 func begun(park *fleet.Park, isPlanned bool) fleet.Facts {
 	facts := park.Begin()
 	facts.From, facts.Planned = warm, isPlanned
 	return facts
 }
 
-// warm is when a fleet that started cold is warm.
+// warm is the time after which a cold-started fleet has warmed up.
 const warm = 15 * time.Second
 
+// TestCalmFleet checks that no rule is broken in a minute without faults.
 func TestCalmFleet(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
-		t.Skip("a long simulation; the race detector has one task at a time to look at")
+		t.Skip("a long simulation with one task at a time, of little use under the race detector")
 	}
 	Convey("both deployments serve a calm minute whole", t, func() {
 		for name, plan := range fleet.Plans {
@@ -47,14 +48,15 @@
 			park.Quiet = true
 			park.Run(10 * time.Second)
 			answered, asked := fleet.Rate(park, warm, park.Now())
-			t.Logf("%s: %d of %d answered, %d steps, %d messages", name, answered, asked, park.Steps, park.Messages["Permit.Renew"])
+			t.Logf("%s: %d of %d requests answered, %d steps, %d lease renewals", name, answered, asked, park.Steps, park.Messages["Permit.Renew"])
 			clean(t, park, begun(park, true))
 			So(asked, ShouldBeGreaterThan, 1000)
 		}
 	})
 }
 
+// TestMain runs the package's tests with a garbage collector tuned for simulations.
 func TestMain(m *testing.M) {
-	debug.SetGCPercent(400) // many short-lived messages; less sweeping
+	debug.SetGCPercent(400) // many short-lived messages: collects garbage less often
 	os.Exit(m.Run())
 }
--- a/fleet/placement_test.go
+++ b/fleet/placement_test.go
@@ -10,13 +10,13 @@
 	"swifttiller/workflow"
 )
 
-// TestPlacementsOfSeveralModels: one model everywhere, a second in one zone of one
-// region and at home there only, a zone with a capacity of its own; each served by
-// its own group, and rolled out there alone.
+// TestPlacementsOfSeveralModels places one model in all zones, with an own capacity in one of them,
+// and a second model in a single zone whose region is its only home. Each model must be served by its
+// own replicas, and be rolled out on these alone.
 func TestPlacementsOfSeveralModels(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
-		t.Skip("a long simulation; the race detector has one task at a time to look at")
+		t.Skip("a long simulation with one task at a time, of little use under the race detector")
 	}
 	plan := quick()
 	plan.Document = strings.NewReplacer(
@@ -24,9 +24,9 @@
 		`"zones":{"east-1":{}}`, `"zones":{"east-1":{"placements":{"roster":{"capacity":4}}},"east-2":{"placements":{"tutor":{"version":"t1","capacity":6,"home":"eastern"}}}}`,
 	).Replace(plan.Document)
 	for index := range plan.Replicas {
-		one := &plan.Replicas[index]
-		if one.ID == "east-1-r6" || one.ID == "east-1-r7" {
-			one.Zone, one.Held = "east-2", []string{"roster/v1", "tutor/t1"}
+		replica := &plan.Replicas[index]
+		if replica.ID == "east-1-r6" || replica.ID == "east-1-r7" {
+			replica.Zone, replica.Held = "east-2", []string{"roster/v1", "tutor/t1"}
 		}
 	}
 	plan.Datas = append(plan.Datas, "d7:east-2")
@@ -39,7 +39,7 @@
 	park.Must("c2", func(daemon *controlplane.Daemon) error {
 		runs, err := daemon.Handover("lessons", "tutor", "t2", nil)
 		if err == nil && (len(runs) != 1 || runs["east"].ID == "") {
-			t.Errorf("the run covers %v", runs)
+			t.Errorf("the rollout covers the regions %v", runs)
 		}
 		return err
 	})
@@ -47,8 +47,8 @@
 	park.Until(60*time.Second, func() bool {
 		park.Must("c1", func(daemon *controlplane.Daemon) error {
 			models, err := daemon.Handovers()
-			if shelf := models["tutor"].Shelves["east"]; shelf.Run != nil {
-				run = *shelf.Run
+			if rollouts := models["tutor"].Shelves["east"]; rollouts.Run != nil {
+				run = *rollouts.Run
 			}
 			return err
 		})
@@ -61,27 +61,27 @@
 	park.Quiet = true
 	park.Run(8 * time.Second)
 	served := map[string]map[string]int{}
-	for _, one := range park.Logs() {
-		if served[one.Model] == nil {
-			served[one.Model] = map[string]int{}
+	for _, request := range park.Logs() {
+		if served[request.Model] == nil {
+			served[request.Model] = map[string]int{}
 		}
-		served[one.Model][park.Zone(one.Replica)]++
-		if one.Model == "tutor" && (park.Zone(one.Replica) != "east-2" || park.Zone(one.Daemon) != "east-2") {
-			t.Errorf("home: a lesson went by %s to %s", one.Daemon, one.Replica)
+		served[request.Model][park.Zone(request.Replica)]++
+		if request.Model == "tutor" && (park.Zone(request.Replica) != "east-2" || park.Zone(request.Daemon) != "east-2") {
+			t.Errorf("home: a request to tutor went through %s to %s", request.Daemon, request.Replica)
 		}
 	}
 	t.Logf("served: %v", served)
 	if served["tutor"]["east-2"] < 100 || served["roster"]["east-1"] < 100 || served["roster"]["west-1"] < 100 {
 		t.Errorf("vacuous: %v", served)
 	}
-	for name, one := range park.Replicas {
-		for _, order := range one.Loads {
-			if strings.Contains(order, "tutor") && one.Zone != "east-2" {
-				t.Errorf("%s was ordered %s", name, order)
+	for name, replica := range park.Replicas {
+		for _, order := range replica.Loads {
+			if strings.Contains(order, "tutor") && replica.Zone != "east-2" {
+				t.Errorf("%s got the load order %s", name, order)
 			}
 		}
-		if one.Zone == "east-1" && one.Peak > 4 {
-			t.Errorf("%s bore %d units; its zone says 4", name, one.Peak)
+		if replica.Zone == "east-1" && replica.Peak > 4 {
+			t.Errorf("%s had a load of %d units; its zone's capacity is 4", name, replica.Peak)
 		}
 	}
 	clean(t, park, facts)
--- a/fleet/scale_test.go
+++ b/fleet/scale_test.go
@@ -7,7 +7,8 @@
 	"swifttiller/fleet"
 )
 
-// TestSlope: a line is found with its spread, and what differs in nothing has none.
+// TestSlope checks the fit of a line and its standard error, and that there is no fit for a dimension
+// that doesn't vary or a figure that doesn't exist.
 func TestSlope(t *testing.T) {
 	t.Parallel()
 	var points []fleet.ScalePoint
@@ -20,19 +21,19 @@
 	if !fits || line.Points != 4 || math.Abs(line.Each-3) > 1e-9 || math.Abs(line.Base-7) > 1e-9 || line.Spread > 1e-9 {
 		t.Errorf("%+v", line)
 	}
-	// Of rests 1, -1, -1, 1 the standard error is the root of 4/2 over 500.
+	// With residuals 1, -1, -1, 1 the slope's standard error is sqrt((4/2)/500).
 	near, _ := fleet.Slope(points, "datas", "near")
 	if math.Abs(near.Each-3) > 1e-9 || math.Abs(near.Spread-math.Sqrt(2.0/500)) > 1e-9 {
 		t.Errorf("%+v", near)
 	}
-	for _, one := range [][2]string{{"regions", "line"}, {"datas", "none"}, {"none", "line"}} {
-		if slope, fits := fleet.Slope(points, one[0], one[1]); fits {
-			t.Errorf("%v: %+v", one, slope)
+	for _, pair := range [][2]string{{"regions", "line"}, {"datas", "none"}, {"none", "line"}} {
+		if slope, fits := fleet.Slope(points, pair[0], pair[1]); fits {
+			t.Errorf("%v: unexpected fit %+v", pair, slope)
 		}
 	}
 }
 
-// TestScaleSizes: sizes that can't be started are told before anything is.
+// TestScaleSizes checks that sizes which can't be started are rejected by Check.
 func TestScaleSizes(t *testing.T) {
 	t.Parallel()
 	good := fleet.ScaleSize{Datas: 25, Replicas: 36, Regions: 3, Zones: 6, Routes: 30, Models: 2, Controls: 3}
@@ -44,13 +45,13 @@
 	}
 	for dimension, value := range map[string]int{"datas": 2, "replicas": 8001, "regions": 65, "zones": 2, "routes": 25001, "models": 201, "controls": 10} {
 		if bad, known := good.With(dimension, value); !known || bad.Check() == nil {
-			t.Errorf("%s %d was taken", dimension, value)
+			t.Errorf("%s %d was accepted", dimension, value)
 		}
 		if bad, _ := good.With(dimension, 0); bad.Check() == nil {
-			t.Errorf("no %s were taken", dimension)
+			t.Errorf("0 %s were accepted", dimension)
 		}
 	}
 	if _, known := good.With("tenants", 1); known {
-		t.Error("an unknown dimension was taken")
+		t.Error("an unknown dimension was accepted")
 	}
 }
--- a/fleet/size_test.go
+++ b/fleet/size_test.go
@@ -10,31 +10,31 @@
 	"swifttiller/fleet"
 )
 
-// trim leaves so many replicas and data daemons a region.
+// trim limits the plan to the given numbers of replicas and data daemons per zone.
 func trim(plan fleet.Plan, replicas, daemons int) fleet.Plan {
 	kept := map[string]int{}
-	plan.Replicas = slices.DeleteFunc(slices.Clone(plan.Replicas), func(one fleet.ReplicaOptions) bool {
-		kept[one.Zone]++
-		return kept[one.Zone] > replicas
+	plan.Replicas = slices.DeleteFunc(slices.Clone(plan.Replicas), func(replica fleet.ReplicaOptions) bool {
+		kept[replica.Zone]++
+		return kept[replica.Zone] > replicas
 	})
-	plan.Datas = slices.DeleteFunc(slices.Clone(plan.Datas), func(word string) bool {
-		_, zone, _ := strings.Cut(word, ":")
+	plan.Datas = slices.DeleteFunc(slices.Clone(plan.Datas), func(placed string) bool {
+		_, zone, _ := strings.Cut(placed, ":")
 		kept["d"+zone]++
 		return kept["d"+zone] > daemons
 	})
 	return plan
 }
 
-// TestSize prints, for ever smaller fleets, the least share of the plan's load
-// that is answered in the 20 s from ten after any one region was lost, its callers
-// asking elsewhere.
+// TestSize prints, for fleets of several sizes and loads, the least share of requests that are answered
+// after the loss of any one region, whose callers go to other regions. It counts the 20 s that begin
+// 10 s after the loss.
 func TestSize(t *testing.T) {
 	t.Parallel()
 	if !*measure {
 		t.Skip("only with -measure")
 	}
 	for name, make := range fleet.Plans {
-		// Replicas and data daemons a region, and how many times the plan's load.
+		// Replicas and data daemons per region, and the factor on the plan's load.
 		for _, size := range [][3]int{{1, 1, 1}, {1, 1, 2}, {2, 1, 2}, {2, 2, 2}, {2, 1, 4}, {3, 1, 4}, {4, 1, 4}, {4, 2, 4}} {
 			for seed := uint64(1); seed <= 2; seed++ {
 				t.Run(fmt.Sprintf("%s/%d replicas, %d data daemons a region, load times %d/%d", name, size[0], size[1], size[2], seed), func(t *testing.T) {
@@ -49,9 +49,9 @@
 						park.Run(warm)
 						region := park.Regions()[index]
 						var inside []string
-						for _, one := range park.NodeNames() {
-							if fleet.Region(park.Zone(one)) == region {
-								inside = append(inside, one)
+						for _, node := range park.NodeNames() {
+							if fleet.Region(park.Zone(node)) == region {
+								inside = append(inside, node)
 							}
 						}
 						park.Lose(inside)
@@ -59,10 +59,10 @@
 						from := park.Now()
 						park.Run(22 * time.Second)
 						good, all := 0, 0
-						for _, one := range park.Requests {
-							if one.At >= from && one.At < from+20*time.Second {
+						for _, request := range park.Requests {
+							if request.At >= from && request.At < from+20*time.Second {
 								all++
-								if one.Verdict == "ok" {
+								if request.Verdict == "ok" {
 									good++
 								}
 							}
--- a/fleet/split_test.go
+++ b/fleet/split_test.go
@@ -7,12 +7,12 @@
 	"swifttiller/fleet"
 )
 
-// A control daemon that has lost the core still answers; data daemons must not
-// stay with it.
+// TestPermitsComeFromWhoeverSeesAMajority checks that data daemons don't stay with a control daemon
+// that still answers them but is partitioned from the core's majority: all must keep valid leases.
 func TestPermitsComeFromWhoeverSeesAMajority(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
-		t.Skip("a long simulation; the race detector has one task at a time to look at")
+		t.Skip("a long simulation with one task at a time, of little use under the race detector")
 	}
 	for seed := uint64(1); seed <= 3; seed++ {
 		park := fleet.NewPark(seed, fleet.Sahayogi())
@@ -28,7 +28,7 @@
 			}
 		}
 		if len(without) > 0 {
-			t.Errorf("seed %d: without a permit, of 40 looks: %v", seed, without)
+			t.Errorf("seed %d: data daemons without a valid lease, by number of 40 samples: %v", seed, without)
 		}
 		park.Close()
 	}
