--- a/fleet/replace_test.go
+++ b/fleet/replace_test.go
@@ -90,10 +90,11 @@
 	if again, err := replace(park, "c2", []byte(strings.Replace(string(third), `{"label":3`, ` { "label" : 3 `, 1)), 0); err != nil || again.Serial != first.Serial {
 		t.Error("a repeat at another daemon:", again, err)
 	}
-	// What was sent counts, whatever else the daemon that was asked made of it.
+	// A document's identity is its label and a digest of its origin, so other settings that were
+	// generated from the same origin make no difference.
 	made := strings.Replace(strings.Replace(string(third), `"limits":{`, `"limits":{"archive_ms":5,`, 1), `{ "mark"`, `{"mark"`, 1)
 	if again, err := replace(park, "c3", []byte(made), 0); err != nil || again.Serial != first.Serial {
-		t.Error("order: a repeat that was made otherwise:", again, err)
+		t.Error("order: a repeat with other settings from the same origin:", again, err)
 	}
 	for name, isReported := range map[string]bool{
 		"built on none":  isOutdated(second(replace(park, "c2", labelled(park, 4, "b"), 0)), 3, 0),
