--- a/fleet/tender_test.go
+++ b/fleet/tender_test.go
@@ -48,9 +48,9 @@
 	return newest
 }
 
-// tending returns the running control daemon that leads the core's election, whose membership
+// coreLeader returns the running control daemon that leads the core's election, whose membership
 // reconciler replaces core members; "" if there is none.
-func tending(park *fleet.Park) string {
+func coreLeader(park *fleet.Park) string {
 	for name, daemon := range park.Controls {
 		if _, held := daemon.Elections.Term(controlplane.CoreElection); held && park.Node(name).Up() {
 			return name
@@ -177,7 +177,7 @@
 			// Three members of the first core are replaced, the leader first. Two seeds of each
 			// new machine are dead or never existed.
 			for turn := 0; turn < 3; turn++ {
-				old := tending(park)
+				old := coreLeader(park)
 				if old == "" {
 					t.Fatalf("seed %d: no daemon leads the core's election", seed)
 				}
@@ -308,7 +308,7 @@
 		for at := 0; at < 6; at++ {
 			park := selfMade(t, seed, 3)
 			acknowledged := serial(park, "c1")
-			killed, leader := "", tending(park)
+			killed, leader := "", coreLeader(park)
 			lost := "c1"
 			if leader == "c1" {
 				lost = "c2"
--- a/fleet/term_test.go
+++ b/fleet/term_test.go
@@ -81,10 +81,10 @@
 	return controlplane.RolloutState{}
 }
 
-// obey acts as the platform during a rollout: when the traffic has moved, the old replicas stop
+// actAsPlatform stands in for the platform during a rollout: when the traffic has moved, the old replicas stop
 // at once; when it is rolled back, the new ones drain some seconds later. It returns the final
 // state and the time until then, or "" and 0 if the rollout doesn't end within the span.
-func obey(t *testing.T, park *fleet.Park, began, span time.Duration, fresh []string) (string, time.Duration) {
+func actAsPlatform(t *testing.T, park *fleet.Park, began, span time.Duration, fresh []string) (string, time.Duration) {
 	t.Helper()
 	for park.Now() < began+span {
 		switch state := stands(park); state.State {
@@ -247,7 +247,7 @@
 	if err := order(park, "v3"); stands(park).State == rollout.Moving && (!errors.As(err, &conflict) || conflict.Status != 409) {
 		t.Errorf("order of another version during the rollout: got %v, want status 409", err)
 	}
-	state, took := obey(t, park, began, term, fresh)
+	state, took := actAsPlatform(t, park, began, term, fresh)
 	moved := began + took
 	if state != variant.want {
 		t.Errorf("the rollout ended as %q, want %q", state, variant.want)
@@ -398,7 +398,7 @@
 	if isBad {
 		want = rollout.RolledBack
 	}
-	state, took := obey(t, park, began, 3*term, fresh)
+	state, took := actAsPlatform(t, park, began, 3*term, fresh)
 	if state != want || !isLost {
 		t.Fatalf("the rollout ended as %q after %v; fault injected: %v", state, took, isLost)
 	}
