--- a/decide/route.go
+++ b/decide/route.go
@@ -74,9 +74,9 @@
 	defer decider.mu.Unlock()
 	switch {
 	case decider.stopped:
-		return decider.reject(503, "stopping", "this daemon is stopping", retryAfterSoon)
+		return decider.reject(503, "stopping", "this daemon is shutting down", retryAfterSoon)
 	case !view.MayServe(now):
-		return decider.reject(503, "no_permit", "this daemon has no lease to serve; try another", retryAfterRestart)
+		return decider.reject(503, "no_permit", "this daemon holds no valid lease; try another daemon", retryAfterRestart)
 	}
 	route := view.Tree.Route(routed.Host, routed.Path)
 	if route == nil {
@@ -174,7 +174,7 @@
 		view := decider.View()
 		now := decider.World.Now()
 		if !view.MayServe(now) {
-			failure := decider.reject(503, "no_permit", "this daemon has no lease to serve; try another", retryAfterSoon)
+			failure := decider.reject(503, "no_permit", "this daemon holds no valid lease; try another daemon", retryAfterSoon)
 			decider.mu.Unlock()
 			return nil, failure
 		}
@@ -192,7 +192,7 @@
 			return selection, nil
 		}
 		if wait == 0 || now+wait > until {
-			failure := decider.reject(503, "no_replica", "no replica can serve this now", max(retryAfterSoon, min(wait, retryAfterLater)))
+			failure := decider.reject(503, "no_replica", "no replica can serve this request now", max(retryAfterSoon, min(wait, retryAfterLater)))
 			if wait == 0 {
 				failure.ComeBack = decider.noReplicaRetryAfter(routed.Route.Name, now)
 			}
--- a/lease/acknowledge.go
+++ b/lease/acknowledge.go
@@ -62,11 +62,11 @@
 
 // ErrAlreadyInForce is returned by a revise function if its effect is already in force. Nothing is
 // written then, and the present configuration is acknowledged again.
-var ErrAlreadyInForce = errors.New("permit: the change is already in force")
+var ErrAlreadyInForce = errors.New("lease: the change is already in force")
 
 // ErrUnconfirmed tells that the change is decided, but that this process ends before every
 // holder has applied it or lost its lease.
-var ErrUnconfirmed = errors.New("permit: the change was decided, but not confirmed by all data daemons before the process ended")
+var ErrUnconfirmed = errors.New("lease: the change was decided, but not confirmed by all data daemons before the process ended")
 
 // Change revises the configuration and returns once it is acknowledged: every recorded
 // holder has applied it, or its lease has expired.
--- a/lease/history.go
+++ b/lease/history.go
@@ -39,10 +39,10 @@
 // Errors of lookups in the history and of additions to it.
 var (
 	// ErrBeforeHistory tells that the order is older than the whole history.
-	ErrBeforeHistory = errors.New("permit: the order is older than the recorded history of accepted orders")
+	ErrBeforeHistory = errors.New("lease: the order is older than the recorded history of accepted orders")
 	// ErrHistoryFull tells that the configuration has no room for another mark, because
 	// older ones could not be moved to the history yet.
-	ErrHistoryFull = errors.New("permit: cannot write the history of accepted orders at present")
+	ErrHistoryFull = errors.New("lease: cannot write the history of accepted orders at present")
 )
 
 func historyKey(number uint64) string {
--- a/lease/records.go
+++ b/lease/records.go
@@ -49,7 +49,7 @@
 }
 
 // errRecordsNotRead tells that this process ended before the holders' records were read.
-var errRecordsNotRead = errors.New("permit: the process ended before the lease holders' records were read")
+var errRecordsNotRead = errors.New("lease: the process ended before the lease holders' records were read")
 
 // Holders reads the records of all holders, including retired ones. The records of the
 // holders known from the last call are read while the keys are listed, to save time: the
