--- a/controlplane/command.go
+++ b/controlplane/command.go
@@ -190,7 +190,7 @@
 	}
 }
 
-// changeRepeatable executes an idempotent change, whose revision gives permit.ErrSame if it
+// changeRepeatable executes an idempotent change, whose revision gives lease.ErrAlreadyInForce if it
 // has been made already. If the outcome is uncertain, sending it again settles it: the second
 // attempt has a higher ballot, so that it either reads the first one's value or prevents it
 // from ever being accepted.
@@ -273,7 +273,7 @@
 // BeginRollout starts a timed roll-out: in all regions, the model's traffic moves to the
 // replicas of the version within the given time. The replicas come up by themselves. The same
 // command again joins the roll-out that is running or ended a short while ago; a different one
-// while one is running is rejected (409). The error is always a *verdict.Mishap. It returns
+// while one is running is rejected (409). The error is always a *verdict.Error. It returns
 // once the roll-out is stored durably; the regions' leaders execute it.
 func (operator *Operator) BeginRollout(model, version string, over time.Duration) error {
 	if version == "" || over <= 0 {
@@ -300,7 +300,7 @@
 }
 
 // RolloutState reports the state of the model's newest timed roll-out. The error is always a
-// *verdict.Mishap.
+// *verdict.Error.
 func (daemon *Daemon) RolloutState(model string) (RolloutState, error) {
 	object, err := daemon.Objects.ModelWithTimeout(model, orderQuorumTimeout)
 	if err != nil {
--- a/controlplane/daemon.go
+++ b/controlplane/daemon.go
@@ -163,15 +163,15 @@
 // as this daemon knows, and how long ago the leader last verified it. A live leader alone is
 // not enough: without a majority of the core it can't write what it observes.
 func (daemon *Daemon) tableAge(region string, read routing.Table) (time.Duration, bool) {
-	duty, known := daemon.Elections.Last(RegionElection + region)
-	if !known || duty.Serial != read.Duty {
+	leadership, known := daemon.Elections.Last(RegionElection + region)
+	if !known || leadership.Serial != read.Duty {
 		return 0, false
 	}
-	leader, isAlive := daemon.leader(duty)
+	leader, isAlive := daemon.leader(leadership)
 	keeping, keeps := leader.Member.Keeps[region]
 	_, _, tree := daemon.Issuer.Current()
 	age := leader.Age + keeping.Age
-	return age, isAlive && keeps && keeping.Duty == duty.Serial && keeping.Serial <= read.Serial && tree != nil && age < tree.Duration("permit_ms", "")
+	return age, isAlive && keeps && keeping.Duty == leadership.Serial && keeping.Serial <= read.Serial && tree != nil && age < tree.Duration("permit_ms", "")
 }
 
 // leader gives the session of the daemon that won an election, if that incarnation is a member.
@@ -258,7 +258,7 @@
 		mustRegister("Register", diskless{daemon.Client})
 	}
 	mustRegister("Session", tableService{daemon.Sessions})
-	mustRegister("Permit", officeService{daemon.Issuer})
+	mustRegister("Permit", leaseService{daemon.Issuer})
 	mustRegister("Local", localService{daemon})
 	mustRegister("Tenant", tenantService{daemon})
 	mustRegister("Process", settings.Service{Live: daemon.Live})
@@ -267,8 +267,8 @@
 
 // The services expose only the methods that are meant to be called remotely.
 type (
-	tableService  struct{ table *session.Table }
-	officeService struct{ issuer *lease.Issuer }
+	tableService struct{ table *session.Table }
+	leaseService struct{ issuer *lease.Issuer }
 )
 
 // Beat handles a daemon's heartbeat.
@@ -282,13 +282,13 @@
 }
 
 // Renew grants or renews a data daemon's lease.
-func (service officeService) Renew(request lease.Request, grant *lease.Grant) error {
+func (service leaseService) Renew(request lease.Request, grant *lease.Grant) error {
 	return service.issuer.Renew(request, grant)
 }
 
 // Fetch returns a configuration.
-func (service officeService) Fetch(request lease.FetchRequest, edition *lease.ConfigUpdate) error {
-	return service.issuer.Fetch(request, edition)
+func (service leaseService) Fetch(request lease.FetchRequest, update *lease.ConfigUpdate) error {
+	return service.issuer.Fetch(request, update)
 }
 
 // Run starts the daemon's loops.
--- a/controlplane/operator.go
+++ b/controlplane/operator.go
@@ -152,11 +152,11 @@
 		}
 		status := ModelStatus{Model: object, Shelves: map[string]workflow.RunStore{}}
 		for _, region := range tree.Regions() {
-			shelf, _, err := daemon.Runs.Read(rollout.Key(model, region))
+			runs, _, err := daemon.Runs.Read(rollout.Key(model, region))
 			if err != nil {
 				return nil, err
 			}
-			status.Shelves[region] = shelf
+			status.Shelves[region] = runs
 		}
 		if status.Versions, err = daemon.Objects.Versions(model); err != nil {
 			return nil, err
--- a/controlplane/tenants.go
+++ b/controlplane/tenants.go
@@ -308,7 +308,7 @@
 
 // Pin places a tenant in the regions until it is released; an empty list releases it. It returns
 // once the placement is decided; data daemons apply it within the duration of a lease. The error
-// is always a *verdict.Mishap.
+// is always a *verdict.Error.
 func (daemon *Daemon) Pin(name string, regions []string) (tenant.Placement, error) {
 	_, _, tree := daemon.Issuer.Current()
 	if tree == nil {
--- a/dataplane/daemon.go
+++ b/dataplane/daemon.go
@@ -104,7 +104,7 @@
 	return tree.Duration("session_ms", "")
 }
 
-// Leaving reports whether a planned stop has begun. Callers are then told to locate another daemon
+// Leaving reports whether a planned stop has begun. Callers are then asked to locate another daemon
 // before their next request.
 func (daemon *Daemon) Leaving() bool { return daemon.leaving.Load() }
 
--- a/decide/breaker_test.go
+++ b/decide/breaker_test.go
@@ -52,7 +52,7 @@
 func TestAllReplicasUnreachable(t *testing.T) {
 	for _, path := range []string{resumedPath, oncePath} {
 		clinic := newHealthBench(t, 12, path)
-		isGone, tries, declined, last := false, 0, 0, time.Duration(0)
+		isGone, tries, rejected, last := false, 0, 0, time.Duration(0)
 		clinic.failsSelection = func(*decide.Selection) *verdict.Error {
 			if !isGone {
 				return nil
@@ -60,8 +60,8 @@
 			tries++
 			return &verdict.Error{Verdict: verdict.NotRun, Code: "replica_unreached", Status: 503}
 		}
-		clinic.declines = func(failure *verdict.Error) {
-			declined++
+		clinic.onReject = func(failure *verdict.Error) {
+			rejected++
 			if failure.Verdict != verdict.NotRun || failure.ComeBack < min(last, 2*time.Second) {
 				t.Errorf("%s: %s, retry delay %v after one of %v", path, failure.Code, failure.ComeBack, last)
 			}
@@ -71,15 +71,15 @@
 		isGone = true
 		clinic.Run(3 * time.Second)
 		// 300 requests came. Each replica is found unreachable once, and then all are probed in turn.
-		if tries > 12+3*30 || declined < 180 || last < 2*time.Second {
-			t.Errorf("%s: %d probes, %d rejected, last retry delay %v", path, tries, declined, last)
+		if tries > 12+3*30 || rejected < 180 || last < 2*time.Second {
+			t.Errorf("%s: %d probes, %d rejected, last retry delay %v", path, tries, rejected, last)
 		}
 		isGone = false
 		clinic.Run(200 * time.Millisecond)
-		declined = 0
+		rejected = 0
 		clinic.Run(time.Second)
-		if declined > 0 {
-			t.Errorf("%s: %d rejected though all replicas are back", path, declined)
+		if rejected > 0 {
+			t.Errorf("%s: %d rejected though all replicas are back", path, rejected)
 		}
 	}
 }
--- a/decide/call.go
+++ b/decide/call.go
@@ -25,20 +25,20 @@
 // request and not only about this try of it, so it may be sent only once this daemon
 // knows that no other try of the request is running or has run.
 func (decider *Decider) Allow(call *Call) *verdict.Error {
-	if mishap := decider.checkHeaders(call); mishap != nil {
-		return mishap
+	if rejection := decider.checkHeaders(call); rejection != nil {
+		return rejection
 	}
-	if mishap := decider.settle(call); mishap != nil {
-		return mishap
+	if rejection := decider.settle(call); rejection != nil {
+		return rejection
 	}
-	mishap := decider.checkPlacement(decider.View(), call)
-	if mishap == nil {
-		mishap = decider.chargeRetry(decider.View(), call)
+	rejection := decider.checkPlacement(decider.View(), call)
+	if rejection == nil {
+		rejection = decider.chargeRetry(decider.View(), call)
 	}
-	if mishap != nil {
-		decider.Settled(call, mishap)
+	if rejection != nil {
+		decider.Settled(call, rejection)
 	}
-	return mishap
+	return rejection
 }
 
 // checkHeaders checks the headers that identify the request.
@@ -99,8 +99,8 @@
 func (decider *Decider) checkPlacement(view *lease.View, call *Call) *verdict.Error {
 	decider.mu.Lock()
 	defer decider.mu.Unlock()
-	if mishap := decider.checkServing(view); mishap != nil {
-		return mishap
+	if rejection := decider.checkServing(view); rejection != nil {
+		return rejection
 	}
 	placement, placed := view.Tree.Placement(call.Model, decider.Self.Zone)
 	if !placed {
@@ -159,30 +159,30 @@
 		}
 		index := map[string]*routing.Endpoint{}
 		for at := range table.Places {
-			place := &table.Places[at]
-			index[place.ID] = place
-			if past, known := decider.endedBoots[place.ID]; known && past != place.Boot {
-				delete(decider.endedBoots, place.ID)
+			endpoint := &table.Places[at]
+			index[endpoint.ID] = endpoint
+			if past, known := decider.endedBoots[endpoint.ID]; known && past != endpoint.Boot {
+				delete(decider.endedBoots, endpoint.ID)
 			}
 		}
 		isWatched, fails := decider.watchedVersion(view, region, call.Model) != "", decider.watchedFails(view, region, call.Model)
 		for _, row := range table.Rows {
-			place := index[row.Replica]
+			endpoint := index[row.Replica]
 			if row.Back != fails && (row.Back || isWatched) {
 				continue
 			}
-			if row.Model != call.Model || place == nil || view.Evacuated[place.Zone] || avoid[row.Replica] || decider.suspects[row.Replica].until > 0 || decider.fullUntil[row.Replica] > 0 || deniesKind(row, call.Kind) {
+			if row.Model != call.Model || endpoint == nil || view.Evacuated[endpoint.Zone] || avoid[row.Replica] || decider.suspects[row.Replica].until > 0 || decider.fullUntil[row.Replica] > 0 || deniesKind(row, call.Kind) {
 				continue
 			}
 			if _, isPast := decider.endedBoots[row.Replica]; isPast {
 				continue
 			}
-			if credit := place.Credits[decider.Self.Name]; credit > 0 {
+			if credit := endpoint.Credits[decider.Self.Name]; credit > 0 {
 				units := 0
 				if used := decider.uses[row.Replica]; used != nil {
 					units = used.units
 				}
-				out = append(out, candidate{row, place, credit, units, region == decider.Self.Region})
+				out = append(out, candidate{row, endpoint, credit, units, region == decider.Self.Region})
 			}
 		}
 	}
@@ -198,7 +198,7 @@
 	return false
 }
 
-// Cost returns the cost units of a call, at most standing.Heaviest.
+// Cost returns the cost units of a call, at most routing.MaxRequestCost.
 func Cost(tree *settings.Tree, zone string, call *Call) int {
 	cost := 1 + call.Bytes/int(tree.Limit("prompt_unit_bytes", zone)) + call.MaxAnswerTokens/int(tree.Limit("answer_unit_tokens", zone))
 	return min(cost, routing.MaxRequestCost)
@@ -225,10 +225,10 @@
 		view := decider.View()
 		now := decider.World.Now()
 		if !view.IsValid(now) {
-			mishap := decider.reject(503, "no_permit", "this daemon holds no valid lease; try another daemon", time.Second)
+			rejection := decider.reject(503, "no_permit", "this daemon holds no valid lease; try another daemon", time.Second)
 			leave()
 			decider.mu.Unlock()
-			return nil, mishap
+			return nil, rejection
 		}
 		bound := view.Tree.Duration("queue_ms", decider.Self.Zone)
 		if call.QueueTimeout > 0 {
@@ -246,27 +246,27 @@
 			return selection, nil
 		}
 		if queued == nil {
-			var mishap *verdict.Error
+			var rejection *verdict.Error
 			switch {
 			case len(list) == 0 && !decider.served(view, call):
-				mishap = decider.reject(503, "no_replica", "no replica can serve this request now", retryDelay(view))
+				rejection = decider.reject(503, "no_replica", "no replica can serve this request now", retryDelay(view))
 			case len(decider.queue) >= int(view.Tree.Limit("queue_length", decider.Self.Zone)):
-				mishap = decider.reject(503, "queue_full", "the queue is full", retryDelay(view))
+				rejection = decider.reject(503, "queue_full", "the queue is full", retryDelay(view))
 			case decider.estimateWait(call.Model, cost) > bound:
-				mishap = decider.reject(503, "too_late", "the estimated queueing time exceeds the time allowed", max(time.Second, decider.estimateWait(call.Model, cost)))
+				rejection = decider.reject(503, "too_late", "the estimated queueing time exceeds the time allowed", max(time.Second, decider.estimateWait(call.Model, cost)))
 			}
-			if mishap != nil {
+			if rejection != nil {
 				decider.mu.Unlock()
-				return nil, mishap
+				return nil, rejection
 			}
 			queued = &queuedRequest{mailbox: decider.World.Mailbox(), model: call.Model, cost: cost}
 			decider.queue = append(decider.queue, queued)
 		}
 		if now-began >= bound {
-			mishap := decider.reject(503, "too_late", "no replica became free within the queue timeout", retryDelay(view))
+			rejection := decider.reject(503, "too_late", "no replica became free within the queue timeout", retryDelay(view))
 			leave()
 			decider.mu.Unlock()
-			return nil, mishap
+			return nil, rejection
 		}
 		decider.mu.Unlock()
 		// A release or a new view wakes it up. It waits for a quarter of the bound at
@@ -291,7 +291,7 @@
 		table := view.RoutingTables[region]
 		placed := endpointIndex{list: table.Places}
 		for _, row := range table.Rows {
-			if place := placed.of(row.Replica); row.Model == call.Model && !deniesKind(row, call.Kind) && place != nil && !view.Evacuated[place.Zone] {
+			if endpoint := placed.of(row.Replica); row.Model == call.Model && !deniesKind(row, call.Kind) && endpoint != nil && !view.Evacuated[endpoint.Zone] {
 				return true
 			}
 		}
--- a/decide/candidates.go
+++ b/decide/candidates.go
@@ -156,16 +156,16 @@
 	next int
 }
 
-func (places *endpointIndex) of(id string) *routing.Endpoint {
-	if places.next > 0 && places.list[places.next-1].ID == id {
-		return &places.list[places.next-1]
+func (index *endpointIndex) of(id string) *routing.Endpoint {
+	if index.next > 0 && index.list[index.next-1].ID == id {
+		return &index.list[index.next-1]
 	}
-	for range places.list {
-		if places.next >= len(places.list) {
-			places.next = 0
+	for range index.list {
+		if index.next >= len(index.list) {
+			index.next = 0
 		}
-		endpoint := &places.list[places.next]
-		places.next++
+		endpoint := &index.list[index.next]
+		index.next++
 		if endpoint.ID == id {
 			return endpoint
 		}
--- a/decide/choice.go
+++ b/decide/choice.go
@@ -3,7 +3,7 @@
 import "time"
 
 // Choice records an attempt of a routed request for analysis: what was known when its replica
-// was chosen, and how the attempt ended. It is recorded only if Options.Traced is set.
+// was chosen, and how the attempt ended. It is recorded only if Options.OnChoice is set.
 type Choice struct {
 	// Request is the caller's id of the try, Route the name of its route.
 	Request, Route, Model string
@@ -56,7 +56,7 @@
 	return RankNone
 }
 
-// recordChoice returns the record of the choice of best; nil unless Options.Traced is set.
+// recordChoice returns the record of the choice of best; nil unless Options.OnChoice is set.
 func (decider *Decider) recordChoice(routed *Routed, best *routeCandidate, candidates []routeCandidate, now time.Duration) *Choice {
 	if decider.OnChoice == nil {
 		return nil
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -26,7 +26,7 @@
 	// QueueTimeout is the caller's limit on the time in the queue; 0 means the limit of the
 	// settings.
 	QueueTimeout time.Duration
-	// Bytes and Answer determine the cost; Prefix is the hash of the beginning of the
+	// Bytes and MaxAnswerTokens determine the cost; Prefix is the hash of the beginning of the
 	// prompt.
 	Bytes, MaxAnswerTokens int
 	Prefix                 uint64
@@ -52,7 +52,7 @@
 	IsRegionProbe bool
 
 	routed   *Routed
-	choice   *Choice // nil unless Options.Traced is set
+	choice   *Choice // nil unless Options.OnChoice is set
 	state    *replicaState
 	uncached int
 	sent     time.Duration
@@ -87,7 +87,7 @@
 type Quota interface {
 	// Take reports whether a request is within the tenant's limit, and if not, when to retry.
 	Take(tenant string) (retryAfter time.Duration, isAllowed bool)
-	// Refund refunds a request that Ask allowed and that was not run.
+	// Refund refunds a request that Take allowed and that was not run.
 	Refund(tenant string)
 }
 
@@ -179,7 +179,7 @@
 
 // New returns a Decider without any requests.
 func New(options Options) *Decider {
-	decider := &Decider{Options: options, uses: map[string]*usage{}, trialMonitor: newJudging(), demand: map[string]*smoothedRate{}, released: map[string]*smoothedRate{}, suspects: map[string]suspect{}, fullUntil: map[string]time.Duration{}, endedBoots: map[string]string{}, replicas: map[string]*replicaState{}, breakers: map[string]*regionBreaker{}, lastProbes: map[string]time.Duration{}, noReplicaSince: map[string]time.Duration{}, lastRepeatable: map[string]time.Duration{}, repeatBudgets: map[string]*retryBudget{}, digests: map[string]*digest{}}
+	decider := &Decider{Options: options, uses: map[string]*usage{}, trialMonitor: newTrialMonitor(), demand: map[string]*smoothedRate{}, released: map[string]*smoothedRate{}, suspects: map[string]suspect{}, fullUntil: map[string]time.Duration{}, endedBoots: map[string]string{}, replicas: map[string]*replicaState{}, breakers: map[string]*regionBreaker{}, lastProbes: map[string]time.Duration{}, noReplicaSince: map[string]time.Duration{}, lastRepeatable: map[string]time.Duration{}, repeatBudgets: map[string]*retryBudget{}, digests: map[string]*digest{}}
 	decider.counts.Declined = map[string]uint64{}
 	decider.window.totals = map[routing.Outcome]routing.Outcome{}
 	decider.tickets.init()
--- a/decide/entry_daemons.go
+++ b/decide/entry_daemons.go
@@ -4,7 +4,7 @@
 	"swifttiller/session"
 )
 
-// Doors: the addresses at which callers enter.
+// Entry daemons: those that callers send requests to.
 
 // EntryDaemons returns the daemons that callers in the zone may send requests for the host to, from
 // the nearest of these groups that is not empty: those in the zone; those in the region;
--- a/decide/health.go
+++ b/decide/health.go
@@ -66,8 +66,8 @@
 	maxUnsafeWait    = 2 * maxEjection
 	minProbes        = 3
 	extraProbes      = 2
-	// A first token is late if it takes longer than slowTimes the forecast plus slowMore;
-	// slowBad is its weight as a failure.
+	// A first token is late if it takes longer than slowFactor times the forecast plus slowMore;
+	// slowWeight is its weight as a failure.
 	slowFactor = 3
 	slowMore   = 300 * time.Millisecond
 	slowWeight = 0.4
@@ -150,11 +150,11 @@
 
 // failureWeight is the weight of an outcome as a failure of the replica: zero if it shows nothing
 // about the replica, and for a late answer the certainty that the replica caused it.
-func failureWeight(mishap *verdict.Error, isEmpty bool, certainty float64) float64 {
-	if mishap == nil {
+func failureWeight(failure *verdict.Error, isEmpty bool, certainty float64) float64 {
+	if failure == nil {
 		return 0
 	}
-	switch mishap.Code {
+	switch failure.Code {
 	case "replica_failed", "replica_cut", "cut", "replica_garbled":
 		return 1
 	case "replica_declined":
@@ -172,8 +172,8 @@
 // isCertainFailure reports whether a failure is certainly the replica's own. Lateness is not: it also
 // comes from load, which all daemons of a region observe alike, so that they would all move
 // away from the replica at once.
-func isCertainFailure(mishap *verdict.Error) bool {
-	return mishap.Code != "replica_silent" && mishap.Code != "expired"
+func isCertainFailure(failure *verdict.Error) bool {
+	return failure.Code != "replica_silent" && failure.Code != "expired"
 }
 
 // recordFailure adds the weight of a routed request's failure to its replica's health, and
@@ -195,7 +195,7 @@
 	}
 }
 
-// recordLate is judgeHealth for a late first token. That shows nothing about a replica that
+// recordLate is recordFailure for a late first token. That shows nothing about a replica that
 // is busy or cold.
 func (decider *Decider) recordLate(selection *Selection, weight float64, now time.Duration) {
 	view := decider.View()
@@ -246,7 +246,7 @@
 	table := view.RoutingTables[region]
 	placed := endpointIndex{list: table.Places}
 	for _, row := range table.Rows {
-		if place := placed.of(row.Replica); row.Model != model || place == nil || view.Evacuated[place.Zone] {
+		if endpoint := placed.of(row.Replica); row.Model != model || endpoint == nil || view.Evacuated[endpoint.Zone] {
 			continue
 		}
 		all++
--- a/decide/health_query.go
+++ b/decide/health_query.go
@@ -41,7 +41,7 @@
 
 // HealthQueries lists the replicas to be queried now, those of this daemon's own region first.
 // Each is listed again only after a while, and none is listed unless requests need them. The
-// results are passed to Inquired.
+// results are passed to RecordHealthQuery.
 func (decider *Decider) HealthQueries() (list []HealthQuery) {
 	view := decider.View()
 	now := decider.World.Now()
@@ -56,18 +56,18 @@
 		table := view.RoutingTables[region]
 		known := enginesByReplica(view.Tree, table)
 		for at := range table.Places {
-			place := &table.Places[at]
-			state, engine := decider.replicaState(place.ID), known[place.ID]
+			endpoint := &table.Places[at]
+			state, engine := decider.replicaState(endpoint.ID), known[endpoint.ID]
 			wait := recheckUnknown
 			if state.queryReply.isWarm {
 				wait = recheckWarm
 			}
-			if engine == nil || place.Warm < 1 || view.Evacuated[place.Zone] || state.lastQuery > 0 && now-state.lastQuery < time.Duration(wait*float64(span)) {
+			if engine == nil || endpoint.Warm < 1 || view.Evacuated[endpoint.Zone] || state.lastQuery > 0 && now-state.lastQuery < time.Duration(wait*float64(span)) {
 				continue
 			}
 			state.lastQuery = now
-			isNear[place.ID] = region == decider.Self.Region
-			list = append(list, HealthQuery{Replica: place.ID, Address: place.Address, Boot: place.Boot, Path: engine.ProbePath})
+			isNear[endpoint.ID] = region == decider.Self.Region
+			list = append(list, HealthQuery{Replica: endpoint.ID, Address: endpoint.Address, Boot: endpoint.Boot, Path: engine.ProbePath})
 		}
 	}
 	// The order differs between daemons, so that they do not all query the same replicas first.
@@ -110,6 +110,6 @@
 
 // isCold reports whether a replica counts as cold: its routing table says so, or nobody keeps
 // that up to date and the replica has not recently answered otherwise.
-func (decider *Decider) isCold(view *lease.View, place *routing.Endpoint, state *replicaState, now time.Duration) bool {
-	return place.Warm < 1 || view.Unconfirmed[place.Region] && !state.queryReply.confirmsWarm(place.Boot, now, view.Tree.Duration("permit_ms", ""))
+func (decider *Decider) isCold(view *lease.View, endpoint *routing.Endpoint, state *replicaState, now time.Duration) bool {
+	return endpoint.Warm < 1 || view.Unconfirmed[endpoint.Region] && !state.queryReply.confirmsWarm(endpoint.Boot, now, view.Tree.Duration("permit_ms", ""))
 }
--- a/decide/health_reports.go
+++ b/decide/health_reports.go
@@ -196,10 +196,10 @@
 
 // shownBoot returns the run (boot) of a replica that the region's routing table shows.
 func shownBoot(view *lease.View, region, replica string) (boot string, isShown bool) {
-	places := view.RoutingTables[region].Places
-	for at := range places {
-		if places[at].ID == replica {
-			return places[at].Boot, true
+	endpoints := view.RoutingTables[region].Places
+	for at := range endpoints {
+		if endpoints[at].ID == replica {
+			return endpoints[at].Boot, true
 		}
 	}
 	return "", false
--- a/decide/health_test.go
+++ b/decide/health_test.go
@@ -22,8 +22,8 @@
 	fails func(replica string) *verdict.Error
 	// failsSelection, if set, takes the place of fails and gets the whole selection.
 	failsSelection func(selection *decide.Selection) *verdict.Error
-	// declines, if set, gets the rejections of requests that no replica was found for.
-	declines func(mishap *verdict.Error)
+	// onReject, if set, gets the rejections of requests that no replica was found for.
+	onReject func(mishap *verdict.Error)
 	view     *lease.View
 	// sent holds the times of the requests to each replica; failed and all count requests
 	// since the last takeCounts.
@@ -55,33 +55,33 @@
 // request sends one request of 30 ms to the replica that the decider selects.
 func (clinic *healthBench) request(node *sim.Node, path string) {
 	routed := &decide.Routed{ID: "r", Host: "h.example", Path: path, Tokens: 100, MaxAnswerTokens: 40, Deadline: node.Now() + 10*time.Second}
-	if mishap := clinic.decider.Resolve(routed); mishap != nil {
-		clinic.t.Error(mishap.Code)
+	if rejection := clinic.decider.Resolve(routed); rejection != nil {
+		clinic.t.Error(rejection.Code)
 		return
 	}
-	selection, mishap := clinic.decider.Route(routed, nil)
-	if mishap != nil && clinic.declines != nil {
-		clinic.declines(mishap)
+	selection, rejection := clinic.decider.Route(routed, nil)
+	if rejection != nil && clinic.onReject != nil {
+		clinic.onReject(rejection)
 		return
 	}
-	if mishap != nil {
-		clinic.t.Errorf("%s at %v", mishap.Code, node.Now())
+	if rejection != nil {
+		clinic.t.Errorf("%s at %v", rejection.Code, node.Now())
 		return
 	}
 	clinic.total++
 	clinic.sent[selection.Replica] = append(clinic.sent[selection.Replica], node.Now())
-	mishap = clinic.fails(selection.Replica)
+	rejection = clinic.fails(selection.Replica)
 	if clinic.failsSelection != nil {
-		mishap = clinic.failsSelection(selection)
+		rejection = clinic.failsSelection(selection)
 	}
 	loop.Sleep(node, 30*time.Millisecond)
-	if mishap == nil {
+	if rejection == nil {
 		clinic.decider.NoteAlive(selection, nil)
 		clinic.decider.NoteFirstChunk(selection, true)
 	} else {
 		clinic.failed++
 	}
-	clinic.decider.EndRouted(selection, mishap, 30*time.Millisecond)
+	clinic.decider.EndRouted(selection, rejection, 30*time.Millisecond)
 }
 
 func (clinic *healthBench) takeCounts() (failed, all int) {
--- a/decide/keys_test.go
+++ b/decide/keys_test.go
@@ -59,15 +59,15 @@
 	} {
 		view = test.view
 		routed := &decide.Routed{Host: "h.example", Path: test.path, Key: test.key, Deadline: world.Now() + time.Minute}
-		mishap := decider.Resolve(routed)
+		rejection := decider.Resolve(routed)
 		switch {
-		case (mishap != nil) != (test.status != 0), mishap != nil && (mishap.Status != test.status || mishap.Code != test.code):
-			t.Errorf("%s with key %q: unexpected outcome %+v", test.path, test.key, mishap)
-		case mishap == nil && routed.IsTenanted != test.view.Tree.HasTenants():
+		case (rejection != nil) != (test.status != 0), rejection != nil && (rejection.Status != test.status || rejection.Code != test.code):
+			t.Errorf("%s with key %q: unexpected outcome %+v", test.path, test.key, rejection)
+		case rejection == nil && routed.IsTenanted != test.view.Tree.HasTenants():
 			t.Errorf("%s with key %q: IsTenanted is %v, unlike the configuration", test.path, test.key, routed.IsTenanted)
 		}
 		got := ""
-		if mishap == nil && routed.Tenant != nil {
+		if rejection == nil && routed.Tenant != nil {
 			got = routed.Tenant.Name
 		}
 		if got != test.tenant {
@@ -90,12 +90,12 @@
 			for index := range 200 {
 				routed := &decide.Routed{Host: "h.example", Path: test.path, Key: test.key, Tokens: 17020, MaxAnswerTokens: 48, Deadline: world.Now() + time.Minute,
 					Parts: []decide.Part{{ID: uint64(1 + index%12), Tokens: 13300}, {ID: uint64(1000 + index), Tokens: 3720}}}
-				if mishap := decider.Resolve(routed); mishap != nil {
-					t.Fatal(mishap.Code)
+				if rejection := decider.Resolve(routed); rejection != nil {
+					t.Fatal(rejection.Code)
 				}
-				selection, mishap := decider.Route(routed, nil)
-				if mishap != nil {
-					t.Fatal(mishap.Code)
+				selection, rejection := decider.Route(routed, nil)
+				if rejection != nil {
+					t.Fatal(rejection.Code)
 				}
 				decider.NoteFirstChunk(selection, true)
 				if !strings.Contains(test.allowed, selection.Region) || routed.Urgency() != test.urgency {
@@ -109,10 +109,10 @@
 	view = keyedView(t, `"regions"`, tenantsJSON, `"name":"o"`, `"homes":["c"],"name":"o"`)
 	decider := decide.New(decide.Options{World: world, View: func() *lease.View { return view }, Self: session.Member{Name: "x", Role: session.Data, Region: "a", Zone: "a-1"}})
 	routed := &decide.Routed{Host: "h.example", Path: oncePath, Key: "k1", Tokens: 100, MaxAnswerTokens: 40, Deadline: world.Now() + time.Minute}
-	if mishap := decider.Resolve(routed); mishap != nil {
-		t.Fatal(mishap.Code)
+	if rejection := decider.Resolve(routed); rejection != nil {
+		t.Fatal(rejection.Code)
 	}
-	if selection, mishap := decider.Route(routed, nil); mishap == nil || mishap.Status != 503 {
-		t.Errorf("home: a request without a common home region went to %v, %v", selection, mishap)
+	if selection, rejection := decider.Route(routed, nil); rejection == nil || rejection.Status != 503 {
+		t.Errorf("home: a request without a common home region went to %v, %v", selection, rejection)
 	}
 }
--- a/decide/prediction.go
+++ b/decide/prediction.go
@@ -84,7 +84,7 @@
 const coldPenalty = 30 * time.Millisecond
 
 // staleLivenessPenalty is the cost of a replica that has shown no sign of life for
-// livenessLifetime. It applies to requests that may be sent only once, within warySpan after a
+// livenessLifetime. It applies to requests that may be sent only once, within cautionSpan after a
 // failure or a silent replica anywhere, since failures seldom come alone.
 const (
 	staleLivenessPenalty = 10 * time.Millisecond
--- a/decide/release.go
+++ b/decide/release.go
@@ -47,13 +47,13 @@
 
 // Release returns a selection with its outcome. first is the time to the first token, 0 if
 // there was none.
-func (decider *Decider) Release(selection *Selection, mishap *verdict.Error, first time.Duration) {
+func (decider *Decider) Release(selection *Selection, failure *verdict.Error, first time.Duration) {
 	now := decider.World.Now()
 	outcome := routing.Outcome{Replica: selection.Replica, Model: selection.call.Model, Version: selection.Version, Kind: selection.call.Kind, Boot: selection.Boot}
 	decider.mu.Lock()
 	defer decider.mu.Unlock()
 	switch {
-	case mishap == nil:
+	case failure == nil:
 		outcome.OK, outcome.Least = 1, first
 		if first > selection.Allowance+decider.lateBound(selection) {
 			outcome.Late = 1
@@ -61,22 +61,22 @@
 		if decider.isSlow(selection, first-selection.Allowance) {
 			outcome.Slow = 1
 		}
-	case mishap.Code == "caller_gone" && !decider.isLate(selection, now) || mishap.Code == "no_permit" || mishap.Code == "moved_on" || mishap.Code == "replica_rejected":
+	case failure.Code == "caller_gone" && !decider.isLate(selection, now) || failure.Code == "no_permit" || failure.Code == "moved_on" || failure.Code == "replica_rejected":
 		// No evidence about the replica.
-	case mishap.Code == replica.RestartedCode:
+	case failure.Code == replica.RestartedCode:
 		decider.endedBoots[selection.Replica] = selection.Boot
-	case mishap.Code == "replica_unreached":
+	case failure.Code == "replica_unreached":
 		outcome.Unreached = 1
-	case mishap.Code == "replica_declined":
+	case failure.Code == "replica_declined":
 		// Only a rejection with a delay comes from the replica itself; a 503 may have other
 		// causes.
-		if mishap.ComeBack > 0 {
+		if failure.ComeBack > 0 {
 			outcome.Full = 1
 		}
 	default:
 		outcome.Mishaps = 1
 	}
-	if mishap != nil && mishap.Verdict == verdict.NotRun {
+	if failure != nil && failure.Verdict == verdict.NotRun {
 		decider.refund(decider.View(), selection)
 	}
 	delete(decider.trialMonitor.waiting, selection)
@@ -91,7 +91,7 @@
 			decider.fullUntil[selection.Replica] = now + routing.RecomputeInterval(view.Tree.Duration("permit_ms", ""))
 		}
 	}
-	if mishap != nil && (mishap.Code == "replica_unreached" || mishap.Code == "replica_cut" || mishap.Code == "cut") {
+	if failure != nil && (failure.Code == "replica_unreached" || failure.Code == "replica_cut" || failure.Code == "cut") {
 		if view := decider.View(); view.Tree != nil {
 			decider.suspects[selection.Replica] = suspect{now + view.Tree.Duration("dark_ms", decider.Self.Zone) + view.Tree.Duration("permit_ms", "")/2, selection.Region}
 		}
--- a/decide/replica_state.go
+++ b/decide/replica_state.go
@@ -95,7 +95,7 @@
 
 // admits reports whether a replica without a sign of life since its last backoff may get a
 // request: one at a time, and after a second strike only requests that may be repeated
-// elsewhere, unless the backoff ended more than mostShun ago.
+// elsewhere, unless the backoff ended more than maxBackOff ago.
 func (engine *replicaState) admits(now time.Duration, isRepeatable bool) bool {
 	if engine.failuresInRow == 0 {
 		return true
--- a/decide/report.go
+++ b/decide/report.go
@@ -104,8 +104,8 @@
 // digest is what Report needs to know of a region's routing table. It is immutable.
 type digest struct {
 	// rows and places are those that the digest was made of.
-	rows   []routing.Row
-	places []routing.Endpoint
+	rows      []routing.Row
+	endpoints []routing.Endpoint
 	// versions has one version of each model. mixed has the models with several versions,
 	// or with rows that are on trial or stand by for a rollback.
 	versions map[string]string
@@ -120,13 +120,13 @@
 // immutable, so most often the digest is cached.
 func (decider *Decider) digest(region string, table routing.Table) *digest {
 	cached := decider.digests[region]
-	if cached != nil && isSameSlice(cached.rows, table.Rows) && isSameSlice(cached.places, table.Places) {
+	if cached != nil && isSameSlice(cached.rows, table.Rows) && isSameSlice(cached.endpoints, table.Places) {
 		return cached
 	}
-	fresh := &digest{rows: table.Rows, places: table.Places, versions: map[string]string{}, mixed: map[string]bool{}, credits: map[string]float64{}, replicas: map[string]bool{}}
+	fresh := &digest{rows: table.Rows, endpoints: table.Places, versions: map[string]string{}, mixed: map[string]bool{}, credits: map[string]float64{}, replicas: map[string]bool{}}
 	credits := map[string]int{}
-	for _, place := range table.Places {
-		credits[place.ID] = place.Credits[decider.Self.Name]
+	for _, endpoint := range table.Places {
+		credits[endpoint.ID] = endpoint.Credits[decider.Self.Name]
 	}
 	counted := map[[2]string]bool{}
 	for _, row := range table.Rows {
--- a/decide/route.go
+++ b/decide/route.go
@@ -11,7 +11,7 @@
 // caller is a request of its own and is handled by a single daemon.
 type Routed struct {
 	ID, Host, Path string
-	// Tokens is the length of the prompt and Most the limit on the answer, in tokens. Parts
+	// Tokens is the length of the prompt and MaxAnswerTokens the limit on the answer, in tokens. Parts
 	// are the pieces of the prompt; all but the last may be shared with other requests.
 	Tokens, MaxAnswerTokens int
 	Parts                   []Part
@@ -23,7 +23,7 @@
 	// ReceivedAt is when the request was read.
 	ReceivedAt time.Duration
 
-	// Route, Model and Tenant are set by Direct. Tenant is nil for requests on a keyless
+	// Route, Model and Tenant are set by Resolve. Tenant is nil for requests on a keyless
 	// route, and for all requests if the configuration has no tenants.
 	Route  *settings.Route
 	Model  string
@@ -59,7 +59,7 @@
 	return decider.reject(429, "over_quota", "the tenant is above its rate limit", retryAfter)
 }
 
-// RefundQuota refunds a request that was admitted by Direct and not run to its tenant's limit.
+// RefundQuota refunds a request that was admitted by Resolve and not run to its tenant's limit.
 func (decider *Decider) RefundQuota(routed *Routed) {
 	if routed.isQuotaCharged {
 		routed.isQuotaCharged = false
@@ -165,8 +165,8 @@
 	return route.Shares[len(route.Shares)-1].Model
 }
 
-// Route selects a replica for a request that was admitted by Direct. If none is available
-// now, it waits for a short time. The caller must end the selection with Unseat.
+// Route selects a replica for a request that was admitted by Resolve. If none is available
+// now, it waits for a short time. The caller must end the selection with EndRouted.
 func (decider *Decider) Route(routed *Routed, avoid Avoid) (*Selection, *verdict.Error) {
 	until := decider.World.Now() + min(routed.Route.Target/queueWaitDivisor, maxQueueWait)
 	for {
--- a/decide/suspicion.go
+++ b/decide/suspicion.go
@@ -49,8 +49,8 @@
 // isListed reports whether this run (boot) of the selection's replica is in the routing table.
 func isListed(view *lease.View, selection *Selection) bool {
 	placed := endpointIndex{list: view.RoutingTables[selection.Region].Places}
-	place := placed.of(selection.Replica)
-	return place != nil && place.Boot == selection.Boot
+	endpoint := placed.of(selection.Replica)
+	return endpoint != nil && endpoint.Boot == selection.Boot
 }
 
 // silenceLimit is how long a replica may send nothing at all while a response is expected from
@@ -70,7 +70,7 @@
 	maxBackOff     = 3 * time.Second
 )
 
-// backOff keeps requests from a replica for a while, longer each time in a row, up to mostShun.
+// backOff keeps requests from a replica for a while, longer each time in a row, up to maxBackOff.
 func (decider *Decider) backOff(state *replicaState, now time.Duration) {
 	if now < state.backOffUntil {
 		return
--- a/decide/ticket.go
+++ b/decide/ticket.go
@@ -193,27 +193,27 @@
 	}
 	// The ticket is bound to another daemon: check the local rows first, then ask
 	// that daemon.
-	if mishap, known := decider.checkLocal(call, key); known {
-		return mishap
+	if failure, known := decider.checkLocal(call, key); known {
+		return failure
 	}
 	var timeLeft time.Duration
-	mishap := daemonGone()
+	failure := daemonGone()
 	if bound := decider.boundDaemon(ticket); !isOurs && bound != nil {
-		timeLeft, mishap = decider.claim(ticket, call.ID, bound.Wire, bound.Incarnation, 0)
+		timeLeft, failure = decider.claim(ticket, call.ID, bound.Wire, bound.Incarnation, 0)
 	}
-	if mishap != nil && mishap.Code == daemonGoneCode {
+	if failure != nil && failure.Code == daemonGoneCode {
 		if !isOurs {
 			successor = decider.findSuccessor(ticket)
 		}
 		if successor != nil {
-			timeLeft, mishap = decider.claim(ticket, call.ID, successor.Wire, successor.Incarnation, 0)
+			timeLeft, failure = decider.claim(ticket, call.ID, successor.Wire, successor.Incarnation, 0)
 		}
 	}
 	decider.mu.Lock()
 	defer decider.mu.Unlock()
-	if mishap != nil {
-		decider.counts.Declined[mishap.Code]++
-		return mishap
+	if failure != nil {
+		decider.counts.Declined[failure.Code]++
+		return failure
 	}
 	return decider.admit(call, key, now+timeLeft)
 }
@@ -308,7 +308,7 @@
 }
 
 // Settled records the outcome of a call that Allow admitted.
-func (decider *Decider) Settled(call *Call, mishap *verdict.Error) {
+func (decider *Decider) Settled(call *Call, failure *verdict.Error) {
 	if call.ticketKey == nil {
 		return
 	}
@@ -316,10 +316,10 @@
 	defer decider.mu.Unlock()
 	row := decider.tickets.rows[*call.ticketKey]
 	switch {
-	case mishap != nil && mishap.Verdict == verdict.NotRun:
+	case failure != nil && failure.Verdict == verdict.NotRun:
 		row.state = rejectedUnrun
 	default:
-		row.state, row.ran = ended, mishap == nil || mishap.Verdict == verdict.Ran
+		row.state, row.ran = ended, failure == nil || failure.Verdict == verdict.Ran
 	}
 	decider.tickets.rows[*call.ticketKey] = row
 }
@@ -338,7 +338,7 @@
 	Given       bool   // it never ran; it is now transferred to the claimant
 	Running     bool
 	Ran         bool
-	Unrun       bool // its caller was told not_run, which stays final
+	Unrun       bool // its caller received not_run, which stays final
 	Expired     bool
 	Left        time.Duration
 	// Next and NextIncarnation are those of the daemon that it was transferred to before.
@@ -442,7 +442,7 @@
 	Rows    []TicketHandoverRow
 }
 
-// TicketHandoverRow is one row of a Bequest.
+// TicketHandoverRow is one row of a TicketHandover.
 type TicketHandoverRow struct {
 	Ticket, Request     string
 	Unrun, Ran          bool
--- a/decide/trials.go
+++ b/decide/trials.go
@@ -154,7 +154,7 @@
 	return shared.isSpending
 }
 
-func newJudging() trialMonitor {
+func newTrialMonitor() trialMonitor {
 	return trialMonitor{sharedBuckets: map[string]*sharedBucket{}, buckets: map[string]*tokenBucket{}, failed: map[routing.ReplicaVersion]bool{}, waiting: map[*Selection]time.Duration{}, usualFirst: map[string]time.Duration{}, firstSamples: map[string]int{}}
 }
 
--- a/decide/trials_test.go
+++ b/decide/trials_test.go
@@ -47,9 +47,9 @@
 	bench.Node("x").Go(func() {
 		request := call("q")
 		request.Kind = kind
-		var mishap *verdict.Error
-		if selection, mishap = bench.deciders["x"].Select(request, nil); mishap != nil {
-			t.Errorf("request rejected: %v", mishap)
+		var rejection *verdict.Error
+		if selection, rejection = bench.deciders["x"].Select(request, nil); rejection != nil {
+			t.Errorf("request rejected: %v", rejection)
 			return
 		}
 		if took := first(selection.Version); took < 0 {
@@ -161,9 +161,9 @@
 		for turn := 0; turn < 2000 && answers < 50 && !isNoticed; turn++ {
 			took := 80*time.Millisecond + time.Duration(turn%5)*10*time.Millisecond
 			bench.Node("x").Go(func() {
-				selection, mishap := decider.Select(call("q"), nil)
-				if mishap != nil {
-					t.Errorf("request rejected: %v", mishap)
+				selection, rejection := decider.Select(call("q"), nil)
+				if rejection != nil {
+					t.Errorf("request rejected: %v", rejection)
 					return
 				}
 				if selection.Version == "v2" {
--- a/doctor/doctor.go
+++ b/doctor/doctor.go
@@ -416,8 +416,8 @@
 	if exam.tree == nil {
 		return
 	}
-	clash := func(place, evidence string, values ...any) {
-		exam.find("settings clash", Warning, "change the limits of that region", "%s: %s", place, fmt.Sprintf(evidence, values...))
+	clash := func(where, evidence string, values ...any) {
+		exam.find("settings clash", Warning, "change the limits of that region", "%s: %s", where, fmt.Sprintf(evidence, values...))
 	}
 	for _, region := range exam.tree.Regions() {
 		limit := func(name string) time.Duration { return exam.tree.Duration(name, region) }
--- a/doctor/doctor_test.go
+++ b/doctor/doctor_test.go
@@ -233,7 +233,7 @@
 	cluster := fleet.NewPark(3, fleet.Sahayogi())
 	defer cluster.Close()
 	cluster.Run(6 * time.Second)
-	// The leader for east crashes; until another one is elected, the duty is vacant.
+	// The leader for east crashes; until another one is elected, the leadership is vacant.
 	leader := ""
 	for _, name := range []string{"c1", "c2", "c3", "c4"} {
 		if _, held := cluster.Controls[name].Elections.Term(controlplane.RegionElection + "east"); held {
--- a/election/election.go
+++ b/election/election.go
@@ -100,8 +100,8 @@
 func (elector *Elector) Last(name string) (Leadership, bool) {
 	elector.mu.Lock()
 	defer elector.mu.Unlock()
-	duty, isKnown := elector.lastRead[name]
-	return duty, isKnown
+	last, isKnown := elector.lastRead[name]
+	return last, isKnown
 }
 
 // Snapshot returns all leaderships as last read, and how often this daemon saw each of them change its
@@ -109,12 +109,12 @@
 func (elector *Elector) Snapshot() (map[string]Leadership, map[string]int) {
 	elector.mu.Lock()
 	defer elector.mu.Unlock()
-	duties, changes := map[string]Leadership{}, map[string]int{}
-	for name, duty := range elector.lastRead {
-		duties[name] = duty
+	leaderships, changes := map[string]Leadership{}, map[string]int{}
+	for name, last := range elector.lastRead {
+		leaderships[name] = last
 		changes[name] = elector.Changes[name]
 	}
-	return duties, changes
+	return leaderships, changes
 }
 
 // Run watches the leaderships and campaigns for vacant ones. A restarted daemon checks more often
@@ -149,17 +149,17 @@
 	reclaimable := map[string]Leadership{}
 	var ownNames []string
 	for index, name := range names {
-		var duty Leadership
+		var current Leadership
 		if value := values[keys[index]]; value.Serial > 0 {
-			_ = json.Unmarshal(value.Data, &duty)
+			_ = json.Unmarshal(value.Data, &current)
 		}
-		elector.record(name, duty, now)
+		elector.record(name, current, now)
 		switch {
-		case !elector.isVacant(name, duty):
-		case duty.Holder == elector.Name:
-			reclaimable[name], ownNames = duty, append(ownNames, name)
+		case !elector.isVacant(name, current):
+		case current.Holder == elector.Name:
+			reclaimable[name], ownNames = current, append(ownNames, name)
 		default:
-			elector.campaign(name, duty)
+			elector.campaign(name, current)
 		}
 	}
 	// Other daemons don't campaign as early for what this daemon held before its restart. So it
@@ -171,22 +171,22 @@
 }
 
 // record updates the local state from the register's content.
-func (elector *Elector) record(name string, duty Leadership, readAt time.Duration) {
+func (elector *Elector) record(name string, current Leadership, readAt time.Duration) {
 	elector.mu.Lock()
 	defer elector.mu.Unlock()
 	if elector.held == nil {
 		elector.held, elector.lastRead, elector.Changes, elector.changedAt = map[string]leadership{}, map[string]Leadership{}, map[string]int{}, map[string]time.Duration{}
 	}
 	previous, isKnown := elector.lastRead[name]
-	if isKnown && previous.Serial != duty.Serial {
+	if isKnown && previous.Serial != current.Serial {
 		elector.Changes[name]++
 	}
-	if !isKnown || previous != duty {
+	if !isKnown || previous != current {
 		elector.changedAt[name] = elector.World.Now()
 	}
-	elector.lastRead[name] = duty
-	if duty.Holder == elector.Name && duty.Incarnation == elector.Incarnation && !elector.isResigned {
-		elector.held[name] = leadership{duty.Serial, readAt}
+	elector.lastRead[name] = current
+	if current.Holder == elector.Name && current.Incarnation == elector.Incarnation && !elector.isResigned {
+		elector.held[name] = leadership{current.Serial, readAt}
 	} else {
 		delete(elector.held, name)
 	}
@@ -195,15 +195,15 @@
 // isVacant reports whether the leadership, as just read, is vacant. A leader that is alive but
 // does not claim its leadership can't reach a majority and so can't act as leader; a new leader is
 // given time to announce its claim.
-func (elector *Elector) isVacant(name string, duty Leadership) bool {
+func (elector *Elector) isVacant(name string, current Leadership) bool {
 	elector.mu.Lock()
 	isResigned, unchanged := elector.isResigned, elector.World.Now()-elector.changedAt[name]
 	elector.mu.Unlock()
-	if isResigned || duty.Holder == elector.Name && duty.Incarnation == elector.Incarnation {
+	if isResigned || current.Holder == elector.Name && current.Incarnation == elector.Incarnation {
 		return false
 	}
 	// The leader was this daemon before its restart; no knowledge of other members is needed.
-	if duty.Holder == elector.Name {
+	if current.Holder == elector.Name {
 		return true
 	}
 	// A daemon that has just started does not know the members yet. It could neither judge whether
@@ -211,13 +211,13 @@
 	if elector.Watched() < elector.SessionTimeout() {
 		return false
 	}
-	if duty.Holder == "" || elector.HasRestarted(duty.Holder, duty.Incarnation) {
+	if current.Holder == "" || elector.HasRestarted(current.Holder, current.Incarnation) {
 		return true
 	}
 	if elector.Watched() <= 2*elector.SessionTimeout() {
 		return false
 	}
-	return !elector.IsAlive(duty.Holder, duty.Incarnation) || unchanged > 2*elector.SessionTimeout() && !elector.Claims(name, duty)
+	return !elector.IsAlive(current.Holder, current.Incarnation) || unchanged > 2*elector.SessionTimeout() && !elector.Claims(name, current)
 }
 
 var errChanged = errors.New("taken")
@@ -232,11 +232,11 @@
 	startedAt := elector.World.Now()
 	next := Leadership{Holder: elector.Name, Incarnation: elector.Incarnation, Serial: observed.Serial + 1}
 	_, err := elector.Registers.Update(Prefix+name, func(value register.Value) ([]byte, error) {
-		var duty Leadership
+		var current Leadership
 		if value.Serial > 0 {
-			_ = json.Unmarshal(value.Data, &duty)
+			_ = json.Unmarshal(value.Data, &current)
 		}
-		if duty != observed {
+		if current != observed {
 			return nil, errChanged
 		}
 		return json.Marshal(next)
@@ -256,9 +256,9 @@
 	for _, name := range slices.Sorted(maps.Keys(held)) {
 		own := held[name]
 		_, _ = elector.Registers.Update(Prefix+name, func(value register.Value) ([]byte, error) {
-			var duty Leadership
-			_ = json.Unmarshal(value.Data, &duty)
-			if duty.Serial != own.term {
+			var current Leadership
+			_ = json.Unmarshal(value.Data, &current)
+			if current.Serial != own.term {
 				return nil, errChanged
 			}
 			return json.Marshal(Leadership{Serial: own.term})
--- a/execute/execute.go
+++ b/execute/execute.go
@@ -20,7 +20,7 @@
 )
 
 // Sink receives the events of an answer. An error from Event means that the caller has
-// disconnected. The sink may notice a disconnect earlier: Gone then returns true, and the abort
+// disconnected. The sink may notice a disconnect earlier: IsDisconnected then returns true, and the abort
 // function that was bound last is run once, so that an attempt that waits for its replica ends.
 type Sink interface {
 	Event(event []byte) error
@@ -31,7 +31,7 @@
 // CallerState is the part of a sink that tracks whether the caller has disconnected and holds the
 // function that aborts the running attempt.
 //
-// Invariant: abort runs with mu held and only while it is bound. After Bind(nil) the abort function
+// Invariant: abort runs with mu held and only while it is bound. After OnAbort(nil) the abort function
 // of an ended attempt is never called.
 type CallerState struct {
 	mu    sync.Mutex
--- a/lease/acknowledge.go
+++ b/lease/acknowledge.go
@@ -132,12 +132,12 @@
 	applied := Applied{Serial: serial}
 	leaseSpan += time.Duration(MaxClockDrift * float64(leaseSpan))
 	deadline := decidedAt + leaseSpan
-	edition := issuer.offerEdition(serial)
+	update := issuer.offerUpdate(serial)
 	// confirmed has, by name, the incarnations that apply this version or a later one.
 	confirmed := map[string]string{}
 	sendOffer := func(address string, timeout time.Duration) string {
 		var reply OfferReply
-		offer := Offer{Serial: serial, Edition: edition, Patience: timeout * 4 / 5} // leaves time for the reply to arrive
+		offer := Offer{Serial: serial, Edition: update, Patience: timeout * 4 / 5} // leaves time for the reply to arrive
 		if issuer.Net.Call(address, "Permit.Take", offer, &reply, timeout) != nil || reply.Serial < serial {
 			return ""
 		}
--- a/lease/config_update.go
+++ b/lease/config_update.go
@@ -15,7 +15,7 @@
 // ConfigUpdate is the transferred form of a configuration: a delta against the configuration of
 // version Base, which the data daemon has, or all of it if Base is zero.
 //
-// Invariant: an edition whose assembled chunks don't have the digest Sum is rejected. So no
+// Invariant: an update whose assembled chunks don't have the digest Sum is rejected. So no
 // daemon applies a mix of two versions, whatever it had before.
 type ConfigUpdate struct {
 	Serial, Base uint64
@@ -84,9 +84,9 @@
 	return out
 }
 
-// newEdition returns an edition of the chunks for a receiver that has the chunks of the
+// newConfigUpdate returns an update with the chunks for a receiver that has the chunks of the
 // base; base is nil if it has none. The caller sets the versions, the zones and the digest.
-func newEdition(chunks, base []*settings.Chunk) *ConfigUpdate {
+func newConfigUpdate(chunks, base []*settings.Chunk) *ConfigUpdate {
 	baseChunks, newChunks := chunksByDigest(base), chunksByDigest(chunks)
 	var texts strings.Builder
 	for _, chunk := range chunks {
@@ -104,14 +104,14 @@
 	}
 }
 
-// assemble returns the configuration's tree, given the chunks of the base that the edition
-// names. It returns an error if the edition doesn't match the base or the digest.
-func (edition *ConfigUpdate) assemble(base []*settings.Chunk) (*settings.Tree, error) {
+// assemble returns the configuration's tree, given the chunks of the base that the update
+// names. It returns an error if the update doesn't match the base or the digest.
+func (update *ConfigUpdate) assemble(base []*settings.Chunk) (*settings.Tree, error) {
 	var index []byte
 	if base != nil {
 		index = encodeIndex(base)
 	}
-	indexData, err := wire.Decompress(edition.Index, index)
+	indexData, err := wire.Decompress(update.Index, index)
 	if err != nil {
 		return nil, err
 	}
@@ -123,7 +123,7 @@
 	for _, item := range entries {
 		isInIndex[item.Digest] = true
 	}
-	texts, err := wire.Decompress(edition.Texts, removedTexts(base, func(digest settings.Digest) bool { return isInIndex[digest] }))
+	texts, err := wire.Decompress(update.Texts, removedTexts(base, func(digest settings.Digest) bool { return isInIndex[digest] }))
 	if err != nil {
 		return nil, err
 	}
@@ -140,7 +140,7 @@
 		}
 		chunks = append(chunks, chunk)
 	}
-	if configDigest(chunks, edition.Evacuated) != edition.Sum {
+	if configDigest(chunks, update.Evacuated) != update.Sum {
 		return nil, fmt.Errorf("digest of the assembled chunks does not match the decided configuration")
 	}
 	tree, problems := settings.Assemble(chunks)
@@ -192,7 +192,7 @@
 		first--
 	}
 	issuer.versions = append([]configVersion{}, issuer.versions[first:]...)
-	issuer.editions = map[uint64]*ConfigUpdate{}
+	issuer.updates = map[uint64]*ConfigUpdate{}
 }
 
 // FetchRequest is a data daemon's request for a configuration, of version Serial or later.
@@ -201,14 +201,14 @@
 	Base   uint64 // version that it has and wants a delta against; zero for none
 }
 
-// maxOfferBytes is the largest size of an edition that offers may carry.
+// maxOfferBytes is the largest size of an update that offers may carry.
 const maxOfferBytes = 2048
 
-// offerEdition returns the edition that offers of this version carry, against the version
+// offerUpdate returns the update that offers of this version carry, against the version
 // before it. Only an evacuation, which changes no chunk, is carried. For all other changes
 // it returns nil, and every holder fetches them once, from an issuer near it. It also
 // returns nil if this issuer's newest configuration is another one.
-func (issuer *Issuer) offerEdition(serial uint64) *ConfigUpdate {
+func (issuer *Issuer) offerUpdate(serial uint64) *ConfigUpdate {
 	issuer.mutex.Lock()
 	count := len(issuer.versions)
 	if count < 2 || issuer.serial != serial {
@@ -221,14 +221,14 @@
 	if !isSame {
 		return nil
 	}
-	edition := new(ConfigUpdate)
-	if issuer.Fetch(FetchRequest{Serial: serial, Base: base}, edition) != nil || edition.Serial != serial || edition.Base != base {
+	update := new(ConfigUpdate)
+	if issuer.Fetch(FetchRequest{Serial: serial, Base: base}, update) != nil || update.Serial != serial || update.Base != base {
 		return nil
 	}
-	if len(edition.Index)+len(edition.Texts) > maxOfferBytes {
+	if len(update.Index)+len(update.Texts) > maxOfferBytes {
 		return nil
 	}
-	return edition
+	return update
 }
 
 // sameChunks tells whether two configurations have the same chunks in the same order.
@@ -238,8 +238,8 @@
 
 // Fetch returns the newest configuration as a delta against the requested base, or in full
 // if that base is not kept. It is packed once for all holders with the same base. The
-// version of the edition is zero if there is none as new as requested.
-func (issuer *Issuer) Fetch(request FetchRequest, edition *ConfigUpdate) error {
+// version of the update is zero if there is none as new as requested.
+func (issuer *Issuer) Fetch(request FetchRequest, update *ConfigUpdate) error {
 	if serial, _, _ := issuer.Current(); serial < request.Serial {
 		if err := issuer.Refresh(); err != nil {
 			return err
@@ -259,13 +259,13 @@
 	if baseChunks == nil {
 		request.Base = 0
 	}
-	packed := issuer.editions[request.Base]
+	packed := issuer.updates[request.Base]
 	if packed == nil {
 		last := &issuer.versions[len(issuer.versions)-1]
-		packed = newEdition(last.chunks, baseChunks)
+		packed = newConfigUpdate(last.chunks, baseChunks)
 		packed.Serial, packed.Base, packed.Evacuated, packed.Sum = last.serial, request.Base, last.evacuated, configDigest(last.chunks, last.evacuated)
-		issuer.editions[request.Base] = packed
+		issuer.updates[request.Base] = packed
 	}
-	*edition = *packed
+	*update = *packed
 	return nil
 }
--- a/lease/config_update_test.go
+++ b/lease/config_update_test.go
@@ -43,11 +43,11 @@
 
 func (issuer *Issuer) mustFetch(t *testing.T, serial, base uint64) *ConfigUpdate {
 	t.Helper()
-	edition := &ConfigUpdate{}
-	if err := issuer.Fetch(FetchRequest{Serial: serial, Base: base}, edition); err != nil || edition.Serial < serial {
-		t.Fatal(edition.Serial, err)
+	update := &ConfigUpdate{}
+	if err := issuer.Fetch(FetchRequest{Serial: serial, Base: base}, update); err != nil || update.Serial < serial {
+		t.Fatal(update.Serial, err)
 	}
-	return edition
+	return update
 }
 
 // TestEditions guards against deltas that don't reproduce the decided configuration, from
@@ -60,7 +60,7 @@
 	}
 	issuer := newTestIssuer(t, documents...)
 	for base := range uint64(6) {
-		edition := issuer.mustFetch(t, 6, base)
+		update := issuer.mustFetch(t, 6, base)
 		var chunks []*settings.Chunk
 		if base > 0 {
 			tree, problems := settings.Parse(documents[base-1])
@@ -69,16 +69,16 @@
 			}
 			chunks = tree.Chunks()
 		}
-		tree, err := edition.assemble(chunks)
+		tree, err := update.assemble(chunks)
 		if err != nil || !bytes.Equal(tree.Document(), documents[5]) {
 			t.Fatalf("delta against version %d: wrong configuration or error: %v", base, err)
 		}
-		size := len(edition.Index) + len(edition.Texts)
+		size := len(update.Index) + len(update.Texts)
 		t.Logf("against version %d: edition of %d bytes for a document of %d bytes in %d chunks", base, size, len(documents[5]), len(tree.Chunks()))
 		if base > 0 && size > 1000 || base == 0 && size < 10000 {
 			t.Errorf("against version %d: unexpected edition size of %d bytes", base, size)
 		}
-		if again := issuer.mustFetch(t, 0, base); &again.Index[0] != &edition.Index[0] {
+		if again := issuer.mustFetch(t, 0, base); &again.Index[0] != &update.Index[0] {
 			t.Error("the edition is packed again for each request")
 		}
 	}
@@ -92,7 +92,7 @@
 }
 
 // TestCorruptUpdatesAreRejected guards against a daemon that applies a configuration that was never decided,
-// because the edition or its own chunks were corrupted, and against panics on such input.
+// because the update or its own chunks were corrupted, and against panics on such input.
 func TestCorruptUpdatesAreRejected(t *testing.T) {
 	documents := [][]byte{routesDocument(1, 400, 7), routesDocument(2, 400, 300), routesDocument(3, 380, 20)}
 	issuer := newTestIssuer(t, documents...)
@@ -117,8 +117,8 @@
 		return out
 	}
 	count := 0
-	check := func(damage string, edition ConfigUpdate, base []*settings.Chunk) {
-		if tree, err := edition.assemble(base); err == nil && !bytes.Equal(tree.Document(), documents[2]) {
+	check := func(damage string, update ConfigUpdate, base []*settings.Chunk) {
+		if tree, err := update.assemble(base); err == nil && !bytes.Equal(tree.Document(), documents[2]) {
 			t.Errorf("mix: %s: assembled a configuration that was not decided", damage)
 		} else if err != nil {
 			count++
@@ -130,18 +130,18 @@
 		if base > 0 {
 			chunks = chunksOf(int(base) - 1)
 		}
-		edition := *issuer.mustFetch(t, 3, base)
+		update := *issuer.mustFetch(t, 3, base)
 		switch round / 3 % 4 {
 		case 0:
-			edition.Index = corrupt(edition.Index)
-			check("corrupted index", edition, chunks)
+			update.Index = corrupt(update.Index)
+			check("corrupted index", update, chunks)
 		case 1:
-			edition.Texts = corrupt(edition.Texts)
-			check("corrupted texts", edition, chunks)
+			update.Texts = corrupt(update.Texts)
+			check("corrupted texts", update, chunks)
 		case 2:
-			edition.Evacuated = []string{"b-1"}
-			check("other evacuated zones", edition, chunks)
-			if _, err := edition.assemble(chunks); err == nil {
+			update.Evacuated = []string{"b-1"}
+			check("other evacuated zones", update, chunks)
+			if _, err := update.assemble(chunks); err == nil {
 				t.Error("mix: accepted evacuated zones that were not decided")
 			}
 		case 3:
@@ -150,8 +150,8 @@
 			}
 			chunk := chunks[random.IntN(len(chunks))]
 			chunk.Text = strings.Replace(chunk.Text, "1000", "1001", 1) // keeps the length
-			check("corrupted chunks of the holder", edition, chunks)
-			check("wrong base", edition, chunksOf(2-int(base)))
+			check("corrupted chunks of the holder", update, chunks)
+			check("wrong base", update, chunksOf(2-int(base)))
 		}
 	}
 	if count < 300 {
@@ -167,10 +167,10 @@
 		small = append(small, routesDocument(label, 500, label))
 	}
 	issuer := newTestIssuer(t, small...)
-	if len(issuer.versions) != maxVersions || len(issuer.editions) > 1 {
+	if len(issuer.versions) != maxVersions || len(issuer.updates) > 1 {
 		t.Errorf("%d configurations are kept as bases", len(issuer.versions))
 	}
-	if edition := issuer.mustFetch(t, maxVersions+9, 10); edition.Base != 10 {
+	if update := issuer.mustFetch(t, maxVersions+9, 10); update.Base != 10 {
 		t.Error("a configuration whose base is kept was sent in full")
 	}
 	for label := range 9 {
@@ -180,7 +180,7 @@
 	if len(issuer.versions) > 2 {
 		t.Errorf("%d configurations are kept as bases although they share no chunks", len(issuer.versions))
 	}
-	if edition := issuer.mustFetch(t, 9, 1); edition.Base != 0 {
+	if update := issuer.mustFetch(t, 9, 1); update.Base != 0 {
 		t.Error("got a delta against a base that is not kept")
 	}
 }
@@ -190,9 +190,9 @@
 // another base is rejected.
 func TestOffersBringEvacuations(t *testing.T) {
 	issuer := newTestIssuer(t, routesDocument(0, 300, 1), routesDocument(0, 300, 1))
-	edition := issuer.offerEdition(2)
-	if edition == nil || edition.Base != 1 {
-		t.Fatalf("the offer does not carry the evacuation: %+v", edition)
+	update := issuer.offerUpdate(2)
+	if update == nil || update.Base != 1 {
+		t.Fatalf("the offer does not carry the evacuation: %+v", update)
 	}
 	tree, problems := settings.Parse(routesDocument(0, 300, 1))
 	if len(problems) > 0 {
@@ -202,22 +202,22 @@
 	holder := NewHolder(HolderOptions{World: world, Self: func() session.Member { return session.Member{Incarnation: "i"} }})
 	holder.view.Store(&View{Serial: 1, Tree: tree, Deadline: loop.Forever})
 	reply := &OfferReply{}
-	if err := holder.Take(Offer{Serial: 2, Edition: edition, Patience: time.Second}, reply); err != nil || reply.Serial != 2 {
+	if err := holder.Take(Offer{Serial: 2, Edition: update, Patience: time.Second}, reply); err != nil || reply.Serial != 2 {
 		t.Fatalf("reply to the offer: %+v, error: %v", reply, err)
 	}
 	if view := holder.View(); view.Serial != 2 || !view.Evacuated["a-1"] {
 		t.Errorf("the holder applies version %d with evacuated zones %v", view.Serial, view.Evacuated)
 	}
-	if offer := (Offer{Serial: 3, Edition: edition}); offer.assemble(holder.View()) != nil {
+	if offer := (Offer{Serial: 3, Edition: update}); offer.assemble(holder.View()) != nil {
 		t.Error("accepted an edition older than the offered version")
 	}
-	if offer := (Offer{Serial: 2, Edition: edition}); offer.assemble(&View{Serial: 7, Tree: tree}) != nil {
+	if offer := (Offer{Serial: 2, Edition: update}); offer.assemble(&View{Serial: 7, Tree: tree}) != nil {
 		t.Error("assembled an edition with another base than its own")
 	}
-	if issuer.offerEdition(1) != nil {
+	if issuer.offerUpdate(1) != nil {
 		t.Error("an offer carries a configuration that is not the newest")
 	}
-	if changed := newTestIssuer(t, routesDocument(0, 300, 1), routesDocument(1, 300, 1)); changed.offerEdition(2) != nil {
+	if changed := newTestIssuer(t, routesDocument(0, 300, 1), routesDocument(1, 300, 1)); changed.offerUpdate(2) != nil {
 		t.Error("an offer carries a changed route, which each holder should fetch once")
 	}
 }
--- a/lease/departure_test.go
+++ b/lease/departure_test.go
@@ -19,7 +19,7 @@
 	cluster := sim.New(1)
 	cluster.Start("d", func(*sim.Node) {})
 	holder := NewHolder(HolderOptions{World: cluster.Node("d"), Self: func() session.Member { return session.Member{Name: "d"} }})
-	applyStanding := func(serial uint64, incarnations ...DepartingReplica) {
+	applyTable := func(serial uint64, incarnations ...DepartingReplica) {
 		table := routing.Table{Region: "r", Serial: serial}
 		for _, incarnation := range incarnations {
 			table.Places = append(table.Places, routing.Endpoint{ID: incarnation.Replica, Boot: incarnation.Boot})
@@ -60,25 +60,25 @@
 		}
 	}
 	a, b, c := DepartingReplica{"a", "1"}, DepartingReplica{"b", "1"}, DepartingReplica{"c", "1"}
-	applyStanding(1, a, b, c)
+	applyTable(1, a, b, c)
 	expectReplicas("before any notice", "a", "b", "c")
 	notify(0, a)
 	expectReplicas("a shuts down", "b", "c")
 	notify(3, b)
 	expectReplicas("b is in no version below 3", "c")
 	notify(9, a)
-	applyStanding(2, a, b, c)
+	applyTable(2, a, b, c)
 	expectReplicas("an older routing table arrives late", "c")
-	applyStanding(3, b, c)
+	applyTable(3, b, c)
 	expectReplicas("b is in version 3 again", "b", "c")
 	notify(2, b)
 	expectReplicas("an outdated notice arrives late", "b", "c")
-	applyStanding(10, DepartingReplica{"a", "2"}, b, c)
+	applyTable(10, DepartingReplica{"a", "2"}, b, c)
 	expectReplicas("another incarnation of a", "a", "b", "c")
-	applyStanding(11, a, b, c)
+	applyTable(11, a, b, c)
 	expectReplicas("a that shuts down is in no later version", "b", "c")
 	cluster.Run(departureRetention + time.Second)
 	notify(0, c)
-	applyStanding(12, a, b, c)
+	applyTable(12, a, b, c)
 	expectReplicas("after the retention, the departure of a is dropped", "a", "b")
 }
--- a/lease/history.go
+++ b/lease/history.go
@@ -84,8 +84,8 @@
 }
 
 // WritePage writes a history page, unless its register holds that page or a newer one.
-func WritePage(keeper *register.Client, timeout time.Duration, page HistoryPage) error {
-	_, err := keeper.UpdateWithin(historyKey(page.Number), timeout, func(value register.Value) ([]byte, error) {
+func WritePage(registers *register.Client, timeout time.Duration, page HistoryPage) error {
+	_, err := registers.UpdateWithin(historyKey(page.Number), timeout, func(value register.Value) ([]byte, error) {
 		var stored HistoryPage
 		if value.Serial > 0 {
 			if err := json.Unmarshal(value.Data, &stored); err != nil {
@@ -104,7 +104,7 @@
 }
 
 // InHistory tells whether an order is in the part of the history that was moved out of the
-// given configuration, which must be a decided one. It returns ErrForgotten or an error of
+// given configuration, which must be a decided one. It returns ErrBeforeHistory or an error of
 // the registers.
 func (issuer *Issuer) InHistory(config Config, mark OrderMark, timeout time.Duration) (bool, error) {
 	first := uint64(0)
--- a/lease/holder.go
+++ b/lease/holder.go
@@ -38,7 +38,7 @@
 // configuration, routing tables, members and lease deadline.
 //
 // Invariant: of two successive views, the later one has no lower Serial, no lower routing
-// table version of any region that it has, and no earlier Expiry. A view that follows a
+// table version of any region that it has, and no earlier Deadline. A view that follows a
 // lapse of the lease has only routing tables that were confirmed to be up to date since
 // then: during the lapse, this daemon was not informed of what became of the replicas.
 type View struct {
@@ -63,8 +63,8 @@
 	evacuatedZones   []string // as received
 	membersAt        time.Duration
 	uptimesAt        time.Duration
-	standingTexts    map[string]standingText // the last ones received, by region
-	// Placements has the tenants' placements with the version PlacedSerial; nil until the first
+	tableTexts       map[string]tableText // the last ones received, by region
+	// Placements has the tenants' placements with the version PlacementsVersion; nil until the first
 	// ones arrive.
 	Placements        *tenant.Placements
 	PlacementsVersion uint64
@@ -142,7 +142,7 @@
 	return holder
 }
 
-// View returns the current view. Callers check Stands right before they act on it.
+// View returns the current view. Callers check IsValid right before they act on it.
 func (holder *Holder) View() *View { return holder.view.Load() }
 
 // Run renews the lease until the process ends: every third of the lease length, so that two
@@ -173,8 +173,8 @@
 
 // hasMovingVersions tells whether a version is on trial or on standby in any of the routing
 // tables.
-func hasMovingVersions(standings map[string]routing.Table) bool {
-	for _, table := range standings {
+func hasMovingVersions(tables map[string]routing.Table) bool {
+	for _, table := range tables {
 		for _, row := range table.Rows {
 			if row.Trial || row.Back {
 				return true
@@ -202,7 +202,7 @@
 	current := holder.View()
 	request := Request{Holder: holder.Self(), Config: current.Serial, Standings: map[string]uint64{}, Placed: current.PlacementsVersion, Members: current.membersSum, IsStale: sentAt-current.uptimesAt >= uptimesMaxAge}
 	for region, table := range current.RoutingTables {
-		if current.standingTexts[region].serial == table.Serial {
+		if current.tableTexts[region].serial == table.Serial {
 			request.Standings[region] = table.Serial
 		}
 	}
@@ -258,13 +258,13 @@
 			next.RoutingTables[region] = table
 		}
 	}
-	next.standingTexts = maps.Clone(current.standingTexts)
-	if next.standingTexts == nil {
-		next.standingTexts = map[string]standingText{}
+	next.tableTexts = maps.Clone(current.tableTexts)
+	if next.tableTexts == nil {
+		next.tableTexts = map[string]tableText{}
 	}
 	for _, update := range grant.Standings {
 		if update.Serial > next.RoutingTables[update.Region].Serial {
-			if table, isRead := next.unpackStanding(update); isRead {
+			if table, isRead := next.unpackTable(update); isRead {
 				next.RoutingTables[table.Region] = table
 			} else {
 				delete(grant.Kept, update.Region) // the grant confirms a version that could not be read
@@ -274,7 +274,7 @@
 	next.Unconfirmed = map[string]bool{}
 	for _, update := range grant.Unkept {
 		if held, known := next.RoutingTables[update.Region]; !known || update.Serial > held.Serial {
-			if table, isRead := next.unpackStanding(update); isRead {
+			if table, isRead := next.unpackTable(update); isRead {
 				next.RoutingTables[table.Region] = table
 			}
 		}
@@ -343,7 +343,7 @@
 	}
 }
 
-// fetchedConfig is a configuration that was assembled from an edition and verified.
+// fetchedConfig is a configuration that was assembled from an update and verified.
 type fetchedConfig struct {
 	serial    uint64
 	tree      *settings.Tree
@@ -394,15 +394,15 @@
 // the current view. It returns nil if the offer carries none, or one against another base
 // than the view's configuration.
 func (offer Offer) assemble(current *View) *fetchedConfig {
-	edition := offer.Edition
-	if edition == nil || edition.Serial < offer.Serial || edition.Base != current.Serial || current.Tree == nil {
+	update := offer.Edition
+	if update == nil || update.Serial < offer.Serial || update.Base != current.Serial || current.Tree == nil {
 		return nil
 	}
-	tree, err := edition.assemble(current.Tree.Chunks())
+	tree, err := update.assemble(current.Tree.Chunks())
 	if err != nil {
 		return nil
 	}
-	return &fetchedConfig{edition.Serial, tree, edition.Evacuated}
+	return &fetchedConfig{update.Serial, tree, update.Evacuated}
 }
 
 type fetchResult struct {
@@ -430,20 +430,20 @@
 		if err != nil {
 			return nil, err
 		}
-		edition := reply.(*ConfigUpdate)
-		if edition.Serial < serial {
+		update := reply.(*ConfigUpdate)
+		if update.Serial < serial {
 			return nil, errNotFetched
 		}
 		var chunks []*settings.Chunk
-		if edition.Base > 0 {
+		if update.Base > 0 {
 			chunks = current.Tree.Chunks() // the chunks of the requested base
 		}
-		tree, err := edition.assemble(chunks)
+		tree, err := update.assemble(chunks)
 		if err == nil {
-			return &fetchedConfig{edition.Serial, tree, edition.Evacuated}, nil
+			return &fetchedConfig{update.Serial, tree, update.Evacuated}, nil
 		}
 		failure = fmt.Errorf("fetched configuration is invalid: %w", err)
-		if edition.Base == 0 {
+		if update.Base == 0 {
 			break // it was already the full configuration
 		}
 	}
--- a/lease/issuer.go
+++ b/lease/issuer.go
@@ -25,7 +25,7 @@
 	ConfigKey          = "config"
 	HolderPrefix       = "holder/"
 	RoutingTablePrefix = "standing/"
-	// PlacementsKey holds the placements of tenants (tenant.Book).
+	// PlacementsKey holds the placements of tenants (tenant.Placements).
 	PlacementsKey = "tenants/placed"
 )
 
@@ -96,7 +96,7 @@
 	OrderTimeout time.Duration
 }
 
-// orderTimeout returns Silence or its default.
+// orderTimeout returns OrderTimeout or its default.
 func (issuer *Issuer) orderTimeout() time.Duration {
 	if issuer.OrderTimeout > 0 {
 		return issuer.OrderTimeout
@@ -120,9 +120,9 @@
 	// far as this issuer saw those.
 	seenAt, olderLeaseSpan time.Duration
 	// versions are the last configurations seen, in ascending order, so that the last one
-	// is config. editions are the packed forms of config, by base version.
+	// is config. updates are the packed forms of config, by base version.
 	versions []configVersion
-	editions map[uint64]*ConfigUpdate
+	updates  map[uint64]*ConfigUpdate
 	// parsedTree is the last result of Parse without problems, of parsedDocument.
 	parsedTree     *settings.Tree
 	parsedDocument []byte
@@ -137,9 +137,9 @@
 	// acknowledged is the highest version that was acknowledged here. That implies the
 	// acknowledgement of all versions before it.
 	acknowledged uint64
-	// standings are the routing tables last read, by region. They are immutable.
-	standings     map[string]routing.Table
-	standingTexts map[string]*textHistory // their encoded forms, by region
+	// tables are the routing tables last read, by region. They are immutable.
+	tables        map[string]routing.Table
+	tableTexts    map[string]*textHistory // their encoded forms, by region
 	memberHistory memberHistory           // the member lists last sent
 	// pages are the history pages that were read, by number. They are immutable.
 	pages map[uint64][]OrderMark
@@ -238,7 +238,7 @@
 	startedAt := issuer.World.Now()
 	record := HolderRecord{Incarnation: request.Holder.Incarnation, Wire: request.Holder.Wire}
 	holderKey := HolderPrefix + request.Holder.Name
-	// The record must be stored before the configuration is read; see Record for the reason.
+	// The record must be stored before the configuration is read; see HolderRecord for the reason.
 	if err := issuer.ensureRecord(holderKey, record, request.Config == 0); err != nil {
 		grant.Declined, grant.IsQueued = err.Error(), errors.Is(err, errQueued)
 		return nil
@@ -281,11 +281,11 @@
 		grant.Serial, grant.Kept = serial, map[string]time.Duration{}
 		for _, region := range newest.Regions() {
 			value := values[RoutingTablePrefix+region]
-			table, isRead := issuer.readStanding(region, value)
+			table, isRead := issuer.readTable(region, value)
 			if slices.Contains(unsettled, RoutingTablePrefix+region) {
 				// It is being written. The previous table applies until the write
 				// completes.
-				table, isRead = issuer.lastStanding(region)
+				table, isRead = issuer.lastTable(region)
 			}
 			// A routing table that is not kept up to date may be from before a complete
 			// outage, and its replicas may be cold by now.
@@ -299,7 +299,7 @@
 				}
 				continue
 			}
-			update, isPacked := issuer.packStanding(table, request.Standings[region])
+			update, isPacked := issuer.packTable(table, request.Standings[region])
 			switch {
 			case isKept && isPacked:
 				grant.Kept[region] = age
@@ -338,11 +338,11 @@
 	return nil
 }
 
-// readStanding returns the routing table that a region's register holds. Each version is
+// readTable returns the routing table that a region's register holds. Each version is
 // decoded once.
-func (issuer *Issuer) readStanding(region string, value register.Value) (routing.Table, bool) {
+func (issuer *Issuer) readTable(region string, value register.Value) (routing.Table, bool) {
 	issuer.mutex.Lock()
-	cached, known := issuer.standings[region]
+	cached, known := issuer.tables[region]
 	issuer.mutex.Unlock()
 	if known && value.Serial > 0 && cached.Serial >= value.Serial {
 		return cached, true // a newer version was also decided before now
@@ -358,20 +358,20 @@
 	issuer.mutex.Lock()
 	defer issuer.mutex.Unlock()
 	issuer.keepText(region, value.Serial, text)
-	if issuer.standings == nil {
-		issuer.standings = map[string]routing.Table{}
+	if issuer.tables == nil {
+		issuer.tables = map[string]routing.Table{}
 	}
-	if issuer.standings[region].Serial < table.Serial {
-		issuer.standings[region] = table
+	if issuer.tables[region].Serial < table.Serial {
+		issuer.tables[region] = table
 	}
 	return table, true
 }
 
-// lastStanding returns the region's routing table that was read last.
-func (issuer *Issuer) lastStanding(region string) (routing.Table, bool) {
+// lastTable returns the region's routing table that was read last.
+func (issuer *Issuer) lastTable(region string) (routing.Table, bool) {
 	issuer.mutex.Lock()
 	defer issuer.mutex.Unlock()
-	table, isRead := issuer.standings[region]
+	table, isRead := issuer.tables[region]
 	return table, isRead
 }
 
--- a/lease/renew_bench_test.go
+++ b/lease/renew_bench_test.go
@@ -20,8 +20,8 @@
 	return nil
 }
 
-// largeStanding returns the routing table of a region with the given number of replicas.
-func largeStanding(region string, serial uint64, replicas int) routing.Table {
+// largeTable returns the routing table of a region with the given number of replicas.
+func largeTable(region string, serial uint64, replicas int) routing.Table {
 	out := routing.Table{Region: region, Serial: serial, Duty: 1, Daemons: 420}
 	for index := range replicas {
 		id := fmt.Sprintf("%s-r%d", region, index+1)
@@ -44,8 +44,8 @@
 			}
 			client := &session.Client{World: world, Net: net, Seeds: func() []string { return []string{"c"} }, SessionTimeout: func() time.Duration { return time.Second }}
 			holder := lease.NewHolder(lease.HolderOptions{World: world, Client: client, Self: func() session.Member { return session.Member{Name: "d"} }})
-			addStanding := func(region string, serial uint64) {
-				packed, err := lease.EncodeRoutingTable(largeStanding(region, serial, 219))
+			addTable := func(region string, serial uint64) {
+				packed, err := lease.EncodeRoutingTable(largeTable(region, serial, 219))
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -54,14 +54,14 @@
 			for index := range 16 {
 				region := fmt.Sprintf("g%d", index+1)
 				net.grant.Kept[region] = 0
-				addStanding(region, 1)
+				addTable(region, 1)
 			}
 			if !holder.Renew() {
 				b.Fatal("renewal failed")
 			}
 			net.grant.Standings, net.grant.Members = nil, nil
 			if updates > 0 {
-				addStanding("g1", 2)
+				addTable("g1", 2)
 			}
 			serial := uint64(2)
 			for b.Loop() {
--- a/lease/slow_fetch_test.go
+++ b/lease/slow_fetch_test.go
@@ -27,8 +27,8 @@
 
 // Fetch returns the configuration that was the newest at the time of the request, after the
 // delay.
-func (control *slowControl) Fetch(want FetchRequest, edition *ConfigUpdate) error {
-	if err := control.issuer.Fetch(want, edition); err != nil {
+func (control *slowControl) Fetch(request FetchRequest, update *ConfigUpdate) error {
+	if err := control.issuer.Fetch(request, update); err != nil {
 		return err
 	}
 	loop.Sleep(control.node, control.delay)
--- a/lease/table_update.go
+++ b/lease/table_update.go
@@ -58,9 +58,9 @@
 	return placements, len(data) > 0 && err == nil && json.Unmarshal(text, &placements) == nil
 }
 
-// maxStandingTexts is how many versions of a region's encoded routing table an issuer keeps
+// maxTableTexts is how many versions of a region's encoded routing table an issuer keeps
 // as bases for deltas.
-const maxStandingTexts = 8
+const maxTableTexts = 8
 
 // textHistory keeps the last encoded routing tables of a region.
 //
@@ -74,29 +74,29 @@
 
 // keepText adds a version to the region's history. The caller holds the mutex.
 func (issuer *Issuer) keepText(region string, serial uint64, text []byte) {
-	if issuer.standingTexts == nil {
-		issuer.standingTexts = map[string]*textHistory{}
+	if issuer.tableTexts == nil {
+		issuer.tableTexts = map[string]*textHistory{}
 	}
-	history := issuer.standingTexts[region]
+	history := issuer.tableTexts[region]
 	if history == nil {
 		history = &textHistory{}
-		issuer.standingTexts[region] = history
+		issuer.tableTexts[region] = history
 	}
 	if len(history.serials) > 0 && history.serials[len(history.serials)-1] >= serial {
 		return
 	}
 	history.serials, history.texts, history.packed = append(history.serials, serial), append(history.texts, text), map[uint64][]byte{}
-	if excess := len(history.serials) - maxStandingTexts; excess > 0 {
+	if excess := len(history.serials) - maxTableTexts; excess > 0 {
 		history.serials, history.texts = append([]uint64{}, history.serials[excess:]...), append([][]byte{}, history.texts[excess:]...)
 	}
 }
 
-// packStanding packs a routing table for a holder that has the version baseSerial. It
+// packTable packs a routing table for a holder that has the version baseSerial. It
 // returns false if the table's encoded form is not kept.
-func (issuer *Issuer) packStanding(table routing.Table, baseSerial uint64) (TableUpdate, bool) {
+func (issuer *Issuer) packTable(table routing.Table, baseSerial uint64) (TableUpdate, bool) {
 	issuer.mutex.Lock()
 	defer issuer.mutex.Unlock()
-	history := issuer.standingTexts[table.Region]
+	history := issuer.tableTexts[table.Region]
 	if history == nil || history.serials[len(history.serials)-1] != table.Serial {
 		return TableUpdate{}, false
 	}
@@ -114,12 +114,12 @@
 	return update, true
 }
 
-// unpackStanding decodes a received routing table, given the ones that the view has, and
+// unpackTable decodes a received routing table, given the ones that the view has, and
 // keeps its encoded form.
-func (view *View) unpackStanding(update TableUpdate) (table routing.Table, isRead bool) {
-	var base standingText
+func (view *View) unpackTable(update TableUpdate) (table routing.Table, isRead bool) {
+	var base tableText
 	if update.Base > 0 {
-		if base = view.standingTexts[update.Region]; base.serial != update.Base {
+		if base = view.tableTexts[update.Region]; base.serial != update.Base {
 			return table, false
 		}
 	}
@@ -128,12 +128,12 @@
 		return table, false
 	}
 	table.Serial = update.Serial
-	view.standingTexts[update.Region] = standingText{update.Serial, data}
+	view.tableTexts[update.Region] = tableText{update.Serial, data}
 	return table, true
 }
 
-// standingText is the encoded routing table of one version.
-type standingText struct {
+// tableText is the encoded routing table of one version.
+type tableText struct {
 	serial uint64
 	data   []byte
 }
--- a/listing/listing.go
+++ b/listing/listing.go
@@ -23,7 +23,7 @@
 	Cold time.Duration
 }
 
-// RateLimitedError is the error of a rate-limited request; ComeBack is the delay before a retry.
+// RateLimitedError is the error of a rate-limited request; RetryAfter is the delay before a retry.
 type RateLimitedError struct{ RetryAfter time.Duration }
 
 // Error implements error with a message of one line.
@@ -34,7 +34,7 @@
 // Client requests a list of replicas.
 type Client interface {
 	// List requests the replicas of the zones; a platform may return more than those.
-	List(address string, zones []string, patience time.Duration) ([]Instance, error)
+	List(address string, zones []string, timeout time.Duration) ([]Instance, error)
 }
 
 // HTTP is the client that requests lists over the network.
--- a/loop/loop.go
+++ b/loop/loop.go
@@ -126,7 +126,7 @@
 
 // Machine is the World of a real process. Its tasks run in one conc group.
 //
-// Invariant: a panic in one task ends all others too; Panicked does not return.
+// Invariant: a panic in one task ends all others too; OnPanic does not return.
 type Machine struct {
 	// OnPanic ends the process after a panic of a task and reports its value and stack.
 	OnPanic func(recovered any, stack []byte)
--- a/modelcheck/leases.go
+++ b/modelcheck/leases.go
@@ -17,7 +17,7 @@
 // them, and the configuration changes meanwhile. All of these run the product's own code.
 //
 // Invariant: once a change is acknowledged, no daemon serves under an older configuration, as long
-// as the clocks of the daemons drift by no more than permit.Drift.
+// as the clocks of the daemons drift by no more than lease.MaxClockDrift.
 var LeaseWorlds = map[string]World{
 	"lease-and-change": {
 		Name: "lease-and-change", Delays: 2, Isolations: 1, Isolated: []string{"d1", "c1"},
@@ -186,8 +186,8 @@
 }
 
 // Fetch returns a configuration.
-func (service leaseService) Fetch(request lease.FetchRequest, edition *lease.ConfigUpdate) error {
-	return service.issuer.Fetch(request, edition)
+func (service leaseService) Fetch(request lease.FetchRequest, update *lease.ConfigUpdate) error {
+	return service.issuer.Fetch(request, update)
 }
 
 // issuer starts a control daemon that issues leases.
--- a/quota/aggregator.go
+++ b/quota/aggregator.go
@@ -131,7 +131,7 @@
 	isUrgent    bool // peers should get a message before the next interval
 	// share is the fraction of the limits by which the buckets fill.
 	share float64
-	// reachable is the value of Letter.InTouch in messages; lastAgreed is when the reachable peers
+	// reachable is the value of GossipMessage.InTouch in messages; lastAgreed is when the reachable peers
 	// last reported the same value.
 	reachable  int
 	lastAgreed time.Duration
--- a/quota/limiter.go
+++ b/quota/limiter.go
@@ -12,7 +12,7 @@
 	"swifttiller/wire"
 )
 
-// Options configure a Meter.
+// Options configure a Limiter.
 type Options struct {
 	World loop.World
 	Net   wire.Net
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -19,7 +19,7 @@
 	PerSecond, Burst float64
 }
 
-// Accuracy set the accuracy with which limits are enforced: within any span of Window, a tenant makes
+// Accuracy is the accuracy with which limits are enforced: within any span of Window, a tenant makes
 // at most (PerSecond x Window + Burst) x (1 + Excess) + Slack requests.
 type Accuracy struct {
 	Window        time.Duration
--- a/register/batch.go
+++ b/register/batch.go
@@ -69,7 +69,7 @@
 // WriteAll writes the data of each key, whatever its register holds, in two rounds for all keys
 // together; writing many records one by one costs every acceptor two calls per record. Keys that
 // get no majority because of competing writers are retried together. As soon as the outcome of a
-// key is known, done is called with nil or the error that Change would return.
+// key is known, done is called with nil or the error that Update would return.
 func (client *Client) WriteAll(data map[string][]byte, done func(key string, err error)) {
 	deadline := client.World.Now() + client.Patience
 	remaining := slices.Sorted(maps.Keys(data))
--- a/register/client.go
+++ b/register/client.go
@@ -73,7 +73,7 @@
 	ErrNoCore = errors.New("register: no core is known; create one with `controlplane init`")
 )
 
-// SerialMismatch is the error of a Swap whose expected serial is not the current one.
+// SerialMismatch is the error of a CompareAndSwap whose expected serial is not the current one.
 type SerialMismatch struct {
 	Key      string
 	Current  uint64
@@ -220,13 +220,13 @@
 
 // Update replaces the register's value by what revise returns for it, in two rounds. revise may be
 // called several times and must depend on its argument alone. If it returns an error, the change
-// is rejected: Change returns the current value and the error, and nothing of this change was or
+// is rejected: Update returns the current value and the error, and nothing of this change was or
 // will be written. Only ErrUncertain leaves open whether it was.
 func (client *Client) Update(key string, revise func(Value) ([]byte, error)) (Value, error) {
 	return client.UpdateWithin(key, client.Patience, revise)
 }
 
-// UpdateWithin is Change with a separate timeout for the time in which no majority of the core
+// UpdateWithin is Update with a separate timeout for the time in which no majority of the core
 // replies, so that the caller can turn to another daemon that reaches a majority. revise may
 // reject a change that is no longer wanted, since it is called right before each write.
 func (client *Client) UpdateWithin(key string, silenceTimeout time.Duration, revise func(Value) ([]byte, error)) (Value, error) {
--- a/replica/proxy.go
+++ b/replica/proxy.go
@@ -40,7 +40,7 @@
 	Urgency int
 	After   string
 	Version string
-	// Tenant is the name of the tenant that the replica is told; empty if the request has none.
+	// Tenant is the name of the tenant as sent to the replica; empty if the request has none.
 	Tenant string
 	// NotRepeatable is true if the request must not be sent again after a failure.
 	NotRepeatable bool
@@ -52,10 +52,10 @@
 	// OnAbort, if set, is called with the function that aborts the request from outside, and with nil
 	// when nothing is running any more.
 	OnAbort func(abort func())
-	// ConnectTimeout is the timeout for a new connection, Unheard how long sent bytes may stay without a
+	// ConnectTimeout is the timeout for a new connection, UnackedTimeout how long sent bytes may stay without a
 	// TCP acknowledgement.
 	ConnectTimeout, UnackedTimeout time.Duration
-	// OnSilence, if set, is called each time the replica has sent nothing for another Span, with
+	// OnSilence, if set, is called each time the replica has sent nothing for another SilenceInterval, with
 	// whether the answer has begun. If it returns true, the request is given up.
 	OnSilence       func(hasBegun bool) bool
 	SilenceInterval time.Duration
@@ -69,7 +69,7 @@
 	Status int
 	// OtherRequest is true for an answer to another request, which is skipped.
 	OtherRequest bool
-	// NotRun is true if the replica states that it did not run the request, Elsewhere if another
+	// NotRun is true if the replica states that it did not run the request, OtherReplica if another
 	// replica now has its address.
 	NotRun, OtherReplica bool
 	// Invalid says why the answer is invalid and must not be passed on; empty if it is valid.
@@ -89,7 +89,7 @@
 	Write(request *RoutedRequest, httpRequest *fasthttp.Request)
 	// Read decodes the head of the answer to a request.
 	Read(request *RoutedRequest, httpResponse *fasthttp.Response) Head
-	// Probe checks the health of a replica. The error is Anew if another replica answers at its
+	// Probe checks the health of a replica. The error is Restarted if another replica answers at its
 	// address, which means that this one has ended.
 	Probe(target Target, timeout time.Duration) (Health, error)
 }
@@ -140,7 +140,7 @@
 type answerReader struct {
 	events       bool
 	keep         time.Duration
-	relay        *Proxy
+	proxy        *Proxy
 	conn         *connection
 	httpResponse *fasthttp.Response // kept because its buffers stay in use until the end
 	request      *RoutedRequest
@@ -183,53 +183,53 @@
 
 // isReusable reports whether the connection was used recently enough to send the request on it. The
 // caller holds mu.
-func (relay *Proxy) isReusable(request *RoutedRequest, conn *connection, now time.Duration) bool {
-	learned := relay.idleLimits[request.Address]
+func (proxy *Proxy) isReusable(request *RoutedRequest, conn *connection, now time.Duration) bool {
+	learned := proxy.idleLimits[request.Address]
 	reuseUntil := conn.expiresAt
 	if now < learned.forgetAt {
 		reuseUntil = min(reuseUntil, conn.lastUsed+learned.limit)
 	}
-	if request.NotRepeatable && now < relay.cautiousUntil {
+	if request.NotRepeatable && now < proxy.cautiousUntil {
 		reuseUntil = min(reuseUntil, conn.lastUsed+cautiousIdleLimit)
 	}
 	return now < reuseUntil
 }
 
 // noteDropped records that a replica dropped a connection that had been idle for the given time.
-func (relay *Proxy) noteDropped(address string, idle time.Duration) {
+func (proxy *Proxy) noteDropped(address string, idle time.Duration) {
 	if idle < minLearnedIdle {
 		return // idleness was not the cause
 	}
-	now := relay.World.Now()
-	relay.mu.Lock()
-	defer relay.mu.Unlock()
-	if relay.idleLimits == nil {
-		relay.idleLimits = map[string]idleLimit{}
+	now := proxy.World.Now()
+	proxy.mu.Lock()
+	defer proxy.mu.Unlock()
+	if proxy.idleLimits == nil {
+		proxy.idleLimits = map[string]idleLimit{}
 	}
 	limit := max(minIdleLimit, idle/2)
-	if previous := relay.idleLimits[address]; now < previous.forgetAt {
+	if previous := proxy.idleLimits[address]; now < previous.forgetAt {
 		limit = min(limit, previous.limit)
 	}
-	relay.idleLimits[address] = idleLimit{limit, now + idleLimitLifetime}
-	relay.cautiousUntil = now + cautiousPeriod
+	proxy.idleLimits[address] = idleLimit{limit, now + idleLimitLifetime}
+	proxy.cautiousUntil = now + cautiousPeriod
 }
 
 // maxIdleRouted limits the idle connections per replica.
 const maxIdleRouted = 32
 
-func (relay *Proxy) acquire(request *RoutedRequest) (*connection, bool, error) {
-	now := relay.World.Now()
+func (proxy *Proxy) acquire(request *RoutedRequest) (*connection, bool, error) {
+	now := proxy.World.Now()
 	for {
-		relay.mu.Lock()
-		idle := relay.idle[request.Address]
+		proxy.mu.Lock()
+		idle := proxy.idle[request.Address]
 		if len(idle) == 0 {
-			relay.mu.Unlock()
+			proxy.mu.Unlock()
 			break
 		}
 		conn := idle[len(idle)-1]
-		relay.idle[request.Address] = idle[:len(idle)-1]
-		isReusable := relay.isReusable(request, conn, now)
-		relay.mu.Unlock()
+		proxy.idle[request.Address] = idle[:len(idle)-1]
+		isReusable := proxy.isReusable(request, conn, now)
+		proxy.mu.Unlock()
 		if request.NewConnection {
 			conn.Close() // the new connection takes its place
 			break
@@ -248,36 +248,36 @@
 	if err != nil {
 		return nil, false, err
 	}
-	relay.mu.Lock()
-	relay.Opened++
-	relay.mu.Unlock()
+	proxy.mu.Lock()
+	proxy.Opened++
+	proxy.mu.Unlock()
 	return &connection{Conn: tcpConn, reader: bufio.NewReaderSize(tcpConn, 4<<10), boot: request.Replica}, false, nil
 }
 
-func (relay *Proxy) putIdle(address string, conn *connection, keep time.Duration) {
-	now := relay.World.Now()
+func (proxy *Proxy) putIdle(address string, conn *connection, keep time.Duration) {
+	now := proxy.World.Now()
 	if keep <= 0 {
 		keep = maxIdleTime
 	}
 	conn.lastUsed, conn.expiresAt = now, now+keep*3/4
-	relay.mu.Lock()
-	defer relay.mu.Unlock()
-	if relay.idle == nil {
-		relay.idle = map[string][]*connection{}
+	proxy.mu.Lock()
+	defer proxy.mu.Unlock()
+	if proxy.idle == nil {
+		proxy.idle = map[string][]*connection{}
 	}
-	if len(relay.idle[address]) >= maxIdleRouted {
+	if len(proxy.idle[address]) >= maxIdleRouted {
 		conn.Close()
 		return
 	}
-	relay.idle[address] = append(relay.idle[address], conn)
+	proxy.idle[address] = append(proxy.idle[address], conn)
 }
 
 // Sweep closes connections that have been idle for too long.
-func (relay *Proxy) Sweep() {
-	now := relay.World.Now()
-	relay.mu.Lock()
-	defer relay.mu.Unlock()
-	for address, list := range relay.idle {
+func (proxy *Proxy) Sweep() {
+	now := proxy.World.Now()
+	proxy.mu.Lock()
+	defer proxy.mu.Unlock()
+	for address, list := range proxy.idle {
 		kept := list[:0]
 		for _, conn := range list {
 			if now < conn.expiresAt {
@@ -287,9 +287,9 @@
 			}
 		}
 		if len(kept) == 0 {
-			delete(relay.idle, address)
+			delete(proxy.idle, address)
 		} else {
-			relay.idle[address] = kept
+			proxy.idle[address] = kept
 		}
 	}
 }
@@ -298,14 +298,14 @@
 
 // Send sends the request and waits for the head of its answer. A failure with verdict NotRun means
 // that no replica has run the request or will run it.
-func (relay *Proxy) Send(request *RoutedRequest) (*Answer, *verdict.Error) {
-	conn, reused, err := relay.acquire(request)
-	idle := relay.World.Now() - conn.lastUse()
+func (proxy *Proxy) Send(request *RoutedRequest) (*Answer, *verdict.Error) {
+	conn, reused, err := proxy.acquire(request)
+	idle := proxy.World.Now() - conn.lastUse()
 	if err != nil {
 		return nil, &verdict.Error{Verdict: verdict.NotRun, Code: "replica_unreached", Message: "the replica cannot be reached", Status: 503, Cause: err}
 	}
 	if failure := request.Gate(); failure != nil {
-		relay.putIdle(request.Address, conn, 0)
+		proxy.putIdle(request.Address, conn, 0)
 		return nil, failure
 	}
 	if request.OnAbort != nil {
@@ -313,7 +313,7 @@
 	}
 	httpRequest := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(httpRequest)
-	relay.Dialect.Write(request, httpRequest)
+	proxy.Dialect.Write(request, httpRequest)
 	_ = conn.SetDeadline(time.Now().Add(request.Remaining))
 	mayHaveRun := func(code string, err error) (*Answer, *verdict.Error) {
 		if request.OnAbort != nil {
@@ -332,24 +332,24 @@
 	writerPool.Put(writer)
 	if err != nil {
 		if reused && isPeerClosed(err) {
-			relay.noteDropped(request.Address, idle)
+			proxy.noteDropped(request.Address, idle)
 		}
 		return mayHaveRun("replica_cut", err)
 	}
-	sent := relay.World.Now()
+	sent := proxy.World.Now()
 	deadline := sent + request.Remaining
 	for skipped := 0; ; skipped++ {
-		if err := relay.waitReadable(request, conn, deadline, false); err != nil {
+		if err := proxy.waitReadable(request, conn, deadline, false); err != nil {
 			switch {
 			case errors.Is(err, ErrSilent):
 				return mayHaveRun("replica_silent", err)
 			case isExpired(err):
 				return mayHaveRun("expired", err)
 			}
-			if reused && isPeerClosed(err) && skipped == 0 && relay.World.Now()-sent < resetWithin {
+			if reused && isPeerClosed(err) && skipped == 0 && proxy.World.Now()-sent < resetWithin {
 				// No replica gives up a request that fast, so the connection had already been
 				// closed.
-				relay.noteDropped(request.Address, idle)
+				proxy.noteDropped(request.Address, idle)
 			}
 			return mayHaveRun("replica_cut", err)
 		}
@@ -360,7 +360,7 @@
 			}
 			return mayHaveRun("replica_cut", err)
 		}
-		head := relay.Dialect.Read(request, httpResponse)
+		head := proxy.Dialect.Read(request, httpResponse)
 		stream, hasBody := httpResponse.BodyStream(), true
 		if stream == nil || httpResponse.Header.ContentLength() == 0 {
 			stream, hasBody = bytes.NewReader(nil), false
@@ -372,7 +372,7 @@
 			}
 			continue
 		}
-		body := &answerReader{events: head.Events, keep: head.KeepAlive, relay: relay, conn: conn, httpResponse: httpResponse, request: request, deadline: deadline, body: stream, ended: !hasBody, mustClose: httpResponse.ConnectionClose()}
+		body := &answerReader{events: head.Events, keep: head.KeepAlive, proxy: proxy, conn: conn, httpResponse: httpResponse, request: request, deadline: deadline, body: stream, ended: !hasBody, mustClose: httpResponse.ConnectionClose()}
 		result := &Answer{Head: head, Header: &httpResponse.Header, Length: httpResponse.Header.ContentLength(), Source: body}
 		if head.Invalid != "" {
 			result.Close()
@@ -392,11 +392,11 @@
 	}
 }
 
-// waitReadable waits until a byte can be read, and calls request.Silent after each Span without
+// waitReadable waits until a byte can be read, and calls request.OnSilence after each SilenceInterval without
 // one.
-func (relay *Proxy) waitReadable(request *RoutedRequest, conn *connection, deadline time.Duration, hasBegun bool) error {
+func (proxy *Proxy) waitReadable(request *RoutedRequest, conn *connection, deadline time.Duration, hasBegun bool) error {
 	for conn.reader.Buffered() == 0 {
-		remaining := deadline - relay.World.Now()
+		remaining := deadline - proxy.World.Now()
 		if remaining <= 0 {
 			return os.ErrDeadlineExceeded
 		}
@@ -413,7 +413,7 @@
 			return ErrSilent
 		}
 	}
-	_ = conn.SetReadDeadline(time.Now().Add(deadline - relay.World.Now()))
+	_ = conn.SetReadDeadline(time.Now().Add(deadline - proxy.World.Now()))
 	return nil
 }
 
@@ -436,7 +436,7 @@
 			}
 			return nil, io.EOF
 		}
-		if err := reader.relay.waitReadable(reader.request, reader.conn, reader.deadline, true); err != nil {
+		if err := reader.proxy.waitReadable(reader.request, reader.conn, reader.deadline, true); err != nil {
 			if errors.Is(err, io.EOF) {
 				err = io.ErrUnexpectedEOF
 			}
@@ -479,7 +479,7 @@
 		}
 		if reader.ended && !reader.mustClose && len(reader.partial) == 0 && reader.conn.reader.Buffered() == 0 {
 			_ = reader.conn.SetDeadline(time.Time{})
-			reader.relay.putIdle(reader.request.Address, reader.conn, reader.keep)
+			reader.proxy.putIdle(reader.request.Address, reader.conn, reader.keep)
 			return
 		}
 		reader.conn.Close()
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -35,9 +35,9 @@
 	Gate func() (uint64, *verdict.Error)
 	// OnAbort, if set, is called with the function that aborts the attempt from outside.
 	OnAbort func(abort func())
-	// Timeout is the timeout of the whole attempt, Stall that of each wait for bytes within it.
+	// Timeout is the timeout of the whole attempt, StallTimeout that of each wait for bytes within it.
 	Timeout, StallTimeout time.Duration
-	// Boot is the boot id of the replica process that the attempt is meant for, and Greet the
+	// Boot is the boot id of the replica process that the attempt is meant for, and IdentifyTimeout the
 	// timeout for learning the boot id behind a new connection.
 	Boot            string
 	IdentifyTimeout time.Duration
@@ -47,7 +47,7 @@
 // process than the intended one is reached. Nothing was sent.
 const RestartedCode = "replica_anew"
 
-// Restarted returns the failure with the code AnewCode.
+// Restarted returns the failure with the code RestartedCode.
 func Restarted() *verdict.Error {
 	return verdict.Reject(503, RestartedCode, "the replica has restarted since it was last seen", 0)
 }
@@ -103,7 +103,7 @@
 	Order(address string, order Order, timeout time.Duration) error
 }
 
-// RateLimited is the error of a call that may be retried after ComeBack.
+// RateLimited is the error of a call that may be retried after RetryAfter.
 type RateLimited struct{ RetryAfter time.Duration }
 
 // Error implements error.
@@ -150,7 +150,7 @@
 	net.Conn
 	reader    *bufio.Reader
 	lastUsed  time.Duration
-	expiresAt time.Duration // used by Relay: when the connection is too old for reuse
+	expiresAt time.Duration // used by Proxy: when the connection is too old for reuse
 	boot      string
 }
 
--- a/rollout/runner.go
+++ b/rollout/runner.go
@@ -54,7 +54,7 @@
 	Replicas  []routing.Replica
 	Daemons   []routing.Daemon
 	// Incarnations maps each daemon's name to its current incarnation, so that the
-	// counters of a restarted daemon are told apart from those before the restart.
+	// counters of a restarted daemon are distinguished from those before the restart.
 	Incarnations map[string]string
 	// Routes holds the region's route of each model, as last read.
 	Routes map[string]routing.Route
@@ -98,8 +98,8 @@
 	retryAfter time.Duration
 }
 
-// RetryAfter returns the delay after which a timed run needs the next call of Turn. It is set
-// by the last call of Turn.
+// RetryAfter returns the delay after which a timed run needs the next call of RunOnce. It is set
+// by the last call of RunOnce.
 func (runner *Runner) RetryAfter() time.Duration { return runner.retryAfter }
 
 // wait returns workflow.ErrWait and asks for the next pass after the given delay at the
--- a/rollout/timed.go
+++ b/rollout/timed.go
@@ -50,7 +50,7 @@
 )
 
 // State returns the state of the order over the regions where the model is still
-// placed: GoneBack as soon as the trial of one region fails, Moved once all regions are
+// placed: RolledBack as soon as the trial of one region fails, Moved once all regions are
 // done.
 func (order *Order) State(placed []string) string {
 	if order.Back != "" {
@@ -97,7 +97,7 @@
 
 // Begin accepts an order, or joins one that is the same. From that write on, the routes
 // of all regions name the trial version, so that a new replica is never treated as one
-// of the established version. It returns a Decline if another order is in progress.
+// of the established version. It returns a Rejection if another order is in progress.
 func (objects *Objects) Begin(model, version string, duration time.Duration, regions []string) (Order, error) {
 	return objects.BeginWithLimits(WriteLimits{}, model, version, duration, regions)
 }
@@ -172,7 +172,7 @@
 	return order, err
 }
 
-// isRepeat reports whether the order repeats the newest one. It returns a Decline if a
+// isRepeat reports whether the order repeats the newest one. It returns a Rejection if a
 // different one is in progress.
 func (model *Model) isRepeat(version string, duration time.Duration, regions []string, now time.Time) (bool, error) {
 	order := model.Order
--- a/routing/any_version_test.go
+++ b/routing/any_version_test.go
@@ -49,11 +49,11 @@
 // TestRowsOfAnyVersion checks which rows each replica gets, before, during and after a rollout,
 // when the placement accepts any version.
 func TestRowsOfAnyVersion(t *testing.T) {
-	fail := func(mishaps, slow int) func(*routing.Input) {
+	fail := func(failures, slow int) func(*routing.Input) {
 		return func(input *routing.Input) {
 			input.Daemons = []routing.Daemon{{Name: "d", Region: "a", Zone: "a-1", Report: routing.Report{Recent: []routing.Outcome{
 				{Replica: "r0", Model: "m", Version: "v1", Kind: "k", OK: 40}, {Replica: "r5", Model: "m", Version: "v3", Kind: "k", OK: 40},
-				{Replica: "r3", Model: "m", Version: "v2", Kind: "k", OK: 10, Mishaps: mishaps, Slow: slow}}}}}
+				{Replica: "r3", Model: "m", Version: "v2", Kind: "k", OK: 10, Mishaps: failures, Slow: slow}}}}}
 		}
 	}
 	without := func(versions ...string) func(*routing.Input) {
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -175,8 +175,8 @@
 	return []routing.Daemon{{Name: "d1", Zone: "a-1", Region: "a", Report: routing.Report{Recent: recent}}}
 }
 
-func outcome(id, version, kind string, ok, mishaps int, firstToken time.Duration) routing.Outcome {
-	return routing.Outcome{Replica: id, Model: "m", Version: version, Kind: kind, Boot: "b", OK: ok, Mishaps: mishaps, Least: firstToken}
+func outcome(id, version, kind string, ok, failures int, firstToken time.Duration) routing.Outcome {
+	return routing.Outcome{Replica: id, Model: "m", Version: version, Kind: kind, Boot: "b", OK: ok, Mishaps: failures, Least: firstToken}
 }
 
 func TestRows(t *testing.T) {
--- a/routing/table.go
+++ b/routing/table.go
@@ -20,12 +20,12 @@
 	Replica, Model, Version, Kind string
 	// Boot identifies the replica's process, which changes when the replica restarts.
 	Boot string
-	// OK counts requests that completed. Mishaps counts those that were dispatched and
+	// OK counts requests that completed. Mishaps counts those that were sent and
 	// failed. Unreached counts attempts that got no response at all. Late counts requests
 	// whose first token arrived, or is still due, far later than users wait; those of them
 	// that completed are in OK too.
 	OK, Mishaps, Unreached, Late int
-	// Slow counts the requests in OK whose time to first token was at least SlowUsual times
+	// Slow counts the requests in OK whose time to first token was at least SlowFactor times
 	// what is usual for the kind, whether or not a user would notice.
 	Slow int
 	// Full counts requests that the replica rejected because it was at capacity.
@@ -77,7 +77,7 @@
 	InFlight map[string]int
 	// Streams counts the running streams by replica, model and version.
 	Streams map[ReplicaVersion]int
-	// Recent covers the last few seconds (see Window). Total covers the time since the
+	// Recent covers the last few seconds (see RecentWindow). Total covers the time since the
 	// daemon started, with the region in place of the replica.
 	Recent, Total []Outcome
 	// Near lists recent outcomes of models that have no rollout in progress and no credits.
@@ -101,7 +101,7 @@
 // ReplicaVersion identifies a version of a model on a replica.
 type ReplicaVersion struct{ Replica, Model, Version string }
 
-// MarshalText encodes Held as "replica|model|version", so that it can be a key in JSON.
+// MarshalText encodes the ReplicaVersion as "replica|model|version", so that it can be a key in JSON.
 func (held ReplicaVersion) MarshalText() ([]byte, error) {
 	return []byte(held.Replica + "|" + held.Model + "|" + held.Version), nil
 }
@@ -261,7 +261,7 @@
 	AbsentFor map[string]time.Duration
 	Routes    map[string]Route // of this region, by model
 	Previous  *Table
-	// Since is the time since Before was computed.
+	// Since is the time since Previous was computed.
 	Since time.Duration
 }
 
@@ -376,20 +376,20 @@
 }
 
 // FailsClearly reports whether the failures of the judged version clearly exceed the
-// baseline: at least PlainMishaps of them, and a share above both MinFailureShare and twice
+// baseline: at least MinFailures of them, and a share above both MinFailureShare and twice
 // the baseline's.
 func FailsClearly(judged, baseline Outcome) bool {
 	return judged.Mishaps >= MinFailures && exceedsFailureShare(judged, baseline)
 }
 
-// MayFail is PlainVersion without a minimum number of failures, for versions with few
+// MayFail is VersionFailsClearly without a minimum number of failures, for versions with few
 // outcomes.
 func MayFail(judged, baseline Outcome) bool {
 	return judged.lateAsFailed().Mishaps > 0 && exceedsFailureShare(judged.lateAsFailed(), baseline.lateAsFailed())
 }
 
 // exceedsFailureShare reports whether the judged share of failures is above both
-// MinFailureShare and twice the baseline's. A baseline with fewer than PlainMishaps
+// MinFailureShare and twice the baseline's. A baseline with fewer than MinFailures
 // outcomes is ignored.
 func exceedsFailureShare(judged, baseline Outcome) bool {
 	share := float64(judged.Mishaps) / float64(judged.Mishaps+judged.OK)
@@ -550,7 +550,7 @@
 // traffic moves to the version. A failure share of one percent is always tolerated.
 func FailsMore(judged, baseline Outcome) bool { return failsMore(judged, baseline, MinFailures) }
 
-// MayFailMore is Worse with one failure less, for versions with so few requests that they could
+// MayFailMore is FailsMore with one failure less, for versions with so few requests that they could
 // not show more.
 func MayFailMore(judged, baseline Outcome) bool { return failsMore(judged, baseline, MinFailures-1) }
 
@@ -645,7 +645,7 @@
 
 // fullBackoff is the part of its warmth that a replica loses for each request that it
 // rejected as full, spread over the window in which the rejection is counted. minPace is
-// the lower bound of Place.Pace.
+// the lower bound of Endpoint.Pace.
 const (
 	fullBackoff = 0.3
 	minPace     = 0.02
--- a/scripts/edits/edits.go
+++ b/scripts/edits/edits.go
@@ -20,7 +20,7 @@
 	Rule, Test string
 	// Description is set for ablations: a description of the mechanism.
 	Description string
-	// Old holds the lines that are replaced by Fresh.
+	// Old holds the lines that are replaced by New.
 	Old, New string
 }
 
--- a/serve/command.go
+++ b/serve/command.go
@@ -23,7 +23,7 @@
 	// Apps, if any, are additional HTTP apps, by their listen addresses.
 	Apps map[string]*fiber.App
 	// Run starts the daemon's loops. Stop stops it gracefully and reports whether all
-	// work has finished within the grace period. Closed, if set, is called last.
+	// work has finished within the grace period. AfterStop, if set, is called last.
 	Run       func()
 	Stop      func(grace time.Duration) bool
 	AfterStop func()
--- a/session/session.go
+++ b/session/session.go
@@ -76,7 +76,7 @@
 type Heartbeat struct {
 	Member Member
 	Report routing.Report
-	// Known is the checksum (see Sum) of the control daemons that the daemon knows.
+	// Known is the checksum (see Checksum) of the control daemons that the daemon knows.
 	Known uint64
 	// Over ends the session at once.
 	Over bool
@@ -100,7 +100,7 @@
 	slot       uint64
 	announced  announcement
 	lastDirect time.Duration
-	checksum   uint64 // the member's checksum, an input to Sum
+	checksum   uint64 // the member's checksum, an input to Checksum
 }
 
 // Options of a table.
@@ -234,7 +234,7 @@
 	return out
 }
 
-// Checksum returns Sum of Members without building the list.
+// Checksum returns the checksum of Members without building the list.
 func (table *Table) Checksum(role string) (sum uint64) {
 	table.mu.Lock()
 	defer table.mu.Unlock()
@@ -397,7 +397,7 @@
 
 	mu          sync.Mutex
 	controls    []Member
-	controlsSum uint64 // Sum of controls
+	controlsSum uint64 // checksum of controls
 	current     string
 	waker       *loop.Waker
 	listings    uint64 // number of calls of Controls
@@ -498,7 +498,7 @@
 }
 
 // Call calls the control daemons in turn until one gives an acceptable reply, and prefers
-// that one from then on. If none does, Ask returns the last unacceptable reply, or the last
+// that one from then on. If none does, Call returns the last unacceptable reply, or the last
 // error if there was no reply at all.
 func (client *Client) Call(method string, args any, newReply func() any, isAcceptable func(reply any) bool, timeout time.Duration) (any, error) {
 	var lastErr error
--- a/session/share.go
+++ b/session/share.go
@@ -165,7 +165,7 @@
 	Session      Session
 }
 
-// announcement is what peers are told of a row: its content without the parts that marks
+// announcement is what is announced to peers about a row: its content without the parts that marks
 // carry, and the versions of that content for peers in the same region and for those in
 // other regions.
 //
@@ -218,7 +218,7 @@
 // combine adds a member's checksum to the checksum of the members before it.
 func combine(sum, member uint64) uint64 { return sum*1099511628211 + member }
 
-// checksum returns the member's own checksum, an input to Sum.
+// checksum returns the member's own checksum, an input to Checksum.
 func (member *Member) checksum() uint64 {
 	sum := fnv.New64a()
 	for _, field := range []string{member.Name, member.Incarnation, member.Role, member.Region, member.Zone, member.Wire, member.HTTP, member.Door, member.Acceptor, strconv.FormatBool(member.Leaving)} {
@@ -440,14 +440,14 @@
 		for _, region := range slices.Sorted(maps.Keys(session.Member.Keeps)) {
 			mark.Kept = append(mark.Kept, uint64((session.Member.Keeps[region].Age+time.Millisecond-1)/time.Millisecond))
 		}
-		var standings []uint64
+		var tableVersions []uint64
 		for _, region := range slices.Sorted(maps.Keys(session.Report.Standing)) {
-			standings = append(standings, session.Report.Standing[region])
+			tableVersions = append(tableVersions, session.Report.Standing[region])
 		}
-		next.serials[slot], next.applied[slot] = mark.Serial, standings
+		next.serials[slot], next.applied[slot] = mark.Serial, tableVersions
 		isKnown := peer.serials[slot] == mark.Serial
-		if isKnown && !slices.Equal(peer.applied[slot], standings) {
-			mark.Applied = standings
+		if isKnown && !slices.Equal(peer.applied[slot], tableVersions) {
+			mark.Applied = tableVersions
 		}
 		out.Marks = append(out.Marks, mark)
 		if isKnown {
--- a/settings/choices_test.go
+++ b/settings/choices_test.go
@@ -23,7 +23,7 @@
 }
 
 // TestChoices checks that choices can be set in the file and by a flag, which overrides the
-// file, that other values than booleans are rejected, and that Watching applies no flag but
+// file, that other values than booleans are rejected, and that ApplyLoggingFlags applies no flag but
 // this.
 func TestChoices(t *testing.T) {
 	parseFlags := func(args ...string) *flag.FlagSet {
--- a/settings/routes.go
+++ b/settings/routes.go
@@ -38,7 +38,7 @@
 	// token within which an answer has its full value. Gap is the longest pause within a
 	// stream that still counts as in time; zero means that none is set.
 	Timeout, Target, Gap time.Duration
-	// Urgency is the priority class; 0 is the most urgent. Tries is the maximum number of
+	// Urgency is the priority class; 0 is the most urgent. MaxAttempts is the maximum number of
 	// replicas that one request may be sent to.
 	Urgency, MaxAttempts int
 	// Resume allows a stream to be continued on another replica. Keyless means that
@@ -92,7 +92,7 @@
 	ColdRate   float64
 	// Slots is the number of requests that a replica processes concurrently. CacheTokens
 	// is the size of its key-value cache, for running requests and the prefix cache.
-	// Spacing is the number of tokens in one event of a stream.
+	// TokensPerEvent is the number of tokens in one event of a stream.
 	Slots, CacheTokens, TokensPerEvent int
 }
 
--- a/sim/disk.go
+++ b/sim/disk.go
@@ -15,7 +15,7 @@
 type Disk struct {
 	node  *Node
 	files map[string]*file
-	// SyncDelay is added to the time of every file sync. Full makes writes fail, and Sick makes syncs fail.
+	// SyncDelay is added to the time of every file sync. Full makes writes fail, and FailSyncs makes syncs fail.
 	SyncDelay       time.Duration
 	Full, FailSyncs bool
 	Syncs           int
--- a/sim/net.go
+++ b/sim/net.go
@@ -105,7 +105,7 @@
 // Net is a node's client side of the network. Addresses are node names.
 type Net struct{ *Node }
 
-// lateDelay is the delay of a call whose fate is IsLate or IsRepeated: it arrives after its caller
+// lateDelay is the delay of a call whose fate is RequestDelayed or RequestDuplicated: it arrives after its caller
 // has timed out.
 const lateDelay = 1300 * time.Millisecond
 
--- a/sim/sim.go
+++ b/sim/sim.go
@@ -41,7 +41,7 @@
 	points      map[string]int
 	hooks       map[string]func(node *Node, count int)
 	panicked    any
-	parked      map[*task]bool
+	blocked     map[*task]bool
 	closed      bool
 	running     *task // the task that holds the token; nil if the scheduler holds it
 	Steps       int
@@ -49,17 +49,17 @@
 	Faults NetworkFaults
 	// OnCall, if set, decides the fate of each call.
 	OnCall func(from, to, method string) Fate
-	// OnKill, if set, replaces Kill where a fault kills a process; see Killed.
+	// OnKill, if set, replaces Kill where a fault kills a process; see ScheduleKill.
 	OnKill func(name string)
 }
 
 // Fate is the outcome of one call on the network.
 type Fate int
 
-// Delivered delivers the call. IsLost drops the request, and AnswerLost drops the response. IsLate
-// delivers the request only after its caller has timed out, and IsRepeated delivers it a second
-// time then. SenderDies kills the sender after the request was sent, and ReceiverDies kills the
-// receiver before the request arrives.
+// Delivered delivers the call. RequestLost drops the request, and ResponseLost drops the response.
+// RequestDelayed delivers the request only after its caller has timed out, and RequestDuplicated
+// delivers it a second time then. SenderKilled kills the sender after the request was sent, and
+// ReceiverKilled kills the receiver before the request arrives.
 const (
 	Delivered Fate = iota
 	RequestLost
@@ -71,8 +71,8 @@
 )
 
 // NetworkFaults sets random network faults. Lost is the probability that a request or a response is
-// dropped, Repeated that a request is delivered a second time, and Late that a request is delayed.
-// The delay of repeated and late requests is below Latest.
+// dropped, Duplicated that a request is delivered a second time, and Delayed that a request is delayed.
+// The delay of repeated and late requests is below MaxDelay.
 type NetworkFaults struct {
 	Lost, Duplicated, Delayed float64
 	MaxDelay                  time.Duration
@@ -88,7 +88,7 @@
 		Seed: seed, random: rand.New(rand.NewPCG(seed, 77)), yielded: make(chan struct{}),
 		nodes: map[string]*Node{}, links: map[[2]string]*Link{},
 		Latency: time.Millisecond, Jitter: 2 * time.Millisecond, SyncTime: 2 * time.Millisecond,
-		Messages: map[string]int{}, Bytes: map[string]int{}, streams: map[string]*gobStream{}, parked: map[*task]bool{}, points: map[string]int{}, hooks: map[string]func(*Node, int){},
+		Messages: map[string]int{}, Bytes: map[string]int{}, streams: map[string]*gobStream{}, blocked: map[*task]bool{}, points: map[string]int{}, hooks: map[string]func(*Node, int){},
 	}
 }
 
@@ -284,10 +284,10 @@
 	})
 }
 
-// park returns the token to the scheduler and blocks until the task is resumed.
-func (task *task) park() {
+// block returns the token to the scheduler and blocks until the task is resumed.
+func (task *task) block() {
 	sim := task.node.sim
-	sim.parked[task] = true
+	sim.blocked[task] = true
 	sim.yielded <- struct{}{}
 	if !<-task.wake {
 		runtime.Goexit()
@@ -297,7 +297,7 @@
 // resume hands the token to a parked task and waits until the task returns it.
 func (sim *Sim) resume(task *task) {
 	sim.running = task
-	delete(sim.parked, task)
+	delete(sim.blocked, task)
 	task.wake <- true
 	<-sim.yielded
 	sim.running = nil
@@ -307,11 +307,11 @@
 // Close the goroutines would keep a finished simulation in memory.
 func (sim *Sim) Close() {
 	sim.closed = true
-	for task := range sim.parked {
+	for task := range sim.blocked {
 		task.wake <- false
 		<-sim.yielded
 	}
-	sim.parked, sim.queue = nil, nil
+	sim.blocked, sim.queue = nil, nil
 }
 
 // Kill ends the node's process at once. Writes that were not synced are lost.
@@ -377,13 +377,13 @@
 func (box *mailbox) Put(message any) {
 	box.messages = append(box.messages, message)
 	if box.waiting != nil {
-		box.scheduleWakeup(0)
+		box.scheduleResume(0)
 	}
 }
 
-// scheduleWakeup schedules the resumption of the waiting task after the delay. The wait number makes
+// scheduleResume schedules the resumption of the waiting task after the delay. The wait number makes
 // a wakeup a no-op if its wait has ended by then.
-func (box *mailbox) scheduleWakeup(delay time.Duration) {
+func (box *mailbox) scheduleResume(delay time.Duration) {
 	waitNumber := box.waitNumber
 	if box.node.pace != 0 {
 		// The delay is in time of the machine's own clock. Rounding up makes sure that the task
@@ -411,14 +411,14 @@
 			panic("sim: a mailbox can only be waited on from a task")
 		}
 		if waiter.incarnation != box.node.incarnation {
-			waiter.park() // the task's incarnation was killed: park never returns
+			waiter.block() // the task's incarnation was killed: block never returns
 		}
 		box.waitNumber++
 		box.waiting = waiter
 		if timeout < loop.Forever/2 {
-			box.scheduleWakeup(timeout)
+			box.scheduleResume(timeout)
 		}
-		waiter.park()
+		waiter.block()
 	}
 	if len(box.messages) == 0 {
 		return nil, false
@@ -446,5 +446,5 @@
 // Crash kills the process of the running task, as if it crashed at this line. It does not return.
 func (node *Node) Crash() {
 	node.sim.Kill(node.Name)
-	node.sim.running.park()
+	node.sim.running.block()
 }
--- a/tenant/counters.go
+++ b/tenant/counters.go
@@ -14,7 +14,7 @@
 // Limits that keep counters, reports and stored state small however many tenants there are.
 const (
 	// MaxCounted is how many tenants a data daemon counts, MaxReported how many a control
-	// daemon reports, and MostKept how many the leader tracks and the register holds.
+	// daemon reports, and MaxTracked how many the leader tracks and the register holds.
 	MaxCounted  = 24
 	MaxReported = 48
 	MaxTracked  = 64
@@ -138,8 +138,8 @@
 }
 
 // Sketch counts the heaviest tenants of a window by the Space-Saving algorithm. However
-// many tenants there are, it holds at most Heavy of them, and every tenant with more than
-// 1/Heavy of the total weight is among them.
+// many tenants there are, it holds at most MaxCounted of them, and every tenant with more than
+// 1/MaxCounted of the total weight is among them.
 type Sketch struct {
 	byTenant map[string]*Counters
 }
--- a/tenant/placement.go
+++ b/tenant/placement.go
@@ -90,7 +90,7 @@
 
 // Placements is the content of the register of placements.
 //
-// Invariants: Placed is sorted by tenant, has each tenant once and at most MostKept of
+// Invariants: Placed is sorted by tenant, has each tenant once and at most MaxTracked of
 // them. Only the leader whose term is Duty, or an operator, writes the next version.
 type Placements struct {
 	Duty   uint64      `json:"duty"`
@@ -98,22 +98,22 @@
 }
 
 // Find returns a tenant's placement, or nil if it has none.
-func (book *Placements) Find(tenant string) *Placement {
-	if book == nil {
+func (placements *Placements) Find(tenant string) *Placement {
+	if placements == nil {
 		return nil
 	}
-	index, found := slices.BinarySearchFunc(book.Placed, tenant, func(placement Placement, tenant string) int { return strings.Compare(placement.Tenant, tenant) })
+	index, found := slices.BinarySearchFunc(placements.Placed, tenant, func(placement Placement, tenant string) int { return strings.Compare(placement.Tenant, tenant) })
 	if !found {
 		return nil
 	}
-	return &book.Placed[index]
+	return &placements.Placed[index]
 }
 
-// With returns a copy of the book in which the placement replaces that of its tenant. An
+// With returns a copy of the placements in which the placement replaces that of its tenant. An
 // empty placement is removed.
-func (book Placements) With(placement Placement) Placements {
-	next := Placements{Duty: book.Duty}
-	for _, existing := range book.Placed {
+func (placements Placements) With(placement Placement) Placements {
+	next := Placements{Duty: placements.Duty}
+	for _, existing := range placements.Placed {
 		if existing.Tenant != placement.Tenant {
 			next.Placed = append(next.Placed, existing)
 		}
--- a/tenant/plan.go
+++ b/tenant/plan.go
@@ -14,14 +14,14 @@
 
 // otherLoads returns the load of all other placed tenants of the same model by region. A
 // tenant on the move counts in the regions that it moves to, unless it is moving back.
-func (watch *Planner) otherLoads(scene TurnInputs, book Placements, except string) map[string]load {
+func (planner *Planner) otherLoads(scene TurnInputs, placements Placements, except string) map[string]load {
 	out := map[string]load{}
 	var model string
-	if state := watch.tenants[except]; state != nil {
+	if state := planner.tenants[except]; state != nil {
 		model = state.short.Model
 	}
-	for _, placement := range book.Placed {
-		state := watch.tenants[placement.Tenant]
+	for _, placement := range placements.Placed {
+		state := planner.tenants[placement.Tenant]
 		if placement.Tenant == except || state == nil || state.short.Model != model {
 			continue
 		}
@@ -192,7 +192,7 @@
 }
 
 // best returns the best next placement and a notice with its gain. If the current one is
-// best, the notice's What is empty.
+// best, the notice's Event is empty.
 func (plan plan) best() (Placement, Notice) {
 	current := plan.placement
 	notice := Notice{Tenant: current.Tenant, From: current.Now, To: current.Now}
--- a/tenant/tenant_test.go
+++ b/tenant/tenant_test.go
@@ -44,13 +44,13 @@
 type simulation struct {
 	*rand.Rand
 	testing.TB
-	traffic   []traffic
-	watch     *tenant.Planner
-	book      tenant.Placements
-	now       time.Duration
-	budget    float64
-	notices   []tenant.Notice
-	noticedAt []time.Duration
+	traffic    []traffic
+	planner    *tenant.Planner
+	placements tenant.Placements
+	now        time.Duration
+	budget     float64
+	notices    []tenant.Notice
+	noticedAt  []time.Duration
 	// burst is how many requests arrive at a time. swing is the amplitude, as a fraction, of
 	// a sine wave with a period of 26 s on all rates, with a different phase per region.
 	burst int
@@ -65,7 +65,7 @@
 
 func newSimulation(t testing.TB, seed uint64, tenants ...traffic) *simulation {
 	sim := &simulation{TB: t, Rand: rand.New(rand.NewPCG(seed, 1)), traffic: tenants, budget: 0.1, burst: 1}
-	sim.watch = tenant.NewPlanner(0, nil)
+	sim.planner = tenant.NewPlanner(0, nil)
 	return sim
 }
 
@@ -146,14 +146,14 @@
 		for _, counters := range totals.Tallies {
 			sim.promptTokens += float64(counters.Prompt) / 10 * window.Seconds()
 		}
-		next, notices := sim.watch.Step(sim.scene(), totals, sim.book)
+		next, notices := sim.planner.Step(sim.scene(), totals, sim.placements)
 		for _, notice := range notices {
 			if notice.Event != "has changed" && notice.Event != "begins to move" {
 				sim.recomputed += notice.Tokens
 			}
 			sim.notices, sim.noticedAt = append(sim.notices, notice), append(sim.noticedAt, sim.now)
 		}
-		sim.book = next
+		sim.placements = next
 		// The tolerance of 1.1 allows for the last part of a move, whose budget may come from
 		// prompts that are counted a little later.
 		if sim.recomputed > 1.1*sim.budget*sim.promptTokens {
@@ -165,7 +165,7 @@
 // changeLeader replaces the watch by that of a new leader, which has only what is stored in
 // the registers.
 func (sim *simulation) changeLeader(t *testing.T) {
-	text, err := json.Marshal(sim.watch.Baselines())
+	text, err := json.Marshal(sim.planner.Baselines())
 	var baselines []tenant.Profile
 	if err == nil {
 		err = json.Unmarshal(text, &baselines)
@@ -173,10 +173,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	sim.watch = tenant.NewPlanner(sim.now, baselines)
+	sim.planner = tenant.NewPlanner(sim.now, baselines)
 }
 
-// count returns how many notices have the given What.
+// count returns how many notices have the given Event.
 func (sim *simulation) count(action string) (count int) {
 	for _, notice := range sim.notices {
 		if notice.Event == action {
@@ -270,11 +270,11 @@
 		if len(sim.notices) == 0 || sim.notices[0].Event != "has changed" || sim.noticedAt[0]-changedAt > 8*window {
 			t.Fatalf("seed %d: change not detected in time: notices %+v at %v", seed, sim.notices, sim.noticedAt)
 		}
-		placement := sim.book.Find("h.example/one/")
+		placement := sim.placements.Find("h.example/one/")
 		if placement == nil || placement.Moving || !slices.Equal(placement.Now, []string{"c"}) {
 			t.Errorf("seed %d: placement did not follow the callers to c: %+v", seed, placement)
 		}
-		if sim.book.Find("h.example/two/") != nil {
+		if sim.placements.Find("h.example/two/") != nil {
 			t.Errorf("seed %d: the unchanged tenant got a placement too", seed)
 		}
 		if sim.recomputed == 0 || sim.recomputed > sim.budget*sim.promptTokens {
@@ -303,7 +303,7 @@
 				traffic{name: "h.example/mixed/", rates: []float64{3, 9, 3}, prompt: 3000, shared: 1500, answer: 200, prefixes: 12, long: 0.5, durationMs: 2500})
 			sim.swing, sim.burst = 0.4, 2
 			sim.run(28800)
-			if len(sim.notices) > 0 || len(sim.book.Placed) > 0 {
+			if len(sim.notices) > 0 || len(sim.placements.Placed) > 0 {
 				t.Errorf("%d false alarms, the first at %v: %+v", len(sim.notices), sim.noticedAt[0], sim.notices[0])
 			}
 		})
@@ -377,7 +377,7 @@
 		sim.traffic[0].rates = []float64{0.6, 0.6, 8}
 		for range 60 {
 			sim.run(1)
-			if placement := sim.book.Find("h.example/one/"); placement != nil && placement.Moving && placement.Part > 0 {
+			if placement := sim.placements.Find("h.example/one/"); placement != nil && placement.Moving && placement.Part > 0 {
 				sim.changeLeader(t)
 				return sim
 			}
@@ -386,21 +386,21 @@
 		return nil
 	}
 	sim := startMove(1)
-	partial := *sim.book.Find("h.example/one/")
+	partial := *sim.placements.Find("h.example/one/")
 	sim.run(1200)
-	if placement := sim.book.Find("h.example/one/"); placement == nil || placement.Moving || !slices.Equal(placement.Now, []string{"c"}) {
+	if placement := sim.placements.Find("h.example/one/"); placement == nil || placement.Moving || !slices.Equal(placement.Now, []string{"c"}) {
 		t.Errorf("the move, taken over at part %d, did not finish: %+v", partial.Part, placement)
 	}
 	sim = startMove(2)
 	sim.traffic[0].rates = []float64{4, 4, 0.2}
 	sim.run(1200)
-	if placement := sim.book.Find("h.example/one/"); sim.count("is back") != 1 || placement != nil && (placement.Moving || slices.Contains(placement.Now, "c")) {
+	if placement := sim.placements.Find("h.example/one/"); sim.count("is back") != 1 || placement != nil && (placement.Moving || slices.Contains(placement.Now, "c")) {
 		t.Errorf("the move was not rolled back: %+v; notices: %+v", placement, sim.notices)
 	}
 	sim = startMove(3)
 	sim.traffic[0].rates = []float64{0, 0, 0}
 	sim.run(200)
-	if placement := sim.book.Find("h.example/one/"); placement != nil && placement.Moving {
+	if placement := sim.placements.Find("h.example/one/"); placement != nil && placement.Moving {
 		t.Errorf("the move of an idle tenant did not end: %+v", placement)
 	}
 	sim = newSimulation(t, 4, longPromptTenant("h.example/one/", 8, 0.6, 0.6))
@@ -427,7 +427,7 @@
 		for range 40 {
 			sim.traffic[0].rates = []float64{20 * sim.Float64(), 20 * sim.Float64(), 20 * sim.Float64()}
 			sim.run(10)
-			placement := sim.book.Find("h.example/one/")
+			placement := sim.placements.Find("h.example/one/")
 			if placement == nil {
 				continue
 			}
@@ -464,7 +464,7 @@
 	sim.run(30)
 	sim.traffic[0].rates = []float64{25, 25, 25}
 	sim.run(60)
-	placement := sim.book.Find(load.name)
+	placement := sim.placements.Find(load.name)
 	if placement == nil || len(placement.Hot) != 1 || placement.Hot[0].Over < 2 {
 		t.Fatalf("hot prefix was not spread: %+v; notices: %+v", placement, sim.notices)
 	}
@@ -481,7 +481,7 @@
 	}
 	sim.traffic[0].rates = []float64{2, 2, 2}
 	sim.run(100)
-	if placement := sim.book.Find(load.name); placement != nil && len(placement.Hot) > 0 {
+	if placement := sim.placements.Find(load.name); placement != nil && len(placement.Hot) > 0 {
 		t.Errorf("still spread after the load fell: %+v", placement)
 	}
 }
@@ -490,14 +490,14 @@
 // and that the placements stay sorted.
 func TestPinned(t *testing.T) {
 	sim := newSimulation(t, 6, longPromptTenant("h.example/one/", 8, 0.6, 0.6))
-	sim.book = sim.book.With(tenant.Placement{Tenant: "h.example/one/", Now: []string{"b"}, Pinned: true}).With(tenant.Placement{Tenant: "a.example/", Now: []string{"b"}, Pinned: true})
+	sim.placements = sim.placements.With(tenant.Placement{Tenant: "h.example/one/", Now: []string{"b"}, Pinned: true}).With(tenant.Placement{Tenant: "a.example/", Now: []string{"b"}, Pinned: true})
 	sim.run(40)
 	sim.traffic[0].rates = []float64{0.6, 0.6, 8}
 	sim.run(60)
-	if placement := sim.book.Find("h.example/one/"); placement == nil || !slices.Equal(placement.Now, []string{"b"}) || sim.count("begins to move") > 0 || sim.count("has changed") != 1 {
+	if placement := sim.placements.Find("h.example/one/"); placement == nil || !slices.Equal(placement.Now, []string{"b"}) || sim.count("begins to move") > 0 || sim.count("has changed") != 1 {
 		t.Errorf("pinned placement changed, or its change was not detected once: %+v; notices: %+v", placement, sim.notices)
 	}
-	if !slices.IsSortedFunc(sim.book.Placed, func(a, b tenant.Placement) int { return strings.Compare(a.Tenant, b.Tenant) }) {
-		t.Errorf("placements are not sorted by tenant: %+v", sim.book)
+	if !slices.IsSortedFunc(sim.placements.Placed, func(a, b tenant.Placement) int { return strings.Compare(a.Tenant, b.Tenant) }) {
+		t.Errorf("placements are not sorted by tenant: %+v", sim.placements)
 	}
 }
--- a/tenant/watch.go
+++ b/tenant/watch.go
@@ -21,7 +21,7 @@
 	warmupWindows = 16
 	minSamples    = 40
 	// confirmWindows is in how many consecutive windows a change must be seen.
-	// longFollowShare is by what fraction of Scene.Change the long profile must have moved
+	// longFollowShare is by what fraction of TurnInputs.Change the long profile must have moved
 	// too.
 	confirmWindows  = 2
 	longFollowShare = 0.25
@@ -81,8 +81,8 @@
 	Capacities map[string]map[string]Capacity
 	// Homes returns the regions that may serve a tenant, or none if the tenant has no route.
 	Homes func(tenant string) []string
-	// Costs in ms of waiting: Far of the network path to another region, FarKB of each KB
-	// sent on it, and Again of prefilling a thousand shared tokens again.
+	// Costs in ms of waiting: RemoteMs of the network path to another region, RemoteKBMs of each KB
+	// sent on it, and RecomputeMs of prefilling a thousand shared tokens again.
 	RemoteMs, RemoteKBMs, RecomputeMs float64
 	// Change is the distance from its baseline at which a tenant counts as changed. Budget
 	// is the fraction of all prompt tokens that moves may cause to be prefilled again.
@@ -93,7 +93,7 @@
 type Notice struct {
 	Tenant, Event, Reason string
 	// Distance is how far the traffic is from its baseline. Gain, over the minimum stay of
-	// the placement, and Price are in ms of waiting. Tokens is how many tokens have to be
+	// the placement, and Cost are in ms of waiting. Tokens is how many tokens have to be
 	// prefilled again.
 	Distance, Gain, Cost, Tokens float64
 	From, To                     []string
@@ -101,13 +101,13 @@
 	Part int
 }
 
-// tenantState is what the watch knows of one tenant.
+// tenantState is what the planner knows of one tenant.
 type tenantState struct {
 	// short and long are moving averages that follow changes quickly and slowly.
 	short, long *Profile
 	// baseline is the profile when a change was last detected, or at the end of the warm-up.
 	// previousBaseline is the one before it while the change has not led to a move yet: it
-	// is what Usual hands over, so that the next leader detects the change too.
+	// is what Baselines hands over, so that the next leader detects the change too.
 	baseline, previousBaseline *Profile
 	// windows is for how many windows the tenant has been tracked.
 	windows int
@@ -123,10 +123,10 @@
 // Planner is the leader's table of tenants. It detects changes of their traffic and plans
 // and advances moves.
 //
-// Invariants: it tracks at most MostKept tenants. tokenBudget is a token bucket that never
-// holds more than what Scene.Budget allows in a minimum stay, and moves never exceed it. No
+// Invariants: it tracks at most MaxTracked tenants. tokenBudget is a token bucket that never
+// holds more than what TurnInputs.Budget allows in a minimum stay, and moves never exceed it. No
 // placement changes twice within its minimum stay, and a placement that existed when the
-// watch began does not change within the first one.
+// planner began does not change within the first one.
 type Planner struct {
 	tenants     map[string]*tenantState
 	lastTurn    time.Duration
@@ -138,8 +138,8 @@
 	incompleteTurns int
 }
 
-// NewPlanner returns a watch that starts with the baselines of the previous leader, as
-// returned by Usual.
+// NewPlanner returns a planner that starts with the baselines of the previous leader, as
+// returned by Baselines.
 func NewPlanner(now time.Duration, baselines []Profile) *Planner {
 	watch := &Planner{tenants: map[string]*tenantState{}, lastTurn: now, usualReporters: map[string]float64{}}
 	for _, profile := range baselines[:min(len(baselines), MaxTracked)] {
@@ -151,9 +151,9 @@
 }
 
 // Baselines returns the tenants' baselines, which the next leader needs.
-func (watch *Planner) Baselines() (out []Profile) {
-	for _, name := range watch.names() {
-		switch state := watch.tenants[name]; {
+func (planner *Planner) Baselines() (out []Profile) {
+	for _, name := range planner.names() {
+		switch state := planner.tenants[name]; {
 		case state.openUntil > 0 && state.previousBaseline != nil:
 			out = append(out, *state.previousBaseline)
 		case state.baseline != nil:
@@ -176,9 +176,9 @@
 }
 
 // Statuses returns the state of all tenants, heaviest first.
-func (watch *Planner) Statuses() (out []TenantStatus) {
-	for _, name := range watch.names() {
-		state := watch.tenants[name]
+func (planner *Planner) Statuses() (out []TenantStatus) {
+	for _, name := range planner.names() {
+		state := planner.tenants[name]
 		status := TenantStatus{Tenant: name, Short: *state.short.clone(), Long: *state.long.clone(), IsKnown: state.baseline != nil}
 		if state.baseline != nil {
 			status.Distance, status.By = Distance(state.baseline, state.short)
@@ -189,9 +189,9 @@
 }
 
 // names returns the names of the tenants, heaviest first.
-func (watch *Planner) names() []string {
-	names := slices.Sorted(maps.Keys(watch.tenants))
-	sort.SliceStable(names, func(a, b int) bool { return watch.tenants[names[a]].weight() > watch.tenants[names[b]].weight() })
+func (planner *Planner) names() []string {
+	names := slices.Sorted(maps.Keys(planner.tenants))
+	sort.SliceStable(names, func(a, b int) bool { return planner.tenants[names[a]].weight() > planner.tenants[names[b]].weight() })
 	return names
 }
 
@@ -200,35 +200,35 @@
 
 // Step processes the totals of a window. It returns the next placements and what it
 // detected and changed.
-func (watch *Planner) Step(scene TurnInputs, totals Totals, book Placements) (next Placements, notices []Notice) {
-	watch.turn++
-	span := scene.Now - watch.lastTurn
-	watch.lastTurn = scene.Now
-	isComplete := watch.isComplete(totals.Reporters)
+func (planner *Planner) Step(scene TurnInputs, totals Totals, placements Placements) (next Placements, notices []Notice) {
+	planner.turn++
+	span := scene.Now - planner.lastTurn
+	planner.lastTurn = scene.Now
+	isComplete := planner.isComplete(totals.Reporters)
 	if isComplete {
-		watch.update(scene, buildProfiles(totals.Tallies), span)
+		planner.update(scene, buildProfiles(totals.Tallies), span)
 	}
 	minStay := minStayWindows * scene.Window
 	tokenRate := 0.0
-	for _, state := range watch.tenants {
+	for _, state := range planner.tenants {
 		tokenRate += state.long.Prompt
 	}
-	watch.tokenBudget = min(watch.tokenBudget+scene.Budget*tokenRate*span.Seconds(), scene.Budget*tokenRate*minStay.Seconds())
+	planner.tokenBudget = min(planner.tokenBudget+scene.Budget*tokenRate*span.Seconds(), scene.Budget*tokenRate*minStay.Seconds())
 	next = Placements{Duty: scene.Term}
-	for _, placement := range book.Placed {
+	for _, placement := range placements.Placed {
 		if placement.Pinned || len(scene.Homes(placement.Tenant)) > 0 {
 			next.Placed = append(next.Placed, placement)
 		} else {
 			notices = append(notices, Notice{Tenant: placement.Tenant, Event: "no longer has a route", From: placement.Now})
 		}
 	}
-	for _, name := range watch.names() {
-		state := watch.tenants[name]
+	for _, name := range planner.names() {
+		state := planner.tenants[name]
 		if state.minStay < minStay {
 			state.minStay = minStay
 		}
 		if isComplete {
-			if notice, isNoticed := state.detect(scene, watch.turn); isNoticed {
+			if notice, isNoticed := state.detect(scene, planner.turn); isNoticed {
 				notices = append(notices, notice)
 			}
 		}
@@ -239,14 +239,14 @@
 		if current.Pinned {
 			continue
 		}
-		plan := plan{scene: scene, profile: state.short, placement: current, otherLoads: watch.otherLoads(scene, next, name), minStay: state.minStay}
+		plan := plan{scene: scene, profile: state.short, placement: current, otherLoads: planner.otherLoads(scene, next, name), minStay: state.minStay}
 		switch {
 		case current.Moving:
-			current, notices = watch.advance(plan, state, notices)
-		case !isComplete || state.openUntil == 0 || watch.turn < state.openFrom || state.movedAt > 0 && scene.Now-state.movedAt < state.minStay:
+			current, notices = planner.advance(plan, state, notices)
+		case !isComplete || state.openUntil == 0 || planner.turn < state.openFrom || state.movedAt > 0 && scene.Now-state.movedAt < state.minStay:
 			continue
 		default:
-			current, notices = watch.start(plan, state, notices)
+			current, notices = planner.start(plan, state, notices)
 		}
 		if len(next.Placed) < MaxTracked || next.Find(name) != nil {
 			next = next.With(current)
@@ -255,7 +255,7 @@
 	// Moves of tenants without traffic finish at once, as no tokens have to be prefilled
 	// again.
 	for _, placement := range slices.Clone(next.Placed) {
-		if placement.Moving && watch.tenants[placement.Tenant] == nil && watch.turn > warmupWindows {
+		if placement.Moving && planner.tenants[placement.Tenant] == nil && planner.turn > warmupWindows {
 			placement.Part = Parts
 			if placement.Back {
 				placement.Part = 0
@@ -270,38 +270,38 @@
 // isComplete reports whether enough data daemons of every region have reported. Without
 // this check, a region that is cut off from the leader, or whose control daemon is down,
 // would seem to have lost its callers.
-func (watch *Planner) isComplete(reporters map[string]int) bool {
+func (planner *Planner) isComplete(reporters map[string]int) bool {
 	isIncomplete := false
-	for region, usualCount := range watch.usualReporters {
+	for region, usualCount := range planner.usualReporters {
 		isIncomplete = isIncomplete || float64(reporters[region]) < minReporterShare*usualCount
 	}
-	if isIncomplete && watch.incompleteTurns < maxIncompleteTurns {
-		watch.incompleteTurns++
+	if isIncomplete && planner.incompleteTurns < maxIncompleteTurns {
+		planner.incompleteTurns++
 		return false
 	}
 	if isIncomplete {
-		watch.usualReporters = map[string]float64{}
+		planner.usualReporters = map[string]float64{}
 	}
-	watch.incompleteTurns = 0
+	planner.incompleteTurns = 0
 	for region, count := range reporters {
-		if usualCount, known := watch.usualReporters[region]; known {
-			watch.usualReporters[region] = usualCount + (float64(count)-usualCount)/4
+		if usualCount, known := planner.usualReporters[region]; known {
+			planner.usualReporters[region] = usualCount + (float64(count)-usualCount)/4
 		} else {
-			watch.usualReporters[region] = float64(count)
+			planner.usualReporters[region] = float64(count)
 		}
 	}
 	return true
 }
 
 // update blends the fresh profiles into the table and drops tenants that are idle, have no
-// route, or are the lightest beyond MostKept.
-func (watch *Planner) update(scene TurnInputs, fresh map[string]*Profile, span time.Duration) {
+// route, or are the lightest beyond MaxTracked.
+func (planner *Planner) update(scene TurnInputs, fresh map[string]*Profile, span time.Duration) {
 	for name, profile := range fresh {
-		if watch.tenants[name] == nil {
-			watch.tenants[name] = &tenantState{short: profile.clone(), long: profile.clone()}
+		if planner.tenants[name] == nil {
+			planner.tenants[name] = &tenantState{short: profile.clone(), long: profile.clone()}
 		}
 	}
-	for name, state := range watch.tenants {
+	for name, state := range planner.tenants {
 		current := fresh[name]
 		if current == nil {
 			current = &Profile{Tenant: name, Model: state.short.Model}
@@ -310,12 +310,12 @@
 		state.short.blend(current, max(shortWeight, 1/float64(state.windows)), span)
 		state.long.blend(current, max(longWeight, 1/float64(state.windows)), span)
 		if len(scene.Homes(name)) == 0 || state.long.Rate() < idleRate {
-			delete(watch.tenants, name)
+			delete(planner.tenants, name)
 		}
 	}
-	names := watch.names()
+	names := planner.names()
 	for _, name := range names[min(len(names), MaxTracked):] {
-		delete(watch.tenants, name)
+		delete(planner.tenants, name)
 	}
 }
 
@@ -364,15 +364,15 @@
 }
 
 // start plans a new placement for a tenant whose traffic has changed.
-func (watch *Planner) start(plan plan, state *tenantState, notices []Notice) (Placement, []Notice) {
+func (planner *Planner) start(plan plan, state *tenantState, notices []Notice) (Placement, []Notice) {
 	current := plan.placement
 	next, notice := plan.best()
 	// A move draws on the token budget as its partitions move, any other change at once.
-	if notice.Event == "" || !next.Moving && notice.Tokens > watch.tokenBudget {
+	if notice.Event == "" || !next.Moving && notice.Tokens > planner.tokenBudget {
 		return current, notices
 	}
 	if !next.Moving {
-		watch.tokenBudget -= notice.Tokens
+		planner.tokenBudget -= notice.Tokens
 	}
 	if state.movedAt > 0 && plan.scene.Now-state.movedAt < repeatStays*state.minStay {
 		state.minStay = min(2*state.minStay, maxStayFactor*minStayWindows*plan.scene.Window)
@@ -380,21 +380,21 @@
 		state.minStay = minStayWindows * plan.scene.Window
 	}
 	state.previousBaseline = nil
-	watch.markMoved(state, plan.scene)
+	planner.markMoved(state, plan.scene)
 	return next, append(notices, notice)
 }
 
 // markMoved records that the placement has changed. It then stays for the minimum stay and
 // may change in the openWindows turns after that.
-func (watch *Planner) markMoved(state *tenantState, scene TurnInputs) {
+func (planner *Planner) markMoved(state *tenantState, scene TurnInputs) {
 	state.movedAt = scene.Now
-	state.openUntil = watch.turn + int(state.minStay/scene.Window) + openWindows
+	state.openUntil = planner.turn + int(state.minStay/scene.Window) + openWindows
 }
 
 // advance moves as many more partitions as the token budget allows, forward or back.
-func (watch *Planner) advance(plan plan, state *tenantState, notices []Notice) (Placement, []Notice) {
+func (planner *Planner) advance(plan plan, state *tenantState, notices []Notice) (Placement, []Notice) {
 	current := plan.placement
-	watch.markMoved(state, plan.scene)
+	planner.markMoved(state, plan.scene)
 	if !current.Back && state.windows > confirmWindows {
 		// Roll the move back if it no longer gains anything. The cost is left out, as that of
 		// the partitions moved so far is already spent.
@@ -409,7 +409,7 @@
 	}
 	parts := Parts
 	if tokens > 0 {
-		parts = int(watch.tokenBudget / tokens * Parts)
+		parts = int(planner.tokenBudget / tokens * Parts)
 	}
 	if parts <= 0 {
 		return current, notices
@@ -420,7 +420,7 @@
 	} else {
 		current.Part = min(Parts, current.Part+parts)
 	}
-	watch.tokenBudget -= tokens * math.Abs(float64(current.Part-previous)) / Parts
+	planner.tokenBudget -= tokens * math.Abs(float64(current.Part-previous)) / Parts
 	notice := Notice{Tenant: current.Tenant, Event: "moves", Tokens: tokens * math.Abs(float64(current.Part-previous)) / Parts, From: current.Now, To: current.Next, Part: current.Part}
 	if finished := current.finished(); !finished.Moving {
 		current, notice.Event = finished, "has moved"
--- a/traces/traces.go
+++ b/traces/traces.go
@@ -232,11 +232,11 @@
 		text("swifttiller.request", record.ID), text("swifttiller.model", record.Model), text("swifttiller.kind", record.Kind),
 		text("swifttiller.verdict", record.Verdict), text("swifttiller.code", record.Code), integer("swifttiller.events", int64(record.Events)),
 	}, record.Code)
-	for index, dispatch := range record.Dispatches {
+	for index, attempt := range record.Dispatches {
 		add("dispatch", kindClient, byte(index+1), requestSpan, []attribute{
-			text("swifttiller.replica", dispatch.Replica), text("swifttiller.version", dispatch.Version), text("swifttiller.region", dispatch.Region),
-			integer("swifttiller.serial", int64(dispatch.Serial)), boolean("swifttiller.trial", dispatch.Trial), boolean("swifttiller.spill", dispatch.Spill), text("swifttiller.verdict", dispatch.Verdict),
-		}, dispatch.Code)
+			text("swifttiller.replica", attempt.Replica), text("swifttiller.version", attempt.Version), text("swifttiller.region", attempt.Region),
+			integer("swifttiller.serial", int64(attempt.Serial)), boolean("swifttiller.trial", attempt.Trial), boolean("swifttiller.spill", attempt.Spill), text("swifttiller.verdict", attempt.Verdict),
+		}, attempt.Code)
 	}
 	return traces
 }
--- a/wire/compress.go
+++ b/wire/compress.go
@@ -36,7 +36,7 @@
 	return out.Bytes()
 }
 
-// Decompress decompresses what Pack returned; the base must be the same.
+// Decompress decompresses what Compress returned; the base must be the same.
 func Decompress(packed, base []byte) ([]byte, error) {
 	reader := flate.NewReaderDict(bytes.NewReader(packed), base)
 	data, err := io.ReadAll(io.LimitReader(reader, maxUnpackedBytes+1))
@@ -58,7 +58,7 @@
 	return Compress(encoded.Bytes(), nil)
 }
 
-// DecodeCompressed decodes what PackValue returned into value, which must be a pointer.
+// DecodeCompressed decodes what EncodeCompressed returned into value, which must be a pointer.
 func DecodeCompressed(packed []byte, value any) error {
 	encoded, err := Decompress(packed, nil)
 	if err != nil {
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -79,7 +79,7 @@
 
 // TestTruncatedCalls closes the connection at many offsets of the request and of the
 // response. A truncated request must not run, a call whose response is truncated must
-// have run once, and Unsent must be false for both.
+// have run once, and NotSent must be false for both.
 func TestTruncatedCalls(t *testing.T) {
 	Convey("over real connections", t, func() {
 		world := loop.NewMachine()
--- a/workflow/workflow.go
+++ b/workflow/workflow.go
@@ -143,7 +143,7 @@
 }
 
 // Start starts a run. If the ID was used before with the same contents, it returns that
-// run and joined is true. Otherwise it returns ErrOther, ErrUsed or ErrBusy if the run
+// run and joined is true. Otherwise it returns ErrContentsDiffer, ErrUsed or ErrBusy if the run
 // may not start.
 func (journal *Journal) Start(key, id string, contents any) (run Run, joined bool, err error) {
 	body, err := json.Marshal(contents)
