--- a/controlplane/daemon.go
+++ b/controlplane/daemon.go
@@ -272,13 +272,13 @@
 )
 
 // Beat handles a daemon's heartbeat.
-func (service tableService) Beat(heartbeat session.Heartbeat, answer *session.HeartbeatReply) error {
-	return service.table.Beat(heartbeat, answer)
+func (service tableService) Beat(heartbeat session.Heartbeat, reply *session.HeartbeatReply) error {
+	return service.table.Beat(heartbeat, reply)
 }
 
 // Share exchanges session tables with a peer.
-func (service tableService) Share(shared session.ShareMessage, reply *session.ShareMessage) error {
-	return service.table.Share(shared, reply)
+func (service tableService) Share(message session.ShareMessage, reply *session.ShareMessage) error {
+	return service.table.Share(message, reply)
 }
 
 // Renew grants or renews a data daemon's lease.
--- a/dataplane/daemon.go
+++ b/dataplane/daemon.go
@@ -139,8 +139,8 @@
 }
 
 // Inherit takes over the tickets of a peer that stops.
-func (service ticketService) Inherit(bequest decide.TicketHandover, taken *bool) error {
-	return service.decider.Inherit(bequest, taken)
+func (service ticketService) Inherit(handover decide.TicketHandover, taken *bool) error {
+	return service.decider.Inherit(handover, taken)
 }
 
 // Inherits replies with this daemon's incarnation if it took over the tickets of the given one.
--- a/dataplane/http.go
+++ b/dataplane/http.go
@@ -244,6 +244,6 @@
 	return map[string]any{
 		"config_serial": view.Serial, "permit_left_ms": (view.Deadline - daemon.World.Now()).Milliseconds(), "running": daemon.Decider.Running(),
 		"demanded": counts.Demanded, "retries_seen": counts.Retries, "retries_allowed": counts.Allowed, "redispatches": counts.Redispatches,
-		"dispatches": counts.Dispatches, "trial_dispatches": counts.Trials, "spilled": counts.Spilled, "affine": counts.Affine, "declined": counts.Declined,
+		"dispatches": counts.Attempts, "trial_dispatches": counts.Trials, "spilled": counts.Spilled, "affine": counts.Affine, "declined": counts.Rejected,
 	}
 }
--- a/decide/call.go
+++ b/decide/call.go
@@ -51,7 +51,7 @@
 		return decider.reject(400, "bad_request", "the headers Swifttiller-Request-Id and Swifttiller-Model are needed", 0)
 	case call.Ticket == "":
 		// Without a ticket it can't be known whether another try has run.
-		decider.counts.Declined["ticket_needed"]++
+		decider.counts.Rejected["ticket_needed"]++
 		return &verdict.Error{Verdict: verdict.MayHaveRun, Code: "ticket_needed", Status: 428,
 			Message: "the header Swifttiller-Ticket is needed: this try did not run, and without a ticket it can't be known whether another one did; call /v1/locate before the first try and send its ticket with all tries"}
 	}
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -172,15 +172,15 @@
 // Counts are the counters that operators monitor.
 type Counts struct {
 	Demanded, Retries, Allowed, Redispatches uint64
-	Dispatches, Trials, Spilled, Affine      uint64
-	Declined                                 map[string]uint64
+	Attempts, Trials, Spilled, Affine        uint64
+	Rejected                                 map[string]uint64
 	located                                  uint64
 }
 
 // New returns a Decider without any requests.
 func New(options Options) *Decider {
 	decider := &Decider{Options: options, uses: map[string]*usage{}, trialMonitor: newTrialMonitor(), demand: map[string]*smoothedRate{}, released: map[string]*smoothedRate{}, suspects: map[string]suspect{}, fullUntil: map[string]time.Duration{}, endedBoots: map[string]string{}, replicas: map[string]*replicaState{}, breakers: map[string]*regionBreaker{}, lastProbes: map[string]time.Duration{}, noReplicaSince: map[string]time.Duration{}, lastRepeatable: map[string]time.Duration{}, repeatBudgets: map[string]*retryBudget{}, digests: map[string]*digest{}}
-	decider.counts.Declined = map[string]uint64{}
+	decider.counts.Rejected = map[string]uint64{}
 	decider.window.totals = map[routing.Outcome]routing.Outcome{}
 	decider.tickets.init()
 	return decider
@@ -188,7 +188,7 @@
 
 // reject counts and returns the rejection of a request that was not run.
 func (decider *Decider) reject(status int, code, message string, retryAfter time.Duration) *verdict.Error {
-	decider.counts.Declined[code]++
+	decider.counts.Rejected[code]++
 	return verdict.Reject(status, code, message, retryAfter)
 }
 
@@ -275,9 +275,9 @@
 	decider.mu.Lock()
 	defer decider.mu.Unlock()
 	counts := decider.counts
-	counts.Declined = map[string]uint64{}
-	for code, count := range decider.counts.Declined {
-		counts.Declined[code] = count
+	counts.Rejected = map[string]uint64{}
+	for code, count := range decider.counts.Rejected {
+		counts.Rejected[code] = count
 	}
 	return counts
 }
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -60,8 +60,8 @@
 	return service.decider.Settle(claim, claimed)
 }
 
-func (service service) Inherit(bequest decide.TicketHandover, taken *bool) error {
-	return service.decider.Inherit(bequest, taken)
+func (service service) Inherit(handover decide.TicketHandover, taken *bool) error {
+	return service.decider.Inherit(handover, taken)
 }
 
 func (service service) Inherits(incarnation string, successor *string) error {
@@ -76,46 +76,46 @@
 }
 
 func newTestCluster(names ...string) *testCluster {
-	bench := &testCluster{Sim: sim.New(1), deciders: map[string]*decide.Decider{}, now: view(names, 4, false)}
+	cluster := &testCluster{Sim: sim.New(1), deciders: map[string]*decide.Decider{}, now: view(names, 4, false)}
 	for _, name := range names {
-		bench.now.Members = append(bench.now.Members, session.Member{Name: name, Incarnation: name + "#1", Role: session.Data, Region: "a", Zone: "a-1", Wire: name, HTTP: name})
-		bench.start(name, 1)
+		cluster.now.Members = append(cluster.now.Members, session.Member{Name: name, Incarnation: name + "#1", Role: session.Data, Region: "a", Zone: "a-1", Wire: name, HTTP: name})
+		cluster.start(name, 1)
 	}
-	return bench
+	return cluster
 }
 
-func (bench *testCluster) start(name string, incarnation int) {
-	bench.Start(name, func(node *sim.Node) {
+func (cluster *testCluster) start(name string, incarnation int) {
+	cluster.Start(name, func(node *sim.Node) {
 		self := session.Member{Name: name, Incarnation: fmt.Sprint(name, "#", incarnation), Role: session.Data, Region: "a", Zone: "a-1", Wire: name, HTTP: name}
-		decider := decide.New(decide.Options{World: node, Net: sim.Net{Node: node}, View: func() *lease.View { return bench.now }, Self: self, StartedAt: node.Now()})
-		bench.deciders[name] = decider
+		decider := decide.New(decide.Options{World: node, Net: sim.Net{Node: node}, View: func() *lease.View { return cluster.now }, Self: self, StartedAt: node.Now()})
+		cluster.deciders[name] = decider
 		server := rpc.NewServer()
 		if err := server.RegisterName("Ticket", service{decider}); err != nil {
 			panic(err)
 		}
 		node.Serve(server)
 	})
-	bench.Run(10 * time.Millisecond)
+	cluster.Run(10 * time.Millisecond)
 }
 
-func (bench *testCluster) do(name string, run func(*decide.Decider)) {
-	bench.Node(name).Go(func() { run(bench.deciders[name]) })
-	bench.Run(1500 * time.Millisecond)
+func (cluster *testCluster) do(name string, run func(*decide.Decider)) {
+	cluster.Node(name).Go(func() { run(cluster.deciders[name]) })
+	cluster.Run(1500 * time.Millisecond)
 }
 
 // admit sends a call with the ticket and request id to a daemon and returns whether it is admitted.
-func (bench *testCluster) admit(name, ticket, id string) (admitted *decide.Call, failure *verdict.Error) {
+func (cluster *testCluster) admit(name, ticket, id string) (admitted *decide.Call, failure *verdict.Error) {
 	admitted = call(id)
 	admitted.Ticket = ticket
-	bench.do(name, func(decider *decide.Decider) { failure = decider.Allow(admitted) })
+	cluster.do(name, func(decider *decide.Decider) { failure = decider.Allow(admitted) })
 	return admitted, failure
 }
 
 // TestTicketsRunOnceAnywhere guards against a request that runs twice under one ticket, or that is
 // reported as not run although it runs or ran, when its tries reach several daemons.
 func TestTicketsRunOnceAnywhere(t *testing.T) {
-	locate := func(bench *testCluster) (ticket string, first string) {
-		bench.do("x", func(decider *decide.Decider) {
+	locate := func(cluster *testCluster) (ticket string, first string) {
+		cluster.do("x", func(decider *decide.Decider) {
 			members, located, _, _ := decider.Locate("m", "k", "", "a-1", 7)
 			ticket, first = located.Seal(), members[0].Name
 		})
@@ -131,73 +131,73 @@
 	}
 	// A ticket's daemon hands the right to run an unseen request to the daemon that claims it.
 	Convey("given away along a chain, a request that never ran may run at one place only", t, func() {
-		bench := newTestCluster("x", "y", "z")
-		defer bench.Close()
-		ticket, first := locate(bench)
+		cluster := newTestCluster("x", "y", "z")
+		defer cluster.Close()
+		ticket, first := locate(cluster)
 		rest := others(first)
-		at, failure := bench.admit(rest[0], ticket, "q")
+		at, failure := cluster.admit(rest[0], ticket, "q")
 		So(failure, ShouldBeNil)
-		_, failure = bench.admit(first, ticket, "q")
+		_, failure = cluster.admit(first, ticket, "q")
 		So(failure.Code, ShouldEqual, "elsewhere")
-		_, failure = bench.admit(rest[1], ticket, "q")
+		_, failure = cluster.admit(rest[1], ticket, "q")
 		So(failure.Verdict, ShouldEqual, verdict.MayHaveRun)
 		So(failure.Code, ShouldEqual, "running")
 		// It is rejected as not run there, and that reply is final.
-		bench.do(rest[0], func(decider *decide.Decider) {
+		cluster.do(rest[0], func(decider *decide.Decider) {
 			decider.Settled(at, verdict.Reject(503, "queue_full", "", 0))
 		})
 		for _, name := range rest {
-			_, failure = bench.admit(name, ticket, "q")
+			_, failure = cluster.admit(name, ticket, "q")
 			if failure == nil || failure.Code != "declined_before" || failure.Verdict != verdict.NotRun {
 				t.Errorf("twice: replied not_run, and then %v at %s", failure, name)
 			}
 		}
-		at, failure = bench.admit(rest[1], ticket, "r")
+		at, failure = cluster.admit(rest[1], ticket, "r")
 		So(failure, ShouldBeNil)
-		bench.do(rest[1], func(decider *decide.Decider) { decider.Settled(at, nil) })
-		_, failure = bench.admit(rest[1], ticket, "r")
+		cluster.do(rest[1], func(decider *decide.Decider) { decider.Settled(at, nil) })
+		_, failure = cluster.admit(rest[1], ticket, "r")
 		So(failure.Verdict, ShouldEqual, verdict.Ran)
-		_, failure = bench.admit(rest[0], ticket, "r")
+		_, failure = cluster.admit(rest[0], ticket, "r")
 		So(failure.Code, ShouldEqual, "ran")
 	})
 	Convey("when the daemon of the ticket is gone, or another life of it answers, it is never run", t, func() {
-		bench := newTestCluster("x", "y", "z")
-		defer bench.Close()
-		ticket, first := locate(bench)
-		bench.Kill(first)
-		_, failure := bench.admit(others(first)[0], ticket, "q")
+		cluster := newTestCluster("x", "y", "z")
+		defer cluster.Close()
+		ticket, first := locate(cluster)
+		cluster.Kill(first)
+		_, failure := cluster.admit(others(first)[0], ticket, "q")
 		So(failure.Code, ShouldEqual, "daemon_gone")
 		So(failure.Verdict, ShouldEqual, verdict.MayHaveRun)
-		bench.start(first, 2)
-		_, failure = bench.admit(first, ticket, "q")
+		cluster.start(first, 2)
+		_, failure = cluster.admit(first, ticket, "q")
 		So(failure.Code, ShouldEqual, "daemon_gone")
-		_, failure = bench.admit(others(first)[1], ticket, "q")
+		_, failure = cluster.admit(others(first)[1], ticket, "q")
 		So(failure.Code, ShouldEqual, "daemon_gone")
 	})
 	// In a planned stop, a daemon hands its ticket rows over to one successor.
 	Convey("a daemon that stops leaves what it knows to one heir, which alone decides about what was never seen", t, func() {
-		bench := newTestCluster("x", "y", "z")
-		defer bench.Close()
-		ticket, first := locate(bench)
-		ran, failure := bench.admit(first, ticket, "ran")
+		cluster := newTestCluster("x", "y", "z")
+		defer cluster.Close()
+		ticket, first := locate(cluster)
+		ran, failure := cluster.admit(first, ticket, "ran")
 		So(failure, ShouldBeNil)
-		bench.do(first, func(decider *decide.Decider) { decider.Settled(ran, nil) })
-		unrun, _ := bench.admit(first, ticket, "unrun")
-		bench.do(first, func(decider *decide.Decider) { decider.Settled(unrun, verdict.Reject(503, "queue_full", "", 0)) })
+		cluster.do(first, func(decider *decide.Decider) { decider.Settled(ran, nil) })
+		unrun, _ := cluster.admit(first, ticket, "unrun")
+		cluster.do(first, func(decider *decide.Decider) { decider.Settled(unrun, verdict.Reject(503, "queue_full", "", 0)) })
 		var isLeft bool
-		bench.do(first, func(decider *decide.Decider) {
+		cluster.do(first, func(decider *decide.Decider) {
 			decider.Stop()
 			isLeft = decider.HandOverTickets()
 		})
 		So(isLeft, ShouldBeTrue)
 		// While it still runs, it must not admit requests that its successor does not know of.
-		_, failure = bench.admit(first, ticket, "late")
+		_, failure = cluster.admit(first, ticket, "late")
 		So(failure.Code, ShouldEqual, "stopping")
-		bench.Kill(first)
-		bench.start(first, 2)
-		bench.now.Members[map[string]int{"x": 0, "y": 1, "z": 2}[first]].Incarnation = first + "#2"
+		cluster.Kill(first)
+		cluster.start(first, 2)
+		cluster.now.Members[map[string]int{"x": 0, "y": 1, "z": 2}[first]].Incarnation = first + "#2"
 		code := func(name, id string) string {
-			if _, failure := bench.admit(name, ticket, id); failure != nil {
+			if _, failure := cluster.admit(name, ticket, id); failure != nil {
 				return failure.Code
 			}
 			return ""
@@ -216,12 +216,12 @@
 		}
 	})
 	Convey("an expired ticket is declined, and nothing is promised", t, func() {
-		bench := newTestCluster("x", "y", "z")
-		defer bench.Close()
-		ticket, first := locate(bench)
-		bench.Run(2 * time.Minute)
+		cluster := newTestCluster("x", "y", "z")
+		defer cluster.Close()
+		ticket, first := locate(cluster)
+		cluster.Run(2 * time.Minute)
 		for _, name := range []string{first, others(first)[0]} {
-			_, failure := bench.admit(name, ticket, "q")
+			_, failure := cluster.admit(name, ticket, "q")
 			So(failure.Code, ShouldEqual, "ticket_expired")
 			So(failure.Verdict, ShouldEqual, verdict.MayHaveRun)
 		}
@@ -231,18 +231,18 @@
 // TestDecisions checks the admission, the selection and the retry budget of ticketed requests.
 func TestDecisions(t *testing.T) {
 	Convey("without a permit, in an evacuated zone, or outside a home everything is declined as not run", t, func() {
-		bench := newTestCluster("x")
-		defer bench.Close()
+		cluster := newTestCluster("x")
+		defer cluster.Close()
 		count := 0
 		code := func(change func(*lease.View), home string) string {
 			next := view([]string{"x"}, 4, false)
 			change(next)
-			bench.now = next
+			cluster.now = next
 			count++
 			request := call(fmt.Sprint("q", count))
 			request.Home = home
 			var failure *verdict.Error
-			bench.do("x", func(decider *decide.Decider) { failure = decider.Allow(request) })
+			cluster.do("x", func(decider *decide.Decider) { failure = decider.Allow(request) })
 			if failure == nil {
 				return ""
 			}
@@ -255,42 +255,42 @@
 		So(code(func(*lease.View) {}, "moon"), ShouldEqual, "outside_home")
 	})
 	Convey("a header's home and the placement's own both bind, in spill too", t, func() {
-		bench := newTestCluster("x")
-		defer bench.Close()
+		cluster := newTestCluster("x")
+		defer cluster.Close()
 		tree, problems := settings.Parse([]byte(`{"whole":{"placements":{"m":{"version":"v1","home":"inland"}},"homes":{"inland":["a"],"wide":["a","b"]}},"regions":{"a":{"zones":{"a-1":{},"a-2":{}}},"b":{"zones":{"b-1":{}}}}}`))
 		So(problems, ShouldBeEmpty)
-		bench.now = view([]string{"x"}, 1, false)
-		bench.now.Tree = tree
+		cluster.now = view([]string{"x"}, 1, false)
+		cluster.now.Tree = tree
 		used := map[string]int{}
 		for index := 0; index < 8; index++ {
-			bench.Node("x").Go(func() {
+			cluster.Node("x").Go(func() {
 				request := call(fmt.Sprint("h", index))
 				request.Home = "wide"
-				if failure := bench.deciders["x"].Allow(request); failure != nil {
+				if failure := cluster.deciders["x"].Allow(request); failure != nil {
 					panic(failure)
 				}
-				if selection, failure := bench.deciders["x"].Select(request, nil); failure == nil {
+				if selection, failure := cluster.deciders["x"].Select(request, nil); failure == nil {
 					used[selection.Replica]++
 				}
 			})
 		}
-		bench.Run(5 * time.Second)
+		cluster.Run(5 * time.Second)
 		So(used, ShouldResemble, map[string]int{"r1": 1, "r2": 1, "r3": 1})
 	})
 	Convey("a ticket that names an address of no member is not asked there", t, func() {
-		bench := newTestCluster("x", "y")
-		defer bench.Close()
-		bench.do("x", func(*decide.Decider) {})
-		claims := bench.Messages["Ticket.Settle"]
-		_, failure := bench.admit("x", decide.Ticket{ID: "i", Daemon: "evil", Incarnation: "n", Wire: "elsewhere", Expiry: time.Hour}.Seal(), "q")
+		cluster := newTestCluster("x", "y")
+		defer cluster.Close()
+		cluster.do("x", func(*decide.Decider) {})
+		claims := cluster.Messages["Ticket.Settle"]
+		_, failure := cluster.admit("x", decide.Ticket{ID: "i", Daemon: "evil", Incarnation: "n", Wire: "elsewhere", Expiry: time.Hour}.Seal(), "q")
 		So(failure.Code, ShouldEqual, "daemon_gone")
-		So(bench.Messages["Ticket.Settle"], ShouldEqual, claims)
+		So(cluster.Messages["Ticket.Settle"], ShouldEqual, claims)
 	})
 	Convey("a retry of what ran already costs no retry", t, func() {
-		bench := newTestCluster("x")
-		defer bench.Close()
+		cluster := newTestCluster("x")
+		defer cluster.Close()
 		var ticket string
-		bench.do("x", func(decider *decide.Decider) {
+		cluster.do("x", func(decider *decide.Decider) {
 			_, located, _, _ := decider.Locate("m", "k", "", "a-1", 7)
 			ticket = located.Seal()
 			done := call("done")
@@ -309,66 +309,66 @@
 		})
 	})
 	Convey("the gate declines a selection whose permit ran out, or whose replica is no longer to be used", t, func() {
-		bench := newTestCluster("x")
-		defer bench.Close()
-		bench.do("x", func(decider *decide.Decider) {
+		cluster := newTestCluster("x")
+		defer cluster.Close()
+		cluster.do("x", func(decider *decide.Decider) {
 			selection, _ := decider.Select(call("q"), nil)
 			if _, failure := decider.Gate(selection); failure != nil {
 				panic(failure)
 			}
-			bench.now = view([]string{"x"}, 4, false)
-			bench.now.Evacuated[map[string]string{"r1": "a-1", "r2": "a-1", "r3": "a-2", "far": "b-1"}[selection.Replica]] = true
+			cluster.now = view([]string{"x"}, 4, false)
+			cluster.now.Evacuated[map[string]string{"r1": "a-1", "r2": "a-1", "r3": "a-2", "far": "b-1"}[selection.Replica]] = true
 			if _, failure := decider.Gate(selection); failure == nil || failure.Code != "moved_on" {
 				panic("passed the gate")
 			}
-			bench.now = view([]string{"x"}, 4, false)
-			bench.now.Deadline = 0
+			cluster.now = view([]string{"x"}, 4, false)
+			cluster.now.Deadline = 0
 			if _, failure := decider.Gate(selection); failure == nil || failure.Code != "no_permit" {
 				panic("passed the gate")
 			}
 		})
 	})
 	Convey("credits bind, home goes before spill, and what can't be placed in time is declined at once or at its expiry", t, func() {
-		bench := newTestCluster("x")
-		defer bench.Close()
+		cluster := newTestCluster("x")
+		defer cluster.Close()
 		used := map[string]int{}
 		codes := map[string]int{}
 		var waits []time.Duration
 		for index := 0; index < 30; index++ {
-			bench.Node("x").Go(func() {
+			cluster.Node("x").Go(func() {
 				request := call(fmt.Sprint("q", index))
 				request.Home = "inland"
-				began := bench.Now()
-				selection, failure := bench.deciders["x"].Select(request, nil)
+				began := cluster.Now()
+				selection, failure := cluster.deciders["x"].Select(request, nil)
 				if failure != nil {
 					codes[failure.Code]++
-					waits = append(waits, bench.Now()-began)
+					waits = append(waits, cluster.Now()-began)
 					return
 				}
 				used[selection.Replica]++
 			})
 		}
-		bench.Run(2 * time.Second)
+		cluster.Run(2 * time.Second)
 		So(used, ShouldResemble, map[string]int{"r1": 4, "r2": 4, "r3": 4})
 		So(codes, ShouldResemble, map[string]int{"queue_full": 16, "too_late": 2})
 		for _, wait := range waits {
 			So(wait, ShouldBeLessThanOrEqualTo, 400*time.Millisecond)
 		}
 		var far *decide.Selection
-		bench.do("x", func(decider *decide.Decider) { far, _ = decider.Select(call("free"), nil) })
+		cluster.do("x", func(decider *decide.Decider) { far, _ = decider.Select(call("free"), nil) })
 		So(far.Replica, ShouldEqual, "far")
 		So(far.Spill, ShouldBeTrue)
 	})
 	Convey("a trial gets its small share of a kind and no more, and nothing once it plainly fails", t, func() {
-		bench := newTestCluster("x")
-		defer bench.Close()
-		bench.now = view([]string{"x"}, 4, true)
+		cluster := newTestCluster("x")
+		defer cluster.Close()
+		cluster.now = view([]string{"x"}, 4, true)
 		trials := 0
 		send := func(count int, fails bool) {
 			for index := 0; index < count; index++ {
-				decider := bench.deciders["x"]
-				bench.Node("x").Go(func() {
-					request := call(fmt.Sprint("t", bench.Now()))
+				decider := cluster.deciders["x"]
+				cluster.Node("x").Go(func() {
+					request := call(fmt.Sprint("t", cluster.Now()))
 					request.Prefix = uint64(index) + 1
 					if decider.Allow(request) != nil {
 						return
@@ -386,7 +386,7 @@
 					}
 					decider.Release(selection, end, time.Millisecond)
 				})
-				bench.Run(20 * time.Millisecond)
+				cluster.Run(20 * time.Millisecond)
 			}
 		}
 		send(300, false)
@@ -396,17 +396,17 @@
 		So(trials, ShouldBeLessThanOrEqualTo, 16)
 	})
 	Convey("retries are let in up to a fifth of the real demand of the last seconds; nothing else is saved up", t, func() {
-		bench := newTestCluster("x")
-		defer bench.Close()
+		cluster := newTestCluster("x")
+		defer cluster.Close()
 		count := 0
 		allow := func(isRetry bool) bool {
 			count++
 			request := call(fmt.Sprint("r", count))
 			request.Retried = isRetry
-			return bench.deciders["x"].Allow(request) == nil
+			return cluster.deciders["x"].Allow(request) == nil
 		}
 		again, fresh := 0, 0
-		bench.do("x", func(decider *decide.Decider) {
+		cluster.do("x", func(decider *decide.Decider) {
 			for index := 0; index < 1000; index++ {
 				if allow(false) {
 					fresh++
@@ -420,9 +420,9 @@
 		})
 		So(fresh, ShouldEqual, 1000)
 		So(again, ShouldEqual, 200)
-		bench.Run(20 * time.Second)
+		cluster.Run(20 * time.Second)
 		again = 0
-		bench.do("x", func(decider *decide.Decider) {
+		cluster.do("x", func(decider *decide.Decider) {
 			for try := 0; try < 50; try++ {
 				if allow(true) {
 					again++
@@ -433,32 +433,32 @@
 	})
 	Convey("no decline promises not_run while another try of the request runs or ran", t, func() {
 		type rejectionCase struct {
-			change func(bench *testCluster)
+			change func(cluster *testCluster)
 			code   string
 		}
 		for name, rejection := range map[string]rejectionCase{
-			"no permit":    {func(bench *testCluster) { bench.now.Deadline = 0 }, "no_permit"},
-			"evacuated":    {func(bench *testCluster) { bench.now.Evacuated["a-1"] = true }, "evacuated"},
-			"stopping":     {func(bench *testCluster) { bench.deciders["x"].Stop() }, "stopping"},
-			"no such home": {func(bench *testCluster) { bench.now.Tree = treeOf(`"homes":{"inland":["b"]}`) }, "outside_home"},
-			"no model":     {func(bench *testCluster) { bench.now.Tree = treeOf(`"placements":{"other":{"version":"v1"}}`) }, "no_model"},
-			"retry budget": {func(bench *testCluster) {
+			"no permit":    {func(cluster *testCluster) { cluster.now.Deadline = 0 }, "no_permit"},
+			"evacuated":    {func(cluster *testCluster) { cluster.now.Evacuated["a-1"] = true }, "evacuated"},
+			"stopping":     {func(cluster *testCluster) { cluster.deciders["x"].Stop() }, "stopping"},
+			"no such home": {func(cluster *testCluster) { cluster.now.Tree = treeOf(`"homes":{"inland":["b"]}`) }, "outside_home"},
+			"no model":     {func(cluster *testCluster) { cluster.now.Tree = treeOf(`"placements":{"other":{"version":"v1"}}`) }, "no_model"},
+			"retry budget": {func(cluster *testCluster) {
 				for index := 0; index < 3; index++ {
 					spent := call(fmt.Sprint("spent", index))
 					spent.Retried = true
-					bench.deciders["x"].Allow(spent)
+					cluster.deciders["x"].Allow(spent)
 				}
 			}, "retry_budget"},
 		} {
-			bench := newTestCluster("x")
-			bench.now = view([]string{"x"}, 4, false)
+			cluster := newTestCluster("x")
+			cluster.now = view([]string{"x"}, 4, false)
 			home := ""
 			if name == "no such home" {
 				home = "inland"
 			}
 			var codes []string
 			var verdicts []verdict.Verdict
-			bench.do("x", func(decider *decide.Decider) {
+			cluster.do("x", func(decider *decide.Decider) {
 				retry := func(id string) {
 					again := call(id)
 					again.Retried, again.Home = true, home
@@ -474,20 +474,20 @@
 					panic("declined")
 				}
 				decider.Settled(ran, nil)
-				rejection.change(bench)
+				rejection.change(cluster)
 				retry("runs")
 				retry("ran")
 				retry("never seen")
 			})
-			bench.Close()
+			cluster.Close()
 			So(codes, ShouldResemble, []string{"running", "ran", rejection.code})
 			So(verdicts, ShouldResemble, []verdict.Verdict{verdict.MayHaveRun, verdict.Ran, verdict.NotRun})
 		}
 	})
 	Convey("a try without a ticket is not run, and nothing is said of others", t, func() {
-		bench := newTestCluster("x")
-		defer bench.Close()
-		_, failure := bench.admit("x", "", "q")
+		cluster := newTestCluster("x")
+		defer cluster.Close()
+		_, failure := cluster.admit("x", "", "q")
 		So(failure.Code, ShouldEqual, "ticket_needed")
 		So(failure.Verdict, ShouldEqual, verdict.MayHaveRun)
 	})
--- a/decide/health.go
+++ b/decide/health.go
@@ -271,8 +271,8 @@
 }
 
 // isLightlyLoaded reports whether less than half of the replica's slots are in use, as far as is known.
-func (engine *replicaState) isLightlyLoaded(known *settings.Engine, now time.Duration) bool {
-	return known != nil && known.Slots > 0 && engine.utilization(known, now) < 1
+func (state *replicaState) isLightlyLoaded(known *settings.Engine, now time.Duration) bool {
+	return known != nil && known.Slots > 0 && state.utilization(known, now) < 1
 }
 
 // repeatableSpan is how long after a model's last repeatable request more of them are
--- a/decide/health_query.go
+++ b/decide/health_query.go
@@ -31,8 +31,8 @@
 )
 
 // confirmsWarm reports whether the replica recently answered that it is not cold.
-func (word queryReply) confirmsWarm(boot string, now, span time.Duration) bool {
-	return word.isWarm && word.boot == boot && now-word.sentAt < span
+func (reply queryReply) confirmsWarm(boot string, now, span time.Duration) bool {
+	return reply.isWarm && reply.boot == boot && now-reply.sentAt < span
 }
 
 // demandSpan is how long a request that found a replica throttled, because nobody maintains its
--- a/decide/health_reports.go
+++ b/decide/health_reports.go
@@ -207,15 +207,15 @@
 
 // reported sums what peers report against the present run of the replica, in failures, and
 // forgets reports that no longer count.
-func (engine *replicaState) reported(boot string, now time.Duration) (failures float64) {
-	if len(engine.reports) == 0 {
+func (state *replicaState) reported(boot string, now time.Duration) (failures float64) {
+	if len(state.reports) == 0 {
 		return 0
 	}
 	zones := map[string]float64{}
-	for from, report := range engine.reports {
+	for from, report := range state.reports {
 		remaining := report.remaining(now)
 		if report.boot != boot || remaining < minFailures && now >= report.until {
-			delete(engine.reports, from)
+			delete(state.reports, from)
 			continue
 		}
 		zones[report.zone] = max(zones[report.zone], remaining)
--- a/decide/health_test.go
+++ b/decide/health_test.go
@@ -23,7 +23,7 @@
 	// failsSelection, if set, takes the place of fails and gets the whole selection.
 	failsSelection func(selection *decide.Selection) *verdict.Error
 	// onReject, if set, gets the rejections of requests that no replica was found for.
-	onReject func(mishap *verdict.Error)
+	onReject func(rejection *verdict.Error)
 	view     *lease.View
 	// sent holds the times of the requests to each replica; failed and all count requests
 	// since the last takeCounts.
@@ -31,69 +31,69 @@
 	failed, total int
 }
 
-// Routes of a clinic: the requests of the first may be repeated, those of the other not.
+// Routes of a healthBench: the requests of the first may be repeated, those of the other not.
 const (
 	resumedPath = "/x/y"
 	oncePath    = "/once/y"
 )
 
 func newHealthBench(t *testing.T, replicas int, path string) *healthBench {
-	clinic := &healthBench{Sim: sim.New(1), t: t, sent: map[string][]time.Duration{}, fails: func(string) *verdict.Error { return nil }}
-	t.Cleanup(clinic.Close)
+	bench := &healthBench{Sim: sim.New(1), t: t, sent: map[string][]time.Duration{}, fails: func(string) *verdict.Error { return nil }}
+	t.Cleanup(bench.Close)
 	view := routedView(replicas)
-	clinic.view = view
-	clinic.Start("x", func(node *sim.Node) {
-		clinic.decider = decide.New(decide.Options{World: node, View: func() *lease.View { return view }, Self: session.Member{Name: "x", Role: session.Data, Region: "a", Zone: "a-1"}})
+	bench.view = view
+	bench.Start("x", func(node *sim.Node) {
+		bench.decider = decide.New(decide.Options{World: node, View: func() *lease.View { return view }, Self: session.Member{Name: "x", Role: session.Data, Region: "a", Zone: "a-1"}})
 		for {
 			loop.Sleep(node, 10*time.Millisecond)
-			node.Go(func() { clinic.request(node, path) })
+			node.Go(func() { bench.request(node, path) })
 		}
 	})
-	return clinic
+	return bench
 }
 
 // request sends one request of 30 ms to the replica that the decider selects.
-func (clinic *healthBench) request(node *sim.Node, path string) {
+func (bench *healthBench) request(node *sim.Node, path string) {
 	routed := &decide.Routed{ID: "r", Host: "h.example", Path: path, Tokens: 100, MaxAnswerTokens: 40, Deadline: node.Now() + 10*time.Second}
-	if rejection := clinic.decider.Resolve(routed); rejection != nil {
-		clinic.t.Error(rejection.Code)
+	if rejection := bench.decider.Resolve(routed); rejection != nil {
+		bench.t.Error(rejection.Code)
 		return
 	}
-	selection, rejection := clinic.decider.Route(routed, nil)
-	if rejection != nil && clinic.onReject != nil {
-		clinic.onReject(rejection)
+	selection, rejection := bench.decider.Route(routed, nil)
+	if rejection != nil && bench.onReject != nil {
+		bench.onReject(rejection)
 		return
 	}
 	if rejection != nil {
-		clinic.t.Errorf("%s at %v", rejection.Code, node.Now())
+		bench.t.Errorf("%s at %v", rejection.Code, node.Now())
 		return
 	}
-	clinic.total++
-	clinic.sent[selection.Replica] = append(clinic.sent[selection.Replica], node.Now())
-	rejection = clinic.fails(selection.Replica)
-	if clinic.failsSelection != nil {
-		rejection = clinic.failsSelection(selection)
+	bench.total++
+	bench.sent[selection.Replica] = append(bench.sent[selection.Replica], node.Now())
+	rejection = bench.fails(selection.Replica)
+	if bench.failsSelection != nil {
+		rejection = bench.failsSelection(selection)
 	}
 	loop.Sleep(node, 30*time.Millisecond)
 	if rejection == nil {
-		clinic.decider.NoteAlive(selection, nil)
-		clinic.decider.NoteFirstChunk(selection, true)
+		bench.decider.NoteAlive(selection, nil)
+		bench.decider.NoteFirstChunk(selection, true)
 	} else {
-		clinic.failed++
+		bench.failed++
 	}
-	clinic.decider.EndRouted(selection, rejection, 30*time.Millisecond)
+	bench.decider.EndRouted(selection, rejection, 30*time.Millisecond)
 }
 
-func (clinic *healthBench) takeCounts() (failed, all int) {
-	failed, all = clinic.failed, clinic.total
-	clinic.failed, clinic.total = 0, 0
+func (bench *healthBench) takeCounts() (failed, all int) {
+	failed, all = bench.failed, bench.total
+	bench.failed, bench.total = 0, 0
 	return failed, all
 }
 
 // idle lists the replicas that got no request in the span before now.
-func (clinic *healthBench) idle(span time.Duration) (names []string) {
-	for name, sent := range clinic.sent {
-		if clinic.Now()-sent[len(sent)-1] > span {
+func (bench *healthBench) idle(span time.Duration) (names []string) {
+	for name, sent := range bench.sent {
+		if bench.Now()-sent[len(sent)-1] > span {
 			names = append(names, name)
 		}
 	}
@@ -101,9 +101,9 @@
 }
 
 // busiest returns the replica that got the most requests.
-func (clinic *healthBench) busiest() (most string) {
-	for name, sent := range clinic.sent {
-		if count := len(clinic.sent[most]); len(sent) > count || len(sent) == count && name < most {
+func (bench *healthBench) busiest() (most string) {
+	for name, sent := range bench.sent {
+		if count := len(bench.sent[most]); len(sent) > count || len(sent) == count && name < most {
 			most = name
 		}
 	}
@@ -116,26 +116,26 @@
 // each time, so that few requests fail; it serves again soon after it has recovered.
 func TestFailingReplicasAreEjected(t *testing.T) {
 	for _, path := range []string{resumedPath, oncePath} {
-		clinic := newHealthBench(t, 30, path)
-		clinic.Run(3 * time.Second)
-		clinic.takeCounts()
-		failing := clinic.busiest()
-		clinic.fails = func(replica string) *verdict.Error {
-			if replica == failing && clinic.Draw(10) < 4 {
+		bench := newHealthBench(t, 30, path)
+		bench.Run(3 * time.Second)
+		bench.takeCounts()
+		failing := bench.busiest()
+		bench.fails = func(replica string) *verdict.Error {
+			if replica == failing && bench.Draw(10) < 4 {
 				return badAnswer
 			}
 			return nil
 		}
-		from := clinic.Now()
-		clinic.Run(20 * time.Second)
-		if failed, all := clinic.takeCounts(); failed == 0 || failed > 16 {
+		from := bench.Now()
+		bench.Run(20 * time.Second)
+		if failed, all := bench.takeCounts(); failed == 0 || failed > 16 {
 			t.Errorf("%s: %d of %d requests failed, want 1 to 16", path, failed, all)
 		}
 		// Gaps between requests there. The first one follows its first failure, which alone is
 		// only a penalty in the selection.
 		var gaps []time.Duration
 		last := from
-		for _, at := range clinic.sent[failing] {
+		for _, at := range bench.sent[failing] {
 			if gap := at - last; at > from && gap > 700*time.Millisecond {
 				gaps = append(gaps, gap)
 			}
@@ -144,9 +144,9 @@
 		if len(gaps) < 3 || slices.Max(gaps[2:]) <= gaps[1] || slices.Max(gaps) > 11*time.Second {
 			t.Errorf("%s: gaps between requests to the failing replica are %v, want growing ones of at most 11 s", path, gaps)
 		}
-		clinic.fails = func(string) *verdict.Error { return nil }
-		clinic.Run(15 * time.Second)
-		if names := clinic.idle(time.Second); len(names) > 0 {
+		bench.fails = func(string) *verdict.Error { return nil }
+		bench.Run(15 * time.Second)
+		if names := bench.idle(time.Second); len(names) > 0 {
 			t.Errorf("%s: %v still get no requests after they have recovered", path, names)
 		}
 	}
@@ -155,22 +155,22 @@
 // TestEjectedReplicasAreProbedSlowly: the first requests to a replica after its ejection are at
 // least 140 ms apart, so that few fail if it has not recovered.
 func TestEjectedReplicasAreProbedSlowly(t *testing.T) {
-	clinic := newHealthBench(t, 30, resumedPath)
-	clinic.Run(2 * time.Second)
-	failing := clinic.busiest()
-	clinic.fails = func(replica string) *verdict.Error {
+	bench := newHealthBench(t, 30, resumedPath)
+	bench.Run(2 * time.Second)
+	failing := bench.busiest()
+	bench.fails = func(replica string) *verdict.Error {
 		if replica == failing {
 			return badAnswer
 		}
 		return nil
 	}
-	from := clinic.Now()
-	clinic.Run(20 * time.Second)
+	from := bench.Now()
+	bench.Run(20 * time.Second)
 	late := 0
-	for at, when := range clinic.sent[failing] {
+	for at, when := range bench.sent[failing] {
 		if when > from+time.Second {
 			late++
-			if gap := when - clinic.sent[failing][at-1]; gap < 140*time.Millisecond {
+			if gap := when - bench.sent[failing][at-1]; gap < 140*time.Millisecond {
 				t.Errorf("two probe requests are only %v apart", gap)
 			}
 		}
@@ -184,23 +184,23 @@
 // are ejected, and of two none is. Ejecting more would overload the rest.
 func TestEjectedShareIsBounded(t *testing.T) {
 	for _, replicas := range []int{2, 3, 12, 30, 60} {
-		clinic := newHealthBench(t, replicas, oncePath)
-		clinic.Run(3 * time.Second)
-		clinic.fails = func(string) *verdict.Error {
-			if clinic.Draw(10) < 3 {
+		bench := newHealthBench(t, replicas, oncePath)
+		bench.Run(3 * time.Second)
+		bench.fails = func(string) *verdict.Error {
+			if bench.Draw(10) < 3 {
 				return badAnswer
 			}
 			return nil
 		}
 		most := 0
 		for range 100 {
-			clinic.Run(100 * time.Millisecond)
-			most = max(most, len(clinic.decider.Held("a")))
+			bench.Run(100 * time.Millisecond)
+			most = max(most, len(bench.decider.Held("a")))
 			inRegion := (replicas + 5) / 6 * 3
 			if replicas < 4 {
 				inRegion = replicas
 			}
-			if ejected := len(clinic.decider.Held("a")); ejected*5 > inRegion*2 {
+			if ejected := len(bench.decider.Held("a")); ejected*5 > inRegion*2 {
 				t.Fatalf("%d of %d replicas are ejected, more than two in five", ejected, inRegion)
 			}
 		}
--- a/decide/release.go
+++ b/decide/release.go
@@ -14,7 +14,7 @@
 // dispatched counts a selection that is about to be returned.
 func (decider *Decider) dispatched(view *lease.View, selection *Selection) {
 	decider.addUse(selection, 1)
-	decider.counts.Dispatches++
+	decider.counts.Attempts++
 	decider.accrue(view, selection)
 	decider.trialMonitor.waiting[selection] = decider.World.Now()
 	if selection.Trial {
--- a/decide/replica_state.go
+++ b/decide/replica_state.go
@@ -96,17 +96,17 @@
 // admits reports whether a replica without a sign of life since its last backoff may get a
 // request: one at a time, and after a second strike only requests that may be repeated
 // elsewhere, unless the backoff ended more than maxBackOff ago.
-func (engine *replicaState) admits(now time.Duration, isRepeatable bool) bool {
-	if engine.failuresInRow == 0 {
+func (state *replicaState) admits(now time.Duration, isRepeatable bool) bool {
+	if state.failuresInRow == 0 {
 		return true
 	}
-	return engine.awaitingFirst == 0 && (engine.failuresInRow == 1 || isRepeatable || now-engine.backOffUntil > maxBackOff)
+	return state.awaitingFirst == 0 && (state.failuresInRow == 1 || isRepeatable || now-state.backOffUntil > maxBackOff)
 }
 
 // decayedLag returns the lag, halved for each half second since it was measured, as queues drain.
-func (engine *replicaState) decayedLag(now time.Duration) time.Duration {
-	lag := engine.lag
-	for span := now - engine.lagAt; span > 0 && lag >= minLag; span -= lagHalfLife {
+func (state *replicaState) decayedLag(now time.Duration) time.Duration {
+	lag := state.lag
+	for span := now - state.lagAt; span > 0 && lag >= minLag; span -= lagHalfLife {
 		lag /= 2
 	}
 	if lag < minLag {
@@ -143,34 +143,34 @@
 
 // utilization returns the number of running requests as a share of half of the replica's slots, at
 // most one: beyond half of the slots, streams are slow.
-func (engine *replicaState) utilization(config *settings.Engine, now time.Duration) float64 {
+func (state *replicaState) utilization(config *settings.Engine, now time.Duration) float64 {
 	if config == nil || config.Slots <= 0 {
 		return 0
 	}
-	running := engine.running
-	if now-engine.loadAt < time.Second {
-		running = max(running, engine.load.Running+engine.load.Waiting)
+	running := state.running
+	if now-state.loadAt < time.Second {
+		running = max(running, state.load.Running+state.load.Waiting)
 	}
 	return min(1, 2*float64(running)/float64(config.Slots))
 }
 
 // sentWithin returns the number of attempts in the span before now and drops older ones.
-func (engine *replicaState) sentWithin(now, span time.Duration) int {
-	for len(engine.sent) > 0 && now-engine.sent[0] >= span {
-		engine.sent = engine.sent[1:]
+func (state *replicaState) sentWithin(now, span time.Duration) int {
+	for len(state.sent) > 0 && now-state.sent[0] >= span {
+		state.sent = state.sent[1:]
 	}
-	return len(engine.sent)
+	return len(state.sent)
 }
 
 // uncachedTokens returns how many prompt tokens the replica would have to prefill: those from
 // the first part on that is not assumed to be cached. At the owner, only a quarter of a shared
 // part counts, since peers send requests with that part there too.
-func (engine *replicaState) uncachedTokens(parts []Part, tokens int, isOwner bool) (own, shared int) {
+func (state *replicaState) uncachedTokens(parts []Part, tokens int, isOwner bool) (own, shared int) {
 	sum, isMiss := 0, false
 	for index, part := range parts {
 		sum += part.Tokens
 		isShared := index < len(parts)-1
-		isMiss = isMiss || !engine.cache.contains(part.ID)
+		isMiss = isMiss || !state.cache.contains(part.ID)
 		switch {
 		case !isMiss:
 		case isShared && isOwner:
--- a/decide/report.go
+++ b/decide/report.go
@@ -51,7 +51,7 @@
 			report.Total = append(report.Total, outcome)
 		}
 	}
-	for code, count := range decider.counts.Declined {
+	for code, count := range decider.counts.Rejected {
 		report.Declined[code] = count
 	}
 	localCredits, localReplicas := map[string]float64{}, map[string]bool{}
--- a/decide/report_test.go
+++ b/decide/report_test.go
@@ -13,10 +13,10 @@
 // of this daemon's own region while those of other regions stay.
 func TestReportFollowsStandings(t *testing.T) {
 	Convey("A daemon that holds a request", t, func() {
-		bench := newTestCluster("x")
-		defer bench.Close()
+		cluster := newTestCluster("x")
+		defer cluster.Close()
 		var selection *decide.Selection
-		bench.do("x", func(decider *decide.Decider) {
+		cluster.do("x", func(decider *decide.Decider) {
 			request := call("a")
 			_, ticket, _, _ := decider.Locate("m", "k", "", "a-1", 7)
 			request.Ticket = ticket.Seal()
@@ -25,13 +25,13 @@
 			}
 		})
 		So(selection, ShouldNotBeNil)
-		So(bench.deciders["x"].Report().Overflow["m"], ShouldEqual, 0)
+		So(cluster.deciders["x"].Report().Overflow["m"], ShouldEqual, 0)
 		Convey("lacks credits once a new standing gives it none", func() {
 			other := view([]string{"x"}, 0, false)
-			next := *bench.now
+			next := *cluster.now
 			next.RoutingTables = other.RoutingTables
-			bench.now = &next
-			if overflow := bench.deciders["x"].Report().Overflow["m"]; overflow <= 0 {
+			cluster.now = &next
+			if overflow := cluster.deciders["x"].Report().Overflow["m"]; overflow <= 0 {
 				t.Errorf("control traffic: the report follows the previous routing table: its overflow is %v", overflow)
 			}
 		})
--- a/decide/spread_test.go
+++ b/decide/spread_test.go
@@ -16,18 +16,18 @@
 // TestShortPromptsUseAllReplicas checks that, where replicas don't report their load, the short
 // prompts of a region are spread over all its replicas, whatever long prompts these also get.
 func TestShortPromptsUseAllReplicas(t *testing.T) {
-	clinic := newHealthBench(t, 30, oncePath)
-	clinic.Run(20 * time.Second)
-	most, least := 0, clinic.total
+	bench := newHealthBench(t, 30, oncePath)
+	bench.Run(20 * time.Second)
+	most, least := 0, bench.total
 	for index := range 30 {
 		if region := index % 6; region > 2 {
 			continue // in another region
 		}
-		count := len(clinic.sent[fmt.Sprint("i-", index)])
+		count := len(bench.sent[fmt.Sprint("i-", index)])
 		most, least = max(most, count), min(least, count)
 	}
 	if least == 0 || most > 4*least {
-		t.Errorf("the busiest of 15 replicas got %d of %d requests, the least busy %d", most, clinic.total, least)
+		t.Errorf("the busiest of 15 replicas got %d of %d requests, the least busy %d", most, bench.total, least)
 	}
 }
 
--- a/decide/suspicion.go
+++ b/decide/suspicion.go
@@ -55,8 +55,8 @@
 
 // silenceLimit is how long a replica may send nothing at all while a response is expected from
 // it. It is short while streams are running, as their chunks come one after the other.
-func (engine *replicaState) silenceLimit(selection *Selection) time.Duration {
-	if engine.streams > 0 {
+func (state *replicaState) silenceLimit(selection *Selection) time.Duration {
+	if state.streams > 0 {
 		return streamSilence
 	}
 	return minSilence + silenceFactor*selection.PredictedTTFT
--- a/decide/ticket.go
+++ b/decide/ticket.go
@@ -212,7 +212,7 @@
 	decider.mu.Lock()
 	defer decider.mu.Unlock()
 	if failure != nil {
-		decider.counts.Declined[failure.Code]++
+		decider.counts.Rejected[failure.Code]++
 		return failure
 	}
 	return decider.admit(call, key, now+timeLeft)
@@ -235,17 +235,17 @@
 	case rejectedUnrun:
 		return decider.reject(503, "declined_before", "this request was already rejected without running under this ticket; call /v1/locate for a new one", 0)
 	case running:
-		decider.counts.Declined["running"]++
+		decider.counts.Rejected["running"]++
 		return &verdict.Error{Verdict: verdict.MayHaveRun, Code: "running", Message: "this request is already running", Status: 409}
 	case ended:
-		decider.counts.Declined["ran"]++
+		decider.counts.Rejected["ran"]++
 		verdictOf := verdict.MayHaveRun
 		if row.ran {
 			verdictOf = verdict.Ran
 		}
 		return &verdict.Error{Verdict: verdictOf, Code: "ran", Message: "this request has already run and is never run again", Status: 409}
 	}
-	decider.counts.Declined["elsewhere"]++
+	decider.counts.Rejected["elsewhere"]++
 	return &verdict.Error{Verdict: verdict.MayHaveRun, Code: "elsewhere", Message: "this request was transferred to daemon " + row.ownerWire, Status: 409}
 }
 
@@ -262,7 +262,7 @@
 	}
 	left := decider.timeLeft(ticket)
 	if left <= 0 {
-		decider.counts.Declined["ticket_expired"]++
+		decider.counts.Rejected["ticket_expired"]++
 		return ticketExpired()
 	}
 	return decider.admit(call, key, decider.World.Now()+left)
@@ -296,7 +296,7 @@
 	}
 	if len(decider.tickets.rows) >= maxTickets {
 		// Without a row, a second run of this request could not be prevented.
-		decider.counts.Declined["tickets_full"]++
+		decider.counts.Rejected["tickets_full"]++
 		return &verdict.Error{Verdict: verdict.MayHaveRun, Code: "tickets_full", Message: "the table of recent requests is full; retry later", Status: 503, ComeBack: 5 * time.Second}
 	}
 	decider.tickets.rows[key] = ticketRow{state: running, deadline: deadline}
@@ -467,12 +467,12 @@
 	for _, member := range append(near, far...) {
 		decider.mu.Lock()
 		decider.tickets.successor = &member
-		bequest := decider.bequest()
+		handover := decider.bequest()
 		decider.mu.Unlock()
 		var taken bool
 		// A peer that received the call and did not reply may have accepted. It stays
 		// the successor, so that there are never two.
-		err := decider.Net.Call(member.Wire, "Ticket.Inherit", bequest, &taken, claimTimeout)
+		err := decider.Net.Call(member.Wire, "Ticket.Inherit", handover, &taken, claimTimeout)
 		if err == nil && taken || err != nil && !wire.NotSent(err) {
 			return err == nil
 		}
@@ -499,20 +499,20 @@
 
 // Inherit takes over the rows of a peer that shuts down. Rows that this daemon already
 // has are kept, as they are newer.
-func (decider *Decider) Inherit(bequest TicketHandover, taken *bool) error {
+func (decider *Decider) Inherit(handover TicketHandover, taken *bool) error {
 	now := decider.World.Now()
 	decider.mu.Lock()
 	defer decider.mu.Unlock()
-	if decider.stopped || decider.tickets.successor != nil || len(decider.tickets.rows)+len(bequest.Rows) > maxTickets {
+	if decider.stopped || decider.tickets.successor != nil || len(decider.tickets.rows)+len(handover.Rows) > maxTickets {
 		return nil
 	}
-	for incarnation, uptime := range bequest.Uptimes {
+	for incarnation, uptime := range handover.Uptimes {
 		decider.tickets.inherited[incarnation] = now - uptime
 		if view := decider.View(); view.Tree != nil {
 			decider.tickets.inheritedUntil[incarnation] = now + 2*view.Tree.Duration("ticket_ms", "")
 		}
 	}
-	for _, entry := range bequest.Rows {
+	for _, entry := range handover.Rows {
 		key := ticketKey{entry.Ticket, entry.Request}
 		// A request that was transferred to this daemon and has no row here was never
 		// admitted: it has not arrived yet, or its transfer was lost.
--- a/decide/trials_test.go
+++ b/decide/trials_test.go
@@ -41,24 +41,24 @@
 
 // serveOne runs one request of the kind, with the time to first token that first gives for its
 // version, and returns its selection; a negative time makes the request fail.
-func serveOne(t *testing.T, bench *testCluster, kind string, first func(version string) time.Duration) *decide.Selection {
+func serveOne(t *testing.T, cluster *testCluster, kind string, first func(version string) time.Duration) *decide.Selection {
 	t.Helper()
 	var selection *decide.Selection
-	bench.Node("x").Go(func() {
+	cluster.Node("x").Go(func() {
 		request := call("q")
 		request.Kind = kind
 		var rejection *verdict.Error
-		if selection, rejection = bench.deciders["x"].Select(request, nil); rejection != nil {
+		if selection, rejection = cluster.deciders["x"].Select(request, nil); rejection != nil {
 			t.Errorf("request rejected: %v", rejection)
 			return
 		}
 		if took := first(selection.Version); took < 0 {
-			bench.deciders["x"].Release(selection, &verdict.Error{Verdict: verdict.MayHaveRun, Code: "replica_failed"}, 0)
+			cluster.deciders["x"].Release(selection, &verdict.Error{Verdict: verdict.MayHaveRun, Code: "replica_failed"}, 0)
 		} else {
-			bench.deciders["x"].Release(selection, nil, took)
+			cluster.deciders["x"].Release(selection, nil, took)
 		}
 	})
-	bench.Run(10 * time.Millisecond)
+	cluster.Run(10 * time.Millisecond)
 	return selection
 }
 
@@ -70,8 +70,8 @@
 // requests goes to it, so that a bad version harms few. A rare kind gets an early trial request,
 // and all trial requests go to few replicas.
 func TestOpenTrialKeepsItsShare(t *testing.T) {
-	bench := newTestCluster("x")
-	bench.now = anyVersionView(onTrial, nil)
+	cluster := newTestCluster("x")
+	cluster.now = anyVersionView(onTrial, nil)
 	trials, rareTrials, rareTotal := 0, 0, 0
 	byReplica := map[string]int{}
 	for total := 1; total <= 2000; total++ {
@@ -80,7 +80,7 @@
 			kind = "seldom"
 			rareTotal++
 		}
-		selection := serveOne(t, bench, kind, constantTime(100*time.Millisecond))
+		selection := serveOne(t, cluster, kind, constantTime(100*time.Millisecond))
 		if selection.Trial != (selection.Version == "v2") {
 			t.Fatalf("selection of version %s has Trial set to %v", selection.Version, selection.Trial)
 		}
@@ -107,25 +107,25 @@
 // goes back from a failed version that it watches. The test calls opensTrial and barred as the
 // selection of routed requests does.
 func TestFailingTrialIsClosed(t *testing.T) {
-	bench := newTestCluster("x")
-	bench.now = anyVersionView(onTrial, nil)
-	decider := bench.deciders["x"]
-	if !decider.Barred(bench.now, "a", "m", "v2") || decider.Barred(bench.now, "a", "m", "v1") || decider.Barred(bench.now, "b", "m", "v1") {
+	cluster := newTestCluster("x")
+	cluster.now = anyVersionView(onTrial, nil)
+	decider := cluster.deciders["x"]
+	if !decider.Barred(cluster.now, "a", "m", "v2") || decider.Barred(cluster.now, "a", "m", "v1") || decider.Barred(cluster.now, "b", "m", "v1") {
 		t.Error("the version on trial is not barred, or another one is")
 	}
 	isOpened, failed := 0, 0
 	for range 600 {
-		version, open := decider.OpensTrial(bench.now, call("q"), "a")
+		version, open := decider.OpensTrial(cluster.now, call("q"), "a")
 		if version != "v2" {
 			t.Fatalf("%q is on trial, want v2", version)
 		}
-		if _, elsewhere := decider.OpensTrial(bench.now, call("q"), "b"); elsewhere {
+		if _, elsewhere := decider.OpensTrial(cluster.now, call("q"), "b"); elsewhere {
 			t.Fatal("a trial is open in a region that has none")
 		}
 		if open {
 			isOpened++
 		}
-		serveOne(t, bench, "k", func(version string) time.Duration {
+		serveOne(t, cluster, "k", func(version string) time.Duration {
 			if version == "v2" {
 				failed++
 				return -1
@@ -136,11 +136,11 @@
 	if isOpened == 0 || failed < 3 || failed > 6 {
 		t.Errorf("the trial was opened %d times and failed %d requests, want at least 1 opening and 3 to 6 failures", isOpened, failed)
 	}
-	bench.now = anyVersionView(func(*routing.Row) {}, func(row *routing.Row) { row.Back = true })
-	if !decider.Barred(bench.now, "a", "m", "v2") || decider.Barred(bench.now, "a", "m", "v1") {
+	cluster.now = anyVersionView(func(*routing.Row) {}, func(row *routing.Row) { row.Back = true })
+	if !decider.Barred(cluster.now, "a", "m", "v2") || decider.Barred(cluster.now, "a", "m", "v1") {
 		t.Error("the failed version that is watched is not barred, or the previous one is")
 	}
-	if selection := serveOne(t, bench, "k", constantTime(time.Millisecond)); selection.Version != "v1" {
+	if selection := serveOne(t, cluster, "k", constantTime(time.Millisecond)); selection.Version != "v1" {
 		t.Errorf("version %s was selected, want v1", selection.Version)
 	}
 }
@@ -154,13 +154,13 @@
 		part            int // one in this many of its answers takes that long
 		want            bool
 	}{{300 * time.Millisecond, 0, 1, true}, {300 * time.Millisecond, 0, 3, true}, {500 * time.Millisecond, 0, 1, true}, {100 * time.Millisecond, 0, 1, false}, {180 * time.Millisecond, 0, 1, false}, {400 * time.Millisecond, 300 * time.Millisecond, 1, false}} {
-		bench := newTestCluster("x")
-		bench.now = anyVersionView(onTrial, nil)
-		decider := bench.deciders["x"]
+		cluster := newTestCluster("x")
+		cluster.now = anyVersionView(onTrial, nil)
+		decider := cluster.deciders["x"]
 		answers, isNoticed := 0, false
 		for turn := 0; turn < 2000 && answers < 50 && !isNoticed; turn++ {
 			took := 80*time.Millisecond + time.Duration(turn%5)*10*time.Millisecond
-			bench.Node("x").Go(func() {
+			cluster.Node("x").Go(func() {
 				selection, rejection := decider.Select(call("q"), nil)
 				if rejection != nil {
 					t.Errorf("request rejected: %v", rejection)
@@ -174,7 +174,7 @@
 				}
 				decider.Release(selection, nil, took)
 			})
-			bench.Run(5 * time.Millisecond)
+			cluster.Run(5 * time.Millisecond)
 			var trial, other routing.Outcome
 			for _, outcome := range decider.Report().Total {
 				if outcome.Version == "v2" {
--- a/lease/shutdown_test.go
+++ b/lease/shutdown_test.go
@@ -102,12 +102,12 @@
 // machine a grant may exceed its time limit and is then requested again, as data daemons
 // do.
 func (issuer *testIssuer) lease(t *testing.T) (granted time.Duration) {
-	ask := lease.Request{Holder: session.Member{Name: "data", Incarnation: "1", Role: session.Data, Wire: "data"}}
+	request := lease.Request{Holder: session.Member{Name: "data", Incarnation: "1", Role: session.Data, Wire: "data"}}
 	began := issuer.machine.Now()
 	for {
 		granted = issuer.machine.Now()
 		grant := new(lease.Grant)
-		if err := issuer.Renew(ask, grant); err == nil && grant.Declined == "" {
+		if err := issuer.Renew(request, grant); err == nil && grant.Declined == "" {
 			return granted
 		} else if granted-began > time.Minute {
 			t.Error("could not get a lease: ", err, grant.Declined)
--- a/routing/any_version_test.go
+++ b/routing/any_version_test.go
@@ -103,15 +103,15 @@
 // moves to it, given the failures of the other versions.
 func TestWorse(t *testing.T) {
 	for _, test := range []struct {
-		ok, mishaps     int
+		ok, failures    int
 		others, failing int
 		want            bool
 	}{
 		{20, 0, 1000, 0, false}, {98, 2, 1000, 0, false}, {95, 5, 1000, 0, true}, {17, 3, 1000, 0, true},
 		{95, 5, 950, 50, false}, {80, 20, 950, 50, true}, {992, 8, 1000, 0, false}, {960, 40, 1000, 0, true},
 	} {
-		if isWorse := routing.FailsMore(routing.Outcome{OK: test.ok, Mishaps: test.mishaps}, routing.Outcome{OK: test.others, Mishaps: test.failing}); isWorse != test.want {
-			t.Errorf("%+v: Worse returned %v", test, isWorse)
+		if isWorse := routing.FailsMore(routing.Outcome{OK: test.ok, Mishaps: test.failures}, routing.Outcome{OK: test.others, Mishaps: test.failing}); isWorse != test.want {
+			t.Errorf("%+v: FailsMore returned %v", test, isWorse)
 		}
 	}
 }
--- a/session/session.go
+++ b/session/session.go
@@ -148,19 +148,19 @@
 }
 
 // Beat processes a daemon's heartbeat.
-func (table *Table) Beat(beat Heartbeat, reply *HeartbeatReply) error {
+func (table *Table) Beat(heartbeat Heartbeat, reply *HeartbeatReply) error {
 	now := table.World.Now()
 	table.mu.Lock()
-	if beat.Over {
-		table.ended[beat.Member.Incarnation] = now
-		if current := table.rows[beat.Member.Name]; current != nil && current.Member.Incarnation == beat.Member.Incarnation {
-			table.remove(beat.Member.Name)
+	if heartbeat.Over {
+		table.ended[heartbeat.Member.Incarnation] = now
+		if current := table.rows[heartbeat.Member.Name]; current != nil && current.Member.Incarnation == heartbeat.Member.Incarnation {
+			table.remove(heartbeat.Member.Name)
 		}
-	} else if _, hasEnded := table.ended[beat.Member.Incarnation]; !hasEnded {
-		table.record(row{Session: Session{Member: beat.Member, Report: beat.Report}, lastHeard: now}, true)
+	} else if _, hasEnded := table.ended[heartbeat.Member.Incarnation]; !hasEnded {
+		table.record(row{Session: Session{Member: heartbeat.Member, Report: heartbeat.Report}, lastHeard: now}, true)
 	}
 	table.mu.Unlock()
-	if reply.Sum = table.Checksum(Control); reply.Sum != beat.Known {
+	if reply.Sum = table.Checksum(Control); reply.Sum != heartbeat.Known {
 		reply.Controls = table.Members(Control)
 		reply.Sum = Checksum(reply.Controls)
 	}
@@ -563,11 +563,11 @@
 
 // SendHeartbeat sends one heartbeat and updates the list of control daemons from the reply. It
 // reports whether there was a reply.
-func (client *Client) SendHeartbeat(beat Heartbeat) bool {
+func (client *Client) SendHeartbeat(heartbeat Heartbeat) bool {
 	client.mu.Lock()
-	beat.Known = client.controlsSum
+	heartbeat.Known = client.controlsSum
 	client.mu.Unlock()
-	reply, err := client.Call("Session.Beat", beat, func() any { return new(HeartbeatReply) }, func(any) bool { return true }, client.SessionTimeout()/4)
+	reply, err := client.Call("Session.Beat", heartbeat, func() any { return new(HeartbeatReply) }, func(any) bool { return true }, client.SessionTimeout()/4)
 	if err != nil {
 		return false
 	}
--- a/session/session_test.go
+++ b/session/session_test.go
@@ -16,8 +16,8 @@
 
 type shareService struct{ *session.Table }
 
-func (service shareService) Share(shared session.ShareMessage, back *session.ShareMessage) error {
-	return service.Table.Share(shared, back)
+func (service shareService) Share(message session.ShareMessage, back *session.ShareMessage) error {
+	return service.Table.Share(message, back)
 }
 
 func TestControlDaemonsOutsideSeedListsFindEachOther(t *testing.T) {
--- a/session/share.go
+++ b/session/share.go
@@ -43,20 +43,20 @@
 const minPacked = 4
 
 // pack replaces Sessions by Packed if there are many of them.
-func (shared *ShareMessage) pack() {
-	if len(shared.Sessions) >= minPacked {
-		shared.Packed, shared.Sessions = wire.EncodeCompressed(shared.Sessions), nil
+func (message *ShareMessage) pack() {
+	if len(message.Sessions) >= minPacked {
+		message.Packed, message.Sessions = wire.EncodeCompressed(message.Sessions), nil
 	}
 }
 
 // unpack restores Sessions from Packed.
-func (shared *ShareMessage) unpack() error {
-	if len(shared.Packed) == 0 {
+func (message *ShareMessage) unpack() error {
+	if len(message.Packed) == 0 {
 		return nil
 	}
-	packed := shared.Packed
-	shared.Packed = nil
-	return wire.DecodeCompressed(packed, &shared.Sessions)
+	packed := message.Packed
+	message.Packed = nil
+	return wire.DecodeCompressed(packed, &message.Sessions)
 }
 
 // Mark says that a session is live: Serial is the latest version of its content at the
@@ -311,16 +311,16 @@
 
 // Share merges a peer's sessions into the table, and replies with the slots whose contents
 // are missing.
-func (table *Table) Share(shared ShareMessage, reply *ShareMessage) error {
-	if err := shared.unpack(); err != nil {
+func (table *Table) Share(message ShareMessage, reply *ShareMessage) error {
+	if err := message.unpack(); err != nil {
 		return err
 	}
-	table.Registers.LearnCore(shared.Core)
-	missing, sessions := table.resolve(shared)
-	table.merge(shared.From, sessions)
+	table.Registers.LearnCore(message.Core)
+	missing, sessions := table.resolve(message)
+	table.merge(message.From, sessions)
 	core := table.Registers.Core()
 	*reply = ShareMessage{From: table.Self.Incarnation, Epoch: core.Epoch, Lacks: missing}
-	if shared.Epoch < core.Epoch {
+	if message.Epoch < core.Epoch {
 		reply.Core = core
 	}
 	return nil
@@ -328,23 +328,23 @@
 
 // resolve returns the sessions that the marks name, with the contents received now or
 // earlier, and the slots for which the content is missing.
-func (table *Table) resolve(shared ShareMessage) (missing []uint64, sessions []Session) {
+func (table *Table) resolve(message ShareMessage) (missing []uint64, sessions []Session) {
 	now := table.World.Now()
 	table.mu.Lock()
 	defer table.mu.Unlock()
-	peer := table.received[shared.From]
+	peer := table.received[message.From]
 	if peer == nil {
 		peer = &peerSessions{}
-		table.received[shared.From] = peer
+		table.received[message.From] = peer
 	}
 	peer.lastHeard = now
 	previous := peer.slots
 	peer.slots = map[uint64]receivedContent{}
 	sent := map[uint64]Content{}
-	for _, content := range shared.Sessions {
+	for _, content := range message.Sessions {
 		sent[content.Slot] = content
 	}
-	for _, mark := range shared.Marks {
+	for _, mark := range message.Marks {
 		heardAt := now - time.Duration(mark.Age)*time.Millisecond
 		held, known := previous[mark.Slot]
 		if content, isSent := sent[mark.Slot]; isSent && (!known || held.serial < content.Serial) {
@@ -496,10 +496,10 @@
 		loop.Gather(table.World, len(addresses), table.SessionTimeout()/4, func(index int) bool {
 			// A peer that lacks contents, for example after a restart, gets them at once.
 			for attempt := 0; attempt < 2; attempt++ {
-				shared, next := table.buildShare(addresses[index])
-				shared.pack()
+				message, next := table.buildShare(addresses[index])
+				message.pack()
 				reply := new(ShareMessage)
-				if table.Net.Call(addresses[index], "Session.Share", shared, reply, table.SessionTimeout()/4) != nil {
+				if table.Net.Call(addresses[index], "Session.Share", message, reply, table.SessionTimeout()/4) != nil {
 					break
 				}
 				table.recordReply(addresses[index], next, reply)
--- a/session/share_test.go
+++ b/session/share_test.go
@@ -16,8 +16,8 @@
 
 type beatService struct{ shareService }
 
-func (service beatService) Beat(beat session.Heartbeat, answer *session.HeartbeatReply) error {
-	return service.Table.Beat(beat, answer)
+func (service beatService) Beat(heartbeat session.Heartbeat, answer *session.HeartbeatReply) error {
+	return service.Table.Beat(heartbeat, answer)
 }
 
 // testCluster is a simulated cluster of control daemons that share sessions, each in its own
@@ -217,13 +217,13 @@
 	Convey("reports of many daemons about the same replicas cost little more than the counts", t, func() {
 		cluster := newTestCluster(1)
 		defer cluster.Close()
-		beat := 0
+		heartbeat := 0
 		for index := 0; index < 40; index++ {
 			cluster.startData(fmt.Sprint("d", index), "x", func() routing.Report {
-				beat++
+				heartbeat++
 				var out routing.Report
 				for replica := range 20 {
-					out.Near = append(out.Near, routing.Outcome{Replica: fmt.Sprintf("i-%010x", 7919*(replica+index%9)), Model: "daba27a", Version: "v1", Kind: "r-abkukgz", Boot: fmt.Sprintf("%016x", 104729*(replica+index%9)), OK: 1 + (beat+replica)%3, Mishaps: 1 + beat%2})
+					out.Near = append(out.Near, routing.Outcome{Replica: fmt.Sprintf("i-%010x", 7919*(replica+index%9)), Model: "daba27a", Version: "v1", Kind: "r-abkukgz", Boot: fmt.Sprintf("%016x", 104729*(replica+index%9)), OK: 1 + (heartbeat+replica)%3, Mishaps: 1 + heartbeat%2})
 				}
 				return out
 			})
--- a/tenant/watch.go
+++ b/tenant/watch.go
@@ -141,13 +141,13 @@
 // NewPlanner returns a planner that starts with the baselines of the previous leader, as
 // returned by Baselines.
 func NewPlanner(now time.Duration, baselines []Profile) *Planner {
-	watch := &Planner{tenants: map[string]*tenantState{}, lastTurn: now, usualReporters: map[string]float64{}}
+	planner := &Planner{tenants: map[string]*tenantState{}, lastTurn: now, usualReporters: map[string]float64{}}
 	for _, profile := range baselines[:min(len(baselines), MaxTracked)] {
 		if profile.Rates != nil {
-			watch.tenants[profile.Tenant] = &tenantState{short: profile.clone(), long: profile.clone(), baseline: profile.clone(), movedAt: now}
+			planner.tenants[profile.Tenant] = &tenantState{short: profile.clone(), long: profile.clone(), baseline: profile.clone(), movedAt: now}
 		}
 	}
-	return watch
+	return planner
 }
 
 // Baselines returns the tenants' baselines, which the next leader needs.
