--- a/decide/replica_state.go
+++ b/decide/replica_state.go
@@ -74,7 +74,7 @@
 	silentSince   time.Duration
 	awaitingFirst int
 	// backOffUntil is until when the replica gets nothing, in backoff after a connection failure, a
-	// silence or a rejection; strikes is the number of these in a row.
+	// silence or a rejection; failuresInRow is the number of these in a row.
 	backOffUntil  time.Duration
 	failuresInRow int
 	// isUnreachable is set if a connection could not be opened and none has been since.
@@ -94,7 +94,7 @@
 }
 
 // admits reports whether a replica without a sign of life since its last backoff may get a
-// request: one at a time, and after a second strike only requests that may be repeated
+// request: one at a time, and after a second failure in a row only requests that may be repeated
 // elsewhere, unless the backoff ended more than maxBackOff ago.
 func (state *replicaState) admits(now time.Duration, isRepeatable bool) bool {
 	if state.failuresInRow == 0 {
--- a/doctor/doctor.go
+++ b/doctor/doctor.go
@@ -264,11 +264,11 @@
 			}
 		}
 		if !isLive {
-			exam.find("duty vacant", Critical, "a control daemon is elected within a few seconds while the core has a majority; if not, check the control daemons' logs", "duty %s has no live leader (last %s)", name, nameOrNobody(holder))
+			exam.find("duty vacant", Critical, "a control daemon is elected within a few seconds while the core has a majority; if not, check the control daemons' logs", "leadership %s has no live leader (last %s)", name, nameOrNobody(holder))
 		}
 		for _, local := range exam.last.Status.Locals {
 			if changes := local.Changes[name]; changes >= 5 && local.Watched < time.Duration(changes)*20*time.Second {
-				exam.find("duty flapping", Warning, "control daemons lose contact with each other: check their network and load", "leadership of duty %s changed %d times within %v", name, changes, local.Watched.Round(time.Second))
+				exam.find("duty flapping", Warning, "control daemons lose contact with each other: check their network and load", "leadership %s changed %d times within %v", name, changes, local.Watched.Round(time.Second))
 				break
 			}
 		}
--- a/doctor/doctor_test.go
+++ b/doctor/doctor_test.go
@@ -255,7 +255,7 @@
 		return false
 	})
 	if !seen {
-		t.Error("the vacant duty was not reported")
+		t.Error("the vacant leadership was not reported")
 	}
 	cluster.Run(8 * time.Second)
 	for _, finding := range examine(cluster, at) {
@@ -370,5 +370,5 @@
 			return
 		}
 	}
-	t.Error("the flapping duty was not reported")
+	t.Error("the flapping leadership was not reported")
 }
--- a/lease/config_update_test.go
+++ b/lease/config_update_test.go
@@ -74,12 +74,12 @@
 			t.Fatalf("delta against version %d: wrong configuration or error: %v", base, err)
 		}
 		size := len(update.Index) + len(update.Texts)
-		t.Logf("against version %d: edition of %d bytes for a document of %d bytes in %d chunks", base, size, len(documents[5]), len(tree.Chunks()))
+		t.Logf("against version %d: update of %d bytes for a document of %d bytes in %d chunks", base, size, len(documents[5]), len(tree.Chunks()))
 		if base > 0 && size > 1000 || base == 0 && size < 10000 {
-			t.Errorf("against version %d: unexpected edition size of %d bytes", base, size)
+			t.Errorf("against version %d: unexpected update size of %d bytes", base, size)
 		}
 		if again := issuer.mustFetch(t, 0, base); &again.Index[0] != &update.Index[0] {
-			t.Error("the edition is packed again for each request")
+			t.Error("the update is packed again for each request")
 		}
 	}
 	none := &ConfigUpdate{}
@@ -209,10 +209,10 @@
 		t.Errorf("the holder applies version %d with evacuated zones %v", view.Serial, view.Evacuated)
 	}
 	if offer := (Offer{Serial: 3, Edition: update}); offer.assemble(holder.View()) != nil {
-		t.Error("accepted an edition older than the offered version")
+		t.Error("accepted an update older than the offered version")
 	}
 	if offer := (Offer{Serial: 2, Edition: update}); offer.assemble(&View{Serial: 7, Tree: tree}) != nil {
-		t.Error("assembled an edition with another base than its own")
+		t.Error("assembled an update with another base than its own")
 	}
 	if issuer.offerUpdate(1) != nil {
 		t.Error("an offer carries a configuration that is not the newest")
--- a/lease/shutdown_test.go
+++ b/lease/shutdown_test.go
@@ -125,8 +125,8 @@
 	return applied, err
 }
 
-// stands acknowledges the second change if it is already in force.
-func (issuer *testIssuer) stands() (lease.Applied, error) {
+// acknowledgeInForce acknowledges the second change if it is already in force.
+func (issuer *testIssuer) acknowledgeInForce() (lease.Applied, error) {
 	applied, isSo, err := issuer.AcknowledgeInForce(func(tree *settings.Tree, _ lease.Config) bool { return tree.Label() == 2 })
 	if !isSo {
 		return applied, errors.New("the change is not in force")
@@ -162,7 +162,7 @@
 				for serial := uint64(0); serial < 2; serial, _, _ = issuer.Current() {
 					<-time.After(time.Millisecond)
 				}
-				orders = append(orders, issuer.repeat, issuer.stands)
+				orders = append(orders, issuer.repeat, issuer.acknowledgeInForce)
 			}
 			applied, err := orders[run%3]()
 			if after := issuer.machine.Now() - granted; err == nil && after < leaseSpan {
