--- a/decide/attempt.go
+++ b/decide/attempt.go
@@ -48,7 +48,7 @@
 	if config := view.Tree.Engine(routed.Model); config != nil && config.CacheTokens > 0 {
 		state.cache.touch(routed.Parts, int(cacheFillShare*float64(config.CacheTokens)))
 	}
-	decider.dispatched(view, selection)
+	decider.countSelection(view, selection)
 	return selection
 }
 
@@ -116,7 +116,7 @@
 	}
 }
 
-// noteAlive records that a replica has just shown that it is alive. The caller holds guard.
+// noteAlive records that a replica has just shown that it is alive. The caller holds mu.
 func (decider *Decider) noteAlive(state *replicaState, now time.Duration) {
 	state.lastAlive, state.failuresInRow, state.backOffUntil, state.isUnreachable = now, 0, 0, false
 	decider.closeBreaker(state)
--- a/decide/call.go
+++ b/decide/call.go
@@ -394,7 +394,7 @@
 		}
 	}
 	selection := &Selection{Replica: option.row.Replica, Address: option.endpoint.Address, Version: option.row.Version, Boot: option.endpoint.Boot, Region: option.endpoint.Region, Serial: view.Serial, Cost: cost, Trial: option.row.Trial, Spill: !option.isHome, Affine: affine, call: call}
-	decider.dispatched(view, selection)
+	decider.countSelection(view, selection)
 	return selection
 }
 
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -112,7 +112,7 @@
 
 // Decider holds the routing and admission state of a data daemon.
 //
-// Lock order: guard is a leaf lock, and nothing blocks while it is held.
+// Lock order: mu is a leaf lock, and nothing blocks while it is held.
 // Invariant: uses[r].units is the summed cost of this daemon's running attempts at
 // replica r; a new attempt is admitted only if the sum stays within this daemon's credit
 // in the current view.
--- a/decide/export_test.go
+++ b/decide/export_test.go
@@ -2,14 +2,14 @@
 
 import "swifttiller/lease"
 
-// OpensTrial calls opensTrial with guard held.
+// OpensTrial calls opensTrial with mu held.
 func (decider *Decider) OpensTrial(view *lease.View, call *Call, region string) (string, bool) {
 	decider.mu.Lock()
 	defer decider.mu.Unlock()
 	return decider.opensTrial(view, call, region)
 }
 
-// Barred calls barred with guard held.
+// Barred calls barred with mu held.
 func (decider *Decider) Barred(view *lease.View, region, model, version string) bool {
 	decider.mu.Lock()
 	defer decider.mu.Unlock()
--- a/decide/health.go
+++ b/decide/health.go
@@ -177,7 +177,7 @@
 }
 
 // recordFailure adds the weight of a routed request's failure to its replica's health, and
-// ejects the replica if that makes it an outlier. The caller holds guard.
+// ejects the replica if that makes it an outlier. The caller holds mu.
 func (decider *Decider) recordFailure(selection *Selection, weight float64, now time.Duration) {
 	health := &selection.state.health
 	health.decay(now)
@@ -214,7 +214,7 @@
 }
 
 // overdueAt counts a request that is overdue without an answer once, and reports whether its
-// replica is ejected. The caller holds guard.
+// replica is ejected. The caller holds mu.
 func (decider *Decider) overdueAt(selection *Selection, now time.Duration) bool {
 	if !selection.hasBegun && !selection.isLate && now-selection.sent > decider.Overdue(selection) {
 		selection.isLate = true
--- a/decide/health_reports.go
+++ b/decide/health_reports.go
@@ -75,7 +75,7 @@
 }
 
 // queueReport queues a report to the peers about the replica of a selection. The caller holds
-// guard.
+// mu.
 func (decider *Decider) queueReport(selection *Selection) {
 	if len(decider.reportPeers()) == 0 {
 		return
--- a/decide/release.go
+++ b/decide/release.go
@@ -11,8 +11,8 @@
 
 // Ends of attempts, of calls with tickets and of routed requests.
 
-// dispatched counts a selection that is about to be returned.
-func (decider *Decider) dispatched(view *lease.View, selection *Selection) {
+// countSelection counts a selection that is about to be returned.
+func (decider *Decider) countSelection(view *lease.View, selection *Selection) {
 	decider.addUse(selection, 1)
 	decider.counts.Attempts++
 	decider.accrue(view, selection)
--- a/decide/replica_state.go
+++ b/decide/replica_state.go
@@ -86,7 +86,7 @@
 	health  health
 	// reports are the health reports of peers, by peer name.
 	reports map[string]healthReport
-	// queryReply is the replica's last reply to a probe of its warmth, inquired when it was last probed.
+	// queryReply is the replica's last reply to a probe of its warmth, lastQuery when it was last probed.
 	queryReply queryReply
 	lastQuery  time.Duration
 	// region and model are those of the last attempt, or of the peer report that made it held.
--- a/decide/report.go
+++ b/decide/report.go
@@ -17,7 +17,7 @@
 	now := decider.World.Now()
 	decider.mu.Lock()
 	defer decider.mu.Unlock()
-	// The view is read under the guard, as in Select, so that attempts under an older routing
+	// The view is read under mu, as in Select, so that attempts under an older routing
 	// table than the reported one are in the report.
 	view := decider.View()
 	report := routing.Report{
@@ -115,7 +115,7 @@
 	replicas map[string]bool
 }
 
-// digest returns the digest of a region's routing table; the caller holds guard. A new view
+// digest returns the digest of a region's routing table; the caller holds mu. A new view
 // shares the rows and places of the previous one where nothing has changed, and these are
 // immutable, so most often the digest is cached.
 func (decider *Decider) digest(region string, table routing.Table) *digest {
--- a/decide/trials.go
+++ b/decide/trials.go
@@ -263,7 +263,7 @@
 
 // opensTrial returns the version of the call's model that is on trial in the region, empty
 // if there is none, and whether this request should go to it now rather than to any other
-// version there. The caller holds guard, and counts what it selects through dispatched.
+// version there. The caller holds mu, and counts what it selects through countSelection.
 func (decider *Decider) opensTrial(view *lease.View, call *Call, region string) (version string, open bool) {
 	version = decider.refreshTrials(view).trials[region+"/"+call.Model]
 	return version, version != "" && decider.allowsTrial(view, call, region, settings.AnyVersion, version)
@@ -279,7 +279,7 @@
 // barred reports whether a version of a model gets none of the region's requests, unless
 // opensTrial has opened it for the request at hand: it is on trial; or it is watched after
 // a rollout and plainly fails by this daemon's own counts; or it is the previous version,
-// which stands by while the watched one does not fail. The caller holds guard.
+// which stands by while the watched one does not fail. The caller holds mu.
 func (decider *Decider) barred(view *lease.View, region, model, version string) bool {
 	judging := decider.refreshTrials(view)
 	key := region + "/" + model
