--- a/decide/decide.go
+++ b/decide/decide.go
@@ -26,7 +26,7 @@
 	// QueueTimeout is the caller's limit on the time in the queue; 0 means the limit of the
 	// settings.
 	QueueTimeout time.Duration
-	// Bytes and Answer determine the cost; Prefix is the hash of the beginning of the
+	// Bytes and MaxAnswerTokens determine the cost; Prefix is the hash of the beginning of the
 	// prompt.
 	Bytes, MaxAnswerTokens int
 	Prefix                 uint64
@@ -52,7 +52,7 @@
 	IsRegionProbe bool
 
 	routed   *Routed
-	choice   *Choice // nil unless Options.Traced is set
+	choice   *Choice // nil unless Options.OnChoice is set
 	state    *replicaState
 	uncached int
 	sent     time.Duration
@@ -87,7 +87,7 @@
 type Quota interface {
 	// Take reports whether a request is within the tenant's limit, and if not, when to retry.
 	Take(tenant string) (retryAfter time.Duration, isAllowed bool)
-	// Refund refunds a request that Ask allowed and that was not run.
+	// Refund refunds a request that Take allowed and that was not run.
 	Refund(tenant string)
 }
 
@@ -112,7 +112,7 @@
 
 // Decider holds the routing and admission state of a data daemon.
 //
-// Lock order: guard is a leaf lock, and nothing blocks while it is held.
+// Lock order: mu is a leaf lock, and nothing blocks while it is held.
 // Invariant: uses[r].units is the summed cost of this daemon's running attempts at
 // replica r; a new attempt is admitted only if the sum stays within this daemon's credit
 // in the current view.
@@ -172,15 +172,15 @@
 // Counts are the counters that operators monitor.
 type Counts struct {
 	Demanded, Retries, Allowed, Redispatches uint64
-	Dispatches, Trials, Spilled, Affine      uint64
-	Declined                                 map[string]uint64
+	Attempts, Trials, Spilled, Affine        uint64
+	Rejected                                 map[string]uint64
 	located                                  uint64
 }
 
 // New returns a Decider without any requests.
 func New(options Options) *Decider {
-	decider := &Decider{Options: options, uses: map[string]*usage{}, trialMonitor: newJudging(), demand: map[string]*smoothedRate{}, released: map[string]*smoothedRate{}, suspects: map[string]suspect{}, fullUntil: map[string]time.Duration{}, endedBoots: map[string]string{}, replicas: map[string]*replicaState{}, breakers: map[string]*regionBreaker{}, lastProbes: map[string]time.Duration{}, noReplicaSince: map[string]time.Duration{}, lastRepeatable: map[string]time.Duration{}, repeatBudgets: map[string]*retryBudget{}, digests: map[string]*digest{}}
-	decider.counts.Declined = map[string]uint64{}
+	decider := &Decider{Options: options, uses: map[string]*usage{}, trialMonitor: newTrialMonitor(), demand: map[string]*smoothedRate{}, released: map[string]*smoothedRate{}, suspects: map[string]suspect{}, fullUntil: map[string]time.Duration{}, endedBoots: map[string]string{}, replicas: map[string]*replicaState{}, breakers: map[string]*regionBreaker{}, lastProbes: map[string]time.Duration{}, noReplicaSince: map[string]time.Duration{}, lastRepeatable: map[string]time.Duration{}, repeatBudgets: map[string]*retryBudget{}, digests: map[string]*digest{}}
+	decider.counts.Rejected = map[string]uint64{}
 	decider.window.totals = map[routing.Outcome]routing.Outcome{}
 	decider.tickets.init()
 	return decider
@@ -188,7 +188,7 @@
 
 // reject counts and returns the rejection of a request that was not run.
 func (decider *Decider) reject(status int, code, message string, retryAfter time.Duration) *verdict.Error {
-	decider.counts.Declined[code]++
+	decider.counts.Rejected[code]++
 	return verdict.Reject(status, code, message, retryAfter)
 }
 
@@ -275,9 +275,9 @@
 	decider.mu.Lock()
 	defer decider.mu.Unlock()
 	counts := decider.counts
-	counts.Declined = map[string]uint64{}
-	for code, count := range decider.counts.Declined {
-		counts.Declined[code] = count
+	counts.Rejected = map[string]uint64{}
+	for code, count := range decider.counts.Rejected {
+		counts.Rejected[code] = count
 	}
 	return counts
 }
--- a/decide/report.go
+++ b/decide/report.go
@@ -17,7 +17,7 @@
 	now := decider.World.Now()
 	decider.mu.Lock()
 	defer decider.mu.Unlock()
-	// The view is read under the guard, as in Select, so that attempts under an older routing
+	// The view is read under mu, as in Select, so that attempts under an older routing
 	// table than the reported one are in the report.
 	view := decider.View()
 	report := routing.Report{
@@ -51,7 +51,7 @@
 			report.Total = append(report.Total, outcome)
 		}
 	}
-	for code, count := range decider.counts.Declined {
+	for code, count := range decider.counts.Rejected {
 		report.Declined[code] = count
 	}
 	localCredits, localReplicas := map[string]float64{}, map[string]bool{}
@@ -104,8 +104,8 @@
 // digest is what Report needs to know of a region's routing table. It is immutable.
 type digest struct {
 	// rows and places are those that the digest was made of.
-	rows   []routing.Row
-	places []routing.Endpoint
+	rows      []routing.Row
+	endpoints []routing.Endpoint
 	// versions has one version of each model. mixed has the models with several versions,
 	// or with rows that are on trial or stand by for a rollback.
 	versions map[string]string
@@ -115,18 +115,18 @@
 	replicas map[string]bool
 }
 
-// digest returns the digest of a region's routing table; the caller holds guard. A new view
+// digest returns the digest of a region's routing table; the caller holds mu. A new view
 // shares the rows and places of the previous one where nothing has changed, and these are
 // immutable, so most often the digest is cached.
 func (decider *Decider) digest(region string, table routing.Table) *digest {
 	cached := decider.digests[region]
-	if cached != nil && isSameSlice(cached.rows, table.Rows) && isSameSlice(cached.places, table.Places) {
+	if cached != nil && isSameSlice(cached.rows, table.Rows) && isSameSlice(cached.endpoints, table.Places) {
 		return cached
 	}
-	fresh := &digest{rows: table.Rows, places: table.Places, versions: map[string]string{}, mixed: map[string]bool{}, credits: map[string]float64{}, replicas: map[string]bool{}}
+	fresh := &digest{rows: table.Rows, endpoints: table.Places, versions: map[string]string{}, mixed: map[string]bool{}, credits: map[string]float64{}, replicas: map[string]bool{}}
 	credits := map[string]int{}
-	for _, place := range table.Places {
-		credits[place.ID] = place.Credits[decider.Self.Name]
+	for _, endpoint := range table.Places {
+		credits[endpoint.ID] = endpoint.Credits[decider.Self.Name]
 	}
 	counted := map[[2]string]bool{}
 	for _, row := range table.Rows {
--- a/doctor/doctor_test.go
+++ b/doctor/doctor_test.go
@@ -233,7 +233,7 @@
 	cluster := fleet.NewPark(3, fleet.Sahayogi())
 	defer cluster.Close()
 	cluster.Run(6 * time.Second)
-	// The leader for east crashes; until another one is elected, the duty is vacant.
+	// The leader for east crashes; until another one is elected, the leadership is vacant.
 	leader := ""
 	for _, name := range []string{"c1", "c2", "c3", "c4"} {
 		if _, held := cluster.Controls[name].Elections.Term(controlplane.RegionElection + "east"); held {
@@ -255,7 +255,7 @@
 		return false
 	})
 	if !seen {
-		t.Error("the vacant duty was not reported")
+		t.Error("the vacant leadership was not reported")
 	}
 	cluster.Run(8 * time.Second)
 	for _, finding := range examine(cluster, at) {
@@ -370,5 +370,5 @@
 			return
 		}
 	}
-	t.Error("the flapping duty was not reported")
+	t.Error("the flapping leadership was not reported")
 }
--- a/lease/acknowledge.go
+++ b/lease/acknowledge.go
@@ -62,11 +62,11 @@
 
 // ErrAlreadyInForce is returned by a revise function if its effect is already in force. Nothing is
 // written then, and the present configuration is acknowledged again.
-var ErrAlreadyInForce = errors.New("permit: the change is already in force")
+var ErrAlreadyInForce = errors.New("lease: the change is already in force")
 
 // ErrUnconfirmed tells that the change is decided, but that this process ends before every
 // holder has applied it or lost its lease.
-var ErrUnconfirmed = errors.New("permit: the change was decided, but not confirmed by all data daemons before the process ended")
+var ErrUnconfirmed = errors.New("lease: the change was decided, but not confirmed by all data daemons before the process ended")
 
 // Change revises the configuration and returns once it is acknowledged: every recorded
 // holder has applied it, or its lease has expired.
@@ -132,12 +132,12 @@
 	applied := Applied{Serial: serial}
 	leaseSpan += time.Duration(MaxClockDrift * float64(leaseSpan))
 	deadline := decidedAt + leaseSpan
-	edition := issuer.offerEdition(serial)
+	update := issuer.offerUpdate(serial)
 	// confirmed has, by name, the incarnations that apply this version or a later one.
 	confirmed := map[string]string{}
 	sendOffer := func(address string, timeout time.Duration) string {
 		var reply OfferReply
-		offer := Offer{Serial: serial, Edition: edition, Patience: timeout * 4 / 5} // leaves time for the reply to arrive
+		offer := Offer{Serial: serial, Edition: update, Patience: timeout * 4 / 5} // leaves time for the reply to arrive
 		if issuer.Net.Call(address, "Permit.Take", offer, &reply, timeout) != nil || reply.Serial < serial {
 			return ""
 		}
--- a/lease/shutdown_test.go
+++ b/lease/shutdown_test.go
@@ -102,12 +102,12 @@
 // machine a grant may exceed its time limit and is then requested again, as data daemons
 // do.
 func (issuer *testIssuer) lease(t *testing.T) (granted time.Duration) {
-	ask := lease.Request{Holder: session.Member{Name: "data", Incarnation: "1", Role: session.Data, Wire: "data"}}
+	request := lease.Request{Holder: session.Member{Name: "data", Incarnation: "1", Role: session.Data, Wire: "data"}}
 	began := issuer.machine.Now()
 	for {
 		granted = issuer.machine.Now()
 		grant := new(lease.Grant)
-		if err := issuer.Renew(ask, grant); err == nil && grant.Declined == "" {
+		if err := issuer.Renew(request, grant); err == nil && grant.Declined == "" {
 			return granted
 		} else if granted-began > time.Minute {
 			t.Error("could not get a lease: ", err, grant.Declined)
@@ -125,8 +125,8 @@
 	return applied, err
 }
 
-// stands acknowledges the second change if it is already in force.
-func (issuer *testIssuer) stands() (lease.Applied, error) {
+// acknowledgeInForce acknowledges the second change if it is already in force.
+func (issuer *testIssuer) acknowledgeInForce() (lease.Applied, error) {
 	applied, isSo, err := issuer.AcknowledgeInForce(func(tree *settings.Tree, _ lease.Config) bool { return tree.Label() == 2 })
 	if !isSo {
 		return applied, errors.New("the change is not in force")
@@ -162,7 +162,7 @@
 				for serial := uint64(0); serial < 2; serial, _, _ = issuer.Current() {
 					<-time.After(time.Millisecond)
 				}
-				orders = append(orders, issuer.repeat, issuer.stands)
+				orders = append(orders, issuer.repeat, issuer.acknowledgeInForce)
 			}
 			applied, err := orders[run%3]()
 			if after := issuer.machine.Now() - granted; err == nil && after < leaseSpan {
--- a/session/session.go
+++ b/session/session.go
@@ -76,7 +76,7 @@
 type Heartbeat struct {
 	Member Member
 	Report routing.Report
-	// Known is the checksum (see Sum) of the control daemons that the daemon knows.
+	// Known is the checksum (see Checksum) of the control daemons that the daemon knows.
 	Known uint64
 	// Over ends the session at once.
 	Over bool
@@ -100,7 +100,7 @@
 	slot       uint64
 	announced  announcement
 	lastDirect time.Duration
-	checksum   uint64 // the member's checksum, an input to Sum
+	checksum   uint64 // the member's checksum, an input to Checksum
 }
 
 // Options of a table.
@@ -148,19 +148,19 @@
 }
 
 // Beat processes a daemon's heartbeat.
-func (table *Table) Beat(beat Heartbeat, reply *HeartbeatReply) error {
+func (table *Table) Beat(heartbeat Heartbeat, reply *HeartbeatReply) error {
 	now := table.World.Now()
 	table.mu.Lock()
-	if beat.Over {
-		table.ended[beat.Member.Incarnation] = now
-		if current := table.rows[beat.Member.Name]; current != nil && current.Member.Incarnation == beat.Member.Incarnation {
-			table.remove(beat.Member.Name)
+	if heartbeat.Over {
+		table.ended[heartbeat.Member.Incarnation] = now
+		if current := table.rows[heartbeat.Member.Name]; current != nil && current.Member.Incarnation == heartbeat.Member.Incarnation {
+			table.remove(heartbeat.Member.Name)
 		}
-	} else if _, hasEnded := table.ended[beat.Member.Incarnation]; !hasEnded {
-		table.record(row{Session: Session{Member: beat.Member, Report: beat.Report}, lastHeard: now}, true)
+	} else if _, hasEnded := table.ended[heartbeat.Member.Incarnation]; !hasEnded {
+		table.record(row{Session: Session{Member: heartbeat.Member, Report: heartbeat.Report}, lastHeard: now}, true)
 	}
 	table.mu.Unlock()
-	if reply.Sum = table.Checksum(Control); reply.Sum != beat.Known {
+	if reply.Sum = table.Checksum(Control); reply.Sum != heartbeat.Known {
 		reply.Controls = table.Members(Control)
 		reply.Sum = Checksum(reply.Controls)
 	}
@@ -234,7 +234,7 @@
 	return out
 }
 
-// Checksum returns Sum of Members without building the list.
+// Checksum returns the checksum of Members without building the list.
 func (table *Table) Checksum(role string) (sum uint64) {
 	table.mu.Lock()
 	defer table.mu.Unlock()
@@ -397,7 +397,7 @@
 
 	mu          sync.Mutex
 	controls    []Member
-	controlsSum uint64 // Sum of controls
+	controlsSum uint64 // checksum of controls
 	current     string
 	waker       *loop.Waker
 	listings    uint64 // number of calls of Controls
@@ -498,7 +498,7 @@
 }
 
 // Call calls the control daemons in turn until one gives an acceptable reply, and prefers
-// that one from then on. If none does, Ask returns the last unacceptable reply, or the last
+// that one from then on. If none does, Call returns the last unacceptable reply, or the last
 // error if there was no reply at all.
 func (client *Client) Call(method string, args any, newReply func() any, isAcceptable func(reply any) bool, timeout time.Duration) (any, error) {
 	var lastErr error
@@ -563,11 +563,11 @@
 
 // SendHeartbeat sends one heartbeat and updates the list of control daemons from the reply. It
 // reports whether there was a reply.
-func (client *Client) SendHeartbeat(beat Heartbeat) bool {
+func (client *Client) SendHeartbeat(heartbeat Heartbeat) bool {
 	client.mu.Lock()
-	beat.Known = client.controlsSum
+	heartbeat.Known = client.controlsSum
 	client.mu.Unlock()
-	reply, err := client.Call("Session.Beat", beat, func() any { return new(HeartbeatReply) }, func(any) bool { return true }, client.SessionTimeout()/4)
+	reply, err := client.Call("Session.Beat", heartbeat, func() any { return new(HeartbeatReply) }, func(any) bool { return true }, client.SessionTimeout()/4)
 	if err != nil {
 		return false
 	}
