--- a/docs/words_test.go
+++ b/docs/words_test.go
@@ -26,17 +26,15 @@
 // declarations. A count is only ever lowered; a folder without any leaves the list, and
 // none joins it.
 var packagesToDo = map[string]int{
-	"controlplane": 4,
-	"decide":       27,
+	"controlplane": 2,
+	"decide":       2,
 	"fleet":        309,
-	"lease":        18,
-	"listing":      1,
+	"lease":        4,
 	"quota":        1,
 	"register":     2,
 	"replica":      2,
-	"routing":      7,
-	"session":      2,
-	"sim":          2,
+	"routing":      4,
+	"session":      1,
 	"workflow":     1,
 }
 
