--- a/decide/report_test.go
+++ b/decide/report_test.go
@@ -8,10 +8,10 @@
 	"swifttiller/decide"
 )
 
-// TestReportFollowsStandings: the credits in a report follow the present view. The digest of a
+// TestReportFollowsTables: the credits in a report follow the present view. The digest of a
 // region's routing table is cached, and must be made again when a new view changes the table
 // of this daemon's own region while those of other regions stay.
-func TestReportFollowsStandings(t *testing.T) {
+func TestReportFollowsTables(t *testing.T) {
 	Convey("A daemon that holds a request", t, func() {
 		cluster := newTestCluster("x")
 		defer cluster.Close()
--- a/docs/words_test.go
+++ b/docs/words_test.go
@@ -27,12 +27,11 @@
 // none joins it.
 var packagesToDo = map[string]int{
 	"controlplane": 2,
-	"decide":       2,
-	"fleet":        309,
+	"decide":       1,
+	"fleet":        298,
 	"lease":        4,
 	"quota":        1,
 	"register":     2,
-	"replica":      2,
 	"routing":      4,
 	"session":      1,
 	"workflow":     1,
--- a/doctor/doctor_test.go
+++ b/doctor/doctor_test.go
@@ -19,7 +19,7 @@
 )
 
 // look requests the status of a control daemon and passes it through JSON, as the command does.
-func look(cluster *fleet.Park, at string) doctor.Snapshot {
+func look(cluster *fleet.Cluster, at string) doctor.Snapshot {
 	var out doctor.Snapshot
 	if err := cluster.Do(at, 30*time.Second, func(daemon *controlplane.Daemon) error {
 		body, err := json.Marshal(daemon.Status())
@@ -34,7 +34,7 @@
 	return out
 }
 
-func examine(cluster *fleet.Park, at string) []doctor.Finding {
+func examine(cluster *fleet.Cluster, at string) []doctor.Finding {
 	first := look(cluster, at)
 	cluster.Run(1500 * time.Millisecond)
 	return doctor.Examine(first, look(cluster, at))
@@ -49,12 +49,12 @@
 
 func TestSoundFleetsYieldNothing(t *testing.T) {
 	if testing.Short() {
-		t.Skip("a long simulation; the race detector has one task at a time to look at")
+		t.Skip("a long simulation that runs one goroutine at a time, which gives the race detector nothing to check")
 	}
 	for name, plan := range fleet.Plans {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			cluster := fleet.NewPark(1, plan())
+			cluster := fleet.NewCluster(1, plan())
 			defer cluster.Close()
 			cluster.Run(15 * time.Second)
 			for turn := 0; turn < 3; turn++ {
@@ -69,11 +69,11 @@
 
 func TestEachFindingHasItsCause(t *testing.T) {
 	if testing.Short() {
-		t.Skip("a long simulation; the race detector has one task at a time to look at")
+		t.Skip("a long simulation that runs one goroutine at a time, which gives the race detector nothing to check")
 	}
 	type cause struct {
 		finding string
-		do      func(cluster *fleet.Park)
+		do      func(cluster *fleet.Cluster)
 		change  func(plan *fleet.Plan)
 		at      string
 	}
@@ -81,15 +81,15 @@
 		return func(plan *fleet.Plan) { plan.Document = strings.Replace(plan.Document, old, fresh, 1) }
 	}
 	for _, test := range []cause{
-		{"no core majority", func(cluster *fleet.Park) {
+		{"no core majority", func(cluster *fleet.Cluster) {
 			cluster.Crash("c2")
 			cluster.Crash("c3")
 			cluster.Run(4 * time.Second)
 		}, nil, ""},
-		{"not reached", func(cluster *fleet.Park) { cluster.Crash("c3"); cluster.Run(3 * time.Second) }, nil, ""},
-		{"seed names nobody", func(cluster *fleet.Park) { cluster.Crash("c3"); cluster.Run(10 * time.Second) }, nil, ""},
-		{"a copy is missing", func(cluster *fleet.Park) { cluster.Crash("c3"); cluster.Run(70 * time.Second) }, nil, ""},
-		{"acceptor outside the core", func(cluster *fleet.Park) {
+		{"not reached", func(cluster *fleet.Cluster) { cluster.Crash("c3"); cluster.Run(3 * time.Second) }, nil, ""},
+		{"seed names nobody", func(cluster *fleet.Cluster) { cluster.Crash("c3"); cluster.Run(10 * time.Second) }, nil, ""},
+		{"a copy is missing", func(cluster *fleet.Cluster) { cluster.Crash("c3"); cluster.Run(70 * time.Second) }, nil, ""},
+		{"acceptor outside the core", func(cluster *fleet.Cluster) {
 			// The core can't query the acceptor, so it does not add it.
 			dropCalls(cluster, "c3", "Register.Describe")
 			cluster.Crash("c3")
@@ -97,40 +97,40 @@
 			cluster.StartControl("c3")
 			cluster.Run(4 * time.Second)
 		}, nil, ""},
-		{"disk does not keep", func(cluster *fleet.Park) { cluster.Node("c3").Disk.Full = true; cluster.Run(3 * time.Second) }, nil, ""},
-		{"slow disk", func(cluster *fleet.Park) {
+		{"disk does not keep", func(cluster *fleet.Cluster) { cluster.Node("c3").Disk.Full = true; cluster.Run(3 * time.Second) }, nil, ""},
+		{"slow disk", func(cluster *fleet.Cluster) {
 			cluster.Node("c3").Disk.SyncDelay = 400 * time.Millisecond
 			cluster.Run(3 * time.Second)
 		}, nil, ""},
-		{"clock apart", func(cluster *fleet.Park) { cluster.Node("c2").Skew = time.Minute }, nil, ""},
-		{"no permit", func(cluster *fleet.Park) {
+		{"clock apart", func(cluster *fleet.Cluster) { cluster.Node("c2").Skew = time.Minute }, nil, ""},
+		{"no permit", func(cluster *fleet.Cluster) {
 			// The daemon can send its heartbeats but can't get its leases: every control daemon
 			// except the one that receives its heartbeats is cut off from the core.
 			cluster.Split([]string{"c4"}, []string{"c1", "c2", "c3"}, true)
 			cluster.Split([]string{"d1"}, []string{"c1", "c2", "c3"}, true)
 			cluster.Run(4 * time.Second)
 		}, nil, "c4"},
-		{"holder without session", func(cluster *fleet.Park) { cluster.Crash("d1"); cluster.Run(4 * time.Second) }, nil, ""},
-		{"no data daemons", func(cluster *fleet.Park) {
+		{"holder without session", func(cluster *fleet.Cluster) { cluster.Crash("d1"); cluster.Run(4 * time.Second) }, nil, ""},
+		{"no data daemons", func(cluster *fleet.Cluster) {
 			for _, name := range []string{"d1", "d2", "d3", "d4", "d5", "d6"} {
 				cluster.Crash(name)
 			}
 			cluster.Run(4 * time.Second)
 		}, nil, ""},
-		{"replica listed but dark", func(cluster *fleet.Park) { cluster.Crash("west-1-r1"); cluster.Run(3 * time.Second) }, nil, ""},
-		{"zone without replicas", func(cluster *fleet.Park) {
+		{"replica listed but dark", func(cluster *fleet.Cluster) { cluster.Crash("west-1-r1"); cluster.Run(3 * time.Second) }, nil, ""},
+		{"zone without replicas", func(cluster *fleet.Cluster) {
 			for index := 1; index <= 5; index++ {
 				cluster.Crash(fmt.Sprintf("west-1-r%d", index))
 			}
 			cluster.Run(3 * time.Second)
 		}, nil, ""},
-		{"home without replicas", func(cluster *fleet.Park) {
+		{"home without replicas", func(cluster *fleet.Cluster) {
 			for index := 1; index <= 5; index++ {
 				cluster.Crash(fmt.Sprintf("west-1-r%d", index))
 			}
 			cluster.Run(3 * time.Second)
 		}, replace(`"homes":{`, `"homes":{"far":["west"],`), ""},
-		{"version wanted but not held", func(cluster *fleet.Park) {
+		{"version wanted but not held", func(cluster *fleet.Cluster) {
 			// The replica accepts the command and does nothing.
 			cluster.Replicas["east-1-r2"].Idle = true
 			cluster.Must("c1", func(daemon *controlplane.Daemon) error {
@@ -139,7 +139,7 @@
 			})
 			cluster.Run(45 * time.Second)
 		}, replace(`"trial_ms":6000,"trial_most_ms":20000`, `"trial_ms":500,"trial_most_ms":1000`), ""},
-		{"roll-out stuck", func(cluster *fleet.Park) {
+		{"roll-out stuck", func(cluster *fleet.Cluster) {
 			for _, replica := range cluster.Replicas {
 				replica.Idle = true
 			}
@@ -150,26 +150,26 @@
 			// East waits for its version to load, the other regions wait for east's trial.
 			cluster.Run(14 * time.Second)
 		}, replace(`"trial_most_ms":20000,"watch_ms":8000`, `"trial_most_ms":6000,"load_ms":8000,"watch_ms":1000`), ""},
-		{"rolled back", func(cluster *fleet.Park) {
+		{"rolled back", func(cluster *fleet.Cluster) {
 			cluster.Must("c1", func(daemon *controlplane.Daemon) error {
 				_, err := daemon.Objects.Change("roster", "", 0, func(model *rollout.Model) error { model.RolledBack = true; return nil })
 				return err
 			})
 		}, nil, ""},
-		{"retry budget spent", func(cluster *fleet.Park) {
+		{"retry budget spent", func(cluster *fleet.Cluster) {
 			for _, name := range []string{"d1", "d2"} {
 				cluster.Node(name).Go(func() { sendRetries(cluster, name) })
 			}
 		}, nil, ""},
-		{"slow replica", func(cluster *fleet.Park) {
-			cluster.Replicas["east-1-r3"].Slower = 30
+		{"slow replica", func(cluster *fleet.Cluster) {
+			cluster.Replicas["east-1-r3"].Slowdown = 30
 			cluster.Run(8 * time.Second)
 		}, func(plan *fleet.Plan) {
 			for index := range plan.Callers {
-				plan.Callers[index].Rosters = 40
+				plan.Callers[index].PromptGroups = 40
 			}
 		}, ""},
-		{"acceptor behind", func(cluster *fleet.Park) {
+		{"acceptor behind", func(cluster *fleet.Cluster) {
 			// c2 discards its state, as a change of the core demands, and receives no
 			// messages of the new core.
 			dropCalls(cluster, "c2", "Register.Install", "Register.Fetch", "Register.Digest")
@@ -178,15 +178,15 @@
 			cluster.StartControl("c3")
 			cluster.Run(6 * time.Second)
 		}, nil, ""},
-		{"serial behind", func(cluster *fleet.Park) {
+		{"serial behind", func(cluster *fleet.Cluster) {
 			dropCalls(cluster, "c4", "Register.")
 			if err := cluster.Apply(&fleet.Facts{}, "c1"); err != nil {
 				panic(err)
 			}
 			cluster.Run(time.Second)
 		}, nil, ""},
-		{"platform does not list", func(cluster *fleet.Park) { cluster.Platform.Broken = true; cluster.Run(3 * time.Second) }, nil, ""},
-		{"settings clash", func(*fleet.Park) {}, replace(`"trial_ms":6000`, `"trial_ms":60000`), ""},
+		{"platform does not list", func(cluster *fleet.Cluster) { cluster.Platform.Broken = true; cluster.Run(3 * time.Second) }, nil, ""},
+		{"settings clash", func(*fleet.Cluster) {}, replace(`"trial_ms":6000`, `"trial_ms":60000`), ""},
 	} {
 		t.Run(test.finding, func(t *testing.T) {
 			t.Parallel()
@@ -194,7 +194,7 @@
 			if test.change != nil {
 				test.change(&plan)
 			}
-			cluster := fleet.NewPark(2, plan)
+			cluster := fleet.NewCluster(2, plan)
 			defer cluster.Close()
 			cluster.Run(8 * time.Second)
 			test.do(cluster)
@@ -217,7 +217,7 @@
 }
 
 // sendRetries keeps sending calls that are marked as retries.
-func sendRetries(cluster *fleet.Park, name string) {
+func sendRetries(cluster *fleet.Cluster, name string) {
 	daemon := cluster.Datas[name]
 	for turn := 0; turn < 400; turn++ {
 		ticket := decide.Ticket{ID: "eager", Daemon: name, Incarnation: daemon.Incarnation, Wire: name, Expiry: daemon.Self().Uptime + time.Minute}
@@ -230,7 +230,7 @@
 }
 
 func TestVacantLeadership(t *testing.T) {
-	cluster := fleet.NewPark(3, fleet.Sahayogi())
+	cluster := fleet.NewCluster(3, fleet.Sahayogi())
 	defer cluster.Close()
 	cluster.Run(6 * time.Second)
 	// The leader for east crashes; until another one is elected, the leadership is vacant.
@@ -266,7 +266,7 @@
 }
 
 func TestDivergedAcceptor(t *testing.T) {
-	cluster := fleet.NewPark(4, fleet.Sahayogi())
+	cluster := fleet.NewCluster(4, fleet.Sahayogi())
 	defer cluster.Close()
 	cluster.Run(6 * time.Second)
 	isReported := func(first, last doctor.Snapshot) bool {
@@ -303,7 +303,7 @@
 }
 
 // dropCalls drops calls from and to a node whose method begins with one of the prefixes.
-func dropCalls(cluster *fleet.Park, name string, methods ...string) {
+func dropCalls(cluster *fleet.Cluster, name string, methods ...string) {
 	cluster.OnCall = func(from, to, method string) sim.Fate {
 		for _, prefix := range methods {
 			if (from == name || to == name) && strings.HasPrefix(method, prefix) {
@@ -317,7 +317,7 @@
 // TestFindingsOfANewSystem checks the findings between a system's first start and its first
 // configuration.
 func TestFindingsOfANewSystem(t *testing.T) {
-	cluster := fleet.NewBarePark(6, fleet.Sahayogi())
+	cluster := fleet.NewBareCluster(6, fleet.Sahayogi())
 	defer cluster.Close()
 	has := func(finding string) bool {
 		for _, reported := range examine(cluster, "c1") {
@@ -347,7 +347,7 @@
 }
 
 func TestFlappingLeadership(t *testing.T) {
-	cluster := fleet.NewPark(5, fleet.Sahayogi())
+	cluster := fleet.NewCluster(5, fleet.Sahayogi())
 	defer cluster.Close()
 	cluster.Run(6 * time.Second)
 	// Each leader in turn gives up its leadership, as when control daemons lose contact.
--- a/execute/execute.go
+++ b/execute/execute.go
@@ -177,7 +177,7 @@
 	}
 	tree := executor.Holder().Tree
 	began := executor.World.Now()
-	stream, failure := executor.Client.Dispatch(replica.Request{
+	stream, failure := executor.Client.Send(replica.Request{
 		Replica: selection.Replica, Address: selection.Address, Path: call.Path, Body: renamed, Model: call.Model, Version: selection.Version,
 		Kind: call.Kind, Home: call.Home, ID: call.ID,
 		Gate:    func() (uint64, *verdict.Error) { return executor.Decider.Gate(selection) },
--- a/fleet/bounds_test.go
+++ b/fleet/bounds_test.go
@@ -52,15 +52,15 @@
 				}
 				t.Run(fmt.Sprintf("%s/%s/%d", name, fault.Name, seed), func(t *testing.T) {
 					t.Parallel()
-					cluster := fleet.NewPark(seed, plan())
+					cluster := fleet.NewCluster(seed, plan())
 					defer cluster.Close()
-					cluster.Run(warm)
+					cluster.Run(warmupTime)
 					facts := cluster.Begin()
 					fault.Run(cluster, &facts)
 					cluster.Run(10 * time.Second)
 					cluster.Quiet = true
 					cluster.Run(8 * time.Second)
-					clean(t, cluster, facts)
+					checkRules(t, cluster, facts)
 					if value, seen := fleet.Worst(cluster, facts)[rule]; seen {
 						add(name+": "+rule+", "+fault.Name, value)
 					}
--- a/fleet/bytes_test.go
+++ b/fleet/bytes_test.go
@@ -10,7 +10,7 @@
 
 // countCrossRegionBytes starts counting the bytes sent between regions, by rpc method. Only
 // message bodies count, without the per-call overhead.
-func countCrossRegionBytes(cluster *fleet.Park) map[string]int {
+func countCrossRegionBytes(cluster *fleet.Cluster) map[string]int {
 	counts := map[string]int{}
 	cluster.OnBytes = func(from, to, method string, bytes int) {
 		if fleet.Region(cluster.Zone(from)) != fleet.Region(cluster.Zone(to)) {
@@ -22,8 +22,8 @@
 
 // newDistantCluster returns a simulated cluster whose regions are separated by the delay
 // between from the start.
-func newDistantCluster(seed uint64, plan fleet.Plan) *fleet.Park {
-	cluster := fleet.NewPark(seed, plan)
+func newDistantCluster(seed uint64, plan fleet.Plan) *fleet.Cluster {
+	cluster := fleet.NewCluster(seed, plan)
 	for _, from := range cluster.NodeNames() {
 		for _, to := range cluster.NodeNames() {
 			if fleet.Region(cluster.Zone(from)) != fleet.Region(cluster.Zone(to)) {
@@ -60,7 +60,7 @@
 func TestStartOfAllBytes(t *testing.T) {
 	t.Parallel()
 	skipLong(t)
-	plan := grown(88, 90, 6)
+	plan := grownPlan(88, 90, 6)
 	cluster := newDistantCluster(1, plan)
 	defer cluster.Close()
 	cluster.Run(15 * time.Second)
@@ -87,9 +87,9 @@
 	replaced := countCrossRegionBytes(cluster)
 	cluster.Crash("c6")
 	cluster.Run(8 * time.Second)
-	cluster.Place("fresh", "west-1")
+	cluster.SetZone("fresh", "west-1")
 	cluster.StartControl("fresh")
-	if !cluster.Until(catchUp, func() bool { return cluster.Votes("fresh") }) {
+	if !cluster.Until(catchUp, func() bool { return cluster.IsCoreMember("fresh") }) {
 		t.Error("the replacement core machine has no vote")
 	}
 	checkByteBounds(t, "a core machine that is replaced", replaced, map[string]int{"Register.Seal": 25e3, "Register.Install": 30e3})
--- a/fleet/call.go
+++ b/fleet/call.go
@@ -55,14 +55,14 @@
 	Direct string
 }
 
-// Tally counts how requests ended, as the callers saw it.
-type Tally struct {
+// Counters counts how requests ended, as the callers saw it.
+type Counters struct {
 	OK, NotRun, MayHaveRun, Ran, Cut, Foreign, Retried int
 	Codes                                              map[string]int
 }
 
 // String formats the counts as one line.
-func (tally Tally) String() string {
+func (tally Counters) String() string {
 	return fmt.Sprintf("ok %d, not run %d, may have run %d, ran %d, cut %d, foreign bytes %d, retried %d, codes %v", tally.OK, tally.NotRun, tally.MayHaveRun, tally.Ran, tally.Cut, tally.Foreign, tally.Retried, tally.Codes)
 }
 
@@ -75,11 +75,11 @@
 }
 
 // Call sends the requests over HTTP with concurrent callers, and returns when all have ended.
-func Call(options CallerOptions) Tally {
+func Call(options CallerOptions) Counters {
 	client := &http.Client{Timeout: 2 * time.Minute, Transport: &http.Transport{MaxIdleConnsPerHost: options.Workers}}
 	var next atomic.Int64
 	var guard sync.Mutex
-	total := Tally{Codes: map[string]int{}}
+	total := Counters{Codes: map[string]int{}}
 	var workers sync.WaitGroup
 	runID := time.Now().UnixNano()
 	for worker := 0; worker < options.Workers; worker++ {
--- a/fleet/check.go
+++ b/fleet/check.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// Broken is one violation of a rule, judged from what callers, replicas and operators observed.
-type Broken struct {
+// Violation is one violation of a rule, judged from what callers, replicas and operators observed.
+type Violation struct {
 	Rule   string
 	At     time.Duration
 	Detail string
 }
 
 // String formats the violation as one line.
-func (broken Broken) String() string {
+func (broken Violation) String() string {
 	return fmt.Sprintf("%s at %v: %s", broken.Rule, broken.At.Round(time.Millisecond), broken.Detail)
 }
 
@@ -42,11 +42,11 @@
 	// SmallShare is the largest share of a request kind that the bad version may get in a
 	// region before that region routes all its traffic to it.
 	SmallShare float64
-	// Books lists the configurations with routes in the order in which they were submitted.
-	Books []Book
-	// Missed lists preconditions of the fault that did not come about. The run proves
+	// RoutedConfigs lists the configurations with routes in the order in which they were submitted.
+	RoutedConfigs []RoutedConfig
+	// FailedPreconditions lists preconditions of the fault that did not come about. The run proves
 	// nothing if there are any.
-	Missed []error
+	FailedPreconditions []error
 }
 
 // Ack records when a configuration was acknowledged, and a hash of its contents.
@@ -79,11 +79,11 @@
 
 // Check applies every rule to what callers, replicas and operators observed. judged holds
 // how many cases each rule had to judge; a rule without any has proved nothing.
-func Check(park *Park, facts Facts) (all []Broken, judged map[string]int) {
+func Check(park *Cluster, facts Facts) (all []Violation, judged map[string]int) {
 	return apply(Rules, park, facts)
 }
 
-func apply(rules []Rule, park *Park, facts Facts) (all []Broken, judged map[string]int) {
+func apply(rules []Rule, park *Cluster, facts Facts) (all []Violation, judged map[string]int) {
 	judged = map[string]int{}
 	for _, rule := range rules {
 		broken, count := rule.Check(park, facts)
@@ -97,7 +97,7 @@
 // number of cases that it judged.
 type Rule struct {
 	Name  string
-	Check func(park *Park, facts Facts) (broken []Broken, judged int)
+	Check func(park *Cluster, facts Facts) (broken []Violation, judged int)
 }
 
 // Rules are the invariants for requests that are addressed to a model by name.
@@ -111,16 +111,16 @@
 // ran because of an attempt sent after that reply. Simulated callers send an ID with a new
 // ticket only after not_run. A user gets at most one complete answer. Judged are the IDs with
 // more than one attempt.
-func twice(park *Park, _ Facts) (all []Broken, judged int) {
+func twice(park *Cluster, _ Facts) (all []Violation, judged int) {
 	ran := map[string]*Served{}
 	for _, served := range park.Logs() {
 		if before := ran[served.ID]; before != nil {
-			all = append(all, Broken{"twice", served.At, fmt.Sprintf("%s ran on %s, sent by %s, at %v and on %s, sent by %s", served.ID, before.Replica, before.Daemon, before.At, served.Replica, served.Daemon)})
+			all = append(all, Violation{"twice", served.At, fmt.Sprintf("%s ran on %s, sent by %s, at %v and on %s, sent by %s", served.ID, before.Replica, before.Daemon, before.At, served.Replica, served.Daemon)})
 		}
 		ran[served.ID] = served
 	}
-	sent := map[string][]Told{}
-	for _, reply := range park.Told {
+	sent := map[string][]AttemptOutcome{}
+	for _, reply := range park.Outcomes {
 		sent[reply.ID] = append(sent[reply.ID], reply)
 	}
 	for id, replies := range sent {
@@ -140,13 +140,13 @@
 				later = later || other.Sent >= reply.At && other.Sent <= served.At
 			}
 			if served.At <= reply.At || !later {
-				all = append(all, Broken{"twice", reply.At, fmt.Sprintf("%s got the verdict not_run (%s from %s) but ran at %v, sent by %s", id, reply.Code, reply.Daemon, served.At, served.Daemon)})
+				all = append(all, Violation{"twice", reply.At, fmt.Sprintf("%s got the verdict not_run (%s from %s) but ran at %v, sent by %s", id, reply.Code, reply.Daemon, served.At, served.Daemon)})
 			}
 		}
 	}
 	for _, request := range park.Requests {
-		if request.Wholes > 1 {
-			all = append(all, Broken{"twice", request.End, fmt.Sprintf("%s: the user got %d complete answers", request.ID, request.Wholes)})
+		if request.CompleteAnswers > 1 {
+			all = append(all, Violation{"twice", request.End, fmt.Sprintf("%s: the user got %d complete answers", request.ID, request.CompleteAnswers)})
 		}
 	}
 	return all, judged
@@ -154,16 +154,16 @@
 
 // foreign checks that no caller gets bytes of another request, or a truncated answer that
 // looks complete. Judged are the requests whose answer ended.
-func foreign(park *Park, _ Facts) (all []Broken, judged int) {
+func foreign(park *Cluster, _ Facts) (all []Violation, judged int) {
 	for _, request := range park.Requests {
 		if request.Verdict == "ok" || request.Verdict == "cut" {
 			judged++
 		}
-		if request.Foreign {
-			all = append(all, Broken{"foreign", request.End, request.ID + " got bytes of another request"})
+		if request.WrongAnswer {
+			all = append(all, Violation{"foreign", request.End, request.ID + " got bytes of another request"})
 		}
 		if request.Verdict == "ok" && !request.Whole {
-			all = append(all, Broken{"foreign", request.End, request.ID + " looked complete but was not"})
+			all = append(all, Violation{"foreign", request.End, request.ID + " looked complete but was not"})
 		}
 	}
 	return all, judged
@@ -172,7 +172,7 @@
 // lost checks that during planned maintenance every request succeeds, including those in flight when
 // it began, which are the ones from three seconds before. A request that never ended counts as lost.
 // Judged are all these requests.
-func lost(park *Park, facts Facts) (all []Broken, judged int) {
+func lost(park *Cluster, facts Facts) (all []Violation, judged int) {
 	if !facts.Planned {
 		return nil, 0
 	}
@@ -184,9 +184,9 @@
 		judged++
 		switch {
 		case request.End == 0:
-			all = append(all, Broken{"lost", request.At, fmt.Sprintf("%s (%s) never ended, after %d attempts", request.ID, request.Crowd, request.Tries)})
+			all = append(all, Violation{"lost", request.At, fmt.Sprintf("%s (%s) never ended, after %d attempts", request.ID, request.Crowd, request.Tries)})
 		case request.Verdict != "ok":
-			all = append(all, Broken{"lost", request.End, fmt.Sprintf("%s (%s, from %v) ended %s (%s) after %d attempts", request.ID, request.Crowd, request.At.Round(time.Millisecond), request.Verdict, request.Code, request.Tries)})
+			all = append(all, Violation{"lost", request.End, fmt.Sprintf("%s (%s, from %v) ended %s (%s) after %d attempts", request.ID, request.Crowd, request.At.Round(time.Millisecond), request.Verdict, request.Code, request.Tries)})
 		}
 	}
 	return all, judged
@@ -196,7 +196,7 @@
 // acknowledged more than OldConfigBound earlier, and that a version has the same contents on
 // every process, namely those that were acknowledged to its operator. Judged are the requests
 // sent more than OldConfigBound after an acknowledgement.
-func oldConfig(park *Park, facts Facts) (all []Broken, judged int) {
+func oldConfig(park *Cluster, facts Facts) (all []Violation, judged int) {
 	for _, served := range park.Logs() {
 		newest := uint64(0)
 		for serial, ack := range facts.Acked {
@@ -208,7 +208,7 @@
 			judged++
 		}
 		if served.Serial < newest {
-			all = append(all, Broken{"old config", served.Sent, fmt.Sprintf("%s was sent under version %d, though %d was acknowledged at %v", served.ID, served.Serial, newest, facts.Acked[newest].At)})
+			all = append(all, Violation{"old config", served.Sent, fmt.Sprintf("%s was sent under version %d, though %d was acknowledged at %v", served.ID, served.Serial, newest, facts.Acked[newest].At)})
 		}
 	}
 	marks := map[uint64]uint64{}
@@ -217,7 +217,7 @@
 	}
 	for _, adopted := range park.Adopted {
 		if mark, known := marks[adopted.Serial]; known && mark != adopted.Mark && mark != 0 {
-			all = append(all, Broken{"old config", adopted.At, fmt.Sprintf("%s uses different contents of version %d", adopted.Daemon, adopted.Serial)})
+			all = append(all, Violation{"old config", adopted.At, fmt.Sprintf("%s uses different contents of version %d", adopted.Daemon, adopted.Serial)})
 		}
 		marks[adopted.Serial] = adopted.Mark
 	}
@@ -229,18 +229,18 @@
 // longer than a lease, neither uses nor sends requests under a lower version than the highest
 // that any process had used by then. Judged are the process starts that followed a first
 // configuration.
-func fallback(park *Park, _ Facts) (all []Broken, judged int) {
-	lives := map[string][]Life{}
-	for _, life := range park.Lives {
+func fallback(park *Cluster, _ Facts) (all []Violation, judged int) {
+	lives := map[string][]Start{}
+	for _, life := range park.Starts {
 		lives[life.Daemon] = append(lives[life.Daemon], life)
-		if life.Least > 0 {
+		if life.MinVersion > 0 {
 			judged++
 		}
 	}
 	least := func(daemon string, at time.Duration) (serial uint64) {
 		for _, life := range lives[daemon] {
 			if life.At <= at {
-				serial = max(serial, life.Least)
+				serial = max(serial, life.MinVersion)
 			}
 		}
 		return serial
@@ -249,11 +249,11 @@
 	for _, adopted := range park.Adopted {
 		key := adopted.Daemon + "#" + adopted.Life
 		if adopted.Serial < lastSerials[key] {
-			all = append(all, Broken{"fallback", adopted.At, fmt.Sprintf("%s went from version %d to %d", adopted.Daemon, lastSerials[key], adopted.Serial)})
+			all = append(all, Violation{"fallback", adopted.At, fmt.Sprintf("%s went from version %d to %d", adopted.Daemon, lastSerials[key], adopted.Serial)})
 		}
 		lastSerials[key] = adopted.Serial
 		if bound := least(adopted.Daemon, adopted.At); adopted.Serial < bound {
-			all = append(all, Broken{"fallback", adopted.At, fmt.Sprintf("%s adopted version %d; when it started or resumed, %d was in use", adopted.Daemon, adopted.Serial, bound)})
+			all = append(all, Violation{"fallback", adopted.At, fmt.Sprintf("%s adopted version %d; when it started or resumed, %d was in use", adopted.Daemon, adopted.Serial, bound)})
 		}
 	}
 	highestSent := map[string]uint64{}
@@ -261,7 +261,7 @@
 	sort.SliceStable(logs, func(a, b int) bool { return logs[a].Sent < logs[b].Sent })
 	for _, served := range logs {
 		if bound := max(highestSent[served.Daemon], least(served.Daemon, served.Sent)); served.Serial < bound {
-			all = append(all, Broken{"fallback", served.At, fmt.Sprintf("%s sent a request under version %d; it had to use at least %d", served.Daemon, served.Serial, bound)})
+			all = append(all, Violation{"fallback", served.At, fmt.Sprintf("%s sent a request under version %d; it had to use at least %d", served.Daemon, served.Serial, bound)})
 		}
 		highestSent[served.Daemon] = max(highestSent[served.Daemon], served.Serial)
 	}
@@ -271,24 +271,24 @@
 // leaving checks that a replica process gets no request sent more than LeavingBound after the
 // first daemon learned that it is being terminated. Judged are the processes that ran on
 // for at least a second past the bound and got requests when the termination was learned.
-func leaving(park *Park, _ Facts) (all []Broken, judged int) {
+func leaving(park *Cluster, _ Facts) (all []Violation, judged int) {
 	for _, arrival := range park.Arrivals {
-		if since, known := park.Learned[arrival.Replica+"/"+arrival.Boot]; known && arrival.Sent > since+LeavingBound {
-			all = append(all, Broken{"leaving", arrival.At, fmt.Sprintf("%s (%s) got %s from %s, though its termination was known since %v", arrival.Replica, arrival.Boot, arrival.ID, arrival.Daemon, since)})
+		if since, known := park.TerminationLearned[arrival.Replica+"/"+arrival.Boot]; known && arrival.Sent > since+LeavingBound {
+			all = append(all, Violation{"leaving", arrival.At, fmt.Sprintf("%s (%s) got %s from %s, though its termination was known since %v", arrival.Replica, arrival.Boot, arrival.ID, arrival.Daemon, since)})
 		}
 	}
 	isUsed := map[string]bool{}
 	for _, arrival := range park.Arrivals {
 		life := arrival.Replica + "/" + arrival.Boot
-		if since, known := park.Learned[life]; known && arrival.Sent > since-recentSpan && arrival.Sent <= since+LeavingBound {
+		if since, known := park.TerminationLearned[life]; known && arrival.Sent > since-recentSpan && arrival.Sent <= since+LeavingBound {
 			isUsed[life] = true
 		}
 	}
-	for life, since := range park.Learned {
+	for life, since := range park.TerminationLearned {
 		if !isUsed[life] {
 			continue
 		}
-		for _, replica := range append(append([]*Replica{}, park.past...), park.currentReplicas()...) {
+		for _, replica := range append(append([]*Replica{}, park.pastReplicas...), park.currentReplicas()...) {
 			ended := park.Now()
 			if replica.Gone > 0 {
 				ended = replica.Gone
@@ -306,7 +306,7 @@
 // nothing. From the start of the rollout until a region routes all its traffic to the version,
 // no kind of request in that region gives it more than SmallShare. Judged are the requests that
 // the version got.
-func badVersion(park *Park, facts Facts) (all []Broken, judged int) {
+func badVersion(park *Cluster, facts Facts) (all []Violation, judged int) {
 	if facts.Bad == "" {
 		return nil, 0
 	}
@@ -340,7 +340,7 @@
 		}
 		judged++
 		if failingSince > 0 && served.At > failingSince+BadBound {
-			all = append(all, Broken{"bad version", served.At, fmt.Sprintf("%s (%s) got %s from %s, which was known to fail since %v", served.ID, served.Kind, facts.Bad, served.Daemon, failingSince)})
+			all = append(all, Violation{"bad version", served.At, fmt.Sprintf("%s (%s) got %s from %s, which was known to fail since %v", served.ID, served.Kind, facts.Bad, served.Daemon, failingSince)})
 		}
 		if moved, has := facts.Moved[region]; has && served.At >= moved {
 			continue
@@ -349,7 +349,7 @@
 		// A request counts as demand when it is received, shortly before it reaches a replica.
 		if facts.SmallShare > 0 && float64(toBad[key]) > facts.SmallShare*float64(total[key]+shareRounding) && !reported[key] {
 			reported[key] = true
-			all = append(all, Broken{"bad version", served.At, fmt.Sprintf("%s got %d of the first %d %s in %s", facts.Bad, toBad[key], total[key], served.Kind, region)})
+			all = append(all, Violation{"bad version", served.At, fmt.Sprintf("%s got %d of the first %d %s in %s", facts.Bad, toBad[key], total[key], served.Kind, region)})
 		}
 	}
 	return all, judged
@@ -367,21 +367,21 @@
 // flooded checks that cold replicas are not overloaded, by the counts of the simulated
 // replicas: requests taken beyond their capacity, and requests rejected. Judged are the
 // requests taken while cold.
-func flooded(park *Park, _ Facts) (all []Broken, judged int) {
-	for _, replica := range append(append([]*Replica{}, park.past...), park.currentReplicas()...) {
+func flooded(park *Cluster, _ Facts) (all []Violation, judged int) {
+	for _, replica := range append(append([]*Replica{}, park.pastReplicas...), park.currentReplicas()...) {
 		judged += replica.ColdTaken
-		if rejected := float64(replica.TurnedAway); rejected > 3 && rejected > maxColdRejectedShare*float64(replica.ColdTaken+replica.TurnedAway) {
-			all = append(all, Broken{"flooded", 0, fmt.Sprintf("%s (%s) rejected %d requests while cold, and took %d", replica.ID, replica.Boot, replica.TurnedAway, replica.ColdTaken)})
+		if rejected := float64(replica.ColdRejections); rejected > 3 && rejected > maxColdRejectedShare*float64(replica.ColdTaken+replica.ColdRejections) {
+			all = append(all, Violation{"flooded", 0, fmt.Sprintf("%s (%s) rejected %d requests while cold, and took %d", replica.ID, replica.Boot, replica.ColdRejections, replica.ColdTaken)})
 		}
-		if replica.Flooded > 0 {
-			all = append(all, Broken{"flooded", 0, fmt.Sprintf("%s (%s) took %d requests beyond its capacity, peak %d", replica.ID, replica.Boot, replica.Flooded, replica.Peak)})
+		if replica.ColdOverload > 0 {
+			all = append(all, Violation{"flooded", 0, fmt.Sprintf("%s (%s) took %d requests beyond its capacity, peak %d", replica.ID, replica.Boot, replica.ColdOverload, replica.Peak)})
 		}
 	}
 	return all, judged
 }
 
 // currentReplicas returns the current replicas in the order of their names.
-func (park *Park) currentReplicas() (list []*Replica) {
+func (park *Cluster) currentReplicas() (list []*Replica) {
 	for _, name := range park.ids() {
 		list = append(list, park.Replicas[name])
 	}
@@ -390,7 +390,7 @@
 
 // home checks that no node outside a request's home regions reads its body, proxies it, gets it
 // or caches it. Judged are the bodies read and the requests sent that are bound to homes.
-func home(park *Park, facts Facts) (all []Broken, judged int) {
+func home(park *Cluster, facts Facts) (all []Violation, judged int) {
 	// Both the old and the new homes are allowed from the submission of a change until
 	// OldConfigBound after its acknowledgement.
 	within := func(tag, node string, at time.Duration) bool {
@@ -414,7 +414,7 @@
 		}
 		judged++
 		if !within(tag, node, at) {
-			all = append(all, Broken{"home", at, fmt.Sprintf("%s (%s) %s %s", id, tag, action, node)})
+			all = append(all, Violation{"home", at, fmt.Sprintf("%s (%s) %s %s", id, tag, action, node)})
 		}
 	}
 	for _, entered := range park.Entered {
@@ -433,7 +433,7 @@
 // evacuated checks that more than EvacuatedBound after a zone's evacuation no daemon of the zone
 // accepts a request, no replica there gets one, and no caller is sent there. Judged are the
 // arrivals and replies while any zone was evacuated.
-func evacuated(park *Park, facts Facts) (all []Broken, judged int) {
+func evacuated(park *Cluster, facts Facts) (all []Violation, judged int) {
 	isOut := func(zone string, at time.Duration) bool {
 		for _, span := range facts.Evacuated {
 			if span.Zone == zone && at > span.From+EvacuatedBound && (span.Until == 0 || at < span.Until) {
@@ -455,7 +455,7 @@
 			judged++
 		}
 		if isOut(zone, at) {
-			all = append(all, Broken{"evacuated", at, event + " in the evacuated zone " + zone})
+			all = append(all, Violation{"evacuated", at, event + " in the evacuated zone " + zone})
 		}
 	}
 	for _, arrival := range park.Arrivals {
@@ -465,7 +465,7 @@
 	for _, entered := range park.Entered {
 		check(entered.At, entered.ID+" was accepted by "+entered.Daemon, park.zones[entered.Daemon])
 	}
-	for _, located := range park.Locates {
+	for _, located := range park.LocateReplies {
 		for _, zone := range located.Zones {
 			check(located.At, located.By+" sent a caller to a daemon", zone)
 		}
@@ -478,13 +478,13 @@
 // repeat. A repeat may have waited in a queue since it was accepted, so new requests count from
 // retryQueued before the window. One repeat per data daemon is allowed for rounding. Judged are
 // the repeats.
-func retries(park *Park, _ Facts) (all []Broken, judged int) {
+func retries(park *Cluster, _ Facts) (all []Violation, judged int) {
 	var reportedAt time.Duration
 	eachRepeat(park, func(at time.Duration, count, fresh int) {
 		judged++
 		if float64(count) > RetryBound*float64(fresh)+float64(len(park.Plan.Datas)) && (reportedAt == 0 || at > reportedAt+retryWindow) {
 			reportedAt = at
-			all = append(all, Broken{"retries", at, fmt.Sprintf("%d repeats against %d new requests", count, fresh)})
+			all = append(all, Violation{"retries", at, fmt.Sprintf("%d repeats against %d new requests", count, fresh)})
 		}
 	})
 	return all, judged
@@ -499,7 +499,7 @@
 
 // eachRepeat visits, for every repeat, the window that ends with it, with the number of repeats
 // in the window and the number of new requests that they count against.
-func eachRepeat(park *Park, visit func(at time.Duration, count, fresh int)) {
+func eachRepeat(park *Cluster, visit func(at time.Duration, count, fresh int)) {
 	fresh := append([]*Request{}, park.Requests...)
 	sort.SliceStable(fresh, func(a, b int) bool { return fresh[a].At < fresh[b].At })
 	repeated := repeats(park)
@@ -515,7 +515,7 @@
 }
 
 // repeats returns the times at which replicas got a request that had been sent before.
-func repeats(park *Park) (repeated []time.Duration) {
+func repeats(park *Cluster) (repeated []time.Duration) {
 	first := map[string]bool{}
 	arrivals := append([]Arrival{}, park.Arrivals...)
 	sort.SliceStable(arrivals, func(a, b int) bool { return arrivals[a].At < arrivals[b].At })
@@ -530,7 +530,7 @@
 
 // Rate counts the requests that ended with a complete answer within a period, and those that started
 // in it.
-func Rate(park *Park, from, until time.Duration) (answered, asked int) {
+func Rate(park *Cluster, from, until time.Duration) (answered, asked int) {
 	for _, request := range park.Requests {
 		if request.End >= from && request.End < until && request.Verdict == "ok" {
 			answered++
--- a/fleet/checker_test.go
+++ b/fleet/checker_test.go
@@ -19,73 +19,73 @@
 	}
 	type run struct {
 		rule string
-		do   func(cluster *fleet.Park, facts *fleet.Facts)
+		do   func(cluster *fleet.Cluster, facts *fleet.Facts)
 		plan func() fleet.Plan
 	}
 	// Violations come from outside the code under test: from a simulated component that
 	// misbehaves, or from one forbidden entry in the history that the checker gets.
-	forge := func(change func(cluster *fleet.Park, served *fleet.Served)) func(*fleet.Park, *fleet.Facts) {
-		return func(cluster *fleet.Park, _ *fleet.Facts) {
+	forge := func(change func(cluster *fleet.Cluster, served *fleet.Served)) func(*fleet.Cluster, *fleet.Facts) {
+		return func(cluster *fleet.Cluster, _ *fleet.Facts) {
 			logs := cluster.Logs()
 			change(cluster, logs[len(logs)-1])
 		}
 	}
 	for _, test := range []run{
-		{"twice", forge(func(cluster *fleet.Park, served *fleet.Served) { served.ID = cluster.Logs()[0].ID }), nil},
-		{"foreign", func(cluster *fleet.Park, _ *fleet.Facts) { cluster.Requests[3].Foreign = true }, nil},
-		{"lost", func(cluster *fleet.Park, facts *fleet.Facts) {
+		{"twice", forge(func(cluster *fleet.Cluster, served *fleet.Served) { served.ID = cluster.Logs()[0].ID }), nil},
+		{"foreign", func(cluster *fleet.Cluster, _ *fleet.Facts) { cluster.Requests[3].WrongAnswer = true }, nil},
+		{"lost", func(cluster *fleet.Cluster, facts *fleet.Facts) {
 			// Daemons that are killed although the facts call their stop planned.
 			for _, name := range []string{"d1", "d2", "d3", "d4", "d5"} {
 				cluster.Crash(name)
 			}
 			cluster.Run(3 * time.Second)
 		}, nil},
-		{"old config", func(cluster *fleet.Park, facts *fleet.Facts) {
+		{"old config", func(cluster *fleet.Cluster, facts *fleet.Facts) {
 			// A configuration that counts as acknowledged but was sent to nobody.
 			facts.Acked = map[uint64]fleet.Ack{7: {At: cluster.Now()}}
 			cluster.Run(6 * time.Second)
 		}, nil},
-		{"fallback", func(cluster *fleet.Park, _ *fleet.Facts) {
+		{"fallback", func(cluster *fleet.Cluster, _ *fleet.Facts) {
 			cluster.Crash("d1")
 			cluster.StartData("d1")
 			cluster.Run(5 * time.Second)
 			logs := cluster.Logs()
 			logs[len(logs)-1].Serial = 0
 		}, nil},
-		{"leaving", func(cluster *fleet.Park, _ *fleet.Facts) {
+		{"leaving", func(cluster *fleet.Cluster, _ *fleet.Facts) {
 			// Replicas that count as leaving for the checker only.
 			for name, server := range cluster.Replicas {
-				cluster.Learned[name+"/"+server.Boot] = cluster.Now()
+				cluster.TerminationLearned[name+"/"+server.Boot] = cluster.Now()
 			}
 			cluster.Run(9 * time.Second)
 		}, nil},
-		{"bad version", func(cluster *fleet.Park, facts *fleet.Facts) {
+		{"bad version", func(cluster *fleet.Cluster, facts *fleet.Facts) {
 			// With the health watch of rollouts switched off, a bad version stays in use.
 			facts.Bad = "v1"
 			cluster.Run(10 * time.Second)
 		}, func() fleet.Plan {
-			return worsen(quick(), func(version, kind string, _ int) bool { return kind == "notice" })
+			return withFailures(quickPlan(), func(version, kind string, _ int) bool { return kind == "notice" })
 		}},
-		{"flooded", func(cluster *fleet.Park, _ *fleet.Facts) {
+		{"flooded", func(cluster *fleet.Cluster, _ *fleet.Facts) {
 			// Replicas that warm up far more slowly than the settings say.
 			for _, server := range cluster.Replicas {
 				server.ColdAnswers = 1 << 20
 			}
 			cluster.Run(8 * time.Second)
 		}, func() fleet.Plan {
-			plan := quick()
+			plan := quickPlan()
 			for index := range plan.Callers {
 				plan.Callers[index].Every /= 2
 			}
 			return plan
 		}},
-		{"home", forge(func(_ *fleet.Park, served *fleet.Served) { served.Home = "nowhere" }), nil},
-		{"evacuated", func(cluster *fleet.Park, facts *fleet.Facts) {
+		{"home", forge(func(_ *fleet.Cluster, served *fleet.Served) { served.Home = "nowhere" }), nil},
+		{"evacuated", func(cluster *fleet.Cluster, facts *fleet.Facts) {
 			// A zone that counts as evacuated for the checker only.
 			facts.Evacuated = []fleet.Evacuation{{Zone: "east-1", From: cluster.Now()}}
 			cluster.Run(8 * time.Second)
 		}, nil},
-		{"retries", func(cluster *fleet.Park, _ *fleet.Facts) {
+		{"retries", func(cluster *fleet.Cluster, _ *fleet.Facts) {
 			// The retry budget is set to half of the requests, and every request is retried.
 			for index := 0; index < 400; index++ {
 				cluster.Arrivals = append(cluster.Arrivals, fleet.Arrival{At: cluster.Now(), ID: "x", Try: 2})
@@ -94,11 +94,11 @@
 	} {
 		t.Run(test.rule, func(t *testing.T) {
 			t.Parallel()
-			newPlan := quick
+			newPlan := quickPlan
 			if test.plan != nil {
 				newPlan = test.plan
 			}
-			cluster := fleet.NewPark(7, newPlan())
+			cluster := fleet.NewCluster(7, newPlan())
 			defer cluster.Close()
 			cluster.Run(8 * time.Second)
 			facts := cluster.Begin()
@@ -128,9 +128,9 @@
 	for name, plan := range fleet.Plans {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			cluster := fleet.NewPark(8, plan())
+			cluster := fleet.NewCluster(8, plan())
 			defer cluster.Close()
-			cluster.Run(warm)
+			cluster.Run(warmupTime)
 			before, _ := fleet.Rate(cluster, cluster.Now()-5*time.Second, cluster.Now())
 			cluster.Must("c1", func(daemon *controlplane.Daemon) error {
 				_, err := daemon.Handover("h1", cluster.Model, "v2", nil)
@@ -149,16 +149,16 @@
 			if answered*4*5 < before*2 {
 				t.Errorf("recovery: %d answers in seconds 10 to 12 after the restart, %d in the five seconds before the loss", answered, before)
 			}
-			run := settled(cluster, "east", 0)
+			run := waitForRun(cluster, "east", 0)
 			if name == "sklepik" {
-				run = settled(cluster, "north", 0)
+				run = waitForRun(cluster, "north", 0)
 			}
 			if run.ID != "h1" {
 				t.Errorf("the rollout's run was lost: %+v", run)
 			}
 			cluster.Quiet = true
 			cluster.Run(12 * time.Second)
-			clean(t, cluster, begun(cluster, false))
+			checkRules(t, cluster, factsSinceWarm(cluster, false))
 		})
 	}
 }
@@ -172,16 +172,16 @@
 	for name, plan := range fleet.Plans {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			cluster := fleet.NewPark(8, plan())
+			cluster := fleet.NewCluster(8, plan())
 			defer cluster.Close()
-			cluster.Run(warm)
+			cluster.Run(warmupTime)
 			region := cluster.Regions()[0]
-			formerLeader := cluster.Holder(region)
-			lost := cluster.Lose(cluster.NodeNames())
+			formerLeader := cluster.RegionLeader(region)
+			lost := cluster.CrashAll(cluster.NodeNames())
 			cluster.Run(3 * time.Second)
-			cluster.Return(slices.DeleteFunc(lost, func(name string) bool { return name == formerLeader }))
+			cluster.RestartAll(slices.DeleteFunc(lost, func(name string) bool { return name == formerLeader }))
 			back := cluster.Now()
-			if !cluster.Until(25*time.Second, func() bool { return cluster.Holder(region) != "" && cluster.Ready() }) {
+			if !cluster.Until(25*time.Second, func() bool { return cluster.RegionLeader(region) != "" && cluster.Ready() }) {
 				t.Fatalf("recovery: %s's replicas never came back into use", region)
 			}
 			took := cluster.Now() - back
@@ -191,7 +191,7 @@
 			}
 			cluster.Quiet = true
 			cluster.Run(12 * time.Second)
-			clean(t, cluster, begun(cluster, false))
+			checkRules(t, cluster, factsSinceWarm(cluster, false))
 		})
 	}
 }
@@ -201,11 +201,11 @@
 	if testing.Short() {
 		t.Skip("a long simulation that runs one goroutine at a time, which gives the race detector nothing to check")
 	}
-	cluster := fleet.NewPark(9, quick())
+	cluster := fleet.NewCluster(9, quickPlan())
 	defer cluster.Close()
-	cluster.Run(warm)
-	facts := begun(cluster, true)
-	begin(cluster, "h1")
+	cluster.Run(warmupTime)
+	facts := factsSinceWarm(cluster, true)
+	beginHandover(cluster, "h1")
 	cluster.Run(3 * time.Second)
 	if err := cluster.Evacuate(&facts, "east-1", false); err != nil {
 		t.Fatal(err)
@@ -215,18 +215,18 @@
 		t.Fatal(err)
 	}
 	for _, region := range []string{"east", "middle", "west"} {
-		if run := settled(cluster, region, 90*time.Second); run.State == "running" {
+		if run := waitForRun(cluster, region, 90*time.Second); run.State == "running" {
 			t.Errorf("%s: the rollout's run never ended after %d steps, at %s: %s", region, len(run.Steps), run.At, run.Last)
 		}
 	}
 	cluster.Quiet = true
 	cluster.Run(8 * time.Second)
-	clean(t, cluster, facts)
+	checkRules(t, cluster, facts)
 }
 
 func TestFencedOrder(t *testing.T) {
 	t.Parallel()
-	cluster := fleet.NewPark(10, quick())
+	cluster := fleet.NewCluster(10, quickPlan())
 	defer cluster.Close()
 	cluster.Run(4 * time.Second)
 	target := cluster.Replicas["east-1-r1"]
--- a/fleet/checkrouted.go
+++ b/fleet/checkrouted.go
@@ -12,9 +12,9 @@
 	"swifttiller/settings"
 )
 
-// Book is a configuration with routes that may be in force: when it was submitted, when it was
+// RoutedConfig is a configuration with routes that may be in force: when it was submitted, when it was
 // acknowledged (zero until then), and its contents.
-type Book struct {
+type RoutedConfig struct {
 	Asked, Acked time.Duration
 	Tree         *settings.Tree
 }
@@ -36,12 +36,12 @@
 }
 
 // CheckRouted applies RoutedRules; see Check.
-func CheckRouted(park *Park, facts Facts) (all []Broken, judged map[string]int) {
+func CheckRouted(park *Cluster, facts Facts) (all []Violation, judged map[string]int) {
 	return apply(RoutedRules, park, facts)
 }
 
 // runsByAttempt returns the runs of each attempt ID, in the order of their arrival.
-func (park *Park) runsByAttempt() map[string][]*Run {
+func (park *Cluster) runsByAttempt() map[string][]*Run {
 	out := map[string][]*Run{}
 	for _, run := range park.Runs {
 		out[run.ID] = append(out[run.ID], run)
@@ -51,7 +51,7 @@
 
 // rerun checks that a request that is not repeatable runs at most once, whatever status its
 // attempts got. Judged are the requests that were sent more than once or did not succeed.
-func rerun(park *Park, _ Facts) (all []Broken, judged int) {
+func rerun(park *Cluster, _ Facts) (all []Violation, judged int) {
 	runs := park.runsByAttempt()
 	for _, request := range park.RoutedRequests {
 		if request.Crowd.Repeatable {
@@ -72,7 +72,7 @@
 			judged++
 		}
 		if ran > 1 {
-			all = append(all, Broken{"rerun", last.Ran, fmt.Sprintf("%s ran %d times, last on %s, sent by %s", request.ID, ran, last.Engine, last.Daemon)})
+			all = append(all, Violation{"rerun", last.Ran, fmt.Sprintf("%s ran %d times, last on %s, sent by %s", request.ID, ran, last.Engine, last.Daemon)})
 		}
 	}
 	return all, judged
@@ -80,7 +80,7 @@
 
 // promise checks that an attempt answered with status 408, 421, 429 or 503 has not run and never
 // does, as these statuses promise. Judged are the attempts that got one of them.
-func promise(park *Park, _ Facts) (all []Broken, judged int) {
+func promise(park *Cluster, _ Facts) (all []Violation, judged int) {
 	runs := park.runsByAttempt()
 	for _, request := range park.RoutedRequests {
 		for _, attempt := range request.Tries {
@@ -90,7 +90,7 @@
 			judged++
 			for _, run := range runs[attempt.ID] {
 				if run.Ran > 0 {
-					all = append(all, Broken{"promise", attempt.End, fmt.Sprintf("%s got %d %s from %s but ran on %s at %v", attempt.ID, attempt.Status, attempt.Code, attempt.Daemon, run.Engine, run.Ran)})
+					all = append(all, Violation{"promise", attempt.End, fmt.Sprintf("%s got %d %s from %s but ran on %s at %v", attempt.ID, attempt.Status, attempt.Code, attempt.Daemon, run.Engine, run.Ran)})
 				}
 			}
 		}
@@ -102,16 +102,16 @@
 // after a resumption. A stream that ended cleanly must be complete, and a run that resumes another
 // one must have been asked to continue after the last event. Judged are the requests that got any
 // event or succeeded.
-func whole(park *Park, _ Facts) (all []Broken, judged int) {
+func whole(park *Cluster, _ Facts) (all []Violation, judged int) {
 	for _, request := range park.RoutedRequests {
-		if request.Got > 0 || request.Verdict == "ok" {
+		if request.TokensReceived > 0 || request.Verdict == "ok" {
 			judged++
 		}
-		if request.Wrong != "" {
-			all = append(all, Broken{"whole", request.End, request.ID + " " + request.Wrong})
+		if request.Mismatch != "" {
+			all = append(all, Violation{"whole", request.End, request.ID + " " + request.Mismatch})
 		}
-		if request.Verdict == "ok" && request.Got != request.Crowd.Most {
-			all = append(all, Broken{"whole", request.End, fmt.Sprintf("%s ended as complete with %d of %d tokens", request.ID, request.Got, request.Crowd.Most)})
+		if request.Verdict == "ok" && request.TokensReceived != request.Crowd.AnswerTokens {
+			all = append(all, Violation{"whole", request.End, fmt.Sprintf("%s ended as complete with %d of %d tokens", request.ID, request.TokensReceived, request.Crowd.AnswerTokens)})
 		}
 	}
 	return all, judged
@@ -119,14 +119,14 @@
 
 // held checks that every request ends, within its caller's timeout plus two seconds. Judged are
 // the requests that began early enough to have ended.
-func held(park *Park, _ Facts) (all []Broken, judged int) {
+func held(park *Cluster, _ Facts) (all []Violation, judged int) {
 	for _, request := range park.RoutedRequests {
-		bound := request.At + request.Crowd.Patience + 2*time.Second
+		bound := request.At + request.Crowd.Timeout + 2*time.Second
 		switch {
 		case park.Now() < bound:
 		case request.End == 0 || request.End > bound:
 			judged++
-			all = append(all, Broken{"held", request.At, fmt.Sprintf("%s was pending from %v to %v (0: to the end), %d attempts", request.ID, request.At, request.End, len(request.Tries))})
+			all = append(all, Violation{"held", request.At, fmt.Sprintf("%s was pending from %v to %v (0: to the end), %d attempts", request.ID, request.At, request.End, len(request.Tries))})
 		default:
 			judged++
 		}
@@ -137,13 +137,13 @@
 // configsInForce returns the configurations under which a request sent at one time and handled
 // at another may have been handled. These are the ones submitted by the time of handling, except
 // those that a newer one had replaced more than OldConfigBound before the request was sent.
-func (facts Facts) configsInForce(sent, handled time.Duration) (configs []Book) {
-	for index, config := range facts.Books {
+func (facts Facts) configsInForce(sent, handled time.Duration) (configs []RoutedConfig) {
+	for index, config := range facts.RoutedConfigs {
 		if config.Asked > handled {
 			continue
 		}
 		isOld := false
-		for _, newer := range facts.Books[index+1:] {
+		for _, newer := range facts.RoutedConfigs[index+1:] {
 			isOld = isOld || newer.Acked > 0 && sent > newer.Acked+OldConfigBound
 		}
 		if !isOld {
@@ -156,13 +156,13 @@
 // routes checks that no request runs on a model, and none gets 404 (no route), unless a
 // configuration in force says so; a configuration replaced for longer than OldConfigBound is not
 // in force. Judged are the runs and the 404 replies.
-func routes(park *Park, facts Facts) (all []Broken, judged int) {
+func routes(park *Cluster, facts Facts) (all []Violation, judged int) {
 	for _, run := range park.Runs {
-		if run.Elsewhere || run.NotRun || len(facts.Books) == 0 {
+		if run.Elsewhere || run.NotRun || len(facts.RoutedConfigs) == 0 {
 			continue
 		}
 		judged++
-		attempt := park.tried[run.ID]
+		attempt := park.attempts[run.ID]
 		crowd := attempt.request.Crowd
 		isAllowed := false
 		for _, config := range facts.configsInForce(attempt.Sent, run.At) {
@@ -173,7 +173,7 @@
 			}
 		}
 		if !isAllowed {
-			all = append(all, Broken{"routes", run.At, fmt.Sprintf("%s for %s ran on %s (%s), sent by %s, which no configuration in force allows", run.ID, crowd.Path, run.Engine, run.Model, run.Daemon)})
+			all = append(all, Violation{"routes", run.At, fmt.Sprintf("%s for %s ran on %s (%s), sent by %s, which no configuration in force allows", run.ID, crowd.Path, run.Engine, run.Model, run.Daemon)})
 		}
 	}
 	for _, request := range park.RoutedRequests {
@@ -187,7 +187,7 @@
 				isAllowed = isAllowed || config.Tree.Route(request.Crowd.Host, request.Crowd.Path) == nil
 			}
 			if !isAllowed {
-				all = append(all, Broken{"routes", attempt.End, fmt.Sprintf("%s got from %s that %s has no route, which every configuration in force has", attempt.ID, attempt.Daemon, request.Crowd.Path)})
+				all = append(all, Violation{"routes", attempt.End, fmt.Sprintf("%s got from %s that %s has no route, which every configuration in force has", attempt.ID, attempt.Daemon, request.Crowd.Path)})
 			}
 		}
 	}
@@ -197,11 +197,11 @@
 // routedLeaving checks that an engine process gets no request sent more than LeavingBound after
 // the platform's list showed that it is being terminated. Judged are the processes that ran on
 // past the bound.
-func routedLeaving(park *Park, _ Facts) (all []Broken, judged int) {
+func routedLeaving(park *Cluster, _ Facts) (all []Violation, judged int) {
 	for _, run := range park.Runs {
-		since, isKnown := park.Learned[run.Engine+"/"+run.Life]
+		since, isKnown := park.TerminationLearned[run.Engine+"/"+run.Life]
 		if isKnown && !run.Elsewhere && run.Sent > since+LeavingBound {
-			all = append(all, Broken{"routed leaving", run.At, fmt.Sprintf("%s (%s) got %s from %s, though its termination was known since %v", run.Engine, run.Life, run.ID, run.Daemon, since)})
+			all = append(all, Violation{"routed leaving", run.At, fmt.Sprintf("%s (%s) got %s from %s, though its termination was known since %v", run.Engine, run.Life, run.ID, run.Daemon, since)})
 		}
 	}
 	for _, engine := range park.engines() {
@@ -209,7 +209,7 @@
 		if ended == 0 {
 			ended = park.Now()
 		}
-		if since, isKnown := park.Learned[engine.Name+"/"+engine.Life]; isKnown && ended > since+LeavingBound {
+		if since, isKnown := park.TerminationLearned[engine.Name+"/"+engine.Life]; isKnown && ended > since+LeavingBound {
 			judged++
 		}
 	}
@@ -217,7 +217,7 @@
 }
 
 // engines returns all engine processes of the run, those that have ended first.
-func (park *Park) engines() []*Engine {
+func (park *Cluster) engines() []*Engine {
 	out := append([]*Engine{}, park.pastEngines...)
 	var names []string
 	for name := range park.Engines {
@@ -233,7 +233,7 @@
 // cold checks that a cold engine gets no more requests in any second, from all data daemons
 // together, than its cold rate allows, and that no engine falls over. Requests count if they were
 // both sent and received within the second. Judged are the requests that reached a cold engine.
-func cold(park *Park, _ Facts) (all []Broken, judged int) {
+func cold(park *Cluster, _ Facts) (all []Violation, judged int) {
 	lives := map[string][]*Run{}
 	for _, run := range park.Runs {
 		if run.Cold && !run.Elsewhere {
@@ -251,20 +251,20 @@
 				}
 			}
 			if float64(count) > engine.ColdRate*coldExcess+coldSlack {
-				all = append(all, Broken{"cold", last.At, fmt.Sprintf("%s (%s) got %d requests in a second while cold", engine.Name, engine.Life, count)})
+				all = append(all, Violation{"cold", last.At, fmt.Sprintf("%s (%s) got %d requests in a second while cold", engine.Name, engine.Life, count)})
 				break
 			}
 		}
 	}
-	if park.Fallen > 0 {
-		all = append(all, Broken{"cold", 0, fmt.Sprintf("%d cold engines fell over", park.Fallen)})
+	if park.ColdCrashes > 0 {
+		all = append(all, Violation{"cold", 0, fmt.Sprintf("%d cold engines fell over", park.ColdCrashes)})
 	}
 	return all, judged
 }
 
 // tenantOf returns the tenant under whose key the attempt may run in this configuration: nil if
 // the route needs no key. mayRun is false if the attempt may not run at all.
-func (config Book) tenantOf(attempt *RoutedTry) (tenant *settings.Tenant, mayRun bool) {
+func (config RoutedConfig) tenantOf(attempt *RoutedAttempt) (tenant *settings.Tenant, mayRun bool) {
 	crowd := attempt.request.Crowd
 	switch route := config.Tree.Route(crowd.Host, crowd.Path); {
 	case route == nil:
@@ -279,12 +279,12 @@
 // keys checks that nothing runs with a key that no configuration in force has, and that no
 // attempt gets 401 (unknown key) for a key that all of them have. Judged are the runs where a key
 // is needed and the 401 replies.
-func keys(park *Park, facts Facts) (all []Broken, judged int) {
+func keys(park *Cluster, facts Facts) (all []Violation, judged int) {
 	for _, run := range park.Runs {
 		if run.Elsewhere || run.NotRun {
 			continue
 		}
-		attempt := park.tried[run.ID]
+		attempt := park.attempts[run.ID]
 		isNeeded, mayRun := false, false
 		for _, config := range facts.configsInForce(attempt.Sent, run.At) {
 			tenant, may := config.tenantOf(attempt)
@@ -295,7 +295,7 @@
 		}
 		judged++
 		if !mayRun {
-			all = append(all, Broken{"keys", run.At, fmt.Sprintf("%s ran on %s, sent by %s, with the key %q, which no configuration in force has", run.ID, run.Engine, run.Daemon, attempt.Key)})
+			all = append(all, Violation{"keys", run.At, fmt.Sprintf("%s ran on %s, sent by %s, with the key %q, which no configuration in force has", run.ID, run.Engine, run.Daemon, attempt.Key)})
 		}
 	}
 	for _, request := range park.RoutedRequests {
@@ -310,7 +310,7 @@
 				mayNot = mayNot || !may
 			}
 			if !mayNot {
-				all = append(all, Broken{"keys", attempt.End, fmt.Sprintf("%s got from %s that its key %q is unknown, which every configuration in force has", attempt.ID, attempt.Daemon, attempt.Key)})
+				all = append(all, Violation{"keys", attempt.End, fmt.Sprintf("%s got from %s that its key %q is unknown, which every configuration in force has", attempt.ID, attempt.Daemon, attempt.Key)})
 			}
 		}
 	}
@@ -320,9 +320,9 @@
 // tenants checks that the tenant named to an engine is the one that has the request's key in a
 // configuration in force, and that none is named where no key is needed. Judged are the runs
 // under configurations with tenants.
-func tenants(park *Park, facts Facts) (all []Broken, judged int) {
+func tenants(park *Cluster, facts Facts) (all []Violation, judged int) {
 	for _, run := range park.Runs {
-		attempt := park.tried[run.ID]
+		attempt := park.attempts[run.ID]
 		isTenanted, isRightTenant := false, false
 		for _, config := range facts.configsInForce(attempt.Sent, run.At) {
 			isTenanted = isTenanted || config.Tree.HasTenants()
@@ -335,7 +335,7 @@
 		}
 		judged++
 		if !isRightTenant {
-			all = append(all, Broken{"tenant", run.At, fmt.Sprintf("%s with the key %q was sent for tenant %q by %s", run.ID, attempt.Key, run.Tenant, run.Daemon)})
+			all = append(all, Violation{"tenant", run.At, fmt.Sprintf("%s with the key %q was sent for tenant %q by %s", run.ID, attempt.Key, run.Tenant, run.Daemon)})
 		}
 	}
 	return all, judged
@@ -351,7 +351,7 @@
 
 // quotas checks that in no window more requests of a tenant run, over all daemons, than its limit
 // and the error bounds allow. Judged are the windows that end with a run of a tenant with a limit.
-func quotas(park *Park, facts Facts) (all []Broken, judged int) {
+func quotas(park *Cluster, facts Facts) (all []Violation, judged int) {
 	byTenant := map[string][]*Run{}
 	for _, run := range park.Runs {
 		if run.Ran > 0 && run.Tenant != "" {
@@ -383,7 +383,7 @@
 			judged++
 			if count := index - begin + 1; float64(count) > limit && !isBroken {
 				isBroken = true
-				all = append(all, Broken{"quota", run.At, fmt.Sprintf("%d requests of %s ran within %v, at most %.0f may", count, name, quotaWindow, limit)})
+				all = append(all, Violation{"quota", run.At, fmt.Sprintf("%d requests of %s ran within %v, at most %.0f may", count, name, quotaWindow, limit)})
 			}
 		}
 	}
@@ -392,9 +392,9 @@
 
 // routedHome checks that a request whose route or tenant has home regions reaches engines there
 // only; if both have some, only regions in both are allowed. Judged are the runs of such requests.
-func routedHome(park *Park, facts Facts) (all []Broken, judged int) {
+func routedHome(park *Cluster, facts Facts) (all []Violation, judged int) {
 	for _, run := range park.Runs {
-		attempt := park.tried[run.ID]
+		attempt := park.attempts[run.ID]
 		crowd := attempt.request.Crowd
 		isBound, isHome := false, false
 		for _, config := range facts.configsInForce(attempt.Sent, run.At) {
@@ -410,7 +410,7 @@
 		}
 		judged++
 		if !isHome {
-			all = append(all, Broken{"routed home", run.At, fmt.Sprintf("%s for %s reached %s, sent by %s", run.ID, crowd.Path, run.Engine, run.Daemon)})
+			all = append(all, Violation{"routed home", run.At, fmt.Sprintf("%s for %s reached %s, sent by %s", run.ID, crowd.Path, run.Engine, run.Daemon)})
 		}
 	}
 	return all, judged
@@ -418,7 +418,7 @@
 
 // routedEvacuated checks that nothing sent more than EvacuatedBound after a zone's evacuation
 // reaches an engine of that zone. Judged are the runs anywhere while a zone was evacuated.
-func routedEvacuated(park *Park, facts Facts) (all []Broken, judged int) {
+func routedEvacuated(park *Cluster, facts Facts) (all []Violation, judged int) {
 	for _, run := range park.Runs {
 		for _, span := range facts.Evacuated {
 			if run.Elsewhere || run.Sent <= span.From+EvacuatedBound || span.Until > 0 && run.At >= span.Until {
@@ -426,7 +426,7 @@
 			}
 			judged++
 			if park.zones[run.Engine] == span.Zone {
-				all = append(all, Broken{"routed evacuated", run.At, fmt.Sprintf("%s reached %s in %s, sent by %s", run.ID, run.Engine, span.Zone, run.Daemon)})
+				all = append(all, Violation{"routed evacuated", run.At, fmt.Sprintf("%s reached %s in %s, sent by %s", run.ID, run.Engine, span.Zone, run.Daemon)})
 			}
 		}
 	}
@@ -438,7 +438,7 @@
 // sent to its routes, whether or not they arrived, plus one per data daemon. The attempts are
 // counted in the same window, in the window before and in the one half a window before, and the
 // largest count is used. Judged are the arrivals beyond the first.
-func routedRetries(park *Park, facts Facts) (all []Broken, judged int) {
+func routedRetries(park *Cluster, facts Facts) (all []Violation, judged int) {
 	repeatTimes, sent := map[string][]time.Duration{}, map[string][]time.Duration{}
 	isSeen := map[string]bool{}
 	for _, run := range park.Runs {
@@ -477,7 +477,7 @@
 				fresh = max(fresh, count(end-shift-retryWindow, end-shift))
 			}
 			if repeated := index - begin + 1; float64(repeated) > RetryBound*float64(fresh)+float64(len(park.Plan.Datas)) {
-				all = append(all, Broken{"routed retries", end, fmt.Sprintf("%s got %d repeats against %d requests", model, repeated, fresh)})
+				all = append(all, Violation{"routed retries", end, fmt.Sprintf("%s got %d repeats against %d requests", model, repeated, fresh)})
 				break
 			}
 		}
@@ -487,7 +487,7 @@
 
 // routedLost checks that during planned maintenance no request that a daemon has read ends
 // without a complete answer or an error code. Judged are the attempts of requests since Facts.From.
-func routedLost(park *Park, facts Facts) (all []Broken, judged int) {
+func routedLost(park *Cluster, facts Facts) (all []Violation, judged int) {
 	if !facts.Planned {
 		return nil, 0
 	}
@@ -498,7 +498,7 @@
 		for _, attempt := range request.Tries {
 			judged++
 			if attempt.IsRead && !attempt.IsWhole && attempt.Code == "" {
-				all = append(all, Broken{"routed lost", request.End, fmt.Sprintf("%s ended %s at %s, status %d, %d tokens", attempt.ID, request.Verdict, attempt.Daemon, attempt.Status, attempt.Tokens)})
+				all = append(all, Violation{"routed lost", request.End, fmt.Sprintf("%s ended %s at %s, status %d, %d tokens", attempt.ID, request.Verdict, attempt.Daemon, attempt.Status, attempt.Tokens)})
 			}
 		}
 	}
@@ -506,7 +506,7 @@
 }
 
 // RoutedRate counts the requests that were started in a period, and those of them that succeeded.
-func RoutedRate(park *Park, from, until time.Duration) (answered, asked int) {
+func RoutedRate(park *Cluster, from, until time.Duration) (answered, asked int) {
 	for _, request := range park.RoutedRequests {
 		if request.At < from || request.At >= until {
 			continue
--- a/fleet/park.go
+++ b/fleet/cluster.go
@@ -30,41 +30,41 @@
 	// name:zone.
 	Controls, Diskless, Datas []string
 	Replicas                  []ReplicaOptions
-	Callers                   []Crowd
+	Callers                   []CallerGroup
 	// Engines are replicas with a simulated inference engine. Routed are the callers whose
 	// requests are routed to them by host and path.
 	Engines []EngineOptions
-	Routed  []RoutedCrowd
+	Routed  []RoutedCallerGroup
 	Shape   RoutedShape
 	// Lag is the delay until a change shows in the platform's list, Least the minimum interval
 	// between two queries of it, and Grace the time that the platform gives a replica to stop.
-	Lag, Least, Grace time.Duration
+	Lag, MinListInterval, Grace time.Duration
 	// First is whether daemons are started with the setting that the system starts for the
 	// first time.
 	First bool
 }
 
-// Crowd is a stream of similar requests from one zone.
-type Crowd struct {
-	Name, Zone, Kind, Home string
-	Model                  string        // the plan's model, if empty
-	Every                  time.Duration // mean time between requests
-	Bytes, Tokens, Rosters int
-	Retries                int
+// CallerGroup is a stream of similar requests from one zone.
+type CallerGroup struct {
+	Name, Zone, Kind, Home      string
+	Model                       string        // the plan's model, if empty
+	Every                       time.Duration // mean time between requests
+	Bytes, Tokens, PromptGroups int
+	Retries                     int
 	// Eager callers retry at once with the same ticket, even if the request may have run.
 	Eager bool
-	// Hasty callers don't wait for the end of an answer: while the first attempt still
+	// Concurrent callers don't wait for the end of an answer: while the first attempt still
 	// streams, they send the same ID again at once, to the same daemon and to another one,
 	// with the ticket and without. Half of them give up the first attempt.
-	Hasty bool
+	Concurrent bool
 	// From and Until bound the time in which requests are sent; 0 and 0 mean always.
 	From, Until time.Duration
 	// Lanes is the number of connections that the callers keep; 0 and 1 mean one.
 	Lanes int
-	// Astray callers send their first attempt to a daemon outside the request's home region.
-	Astray bool
-	// Moves makes the callers locate through daemons of any zone.
-	Moves bool
+	// WrongDaemonFirst callers send their first attempt to a daemon outside the request's home region.
+	WrongDaemonFirst bool
+	// AnyZone makes the callers locate through daemons of any zone.
+	AnyZone bool
 }
 
 // Request is one caller's request as the caller saw it.
@@ -73,13 +73,13 @@
 	At, End               time.Duration
 	Tries                 int
 	Verdict, Code         string // ok, or those of the last error
-	Foreign, Whole        bool
-	// Wholes counts the complete answers that reached the user, over all attempts.
-	Wholes int
+	WrongAnswer, Whole    bool
+	// CompleteAnswers counts the complete answers that reached the user, over all attempts.
+	CompleteAnswers int
 }
 
-// Park is a whole simulated cluster that runs the product's own code.
-type Park struct {
+// Cluster is a whole simulated cluster that runs the product's own code.
+type Cluster struct {
 	*sim.Sim
 	Plan
 	Controls map[string]*controlplane.Daemon
@@ -88,43 +88,43 @@
 	Platform *Platform
 	Requests []*Request
 	Troubles map[string]error
-	Seen
+	Observations
 	requestsByID map[string]*Request
 	zones        map[string]string
 	streams      map[string][]*simStream // by replica and by data daemon
 	lives        int
-	past         []*Replica // replaced replicas, kept for their logs
+	pastReplicas []*Replica // replaced replicas, kept for their logs
 	drawn        int
 	Quiet        bool // no new requests are sent
 	// SeedsOf overrides the seeds of a daemon, by name, from its next start on.
 	SeedsOf map[string][]string
-	// Spoilt names the daemons whose settings file is invalid.
-	Spoilt    map[string]bool
-	varied    int
-	locations map[laneKey]callerLocation
-	closed    map[string]bool // daemons whose listeners are closed in a planned stop
-
-	Engines map[string]*Engine
-	Listed  *Register
+	// InvalidSettings names the daemons whose settings file is invalid.
+	InvalidSettings map[string]bool
+	varied          int
+	locations       map[laneKey]callerLocation
+	closed          map[string]bool // daemons whose listeners are closed in a planned stop
+
+	Engines    map[string]*Engine
+	EngineList *ReplicaList
 	// Runs are all requests that arrived at engines, RoutedRequests all requests of routed
 	// callers.
 	Runs           []*Run
 	RoutedRequests []*RoutedRequest
-	// Dialled counts connections made to engines, Repeated the answers that an engine sent
+	// EngineConnections counts connections made to engines, Repeated the answers that an engine sent
 	// twice, Fallen the cold engines that crashed from overload, and Strayed the weight orders
 	// that engines received although they take none.
-	Dialled, Repeated, Fallen, Strayed int
+	EngineConnections, DuplicateAnswers, ColdCrashes, EngineOrders int
 
 	// FarBytes counts the bytes between daemons and engines of other regions, FarPrompt those
 	// of them that were prompts.
 	FarBytes, FarPrompt int
 
-	pastEngines   []*Engine
-	everRead      map[readKey]bool
-	engineStreams map[string][]*engineStream // by engine and by data daemon
-	callerConns   map[string][]*callerConn   // by data daemon
-	askedOf       map[string]asked
-	tried         map[string]*RoutedTry
+	pastEngines      []*Engine
+	everRead         map[readKey]bool
+	engineStreams    map[string][]*engineStream // by engine and by data daemon
+	callerConns      map[string][]*callerConn   // by data daemon
+	contentByAttempt map[string]requestContent
+	attempts         map[string]*RoutedAttempt
 }
 
 // Region returns the region of a zone in the plans: the part before the first dash.
@@ -135,10 +135,10 @@
 	return name, zone
 }
 
-// NewPark starts a cluster, initializes its core, applies its configuration and starts its
+// NewCluster starts a cluster, initializes its core, applies its configuration and starts its
 // callers. It panics if the cluster isn't ready after 20 s.
-func NewPark(seed uint64, plan Plan) *Park {
-	cluster := NewBarePark(seed, plan)
+func NewCluster(seed uint64, plan Plan) *Cluster {
+	cluster := NewBareCluster(seed, plan)
 	first, _ := split(plan.Controls[0])
 	cluster.Must(first, func(daemon *controlplane.Daemon) error {
 		_, err := daemon.Init(cluster.seeds())
@@ -160,14 +160,14 @@
 	return cluster
 }
 
-// NewBarePark starts only a cluster's machines: without a core, a configuration or callers.
-func NewBarePark(seed uint64, plan Plan) *Park {
-	cluster := &Park{Sim: sim.New(seed), Plan: plan, Controls: map[string]*controlplane.Daemon{}, Datas: map[string]*dataplane.Daemon{}, Replicas: map[string]*Replica{}, Troubles: map[string]error{}, Seen: newSeen(), requestsByID: map[string]*Request{}, locations: map[laneKey]callerLocation{}, Spoilt: map[string]bool{}, closed: map[string]bool{}, zones: map[string]string{}, streams: map[string][]*simStream{}}
-	cluster.Engines, cluster.engineStreams, cluster.callerConns, cluster.askedOf, cluster.tried = map[string]*Engine{}, map[string][]*engineStream{}, map[string][]*callerConn{}, map[string]asked{}, map[string]*RoutedTry{}
+// NewBareCluster starts only a cluster's machines: without a core, a configuration or callers.
+func NewBareCluster(seed uint64, plan Plan) *Cluster {
+	cluster := &Cluster{Sim: sim.New(seed), Plan: plan, Controls: map[string]*controlplane.Daemon{}, Datas: map[string]*dataplane.Daemon{}, Replicas: map[string]*Replica{}, Troubles: map[string]error{}, Observations: newObservations(), requestsByID: map[string]*Request{}, locations: map[laneKey]callerLocation{}, InvalidSettings: map[string]bool{}, closed: map[string]bool{}, zones: map[string]string{}, streams: map[string][]*simStream{}}
+	cluster.Engines, cluster.engineStreams, cluster.callerConns, cluster.contentByAttempt, cluster.attempts = map[string]*Engine{}, map[string][]*engineStream{}, map[string][]*callerConn{}, map[string]requestContent{}, map[string]*RoutedAttempt{}
 	cluster.everRead = map[readKey]bool{}
-	cluster.Listed = &Register{cluster: cluster, lastQuery: map[string]time.Duration{}}
-	cluster.Platform = NewPlatform(cluster.Now, plan.Lag, plan.Least)
-	cluster.watch()
+	cluster.EngineList = &ReplicaList{cluster: cluster, lastQuery: map[string]time.Duration{}}
+	cluster.Platform = NewPlatform(cluster.Now, plan.Lag, plan.MinListInterval)
+	cluster.startObserver()
 	for _, assignment := range append(append([]string{}, plan.Controls...), plan.Diskless...) {
 		name, zone := split(assignment)
 		cluster.zones[name] = zone
@@ -192,7 +192,7 @@
 
 // Ready reports whether every data daemon has a valid lease and a routing table with replicas
 // for every region.
-func (cluster *Park) Ready() bool {
+func (cluster *Cluster) Ready() bool {
 	for _, daemon := range cluster.Datas {
 		view := daemon.Holder.View()
 		if !view.IsValid(cluster.Now()) {
@@ -207,7 +207,7 @@
 	return true
 }
 
-func (cluster *Park) seeds() (seeds []string) {
+func (cluster *Cluster) seeds() (seeds []string) {
 	for _, assignment := range cluster.Plan.Controls[:min(3, len(cluster.Plan.Controls))] {
 		name, _ := split(assignment)
 		seeds = append(seeds, name)
@@ -215,7 +215,7 @@
 	return seeds
 }
 
-func (cluster *Park) process(name string) settings.Process {
+func (cluster *Cluster) process(name string) settings.Process {
 	zone := cluster.zones[name]
 	seeds := cluster.SeedsOf[name]
 	if seeds == nil {
@@ -230,10 +230,10 @@
 
 // live returns a daemon's settings, which on a reload are read again from the same source as
 // at its start.
-func (cluster *Park) live(name string) *settings.Live {
+func (cluster *Cluster) live(name string) *settings.Live {
 	return settings.NewLive(settings.LiveOptions{Process: cluster.process(name), Read: func() (*settings.Process, error) {
-		if cluster.Spoilt[name] {
-			return nil, settings.Problems{{Path: "$.seeds.0", Reason: "is no IP:port"}}
+		if cluster.InvalidSettings[name] {
+			return nil, settings.Problems{{Path: "$.seeds.0", Reason: "is not an IP:port"}}
 		}
 		process := cluster.process(name)
 		return &process, nil
@@ -241,10 +241,10 @@
 }
 
 // StartControl starts a control daemon, or restarts it if it ran before.
-func (cluster *Park) StartControl(name string) {
+func (cluster *Cluster) StartControl(name string) {
 	cluster.lives++
 	life := fmt.Sprint(cluster.lives)
-	cluster.born(name)
+	cluster.recordStart(name)
 	cluster.Start(name, func(node *sim.Node) {
 		var folder disk.Folder = node.Disk
 		for _, assignment := range cluster.Plan.Diskless {
@@ -271,12 +271,12 @@
 }
 
 // StartData starts a data daemon, or restarts it if it ran before.
-func (cluster *Park) StartData(name string) {
+func (cluster *Cluster) StartData(name string) {
 	cluster.lives++
 	life := fmt.Sprint(cluster.lives)
-	cluster.born(name)
+	cluster.recordStart(name)
 	cluster.Start(name, func(node *sim.Node) {
-		options := dataplane.Options{World: node, Net: sim.Net{Node: node}, Process: cluster.process(name), Live: cluster.live(name), Incarnation: life, Replicas: &replicaClient{cluster, node, map[string][]idleConn{}}, ProxyClient: &relayer{cluster, node, map[string][]*wireLine{}}}
+		options := dataplane.Options{World: node, Net: sim.Net{Node: node}, Process: cluster.process(name), Live: cluster.live(name), Incarnation: life, Replicas: &replicaClient{cluster, node, map[string][]idleConn{}}, ProxyClient: &engineProxy{cluster, node, map[string][]*engineConn{}}}
 		if len(cluster.Plan.Engines) > 0 {
 			options.Probe = engineDialect{client: &replicaClient{cluster, node, nil}}.Probe
 		}
@@ -288,13 +288,13 @@
 }
 
 // StartReplica starts a simulated replica. It replaces one with the same ID and starts cold.
-func (cluster *Park) StartReplica(options ReplicaOptions) {
+func (cluster *Cluster) StartReplica(options ReplicaOptions) {
 	cluster.lives++
 	node := cluster.Node(options.ID)
 	options.World, options.Boot, options.Address = node, fmt.Sprint("boot", cluster.lives), options.ID
 	if before := cluster.Replicas[options.ID]; before != nil {
 		before.Gone = cluster.Now()
-		cluster.past = append(cluster.past, before)
+		cluster.pastReplicas = append(cluster.pastReplicas, before)
 	}
 	cluster.zones[options.ID] = options.Zone
 	cluster.Replicas[options.ID] = NewReplica(options)
@@ -302,16 +302,16 @@
 }
 
 // List adds a replica to the platform's list.
-func (cluster *Park) List(options ReplicaOptions) {
+func (cluster *Cluster) List(options ReplicaOptions) {
 	model, version := "", ""
-	if options.Mute {
+	if options.HidesVersions {
 		model, version, _ = strings.Cut(options.Held[0], "/")
 	}
 	cluster.Platform.AddServing(Region(options.Zone), options.ID, options.ID, options.Zone, model, version)
 }
 
 // Crash kills a process of any kind; its connections break.
-func (cluster *Park) Crash(name string) {
+func (cluster *Cluster) Crash(name string) {
 	cluster.Kill(name)
 	for _, stream := range cluster.streams[name] {
 		stream.broken(name)
@@ -328,7 +328,7 @@
 }
 
 // Do runs a step on a control daemon and waits for its end, at most the given time.
-func (cluster *Park) Do(name string, span time.Duration, step func(*controlplane.Daemon) error) (err error) {
+func (cluster *Cluster) Do(name string, span time.Duration, step func(*controlplane.Daemon) error) (err error) {
 	done := false
 	cluster.Node(name).Go(func() { err = step(cluster.Controls[name]); done = true })
 	for spent := time.Duration(0); spent < span && !done; spent += 10 * time.Millisecond {
@@ -341,7 +341,7 @@
 }
 
 // Must is Do with a limit of 20 s; it panics if the step fails.
-func (cluster *Park) Must(name string, step func(*controlplane.Daemon) error) {
+func (cluster *Cluster) Must(name string, step func(*controlplane.Daemon) error) {
 	if err := cluster.Do(name, 20*time.Second, step); err != nil {
 		panic(fmt.Sprintf("seed %d at %v: step at %s: %v", cluster.Seed, cluster.Now(), name, err))
 	}
@@ -349,7 +349,7 @@
 
 // Until lets simulated time pass until the condition holds, at most the given time, and
 // reports whether it holds.
-func (cluster *Park) Until(span time.Duration, condition func() bool) bool {
+func (cluster *Cluster) Until(span time.Duration, condition func() bool) bool {
 	for spent := time.Duration(0); spent < span; spent += 50 * time.Millisecond {
 		if condition() {
 			return true
@@ -360,8 +360,8 @@
 }
 
 // Logs returns all requests that replicas accepted, in the order of arrival.
-func (cluster *Park) Logs() (all []*Served) {
-	for _, stub := range cluster.past {
+func (cluster *Cluster) Logs() (all []*Served) {
+	for _, stub := range cluster.pastReplicas {
 		all = append(all, stub.Log...)
 	}
 	for _, name := range cluster.ids() {
@@ -371,7 +371,7 @@
 	return all
 }
 
-func (cluster *Park) ids() (names []string) {
+func (cluster *Cluster) ids() (names []string) {
 	for name := range cluster.Replicas {
 		names = append(names, name)
 	}
@@ -379,16 +379,16 @@
 	return names
 }
 
-// Place sets the zone of a machine that isn't part of the plan.
-func (cluster *Park) Place(name, zone string) { cluster.zones[name] = zone }
+// SetZone sets the zone of a machine that isn't part of the plan.
+func (cluster *Cluster) SetZone(name, zone string) { cluster.zones[name] = zone }
 
 // Zone returns the zone of a machine.
-func (cluster *Park) Zone(name string) string { return cluster.zones[name] }
+func (cluster *Cluster) Zone(name string) string { return cluster.zones[name] }
 
 // platformClient is a node's client of the simulated platform. No network partition affects
 // it.
 type platformClient struct {
-	cluster *Park
+	cluster *Cluster
 	node    *sim.Node
 }
 
@@ -399,7 +399,7 @@
 	listed, err := listing.ParseResponse(status, "", body)
 	for _, instance := range listed {
 		if instance.Leaving {
-			client.cluster.learnLeaving(instance.ID, client.cluster.marked[instance.ID])
+			client.cluster.recordTermination(instance.ID, client.cluster.terminatedBoot[instance.ID])
 		}
 	}
 	return listed, err
@@ -408,7 +408,7 @@
 // replicaClient is a node's client of simulated replicas. It gives the same guarantees as the
 // real client.
 type replicaClient struct {
-	cluster   *Park
+	cluster   *Cluster
 	node      *sim.Node
 	idleConns map[string][]idleConn
 }
@@ -442,7 +442,7 @@
 type simStream struct {
 	client       *replicaClient
 	boot         string
-	cluster      *Park
+	cluster      *Cluster
 	mailbox      loop.Mailbox
 	from         *sim.Node
 	to           string
@@ -476,8 +476,8 @@
 	stream.closed = true
 }
 
-// Dispatch sends a request to a simulated replica and waits for the first piece of its answer.
-func (client *replicaClient) Dispatch(request replica.Request) (replica.Stream, *verdict.Error) {
+// Send sends a request to a simulated replica and waits for the first piece of its answer.
+func (client *replicaClient) Send(request replica.Request) (replica.Stream, *verdict.Error) {
 	cluster, node := client.cluster, client.node
 	unreached := func(wait time.Duration) (replica.Stream, *verdict.Error) {
 		loop.Sleep(node, wait)
@@ -501,7 +501,7 @@
 		}
 		health, _ := replica.ParseHealth(reply.body)
 		boot = health.Boot
-		cluster.Greeted++
+		cluster.IdentityChecks++
 	}
 	if boot != request.Boot {
 		client.release(request.Address, boot)
@@ -635,7 +635,7 @@
 	}
 	health, err := replica.ParseHealth(reply.body)
 	if err == nil && health.Leaving {
-		client.cluster.learnLeaving(address, health.Boot)
+		client.cluster.recordTermination(address, health.Boot)
 	}
 	return health, err
 }
@@ -644,7 +644,7 @@
 func (client *replicaClient) Order(address string, order replica.Order, timeout time.Duration) error {
 	reply, err := client.exchange(address, timeout, func(stub *Replica) (int, []byte) {
 		if stub == nil { // an engine, which takes no orders
-			client.cluster.Strayed++
+			client.cluster.EngineOrders++
 			return 404, nil
 		}
 		return stub.Order(order)
@@ -679,7 +679,7 @@
 }
 
 // crowd starts a stream of requests.
-func (cluster *Park) crowd(crowd *Crowd) {
+func (cluster *Cluster) crowd(crowd *CallerGroup) {
 	name := "caller-" + crowd.Name
 	cluster.zones[name] = crowd.Zone
 	cluster.Start(name, func(node *sim.Node) {
@@ -703,14 +703,14 @@
 	})
 }
 
-func (cluster *Park) modelOf(crowd *Crowd) string {
+func (cluster *Cluster) modelOf(crowd *CallerGroup) string {
 	if crowd.Model != "" {
 		return crowd.Model
 	}
 	return cluster.Model
 }
 
-func (cluster *Park) tries(id string) int {
+func (cluster *Cluster) tries(id string) int {
 	if request := cluster.requestsByID[id]; request != nil {
 		return request.Tries
 	}
@@ -719,7 +719,7 @@
 
 // request sends one request with its retries, as a caller does that keeps to the protocol: it
 // sends the same ID with a new ticket only after not_run.
-func (cluster *Park) request(node *sim.Node, crowd *Crowd, request *Request, sequence int) {
+func (cluster *Cluster) request(node *sim.Node, crowd *CallerGroup, request *Request, sequence int) {
 	var addresses []string
 	ticket := ""
 	defer func() { request.End = node.Now() }()
@@ -745,10 +745,10 @@
 		if !crowd.Eager {
 			address = addresses[0]
 		}
-		if crowd.Astray && try == 0 {
-			address = cluster.datas()[len(cluster.Plan.Datas)-1]
+		if crowd.WrongDaemonFirst && try == 0 {
+			address = cluster.dataDaemons()[len(cluster.Plan.Datas)-1]
 		}
-		if crowd.Hasty && try == 0 {
+		if crowd.Concurrent && try == 0 {
 			cluster.sendConcurrently(node, crowd, request, sequence, addresses, ticket)
 		} else {
 			request.Verdict, request.Code = cluster.send(node, crowd, request, sequence, address, ticket, try, 30*time.Second)
@@ -785,7 +785,7 @@
 
 // sendConcurrently runs several attempts of one request at the same time. If any of them may
 // have run, the request may have run.
-func (cluster *Park) sendConcurrently(node *sim.Node, crowd *Crowd, request *Request, number int, addresses []string, ticket string) {
+func (cluster *Cluster) sendConcurrently(node *sim.Node, crowd *CallerGroup, request *Request, number int, addresses []string, ticket string) {
 	type outcome struct{ verdict, code string }
 	mailbox := node.Mailbox()
 	timeout := 30 * time.Second
@@ -816,7 +816,7 @@
 	}
 }
 
-func (cluster *Park) retryDelay(crowd *Crowd, try int) time.Duration {
+func (cluster *Cluster) retryDelay(crowd *CallerGroup, try int) time.Duration {
 	if crowd.Eager {
 		return 50 * time.Millisecond
 	}
@@ -825,11 +825,11 @@
 
 // locate queries a daemon for the addresses to send to and for a ticket. Callers know the
 // addresses of all daemons.
-func (cluster *Park) locate(node *sim.Node, crowd *Crowd, number int) ([]string, string) {
+func (cluster *Cluster) locate(node *sim.Node, crowd *CallerGroup, number int) ([]string, string) {
 	var near, far []string
 	for _, assignment := range cluster.Plan.Datas {
 		name, zone := split(assignment)
-		if zone == crowd.Zone && !crowd.Moves {
+		if zone == crowd.Zone && !crowd.AnyZone {
 			near = append(near, name)
 		} else {
 			far = append(far, name)
@@ -855,15 +855,15 @@
 		}
 		cluster.Deliver(node, name, func(at *sim.Node) {
 			var out location
-			members, ticket, _, failure := cluster.Datas[name].Decider.Locate(cluster.modelOf(crowd), crowd.Kind, crowd.Home, crowd.Zone, decide.Prefix([]byte(fmt.Sprint(crowd.Name, number%max(1, crowd.Rosters)))))
+			members, ticket, _, failure := cluster.Datas[name].Decider.Locate(cluster.modelOf(crowd), crowd.Kind, crowd.Home, crowd.Zone, decide.Prefix([]byte(fmt.Sprint(crowd.Name, number%max(1, crowd.PromptGroups)))))
 			if failure == nil {
 				out.ticket = ticket.Seal()
-				located := Located{At: cluster.Now(), By: name, Home: crowd.Home}
+				located := LocateReply{At: cluster.Now(), By: name, Home: crowd.Home}
 				for _, member := range members {
 					out.addresses = append(out.addresses, member.HTTP)
 					located.Zones = append(located.Zones, member.Zone)
 				}
-				cluster.Locates = append(cluster.Locates, located)
+				cluster.LocateReplies = append(cluster.LocateReplies, located)
 			}
 			cluster.Deliver(at, node.Name, func(*sim.Node) { mailbox.Put(out) })
 		})
@@ -877,7 +877,7 @@
 // sink sends the events of an answer to a caller.
 type sink struct {
 	execute.CallerState
-	cluster  *Park
+	cluster  *Cluster
 	at       *sim.Node
 	to       *sim.Node
 	mailbox  loop.Mailbox
@@ -897,14 +897,14 @@
 var _ execute.Sink = (*sink)(nil)
 
 // send makes one attempt at a daemon and records its result for the checkers.
-func (cluster *Park) send(node *sim.Node, crowd *Crowd, request *Request, number int, address, ticket string, try int, timeout time.Duration) (string, string) {
+func (cluster *Cluster) send(node *sim.Node, crowd *CallerGroup, request *Request, number int, address, ticket string, try int, timeout time.Duration) (string, string) {
 	sent := node.Now()
 	verdict, code := cluster.try(node, crowd, request, number, address, ticket, try, timeout)
-	cluster.Told = append(cluster.Told, Told{Sent: sent, At: node.Now(), ID: request.ID, Ticket: ticket, Daemon: address, Verdict: verdict, Code: code})
+	cluster.Outcomes = append(cluster.Outcomes, AttemptOutcome{Sent: sent, At: node.Now(), ID: request.ID, Ticket: ticket, Daemon: address, Verdict: verdict, Code: code})
 	return verdict, code
 }
 
-func (cluster *Park) try(node *sim.Node, crowd *Crowd, request *Request, number int, address, ticket string, try int, timeout time.Duration) (string, string) {
+func (cluster *Cluster) try(node *sim.Node, crowd *CallerGroup, request *Request, number int, address, ticket string, try int, timeout time.Duration) (string, string) {
 	target := cluster.Node(address)
 	delay, open := cluster.Reach(node.Name, address)
 	if !open || target.Frozen() {
@@ -936,10 +936,10 @@
 		}
 	}()
 	cluster.Deliver(node, address, func(at *sim.Node) {
-		call := &decide.Call{ID: request.ID, Ticket: ticket, Model: cluster.modelOf(crowd), Kind: crowd.Kind, Home: crowd.Home, Path: "/v1/completions", Retried: try > 0 && !(crowd.Hasty && number%3 == 0)}
+		call := &decide.Call{ID: request.ID, Ticket: ticket, Model: cluster.modelOf(crowd), Kind: crowd.Kind, Home: crowd.Home, Path: "/v1/completions", Retried: try > 0 && !(crowd.Concurrent && number%3 == 0)}
 		text, failure := daemon.Enter(call, func() []byte {
-			cluster.Entered = append(cluster.Entered, Entered{At: cluster.Now(), ID: request.ID, Daemon: address, Home: crowd.Home})
-			return Prompt(cluster.modelOf(crowd), number%max(1, crowd.Rosters), crowd.Bytes, crowd.Tokens, request.ID)
+			cluster.Entered = append(cluster.Entered, BodyRead{At: cluster.Now(), ID: request.ID, Daemon: address, Home: crowd.Home})
+			return Prompt(cluster.modelOf(crowd), number%max(1, crowd.PromptGroups), crowd.Bytes, crowd.Tokens, request.ID)
 		})
 		var messages sim.Stream
 		if failure == nil {
@@ -965,12 +965,12 @@
 		case []byte:
 			events++
 			if replica.IsTerminalEvent(item) {
-				request.Wholes++
+				request.CompleteAnswers++
 				request.Whole = events == (crowd.Tokens+Chunk-1)/Chunk+1
 				return "ok", "ok"
 			}
 			if !bytes.Contains(item, []byte(`"`+request.ID+":")) {
-				request.Foreign = true
+				request.WrongAnswer = true
 			}
 		}
 	}
--- a/fleet/park_test.go
+++ b/fleet/cluster_test.go
@@ -11,12 +11,12 @@
 	"swifttiller/fleet"
 )
 
-// clean checks every rule and fails the test with each violation, the seed and a command to replay it.
-func clean(t *testing.T, park *fleet.Park, facts fleet.Facts) {
+// checkRules checks every rule and fails the test with each violation, the seed and a command to replay it.
+func checkRules(t *testing.T, park *fleet.Cluster, facts fleet.Facts) {
 	t.Helper()
 	broken, _ := fleet.Check(park, facts)
-	show(t, park.Seed, broken)
-	for _, missed := range facts.Missed {
+	reportViolations(t, park.Seed, broken)
+	for _, missed := range facts.FailedPreconditions {
 		t.Errorf("seed %d: vacuous: %v", park.Seed, missed)
 	}
 	if t.Failed() {
@@ -24,15 +24,15 @@
 	}
 }
 
-// begun returns the facts of a warm cluster, for checks from the time when it became warm.
-func begun(park *fleet.Park, isPlanned bool) fleet.Facts {
+// factsSinceWarm returns the facts of a warm cluster, for checks from the time when it became warm.
+func factsSinceWarm(park *fleet.Cluster, isPlanned bool) fleet.Facts {
 	facts := park.Begin()
-	facts.From, facts.Planned = warm, isPlanned
+	facts.From, facts.Planned = warmupTime, isPlanned
 	return facts
 }
 
-// warm is the time after which a cold-started fleet has warmed up.
-const warm = 15 * time.Second
+// warmupTime is the time after which a cold-started fleet has warmed up.
+const warmupTime = 15 * time.Second
 
 // TestCalmFleet checks that no rule is broken in a minute without faults.
 func TestCalmFleet(t *testing.T) {
@@ -42,14 +42,14 @@
 	}
 	Convey("both deployments serve a calm minute whole", t, func() {
 		for name, plan := range fleet.Plans {
-			park := fleet.NewPark(1, plan())
+			park := fleet.NewCluster(1, plan())
 			defer park.Close()
 			park.Run(60 * time.Second)
 			park.Quiet = true
 			park.Run(10 * time.Second)
-			answered, asked := fleet.Rate(park, warm, park.Now())
+			answered, asked := fleet.Rate(park, warmupTime, park.Now())
 			t.Logf("%s: %d of %d requests answered, %d steps, %d lease renewals", name, answered, asked, park.Steps, park.Messages["Permit.Renew"])
-			clean(t, park, begun(park, true))
+			checkRules(t, park, factsSinceWarm(park, true))
 			So(asked, ShouldBeGreaterThan, 1000)
 		}
 	})
--- a/fleet/editions_test.go
+++ b/fleet/config_update_test.go
@@ -42,8 +42,8 @@
 }
 
 // routedFleet returns a small fleet without callers whose model may have routes.
-func routedFleet(seed uint64) *fleet.Park {
-	return fleet.NewPark(seed, grown(6, 18, 3))
+func routedFleet(seed uint64) *fleet.Cluster {
+	return fleet.NewCluster(seed, grownPlan(6, 18, 3))
 }
 
 // fetchStats counts the bytes and copies of configurations sent to data daemons, and how many
@@ -57,7 +57,7 @@
 
 // trackFetches starts counting fetches. A copy is in flight from its request until the reply, or
 // until the caller has given up, which is after a second.
-func trackFetches(cluster *fleet.Park) *fetchStats {
+func trackFetches(cluster *fleet.Cluster) *fetchStats {
 	stats := &fetchStats{bytes: map[string]int{}, copies: map[string]int{}, since: map[string]time.Duration{}}
 	cluster.OnBytes = func(from, to, method string, bytes int) {
 		if method != "Permit.Fetch" && method != "Permit.Take" {
@@ -85,7 +85,7 @@
 
 // checkDataDaemonsApply verifies that all running data daemons apply exactly this document, with
 // these zones evacuated.
-func checkDataDaemonsApply(t *testing.T, cluster *fleet.Park, document []byte, zones ...string) {
+func checkDataDaemonsApply(t *testing.T, cluster *fleet.Cluster, document []byte, zones ...string) {
 	t.Helper()
 	for name, daemon := range cluster.Datas {
 		if view := daemon.Holder.View(); cluster.Node(name).Up() && (string(view.Config().Document) != tight(document) || !slices.Equal(view.Config().Evacuated, zones)) {
@@ -110,7 +110,7 @@
 }
 
 func checkUpdateSize(t *testing.T, datas, count int, kind string, compose func(document string, label uint64, count, changed int) []byte) {
-	cluster := apart(3, grown(datas, 36, 3))
+	cluster := newSeparatedCluster(3, grownPlan(datas, 36, 3))
 	defer cluster.Close()
 	label := uint64(1)
 	if _, err := replace(cluster, "c1", compose(cluster.Document, 1, count, -1), 0); err != nil {
@@ -234,15 +234,15 @@
 				t.Errorf("%s: %s got %d bytes", name, machine, stats.bytes[machine])
 			}
 		}
-		once(t, cluster)
+		checkOneContentPerVersion(t, cluster)
 		cluster.Close()
 	}
 }
 
-// TestSpoiledChunk corrupts a chunk of the configuration in a data daemon's memory. The daemon
+// TestCorruptedChunk corrupts a chunk of the configuration in a data daemon's memory. The daemon
 // must not apply a configuration assembled with it; it fetches the whole and applies what was
 // decided.
-func TestSpoiledChunk(t *testing.T) {
+func TestCorruptedChunk(t *testing.T) {
 	t.Parallel()
 	cluster := routedFleet(23)
 	defer cluster.Close()
@@ -331,7 +331,7 @@
 			t.Fatal(err)
 		}
 		cluster.Run(3 * time.Second)
-		label, config := newest(t, cluster, "c3")
+		label, config := currentConfig(t, cluster, "c3")
 		checkDataDaemonsApply(t, cluster, config.Document, config.Evacuated...)
 		if label != 1000 || accepted < 10 {
 			t.Errorf("vacuous: seed %d: label %d, %d changes were accepted", seed, label, accepted)
@@ -339,24 +339,24 @@
 		if stats.maxInFlight != 1 {
 			t.Errorf("two copies: seed %d: two copies of one serial were in flight to one daemon", seed)
 		}
-		once(t, cluster)
+		checkOneContentPerVersion(t, cluster)
 		cluster.Close()
 	}
 }
 
-func newestLabel(t *testing.T, cluster *fleet.Park) (label uint64) {
+func newestLabel(t *testing.T, cluster *fleet.Cluster) (label uint64) {
 	t.Helper()
-	label, _ = newest(t, cluster, "c1")
+	label, _ = currentConfig(t, cluster, "c1")
 	return label
 }
 
 // countPrepares returns how many prepare messages, single or batched, acceptors were sent.
-func countPrepares(cluster *fleet.Park) int {
+func countPrepares(cluster *fleet.Cluster) int {
 	return cluster.Messages["Register.Prepare"] + cluster.Messages["Register.PrepareAll"]
 }
 
 // countWrites returns the number of successful register writes.
-func countWrites(cluster *fleet.Park) (count int) {
+func countWrites(cluster *fleet.Cluster) (count int) {
 	for _, daemon := range cluster.Controls {
 		count += int(daemon.Client.RoundCounters().Writes)
 	}
@@ -368,8 +368,8 @@
 func TestStartOfAll(t *testing.T) {
 	t.Parallel()
 	skipLong(t)
-	plan := grown(24, 18, 3)
-	cluster := fleet.NewPark(6, plan)
+	plan := grownPlan(24, 18, 3)
+	cluster := fleet.NewCluster(6, plan)
 	defer cluster.Close()
 	cluster.Run(10 * time.Second)
 	for name := range cluster.Datas {
@@ -426,8 +426,8 @@
 func TestStartOfAllOnSlowMachines(t *testing.T) {
 	t.Parallel()
 	skipLong(t)
-	plan := grown(420, 36, 6)
-	cluster := fleet.NewBarePark(6, plan)
+	plan := grownPlan(420, 36, 6)
+	cluster := fleet.NewBareCluster(6, plan)
 	defer cluster.Close()
 	for name := range cluster.Datas {
 		cluster.Crash(name)
--- a/fleet/chatter_test.go
+++ b/fleet/control_traffic_test.go
@@ -9,12 +9,12 @@
 	"swifttiller/fleet"
 )
 
-// grown returns the sahayogi plan resized to the given numbers of data daemons, replicas and
+// grownPlan returns the sahayogi plan resized to the given numbers of data daemons, replicas and
 // control daemons (all with a disk), spread over its three regions. As in the users' deployments,
 // the model is served by an engine, and replicas decide themselves which version they hold. There
 // are no callers, as the simulated callers cannot send routed requests, the only kind that such a
 // model gets.
-func grown(datas, replicas, controls int) fleet.Plan {
+func grownPlan(datas, replicas, controls int) fleet.Plan {
 	plan := fleet.Sahayogi()
 	replica := plan.Replicas[0]
 	zones := []string{"east-1", "middle-1", "west-1"}
@@ -61,7 +61,7 @@
 
 // measureTrafficFor is measureTraffic over the given number of seconds.
 func measureTrafficFor(seed uint64, plan fleet.Plan, seconds int) (out controlTraffic) {
-	cluster := fleet.NewPark(seed, plan)
+	cluster := fleet.NewCluster(seed, plan)
 	defer cluster.Close()
 	for _, from := range cluster.NodeNames() {
 		for _, to := range cluster.NodeNames() {
@@ -134,7 +134,7 @@
 func checkTrafficGrowth(t *testing.T, sizes []fleetSize) {
 	var measured []controlTraffic
 	for _, size := range sizes {
-		traffic := measureTraffic(1, grown(size.datas, size.replicas, size.controls))
+		traffic := measureTraffic(1, grownPlan(size.datas, size.replicas, size.controls))
 		t.Logf("%d data daemons, %d replicas, %d control daemons, in a second: %v", size.datas, size.replicas, size.controls, traffic)
 		measured = append(measured, traffic)
 		if traffic.busiestBytes == 0 || traffic.queries == 0 || traffic.crossRegion == 0 {
@@ -175,7 +175,7 @@
 // replicas: control traffic must not grow faster than that number.
 func TestControlTrafficFollowsNoReplica(t *testing.T) {
 	t.Parallel()
-	few, many := measureTraffic(1, grown(6, 18, 3)), measureTraffic(1, grown(6, 90, 3))
+	few, many := measureTraffic(1, grownPlan(6, 18, 3)), measureTraffic(1, grownPlan(6, 90, 3))
 	t.Logf("18 replicas: %v", few)
 	t.Logf("90 replicas: %v", many)
 	if relativeGrowth(few.crossRegion, many.crossRegion, 18, 90) > 1 || relativeGrowth(few.busiestBytes, many.busiestBytes, 18, 90) > 1 {
@@ -187,16 +187,16 @@
 // routing table within 1.5 s after the platform's list shows it as leaving.
 func TestLeavingReplicaIsOutInTime(t *testing.T) {
 	t.Parallel()
-	for name, newPlan := range map[string]func() fleet.Plan{"sahayogi": fleet.Sahayogi, "an engine's": func() fleet.Plan { return grown(6, 18, 3) }} {
+	for name, newPlan := range map[string]func() fleet.Plan{"sahayogi": fleet.Sahayogi, "an engine's": func() fleet.Plan { return grownPlan(6, 18, 3) }} {
 		worst := time.Duration(0)
 		for seed := uint64(1); seed <= 4; seed++ {
-			cluster := fleet.NewPark(seed, newPlan())
+			cluster := fleet.NewCluster(seed, newPlan())
 			cluster.Run(20 * time.Second)
 			for turn := 0; turn < 3; turn++ {
 				leaving := cluster.Plan.Replicas[turn].ID
 				boot := cluster.Replicas[leaving].Boot
-				cluster.LeaveByPlatform(leaving)
-				if !cluster.Until(10*time.Second, func() bool { _, isLearned := cluster.Learned[leaving+"/"+boot]; return isLearned }) {
+				cluster.MarkLeavingInList(leaving)
+				if !cluster.Until(10*time.Second, func() bool { _, isLearned := cluster.TerminationLearned[leaving+"/"+boot]; return isLearned }) {
 					t.Fatal("the platform's list never showed the replica as leaving")
 				}
 				isOut := func() bool {
@@ -214,7 +214,7 @@
 				if !cluster.Until(10*time.Second, isOut) {
 					t.Fatal("the leaving replica was never removed from all routing tables")
 				}
-				worst = max(worst, cluster.Now()-cluster.Learned[leaving+"/"+boot])
+				worst = max(worst, cluster.Now()-cluster.TerminationLearned[leaving+"/"+boot])
 				cluster.Run(time.Second)
 			}
 			cluster.Close()
@@ -238,7 +238,7 @@
 	}
 	var first controlTraffic
 	for index, size := range sizes {
-		traffic := measureTrafficFor(1, grown(size.datas, size.replicas, size.controls), 60)
+		traffic := measureTrafficFor(1, grownPlan(size.datas, size.replicas, size.controls), 60)
 		mean, meanBodies := traffic.dataBytes/float64(size.datas), traffic.bodyBytes/float64(size.datas)
 		t.Logf("%d data daemons, a mean of %.0f bytes a second at each, %.0f of them bodies: %v", size.datas, mean, meanBodies, traffic)
 		if mean == 0 || traffic.busiestMessages == 0 {
--- a/fleet/copies_test.go
+++ b/fleet/copies_test.go
@@ -11,7 +11,7 @@
 )
 
 // redundancyOf returns the state of the register's copies as the daemon reports it.
-func redundancyOf(t *testing.T, cluster *fleet.Park, at string) controlplane.Redundancy {
+func redundancyOf(t *testing.T, cluster *fleet.Cluster, at string) controlplane.Redundancy {
 	t.Helper()
 	var result controlplane.Redundancy
 	err := cluster.Do(at, 10*time.Second, func(daemon *controlplane.Daemon) error {
@@ -31,7 +31,7 @@
 // again.
 func TestStatusTellsSinceWhenACopyIsMissing(t *testing.T) {
 	t.Parallel()
-	cluster := fleet.NewPark(1, fleet.Plans["sahayogi"]())
+	cluster := fleet.NewCluster(1, fleet.Plans["sahayogi"]())
 	defer cluster.Close()
 	cluster.Run(6 * time.Second)
 	lost := cluster.Controls["c3"].Acceptor.ID()
@@ -59,7 +59,7 @@
 	}
 	change := func() {
 		cluster.Must("c1", func(daemon *controlplane.Daemon) error {
-			_, err := daemon.Apply(cluster.Vary(), nil, false)
+			_, err := daemon.Apply(cluster.VariedDocument(), nil, false)
 			return err
 		})
 	}
--- a/fleet/dark_test.go
+++ b/fleet/dark_test.go
@@ -17,8 +17,8 @@
 	for seed := uint64(1); seed <= 3; seed++ {
 		shape := fleet.RoutedShapes["large"]
 		shape.Datas = []int{8, 8, 8}
-		cluster := fleet.NewPark(seed, shape.Plan())
-		cluster.Run(warmRouted)
+		cluster := fleet.NewCluster(seed, shape.Plan())
+		cluster.Run(routedWarmupTime)
 		facts := cluster.BeginRouted()
 		for turn := range 4 {
 			var dark []string
@@ -29,11 +29,11 @@
 			}
 			began := cluster.Now()
 			for _, name := range dark {
-				cluster.Split([]string{name}, others(cluster, name), true)
+				cluster.Split([]string{name}, otherNodes(cluster, name), true)
 			}
 			cluster.Run(2 * time.Second)
 			for _, name := range dark {
-				cluster.Split([]string{name}, others(cluster, name), false)
+				cluster.Split([]string{name}, otherNodes(cluster, name), false)
 			}
 			cluster.Run(6 * time.Second)
 			for _, request := range cluster.RoutedRequests {
@@ -50,7 +50,7 @@
 		cluster.Quiet = true
 		cluster.Run(6500 * time.Millisecond)
 		violations, _ := fleet.CheckRouted(cluster, facts)
-		show(t, seed, violations)
+		reportViolations(t, seed, violations)
 		cluster.Close()
 	}
 	t.Logf("%d of %d ended with 502", lost, asked)
--- a/fleet/days.go
+++ b/fleet/days.go
@@ -18,7 +18,7 @@
 // At most one zone is evacuated at a time. An operator's action is answered before the next one
 // begins, so that the replies can be judged.
 type day struct {
-	*Park
+	*Cluster
 	facts          *Facts
 	rng            *rand.Rand
 	evacuatedZone  string // empty if none is
@@ -55,14 +55,14 @@
 	return up
 }
 
-func (day *day) daemons() []string { return append(day.controls(), day.datas()...) }
+func (day *day) daemons() []string { return append(day.controlDaemons(), day.dataDaemons()...) }
 
 // restartAfter restarts those of the named nodes that are down after the delay.
 func (day *day) restartAfter(after time.Duration, names ...string) {
 	day.At(after, func() {
 		for _, name := range names {
 			if !day.Node(name).Up() {
-				day.Return([]string{name})
+				day.RestartAll([]string{name})
 			}
 		}
 	})
@@ -118,7 +118,7 @@
 
 // operate runs an operator's action at a running control daemon, unless another action is pending.
 func (day *day) operate(operation func(daemon *controlplane.Daemon)) bool {
-	up := day.running(day.controls())
+	up := day.running(day.controlDaemons())
 	if day.isOperatorBusy || len(up) == 0 {
 		return false
 	}
@@ -133,7 +133,7 @@
 
 // apply applies the current document.
 func (day *day) apply(daemon *controlplane.Daemon) {
-	document := day.Vary()
+	document := day.VariedDocument()
 	homes, submitted := day.homesOf(document), day.Now()
 	// Both the old and the new homes are allowed until the outcome is known.
 	index := len(day.facts.Homes)
@@ -181,11 +181,11 @@
 	}
 	notice := day.rng.IntN(3)
 	if notice != 0 {
-		replica.Lingers = true
+		replica.ServesWhileLeaving = true
 		replica.Leave()
 	}
 	if notice != 1 {
-		day.LeaveByPlatform(name)
+		day.MarkLeavingInList(name)
 	}
 	day.At(day.span(day.Grace, 14*time.Second), func() {
 		if day.Replicas[name] == replica && day.Node(name).Up() {
@@ -197,7 +197,7 @@
 				day.Crash(name)
 			}
 			options := replica.ReplicaOptions
-			options.Lingers = false
+			options.ServesWhileLeaving = false
 			day.StartReplica(options)
 			day.Platform.Add(Region(options.Zone), name, name, options.Zone)
 		})
@@ -207,7 +207,7 @@
 
 // stop begins a planned stop and restart of a data daemon, and does not wait for it.
 func (day *day) stop() bool {
-	up := day.running(day.datas())
+	up := day.running(day.dataDaemons())
 	if len(up) < 2 {
 		return false
 	}
@@ -227,7 +227,7 @@
 }
 
 // addCallers starts more callers for a while, modelled after drawn callers of the plan.
-func (day *day) addCallers(modify func(crowd *Crowd)) bool {
+func (day *day) addCallers(modify func(crowd *CallerGroup)) bool {
 	crowd := day.Plan.Callers[day.rng.IntN(len(day.Plan.Callers))]
 	crowd.Name, crowd.From, crowd.Until = fmt.Sprint("day-", day.rng.Uint32(), "-", crowd.Name), 0, day.Now()+day.span(2*time.Second, 10*time.Second)
 	crowd.Every = min(crowd.Every/4, 60*time.Millisecond)
@@ -262,13 +262,13 @@
 	}
 	version := fmt.Sprint("v", day.rng.IntN(1000)+2)
 	if isBad {
-		failure := []Way{Errs, Cut, Empty, Garbled}[day.rng.IntN(4)]
+		failure := []FailureMode{Errs, Cut, Empty, Garbled}[day.rng.IntN(4)]
 		isFailing := func(heldVersion, _ string, _ int) bool { return heldVersion == "bad" }
 		for index := range day.Plan.Replicas {
-			day.Plan.Replicas[index].Bad, day.Plan.Replicas[index].How = isFailing, failure
+			day.Plan.Replicas[index].Bad, day.Plan.Replicas[index].Failure = isFailing, failure
 		}
 		for _, name := range day.ids() {
-			day.Replicas[name].Bad, day.Replicas[name].How = isFailing, failure
+			day.Replicas[name].Bad, day.Replicas[name].Failure = isFailing, failure
 		}
 		version = "bad"
 	}
@@ -282,7 +282,7 @@
 
 // watchRouting records when a region is first seen to route its traffic to the bad version.
 func (day *day) watchRouting() {
-	for _, name := range day.datas() {
+	for _, name := range day.dataDaemons() {
 		for region, table := range day.Datas[name].Holder.View().RoutingTables {
 			for _, row := range table.Rows {
 				if row.Version == day.facts.Bad && !row.Trial && !row.Back && day.facts.Moved[region] == 0 {
@@ -296,8 +296,8 @@
 
 // Events are all events that a day may consist of.
 var Events = []Event{
-	{"data daemon killed", func(day *day) bool { return day.crashOne(day.datas(), 300*time.Millisecond, 5*time.Second) }},
-	{"control daemon killed", func(day *day) bool { return day.crashOne(day.controls(), 300*time.Millisecond, 8*time.Second) }},
+	{"data daemon killed", func(day *day) bool { return day.crashOne(day.dataDaemons(), 300*time.Millisecond, 5*time.Second) }},
+	{"control daemon killed", func(day *day) bool { return day.crashOne(day.controlDaemons(), 300*time.Millisecond, 8*time.Second) }},
 	{"replica killed", func(day *day) bool { return day.crashOne(day.ids(), 300*time.Millisecond, 8*time.Second) }},
 	{"daemons killed in a herd", func(day *day) bool {
 		up := day.running(day.daemons())
@@ -309,8 +309,8 @@
 		return len(up) > 1
 	}},
 	{"a stop and start", (*day).stop},
-	{"data daemon frozen", func(day *day) bool { return day.freeze(day.datas(), 9*time.Second) }},
-	{"control daemon frozen", func(day *day) bool { return day.freeze(day.controls(), 9*time.Second) }},
+	{"data daemon frozen", func(day *day) bool { return day.freeze(day.dataDaemons(), 9*time.Second) }},
+	{"control daemon frozen", func(day *day) bool { return day.freeze(day.controlDaemons(), 9*time.Second) }},
 	{"replica frozen", func(day *day) bool { return day.freeze(day.ids(), 9*time.Second) }},
 	{"a machine parted", func(day *day) bool { return day.partition([]string{day.choose(append(day.daemons(), day.ids()...))}) }},
 	{"core machine parted", func(day *day) bool { return day.partition([]string{day.choose(day.seeds())}) }},
@@ -320,7 +320,7 @@
 	}},
 	{"region lost", func(day *day) bool {
 		inside, _ := day.splitByRegion(day.choose(day.Regions()))
-		crashed := day.Lose(inside)
+		crashed := day.CrashAll(inside)
 		day.restartAfter(day.span(time.Second, 8*time.Second), crashed...)
 		return len(crashed) > 0
 	}},
@@ -328,7 +328,7 @@
 		if day.rng.IntN(4) > 0 {
 			return false
 		}
-		crashed := day.Lose(day.NodeNames())
+		crashed := day.CrashAll(day.NodeNames())
 		for _, name := range crashed {
 			day.restartAfter(day.span(500*time.Millisecond, 3*time.Second), name)
 		}
@@ -376,7 +376,7 @@
 		if day.evacuatedZone != "" {
 			return false
 		}
-		day.evacuatedZone = day.zones[day.choose(day.datas())]
+		day.evacuatedZone = day.zones[day.choose(day.dataDaemons())]
 		if !day.evacuate(day.evacuatedZone, false) {
 			day.evacuatedZone = ""
 			return false
@@ -392,25 +392,25 @@
 			_, _ = daemon.Objects.Rollback(day.Model, nil, 10*time.Second)
 		})
 	}},
-	{"a crowd", func(day *day) bool { return day.addCallers(func(*Crowd) {}) }},
+	{"a crowd", func(day *day) bool { return day.addCallers(func(*CallerGroup) {}) }},
 	{"an eager crowd", func(day *day) bool {
-		return day.addCallers(func(crowd *Crowd) { crowd.Eager, crowd.Retries = true, 6 })
+		return day.addCallers(func(crowd *CallerGroup) { crowd.Eager, crowd.Retries = true, 6 })
 	}},
 	{"a hasty crowd", func(day *day) bool {
-		return day.addCallers(func(crowd *Crowd) {
-			crowd.Hasty, crowd.Eager, crowd.Every = true, true, 200*time.Millisecond
+		return day.addCallers(func(crowd *CallerGroup) {
+			crowd.Concurrent, crowd.Eager, crowd.Every = true, true, 200*time.Millisecond
 		})
 	}},
 	{"callers astray", func(day *day) bool {
-		return day.addCallers(func(crowd *Crowd) { crowd.Astray, crowd.Home = true, day.anyHome() })
+		return day.addCallers(func(crowd *CallerGroup) { crowd.WrongDaemonFirst, crowd.Home = true, day.anyHome() })
 	}},
-	{"long answers", func(day *day) bool { return day.addCallers(func(crowd *Crowd) { crowd.Tokens *= 12 }) }},
+	{"long answers", func(day *day) bool { return day.addCallers(func(crowd *CallerGroup) { crowd.Tokens *= 12 }) }},
 	{"a region slows", func(day *day) bool {
 		region := day.choose(day.Regions())
 		pace := func(slower float64) {
 			for _, name := range day.ids() {
 				if Region(day.zones[name]) == region {
-					day.Replicas[name].Slower = slower
+					day.Replicas[name].Slowdown = slower
 				}
 			}
 		}
@@ -429,8 +429,8 @@
 
 // Day runs a day of count events, drawn from the seed, at times within the span, and repairs everything
 // afterwards. It returns the events that began, in order.
-func (park *Park) Day(facts *Facts, seed uint64, count int, span time.Duration) []string {
-	day := &day{Park: park, facts: facts, rng: rand.New(rand.NewPCG(seed, 9)), wideDocument: park.Document}
+func (park *Cluster) Day(facts *Facts, seed uint64, count int, span time.Duration) []string {
+	day := &day{Cluster: park, facts: facts, rng: rand.New(rand.NewPCG(seed, 9)), wideDocument: park.Document}
 	start := park.Now()
 	facts.Moved = map[string]time.Duration{}
 	day.watchRouting()
@@ -460,21 +460,21 @@
 	if day.isDiskLost {
 		for _, name := range park.seeds() {
 			if !isVoter(park, name) {
-				facts.Need("readmit "+name, park.Readd(name))
+				facts.Need("readmit "+name, park.RejoinCore(name))
 			}
 		}
 	}
 	if day.evacuatedZone != "" {
 		facts.Need("hand back", park.Evacuate(facts, day.evacuatedZone, true))
 	}
-	facts.Need("apply a configuration after the day", park.Apply(facts, park.control()))
+	facts.Need("apply a configuration after the day", park.Apply(facts, park.anyControl()))
 	return day.started
 }
 
 // isVoter reports whether the machine's current acceptor is a member of the core, according to a
 // running control daemon.
-func isVoter(park *Park, name string) bool {
-	for _, member := range park.Controls[park.control()].Core().Members {
+func isVoter(park *Cluster, name string) bool {
+	for _, member := range park.Controls[park.anyControl()].Core().Members {
 		if member.ID == park.Controls[name].Acceptor.ID() {
 			return true
 		}
--- a/fleet/days_test.go
+++ b/fleet/days_test.go
@@ -20,19 +20,19 @@
 		t.Skip("a long simulation that runs one goroutine at a time, which gives the race detector nothing to check")
 	}
 	for name, plan := range fleet.Plans {
-		for seed := *first; seed < *first+uint64(*days); seed++ {
+		for seed := *firstSeed; seed < *firstSeed+uint64(*days); seed++ {
 			t.Run(fmt.Sprintf("%s/%d", name, seed), func(t *testing.T) {
 				t.Parallel()
-				cluster := fleet.NewPark(seed, plan())
+				cluster := fleet.NewCluster(seed, plan())
 				defer cluster.Close()
-				cluster.Run(warm)
+				cluster.Run(warmupTime)
 				facts := cluster.Begin()
 				facts.SmallShare = 0.1
 				passed := cluster.Day(&facts, seed, 6+int(seed%20), 45*time.Second)
-				answered, asked := ends(cluster)
+				answered, asked := settleAndFinish(cluster)
 				violations, checked := fleet.Check(cluster, facts)
-				show(t, seed, violations)
-				for _, missed := range facts.Missed {
+				reportViolations(t, seed, violations)
+				for _, missed := range facts.FailedPreconditions {
 					t.Errorf("seed %d: a fault did not take effect: %v", seed, missed)
 				}
 				if answered*10 < asked*9 {
--- a/fleet/diskfull_test.go
+++ b/fleet/diskfull_test.go
@@ -13,7 +13,7 @@
 func TestDiskTakesWritesAgain(t *testing.T) {
 	t.Parallel()
 	eachSeed(t, func(t *testing.T, seed uint64) {
-		cluster := ordering(seed)
+		cluster := faultlessFleet(seed)
 		defer cluster.Close()
 		zone := cluster.Zone(cluster.Plan.Replicas[0].ID)
 		evacuate := func(at string, back bool) {
@@ -33,7 +33,7 @@
 		// c3, which never returns, has a copy that c1 lacked.
 		cluster.Kill("c3")
 		cluster.Run(3 * time.Second)
-		if _, config := newest(t, cluster, "c1"); len(config.Evacuated) != 1 || config.Evacuated[0] != zone {
+		if _, config := currentConfig(t, cluster, "c1"); len(config.Evacuated) != 1 || config.Evacuated[0] != zone {
 			t.Errorf("evacuated: %v", config.Evacuated)
 		}
 		evacuate("c2", true)
@@ -42,7 +42,7 @@
 		cluster.Run(time.Second)
 		cluster.StartControl("c1")
 		cluster.Run(3 * time.Second)
-		if _, config := newest(t, cluster, "c1"); len(config.Evacuated) != 0 {
+		if _, config := currentConfig(t, cluster, "c1"); len(config.Evacuated) != 0 {
 			t.Errorf("still evacuated after the evacuation was revoked: %v", config.Evacuated)
 		}
 	})
--- a/fleet/duel_test.go
+++ b/fleet/dueling_proposers_test.go
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// TestPermitsGoOnThroughChanges verifies that leases are renewed in time on a large fleet with a
+// TestLeasesRenewDuringChanges verifies that leases are renewed in time on a large fleet with a
 // long delay between regions while configurations are written one after the other. It guards
 // against dueling proposers: control daemons that read a register during a write must not outbid
 // the ballot of its writer, or one another's.
-func TestPermitsGoOnThroughChanges(t *testing.T) {
+func TestLeasesRenewDuringChanges(t *testing.T) {
 	t.Parallel()
 	skipLong(t)
 	const regionDelay = 55 * time.Millisecond
 	shortest := time.Duration(1 << 62)
 	var slowest time.Duration
 	for seed := uint64(1); seed <= 3; seed++ {
-		plan := grown(64, 30, 6)
+		plan := grownPlan(64, 30, 6)
 		plan.Document = strings.Replace(plan.Document, `"limits":{`, fiveSecondLimits, 1)
-		cluster := apartBy(regionDelay, seed, plan)
+		cluster := newClusterWithRegionDelay(regionDelay, seed, plan)
 		for turn := range 6 {
 			label := uint64(turn + 1)
 			document := bytes.Replace([]byte(cluster.Document), []byte("{"), fmt.Appendf(nil, `{"label":%d,`, label), 1)
--- a/fleet/emptied_test.go
+++ b/fleet/emptied_test.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// TestALapsedDutyEmptiesNoRegion partitions the control daemons from one another repeatedly, so that
+// TestLapsedLeadershipKeepsReplicas partitions the control daemons from one another repeatedly, so that
 // leaderships lapse and are regained, also while the leader waits for the inputs of a routing
 // table. A region's routing table must never be without replicas because of that.
-func TestALapsedDutyEmptiesNoRegion(t *testing.T) {
+func TestLapsedLeadershipKeepsReplicas(t *testing.T) {
 	t.Parallel()
 	skipLong(t)
 	lapses := 0
 	for seed := uint64(1); seed <= 3; seed++ {
-		plan := grown(24, 60, 6)
+		plan := grownPlan(24, 60, 6)
 		plan.Document = strings.Replace(plan.Document, `"limits":{`, `"limits":{"alone_ms":60000,"permit_ms":1800,"session_ms":1200,"platform_ms":1000,"dark_ms":900,"probe_ms":450,`, 1)
-		cluster := apart(seed, plan)
+		cluster := newSeparatedCluster(seed, plan)
 		controls := slices.Sorted(maps.Keys(cluster.Controls))
 		for range 6 {
 			split := func(isCut bool) {
@@ -34,7 +34,7 @@
 				}
 				cluster.Run(20 * time.Millisecond)
 				for _, region := range cluster.Regions() {
-					if cluster.Holder(region) == "" {
+					if cluster.RegionLeader(region) == "" {
 						lapses++
 					}
 				}
--- a/fleet/lives_test.go
+++ b/fleet/ended_incarnations_test.go
@@ -8,17 +8,17 @@
 	"swifttiller/fleet"
 )
 
-// TestLivesThatAreOverAreTold loses all machines of a region and restarts them, its engines with new
+// TestEndedIncarnationsAreAnnounced loses all machines of a region and restarts them, its engines with new
 // incarnations. The region's leader must announce which incarnations have ended, so that the data
 // daemons there do not each find out by failed requests of their own.
-func TestLivesThatAreOverAreTold(t *testing.T) {
+func TestEndedIncarnationsAreAnnounced(t *testing.T) {
 	t.Parallel()
 	skipLong(t)
 	for seed := uint64(1); seed <= 2; seed++ {
 		shape := fleet.GrownShape
 		shape.Limits = map[string]float64{"alone_ms": 3600e3}
-		cluster := fleet.NewPark(seed, shape.Plan())
-		cluster.Run(warmRouted)
+		cluster := fleet.NewCluster(seed, shape.Plan())
+		cluster.Run(routedWarmupTime)
 		facts := cluster.BeginRouted()
 		var nodes []string
 		for _, name := range cluster.NodeNames() {
@@ -26,13 +26,13 @@
 				nodes = append(nodes, name)
 			}
 		}
-		lost := cluster.Lose(nodes)
+		lost := cluster.CrashAll(nodes)
 		cluster.Run(6 * time.Second)
 		before := len(cluster.Runs)
 		// Daemons get their leases before the platform's list shows the engines' new incarnations.
-		cluster.Return(slices.DeleteFunc(slices.Clone(lost), func(name string) bool { return cluster.Engines[name] == nil }))
+		cluster.RestartAll(slices.DeleteFunc(slices.Clone(lost), func(name string) bool { return cluster.Engines[name] == nil }))
 		cluster.Run(500 * time.Millisecond)
-		cluster.Return(slices.DeleteFunc(slices.Clone(lost), func(name string) bool { return cluster.Engines[name] != nil }))
+		cluster.RestartAll(slices.DeleteFunc(slices.Clone(lost), func(name string) bool { return cluster.Engines[name] != nil }))
 		began := cluster.Now()
 		cluster.Run(4 * time.Second)
 		elsewhere := 0
@@ -58,7 +58,7 @@
 		cluster.Quiet = true
 		cluster.Run(6500 * time.Millisecond)
 		violations, _ := fleet.CheckRouted(cluster, facts)
-		show(t, seed, violations)
+		reportViolations(t, seed, violations)
 		cluster.Close()
 	}
 }
--- a/fleet/ends_test.go
+++ b/fleet/ends_test.go
@@ -36,7 +36,7 @@
 			if limit == "probe_ms" {
 				value = min(value, settings.Limits["dark_ms"].Max/2)
 			}
-			for seed := *first; seed < *first+uint64(*seeds); seed++ {
+			for seed := *firstSeed; seed < *firstSeed+uint64(*seedCount); seed++ {
 				name := names[(seed+uint64(len(limit)))%2]
 				t.Run(fmt.Sprintf("%s %s/%s/%d", limit, end, name, seed), func(t *testing.T) {
 					t.Parallel()
@@ -52,16 +52,16 @@
 					if len(problems) > 0 || tree.Limit(limit, "") != value {
 						t.Fatalf("vacuous: %v %v", problems, plan.Document)
 					}
-					cluster := fleet.NewPark(seed, plan)
+					cluster := fleet.NewCluster(seed, plan)
 					defer cluster.Close()
-					cluster.Run(warm)
+					cluster.Run(warmupTime)
 					facts := cluster.Begin()
 					facts.SmallShare = 0.1
 					passed := cluster.Day(&facts, seed+7, 14, 40*time.Second)
 					cluster.Quiet = true
 					cluster.Run(15 * time.Second)
 					violations, checked := fleet.Check(cluster, facts)
-					show(t, seed, violations)
+					reportViolations(t, seed, violations)
 					if checked["foreign"] == 0 || len(passed) < 5 {
 						t.Errorf("vacuous: judged %v on %v", checked, passed)
 					}
--- a/fleet/engine.go
+++ b/fleet/engine.go
@@ -18,9 +18,9 @@
 	// its own, the Life.
 	Name, Zone     string
 	Model, Version string
-	// Berths is the number of requests that run at once, Queue the number of others that may
+	// Slots is the number of requests that run at once, Queue the number of others that may
 	// wait.
-	Berths, Queue int
+	Slots, Queue int
 	// CacheTokens is the memory that running requests and the prefix cache share.
 	CacheTokens int
 	// Stride is the number of tokens in one event, Chunk the number of prompt tokens that are
@@ -43,14 +43,14 @@
 	// Slower multiplies all times; 0 means 1.
 	Slower float64
 	Troubles
-	Grey Grey
-	// SaysIll makes health checks report the engine as unhealthy, whatever its state.
-	SaysIll bool
+	Grey GrayFailure
+	// ReportsUnhealthy makes health checks report the engine as unhealthy, whatever its state.
+	ReportsUnhealthy bool
 }
 
-// Grey is a gray failure: a replica fails a share of its requests while its health checks
+// GrayFailure is a gray failure: a replica fails a share of its requests while its health checks
 // succeed. The zero value fails none.
-type Grey struct {
+type GrayFailure struct {
 	// How is "errors" (answered with 500), "shed" (rejected although there is capacity),
 	// "hang" (run, but never answered), "reset" (the connection breaks after the request was
 	// sent) or "mute" (like hang, but the request doesn't run).
@@ -60,7 +60,7 @@
 	Zone string
 }
 
-func (grey Grey) applies(engine *Engine, zone string) bool {
+func (grey GrayFailure) applies(engine *Engine, zone string) bool {
 	return grey.How != "" && (grey.Zone == "" || grey.Zone == zone) && engine.happens(grey.Share)
 }
 
@@ -138,11 +138,11 @@
 	// ReadTokens counts the prompt tokens that were prefilled, KeptTokens those that were
 	// cached. AgainTokens counts the tokens that were prefilled although an engine of the same
 	// model had prefilled them before.
-	ReadTokens, KeptTokens, AgainTokens int
-	// PutBack counts preemptions: running requests that were put back into the queue.
-	PutBack int
+	ReadTokens, CachedTokens, RereadTokens int
+	// Preemptions counts preemptions: running requests that were put back into the queue.
+	Preemptions int
 
-	cluster    *Park
+	cluster    *Cluster
 	node       *sim.Node
 	mailbox    loop.Mailbox
 	waiting    []*engineRequest
@@ -199,7 +199,7 @@
 	closesConn bool
 }
 
-func (cluster *Park) newEngine(options EngineOptions, isCold bool) *Engine {
+func (cluster *Cluster) newEngine(options EngineOptions, isCold bool) *Engine {
 	cluster.lives++
 	engine := &Engine{EngineOptions: options, Life: fmt.Sprint("i-", cluster.lives), cluster: cluster, node: cluster.Node(options.Name), cacheIndex: map[uint64]*linked.Element{}, cache: linked.New()}
 	if engine.Slower == 0 {
@@ -213,7 +213,7 @@
 
 // StartEngine starts a simulated engine. It replaces one with the same name, and starts cold
 // unless it starts together with the cluster.
-func (cluster *Park) StartEngine(options EngineOptions) {
+func (cluster *Cluster) StartEngine(options EngineOptions) {
 	if before := cluster.Engines[options.Name]; before != nil {
 		before.Gone = cluster.Now()
 		cluster.pastEngines = append(cluster.pastEngines, before)
@@ -227,14 +227,14 @@
 		engine.mailbox = node.Mailbox()
 		engine.loop()
 	})
-	cluster.Listed.add(engine)
+	cluster.EngineList.add(engine)
 }
 
 // isCold reports whether the engine is cold.
 func (engine *Engine) isCold() bool { return engine.cluster.Now() < engine.ColdUntil }
 
-// Chill makes the engine cold again.
-func (engine *Engine) Chill() { engine.ColdUntil = engine.cluster.Now() + engine.Cold }
+// MakeCold makes the engine cold again.
+func (engine *Engine) MakeCold() { engine.ColdUntil = engine.cluster.Now() + engine.Cold }
 
 // happens decides at random, with the probability share.
 func (engine *Engine) happens(share float64) bool {
@@ -244,7 +244,7 @@
 func (engine *Engine) load() replica.Head {
 	head := replica.Head{Status: 200, Events: true, HasLoad: engine.Reports}
 	if engine.Reports {
-		head.Running, head.Waiting, head.Slots = len(engine.active), len(engine.waiting), engine.Berths
+		head.Running, head.Waiting, head.Slots = len(engine.active), len(engine.waiting), engine.Slots
 	}
 	return head
 }
@@ -269,7 +269,7 @@
 			return
 		}
 		engine.isCrashing = true
-		engine.cluster.Fallen++
+		engine.cluster.ColdCrashes++
 		engine.cluster.At(0, func() { engine.cluster.Crash(engine.Name) })
 		return
 	}
@@ -288,7 +288,7 @@
 	}
 	request.isLost = engine.happens(engine.Loses)
 	engine.waiting = append(engine.waiting, request)
-	if len(engine.waiting) == 1 && len(engine.active) < engine.Berths {
+	if len(engine.waiting) == 1 && len(engine.active) < engine.Slots {
 		engine.admit()
 	}
 	if len(engine.waiting) > engine.Queue {
@@ -378,7 +378,7 @@
 
 // preempt puts a running request back into the queue. It is prefilled again later.
 func (engine *Engine) preempt(request *engineRequest) {
-	engine.PutBack++
+	engine.Preemptions++
 	engine.freeMemory(request)
 	engine.active = removeRequest(engine.active, request)
 	engine.waiting = append(engine.waiting, request)
@@ -420,7 +420,7 @@
 			request.send(wireMessage{head: &head})
 			continue
 		}
-		if len(engine.active) >= engine.Berths {
+		if len(engine.active) >= engine.Slots {
 			last := engine.leastUrgent(engine.active)
 			if last.urgency <= request.urgency {
 				return
@@ -472,10 +472,10 @@
 				engine.cluster.everRead[readKey{engine.Model, part.ID}] = true
 			}
 		}
-		engine.AgainTokens += unread - neverRead + regenerated
+		engine.RereadTokens += unread - neverRead + regenerated
 		request.run.Read += unread + regenerated
 		engine.ReadTokens += unread + regenerated
-		engine.KeptTokens += request.run.Prompt - unread
+		engine.CachedTokens += request.run.Prompt - unread
 		if request.run.Ran == 0 {
 			request.run.Ran = now
 		}
--- a/fleet/relay.go
+++ b/fleet/engine_proxy.go
@@ -15,17 +15,17 @@
 	"swifttiller/verdict"
 )
 
-// relayer is a data daemon's client of simulated engines. It gives the same guarantees as the
+// engineProxy is a data daemon's client of simulated engines. It gives the same guarantees as the
 // real client, replica.Proxy.
-type relayer struct {
-	cluster *Park
+type engineProxy struct {
+	cluster *Cluster
 	node    *sim.Node
-	idle    map[string][]*wireLine
+	idle    map[string][]*engineConn
 }
 
-// wireLine is a connection to one process of an engine. Late counts the stale answers that
+// engineConn is a connection to one process of an engine. Late counts the stale answers that
 // will arrive on it before the answer to the next request.
-type wireLine struct {
+type engineConn struct {
 	life  string
 	since time.Duration
 	late  int
@@ -39,14 +39,14 @@
 
 // engineStream is a routed request in flight between a daemon and an engine.
 type engineStream struct {
-	cluster  *Park
+	cluster  *Cluster
 	mailbox  loop.Mailbox
 	from     *sim.Node
 	to       string
 	engine   *Engine
 	work     *engineRequest
-	conn     *wireLine
-	relayer  *relayer
+	conn     *engineConn
+	relayer  *engineProxy
 	request  *replica.RoutedRequest
 	deadline time.Duration
 	// resetAt is when the kernel gives up the connection because the request was never
@@ -70,7 +70,7 @@
 
 // take returns an idle connection, or dials a new one. It returns nil if the engine can't be
 // reached.
-func (client *relayer) take(request *replica.RoutedRequest) *wireLine {
+func (client *engineProxy) take(request *replica.RoutedRequest) *engineConn {
 	cluster, node := client.cluster, client.node
 	for {
 		idle := client.idle[request.Address]
@@ -104,17 +104,17 @@
 	if !target.Up() {
 		return nil
 	}
-	cluster.Dialled++
-	return &wireLine{life: cluster.Engines[request.Address].Life}
+	cluster.EngineConnections++
+	return &engineConn{life: cluster.Engines[request.Address].Life}
 }
 
-func (client *relayer) release(address string, conn *wireLine) {
+func (client *engineProxy) release(address string, conn *engineConn) {
 	conn.since = client.node.Now()
 	client.idle[address] = append(client.idle[address], conn)
 }
 
 // Send sends a routed request to an engine and waits for the head of its answer.
-func (client *relayer) Send(request *replica.RoutedRequest) (*replica.Answer, *verdict.Error) {
+func (client *engineProxy) Send(request *replica.RoutedRequest) (*replica.Answer, *verdict.Error) {
 	cluster, node := client.cluster, client.node
 	conn := client.take(request)
 	if conn == nil {
@@ -134,7 +134,7 @@
 	if _, isOpen := cluster.Reach(node.Name, request.Address); !isOpen {
 		stream.resetAt = sent + request.UnackedTimeout
 	}
-	content, intended, after := cluster.asked(request.ID), request.Replica, tokenOf(request.After)
+	content, intended, after := cluster.requestContent(request.ID), request.Replica, tokenOf(request.After)
 	urgency, remaining, tenant := request.Urgency, request.Remaining, request.Tenant
 	cluster.Deliver(node, request.Address, func(at *sim.Node) {
 		engine := cluster.Engines[request.Address]
@@ -300,7 +300,7 @@
 	case stream.isEnded && !stream.closesConn:
 		if engine != nil && engine.happens(engine.Repeats) {
 			stream.conn.late++
-			stream.cluster.Repeated++
+			stream.cluster.DuplicateAnswers++
 		}
 		stream.relayer.release(stream.to, stream.conn)
 	case engine != nil && !stream.isEnded:
@@ -333,10 +333,10 @@
 	cluster.Deliver(node, target.Address, func(at *sim.Node) {
 		engine := cluster.Engines[target.Address]
 		// Like a request, a health check waits for a slot or is rejected.
-		for len(engine.active) >= engine.Berths && len(engine.waiting) < engine.Queue {
+		for len(engine.active) >= engine.Slots && len(engine.waiting) < engine.Queue {
 			loop.Sleep(at, 10*time.Millisecond)
 		}
-		isFull, reportsUnhealthy := len(engine.waiting) >= engine.Queue, engine.SaysIll
+		isFull, reportsUnhealthy := len(engine.waiting) >= engine.Queue, engine.ReportsUnhealthy
 		health := replica.Health{Boot: engine.Life, Load: -1, Leaving: engine.Leaving, Cold: max(0, engine.ColdUntil-cluster.Now())}
 		cluster.Deliver(at, node.Name, func(*sim.Node) { mailbox.Put(probeReply{health, isFull, reportsUnhealthy}) })
 	})
@@ -357,10 +357,10 @@
 	return health, nil
 }
 
-// Register is the simulated platform's list of engines. Changes show after a lag, and queries
+// ReplicaList is the simulated platform's list of engines. Changes show after a lag, and queries
 // are rate limited.
-type Register struct {
-	cluster   *Park
+type ReplicaList struct {
+	cluster   *Cluster
 	entries   []*listedEngine
 	lastQuery map[string]time.Duration
 	// Broken makes every query fail.
@@ -372,7 +372,7 @@
 	listedAt, leavingAt, removedAt time.Duration
 }
 
-func (register *Register) add(engine *Engine) {
+func (register *ReplicaList) add(engine *Engine) {
 	at := register.cluster.Now() + register.cluster.Plan.Lag
 	if register.cluster.Now() == 0 {
 		at = 0
@@ -387,12 +387,12 @@
 }
 
 // Leave marks an engine's present process as leaving, after the lag.
-func (register *Register) Leave(name string) { register.setEnd(name, true) }
+func (register *ReplicaList) Leave(name string) { register.setEnd(name, true) }
 
 // Remove removes an engine's present process from the list, after the lag.
-func (register *Register) Remove(name string) { register.setEnd(name, false) }
+func (register *ReplicaList) Remove(name string) { register.setEnd(name, false) }
 
-func (register *Register) setEnd(name string, isLeaving bool) {
+func (register *ReplicaList) setEnd(name string, isLeaving bool) {
 	at := register.cluster.Now() + register.cluster.Plan.Lag
 	for _, listed := range register.entries {
 		if listed.engine == register.cluster.Engines[name] {
@@ -407,7 +407,7 @@
 
 // engineListClient is a node's client of the list of engines.
 type engineListClient struct {
-	cluster *Park
+	cluster *Cluster
 	node    *sim.Node
 }
 
@@ -416,12 +416,12 @@
 	cluster, region := client.cluster, strings.TrimPrefix(address, "http://")
 	loop.Sleep(client.node, 2*time.Millisecond)
 	now := cluster.Now()
-	register := cluster.Listed
+	register := cluster.EngineList
 	if register.Broken {
 		return nil, errors.New("simulated failure of the platform")
 	}
-	if last, isKnown := register.lastQuery[region]; isKnown && now-last < cluster.Plan.Least {
-		return nil, &listing.RateLimitedError{RetryAfter: cluster.Plan.Least}
+	if last, isKnown := register.lastQuery[region]; isKnown && now-last < cluster.Plan.MinListInterval {
+		return nil, &listing.RateLimitedError{RetryAfter: cluster.Plan.MinListInterval}
 	}
 	register.lastQuery[region] = now
 	var out []listing.Instance
@@ -432,7 +432,7 @@
 		}
 		entry := listing.Instance{ID: engine.Life, Address: engine.Name, Zone: engine.Zone, Model: engine.Model, Version: engine.Version, Cold: max(0, engine.ColdUntil-now), Leaving: listed.leavingAt <= now}
 		if entry.Leaving {
-			cluster.learnLeaving(engine.Name, engine.Life)
+			cluster.recordTermination(engine.Name, engine.Life)
 		}
 		out = append(out, entry)
 	}
--- a/fleet/engine_test.go
+++ b/fleet/engine_test.go
@@ -24,27 +24,27 @@
 
 // engineHarness is a simulated cluster with one engine and one node that sends requests to it.
 type engineHarness struct {
-	*Park
-	relayer *relayer
+	*Cluster
+	relayer *engineProxy
 	count   int
 }
 
 func newEngineHarness(t *testing.T, change func(*EngineOptions)) *engineHarness {
 	options := engine("e", "a-1", mainModel, true)
 	change(&options)
-	cluster := NewBarePark(1, Plan{Engines: []EngineOptions{options}})
+	cluster := NewBareCluster(1, Plan{Engines: []EngineOptions{options}})
 	t.Cleanup(cluster.Close)
 	cluster.Latency, cluster.Jitter = time.Microsecond, 0
 	cluster.zones["d"] = "a-1"
 	cluster.Start("d", func(*sim.Node) {})
-	return &engineHarness{Park: cluster, relayer: &relayer{cluster, cluster.Node("d"), map[string][]*wireLine{}}}
+	return &engineHarness{Cluster: cluster, relayer: &engineProxy{cluster, cluster.Node("d"), map[string][]*engineConn{}}}
 }
 
 // send starts a request now. The result is filled in as the simulation runs.
 func (harness *engineHarness) send(urgency, maxTokens int, remaining time.Duration, parts ...decide.Part) *requestResult {
 	harness.count++
 	id, result := fmt.Sprint("r", harness.count), &requestResult{}
-	harness.askedOf[id] = asked{parts, maxTokens}
+	harness.contentByAttempt[id] = requestContent{parts, maxTokens}
 	harness.Node("d").Go(func() {
 		sent := harness.Now()
 		request := &replica.RoutedRequest{Replica: harness.Engines["e"].Life, Address: "e", ID: id, Remaining: remaining, Urgency: urgency, ConnectTimeout: time.Second, UnackedTimeout: 2 * time.Second, Gate: func() *verdict.Error { return nil }}
@@ -109,8 +109,8 @@
 		third := harness.send(5, 4, ampleTime, decide.Part{ID: 9, Tokens: 100}, own(3))
 		harness.Run(2 * time.Second)
 		checkDuration(t, "time to first token with a different prefix", third.first, prefillTime(3820)+first+4*(step+each))
-		if e := harness.Engines["e"]; e.ReadTokens != 17020+3720+3820 || e.KeptTokens != 13300 || e.AgainTokens != 3720 {
-			t.Errorf("%d tokens prefilled, %d from the cache, %d prefilled again", e.ReadTokens, e.KeptTokens, e.AgainTokens)
+		if e := harness.Engines["e"]; e.ReadTokens != 17020+3720+3820 || e.CachedTokens != 13300 || e.RereadTokens != 3720 {
+			t.Errorf("%d tokens prefilled, %d from the cache, %d prefilled again", e.ReadTokens, e.CachedTokens, e.RereadTokens)
 		}
 	})
 	t.Run("tokens come more slowly as more run", func(t *testing.T) {
@@ -139,15 +139,15 @@
 			harness.Run(time.Second)
 		}
 		e := harness.Engines["e"]
-		if e.ReadTokens != 1200 || e.KeptTokens != 400 {
-			t.Errorf("%d tokens prefilled, %d from the cache", e.ReadTokens, e.KeptTokens)
+		if e.ReadTokens != 1200 || e.CachedTokens != 400 {
+			t.Errorf("%d tokens prefilled, %d from the cache", e.ReadTokens, e.CachedTokens)
 		}
 		harness.send(5, 1, ampleTime, decide.Part{ID: 1, Tokens: 400})
 		harness.Run(time.Second)
 		harness.send(5, 1, ampleTime, decide.Part{ID: 2, Tokens: 400})
 		harness.Run(time.Second)
-		if e.ReadTokens != 1600 || e.KeptTokens != 800 {
-			t.Errorf("then %d tokens prefilled, %d from the cache", e.ReadTokens, e.KeptTokens)
+		if e.ReadTokens != 1600 || e.CachedTokens != 800 {
+			t.Errorf("then %d tokens prefilled, %d from the cache", e.ReadTokens, e.CachedTokens)
 		}
 	})
 	t.Run("the newest of the least urgent is put back when memory runs out", func(t *testing.T) {
@@ -159,8 +159,8 @@
 		harness.send(5, 100, ampleTime, decide.Part{ID: 3, Tokens: 10})
 		harness.Run(10 * time.Second)
 		e := harness.Engines["e"]
-		if e.PutBack == 0 || e.AgainTokens == 0 {
-			t.Errorf("%d requests preempted, %d tokens prefilled again", e.PutBack, e.AgainTokens)
+		if e.Preemptions == 0 || e.RereadTokens == 0 {
+			t.Errorf("%d requests preempted, %d tokens prefilled again", e.Preemptions, e.RereadTokens)
 		}
 		for _, request := range []*requestResult{urgent, old} {
 			if request.events != 75 || !errors.Is(request.err, io.EOF) {
@@ -172,7 +172,7 @@
 		}
 	})
 	t.Run("urgent ones get in first, and a full one turns away", func(t *testing.T) {
-		harness := newEngineHarness(t, func(options *EngineOptions) { options.Berths, options.Queue = 1, 2 })
+		harness := newEngineHarness(t, func(options *EngineOptions) { options.Slots, options.Queue = 1, 2 })
 		var requests []*requestResult
 		for id := range uint64(4) {
 			requests = append(requests, harness.send(5, 100, ampleTime, decide.Part{ID: 10 + id, Tokens: 10}))
@@ -194,7 +194,7 @@
 		}
 	})
 	t.Run("one larger than the memory, and one whose time ends in the queue", func(t *testing.T) {
-		harness := newEngineHarness(t, func(options *EngineOptions) { options.CacheTokens, options.Berths = 1000, 1 })
+		harness := newEngineHarness(t, func(options *EngineOptions) { options.CacheTokens, options.Slots = 1000, 1 })
 		large := harness.send(5, 10, ampleTime, decide.Part{ID: 1, Tokens: 995})
 		harness.send(5, 100, ampleTime, decide.Part{ID: 2, Tokens: 10})
 		harness.Run(10 * time.Millisecond)
@@ -215,15 +215,15 @@
 		harness.Engines["e"].Leaving = true
 		harness.send(5, 1, ampleTime, decide.Part{ID: 1, Tokens: 10})
 		harness.Run(time.Second)
-		if harness.Dialled != 1 || len(harness.relayer.idle["e"]) != 0 {
-			t.Errorf("%d connections, %d kept open to a leaving engine", harness.Dialled, len(harness.relayer.idle["e"]))
+		if harness.EngineConnections != 1 || len(harness.relayer.idle["e"]) != 0 {
+			t.Errorf("%d connections, %d kept open to a leaving engine", harness.EngineConnections, len(harness.relayer.idle["e"]))
 		}
 		previousLife := harness.Engines["e"].Life
 		harness.Crash("e")
 		harness.StartEngine(harness.Engines["e"].EngineOptions)
 		harness.Run(10 * time.Millisecond)
 		var failure *verdict.Error
-		harness.askedOf["x"] = asked{most: 1}
+		harness.contentByAttempt["x"] = requestContent{most: 1}
 		harness.Node("d").Go(func() {
 			_, failure = harness.relayer.Send(&replica.RoutedRequest{Replica: previousLife, Address: "e", ID: "x", Remaining: ampleTime, ConnectTimeout: time.Second, Gate: func() *verdict.Error { return nil }})
 		})
@@ -235,8 +235,8 @@
 			harness.send(5, 1, ampleTime, decide.Part{ID: 100 + id, Tokens: 10})
 		}
 		harness.Run(time.Second)
-		if harness.Fallen != 1 || harness.Node("e").Up() {
-			t.Errorf("the overloaded cold engine failed %d times", harness.Fallen)
+		if harness.ColdCrashes != 1 || harness.Node("e").Up() {
+			t.Errorf("the overloaded cold engine failed %d times", harness.ColdCrashes)
 		}
 	})
 }
--- a/fleet/experiment.go
+++ b/fleet/experiment.go
@@ -88,8 +88,8 @@
 	}
 	shape := ExperimentShapes()[options.Shape]
 	shape.Limits = options.Limits
-	shape.Busy *= options.Load
-	cluster := NewPark(options.Seed, shape.Plan())
+	shape.LoadFactor *= options.Load
+	cluster := NewCluster(options.Seed, shape.Plan())
 	defer cluster.Close()
 	cluster.Run(options.Warm)
 	from := cluster.Now()
@@ -97,8 +97,8 @@
 	sum := func() (out sums) {
 		for _, engine := range cluster.engines() {
 			out.read += engine.ReadTokens
-			out.kept += engine.KeptTokens
-			out.again += engine.AgainTokens
+			out.kept += engine.CachedTokens
+			out.again += engine.RereadTokens
 		}
 		out.far = cluster.FarBytes
 		return out
--- a/fleet/fault_test.go
+++ b/fleet/fault_test.go
@@ -12,12 +12,12 @@
 )
 
 var (
-	seeds = flag.Int("seeds", 1, "number of seeds to search")
-	first = flag.Uint64("seed", 1, "the first seed")
+	seedCount = flag.Int("seeds", 1, "number of seeds to search")
+	firstSeed = flag.Uint64("seed", 1, "the first seed")
 )
 
-// show fails the test with up to three violations of each rule.
-func show(t *testing.T, seed uint64, violations []fleet.Broken) {
+// reportViolations fails the test with up to three violations of each rule.
+func reportViolations(t *testing.T, seed uint64, violations []fleet.Violation) {
 	t.Helper()
 	shown := map[string]int{}
 	for _, violation := range violations {
@@ -27,9 +27,9 @@
 	}
 }
 
-// ends lets the cluster settle after faults, counts the requests answered from then on, and lets the
+// settleAndFinish lets the cluster settle after faults, counts the requests answered from then on, and lets the
 // callers finish.
-func ends(cluster *fleet.Park) (answered, asked int) {
+func settleAndFinish(cluster *fleet.Cluster) (answered, asked int) {
 	cluster.Run(10 * time.Second)
 	from := cluster.Now()
 	cluster.Run(8 * time.Second)
@@ -39,13 +39,13 @@
 	return answered, asked
 }
 
-// try injects the faults one after the other into a warm fleet and checks every rule. At least nine
+// runFaults injects the faults one after the other into a warm fleet and checks every rule. At least nine
 // tenths of the requests must be answered at the end.
-func try(t *testing.T, plan string, seed uint64, faults ...fleet.Fault) {
+func runFaults(t *testing.T, plan string, seed uint64, faults ...fleet.Fault) {
 	t.Helper()
-	cluster := fleet.NewPark(seed, fleet.Plans[plan]())
+	cluster := fleet.NewCluster(seed, fleet.Plans[plan]())
 	defer cluster.Close()
-	cluster.Run(warm)
+	cluster.Run(warmupTime)
 	facts := cluster.Begin()
 	facts.Planned = true
 	for _, fault := range faults {
@@ -53,10 +53,10 @@
 		fault.Run(cluster, &facts)
 		cluster.Run(time.Duration(cluster.Draw(int64(3 * time.Second))))
 	}
-	answered, asked := ends(cluster)
+	answered, asked := settleAndFinish(cluster)
 	violations, checked := fleet.Check(cluster, facts)
-	show(t, seed, violations)
-	for _, missed := range facts.Missed {
+	reportViolations(t, seed, violations)
+	for _, missed := range facts.FailedPreconditions {
 		t.Errorf("%s seed %d: vacuous: %v", plan, seed, missed)
 	}
 	if len(faults) == 1 {
@@ -73,16 +73,16 @@
 
 func TestFaultsSingly(t *testing.T) {
 	t.Parallel()
-	for offset := uint64(0); offset < uint64(*seeds); offset++ {
+	for offset := uint64(0); offset < uint64(*seedCount); offset++ {
 		for name := range fleet.Plans {
 			for index, fault := range fleet.Faults {
 				if testing.Short() && index%9 != 2 {
 					continue
 				}
-				seed := *first + offset
+				seed := *firstSeed + offset
 				t.Run(fmt.Sprintf("%s/%s/%d", name, fault.Name, seed), func(t *testing.T) {
 					t.Parallel()
-					try(t, name, seed, fault)
+					runFaults(t, name, seed, fault)
 					if t.Failed() {
 						t.Logf("replay: go test ./fleet -run '%s' -seed %d", t.Name(), seed)
 					}
@@ -99,15 +99,15 @@
 	if testing.Short() {
 		t.Skip("a long simulation that runs one goroutine at a time, which gives the race detector nothing to check")
 	}
-	for offset := uint64(0); offset < uint64(*seeds)*4; offset++ {
-		seed := *first + offset
+	for offset := uint64(0); offset < uint64(*seedCount)*4; offset++ {
+		seed := *firstSeed + offset
 		name := []string{"sahayogi", "sklepik"}[seed%2]
 		draw := rand.New(rand.NewPCG(seed, 5))
 		earlier := fleet.Faults[draw.IntN(len(fleet.Faults))]
 		later := fleet.Faults[draw.IntN(len(fleet.Faults))]
 		t.Run(fmt.Sprintf("%s/%s then %s/%d", name, earlier.Name, later.Name, seed), func(t *testing.T) {
 			t.Parallel()
-			try(t, name, seed, earlier, later)
+			runFaults(t, name, seed, earlier, later)
 			if t.Failed() {
 				t.Logf("replay: go test ./fleet -run 'TestFaultsInPairs/.*/.*/%d$' -seed %d", seed, seed)
 			}
@@ -129,7 +129,7 @@
 		t.Run(fault.Name, func(t *testing.T) {
 			t.Parallel()
 			run := func() (steps, served int) {
-				cluster := fleet.NewPark(77, fleet.Sklepik())
+				cluster := fleet.NewCluster(77, fleet.Sklepik())
 				defer cluster.Close()
 				cluster.Run(8 * time.Second)
 				facts := cluster.Begin()
