--- a/fleet/faults.go
+++ b/fleet/faults.go
@@ -22,7 +22,7 @@
 	Planned bool
 	// Run injects the fault. It states with facts.Need and facts.Must what has to happen for
 	// the fault to be one; if any of it did not, the run proves nothing, which is a failure.
-	Run func(park *Park, facts *Facts)
+	Run func(park *Cluster, facts *Facts)
 	// Judges are the rules that must have judged at least one case in such a run.
 	Judges []string
 }
@@ -30,31 +30,31 @@
 // Need records a step that the run depends on and that failed.
 func (facts *Facts) Need(step string, err error) {
 	if err != nil {
-		facts.Missed = append(facts.Missed, fmt.Errorf("%s: %w", step, err))
+		facts.FailedPreconditions = append(facts.FailedPreconditions, fmt.Errorf("%s: %w", step, err))
 	}
 }
 
 // Must records a condition that the run depends on and that did not hold.
 func (facts *Facts) Must(condition string, holds bool) {
 	if !holds {
-		facts.Missed = append(facts.Missed, errors.New(condition))
+		facts.FailedPreconditions = append(facts.FailedPreconditions, errors.New(condition))
 	}
 }
 
 // pick draws one of the machines, given as name:zone, and returns its name.
-func (park *Park) pick(specs []string) string {
+func (park *Cluster) pick(specs []string) string {
 	name, _ := split(specs[park.Draw(int64(len(specs)))])
 	return name
 }
 
 // anyReplica draws a replica.
-func (park *Park) anyReplica() string {
+func (park *Cluster) anyReplica() string {
 	names := park.ids()
 	return names[park.Draw(int64(len(names)))]
 }
 
-// control returns the first running control daemon that is not frozen.
-func (park *Park) control() string {
+// anyControl returns the first running control daemon that is not frozen.
+func (park *Cluster) anyControl() string {
 	for _, spec := range park.Plan.Controls {
 		if name, _ := split(spec); park.Node(name).Up() && !park.Node(name).Frozen() {
 			return name
@@ -65,7 +65,7 @@
 
 // acknowledge records that the daemon acknowledged a document version, and a hash of the
 // version's contents if it is still the current one.
-func (park *Park) acknowledge(facts *Facts, daemon *controlplane.Daemon, serial uint64) {
+func (park *Cluster) acknowledge(facts *Facts, daemon *controlplane.Daemon, serial uint64) {
 	if facts.Acked == nil {
 		facts.Acked = map[uint64]Ack{}
 	}
@@ -76,21 +76,21 @@
 	facts.Acked[serial] = ack
 }
 
-// Vary returns the plan's document with a setting that differs from every earlier variant.
-func (park *Park) Vary() []byte {
+// VariedDocument returns the plan's document with a setting that differs from every earlier variant.
+func (park *Cluster) VariedDocument() []byte {
 	park.varied++
 	return []byte(strings.Replace(park.Document, `"limits":{`, fmt.Sprintf(`"limits":{"archive_ms":%d,`, 21600000+park.varied), 1))
 }
 
 // Apply applies a new variant of the plan's document.
-func (park *Park) Apply(facts *Facts, at string) error {
+func (park *Cluster) Apply(facts *Facts, at string) error {
 	return park.ApplyExpecting(facts, at, nil)
 }
 
 // ApplyExpecting is Apply with a precondition on the current document version. It records the
 // document's homes.
-func (park *Park) ApplyExpecting(facts *Facts, at string, expect *uint64) error {
-	document := park.Vary()
+func (park *Cluster) ApplyExpecting(facts *Facts, at string, expect *uint64) error {
+	document := park.VariedDocument()
 	homes := park.homesOf(document)
 	submitted := park.Now()
 	return park.Do(at, 20*time.Second, func(daemon *controlplane.Daemon) error {
@@ -104,7 +104,7 @@
 }
 
 // homesOf returns the regions of each home tag in a document.
-func (park *Park) homesOf(document []byte) map[string][]string {
+func (park *Cluster) homesOf(document []byte) map[string][]string {
 	tree, problems := settings.Parse(document)
 	if len(problems) > 0 {
 		panic(problems.Error())
@@ -120,12 +120,12 @@
 }
 
 // Begin returns the facts that hold before anything is done.
-func (park *Park) Begin() Facts {
+func (park *Cluster) Begin() Facts {
 	return Facts{From: park.Now(), Homes: []Homes{{Of: park.homesOf([]byte(park.Document))}}}
 }
 
 // Evacuate takes a zone out of service, or hands it back.
-func (park *Park) Evacuate(facts *Facts, zone string, back bool) error {
+func (park *Cluster) Evacuate(facts *Facts, zone string, back bool) error {
 	if back {
 		for index := range facts.Evacuated {
 			if span := &facts.Evacuated[index]; span.Zone == zone && span.Until == 0 {
@@ -133,7 +133,7 @@
 			}
 		}
 	}
-	return park.Do(park.control(), 20*time.Second, func(daemon *controlplane.Daemon) error {
+	return park.Do(park.anyControl(), 20*time.Second, func(daemon *controlplane.Daemon) error {
 		applied, err := daemon.Evacuate(zone, back)
 		if err == nil {
 			park.acknowledge(facts, daemon, applied.Serial)
@@ -146,7 +146,7 @@
 }
 
 // StopData stops a data daemon as planned maintenance does. The caller starts it again.
-func (park *Park) StopData(name string) {
+func (park *Cluster) StopData(name string) {
 	done := false
 	daemon := park.Datas[name]
 	park.Node(name).Go(func() { daemon.Stop(8 * time.Second); done = true })
@@ -159,7 +159,7 @@
 }
 
 // StopControl stops a control daemon as planned maintenance does.
-func (park *Park) StopControl(name string) {
+func (park *Cluster) StopControl(name string) {
 	done := false
 	daemon := park.Controls[name]
 	park.Node(name).Go(func() { daemon.Stop(); done = true })
@@ -167,8 +167,8 @@
 	park.Crash(name)
 }
 
-// Lose crashes those of the named nodes that run, except callers, and returns their names.
-func (park *Park) Lose(names []string) (crashed []string) {
+// CrashAll crashes those of the named nodes that run, except callers, and returns their names.
+func (park *Cluster) CrashAll(names []string) (crashed []string) {
 	for _, name := range names {
 		if park.Node(name).Up() && !strings.HasPrefix(name, "caller") {
 			park.Crash(name)
@@ -178,8 +178,8 @@
 	return crashed
 }
 
-// Return restarts the named nodes of any kind. Replicas come back with a cold cache.
-func (park *Park) Return(names []string) {
+// RestartAll restarts the named nodes of any kind. Replicas come back with a cold cache.
+func (park *Cluster) RestartAll(names []string) {
 	for _, name := range names {
 		switch {
 		case park.Replicas[name] != nil:
@@ -196,10 +196,10 @@
 
 // Replace ends a replica as hosting platforms do: it is marked as leaving, gets the grace period,
 // and comes back under its name three seconds later, cold.
-func (park *Park) Replace(name string) {
+func (park *Cluster) Replace(name string) {
 	options := park.Replicas[name].ReplicaOptions
 	park.Replicas[name].Leave()
-	park.LeaveByPlatform(name)
+	park.MarkLeavingInList(name)
 	park.Run(park.Grace)
 	park.Crash(name)
 	park.Platform.Remove(name)
@@ -209,7 +209,7 @@
 }
 
 // othersThan returns all nodes but the named one.
-func (park *Park) othersThan(name string) (others []string) {
+func (park *Cluster) othersThan(name string) (others []string) {
 	for _, other := range park.NodeNames() {
 		if other != name {
 			others = append(others, other)
@@ -219,7 +219,7 @@
 }
 
 // splitByRegion splits the nodes into those of the region and all others.
-func (park *Park) splitByRegion(region string) (inside, outside []string) {
+func (park *Cluster) splitByRegion(region string) (inside, outside []string) {
 	for _, name := range park.NodeNames() {
 		if Region(park.zones[name]) == region {
 			inside = append(inside, name)
@@ -231,35 +231,35 @@
 }
 
 // firstZone and lastZone return the zones of the first and the last replica of the plan.
-func firstZone(park *Park) string { return park.Plan.Replicas[0].Zone }
-func lastZone(park *Park) string  { return park.Plan.Replicas[len(park.Plan.Replicas)-1].Zone }
+func firstZone(park *Cluster) string { return park.Plan.Replicas[0].Zone }
+func lastZone(park *Cluster) string  { return park.Plan.Replicas[len(park.Plan.Replicas)-1].Zone }
 
 // Faults are all faults that are tested, singly and in pairs.
 var Faults = []Fault{
-	{"configuration storm", true, func(park *Park, facts *Facts) {
+	{"configuration storm", true, func(park *Cluster, facts *Facts) {
 		for turn := 0; turn < 6; turn++ {
-			facts.Need("apply", park.Apply(facts, park.control()))
+			facts.Need("apply", park.Apply(facts, park.anyControl()))
 		}
 	}, []string{"old config", "lost"}},
-	{"limits of time changed under traffic, and changed back", true, func(park *Park, facts *Facts) {
+	{"limits of time changed under traffic, and changed back", true, func(park *Cluster, facts *Facts) {
 		before := park.Document
 		park.Document = strings.Replace(before, `"limits":{`, `"limits":{"permit_ms":300,"session_ms":600,"probe_ms":50,"dark_ms":300,"platform_ms":300,`, 1)
-		facts.Need("apply", park.Apply(facts, park.control()))
+		facts.Need("apply", park.Apply(facts, park.anyControl()))
 		park.Run(8 * time.Second)
 		park.Document = before
-		facts.Need("apply", park.Apply(facts, park.control()))
+		facts.Need("apply", park.Apply(facts, park.anyControl()))
 	}, []string{"old config", "lost"}},
-	{"two operators at once", true, func(park *Park, facts *Facts) {
+	{"two operators at once", true, func(park *Cluster, facts *Facts) {
 		for turn := 0; turn < 3; turn++ {
 			park.twoOperators(facts, false)
 		}
 	}, []string{"old config"}},
-	{"two operators with the same expectation", true, func(park *Park, facts *Facts) {
+	{"two operators with the same expectation", true, func(park *Cluster, facts *Facts) {
 		for turn := 0; turn < 3; turn++ {
 			park.twoOperators(facts, true)
 		}
 	}, []string{"old config"}},
-	{"evacuation and hand-back", true, func(park *Park, facts *Facts) {
+	{"evacuation and hand-back", true, func(park *Cluster, facts *Facts) {
 		zone := lastZone(park)
 		// Some callers of the zone return only after EvacuatedBound, with a ticket that
 		// they got before the evacuation.
@@ -271,7 +271,7 @@
 		park.Run(12 * time.Second)
 		facts.Need("evacuate", park.Evacuate(facts, zone, true))
 	}, []string{"evacuated", "lost"}},
-	{"data daemons restarted one by one", true, func(park *Park, facts *Facts) {
+	{"data daemons restarted one by one", true, func(park *Cluster, facts *Facts) {
 		for _, spec := range park.Plan.Datas[:3] {
 			name, _ := split(spec)
 			park.StopData(name)
@@ -280,7 +280,7 @@
 			park.Run(4 * time.Second)
 		}
 	}, []string{"lost", "fallback"}},
-	{"control daemons restarted one by one", true, func(park *Park, facts *Facts) {
+	{"control daemons restarted one by one", true, func(park *Cluster, facts *Facts) {
 		for _, spec := range park.Plan.Controls {
 			name, _ := split(spec)
 			if !park.Node(name).Up() {
@@ -292,33 +292,33 @@
 			park.Run(5 * time.Second)
 		}
 	}, []string{"lost", "fallback"}},
-	{"replicas replaced one by one", true, func(park *Park, facts *Facts) {
+	{"replicas replaced one by one", true, func(park *Cluster, facts *Facts) {
 		for turn := 0; turn < 2; turn++ {
 			park.Replace(park.Plan.Replicas[turn].ID)
 			park.Run(4 * time.Second)
 		}
 	}, nil},
-	{"replica crashes and comes back cold", false, func(park *Park, facts *Facts) {
+	{"replica crashes and comes back cold", false, func(park *Cluster, facts *Facts) {
 		name := park.anyReplica()
 		options := park.Replicas[name].ReplicaOptions
 		park.Crash(name)
 		park.Run(time.Duration(park.Draw(int64(6 * time.Second))))
 		park.StartReplica(options)
 	}, nil},
-	{"replica goes dark", false, func(park *Park, facts *Facts) {
+	{"replica goes dark", false, func(park *Cluster, facts *Facts) {
 		name := park.anyReplica()
 		park.Split([]string{name}, park.othersThan(name), true)
 		park.Run(6 * time.Second)
 		park.Split([]string{name}, park.othersThan(name), false)
 	}, nil},
-	{"replica freezes", false, func(park *Park, facts *Facts) { park.Freeze(park.anyReplica(), 5*time.Second) }, nil},
-	{"data daemon killed", false, func(park *Park, facts *Facts) {
+	{"replica freezes", false, func(park *Cluster, facts *Facts) { park.Freeze(park.anyReplica(), 5*time.Second) }, nil},
+	{"data daemon killed", false, func(park *Cluster, facts *Facts) {
 		name := park.pick(park.Plan.Datas)
 		park.Crash(name)
 		park.Run(2 * time.Second)
 		park.StartData(name)
 	}, nil},
-	{"herd of data daemons killed", false, func(park *Park, facts *Facts) {
+	{"herd of data daemons killed", false, func(park *Cluster, facts *Facts) {
 		for _, spec := range park.Plan.Datas[1:] {
 			name, _ := split(spec)
 			park.Crash(name)
@@ -329,24 +329,24 @@
 			park.StartData(name)
 		}
 	}, nil},
-	{"data daemon frozen over a new configuration", false, func(park *Park, facts *Facts) {
+	{"data daemon frozen over a new configuration", false, func(park *Cluster, facts *Facts) {
 		park.Freeze(park.pick(park.Plan.Datas), 7*time.Second)
 		park.Run(300 * time.Millisecond)
-		facts.Need("apply", park.Apply(facts, park.control()))
+		facts.Need("apply", park.Apply(facts, park.anyControl()))
 	}, []string{"old config", "fallback"}},
-	{"data daemon frozen over one configuration, and cut off over the next", false, func(park *Park, facts *Facts) {
+	{"data daemon frozen over one configuration, and cut off over the next", false, func(park *Cluster, facts *Facts) {
 		// The first configuration is delivered when the daemon resumes; the second cannot reach it.
 		name := park.pick(park.Plan.Datas)
 		park.Freeze(name, 7*time.Second)
 		park.Run(300 * time.Millisecond)
-		facts.Need("apply", park.Apply(facts, park.control()))
-		park.Split([]string{name}, park.controls(), true)
-		facts.Need("apply", park.Apply(facts, park.control()))
+		facts.Need("apply", park.Apply(facts, park.anyControl()))
+		park.Split([]string{name}, park.controlDaemons(), true)
+		facts.Need("apply", park.Apply(facts, park.anyControl()))
 		facts.Must("the daemon is frozen during both applies", park.Node(name).Frozen())
 		park.Run(5 * time.Second)
-		park.Split([]string{name}, park.controls(), false)
+		park.Split([]string{name}, park.controlDaemons(), false)
 	}, []string{"old config", "fallback"}},
-	{"data daemon cut off over an evacuation", false, func(park *Park, facts *Facts) {
+	{"data daemon cut off over an evacuation", false, func(park *Cluster, facts *Facts) {
 		name := park.pick(park.Plan.Datas)
 		var controls []string
 		for _, spec := range append(append([]string{}, park.Plan.Controls...), park.Plan.Diskless...) {
@@ -359,17 +359,17 @@
 		park.Split([]string{name}, controls, false)
 		facts.Need("evacuate", park.Evacuate(facts, firstZone(park), true))
 	}, []string{"old config"}},
-	{"control daemon killed", false, func(park *Park, facts *Facts) {
+	{"control daemon killed", false, func(park *Cluster, facts *Facts) {
 		name, _ := split(park.Plan.Controls[park.Draw(3)])
 		park.Crash(name)
 		park.Run(4 * time.Second)
 		park.StartControl(name)
 	}, nil},
-	{"control daemon frozen", false, func(park *Park, facts *Facts) {
+	{"control daemon frozen", false, func(park *Cluster, facts *Facts) {
 		name, _ := split(park.Plan.Controls[park.Draw(3)])
 		park.Freeze(name, 5*time.Second)
 	}, nil},
-	{"one way cut", false, func(park *Park, facts *Facts) {
+	{"one way cut", false, func(park *Cluster, facts *Facts) {
 		name, _ := split(park.Plan.Controls[park.Draw(3)])
 		for _, other := range park.othersThan(name) {
 			park.Cut(name, other, true)
@@ -379,7 +379,7 @@
 			park.Cut(name, other, false)
 		}
 	}, nil},
-	{"core split", false, func(park *Park, facts *Facts) {
+	{"core split", false, func(park *Cluster, facts *Facts) {
 		a, _ := split(park.Plan.Controls[0])
 		b, _ := split(park.Plan.Controls[1])
 		c, _ := split(park.Plan.Controls[2])
@@ -394,40 +394,40 @@
 		park.Run(6 * time.Second)
 		park.Split([]string{a}, []string{b, c}, false)
 	}, []string{"fallback", "old config"}},
-	{"region cut off", false, func(park *Park, facts *Facts) {
+	{"region cut off", false, func(park *Cluster, facts *Facts) {
 		inside, outside := park.splitByRegion(Region(lastZone(park)))
 		park.Split(inside, outside, true)
 		park.Run(8 * time.Second)
 		park.Split(inside, outside, false)
 	}, nil},
-	{"slow disk", false, func(park *Park, facts *Facts) {
+	{"slow disk", false, func(park *Cluster, facts *Facts) {
 		name, _ := split(park.Plan.Controls[park.Draw(3)])
 		park.Node(name).Disk.SyncDelay = 900 * time.Millisecond
 		park.Run(8 * time.Second)
-		facts.Need("apply", park.Apply(facts, park.control()))
+		facts.Need("apply", park.Apply(facts, park.anyControl()))
 		park.Node(name).Disk.SyncDelay = 0
 	}, nil},
-	{"full disk", false, func(park *Park, facts *Facts) {
+	{"full disk", false, func(park *Cluster, facts *Facts) {
 		name, _ := split(park.Plan.Controls[park.Draw(3)])
 		park.Node(name).Disk.Full = true
 		park.Run(6 * time.Second)
-		facts.Need("apply", park.Apply(facts, park.control()))
+		facts.Need("apply", park.Apply(facts, park.anyControl()))
 		park.Node(name).Disk.Full = false
 		park.Crash(name)
 		park.Run(time.Second)
 		park.StartControl(name)
 	}, nil},
-	{"disk lost after an acknowledgement", false, func(park *Park, facts *Facts) {
+	{"disk lost after an acknowledgement", false, func(park *Cluster, facts *Facts) {
 		name, _ := split(park.Plan.Controls[park.Draw(3)])
-		facts.Need("apply", park.Apply(facts, park.control()))
+		facts.Need("apply", park.Apply(facts, park.anyControl()))
 		park.Crash(name)
 		park.Node(name).Disk.Wipe()
 		park.Run(time.Second)
 		park.StartControl(name)
 		park.Run(4 * time.Second)
-		facts.Need("readmit", park.Readd(name))
+		facts.Need("readmit", park.RejoinCore(name))
 	}, nil},
-	{"core machines replaced in turn", true, func(park *Park, facts *Facts) {
+	{"core machines replaced in turn", true, func(park *Cluster, facts *Facts) {
 		for _, spec := range park.Plan.Controls {
 			name, _ := split(spec)
 			if !park.Node(name).Up() {
@@ -438,26 +438,26 @@
 			park.Run(500 * time.Millisecond)
 			park.StartControl(name)
 			park.Run(4 * time.Second)
-			facts.Need("readmit", park.Readd(name))
+			facts.Need("readmit", park.RejoinCore(name))
 			park.Run(2 * time.Second)
 		}
-		facts.Need("apply", park.Apply(facts, park.control()))
+		facts.Need("apply", park.Apply(facts, park.anyControl()))
 	}, nil},
-	{"core machine returns empty at a new address", false, func(park *Park, facts *Facts) {
+	{"core machine returns empty at a new address", false, func(park *Cluster, facts *Facts) {
 		old, zone := split(park.Plan.Controls[1])
-		facts.Need("apply", park.Apply(facts, park.control()))
+		facts.Need("apply", park.Apply(facts, park.anyControl()))
 		park.Crash(old)
 		park.Run(2 * time.Second)
 		fresh := fmt.Sprint(old, "-at-", park.Now().Milliseconds())
 		park.zones[fresh] = zone
 		park.StartControl(fresh)
 		park.Run(4 * time.Second)
-		at := park.control()
-		facts.Must("the new machine replaces the old one in the core without an operator", park.Votes(fresh) && len(park.Controls[at].Core().Members) == 3)
+		at := park.anyControl()
+		facts.Must("the new machine replaces the old one in the core without an operator", park.IsCoreMember(fresh) && len(park.Controls[at].Core().Members) == 3)
 		// The new core must have a quorum without the old machine.
 		facts.Need("apply", park.Apply(facts, at))
 	}, nil},
-	{"seeds swapped", false, func(park *Park, facts *Facts) {
+	{"seeds swapped", false, func(park *Cluster, facts *Facts) {
 		data, _ := split(park.Plan.Datas[0])
 		diskless, _ := split(park.Plan.Diskless[0])
 		park.SeedsOf = map[string][]string{data: {"nobody", "caller-none", diskless}, diskless: {"nobody", park.seeds()[2]}}
@@ -468,36 +468,36 @@
 		park.StartData(data)
 		park.Run(4 * time.Second)
 	}, nil},
-	{"one machine isolated", false, func(park *Park, facts *Facts) {
+	{"one machine isolated", false, func(park *Cluster, facts *Facts) {
 		specs := append(append([]string{}, park.Plan.Controls...), park.Plan.Datas...)
 		name := park.pick(specs)
 		park.Split([]string{name}, park.othersThan(name), true)
 		park.Run(6 * time.Second)
 		park.Split([]string{name}, park.othersThan(name), false)
 	}, nil},
-	{"region lost and back", false, func(park *Park, facts *Facts) {
+	{"region lost and back", false, func(park *Cluster, facts *Facts) {
 		inside, _ := park.splitByRegion(Region(lastZone(park)))
-		crashed := park.Lose(inside)
+		crashed := park.CrashAll(inside)
 		park.Run(8 * time.Second)
-		park.Return(crashed)
+		park.RestartAll(crashed)
 		park.Run(4 * time.Second)
 	}, []string{"flooded", "fallback"}},
-	{"whole region slows", false, func(park *Park, facts *Facts) {
+	{"whole region slows", false, func(park *Cluster, facts *Facts) {
 		for name, replica := range park.Replicas {
 			if park.zones[name] == firstZone(park) {
-				replica.Slower = 4
+				replica.Slowdown = 4
 			}
 		}
 		park.Run(8 * time.Second)
 		for _, replica := range park.Replicas {
-			replica.Slower = 1
+			replica.Slowdown = 1
 		}
 	}, nil},
-	{"replicas taken at short notice", true, func(park *Park, facts *Facts) {
+	{"replicas taken at short notice", true, func(park *Cluster, facts *Facts) {
 		// Two at once, with no more than the platform's grace period.
 		for _, replica := range park.Plan.Replicas[:2] {
 			park.Replicas[replica.ID].Leave()
-			park.LeaveByPlatform(replica.ID)
+			park.MarkLeavingInList(replica.ID)
 		}
 		park.Run(park.Grace)
 		for _, replica := range park.Plan.Replicas[:2] {
@@ -510,51 +510,51 @@
 			park.Platform.Add(Region(replica.Zone), replica.ID, replica.ID, replica.Zone)
 		}
 	}, nil},
-	{"crowd", false, func(park *Park, facts *Facts) {
+	{"crowd", false, func(park *Cluster, facts *Facts) {
 		first := park.Plan.Callers[0]
 		first.Name, first.Every, first.Eager, first.Retries = fmt.Sprint("crowd-", park.Now().Milliseconds()), first.Every/8, true, 6
 		first.From, first.Until = 0, park.Now()+6*time.Second
 		park.crowd(&first)
 		park.Run(8 * time.Second)
 	}, []string{"retries"}},
-	{"callers move between zones", true, func(park *Park, facts *Facts) {
+	{"callers move between zones", true, func(park *Cluster, facts *Facts) {
 		for _, crowd := range park.Plan.Callers[:2] {
 			moving := crowd
-			moving.Name, moving.Moves, moving.Until = fmt.Sprint("moving-", crowd.Kind, park.Now().Milliseconds()), true, park.Now()+8*time.Second
+			moving.Name, moving.AnyZone, moving.Until = fmt.Sprint("moving-", crowd.Kind, park.Now().Milliseconds()), true, park.Now()+8*time.Second
 			moving.Every *= 3
 			park.crowd(&moving)
 		}
 		park.Run(9 * time.Second)
 	}, nil},
-	{"mix swings to long answers", false, func(park *Park, facts *Facts) {
+	{"mix swings to long answers", false, func(park *Cluster, facts *Facts) {
 		long := park.Plan.Callers[1]
 		long.Name, long.Every, long.Until = fmt.Sprint("long-", park.Now().Milliseconds()), 60*time.Millisecond, park.Now()+6*time.Second
 		park.crowd(&long)
 		park.Run(8 * time.Second)
 	}, nil},
-	{"replica lingers, known by the list only", true, func(park *Park, facts *Facts) {
-		replica := park.Used()
-		park.LeaveByPlatform(replica.ID)
+	{"replica lingers, known by the list only", true, func(park *Cluster, facts *Facts) {
+		replica := park.BusiestReplica()
+		park.MarkLeavingInList(replica.ID)
 		park.Run(park.Lag + 14*time.Second)
 		park.replaceReplica(replica)
 	}, []string{"leaving", "lost"}},
-	{"replica lingers, known by its probes only", true, func(park *Park, facts *Facts) {
-		replica := park.Used()
-		park.Replicas[replica.ID].Lingers = true
+	{"replica lingers, known by its probes only", true, func(park *Cluster, facts *Facts) {
+		replica := park.BusiestReplica()
+		park.Replicas[replica.ID].ServesWhileLeaving = true
 		park.Replicas[replica.ID].Leave()
 		park.Run(14 * time.Second)
 		park.replaceReplica(replica)
 	}, []string{"leaving", "lost"}},
-	{"replica lingers and whoever knows of it dies", false, func(park *Park, facts *Facts) {
+	{"replica lingers and whoever knows of it dies", false, func(park *Cluster, facts *Facts) {
 		// Only one daemon learns of the termination, from the platform's list.
-		replica := park.Used()
-		park.LeaveByPlatform(replica.ID)
+		replica := park.BusiestReplica()
+		park.MarkLeavingInList(replica.ID)
 		key := replica.ID + "/" + park.Replicas[replica.ID].Boot
-		for spent := time.Duration(0); spent < 10*time.Second && park.Learned[key] == 0; spent += 2 * time.Millisecond {
+		for spent := time.Duration(0); spent < 10*time.Second && park.TerminationLearned[key] == 0; spent += 2 * time.Millisecond {
 			park.Run(2 * time.Millisecond)
 		}
-		leader := park.Holder(Region(replica.Zone))
-		facts.Must("a daemon learned of the replica's termination, and the region has a leader", park.Learned[key] > 0 && leader != "")
+		leader := park.RegionLeader(Region(replica.Zone))
+		facts.Must("a daemon learned of the replica's termination, and the region has a leader", park.TerminationLearned[key] > 0 && leader != "")
 		if leader != "" {
 			park.Crash(leader)
 			park.Run(14 * time.Second)
@@ -562,33 +562,33 @@
 		}
 		park.replaceReplica(replica)
 	}, []string{"leaving"}},
-	{"all control daemons killed at once", false, func(park *Park, facts *Facts) {
-		crashed := park.Lose(park.controls())
+	{"all control daemons killed at once", false, func(park *Cluster, facts *Facts) {
+		crashed := park.CrashAll(park.controlDaemons())
 		park.Run(1 * time.Second)
-		park.Return(crashed)
+		park.RestartAll(crashed)
 		park.Run(6 * time.Second)
 	}, []string{"fallback"}},
-	{"two of three core machines lost and back", false, func(park *Park, facts *Facts) {
-		facts.Need("apply", park.Apply(facts, park.control()))
-		crashed := park.Lose(park.seeds()[:2])
+	{"two of three core machines lost and back", false, func(park *Cluster, facts *Facts) {
+		facts.Need("apply", park.Apply(facts, park.anyControl()))
+		crashed := park.CrashAll(park.seeds()[:2])
 		park.Run(7 * time.Second)
-		park.Return(crashed)
+		park.RestartAll(crashed)
 		park.Run(6 * time.Second)
-		facts.Need("apply", park.Apply(facts, park.control()))
+		facts.Need("apply", park.Apply(facts, park.anyControl()))
 	}, []string{"old config", "fallback"}},
-	{"three-way core split", false, func(park *Park, facts *Facts) {
+	{"three-way core split", false, func(park *Cluster, facts *Facts) {
 		park.splitCore(true)
 		park.Run(4 * time.Second)
 		facts.Must("no configuration is acknowledged without a majority", park.Apply(&Facts{}, park.seeds()[0]) != nil)
 		park.splitCore(false)
 		park.Run(4 * time.Second)
-		facts.Need("apply", park.Apply(facts, park.control()))
+		facts.Need("apply", park.Apply(facts, park.anyControl()))
 	}, []string{"old config"}},
-	{"a replica's end is learned while core machines can't reach each other", false, func(park *Park, facts *Facts) {
+	{"a replica's end is learned while core machines can't reach each other", false, func(park *Cluster, facts *Facts) {
 		park.terminateUnrecorded(facts, func() { park.splitCore(true) }, func() { park.splitCore(false) })
 	}, []string{"leaving"}},
-	{"a replica's end is learned while two core machines are down", false, func(park *Park, facts *Facts) {
-		leader := park.Holder(Region(firstZone(park)))
+	{"a replica's end is learned while two core machines are down", false, func(park *Cluster, facts *Facts) {
+		leader := park.RegionLeader(Region(firstZone(park)))
 		facts.Must("the region has a leader", leader != "")
 		var crashed []string
 		for _, name := range park.seeds() {
@@ -596,10 +596,10 @@
 				crashed = append(crashed, name)
 			}
 		}
-		park.terminateUnrecorded(facts, func() { park.Lose(crashed) }, func() { park.Return(crashed) })
+		park.terminateUnrecorded(facts, func() { park.CrashAll(crashed) }, func() { park.RestartAll(crashed) })
 	}, []string{"leaving"}},
-	{"core machines can't reach each other while a region's replicas begin anew", false, func(park *Park, facts *Facts) {
-		leader := park.Holder(Region(firstZone(park)))
+	{"core machines can't reach each other while a region's replicas begin anew", false, func(park *Cluster, facts *Facts) {
+		leader := park.RegionLeader(Region(firstZone(park)))
 		facts.Must("the region has a leader", leader != "")
 		park.splitCore(true)
 		park.Run(1500 * time.Millisecond)
@@ -611,7 +611,7 @@
 			}
 		}
 		park.Run(time.Second)
-		park.Return(crashed)
+		park.RestartAll(crashed)
 		crowd := park.Plan.Callers[0]
 		crowd.Name, crowd.Every, crowd.Until = fmt.Sprint("again-", park.Now().Milliseconds()), crowd.Every/8, park.Now()+8*time.Second
 		park.crowd(&crowd)
@@ -620,18 +620,18 @@
 		park.Run(6 * time.Second)
 		facts.Must("the leader is still running", park.Node(leader).Up())
 	}, []string{"flooded"}},
-	{"all core disks slow at once", true, func(park *Park, facts *Facts) {
+	{"all core disks slow at once", true, func(park *Cluster, facts *Facts) {
 		park.eachCoreMachine(func(name string) { park.Node(name).Disk.SyncDelay = 400 * time.Millisecond })
 		// The outcome may stay unknown if no decision comes in time; requests must be served
 		// meanwhile.
-		_ = park.Apply(facts, park.control())
+		_ = park.Apply(facts, park.anyControl())
 		park.Run(8 * time.Second)
 		park.eachCoreMachine(func(name string) { park.Node(name).Disk.SyncDelay = 0 })
-		facts.Need("apply", park.Apply(facts, park.control()))
+		facts.Need("apply", park.Apply(facts, park.anyControl()))
 	}, []string{"old config", "lost"}},
-	{"all core disks full at once", false, func(park *Park, facts *Facts) {
+	{"all core disks full at once", false, func(park *Cluster, facts *Facts) {
 		park.eachCoreMachine(func(name string) { park.Node(name).Disk.Full = true })
-		facts.Must("no configuration is acknowledged while all disks are full", park.Apply(&Facts{}, park.control()) != nil)
+		facts.Must("no configuration is acknowledged while all disks are full", park.Apply(&Facts{}, park.anyControl()) != nil)
 		park.Run(4 * time.Second)
 		park.eachCoreMachine(func(name string) {
 			park.Node(name).Disk.Full = false
@@ -640,21 +640,21 @@
 			park.StartControl(name)
 		})
 		park.Run(6 * time.Second)
-		facts.Need("apply", park.Apply(facts, park.control()))
+		facts.Need("apply", park.Apply(facts, park.anyControl()))
 	}, []string{"old config", "fallback"}},
-	{"disk that fails on sync only", false, func(park *Park, facts *Facts) {
+	{"disk that fails on sync only", false, func(park *Cluster, facts *Facts) {
 		name := park.seeds()[park.Draw(3)]
 		park.Node(name).Disk.FailSyncs = true
-		facts.Need("apply", park.Apply(facts, park.control()))
+		facts.Need("apply", park.Apply(facts, park.anyControl()))
 		park.Run(5 * time.Second)
 		park.Node(name).Disk.FailSyncs = false
 		park.Crash(name)
 		park.Run(time.Second)
 		park.StartControl(name)
 		park.Run(4 * time.Second)
-		facts.Need("apply", park.Apply(facts, park.control()))
+		facts.Need("apply", park.Apply(facts, park.anyControl()))
 	}, []string{"old config"}},
-	{"data daemon's line flaps, one way", false, func(park *Park, facts *Facts) {
+	{"data daemon's line flaps, one way", false, func(park *Cluster, facts *Facts) {
 		name := park.pick(park.Plan.Datas)
 		for turn := 0; turn < 12; turn++ {
 			for _, other := range park.othersThan(name) {
@@ -666,19 +666,19 @@
 			}
 			park.Run(time.Duration(200+park.Draw(900)) * time.Millisecond)
 			if turn == 5 {
-				facts.Need("apply", park.Apply(facts, park.control()))
+				facts.Need("apply", park.Apply(facts, park.anyControl()))
 			}
 		}
 	}, []string{"old config"}},
-	{"frozen for longer than every bound, one of each kind", false, func(park *Park, facts *Facts) {
+	{"frozen for longer than every bound, one of each kind", false, func(park *Cluster, facts *Facts) {
 		park.Freeze(park.pick(park.Plan.Datas), 20*time.Second)
 		park.Freeze(park.seeds()[park.Draw(3)], 20*time.Second)
 		park.Freeze(park.anyReplica(), 20*time.Second)
 		park.Run(4 * time.Second)
-		facts.Need("apply", park.Apply(facts, park.control()))
+		facts.Need("apply", park.Apply(facts, park.anyControl()))
 		park.Run(20 * time.Second)
 	}, []string{"old config", "fallback"}},
-	{"herd of replicas frozen", false, func(park *Park, facts *Facts) {
+	{"herd of replicas frozen", false, func(park *Cluster, facts *Facts) {
 		for index, replica := range park.Plan.Replicas {
 			if index%2 == 0 {
 				park.Freeze(replica.ID, 6*time.Second)
@@ -686,53 +686,53 @@
 		}
 		park.Run(8 * time.Second)
 	}, []string{"retries"}},
-	{"clocks of unequal pace, calendars that jump", true, func(park *Park, facts *Facts) {
-		for index, name := range append(park.controls(), park.datas()...) {
+	{"clocks of unequal pace, calendars that jump", true, func(park *Cluster, facts *Facts) {
+		for index, name := range append(park.controlDaemons(), park.dataDaemons()...) {
 			park.Node(name).SetClockRate([]float64{0.02, -0.02, 0}[index%3])
 			park.Node(name).Skew = time.Duration(index%3-1) * time.Hour
 		}
-		facts.Need("apply", park.Apply(facts, park.control()))
+		facts.Need("apply", park.Apply(facts, park.anyControl()))
 		park.Run(10 * time.Second)
-		for _, name := range append(park.controls(), park.datas()...) {
+		for _, name := range append(park.controlDaemons(), park.dataDaemons()...) {
 			park.Node(name).SetClockRate(0)
 			park.Node(name).Skew = 0
 		}
 	}, []string{"old config", "lost"}},
-	{"calls lost, repeated and late", false, func(park *Park, facts *Facts) {
+	{"calls lost, repeated and late", false, func(park *Cluster, facts *Facts) {
 		park.Faults = sim.NetworkFaults{Lost: 0.05, Duplicated: 0.1, Delayed: 0.1, MaxDelay: 1500 * time.Millisecond}
 		for turn := 0; turn < 3; turn++ {
 			// An apply without a reply may or may not have taken effect.
-			if err := park.Apply(facts, park.control()); err != nil {
+			if err := park.Apply(facts, park.anyControl()); err != nil {
 				park.Run(time.Second)
 			}
 			park.Run(2 * time.Second)
 		}
 		park.Faults = sim.NetworkFaults{}
-		facts.Need("apply", park.Apply(facts, park.control()))
+		facts.Need("apply", park.Apply(facts, park.anyControl()))
 	}, []string{"old config"}},
-	{"homes narrowed under traffic", false, func(park *Park, facts *Facts) {
+	{"homes narrowed under traffic", false, func(park *Cluster, facts *Facts) {
 		wide := park.Document
 		park.Document = narrowHomes(park.Document)
 		facts.Must("the document has homes to narrow", park.Document != wide)
-		facts.Need("apply", park.Apply(facts, park.control()))
+		facts.Need("apply", park.Apply(facts, park.anyControl()))
 		park.Run(8 * time.Second)
 		park.Document = wide
-		facts.Need("apply", park.Apply(facts, park.control()))
+		facts.Need("apply", park.Apply(facts, park.anyControl()))
 	}, []string{"home", "old config"}},
-	{"the only home is evacuated", false, func(park *Park, facts *Facts) {
+	{"the only home is evacuated", false, func(park *Cluster, facts *Facts) {
 		wide := park.Document
 		park.Document = narrowHomes(park.Document)
-		facts.Need("apply", park.Apply(facts, park.control()))
+		facts.Need("apply", park.Apply(facts, park.anyControl()))
 		zone := firstZone(park)
 		facts.Need("evacuate", park.Evacuate(facts, zone, false))
 		park.Run(9 * time.Second)
 		facts.Need("hand back", park.Evacuate(facts, zone, true))
 		park.Document = wide
-		facts.Need("apply", park.Apply(facts, park.control()))
+		facts.Need("apply", park.Apply(facts, park.anyControl()))
 	}, []string{"home", "evacuated"}},
-	{"a home region loses most of its replicas and its load spills", false, func(park *Park, facts *Facts) {
+	{"a home region loses most of its replicas and its load spills", false, func(park *Cluster, facts *Facts) {
 		spilled := func() (count uint64) {
-			for _, name := range park.datas() {
+			for _, name := range park.dataDaemons() {
 				count += park.Datas[name].Decider.Count().Spilled
 			}
 			return count
@@ -752,15 +752,15 @@
 		}
 		park.Run(10 * time.Second)
 		facts.Must("load spilled into another region", spilled() > before)
-		park.Return(crashed)
+		park.RestartAll(crashed)
 	}, []string{"home", "flooded"}},
-	{"a home region is cut off", false, func(park *Park, facts *Facts) {
+	{"a home region is cut off", false, func(park *Cluster, facts *Facts) {
 		inside, outside := park.splitByRegion(Region(firstZone(park)))
 		park.Split(inside, outside, true)
 		park.Run(8 * time.Second)
 		park.Split(inside, outside, false)
 	}, []string{"home"}},
-	{"callers ask outside their home", false, func(park *Park, facts *Facts) {
+	{"callers ask outside their home", false, func(park *Cluster, facts *Facts) {
 		bound := park.Plan.Callers[0]
 		for _, crowd := range park.Plan.Callers {
 			if crowd.Home != "" {
@@ -768,41 +768,41 @@
 			}
 		}
 		facts.Must("the plan has callers bound to home regions", bound.Home != "")
-		bound.Name, bound.Zone, bound.Astray, bound.Until = fmt.Sprint("astray-", park.Now().Milliseconds()), lastZone(park), true, park.Now()+7*time.Second
+		bound.Name, bound.Zone, bound.WrongDaemonFirst, bound.Until = fmt.Sprint("astray-", park.Now().Milliseconds()), lastZone(park), true, park.Now()+7*time.Second
 		bound.Every = 100 * time.Millisecond
-		declined := len(park.Told)
+		declined := len(park.Outcomes)
 		park.crowd(&bound)
 		park.Run(8 * time.Second)
 		outside := 0
-		for _, reply := range park.Told[declined:] {
+		for _, reply := range park.Outcomes[declined:] {
 			if reply.Code == "outside_home" {
 				outside++
 			}
 		}
 		facts.Must("daemons outside the home regions got requests", outside > 10)
 	}, []string{"home"}},
-	{"several tries of a request in flight", false, func(park *Park, facts *Facts) {
+	{"several tries of a request in flight", false, func(park *Cluster, facts *Facts) {
 		for _, crowd := range park.Plan.Callers[:4] {
-			crowd.Name, crowd.Hasty, crowd.Eager, crowd.Until = fmt.Sprint("hasty-", crowd.Name, park.Now().Milliseconds()), true, true, park.Now()+14*time.Second
+			crowd.Name, crowd.Concurrent, crowd.Eager, crowd.Until = fmt.Sprint("hasty-", crowd.Name, park.Now().Milliseconds()), true, true, park.Now()+14*time.Second
 			crowd.Every *= 2
 			crowd.Every = min(crowd.Every, 150*time.Millisecond)
 			park.crowd(&crowd)
 		}
 		// Leases expire and are granted again between two attempts of a request.
 		for turn := 0; turn < 3; turn++ {
-			park.Split(park.datas()[:2], park.controls(), true)
+			park.Split(park.dataDaemons()[:2], park.controlDaemons(), true)
 			park.Run(2200 * time.Millisecond)
-			park.Split(park.datas()[:2], park.controls(), false)
+			park.Split(park.dataDaemons()[:2], park.controlDaemons(), false)
 			park.Run(300 * time.Millisecond)
 		}
 		park.Run(2 * time.Second)
-		park.StopData(park.datas()[0])
-		park.StartData(park.datas()[0])
+		park.StopData(park.dataDaemons()[0])
+		park.StartData(park.dataDaemons()[0])
 		park.Run(6 * time.Second)
 	}, []string{"twice", "retries"}},
-	{"evacuation under a restart, a roll-out, a crowd and a dying duty holder", false, func(park *Park, facts *Facts) {
+	{"evacuation under a restart, a roll-out, a crowd and a dying duty holder", false, func(park *Cluster, facts *Facts) {
 		zone := firstZone(park)
-		facts.Need("handover", park.Do(park.control(), 20*time.Second, func(daemon *controlplane.Daemon) error {
+		facts.Need("handover", park.Do(park.anyControl(), 20*time.Second, func(daemon *controlplane.Daemon) error {
 			_, err := daemon.Handover(fmt.Sprint("h", park.Now()), park.Model, fmt.Sprint("v", park.Now().Milliseconds()), nil)
 			return err
 		}))
@@ -811,12 +811,12 @@
 		park.crowd(&crowd)
 		park.Run(2 * time.Second)
 		facts.Need("evacuate", park.Evacuate(facts, zone, false))
-		leader := park.Holder(Region(zone))
+		leader := park.RegionLeader(Region(zone))
 		facts.Must("the region has a leader", leader != "")
 		if leader != "" {
 			park.Crash(leader)
 		}
-		for _, name := range park.datas()[:2] {
+		for _, name := range park.dataDaemons()[:2] {
 			park.Crash(name)
 			park.StartData(name)
 		}
@@ -826,10 +826,10 @@
 		}
 		facts.Need("hand back", park.Evacuate(facts, zone, true))
 	}, []string{"evacuated"}},
-	{"seeds swapped on every daemon in turn", true, func(park *Park, facts *Facts) {
+	{"seeds swapped on every daemon in turn", true, func(park *Cluster, facts *Facts) {
 		park.SeedsOf = map[string][]string{}
-		for index, name := range append(park.datas(), park.controls()...) {
-			park.SeedsOf[name] = []string{"nobody", park.controls()[(index+1)%len(park.controls())]}
+		for index, name := range append(park.dataDaemons(), park.controlDaemons()...) {
+			park.SeedsOf[name] = []string{"nobody", park.controlDaemons()[(index+1)%len(park.controlDaemons())]}
 			if park.Datas[name] != nil {
 				park.StopData(name)
 				park.StartData(name)
@@ -839,18 +839,18 @@
 			}
 			park.Run(3500 * time.Millisecond)
 		}
-		facts.Need("apply", park.Apply(facts, park.control()))
+		facts.Need("apply", park.Apply(facts, park.anyControl()))
 	}, []string{"lost", "old config"}},
-	{"settings reloaded on every daemon, good ones and bad", true, func(park *Park, facts *Facts) {
+	{"settings reloaded on every daemon, good ones and bad", true, func(park *Cluster, facts *Facts) {
 		park.SeedsOf = map[string][]string{}
-		for index, name := range append(park.datas(), park.controls()...) {
+		for index, name := range append(park.dataDaemons(), park.controlDaemons()...) {
 			old := park.seedsNow(name)
-			park.SeedsOf[name] = []string{"nobody", park.controls()[(index+1)%len(park.controls())]}
-			park.Spoilt[name] = true
+			park.SeedsOf[name] = []string{"nobody", park.controlDaemons()[(index+1)%len(park.controlDaemons())]}
+			park.InvalidSettings[name] = true
 			_, err := park.reload(name)
 			facts.Must(name+" rejects an invalid settings file with the path of the error", err != nil && strings.Contains(err.Error(), "$.seeds.0"))
 			facts.Must(name+" keeps its settings after an invalid file", slices.Equal(park.seedsNow(name), old))
-			park.Spoilt[name] = false
+			park.InvalidSettings[name] = false
 			reloaded, err := park.reload(name)
 			facts.Need("reload", err)
 			facts.Must(name+" changes its seeds without a restart", slices.Equal(reloaded.Changed, []string{"seeds"}) && slices.Equal(park.seedsNow(name), park.SeedsOf[name]))
@@ -859,18 +859,18 @@
 		_, err := park.reload("nobody-here")
 		facts.Must("reloading an unknown daemon fails", err != nil)
 		// A restarted daemon has only the new seeds to find the core.
-		park.StopControl(park.controls()[1])
+		park.StopControl(park.controlDaemons()[1])
 		park.Run(500 * time.Millisecond)
-		park.StartControl(park.controls()[1])
+		park.StartControl(park.controlDaemons()[1])
 		park.Run(5 * time.Second)
-		facts.Need("apply", park.Apply(facts, park.control()))
+		facts.Need("apply", park.Apply(facts, park.anyControl()))
 	}, []string{"lost", "old config"}},
-	{"data daemons killed in a configuration storm", false, func(park *Park, facts *Facts) {
+	{"data daemons killed in a configuration storm", false, func(park *Cluster, facts *Facts) {
 		for turn := 0; turn < 12; turn++ {
-			name := park.datas()[turn%len(park.Plan.Datas)]
+			name := park.dataDaemons()[turn%len(park.Plan.Datas)]
 			park.Crash(name)
-			at := park.control()
-			daemon, document := park.Controls[at], park.Vary()
+			at := park.anyControl()
+			daemon, document := park.Controls[at], park.VariedDocument()
 			isDone := false
 			park.Node(at).Go(func() {
 				if applied, err := daemon.Apply(document, nil, false); err == nil {
@@ -894,31 +894,31 @@
 		}
 		park.Run(3 * time.Second)
 	}, []string{"fallback", "old config"}},
-	{"replicas return that warm more slowly than the settings say, and say so", false, func(park *Park, facts *Facts) {
+	{"replicas return that warm more slowly than the settings say, and say so", false, func(park *Cluster, facts *Facts) {
 		var crashed []string
 		for _, replica := range park.Plan.Replicas {
 			if replica.Zone == firstZone(park) {
 				crashed = append(crashed, replica.ID)
 				options := park.Replicas[replica.ID].ReplicaOptions
-				options.ColdAnswers, options.Guards = int(100+park.Draw(300)), true
+				options.ColdAnswers, options.RejectsOverload = int(100+park.Draw(300)), true
 				park.Crash(replica.ID)
 				park.Replicas[replica.ID].ReplicaOptions = options
 			}
 		}
 		park.Run(2 * time.Second)
-		park.Return(crashed)
-		park.Crash(park.datas()[0])
+		park.RestartAll(crashed)
+		park.Crash(park.dataDaemons()[0])
 		crowd := park.Plan.Callers[0]
 		crowd.Name, crowd.Every, crowd.Until = fmt.Sprint("warmer-", park.Now().Milliseconds()), crowd.Every/10, park.Now()+14*time.Second
 		crowd.Tokens *= 6
 		park.crowd(&crowd)
 		park.Run(3 * time.Second)
-		if leader := park.Holder(Region(firstZone(park))); leader != "" {
+		if leader := park.RegionLeader(Region(firstZone(park))); leader != "" {
 			park.Crash(leader)
 			park.Run(7 * time.Second)
 			park.StartControl(leader)
 		}
-		park.StartData(park.datas()[0])
+		park.StartData(park.dataDaemons()[0])
 		park.Run(5 * time.Second)
 		cold := 0
 		for _, name := range crashed {
@@ -926,9 +926,9 @@
 		}
 		facts.Must("cold replicas got requests", cold > 50)
 	}, []string{"flooded"}},
-	{"regions return one after another after a full loss, a core disk gone", false, func(park *Park, facts *Facts) {
-		facts.Need("apply", park.Apply(facts, park.control()))
-		crashed := park.Lose(park.NodeNames())
+	{"regions return one after another after a full loss, a core disk gone", false, func(park *Cluster, facts *Facts) {
+		facts.Need("apply", park.Apply(facts, park.anyControl()))
+		crashed := park.CrashAll(park.NodeNames())
 		park.Node(park.seeds()[0]).Disk.Wipe()
 		crowd := park.Plan.Callers[0]
 		crowd.Name, crowd.Every, crowd.Eager, crowd.Retries, crowd.Until = fmt.Sprint("return-", park.Now().Milliseconds()), crowd.Every/4, true, 6, park.Now()+12*time.Second
@@ -937,19 +937,19 @@
 		for _, region := range park.Regions() {
 			for _, name := range crashed {
 				if Region(park.zones[name]) == region {
-					park.Return([]string{name})
+					park.RestartAll([]string{name})
 				}
 			}
 			park.Run(2 * time.Second)
 		}
 		park.Run(3 * time.Second)
-		facts.Need("readmit", park.Readd(park.seeds()[0]))
+		facts.Need("readmit", park.RejoinCore(park.seeds()[0]))
 	}, []string{"fallback", "flooded", "retries"}},
 }
 
-// Used returns the replica that got most requests recently, of those in the first replica's zone.
+// BusiestReplica returns the replica that got most requests recently, of those in the first replica's zone.
 // Checking that a replica gets no more requests proves nothing for one that got none anyway.
-func (park *Park) Used() ReplicaOptions {
+func (park *Cluster) BusiestReplica() ReplicaOptions {
 	counts := map[string]int{}
 	for _, arrival := range park.Arrivals {
 		if arrival.Sent > park.Now()-recentSpan {
@@ -970,15 +970,15 @@
 
 // terminateUnrecorded terminates a replica while the core has no quorum, so that the region's leader
 // learns of the termination but cannot record it, for longer than LeavingBound.
-func (park *Park) terminateUnrecorded(facts *Facts, breakCore, restoreCore func()) {
-	replica := park.Used()
+func (park *Cluster) terminateUnrecorded(facts *Facts, breakCore, restoreCore func()) {
+	replica := park.BusiestReplica()
 	key := replica.ID + "/" + park.Replicas[replica.ID].Boot
 	breakCore()
-	park.Replicas[replica.ID].Lingers = true
+	park.Replicas[replica.ID].ServesWhileLeaving = true
 	park.Replicas[replica.ID].Leave()
-	park.LeaveByPlatform(replica.ID)
+	park.MarkLeavingInList(replica.ID)
 	park.Run(7 * time.Second)
-	facts.Must("a daemon learned of the termination longer than the bound ago", park.Learned[key] > 0 && park.Learned[key] < park.Now()-LeavingBound)
+	facts.Must("a daemon learned of the termination longer than the bound ago", park.TerminationLearned[key] > 0 && park.TerminationLearned[key] < park.Now()-LeavingBound)
 	crowd := park.Plan.Callers[0]
 	crowd.Name, crowd.Every, crowd.Until = fmt.Sprint("still-", park.Now().Milliseconds()), crowd.Every/8, park.Now()+6*time.Second
 	park.crowd(&crowd)
@@ -988,7 +988,7 @@
 }
 
 // splitCore disconnects all core machines from each other, or reconnects them.
-func (park *Park) splitCore(isCut bool) {
+func (park *Cluster) splitCore(isCut bool) {
 	seeds := park.seeds()
 	park.Split(seeds[:1], seeds[1:], isCut)
 	park.Split(seeds[1:2], seeds[2:], isCut)
@@ -1001,8 +1001,8 @@
 
 var homesPattern = regexp.MustCompile(`"homes":\{"(\w+)":\["(\w+)"[^\]]*\]\}`)
 
-// controls returns the names of all control daemons, with and without a disk.
-func (park *Park) controls() (names []string) {
+// controlDaemons returns the names of all control daemons, with and without a disk.
+func (park *Cluster) controlDaemons() (names []string) {
 	for _, spec := range append(append([]string{}, park.Plan.Controls...), park.Plan.Diskless...) {
 		name, _ := split(spec)
 		names = append(names, name)
@@ -1010,8 +1010,8 @@
 	return names
 }
 
-// datas returns the names of all data daemons.
-func (park *Park) datas() (names []string) {
+// dataDaemons returns the names of all data daemons.
+func (park *Cluster) dataDaemons() (names []string) {
 	for _, spec := range park.Plan.Datas {
 		name, _ := split(spec)
 		names = append(names, name)
@@ -1020,7 +1020,7 @@
 }
 
 // Regions returns the regions in the order of their control daemons.
-func (park *Park) Regions() (regions []string) {
+func (park *Cluster) Regions() (regions []string) {
 	for _, spec := range park.Plan.Controls {
 		_, zone := split(spec)
 		regions = append(regions, Region(zone))
@@ -1029,7 +1029,7 @@
 }
 
 // eachCoreMachine visits the running core machines.
-func (park *Park) eachCoreMachine(visit func(name string)) {
+func (park *Cluster) eachCoreMachine(visit func(name string)) {
 	for _, name := range park.seeds() {
 		if park.Node(name).Up() {
 			visit(name)
@@ -1037,9 +1037,9 @@
 	}
 }
 
-// Holder returns the running control daemon that is the region's leader, or an empty name.
-func (park *Park) Holder(region string) string {
-	for _, name := range park.controls() {
+// RegionLeader returns the running control daemon that is the region's leader, or an empty name.
+func (park *Cluster) RegionLeader(region string) string {
+	for _, name := range park.controlDaemons() {
 		if park.Node(name).Up() && park.Controls[name] != nil {
 			if _, held := park.Controls[name].Elections.Term(controlplane.RegionElection + region); held {
 				return name
@@ -1050,7 +1050,7 @@
 }
 
 // seedsNow returns the daemon's current seeds.
-func (park *Park) seedsNow(name string) []string {
+func (park *Cluster) seedsNow(name string) []string {
 	if daemon := park.Datas[name]; daemon != nil {
 		return daemon.Live.Seeds()
 	}
@@ -1058,8 +1058,8 @@
 }
 
 // reload has a control daemon reload the settings of the named daemon, as an operator would.
-func (park *Park) reload(name string) (result settings.ReloadResult, err error) {
-	err = park.Do(park.control(), 5*time.Second, func(daemon *controlplane.Daemon) error {
+func (park *Cluster) reload(name string) (result settings.ReloadResult, err error) {
+	err = park.Do(park.anyControl(), 5*time.Second, func(daemon *controlplane.Daemon) error {
 		var err error
 		result, err = daemon.Reload(name)
 		return err
@@ -1068,7 +1068,7 @@
 }
 
 // anyHome returns a home tag of the plan, or an empty one if it has none.
-func (park *Park) anyHome() string {
+func (park *Cluster) anyHome() string {
 	for _, crowd := range park.Plan.Callers {
 		if crowd.Home != "" {
 			return crowd.Home
@@ -1078,7 +1078,7 @@
 }
 
 // replaceReplica ends a replica that was marked as leaving, and starts a new one in its place.
-func (park *Park) replaceReplica(options ReplicaOptions) {
+func (park *Cluster) replaceReplica(options ReplicaOptions) {
 	park.Crash(options.ID)
 	park.Platform.Remove(options.ID)
 	park.Run(3 * time.Second)
@@ -1089,7 +1089,7 @@
 // twoOperators applies two documents at the same time at two control daemons. If both expect the
 // same current version, exactly one must succeed; otherwise both do, and the version decided last
 // is in force. No acknowledged change may be lost: its version keeps its contents on all daemons.
-func (park *Park) twoOperators(facts *Facts, expecting bool) {
+func (park *Cluster) twoOperators(facts *Facts, expecting bool) {
 	type result struct {
 		serial uint64
 		err    error
@@ -1107,7 +1107,7 @@
 			continue
 		}
 		started++
-		daemon, document := park.Controls[name], park.Vary()
+		daemon, document := park.Controls[name], park.VariedDocument()
 		park.Node(name).Go(func() {
 			applied, err := daemon.Apply(document, expect, false)
 			if err == nil {
@@ -1133,7 +1133,7 @@
 		facts.Must("both operators without an expectation succeed", succeeded == started)
 	}
 	park.Run(3 * time.Second)
-	for _, name := range park.datas() {
+	for _, name := range park.dataDaemons() {
 		if !park.Node(name).Up() {
 			continue
 		}
@@ -1143,7 +1143,7 @@
 }
 
 // evacuatedZones returns the zones that are evacuated now.
-func (park *Park) evacuatedZones(facts *Facts) (zones []string) {
+func (park *Cluster) evacuatedZones(facts *Facts) (zones []string) {
 	for _, span := range facts.Evacuated {
 		if span.Until == 0 {
 			zones = append(zones, span.Zone)
@@ -1152,10 +1152,10 @@
 	return zones
 }
 
-// Votes reports whether every running control daemon counts the machine's current acceptor as a
+// IsCoreMember reports whether every running control daemon counts the machine's current acceptor as a
 // member of the core, and no other member has the machine's name or address.
-func (park *Park) Votes(name string) bool {
-	for _, peer := range park.controls() {
+func (park *Cluster) IsCoreMember(name string) bool {
+	for _, peer := range park.controlDaemons() {
 		if !park.Node(peer).Up() || park.Node(peer).Frozen() {
 			continue
 		}
@@ -1177,10 +1177,10 @@
 	return true
 }
 
-// Readd adds a control machine that came back without its disk to the core, in place of its former
+// RejoinCore adds a control machine that came back without its disk to the core, in place of its former
 // acceptor, unless the core does so by itself within two seconds.
-func (park *Park) Readd(name string) error {
-	if park.Until(2*time.Second, func() bool { return park.Votes(name) }) {
+func (park *Cluster) RejoinCore(name string) error {
+	if park.Until(2*time.Second, func() bool { return park.IsCoreMember(name) }) {
 		return nil
 	}
 	peer := ""
--- a/fleet/faultsrouted.go
+++ b/fleet/faultsrouted.go
@@ -12,19 +12,19 @@
 )
 
 // ApplyRoutes applies the shape's document with other routes, and records it in the facts.
-func (park *Park) ApplyRoutes(facts *Facts, routes RouteWords) error {
+func (park *Cluster) ApplyRoutes(facts *Facts, routes RouteTexts) error {
 	park.Document = park.Shape.Document(routes)
-	document := park.Vary()
+	document := park.VariedDocument()
 	tree, problems := settings.Parse(document)
 	if len(problems) > 0 {
 		return problems
 	}
-	index := len(facts.Books)
-	facts.Books = append(facts.Books, Book{Asked: park.Now(), Tree: tree})
-	return park.Do(park.control(), 20*time.Second, func(daemon *controlplane.Daemon) error {
+	index := len(facts.RoutedConfigs)
+	facts.RoutedConfigs = append(facts.RoutedConfigs, RoutedConfig{Asked: park.Now(), Tree: tree})
+	return park.Do(park.anyControl(), 20*time.Second, func(daemon *controlplane.Daemon) error {
 		applied, err := daemon.Apply(document, nil, false)
 		if err == nil {
-			facts.Books[index].Acked = park.Now()
+			facts.RoutedConfigs[index].Acked = park.Now()
 			park.acknowledge(facts, daemon, applied.Serial)
 		}
 		return err
@@ -32,14 +32,14 @@
 }
 
 // ApplyTenants applies the shape's document with other tenants, and records it in the facts.
-func (park *Park) ApplyTenants(facts *Facts, tenants TenantWords) error {
+func (park *Cluster) ApplyTenants(facts *Facts, tenants TenantTexts) error {
 	park.Shape.Tenants = tenants
 	return park.ApplyRoutes(facts, park.Shape.Routes())
 }
 
 // startKeyedCallers starts callers for a while that use keys which the fault adds, drops or passes
 // on to another tenant.
-func (park *Park) startKeyedCallers(span time.Duration, keys ...string) {
+func (park *Cluster) startKeyedCallers(span time.Duration, keys ...string) {
 	crowd := park.Plan.Routed[0]
 	crowd.Name, crowd.Keys, crowd.Workers, crowd.Until = "keyed", keys, 2*len(keys), park.Now()+span
 	crowd.Pause = 200 * time.Millisecond
@@ -48,7 +48,7 @@
 
 // countAttempts counts the attempts with the key that were answered with the status, and the runs
 // of attempts with the key that were sent for the tenant.
-func (park *Park) countAttempts(key string, status int, tenant string) (attempts, runs int) {
+func (park *Cluster) countAttempts(key string, status int, tenant string) (attempts, runs int) {
 	for _, request := range park.RoutedRequests {
 		for _, attempt := range request.Tries {
 			if attempt.Key == key && attempt.Status == status {
@@ -57,7 +57,7 @@
 		}
 	}
 	for _, run := range park.Runs {
-		if run.Tenant == tenant && park.tried[run.ID].Key == key {
+		if run.Tenant == tenant && park.attempts[run.ID].Key == key {
 			runs++
 		}
 	}
@@ -65,15 +65,15 @@
 }
 
 // BeginRouted returns the facts that hold before anything is done.
-func (park *Park) BeginRouted() Facts {
+func (park *Cluster) BeginRouted() Facts {
 	facts := Facts{From: park.Now()}
 	tree, _ := settings.Parse([]byte(park.Document))
-	facts.Books = []Book{{Asked: 0, Acked: time.Nanosecond, Tree: tree}}
+	facts.RoutedConfigs = []RoutedConfig{{Asked: 0, Acked: time.Nanosecond, Tree: tree}}
 	return facts
 }
 
 // anyEngine draws a running engine of the main model.
-func (park *Park) anyEngine() string {
+func (park *Cluster) anyEngine() string {
 	var names []string
 	for _, options := range park.Plan.Engines {
 		if options.Model == mainModel && park.Node(options.Name).Up() {
@@ -84,7 +84,7 @@
 }
 
 // eachEngine visits the engines in the order of the plan.
-func (park *Park) eachEngine(visit func(engine *Engine)) {
+func (park *Cluster) eachEngine(visit func(engine *Engine)) {
 	for _, options := range park.Plan.Engines {
 		visit(park.Engines[options.Name])
 	}
@@ -92,20 +92,20 @@
 
 // ReplaceEngine ends an engine as hosting platforms do: it is marked as leaving and gets its grace
 // period, then another one starts at its address.
-func (park *Park) ReplaceEngine(name string, grace time.Duration) {
+func (park *Cluster) ReplaceEngine(name string, grace time.Duration) {
 	options := park.Engines[name].EngineOptions
 	park.Engines[name].Leaving = true
-	park.Listed.Leave(name)
+	park.EngineList.Leave(name)
 	park.Run(park.Plan.Lag + grace)
 	park.Crash(name)
-	park.Listed.Remove(name)
+	park.EngineList.Remove(name)
 	park.Run(time.Second)
 	park.StartEngine(options)
 }
 
 // withTroubles makes a share of all engines' answers fail for a while.
-func withTroubles(troubles Troubles, span time.Duration) func(*Park, *Facts) {
-	return func(park *Park, _ *Facts) {
+func withTroubles(troubles Troubles, span time.Duration) func(*Cluster, *Facts) {
+	return func(park *Cluster, _ *Facts) {
 		park.eachEngine(func(engine *Engine) { engine.Troubles = troubles })
 		park.Run(span)
 		park.eachEngine(func(engine *Engine) { engine.Troubles = Troubles{} })
@@ -113,16 +113,16 @@
 }
 
 // anyData draws a data daemon.
-func (park *Park) anyData() string { return park.pick(park.Plan.Datas) }
+func (park *Cluster) anyData() string { return park.pick(park.Plan.Datas) }
 
 // floodFairTenant starts callers of the tenant "fair" in all regions for the span, with several
 // times as many requests as its limit allows.
-func (park *Park) floodFairTenant(span time.Duration) {
+func (park *Cluster) floodFairTenant(span time.Duration) {
 	for _, region := range park.Shape.Regions {
 		for _, crowd := range park.Plan.Routed {
 			if crowd.Name == "check-"+region {
 				crowd.Name, crowd.Keys, crowd.Workers = "fair-"+region, []string{"fair-1"}, 12
-				crowd.Pause, crowd.Shared, crowd.Own, crowd.Most, crowd.Until = 200*time.Millisecond, 0, 100, 4, park.Now()+span
+				crowd.Pause, crowd.Shared, crowd.Own, crowd.AnswerTokens, crowd.Until = 200*time.Millisecond, 0, 100, 4, park.Now()+span
 				park.crowdRouted(&crowd)
 			}
 		}
@@ -131,8 +131,8 @@
 
 // withFairFlood injects a failure while the tenant "fair" floods the system, and checks that the
 // tenant used up its limit and had requests rejected.
-func withFairFlood(failure func(park *Park, facts *Facts)) func(*Park, *Facts) {
-	return func(park *Park, facts *Facts) {
+func withFairFlood(failure func(park *Cluster, facts *Facts)) func(*Cluster, *Facts) {
+	return func(park *Cluster, facts *Facts) {
 		park.floodFairTenant(9 * time.Second)
 		park.Run(time.Second)
 		failure(park, facts)
@@ -155,7 +155,7 @@
 }
 
 // aggregators returns the running data daemons that aggregate the rate limiters' counts for others.
-func (park *Park) aggregators() (names []string) {
+func (park *Cluster) aggregators() (names []string) {
 	for _, spec := range park.Plan.Datas {
 		if name, _ := split(spec); park.Node(name).Up() && park.Datas[name].Limiter.Status().Aggregator == name {
 			names = append(names, name)
@@ -166,8 +166,8 @@
 
 // RoutedFaults are all faults that are tested with routed requests, singly.
 var RoutedFaults = []Fault{
-	{"a tenant far above its limit", true, withFairFlood(func(*Park, *Facts) {}), []string{"quota"}},
-	{"a tenant far above its limit, and its hubs die", false, withFairFlood(func(park *Park, _ *Facts) {
+	{"a tenant far above its limit", true, withFairFlood(func(*Cluster, *Facts) {}), []string{"quota"}},
+	{"a tenant far above its limit, and its hubs die", false, withFairFlood(func(park *Cluster, _ *Facts) {
 		names := park.aggregators()
 		for _, name := range names {
 			park.Crash(name)
@@ -178,27 +178,27 @@
 			park.StartData(name)
 		}
 	}), []string{"quota"}},
-	{"a tenant far above its limit, and a hub freezes", false, withFairFlood(func(park *Park, _ *Facts) {
+	{"a tenant far above its limit, and a hub freezes", false, withFairFlood(func(park *Cluster, _ *Facts) {
 		park.Freeze(park.aggregators()[0], 2500*time.Millisecond)
 		park.Run(3 * time.Second)
 	}), []string{"quota"}},
-	{"a tenant far above its limit, and a region is cut off", false, withFairFlood(func(park *Park, _ *Facts) {
+	{"a tenant far above its limit, and a region is cut off", false, withFairFlood(func(park *Cluster, _ *Facts) {
 		in, out := park.splitByRegion(park.Shape.Regions[1])
 		park.Split(in, out, true)
 		park.Run(4 * time.Second)
 		park.Split(in, out, false)
 	}), []string{"quota"}},
-	{"a tenant far above its limit, and all control daemons die", false, withFairFlood(func(park *Park, _ *Facts) {
-		for _, name := range park.controls() {
+	{"a tenant far above its limit, and all control daemons die", false, withFairFlood(func(park *Cluster, _ *Facts) {
+		for _, name := range park.controlDaemons() {
 			park.Crash(name)
 		}
 		park.Run(4 * time.Second)
-		for _, name := range park.controls() {
+		for _, name := range park.controlDaemons() {
 			park.StartControl(name)
 		}
 		park.Run(2 * time.Second)
 	}), []string{"quota"}},
-	{"engine crashes and comes back cold", false, func(park *Park, _ *Facts) {
+	{"engine crashes and comes back cold", false, func(park *Cluster, _ *Facts) {
 		name := park.anyEngine()
 		options := park.Engines[name].EngineOptions
 		park.Crash(name)
@@ -206,7 +206,7 @@
 		park.StartEngine(options)
 		park.Run(4 * time.Second)
 	}, []string{"whole"}},
-	{"engine crashes and its address goes to another model", false, func(park *Park, _ *Facts) {
+	{"engine crashes and its address goes to another model", false, func(park *Cluster, _ *Facts) {
 		name := park.anyEngine()
 		options := park.Engines[name].EngineOptions
 		park.Crash(name)
@@ -215,33 +215,33 @@
 		park.StartEngine(options)
 		park.Run(5 * time.Second)
 	}, []string{"routes"}},
-	{"engine goes dark", false, func(park *Park, _ *Facts) {
+	{"engine goes dark", false, func(park *Cluster, _ *Facts) {
 		name := park.anyEngine()
 		park.Split([]string{name}, park.othersThan(name), true)
 		park.Run(5 * time.Second)
 		park.Split([]string{name}, park.othersThan(name), false)
 	}, []string{"whole"}},
-	{"engine freezes", false, func(park *Park, _ *Facts) {
+	{"engine freezes", false, func(park *Cluster, _ *Facts) {
 		park.Freeze(park.anyEngine(), 4*time.Second)
 		park.Run(4 * time.Second)
 	}, []string{"whole"}},
-	{"engine gets slow", false, func(park *Park, _ *Facts) {
+	{"engine gets slow", false, func(park *Cluster, _ *Facts) {
 		name := park.anyEngine()
 		park.Engines[name].Slower = 8
 		park.Run(6 * time.Second)
 		park.Engines[name].Slower = 1
 	}, []string{"whole"}},
-	{"engine gone at short notice", false, func(park *Park, _ *Facts) {
+	{"engine gone at short notice", false, func(park *Cluster, _ *Facts) {
 		park.ReplaceEngine(park.anyEngine(), 1500*time.Millisecond)
 		park.Run(4 * time.Second)
 	}, []string{"whole"}},
-	{"engines replaced one by one", true, func(park *Park, _ *Facts) {
+	{"engines replaced one by one", true, func(park *Cluster, _ *Facts) {
 		for range 2 {
 			park.ReplaceEngine(park.anyEngine(), LeavingBound+4*time.Second)
 			park.Run(time.Second)
 		}
 	}, []string{"routed leaving", "routed lost"}},
-	{"zone comes back cold", false, func(park *Park, _ *Facts) {
+	{"zone comes back cold", false, func(park *Cluster, _ *Facts) {
 		zone := park.Plan.Engines[0].Zone
 		var names []string
 		for _, options := range park.Plan.Engines {
@@ -249,51 +249,51 @@
 				names = append(names, options.Name)
 			}
 		}
-		park.Lose(names)
+		park.CrashAll(names)
 		park.Run(3 * time.Second)
-		park.Return(names)
+		park.RestartAll(names)
 		park.Run(5 * time.Second)
 	}, []string{"cold"}},
-	{"engines become cold at once", false, func(park *Park, _ *Facts) {
-		park.eachEngine((*Engine).Chill)
+	{"engines become cold at once", false, func(park *Cluster, _ *Facts) {
+		park.eachEngine((*Engine).MakeCold)
 		park.Run(5 * time.Second)
 	}, nil},
-	{"region lost", false, func(park *Park, _ *Facts) {
+	{"region lost", false, func(park *Cluster, _ *Facts) {
 		inside, _ := park.splitByRegion(park.Shape.Regions[2])
-		lost := park.Lose(inside)
+		lost := park.CrashAll(inside)
 		park.Run(5 * time.Second)
-		park.Return(lost)
+		park.RestartAll(lost)
 		park.Run(5 * time.Second)
 	}, []string{"cold"}},
-	{"region cut", false, func(park *Park, _ *Facts) {
+	{"region cut", false, func(park *Cluster, _ *Facts) {
 		inside, outside := park.splitByRegion(park.Shape.Regions[1])
 		park.Split(inside, outside, true)
 		park.Run(7 * time.Second)
 		park.Split(inside, outside, false)
 	}, []string{"promise"}},
-	{"core machine killed", false, func(park *Park, _ *Facts) {
+	{"core machine killed", false, func(park *Cluster, _ *Facts) {
 		name := park.pick(park.Plan.Controls)
 		park.Crash(name)
 		park.Run(5 * time.Second)
 		park.StartControl(name)
 	}, []string{"whole"}},
-	{"core machine frozen", false, func(park *Park, _ *Facts) {
+	{"core machine frozen", false, func(park *Cluster, _ *Facts) {
 		park.Freeze(park.pick(park.Plan.Controls), 5*time.Second)
 		park.Run(5 * time.Second)
 	}, []string{"whole"}},
-	{"core machine cut", false, func(park *Park, _ *Facts) {
+	{"core machine cut", false, func(park *Cluster, _ *Facts) {
 		name := park.pick(park.Plan.Controls)
 		park.Split([]string{name}, park.othersThan(name), true)
 		park.Run(5 * time.Second)
 		park.Split([]string{name}, park.othersThan(name), false)
 	}, []string{"whole"}},
-	{"data daemon killed", false, func(park *Park, _ *Facts) {
+	{"data daemon killed", false, func(park *Cluster, _ *Facts) {
 		name := park.anyData()
 		park.Crash(name)
 		park.Run(2 * time.Second)
 		park.StartData(name)
 	}, []string{"rerun"}},
-	{"data daemon frozen", false, func(park *Park, _ *Facts) {
+	{"data daemon frozen", false, func(park *Cluster, _ *Facts) {
 		// Two in turn, so that requests are in flight at a freeze with every seed.
 		for _, spec := range park.Plan.Datas[:2] {
 			name, _ := split(spec)
@@ -301,7 +301,7 @@
 			park.Run(6 * time.Second)
 		}
 	}, []string{"rerun"}},
-	{"data daemons restarted", true, func(park *Park, _ *Facts) {
+	{"data daemons restarted", true, func(park *Cluster, _ *Facts) {
 		for _, spec := range park.Plan.Datas[:2] {
 			name, _ := split(spec)
 			park.StopData(name)
@@ -310,7 +310,7 @@
 			park.Run(2 * time.Second)
 		}
 	}, []string{"routed lost", "fallback"}},
-	{"routes moved, added and dropped", true, func(park *Park, facts *Facts) {
+	{"routes moved, added and dropped", true, func(park *Cluster, facts *Facts) {
 		// Callers of the added route; daemons with an old view keep using it within
 		// OldConfigBound.
 		crowd := park.Plan.Routed[len(park.Plan.Routed)-1]
@@ -329,22 +329,22 @@
 		park.Run(4 * time.Second)
 		ran := 0
 		for _, run := range park.Runs {
-			if run.Model == spareModel && park.tried[run.ID].request.Crowd.Name == "more" {
+			if run.Model == spareModel && park.attempts[run.ID].request.Crowd.Name == "more" {
 				ran++
 			}
 		}
 		facts.Must("requests of an added route ran", ran > 0)
 	}, []string{"routes", "routed lost"}},
-	{"routes moved while a data daemon is cut from the core", false, func(park *Park, facts *Facts) {
+	{"routes moved while a data daemon is cut from the core", false, func(park *Cluster, facts *Facts) {
 		name := park.anyData()
-		park.Split([]string{name}, park.controls(), true)
+		park.Split([]string{name}, park.controlDaemons(), true)
 		routes := park.Shape.Routes()
 		routes["moved"] = `"host":"office.example","prefix":"/moved/","kind":"streamed","timeout_ms":6000,"target_ms":800,"tries":1,"shares":[{"model":"scribe","weight":1}]`
 		facts.Need("apply", park.ApplyRoutes(facts, routes))
 		park.Run(5 * time.Second)
-		park.Split([]string{name}, park.controls(), false)
+		park.Split([]string{name}, park.controlDaemons(), false)
 	}, []string{"routes"}},
-	{"keys added, dropped and passed on", true, func(park *Park, facts *Facts) {
+	{"keys added, dropped and passed on", true, func(park *Cluster, facts *Facts) {
 		before := park.Shape.Tenants
 		first, second := maps.Clone(before), maps.Clone(before)
 		first["market"] = `"keys":["market-1","market-2","dropped","passed"]`
@@ -368,7 +368,7 @@
 		unknown, runs := park.countAttempts("never", 401, "")
 		facts.Must("a key of no tenant was unknown, and did not run", unknown > 5 && runs == 0)
 	}, []string{"keys", "tenant", "routed home", "routed lost"}},
-	{"keys dropped while data daemons are cut from the core and frozen", false, func(park *Park, facts *Facts) {
+	{"keys dropped while data daemons are cut from the core and frozen", false, func(park *Cluster, facts *Facts) {
 		before := park.Shape.Tenants
 		first := maps.Clone(before)
 		first["market"] = `"keys":["market-1","market-2","dropped","passed"]`
@@ -382,11 +382,11 @@
 			name, _ := split(spec)
 			names = append(names, name)
 		}
-		park.Split(names[:1], park.controls(), true)
+		park.Split(names[:1], park.controlDaemons(), true)
 		park.Freeze(names[1], 2*time.Second)
 		facts.Need("apply", park.ApplyTenants(facts, second))
 		park.Run(OldConfigBound + 3*time.Second)
-		park.Split(names[:1], park.controls(), false)
+		park.Split(names[:1], park.controlDaemons(), false)
 		park.Run(2 * time.Second)
 		facts.Need("apply", park.ApplyTenants(facts, before))
 		unknown, runs := park.countAttempts("dropped", 401, "market")
@@ -394,41 +394,41 @@
 		_, runs = park.countAttempts("passed", 0, "school")
 		facts.Must("a key ran for the tenant that it was passed on to", runs > 5)
 	}, []string{"keys", "tenant"}},
-	{"evacuation and return", true, func(park *Park, facts *Facts) {
+	{"evacuation and return", true, func(park *Cluster, facts *Facts) {
 		zone := park.Plan.Engines[0].Zone
 		facts.Need("evacuate", park.Evacuate(facts, zone, false))
 		park.Run(EvacuatedBound + 2*time.Second)
 		for _, options := range park.Plan.Engines {
 			if options.Zone == zone {
-				park.Engines[options.Name].Chill()
+				park.Engines[options.Name].MakeCold()
 			}
 		}
 		facts.Need("hand back", park.Evacuate(facts, zone, true))
 		park.Run(4 * time.Second)
 	}, []string{"routed evacuated", "routed lost", "cold"}},
-	{"crowd", false, func(park *Park, _ *Facts) {
-		for _, crowd := range append([]RoutedCrowd{}, park.Plan.Routed...) {
+	{"crowd", false, func(park *Cluster, _ *Facts) {
+		for _, crowd := range append([]RoutedCallerGroup{}, park.Plan.Routed...) {
 			crowd.Name, crowd.Workers, crowd.From, crowd.Until = "crowd-"+crowd.Name, crowd.Workers*3/2, park.Now(), park.Now()+8*time.Second
 			park.crowdRouted(&crowd)
 		}
 		park.Run(9 * time.Second)
 	}, []string{"whole"}},
-	{"flood", false, func(park *Park, facts *Facts) {
+	{"flood", false, func(park *Cluster, facts *Facts) {
 		// Far more requests than the engines have capacity for, by callers that time out and
 		// retry.
-		park.eachEngine(func(engine *Engine) { engine.Berths, engine.Queue = 6, 3 })
+		park.eachEngine(func(engine *Engine) { engine.Slots, engine.Queue = 6, 3 })
 		engines := 0
 		for _, count := range park.Shape.Engines {
 			engines += count
 		}
 		for _, region := range park.Shape.Regions {
 			crowd := park.Plan.Routed[0]
-			crowd.Name, crowd.Zone, crowd.Shared, crowd.Own, crowd.Most = "flood-"+region, region+"-1", 0, 600, 200
+			crowd.Name, crowd.Zone, crowd.Shared, crowd.Own, crowd.AnswerTokens = "flood-"+region, region+"-1", 0, 600, 200
 			crowd.Workers, crowd.Pause, crowd.Until = 15*engines/len(park.Shape.Regions), 100*time.Millisecond, park.Now()+5*time.Second
 			park.crowdRouted(&crowd)
 		}
 		park.Run(8 * time.Second)
-		park.eachEngine(func(engine *Engine) { engine.Berths, engine.Queue = 64, 16 })
+		park.eachEngine(func(engine *Engine) { engine.Slots, engine.Queue = 64, 16 })
 		park.Run(2 * time.Second)
 		rejected := 0
 		for _, run := range park.Runs {
@@ -438,7 +438,7 @@
 		}
 		facts.Must("engines rejected requests", rejected > 0)
 	}, []string{"whole", "promise", "routed retries"}},
-	{"engines of the quiet model fail", false, func(park *Park, facts *Facts) {
+	{"engines of the quiet model fail", false, func(park *Cluster, facts *Facts) {
 		// The retry budget earned by the busy model's requests must not be usable for the other
 		// model.
 		routes := park.Shape.Routes()
@@ -455,15 +455,15 @@
 		park.Run(8 * time.Second)
 		park.eachEngine(func(engine *Engine) { engine.Fails = 0 })
 	}, []string{"routed retries"}},
-	{"late second answers", false, func(park *Park, facts *Facts) {
+	{"late second answers", false, func(park *Cluster, facts *Facts) {
 		withTroubles(Troubles{Repeats: 0.3}, 6*time.Second)(park, facts)
-		facts.Must("some answers were sent twice", park.Repeated > 0)
+		facts.Must("some answers were sent twice", park.DuplicateAnswers > 0)
 	}, []string{"whole"}},
-	{"answers broken off", false, func(park *Park, facts *Facts) {
+	{"answers broken off", false, func(park *Cluster, facts *Facts) {
 		withTroubles(Troubles{Breaks: 0.15}, 6*time.Second)(park, facts)
 		resumed := 0
 		for _, run := range park.Runs {
-			if attempt := park.tried[run.ID]; run.After > 0 && attempt.After == 0 && attempt.IsWhole {
+			if attempt := park.attempts[run.ID]; run.After > 0 && attempt.After == 0 && attempt.IsWhole {
 				resumed++
 			}
 		}
@@ -471,7 +471,7 @@
 	}, []string{"rerun", "routed retries"}},
 	{"answers lost", false, withTroubles(Troubles{Loses: 0.1}, 6*time.Second), []string{"rerun"}},
 	{"answers failed", false, withTroubles(Troubles{Fails: 0.15}, 6*time.Second), []string{"rerun", "routed retries"}},
-	{"calls lost, repeated and late", false, func(park *Park, _ *Facts) {
+	{"calls lost, repeated and late", false, func(park *Cluster, _ *Facts) {
 		park.Faults = sim.NetworkFaults{Lost: 0.05, Duplicated: 0.1, Delayed: 0.1, MaxDelay: 1500 * time.Millisecond}
 		park.Run(6 * time.Second)
 		park.Faults = sim.NetworkFaults{}
--- a/fleet/grown_test.go
+++ b/fleet/grown_test.go
@@ -13,13 +13,15 @@
 	"swifttiller/session"
 )
 
-// apart starts a large fleet without callers whose regions are separated by the delay between,
+// newSeparatedCluster starts a large fleet without callers whose regions are separated by the delay between,
 // and warms it up.
-func apart(seed uint64, plan fleet.Plan) *fleet.Park { return apartBy(between, seed, plan) }
+func newSeparatedCluster(seed uint64, plan fleet.Plan) *fleet.Cluster {
+	return newClusterWithRegionDelay(between, seed, plan)
+}
 
-// apartBy is apart with the given one-way delay between regions.
-func apartBy(delay time.Duration, seed uint64, plan fleet.Plan) *fleet.Park {
-	cluster := fleet.NewPark(seed, plan)
+// newClusterWithRegionDelay is apart with the given one-way delay between regions.
+func newClusterWithRegionDelay(delay time.Duration, seed uint64, plan fleet.Plan) *fleet.Cluster {
+	cluster := fleet.NewCluster(seed, plan)
 	for _, from := range cluster.NodeNames() {
 		for _, to := range cluster.NodeNames() {
 			if fleet.Region(cluster.Zone(from)) != fleet.Region(cluster.Zone(to)) {
@@ -55,7 +57,7 @@
 	if testing.Short() {
 		t.Skip("88 data daemons")
 	}
-	cluster := apart(1, grown(88, 90, 6))
+	cluster := newSeparatedCluster(1, grownPlan(88, 90, 6))
 	defer cluster.Close()
 	for label := uint64(1); label <= 2; label++ {
 		document := manyRoutes(cluster.Document, label, 1000+300*int(label-1))
@@ -92,7 +94,7 @@
 		if most > len(document)/2 || most > 45e3 || crossRegion > 8*len(document) {
 			t.Errorf("a document of %d bytes: %d bytes to a data daemon, %d between regions", len(document), most, crossRegion)
 		}
-		if read, config := newest(t, cluster, "c5"); read != label || string(config.WithOrigin()) != tight(document) {
+		if read, config := currentConfig(t, cluster, "c5"); read != label || string(config.WithOrigin()) != tight(document) {
 			t.Error("the configuration read back is not the one that was written")
 		}
 	}
@@ -102,7 +104,7 @@
 // daemon far less than a transfer of the whole lists, and that all lists agree at the end.
 func TestChangesTravelAlone(t *testing.T) {
 	t.Parallel()
-	cluster := apart(2, grown(24, 90, 6))
+	cluster := newSeparatedCluster(2, grownPlan(24, 90, 6))
 	defer cluster.Close()
 	measureGrants := func(do func()) (most float64) {
 		idle, changed := map[string]int{}, map[string]int{}
@@ -127,7 +129,7 @@
 		return most
 	}
 	leaving := cluster.Plan.Replicas[7].ID
-	if more := measureGrants(func() { cluster.LeaveByPlatform(leaving) }); more > 4000 {
+	if more := measureGrants(func() { cluster.MarkLeavingInList(leaving) }); more > 4000 {
 		t.Errorf("a leaving replica costs a data daemon %.0f bytes", more)
 	} else {
 		t.Logf("a leaving replica: %.0f bytes to a data daemon", more)
@@ -163,10 +165,10 @@
 // their own zone where there is one, and return to it after it was down.
 func TestNearestControlDaemon(t *testing.T) {
 	t.Parallel()
-	plan := grown(12, 18, 6)
+	plan := grownPlan(12, 18, 6)
 	plan.Document = strings.Replace(plan.Document, `"zones":{"east-1":{}}`, `"zones":{"east-1":{},"east-2":{}}`, 1)
 	plan.Controls[3], plan.Datas[3], plan.Datas[9] = "c4:east-2", "d4:east-2", "d10:east-2"
-	cluster := fleet.NewPark(3, plan)
+	cluster := fleet.NewCluster(3, plan)
 	defer cluster.Close()
 	cluster.Run(15 * time.Second)
 	countCrossZone := func() (count, all int) {
@@ -204,11 +206,11 @@
 }
 
 func checkUnprobedRegion(t *testing.T, seed uint64) {
-	plan := grown(6, 18, 3)
+	plan := grownPlan(6, 18, 3)
 	for index := range plan.Replicas {
-		plan.Replicas[index].Mute = true // the platform's list says which versions the replica holds
+		plan.Replicas[index].HidesVersions = true // the platform's list says which versions the replica holds
 	}
-	cluster := fleet.NewPark(seed, plan)
+	cluster := fleet.NewCluster(seed, plan)
 	defer cluster.Close()
 	cluster.Run(15 * time.Second)
 	var controls, replicas []string
@@ -254,11 +256,11 @@
 	t.Parallel()
 	skipLong(t)
 	for _, answered := range []time.Duration{500 * time.Millisecond, 700 * time.Millisecond, 900 * time.Millisecond} {
-		plan := grown(6, 18, 3)
+		plan := grownPlan(6, 18, 3)
 		for index := range plan.Replicas {
-			plan.Replicas[index].Mute = true
+			plan.Replicas[index].HidesVersions = true
 		}
-		cluster := fleet.NewPark(4, plan)
+		cluster := fleet.NewCluster(4, plan)
 		cluster.Run(15 * time.Second)
 		var controls, replicas []string
 		for name := range cluster.Controls {
@@ -267,9 +269,9 @@
 		for _, replica := range cluster.Plan.Replicas {
 			replicas = append(replicas, replica.ID)
 		}
-		before := cluster.Holder("east")
+		before := cluster.RegionLeader("east")
 		cluster.Crash(before)
-		if !cluster.Until(10*time.Second, func() bool { holder := cluster.Holder("east"); return holder != "" && holder != before }) {
+		if !cluster.Until(10*time.Second, func() bool { holder := cluster.RegionLeader("east"); return holder != "" && holder != before }) {
 			t.Fatal("vacuous: no daemon took over the region's leadership")
 		}
 		cluster.Run(answered)
--- a/fleet/handback_test.go
+++ b/fleet/handback_test.go
@@ -7,29 +7,29 @@
 	"swifttiller/fleet"
 )
 
-// TestHandBackNeedsNoStanding verifies that a zone whose evacuation is revoked serves again as
+// TestHandBackNeedsNoRoutingTable verifies that a zone whose evacuation is revoked serves again as
 // soon as the data daemons have the configuration, even if the leader that writes its region's
 // routing table has just crashed. No request may be sent there before that, and afterwards no
 // more than cold replicas can handle.
-func TestHandBackNeedsNoStanding(t *testing.T) {
+func TestHandBackNeedsNoRoutingTable(t *testing.T) {
 	t.Parallel()
 	skipLong(t)
 	for seed := uint64(1); seed <= 4; seed++ {
-		cluster := fleet.NewPark(seed, fleet.RoutedShapes["large"].Plan())
-		cluster.Run(warmRouted)
+		cluster := fleet.NewCluster(seed, fleet.RoutedShapes["large"].Plan())
+		cluster.Run(routedWarmupTime)
 		facts := cluster.BeginRouted()
 		if err := cluster.Evacuate(&facts, "east-1", false); err != nil {
 			t.Fatal(err)
 		}
 		cluster.Run(4 * time.Second)
-		holder := cluster.Holder("east")
+		holder := cluster.RegionLeader("east")
 		if holder == "" {
 			t.Fatal("the region has no leader")
 		}
 		cluster.Crash(holder)
 		for _, options := range cluster.Plan.Engines {
 			if options.Zone == "east-1" {
-				cluster.Engines[options.Name].Chill()
+				cluster.Engines[options.Name].MakeCold()
 			}
 		}
 		if err := cluster.Evacuate(&facts, "east-1", true); err != nil {
@@ -52,7 +52,7 @@
 		cluster.Quiet = true
 		cluster.Run(6500 * time.Millisecond)
 		violations, checked := fleet.CheckRouted(cluster, facts)
-		show(t, seed, violations)
+		reportViolations(t, seed, violations)
 		if checked["cold"] == 0 {
 			t.Error("vacuous: no engine was cold")
 		}
--- a/fleet/heavy_test.go
+++ b/fleet/heavy_test.go
@@ -11,7 +11,7 @@
 
 // countCrossRegionCalls returns the bytes and messages sent between regions while the step runs,
 // by rpc method.
-func countCrossRegionCalls(cluster *fleet.Park, step func()) (bytes, calls map[string]int) {
+func countCrossRegionCalls(cluster *fleet.Cluster, step func()) (bytes, calls map[string]int) {
 	bytes, calls = map[string]int{}, map[string]int{}
 	cluster.OnBytes = func(from, to, method string, count int) {
 		if fleet.Region(cluster.Zone(from)) != fleet.Region(cluster.Zone(to)) {
@@ -32,7 +32,7 @@
 	if testing.Short() {
 		t.Skip("88 data daemons")
 	}
-	cluster := apart(1, grown(88, 90, 6))
+	cluster := newSeparatedCluster(1, grownPlan(88, 90, 6))
 	defer cluster.Close()
 	measureStep := func(phase string, step func()) (queries, accepts, copies int) {
 		bytes, calls := countCrossRegionCalls(cluster, step)
@@ -73,22 +73,22 @@
 
 // loadedPlan returns the plan of a large fleet whose engines have callers.
 func loadedPlan(busy float64) fleet.Plan {
-	plan := fleet.RoutedShape{Regions: []string{"east", "middle", "west"}, Engines: []int{40, 30, 20}, Datas: []int{29, 31, 28}, Busy: busy, Reports: true}.Plan()
+	plan := fleet.RoutedShape{Regions: []string{"east", "middle", "west"}, Engines: []int{40, 30, 20}, Datas: []int{29, 31, 28}, LoadFactor: busy, Reports: true}.Plan()
 	for index, spec := range plan.Controls {
 		plan.Controls = append(plan.Controls, "c"+string(rune('4'+index))+spec[2:])
 	}
 	return plan
 }
 
-// TestMishapsTravelSlowly bounds the session reports that control daemons share between regions
+// TestFailureReportsAreBounded bounds the session reports that control daemons share between regions
 // for data daemons with callers: 900 bytes per second and data daemon at rest, and 1,300 while
 // replicas fail and after a region was partitioned.
-func TestMishapsTravelSlowly(t *testing.T) {
+func TestFailureReportsAreBounded(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
 		t.Skip("88 data daemons")
 	}
-	cluster := apart(1, loadedPlan(3))
+	cluster := newSeparatedCluster(1, loadedPlan(3))
 	defer cluster.Close()
 	measureShares := func(phase string) int {
 		bytes, calls := countCrossRegionCalls(cluster, func() { cluster.Run(4 * time.Second) })
@@ -101,7 +101,7 @@
 	}
 	for index, options := range cluster.Plan.Engines {
 		if index%8 == 0 {
-			cluster.Engines[options.Name].Grey = fleet.Grey{How: "errors", Share: 0.5}
+			cluster.Engines[options.Name].Grey = fleet.GrayFailure{How: "errors", Share: 0.5}
 		}
 	}
 	before := len(cluster.Runs)
@@ -130,7 +130,7 @@
 func TestStandingStaysOverConfigurations(t *testing.T) {
 	t.Parallel()
 	skipLong(t)
-	cluster := apart(3, grown(12, 36, 3))
+	cluster := newSeparatedCluster(3, grownPlan(12, 36, 3))
 	defer cluster.Close()
 	serials := func() map[string]uint64 {
 		out := map[string]uint64{}
@@ -153,7 +153,7 @@
 	if label := cluster.Datas["d1"].Holder.View().Config().Label(); label != 4 {
 		t.Errorf("vacuous: the data daemon applies the configuration with label %d", label)
 	}
-	cluster.LeaveByPlatform(cluster.Plan.Replicas[0].ID)
+	cluster.MarkLeavingInList(cluster.Plan.Replicas[0].ID)
 	cluster.Run(3 * time.Second)
 	if maps.Equal(before, serials()) {
 		t.Error("vacuous: no routing table is ever written")
--- a/fleet/http.go
+++ b/fleet/http.go
@@ -52,7 +52,7 @@
 	app.Get("/log", func(ctx *fiber.Ctx) error {
 		stub.mutex.Lock()
 		defer stub.mutex.Unlock()
-		return ctx.JSON(map[string]any{"served": stub.Log, "loads": stub.Loads, "peak": stub.Peak, "flooded": stub.Flooded, "fenced": stub.Fenced})
+		return ctx.JSON(map[string]any{"served": stub.Log, "loads": stub.Loads, "peak": stub.Peak, "flooded": stub.ColdOverload, "fenced": stub.Fenced})
 	})
 	app.Post("/leave", func(ctx *fiber.Ctx) error { stub.Leave(); return ctx.SendString("{}") })
 	return app
--- a/fleet/leaving_test.go
+++ b/fleet/leaving_test.go
@@ -22,7 +22,7 @@
 
 // awaitRemoval runs the simulation until the replica is in no routing table of the named data
 // daemons, and returns the time of that.
-func awaitRemoval(t *testing.T, cluster *fleet.Park, replica string, names []string) time.Duration {
+func awaitRemoval(t *testing.T, cluster *fleet.Cluster, replica string, names []string) time.Duration {
 	t.Helper()
 	isOut := func() bool {
 		for _, name := range names {
@@ -47,11 +47,11 @@
 
 // newCalmCluster returns a large cluster without callers under fiveSecondLimits (5 s), and the
 // names of its data daemons.
-func newCalmCluster(seed uint64) (*fleet.Park, []string) {
-	plan := grown(24, 30, 6)
+func newCalmCluster(seed uint64) (*fleet.Cluster, []string) {
+	plan := grownPlan(24, 30, 6)
 	plan.Document = strings.Replace(plan.Document, `"limits":{`, fiveSecondLimits, 1)
-	plan.Least = 0
-	cluster := apart(seed, plan)
+	plan.MinListInterval = 0
+	cluster := newSeparatedCluster(seed, plan)
 	return cluster, slices.Sorted(maps.Keys(cluster.Datas))
 }
 
@@ -68,7 +68,7 @@
 		replica := cluster.Plan.Replicas[turn]
 		// The control daemons of one zone are partitioned from the data daemons of their zone:
 		// their renewals time out and are retried at other control daemons.
-		holder := cluster.Holder(fleet.Region(replica.Zone))
+		holder := cluster.RegionLeader(fleet.Region(replica.Zone))
 		var controls, datas []string
 		if turn%2 == 1 {
 			zone := cluster.Plan.Replicas[turn+1].Zone
@@ -84,7 +84,7 @@
 			}
 		}
 		cluster.Run(time.Duration(turn) * 97 * time.Millisecond) // at a different phase of the polling each time
-		cluster.LeaveByPlatform(replica.ID)
+		cluster.MarkLeavingInList(replica.ID)
 		cluster.Run(cluster.Plan.Lag)
 		listed := cluster.Now()
 		cluster.Split(controls, datas, true)
@@ -116,10 +116,10 @@
 		name := cluster.Plan.Replicas[turn].ID
 		cluster.Run(time.Duration(turn) * 97 * time.Millisecond)
 		began := cluster.Now()
-		cluster.Split([]string{name}, others(cluster, name), true)
+		cluster.Split([]string{name}, otherNodes(cluster, name), true)
 		took := awaitRemoval(t, cluster, name, names) - began
 		worst = max(worst, took)
-		cluster.Split([]string{name}, others(cluster, name), false)
+		cluster.Split([]string{name}, otherNodes(cluster, name), false)
 		isBack := func() bool {
 			for _, daemon := range cluster.Datas {
 				table := daemon.Holder.View().RoutingTables[fleet.Region(cluster.Zone(name))]
@@ -142,23 +142,23 @@
 	}
 }
 
-// TestLeavingUntold covers data daemons that get no notice of a leaving replica, because notices
+// TestLeavingWithoutNotice covers data daemons that get no notice of a leaving replica, because notices
 // are lost or because they start after all notices. The region's routing table alone must keep
 // them from using the replica, whether the platform's list or the replica's own health checks
 // report that it leaves.
-func TestLeavingUntold(t *testing.T) {
+func TestLeavingWithoutNotice(t *testing.T) {
 	t.Parallel()
 	skipLong(t)
-	for name, leave := range map[string]func(cluster *fleet.Park, id string){
-		"by the list":   func(cluster *fleet.Park, id string) { cluster.LeaveByPlatform(id) },
-		"by its probes": func(cluster *fleet.Park, id string) { cluster.Replicas[id].Leave() },
+	for name, leave := range map[string]func(cluster *fleet.Cluster, id string){
+		"by the list":   func(cluster *fleet.Cluster, id string) { cluster.MarkLeavingInList(id) },
+		"by its probes": func(cluster *fleet.Cluster, id string) { cluster.Replicas[id].Leave() },
 	} {
 		for _, isLost := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, notices lost: %v", name, isLost), func(t *testing.T) {
 				t.Parallel()
-				cluster := fleet.NewPark(3, fleet.Sahayogi())
+				cluster := fleet.NewCluster(3, fleet.Sahayogi())
 				defer cluster.Close()
-				cluster.Run(warm)
+				cluster.Run(warmupTime)
 				facts := cluster.Begin()
 				if isLost {
 					cluster.OnCall = func(_, _, method string) sim.Fate {
@@ -168,8 +168,8 @@
 						return sim.Delivered
 					}
 				}
-				replica := cluster.Used().ID
-				cluster.Replicas[replica].Lingers = true
+				replica := cluster.BusiestReplica().ID
+				cluster.Replicas[replica].ServesWhileLeaving = true
 				leave(cluster, replica)
 				if !isLost {
 					cluster.Run(4 * time.Second) // until all daemons have the notice
@@ -185,7 +185,7 @@
 				if checked["leaving"] == 0 {
 					t.Error("vacuous: the replica was not in use, or did not linger")
 				}
-				show(t, 3, violations)
+				reportViolations(t, 3, violations)
 			})
 		}
 	}
--- a/fleet/loss_test.go
+++ b/fleet/loss_test.go
@@ -10,14 +10,14 @@
 )
 
 // daemonNames returns the names of the control daemons and then of the data daemons, each sorted.
-func daemonNames(cluster *fleet.Park) []string {
+func daemonNames(cluster *fleet.Cluster) []string {
 	return slices.Concat(slices.Sorted(maps.Keys(cluster.Controls)), slices.Sorted(maps.Keys(cluster.Datas)))
 }
 
 // checkUnplaced counts, by zone, the attempts of notice requests that arrived between from and
 // until, and those that found no replica. It fails the test if these are more than one in oneIn
 // in any zone.
-func checkUnplaced(t *testing.T, cluster *fleet.Park, from, until time.Duration, oneIn int) {
+func checkUnplaced(t *testing.T, cluster *fleet.Cluster, from, until time.Duration, oneIn int) {
 	t.Helper()
 	all, rejected := map[string]int{}, map[string]int{}
 	for _, request := range cluster.RoutedRequests {
@@ -48,20 +48,20 @@
 	skipLong(t)
 	shape := fleet.GrownShape
 	shape.Limits = map[string]float64{"alone_ms": 3600e3}
-	cluster := fleet.NewPark(1, shape.Plan())
+	cluster := fleet.NewCluster(1, shape.Plan())
 	defer cluster.Close()
-	cluster.Run(warmRouted)
+	cluster.Run(routedWarmupTime)
 	facts := cluster.BeginRouted()
-	lost := cluster.Lose(daemonNames(cluster))
+	lost := cluster.CrashAll(daemonNames(cluster))
 	cluster.Run(800 * time.Millisecond)
-	cluster.Return(lost)
+	cluster.RestartAll(lost)
 	began := cluster.Now()
 	cluster.Run(8 * time.Second)
 	checkUnplaced(t, cluster, began+time.Second, began+5*time.Second, 10)
 	cluster.Quiet = true
 	cluster.Run(6500 * time.Millisecond)
 	violations, _ := fleet.CheckRouted(cluster, facts)
-	show(t, 1, violations)
+	reportViolations(t, 1, violations)
 }
 
 // TestSurgeAfterAPowerCut verifies that the callers of a large fleet, which all return at once
@@ -72,27 +72,27 @@
 	t.Parallel()
 	skipLong(t)
 	shape := fleet.GrownShape
-	shape.Busy = 3
+	shape.LoadFactor = 3
 	shape.Limits = map[string]float64{"alone_ms": 3600e3}
-	cluster := fleet.NewPark(1, shape.Plan())
+	cluster := fleet.NewCluster(1, shape.Plan())
 	defer cluster.Close()
-	cluster.Run(warmRouted)
+	cluster.Run(routedWarmupTime)
 	facts := cluster.BeginRouted()
-	lost := cluster.Lose(daemonNames(cluster))
+	lost := cluster.CrashAll(daemonNames(cluster))
 	cluster.Run(800 * time.Millisecond)
 	for index, options := range cluster.Plan.Engines {
 		if index%3 == 0 {
-			cluster.Engines[options.Name].Chill()
+			cluster.Engines[options.Name].MakeCold()
 		}
 	}
-	cluster.Return(lost)
+	cluster.RestartAll(lost)
 	began := cluster.Now()
 	cluster.Run(6 * time.Second)
 	checkUnplaced(t, cluster, began-time.Second, began+5*time.Second, 50)
 	cluster.Quiet = true
 	cluster.Run(6500 * time.Millisecond)
 	violations, checked := fleet.CheckRouted(cluster, facts)
-	show(t, 1, violations)
+	reportViolations(t, 1, violations)
 	if checked["cold"] == 0 {
 		t.Error("vacuous: no engine was cold")
 	}
--- a/fleet/losses_test.go
+++ b/fleet/losses_test.go
@@ -13,7 +13,7 @@
 
 // newSelfFormedCore starts a fleet whose control daemons form a core with the given number of votes
 // by themselves. If there are more votes than zones, a zone has two or three of them.
-func newSelfFormedCore(t *testing.T, seed uint64, votes int) *fleet.Park {
+func newSelfFormedCore(t *testing.T, seed uint64, votes int) *fleet.Cluster {
 	t.Helper()
 	plan := fleet.Sahayogi()
 	plan.First, plan.Callers = true, nil
@@ -21,7 +21,7 @@
 	for index := 0; len(plan.Controls) < votes; index++ {
 		plan.Controls = append(plan.Controls, fmt.Sprintf("e%d:%s", index+1, zones[index%len(zones)]))
 	}
-	cluster := fleet.NewBarePark(seed, plan)
+	cluster := fleet.NewBareCluster(seed, plan)
 	if !cluster.Until(8*time.Second, func() bool { return len(core(cluster).Members) == votes }) {
 		t.Fatalf("the core did not form: %v", core(cluster))
 	}
@@ -35,7 +35,7 @@
 
 // isFullyReplicated reports whether all members of a core with the given number of votes hold all
 // decided values.
-func isFullyReplicated(cluster *fleet.Park, votes int) bool {
+func isFullyReplicated(cluster *fleet.Cluster, votes int) bool {
 	for _, name := range running(cluster) {
 		var status controlplane.Status
 		err := cluster.Do(name, 5*time.Second, func(daemon *controlplane.Daemon) error {
@@ -50,7 +50,7 @@
 }
 
 // runningMembers returns the running machines of the core, those with the oldest disks first.
-func runningMembers(cluster *fleet.Park, since map[string]time.Duration) (names []string) {
+func runningMembers(cluster *fleet.Cluster, since map[string]time.Duration) (names []string) {
 	for _, member := range core(cluster).Members {
 		if cluster.Node(member.Name).Up() {
 			names = append(names, member.Name)
@@ -75,20 +75,20 @@
 		for votes := 3; votes <= 7; votes++ {
 			cluster := newSelfFormedCore(t, seed, votes)
 			since := map[string]time.Duration{}
-			acknowledged := serial(cluster, "c2")
+			acknowledged := configVersion(cluster, "c2")
 			for turn := 0; turn < 3; turn++ {
 				first := runningMembers(cluster, since)[0]
 				if turn%2 == 0 {
 					cluster.Crash(first)
 					cluster.Run(time.Duration(cluster.Draw(int64(time.Second))))
 					first = fmt.Sprintf("f%d", turn)
-					cluster.Place(first, cluster.Zone(runningMembers(cluster, since)[0]))
+					cluster.SetZone(first, cluster.Zone(runningMembers(cluster, since)[0]))
 					cluster.StartControl(first)
 				} else {
 					wipe(cluster, first)
 				}
 				since[first] = cluster.Now()
-				if !cluster.Until(catchUp, func() bool { return cluster.Votes(first) && isFullyReplicated(cluster, votes) }) {
+				if !cluster.Until(catchUp, func() bool { return cluster.IsCoreMember(first) && isFullyReplicated(cluster, votes) }) {
 					t.Errorf("lost: %d votes, turn %d: %s has not caught up after %v", votes, turn, first, catchUp)
 				}
 				// One acknowledged change, then another one, and the power loss soon after it.
@@ -97,7 +97,7 @@
 				if err := cluster.Apply(&fleet.Facts{}, members[0]); err != nil {
 					t.Fatalf("%d votes, turn %d: %v", votes, turn, err)
 				}
-				acknowledged = max(acknowledged, serial(cluster, members[0]))
+				acknowledged = max(acknowledged, configVersion(cluster, members[0]))
 				last := members[len(members)-1]
 				cluster.Node(last).Go(func() {
 					if applied, err := cluster.Controls[last].Evacuate("east-1", turn%2 == 1); err == nil {
@@ -105,17 +105,17 @@
 					}
 				})
 				cluster.Run(time.Duration(5+cluster.Draw(395)) * time.Millisecond)
-				lost := cluster.Lose(cluster.NodeNames())
+				lost := cluster.CrashAll(cluster.NodeNames())
 				for _, name := range members[:tolerated] {
 					cluster.Node(name).Disk.Wipe()
 					since[name] = cluster.Now()
 				}
-				cluster.Return(lost)
+				cluster.RestartAll(lost)
 				if !cluster.Until(12*time.Second, func() bool { return isFullyReplicated(cluster, votes) }) {
 					t.Errorf("lost: %d votes, turn %d: the core is not fully replicated again: %v", votes, turn, core(cluster))
 				}
 				for _, name := range running(cluster) {
-					if read := serial(cluster, name); read < acknowledged {
+					if read := configVersion(cluster, name); read < acknowledged {
 						t.Errorf("lost: %d votes, turn %d: acknowledged %d, read back %d at %s", votes, turn, acknowledged, read, name)
 					}
 				}
@@ -138,10 +138,10 @@
 		// machines have 128 MB.
 		diskBound = 12 << 20
 	)
-	cluster := ordering(31)
+	cluster := faultlessFleet(31)
 	defer cluster.Close()
 	change := func(label uint64) {
-		if _, err := replace(cluster, "c1", labelled(cluster, label, "a"), label-1); err != nil {
+		if _, err := replace(cluster, "c1", withLabel(cluster, label, "a"), label-1); err != nil {
 			t.Fatalf("change %d: %v", label, err)
 		}
 	}
@@ -167,7 +167,7 @@
 				_, label, err = daemon.Current()
 				return err
 			})
-			if newest, _ := newest(t, cluster, "c1"); err == nil && label != newest {
+			if newest, _ := currentConfig(t, cluster, "c1"); err == nil && label != newest {
 				t.Errorf("old config: the member that is behind returns label %d, the newest is %d", label, newest)
 			}
 		}
--- a/fleet/measure_more_test.go
+++ b/fleet/measure_more_test.go
@@ -13,7 +13,7 @@
 )
 
 // everyView reports whether the predicate holds for every data daemon's view.
-func everyView(cluster *fleet.Park, holds func(view *lease.View) bool) bool {
+func everyView(cluster *fleet.Cluster, holds func(view *lease.View) bool) bool {
 	for _, daemon := range cluster.Datas {
 		if !holds(daemon.Holder.View()) {
 			return false
@@ -38,14 +38,14 @@
 // checks nothing.
 func TestMeasureMore(t *testing.T) {
 	t.Parallel()
-	if !*measure {
+	if !*printMeasurements {
 		t.Skip("only with -measure")
 	}
 	figures := map[string][]float64{}
 	add := func(name string, value float64) { figures[name] = append(figures[name], value) }
 	for name, newPlan := range fleet.Plans {
 		for seed := uint64(1); seed <= 5; seed++ {
-			cluster := fleet.NewPark(seed, newPlan())
+			cluster := fleet.NewCluster(seed, newPlan())
 			cluster.Run(20 * time.Second)
 			dark := cluster.Plan.Replicas[1].ID
 			others := slices.DeleteFunc(slices.Clone(cluster.NodeNames()), func(name string) bool { return name == dark })
@@ -61,7 +61,7 @@
 			cluster.Run(8 * time.Second)
 			for _, replica := range cluster.Replicas {
 				if cluster.Zone(replica.ID) == cluster.Plan.Replicas[0].Zone {
-					replica.Slower = 4
+					replica.Slowdown = 4
 				}
 			}
 			maxSlow := 0
@@ -73,7 +73,7 @@
 			}
 			add(name+": whole region four times slower, replicas blamed", float64(maxSlow))
 			for _, replica := range cluster.Replicas {
-				replica.Slower = 1
+				replica.Slowdown = 1
 			}
 			cluster.Run(8 * time.Second)
 			before := map[string]int{}
@@ -93,7 +93,7 @@
 				before[method] = count
 			}
 			at = cluster.Now()
-			cluster.Readd("c3")
+			cluster.RejoinCore("c3")
 			add(name+": core machine replaced, s", (cluster.Now() - at).Seconds())
 			add(name+": core machine replaced, seals and installs sent", float64(cluster.Messages["Register.Seal"]-before["Register.Seal"]+cluster.Messages["Register.Install"]-before["Register.Install"]))
 			cluster.Close()
@@ -108,7 +108,7 @@
 			if count > 1 && len(plan.Replicas) == len(newPlan().Replicas) && !strings.Contains(plan.Replicas[len(plan.Replicas)-1].ID, fmt.Sprint("r", count)) {
 				break
 			}
-			cluster := fleet.NewPark(1, plan)
+			cluster := fleet.NewCluster(1, plan)
 			cluster.Run(45 * time.Second)
 			answered, asked := fleet.Rate(cluster, 25*time.Second, 44*time.Second)
 			add(fmt.Sprintf("%s: %d replicas in all (at most %d a region), share of the plan's load answered", name, len(plan.Replicas), count), float64(answered)/float64(asked))
--- a/fleet/measure_test.go
+++ b/fleet/measure_test.go
@@ -11,7 +11,7 @@
 	"swifttiller/fleet"
 )
 
-var measure = flag.Bool("measure", false, "print the figures of docs/measurements.md")
+var printMeasurements = flag.Bool("measure", false, "print the figures of docs/measurements.md")
 
 // spread formats the minimum, median and maximum of a value over seeds.
 func spread(list []float64) string {
@@ -22,7 +22,7 @@
 // TestMeasure prints measurements in virtual time, and counts. It checks nothing.
 func TestMeasure(t *testing.T) {
 	t.Parallel()
-	if !*measure {
+	if !*printMeasurements {
 		t.Skip("only with -measure")
 	}
 	const runs = 5
@@ -30,19 +30,19 @@
 	add := func(name string, value float64) { figures[name] = append(figures[name], value) }
 	for name, newPlan := range fleet.Plans {
 		for seed := uint64(1); seed <= runs; seed++ {
-			cluster := fleet.NewPark(seed, newPlan())
+			cluster := fleet.NewCluster(seed, newPlan())
 			cluster.Run(30 * time.Second)
 			asked := cluster.Messages["Register.Query"]
 			renewed := cluster.Messages["Permit.Renew"]
-			greeted, arrived := cluster.Greeted, len(cluster.Arrivals)
+			greeted, arrived := cluster.IdentityChecks, len(cluster.Arrivals)
 			cluster.Run(20 * time.Second)
-			add(name+": new connections to replicas per request", float64(cluster.Greeted-greeted)/float64(len(cluster.Arrivals)-arrived))
+			add(name+": new connections to replicas per request", float64(cluster.IdentityChecks-greeted)/float64(len(cluster.Arrivals)-arrived))
 			add(name+": register queries per second", float64(cluster.Messages["Register.Query"]-asked)/20)
 			add(name+": permit renewals per second", float64(cluster.Messages["Permit.Renew"]-renewed)/20)
 			// A leaving replica: from the time when the first daemon learns that it leaves.
 			first := cluster.Plan.Replicas[0].ID
 			boot := cluster.Replicas[first].Boot
-			cluster.LeaveByPlatform(first)
+			cluster.MarkLeavingInList(first)
 			cluster.Run(6 * time.Second)
 			last := time.Duration(0)
 			for _, entry := range cluster.Arrivals {
@@ -50,7 +50,7 @@
 					last = max(last, entry.At)
 				}
 			}
-			add(name+": leaving replica, word to last request, s", max(0, (last-cluster.Learned[first+"/"+boot]).Seconds()))
+			add(name+": leaving replica, word to last request, s", max(0, (last-cluster.TerminationLearned[first+"/"+boot]).Seconds()))
 			// An evacuation: from its acknowledgement to the last request in the zone.
 			facts := fleet.Facts{}
 			zone := cluster.Plan.Replicas[len(cluster.Plan.Replicas)-1].Zone
@@ -120,10 +120,10 @@
 		plan.Document = strings.Replace(plan.Document, `"trial_ms"`, document, 1)
 		for index := range plan.Callers {
 			if plan.Callers[index].Bytes > 1000 {
-				plan.Callers[index].Rosters = 24
+				plan.Callers[index].PromptGroups = 24
 			}
 		}
-		cluster := fleet.NewPark(seed, plan)
+		cluster := fleet.NewCluster(seed, plan)
 		cluster.Run(50 * time.Second)
 		hit, all, prefilled := 0, 0, 0
 		for _, entry := range cluster.Logs() {
@@ -151,7 +151,7 @@
 		plan.Callers[index].Tokens = 256 // a second or more each
 		plan.Callers[index].Retries = 0
 	}
-	cluster := fleet.NewPark(seed, plan)
+	cluster := fleet.NewCluster(seed, plan)
 	defer cluster.Close()
 	cluster.Run(30 * time.Second)
 	used, capacity, over := 0.0, 0.0, 0
@@ -163,7 +163,7 @@
 		}
 	}
 	for _, replica := range cluster.Replicas {
-		over += replica.Over
+		over += replica.WarmOverload
 	}
 	add(name+": saturated, share of what replicas bear that is used", used/capacity)
 	add(name+": saturated, requests beyond what a warm replica bears", float64(over))
@@ -172,7 +172,7 @@
 // measureFullLoss crashes everything at once and measures the share of requests answered after
 // the restart.
 func measureFullLoss(name string, seed uint64, plan fleet.Plan, add func(string, float64)) {
-	cluster := fleet.NewPark(seed, plan)
+	cluster := fleet.NewCluster(seed, plan)
 	defer cluster.Close()
 	cluster.Run(20 * time.Second)
 	before, _ := fleet.Rate(cluster, cluster.Now()-5*time.Second, cluster.Now())
@@ -186,10 +186,10 @@
 
 // restartAll crashes every daemon and replica, restarts all of them 3 s later, and returns the
 // time of the restart.
-func restartAll(cluster *fleet.Park) (back time.Duration) {
-	lost := cluster.Lose(cluster.NodeNames())
+func restartAll(cluster *fleet.Cluster) (back time.Duration) {
+	lost := cluster.CrashAll(cluster.NodeNames())
 	cluster.Run(3 * time.Second)
 	back = cluster.Now()
-	cluster.Return(lost)
+	cluster.RestartAll(lost)
 	return back
 }
--- a/fleet/tender_test.go
+++ b/fleet/membership_test.go
@@ -15,9 +15,9 @@
 // catchUp is the maximum time from the start of a core member until it votes.
 const catchUp = 4 * time.Second
 
-// selfMade starts a fleet in which the control daemons create the core themselves on their first
+// startWithOwnCore starts a fleet in which the control daemons create the core themselves on their first
 // start, with the given number of acceptors, at most six. It applies a configuration.
-func selfMade(t *testing.T, seed uint64, votes int) *fleet.Park {
+func startWithOwnCore(t *testing.T, seed uint64, votes int) *fleet.Cluster {
 	t.Helper()
 	plan := fleet.Sahayogi()
 	plan.First, plan.Callers = true, nil
@@ -26,7 +26,7 @@
 			plan.Controls = append(plan.Controls, fmt.Sprint("e", index+1, ":", zone))
 		}
 	}
-	park := fleet.NewBarePark(seed, plan)
+	park := fleet.NewBareCluster(seed, plan)
 	if !park.Until(6*time.Second, func() bool { return len(core(park).Members) == votes }) {
 		t.Fatalf("seed %d: no core of the wanted size was created: %v", seed, core(park))
 	}
@@ -39,7 +39,7 @@
 }
 
 // core returns the newest core configuration that a running control daemon has.
-func core(park *fleet.Park) (newest register.Core) {
+func core(park *fleet.Cluster) (newest register.Core) {
 	for name, daemon := range park.Controls {
 		if park.Node(name).Up() && daemon.Core().Epoch > newest.Epoch {
 			newest = daemon.Core()
@@ -50,7 +50,7 @@
 
 // coreLeader returns the running control daemon that leads the core's election, whose membership
 // reconciler replaces core members; "" if there is none.
-func coreLeader(park *fleet.Park) string {
+func coreLeader(park *fleet.Cluster) string {
 	for name, daemon := range park.Controls {
 		if _, held := daemon.Elections.Term(controlplane.CoreElection); held && park.Node(name).Up() {
 			return name
@@ -59,9 +59,9 @@
 	return ""
 }
 
-// serial returns the version of the configuration as the daemon reads it from a majority, 0 if it
+// configVersion returns the version of the configuration as the daemon reads it from a majority, 0 if it
 // can't.
-func serial(park *fleet.Park, at string) (serial uint64) {
+func configVersion(park *fleet.Cluster, at string) (serial uint64) {
 	_ = park.Do(at, 10*time.Second, func(daemon *controlplane.Daemon) error {
 		err := daemon.Issuer.Refresh()
 		if err == nil {
@@ -73,7 +73,7 @@
 }
 
 // wipe restarts a machine with an empty disk.
-func wipe(park *fleet.Park, name string) {
+func wipe(park *fleet.Cluster, name string) {
 	park.Crash(name)
 	park.Node(name).Disk.Wipe()
 	park.StartControl(name)
@@ -91,7 +91,7 @@
 // eachSeed runs the test step in a subtest for each of a few seeds; it skips under -short.
 func eachSeed(t *testing.T, step func(t *testing.T, seed uint64)) {
 	skipLong(t)
-	for seed := *first; seed < *first+4+uint64(*seeds); seed++ {
+	for seed := *firstSeed; seed < *firstSeed+4+uint64(*seedCount); seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { t.Parallel(); step(t, seed) })
 	}
 }
@@ -103,18 +103,18 @@
 	t.Parallel()
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		for votes := 3; votes <= 6; votes += 3 {
-			park := selfMade(t, seed, votes)
+			park := startWithOwnCore(t, seed, votes)
 			members := core(park).Members
 			// Restarts everything from its disks; the settings still declare a first start.
 			park.Plan.First = true
-			park.Return(park.Lose(park.NodeNames()))
+			park.RestartAll(park.CrashAll(park.NodeNames()))
 			park.Run(4 * time.Second)
-			if now := core(park); len(now.Members) != votes || !now.Has(members[0].ID) || serial(park, "c1") == 0 {
-				t.Errorf("seed %d: after a restart the core is %v, the configuration's version %d", seed, now, serial(park, "c1"))
+			if now := core(park); len(now.Members) != votes || !now.Has(members[0].ID) || configVersion(park, "c1") == 0 {
+				t.Errorf("seed %d: after a restart the core is %v, the configuration's version %d", seed, now, configVersion(park, "c1"))
 			}
 			// One member restarts with an empty disk, still with the first-start setting.
 			wipe(park, "c2")
-			if !park.Until(catchUp, func() bool { return park.Votes("c2") }) || len(core(park).Members) != votes || serial(park, "c2") == 0 {
+			if !park.Until(catchUp, func() bool { return park.IsCoreMember("c2") }) || len(core(park).Members) != votes || configVersion(park, "c2") == 0 {
 				t.Errorf("seed %d: a seed that came back empty made a core or did not join: %v", seed, core(park))
 			}
 			park.Close()
@@ -127,7 +127,7 @@
 func TestAnEmptyDiskMakesNoCore(t *testing.T) {
 	t.Parallel()
 	plan := fleet.Sahayogi()
-	park := fleet.NewBarePark(1, plan)
+	park := fleet.NewBareCluster(1, plan)
 	defer park.Close()
 	park.Run(10 * time.Second)
 	if made := core(park); made.Epoch != 0 {
@@ -140,7 +140,7 @@
 func TestAWipedDiskAndNoPower(t *testing.T) {
 	t.Parallel()
 	eachSeed(t, func(t *testing.T, seed uint64) {
-		park := selfMade(t, seed, 3)
+		park := startWithOwnCore(t, seed, 3)
 		defer park.Close()
 		lost := fmt.Sprint("c", 1+seed%3)
 		for turn := 0; turn < 3; turn++ {
@@ -148,15 +148,15 @@
 			if err := park.Apply(&facts, "c1"); err != nil {
 				t.Fatalf("seed %d: %v", seed, err)
 			}
-			acknowledged := serial(park, "c1")
-			ends := park.Lose(park.NodeNames())
+			acknowledged := configVersion(park, "c1")
+			ends := park.CrashAll(park.NodeNames())
 			park.Node(lost).Disk.Wipe()
-			park.Return(ends)
+			park.RestartAll(ends)
 			park.Run(50 * time.Millisecond)
-			if !park.Until(catchUp, func() bool { return park.Votes(lost) }) {
+			if !park.Until(catchUp, func() bool { return park.IsCoreMember(lost) }) {
 				t.Errorf("seed %d: %s has no vote in %v", seed, lost, core(park))
 			}
-			if read := serial(park, lost); read != acknowledged {
+			if read := configVersion(park, lost); read != acknowledged {
 				t.Errorf("seed %d: version %d was acknowledged, but %d is read back", seed, acknowledged, read)
 			}
 			// Next, another member loses its disk, so the majority needs the rejoined member's copy.
@@ -172,8 +172,8 @@
 	t.Parallel()
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		for _, votes := range []int{3, 6} {
-			park := selfMade(t, seed, votes)
-			acknowledged := serial(park, "c1")
+			park := startWithOwnCore(t, seed, votes)
+			acknowledged := configVersion(park, "c1")
 			// Three members of the first core are replaced, the leader first. Two seeds of each
 			// new machine are dead or never existed.
 			for turn := 0; turn < 3; turn++ {
@@ -198,15 +198,15 @@
 				park.SeedsOf = map[string][]string{fresh: {"nobody", old, alive}}
 				park.Crash(old)
 				park.Run(time.Duration(park.Draw(int64(3 * time.Second))))
-				park.Place(fresh, "east-1")
+				park.SetZone(fresh, "east-1")
 				park.StartControl(fresh)
-				if !park.Until(catchUp, func() bool { return park.Votes(fresh) }) {
+				if !park.Until(catchUp, func() bool { return park.IsCoreMember(fresh) }) {
 					t.Errorf("seed %d: %s has no vote in %v", seed, fresh, core(park))
 				}
 				if now := core(park); len(now.Members) != votes {
 					t.Errorf("seed %d: the core has %d votes, want %d", seed, len(now.Members), votes)
 				}
-				if read := serial(park, fresh); read != acknowledged {
+				if read := configVersion(park, fresh); read != acknowledged {
 					t.Errorf("seed %d: version %d was acknowledged, but %d is read back", seed, acknowledged, read)
 				}
 			}
@@ -214,12 +214,12 @@
 			for name := range park.Controls {
 				park.SeedsOf[name] = []string{"nobody", "gone"}
 			}
-			park.Return(park.Lose(running(park)))
+			park.RestartAll(park.CrashAll(running(park)))
 			park.Run(50 * time.Millisecond)
 			if !park.Until(2*time.Second, func() bool { return allLive(park, votes) }) {
 				t.Errorf("seed %d: the core members don't find each other after a restart", seed)
 			}
-			if read := serial(park, "f2-"+fmt.Sprint(votes)); read != acknowledged {
+			if read := configVersion(park, "f2-"+fmt.Sprint(votes)); read != acknowledged {
 				t.Errorf("seed %d: version %d was acknowledged, but %d is read back", seed, acknowledged, read)
 			}
 			park.Close()
@@ -234,8 +234,8 @@
 	t.Parallel()
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		for _, votes := range []int{3, 5} {
-			park := selfMade(t, seed, votes)
-			acknowledged := serial(park, "c1")
+			park := startWithOwnCore(t, seed, votes)
+			acknowledged := configVersion(park, "c1")
 			for turn := 0; turn < 3; turn++ {
 				// The first two new machines start before the replaced one stops in order, the
 				// third after a machine crashed.
@@ -248,13 +248,13 @@
 				old := there[turn%2]
 				fresh := fmt.Sprint("f", turn, "-", votes)
 				park.SeedsOf = map[string][]string{fresh: {"nobody", old, there[2]}}
-				park.Place(fresh, "east-1")
+				park.SetZone(fresh, "east-1")
 				if turn == 2 {
 					park.Crash(old)
 					park.Run(2 * time.Second)
 				}
 				park.StartControl(fresh)
-				if !park.Until(catchUp, func() bool { return park.Votes(fresh) }) {
+				if !park.Until(catchUp, func() bool { return park.IsCoreMember(fresh) }) {
 					t.Fatalf("seed %d: %s has no vote in %v", seed, fresh, core(park))
 				}
 				if turn < 2 {
@@ -265,7 +265,7 @@
 					t.Errorf("dead vote: seed %d: after %d replacements the core has %d votes, want %d", seed, turn+1, len(now.Members), votes)
 				}
 			}
-			if read := serial(park, "f2-"+fmt.Sprint(votes)); read != acknowledged {
+			if read := configVersion(park, "f2-"+fmt.Sprint(votes)); read != acknowledged {
 				t.Errorf("seed %d: version %d was acknowledged, but %d is read back", seed, acknowledged, read)
 			}
 			park.Close()
@@ -274,7 +274,7 @@
 }
 
 // running returns the control daemons with an acceptor that are up.
-func running(park *fleet.Park) (names []string) {
+func running(park *fleet.Cluster) (names []string) {
 	for _, name := range park.NodeNames() {
 		if daemon := park.Controls[name]; daemon != nil && daemon.Acceptor != nil && park.Node(name).Up() {
 			names = append(names, name)
@@ -284,7 +284,7 @@
 }
 
 // allLive reports whether every running acceptor has live sessions of at least votes acceptors.
-func allLive(park *fleet.Park, votes int) bool {
+func allLive(park *fleet.Cluster, votes int) bool {
 	for _, name := range running(park) {
 		count := 0
 		for _, peer := range park.Controls[name].Sessions.Live(session.Control) {
@@ -299,15 +299,15 @@
 	return true
 }
 
-// TestTheTenderDiesInAReplacement crashes the membership reconciler's daemon at several moments of
+// TestReconcilerCrashesInAReplacement crashes the membership reconciler's daemon at several moments of
 // a change of the core. Its successor must finish the change, and no acknowledged configuration
 // may be lost.
-func TestTheTenderDiesInAReplacement(t *testing.T) {
+func TestReconcilerCrashesInAReplacement(t *testing.T) {
 	t.Parallel()
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		for at := 0; at < 6; at++ {
-			park := selfMade(t, seed, 3)
-			acknowledged := serial(park, "c1")
+			park := startWithOwnCore(t, seed, 3)
+			acknowledged := configVersion(park, "c1")
 			killed, leader := "", coreLeader(park)
 			lost := "c1"
 			if leader == "c1" {
@@ -327,10 +327,10 @@
 			}
 			park.StartControl(killed)
 			park.Run(50 * time.Millisecond)
-			if !park.Until(catchUp+2*time.Second, func() bool { return park.Votes(lost) }) || len(core(park).Members) != 3 {
+			if !park.Until(catchUp+2*time.Second, func() bool { return park.IsCoreMember(lost) }) || len(core(park).Members) != 3 {
 				t.Errorf("seed %d, %d: %s has no vote in %v", seed, at, lost, core(park))
 			}
-			if read := serial(park, lost); read != acknowledged {
+			if read := configVersion(park, lost); read != acknowledged {
 				t.Errorf("seed %d, %d: version %d was acknowledged, but %d is read back", seed, at, acknowledged, read)
 			}
 			park.Close()
@@ -344,9 +344,9 @@
 func TestASplitInAReplacement(t *testing.T) {
 	t.Parallel()
 	eachSeed(t, func(t *testing.T, seed uint64) {
-		park := selfMade(t, seed, 3)
+		park := startWithOwnCore(t, seed, 3)
 		defer park.Close()
-		acknowledged := serial(park, "c1")
+		acknowledged := configVersion(park, "c1")
 		cut, isCut := fmt.Sprint("c", 1+seed%3), false
 		lost := fmt.Sprint("c", 1+(seed+1)%3)
 		rest := func() (rest []string) {
@@ -370,10 +370,10 @@
 			t.Fatalf("seed %d: vacuous: no change of the core was interrupted by the partition", seed)
 		}
 		park.Split([]string{cut}, rest(), false)
-		if !park.Until(catchUp, func() bool { return park.Votes(lost) && park.Votes(cut) }) || len(core(park).Members) != 3 {
+		if !park.Until(catchUp, func() bool { return park.IsCoreMember(lost) && park.IsCoreMember(cut) }) || len(core(park).Members) != 3 {
 			t.Errorf("seed %d: the core is %v", seed, core(park))
 		}
-		if read := serial(park, cut); read != acknowledged {
+		if read := configVersion(park, cut); read != acknowledged {
 			t.Errorf("seed %d: version %d was acknowledged, but %d is read back", seed, acknowledged, read)
 		}
 	})
@@ -385,9 +385,9 @@
 func TestTwoEmptyOfThreeLoseNothing(t *testing.T) {
 	t.Parallel()
 	eachSeed(t, func(t *testing.T, seed uint64) {
-		park := selfMade(t, seed, 3)
+		park := startWithOwnCore(t, seed, 3)
 		defer park.Close()
-		acknowledged := serial(park, "c1")
+		acknowledged := configVersion(park, "c1")
 		before := core(park)
 		disk := park.Node("c1").Disk
 		kept := *disk
@@ -411,10 +411,10 @@
 		*disk = kept
 		park.StartControl("c1")
 		park.Run(50 * time.Millisecond)
-		if !park.Until(catchUp+2*time.Second, func() bool { return park.Votes("c2") && park.Votes("c1") }) {
+		if !park.Until(catchUp+2*time.Second, func() bool { return park.IsCoreMember("c2") && park.IsCoreMember("c1") }) {
 			t.Errorf("seed %d: the core is %v", seed, core(park))
 		}
-		if read := serial(park, "c2"); read < acknowledged {
+		if read := configVersion(park, "c2"); read < acknowledged {
 			t.Errorf("seed %d: version %d was acknowledged, but %d is read back", seed, acknowledged, read)
 		}
 	})
@@ -425,19 +425,19 @@
 func TestAddressesOfTheCoreChange(t *testing.T) {
 	t.Parallel()
 	eachSeed(t, func(t *testing.T, seed uint64) {
-		park := selfMade(t, seed, 3)
+		park := startWithOwnCore(t, seed, 3)
 		defer park.Close()
-		acknowledged := serial(park, "c1")
+		acknowledged := configVersion(park, "c1")
 		// c2 restarts with its disk at another address, where c1 and c3 know it only from the
 		// core's configuration. A diskless daemon has one live seed.
 		park.Crash("c2")
-		park.Place("c2-moved", "middle-1")
+		park.SetZone("c2-moved", "middle-1")
 		park.Node("c2-moved").Disk.MoveFrom(park.Node("c2").Disk)
 		park.StartControl("c2-moved")
 		moved := func() bool {
 			for _, member := range core(park).Members {
 				if member.Address == "c2-moved" {
-					return park.Votes("c2-moved")
+					return park.IsCoreMember("c2-moved")
 				}
 			}
 			return false
@@ -449,7 +449,7 @@
 		park.Crash("c4")
 		park.StartControl("c4")
 		park.Run(2 * time.Second)
-		if read := serial(park, "c4"); read != acknowledged {
+		if read := configVersion(park, "c4"); read != acknowledged {
 			t.Errorf("seed %d: a diskless daemon with one live seed reads version %d, want %d", seed, read, acknowledged)
 		}
 	})
--- a/fleet/anew_test.go
+++ b/fleet/new_incarnations_test.go
@@ -8,17 +8,17 @@
 	"swifttiller/fleet"
 )
 
-// TestNewLivesAreKnownSoon crashes all replicas of a region and restarts them with new
+// TestNewIncarnationsAreKnownSoon crashes all replicas of a region and restarts them with new
 // incarnations. Every data daemon's routing table must name the new incarnations within 1.7 s of the
 // restart, although the platform's replica list lags by half a second and is polled only once
 // a second when nothing changes.
-func TestNewLivesAreKnownSoon(t *testing.T) {
+func TestNewIncarnationsAreKnownSoon(t *testing.T) {
 	t.Parallel()
 	skipLong(t)
 	worst, sum, count := time.Duration(0), time.Duration(0), 0
 	for seed := uint64(1); seed <= 3; seed++ {
-		cluster := fleet.NewPark(seed, fleet.RoutedShapes["large"].Plan())
-		cluster.Run(warmRouted)
+		cluster := fleet.NewCluster(seed, fleet.RoutedShapes["large"].Plan())
+		cluster.Run(routedWarmupTime)
 		facts := cluster.BeginRouted()
 		for range 3 {
 			each := func(do func(options fleet.EngineOptions)) {
@@ -60,7 +60,7 @@
 		cluster.Quiet = true
 		cluster.Run(6500 * time.Millisecond)
 		violations, _ := fleet.CheckRouted(cluster, facts)
-		show(t, seed, violations)
+		reportViolations(t, seed, violations)
 		cluster.Close()
 	}
 	t.Logf("new incarnations known after %v on average, %v at the worst", sum/time.Duration(count), worst)
--- a/fleet/seen.go
+++ b/fleet/observer.go
@@ -14,32 +14,32 @@
 	"swifttiller/settings"
 )
 
-// Seen records what an outside observer of a simulated cluster notes, for the checkers. Entries are
+// Observations records what an outside observer of a simulated cluster notes, for the checkers. Entries are
 // never removed from its lists.
-type Seen struct {
-	Arrivals []Arrival
-	Told     []Told
-	Locates  []Located
-	Entered  []Entered
-	Adopted  []Adopted
-	// Greeted counts new connections to replicas, on each of which the daemon asks for the
+type Observations struct {
+	Arrivals      []Arrival
+	Outcomes      []AttemptOutcome
+	LocateReplies []LocateReply
+	Entered       []BodyRead
+	Adopted       []Adopted
+	// IdentityChecks counts new connections to replicas, on each of which the daemon asks for the
 	// identity of the replica.
-	Greeted int
-	// Learned holds the time at which the first daemon knew that a replica process is being
+	IdentityChecks int
+	// TerminationLearned holds the time at which the first daemon knew that a replica process is being
 	// terminated, by id/boot.
-	Learned map[string]time.Duration
-	// marked holds the process (boot ID) of each replica that was current when the platform was
+	TerminationLearned map[string]time.Duration
+	// terminatedBoot holds the process (boot ID) of each replica that was current when the platform was
 	// told to terminate the replica.
-	marked map[string]string
-	// Lives lists, in order, the starts of processes, and their resumptions after a freeze that
+	terminatedBoot map[string]string
+	// Starts lists, in order, the starts of processes, and their resumptions after a freeze that
 	// was longer than any lease.
-	Lives []Life
+	Starts []Start
 	// adopted holds each process's latest configuration, by name and incarnation; highestSerial is
 	// the highest document version that any process has used. frozen holds the processes that are
 	// frozen now, with the time at which that began.
 	adopted       map[string]Adopted
 	highestSerial uint64
-	frozen        map[string]Life
+	frozen        map[string]Start
 	// marks caches the hashes of contents, as they are needed at every observation.
 	marks map[string]uint64
 }
@@ -54,21 +54,21 @@
 	Try                   int
 }
 
-// Told is the outcome of one attempt, as the caller got it.
-type Told struct {
+// AttemptOutcome is the outcome of one attempt, as the caller got it.
+type AttemptOutcome struct {
 	Sent, At                          time.Duration
 	ID, Ticket, Daemon, Verdict, Code string
 }
 
-// Located is a reply to a caller that asked which daemons to use.
-type Located struct {
+// LocateReply is a reply to a caller that asked which daemons to use.
+type LocateReply struct {
 	At       time.Duration
 	By, Home string
 	Zones    []string
 }
 
-// Entered is a request whose body a data daemon began to read.
-type Entered struct {
+// BodyRead is a request whose body a data daemon began to read.
+type BodyRead struct {
 	At               time.Duration
 	ID, Daemon, Home string
 }
@@ -83,16 +83,16 @@
 	evacuated    string // the evacuated zones, separated by |
 }
 
-// Life is a process that started, or resumed after a freeze. Least is the highest document version
+// Start is a process that started, or resumed after a freeze. Least is the highest document version
 // that any process had been seen to use by then.
-type Life struct {
-	At     time.Duration
-	Daemon string
-	Least  uint64
+type Start struct {
+	At         time.Duration
+	Daemon     string
+	MinVersion uint64
 }
 
-func newSeen() Seen {
-	return Seen{Learned: map[string]time.Duration{}, marked: map[string]string{}, adopted: map[string]Adopted{}, frozen: map[string]Life{}, marks: map[string]uint64{}}
+func newObservations() Observations {
+	return Observations{TerminationLearned: map[string]time.Duration{}, terminatedBoot: map[string]string{}, adopted: map[string]Adopted{}, frozen: map[string]Start{}, marks: map[string]uint64{}}
 }
 
 // mark returns a hash of the contents of a configuration.
@@ -108,7 +108,7 @@
 }
 
 // mark returns the hash of the contents, and caches it.
-func (seen *Seen) mark(config lease.Config) uint64 {
+func (seen *Observations) mark(config lease.Config) uint64 {
 	key := string(config.Document) + "|" + strings.Join(config.Evacuated, "|")
 	sum, isKnown := seen.marks[key]
 	if !isKnown {
@@ -118,26 +118,26 @@
 	return sum
 }
 
-// learnLeaving records the first time at which a daemon learned that a replica process is being
+// recordTermination records the first time at which a daemon learned that a replica process is being
 // terminated.
-func (park *Park) learnLeaving(id, boot string) {
-	if _, known := park.Learned[id+"/"+boot]; !known {
-		park.Learned[id+"/"+boot] = park.Now()
+func (park *Cluster) recordTermination(id, boot string) {
+	if _, known := park.TerminationLearned[id+"/"+boot]; !known {
+		park.TerminationLearned[id+"/"+boot] = park.Now()
 	}
 }
 
-// LeaveByPlatform marks a replica as leaving in the platform's list only; the replica itself does not
+// MarkLeavingInList marks a replica as leaving in the platform's list only; the replica itself does not
 // know of it.
-func (park *Park) LeaveByPlatform(id string) {
-	park.marked[id] = park.Replicas[id].Boot
+func (park *Cluster) MarkLeavingInList(id string) {
+	park.terminatedBoot[id] = park.Replicas[id].Boot
 	park.Platform.Leave(id)
 }
 
 // observeInterval is how often the observer reads the configurations of the processes.
 const observeInterval = 10 * time.Millisecond
 
-// watch records changes of every process's configuration from now on, every observeInterval.
-func (park *Park) watch() {
+// startObserver records changes of every process's configuration from now on, every observeInterval.
+func (park *Cluster) startObserver() {
 	park.At(observeInterval, func() {
 		var names []string
 		for name := range park.Controls {
@@ -150,13 +150,13 @@
 		for _, name := range names {
 			park.observe(name)
 		}
-		park.watch()
+		park.startObserver()
 	})
 }
 
 // observe records the process's configuration if it has changed, and its resumption if it was frozen
 // longer than a lease.
-func (park *Park) observe(name string) {
+func (park *Cluster) observe(name string) {
 	node := park.Node(name)
 	if !node.Up() {
 		return
@@ -183,14 +183,14 @@
 		if !known {
 			freeze.At = park.Now()
 		}
-		freeze.Least = park.highestSerial
+		freeze.MinVersion = park.highestSerial
 		park.frozen[name] = freeze
 		return
 	}
 	if freeze, wasFrozen := park.frozen[name]; wasFrozen {
 		delete(park.frozen, name)
 		if park.Now()-freeze.At > 3*time.Second {
-			park.Lives = append(park.Lives, Life{park.Now(), name, freeze.Least})
+			park.Starts = append(park.Starts, Start{park.Now(), name, freeze.MinVersion})
 		}
 	}
 	key := name + "#" + life
@@ -208,8 +208,8 @@
 	park.highestSerial = max(park.highestSerial, serial)
 }
 
-// born records the start of a process.
-func (park *Park) born(name string) {
+// recordStart records the start of a process.
+func (park *Cluster) recordStart(name string) {
 	delete(park.frozen, name)
-	park.Lives = append(park.Lives, Life{park.Now(), name, park.highestSerial})
+	park.Starts = append(park.Starts, Start{park.Now(), name, park.highestSerial})
 }
--- a/fleet/oneway_test.go
+++ b/fleet/oneway_test.go
@@ -11,7 +11,7 @@
 
 // olderThan describes a data daemon that serves under an older version of the configuration than the
 // given one; it returns "" if none does.
-func olderThan(cluster *fleet.Park, version uint64) string {
+func olderThan(cluster *fleet.Cluster, version uint64) string {
 	for name, daemon := range cluster.Datas {
 		node := cluster.Node(name)
 		if !node.Up() {
@@ -26,7 +26,7 @@
 
 // towards delays or cuts the network paths from all control daemons to the data daemon, but not the
 // paths back.
-func towards(cluster *fleet.Park, data string, delay time.Duration, isCut bool) {
+func towards(cluster *fleet.Cluster, data string, delay time.Duration, isCut bool) {
 	for _, control := range []string{"c1", "c2", "c3"} {
 		cluster.Delay(control, data, delay)
 		cluster.Cut(control, data, isCut)
@@ -47,9 +47,9 @@
 	for seed := uint64(1); seed <= last; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			cluster := fleet.NewPark(seed, shape.Plan())
+			cluster := fleet.NewCluster(seed, shape.Plan())
 			defer cluster.Close()
-			cluster.Run(warmRouted)
+			cluster.Run(routedWarmupTime)
 			acknowledged := 0
 			for round := range 8 {
 				data := fmt.Sprintf("d-%s-1", shape.Regions[round%3])
@@ -58,7 +58,7 @@
 				towards(cluster, data, length/2-50*time.Millisecond, true)
 				document := []byte(shape.Document(shape.Routes()))
 				if round%2 == 0 {
-					document = []byte(shape.Document(fleet.RouteWords{"check": shape.Routes()["check"]}))
+					document = []byte(shape.Document(fleet.RouteTexts{"check": shape.Routes()["check"]}))
 				}
 				version := uint64(0)
 				err := cluster.Do("c2", 5*time.Second, func(daemon *controlplane.Daemon) error {
--- a/fleet/operators_test.go
+++ b/fleet/operators_test.go
@@ -22,7 +22,7 @@
 // gets a definite answer; most answers are lost.
 type simulatedOperator struct {
 	name    string
-	cluster *fleet.Park
+	cluster *fleet.Cluster
 	turn    int // index of the daemon for the next attempt
 	next    func(operator *simulatedOperator) *simulatedOrder
 	order   *simulatedOrder
@@ -108,7 +108,7 @@
 	_, config, _ := cluster.Controls[at].Issuer.Current()
 	base := config.Label()
 	order := &simulatedOrder{label: base + 1 + uint64(cluster.Draw(2)), base: base, mark: fmt.Sprint(operator.name, len(operator.ended))}
-	document := labelled(cluster, order.label, order.mark)
+	document := withLabel(cluster, order.label, order.mark)
 	order.call = func(daemon *controlplane.Daemon) error {
 		_, err := daemon.Replace(document, base)
 		return err
@@ -128,15 +128,15 @@
 }
 
 // disturb injects one fault into the control daemons that a core of three must survive.
-func disturb(cluster *fleet.Park, turn int) {
+func disturb(cluster *fleet.Cluster, turn int) {
 	name := orderDaemons[int(cluster.Draw(3))]
 	switch turn % 5 {
 	case 0:
 		cluster.Freeze(name, 500*time.Millisecond+time.Duration(cluster.Draw(int64(2*time.Second))))
 	case 1:
-		cluster.Return(cluster.Lose(orderDaemons)) // a power cut
+		cluster.RestartAll(cluster.CrashAll(orderDaemons)) // a power cut
 	case 2:
-		rest := others(cluster, name)
+		rest := otherNodes(cluster, name)
 		cluster.Split([]string{name}, rest, true)
 		cluster.At(1500*time.Millisecond, func() { cluster.Split([]string{name}, rest, false) })
 	case 3:
@@ -158,13 +158,13 @@
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		plan := fleet.Sahayogi()
 		plan.First, plan.Callers = true, nil
-		cluster := fleet.NewBarePark(seed, plan)
+		cluster := fleet.NewBareCluster(seed, plan)
 		defer cluster.Close()
 		if !cluster.Until(8*time.Second, func() bool { return len(core(cluster).Members) == 3 }) {
 			t.Fatal("no core")
 		}
 		cluster.Plan.First = false
-		if _, err := replace(cluster, "c1", labelled(cluster, 1, "first"), 0); err != nil {
+		if _, err := replace(cluster, "c1", withLabel(cluster, 1, "first"), 0); err != nil {
 			t.Fatal(err)
 		}
 		var operators []*simulatedOperator
@@ -212,7 +212,7 @@
 		if label < newest {
 			t.Errorf("order: label %d was acknowledged, but the current one is %d", newest, label)
 		}
-		once(t, cluster)
+		checkOneContentPerVersion(t, cluster)
 	})
 	t.Cleanup(func() {
 		if t.Logf("%d acknowledged, %d rejected", acknowledged.Load(), refused.Load()); acknowledged.Load() < 50 || refused.Load() < 10 {
@@ -222,7 +222,7 @@
 }
 
 // newestOf returns the configuration's label from the first daemon that reaches a majority.
-func newestOf(t *testing.T, cluster *fleet.Park) (label uint64, err error) {
+func newestOf(t *testing.T, cluster *fleet.Cluster) (label uint64, err error) {
 	t.Helper()
 	err = errors.New("no daemon reached a majority")
 	for _, at := range orderDaemons {
--- a/fleet/order_test.go
+++ b/fleet/order_test.go
@@ -27,11 +27,11 @@
 
 // operatorCalls returns one valid request of each operator call. The document in it replaces
 // the configuration with the given label.
-func operatorCalls(cluster *fleet.Park, label uint64) []operatorCall {
+func operatorCalls(cluster *fleet.Cluster, label uint64) []operatorCall {
 	zone := cluster.Zone(cluster.Plan.Replicas[0].ID)
 	return []operatorCall{
 		{"replace", func(daemon *controlplane.Daemon) error {
-			_, err := daemon.Replace(labelled(cluster, label+1, "minority"), label)
+			_, err := daemon.Replace(withLabel(cluster, label+1, "minority"), label)
 			return err
 		}},
 		{"evacuate", func(daemon *controlplane.Daemon) error { _, err := daemon.Evacuate(zone, false); return err }},
@@ -50,10 +50,10 @@
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		plan := openPlan("sahayogi")
 		plan.Callers = nil
-		cluster := fleet.NewPark(seed, plan)
+		cluster := fleet.NewCluster(seed, plan)
 		defer cluster.Close()
 		cluster.Run(4 * time.Second)
-		if _, err := replace(cluster, "c2", labelled(cluster, 1, "a"), 0); err != nil {
+		if _, err := replace(cluster, "c2", withLabel(cluster, 1, "a"), 0); err != nil {
 			t.Fatal(err)
 		}
 		cutAt := cluster.Now()
@@ -83,7 +83,7 @@
 		}
 		// The majority changes the configuration during the partition. After it heals, the daemon
 		// must return the new configuration only.
-		if _, err := replace(cluster, "c3", labelled(cluster, 5, "b"), 1); err != nil {
+		if _, err := replace(cluster, "c3", withLabel(cluster, 5, "b"), 1); err != nil {
 			t.Fatal("replace at the majority:", err)
 		}
 		cluster.Split([]string{"c1"}, []string{"c2", "c3"}, false)
@@ -97,7 +97,7 @@
 				t.Errorf("after the partition: the daemon returns configuration %d", label)
 			}
 		}
-		if label, _ := newest(t, cluster, "c1"); label != 5 {
+		if label, _ := currentConfig(t, cluster, "c1"); label != 5 {
 			t.Errorf("long after the partition: the daemon returns configuration %d", label)
 		}
 	})
@@ -111,7 +111,7 @@
 	var frozenFirst atomic.Int64 // runs in which the freeze came before the order was written
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		for step := 0; step < 8; step++ {
-			cluster := ordering(seed)
+			cluster := faultlessFleet(seed)
 			cluster.Run(4 * time.Second)
 			zone := cluster.Zone(cluster.Plan.Replicas[0].ID)
 			evacuate := func(at string, back bool) error {
@@ -141,7 +141,7 @@
 			if late != nil {
 				frozenFirst.Add(1)
 			}
-			if _, config := newest(t, cluster, "c3"); len(config.Evacuated) > 0 {
+			if _, config := currentConfig(t, cluster, "c3"); len(config.Evacuated) > 0 {
 				t.Errorf("order: step %d: the zone is still evacuated though handing it back was acknowledged last (frozen daemon's order: %v)", step, late)
 			}
 			cluster.Close()
@@ -161,7 +161,7 @@
 	t.Parallel()
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		for step := range 6 {
-			cluster := ordering(seed)
+			cluster := faultlessFleet(seed)
 			cluster.Run(4 * time.Second)
 			zone := cluster.Zone(cluster.Plan.Replicas[0].ID)
 			evacuate := func(at string, back bool) error {
@@ -192,7 +192,7 @@
 			if !isOver || !errors.Is(late, controlplane.ErrAbandoned) {
 				t.Errorf("order: step %d: the unread order: returned %v, error %v", step, isOver, late)
 			}
-			if _, config := newest(t, cluster, "c3"); len(config.Evacuated) > 0 {
+			if _, config := currentConfig(t, cluster, "c3"); len(config.Evacuated) > 0 {
 				t.Errorf("order: step %d: the zone is still evacuated though handing it back was acknowledged last (frozen daemon's order: %v)", step, late)
 			}
 			if err := evacuate("c1", false); err != nil {
@@ -207,18 +207,18 @@
 // says so, if its caller closes the connection before the order is written.
 func TestNothingIsWrittenForACallerThatLeft(t *testing.T) {
 	t.Parallel()
-	cluster := fleet.NewPark(3, func() fleet.Plan { plan := openPlan("sahayogi"); plan.Callers = nil; return plan }())
+	cluster := fleet.NewCluster(3, func() fleet.Plan { plan := openPlan("sahayogi"); plan.Callers = nil; return plan }())
 	defer cluster.Close()
 	cluster.Run(4 * time.Second)
 	gone := controlplane.Caller{IsGone: func() bool { return true }}
 	zone := cluster.Zone(cluster.Plan.Replicas[0].ID)
 	for name, order := range map[string]func(daemon *controlplane.Daemon) error{
 		"replace": func(daemon *controlplane.Daemon) error {
-			_, err := daemon.OperatorFor(gone).Replace(labelled(cluster, 3, "a"), 0)
+			_, err := daemon.OperatorFor(gone).Replace(withLabel(cluster, 3, "a"), 0)
 			return err
 		},
 		"apply": func(daemon *controlplane.Daemon) error {
-			_, err := daemon.OperatorFor(gone).Apply(labelled(cluster, 3, "a"), nil, false)
+			_, err := daemon.OperatorFor(gone).Apply(withLabel(cluster, 3, "a"), nil, false)
 			return err
 		},
 		"evacuate": func(daemon *controlplane.Daemon) error {
@@ -244,10 +244,10 @@
 		t.Error("order: an order executed too late:", err)
 	}
 	cluster.Run(3 * time.Second)
-	if label, config := newest(t, cluster, "c2"); label != 0 || len(config.Evacuated) > 0 {
+	if label, config := currentConfig(t, cluster, "c2"); label != 0 || len(config.Evacuated) > 0 {
 		t.Errorf("order: current label is %d, evacuated zones %v", label, config.Evacuated)
 	}
-	if state := stands(cluster); state.State != "" {
+	if state := rolloutState(cluster); state.State != "" {
 		t.Errorf("order: a rollout is running: %+v", state)
 	}
 }
@@ -260,11 +260,11 @@
 	t.Parallel()
 	skipLong(t)
 	const changes = 400
-	cluster := ordering(21)
+	cluster := faultlessFleet(21)
 	defer cluster.Close()
 	controls := []string{"c1", "c2", "c3"}
 	for label := uint64(1); label <= changes; label++ {
-		if _, err := replace(cluster, controls[label%3], labelled(cluster, label, "a"), label-1); err != nil {
+		if _, err := replace(cluster, controls[label%3], withLabel(cluster, label, "a"), label-1); err != nil {
 			t.Fatalf("change %d: %v", label, err)
 		}
 		if label == changes/2 {
@@ -274,7 +274,7 @@
 			cluster.Run(3 * time.Second)
 		}
 	}
-	_, config := newest(t, cluster, "c1")
+	_, config := currentConfig(t, cluster, "c1")
 	if len(config.Taken) > lease.MaxMarks+lease.MaxMarks/2 {
 		t.Errorf("the configuration record itself lists %d orders", len(config.Taken))
 	}
@@ -282,33 +282,33 @@
 	cluster.Run(time.Second)
 	cluster.StartControl("c2")
 	// It has no configuration yet and must read it from its peers.
-	if _, err := replace(cluster, "c2", labelled(cluster, changes, "a"), changes-1); err != nil && controlplane.OperatorError(err).Status < 500 {
+	if _, err := replace(cluster, "c2", withLabel(cluster, changes, "a"), changes-1); err != nil && controlplane.OperatorError(err).Status < 500 {
 		t.Error("order: a repeat at a daemon that has just started:", err)
 	}
 	cluster.Run(3 * time.Second)
 	for _, label := range []uint64{1, 2, 31, 32, 33, 64, 65, 200, changes - 100, changes - 65, changes - 1, changes} {
 		for _, at := range controls {
-			if _, err := replace(cluster, at, labelled(cluster, label, "a"), label-1); err != nil {
+			if _, err := replace(cluster, at, withLabel(cluster, label, "a"), label-1); err != nil {
 				t.Errorf("order: %s: repeat of change %d: %v", at, label, err)
 			}
-			if _, err := replace(cluster, at, labelled(cluster, label, "lost"), label-1); label < changes && !isOutdated(err, changes, label-1) {
+			if _, err := replace(cluster, at, withLabel(cluster, label, "lost"), label-1); label < changes && !isOutdated(err, changes, label-1) {
 				t.Errorf("order: %s: conflicting document with label %d got: %v", at, label, err)
 			}
 		}
 	}
-	if label, again := newest(t, cluster, "c3"); label != changes || !slices.Equal(again.Taken, config.Taken) {
+	if label, again := currentConfig(t, cluster, "c3"); label != changes || !slices.Equal(again.Taken, config.Taken) {
 		t.Errorf("repeats changed the configuration: current label is %d", label)
 	}
-	once(t, cluster)
+	checkOneContentPerVersion(t, cluster)
 }
 
 // TestHistorySaysWhatItForgot checks that a repeat of an order older than the kept history gets
 // a 503, which leaves the outcome open: no daemon knows any more whether it was applied.
 func TestHistorySaysWhatItForgot(t *testing.T) {
 	t.Parallel()
-	cluster := ordering(22)
+	cluster := faultlessFleet(22)
 	defer cluster.Close()
-	if _, err := replace(cluster, "c1", labelled(cluster, 90000, "a"), 0); err != nil {
+	if _, err := replace(cluster, "c1", withLabel(cluster, 90000, "a"), 0); err != nil {
 		t.Fatal(err)
 	}
 	// Writes the registers as they are after so many orders that the first history pages were
@@ -330,7 +330,7 @@
 		t.Fatal(err)
 	}
 	for label, want := range map[uint64]int{102: 503, 103: 409, 200: 409} {
-		_, err := replace(cluster, "c2", labelled(cluster, label, "b"), label-1)
+		_, err := replace(cluster, "c2", withLabel(cluster, label, "b"), label-1)
 		if got := controlplane.OperatorError(err).Status; got != want {
 			t.Errorf("order: label %d got status %d (%v), want %d", label, got, err, want)
 		}
--- a/fleet/grey_test.go
+++ b/fleet/partial_failure_test.go
@@ -17,7 +17,7 @@
 
 // measurePartialFailure makes a quarter of the engines partly faulty for a while and returns the
 // share of the requests made meanwhile that succeeded, over all seeds.
-func measurePartialFailure(t *testing.T, change func(cluster *fleet.Park, engine *fleet.Engine, isFaulty bool)) float64 {
+func measurePartialFailure(t *testing.T, change func(cluster *fleet.Cluster, engine *fleet.Engine, isFaulty bool)) float64 {
 	t.Helper()
 	answered, asked := 0, 0
 	for seed := uint64(1); seed <= partialFailureSeeds; seed++ {
@@ -28,11 +28,11 @@
 	return float64(answered) / float64(max(1, asked))
 }
 
-func measurePartialFailureOnce(t *testing.T, seed uint64, change func(cluster *fleet.Park, engine *fleet.Engine, isFaulty bool)) (answered, asked int) {
+func measurePartialFailureOnce(t *testing.T, seed uint64, change func(cluster *fleet.Cluster, engine *fleet.Engine, isFaulty bool)) (answered, asked int) {
 	t.Helper()
-	cluster := fleet.NewPark(seed, fleet.RoutedShapes["large"].Plan())
+	cluster := fleet.NewCluster(seed, fleet.RoutedShapes["large"].Plan())
 	defer cluster.Close()
-	cluster.Run(warmRouted)
+	cluster.Run(routedWarmupTime)
 	facts := cluster.BeginRouted()
 	index, until := 0, cluster.Now()+20*time.Second
 	for _, options := range cluster.Plan.Engines {
@@ -42,13 +42,13 @@
 	cluster.Run(until - cluster.Now())
 	answered, asked = fleet.RoutedRate(cluster, facts.From, until-3*time.Second)
 	for _, options := range cluster.Plan.Engines {
-		cluster.Engines[options.Name].Grey, cluster.Engines[options.Name].SaysIll = fleet.Grey{}, false
+		cluster.Engines[options.Name].Grey, cluster.Engines[options.Name].ReportsUnhealthy = fleet.GrayFailure{}, false
 	}
 	cluster.Run(4 * time.Second)
 	cluster.Quiet = true
 	cluster.Run(6500 * time.Millisecond)
 	violations, _ := fleet.CheckRouted(cluster, facts)
-	show(t, seed, violations)
+	reportViolations(t, seed, violations)
 	return answered, asked
 }
 
@@ -58,23 +58,23 @@
 	t.Parallel()
 	for _, scenario := range []struct {
 		name string
-		grey fleet.Grey
+		grey fleet.GrayFailure
 		slow float64
 		// least is the share of requests that must succeed.
 		least float64
 	}{
-		{"errors", fleet.Grey{How: "errors", Share: 0.4}, 0, 0.967},
-		{"all errors", fleet.Grey{How: "errors", Share: 1}, 0, 0.96},
-		{"shed", fleet.Grey{How: "shed", Share: 0.8}, 0, 0.993},
-		{"reset", fleet.Grey{How: "reset", Share: 0.4}, 0, 0.967},
-		{"hang", fleet.Grey{How: "hang", Share: 0.3}, 0, 0.97},
-		{"mute", fleet.Grey{How: "mute", Share: 0.3}, 0, 0.97},
-		{"for one zone", fleet.Grey{How: "errors", Share: 0.8, Zone: "east-1"}, 0, 0.985},
-		{"slow", fleet.Grey{}, 8, 0.974},
+		{"errors", fleet.GrayFailure{How: "errors", Share: 0.4}, 0, 0.967},
+		{"all errors", fleet.GrayFailure{How: "errors", Share: 1}, 0, 0.96},
+		{"shed", fleet.GrayFailure{How: "shed", Share: 0.8}, 0, 0.993},
+		{"reset", fleet.GrayFailure{How: "reset", Share: 0.4}, 0, 0.967},
+		{"hang", fleet.GrayFailure{How: "hang", Share: 0.3}, 0, 0.97},
+		{"mute", fleet.GrayFailure{How: "mute", Share: 0.3}, 0, 0.97},
+		{"for one zone", fleet.GrayFailure{How: "errors", Share: 0.8, Zone: "east-1"}, 0, 0.985},
+		{"slow", fleet.GrayFailure{}, 8, 0.974},
 	} {
 		t.Run(scenario.name, func(t *testing.T) {
 			t.Parallel()
-			share := measurePartialFailure(t, func(_ *fleet.Park, engine *fleet.Engine, isFaulty bool) {
+			share := measurePartialFailure(t, func(_ *fleet.Cluster, engine *fleet.Engine, isFaulty bool) {
 				if isFaulty {
 					engine.Grey = scenario.grey
 					if scenario.slow > 0 {
@@ -94,8 +94,8 @@
 // TestPartlyFailing.
 func TestFalseProbes(t *testing.T) {
 	t.Parallel()
-	share := measurePartialFailure(t, func(cluster *fleet.Park, engine *fleet.Engine, _ bool) {
-		engine.SaysIll = fleet.Region(engine.Zone) == cluster.Shape.Regions[0]
+	share := measurePartialFailure(t, func(cluster *fleet.Cluster, engine *fleet.Engine, _ bool) {
+		engine.ReportsUnhealthy = fleet.Region(engine.Zone) == cluster.Shape.Regions[0]
 	})
 	if share < 1 {
 		t.Errorf("only a share of %.3f of the requests succeeded", share)
@@ -104,7 +104,7 @@
 
 // busiest returns up to count engines that got the most requests since the given time, the
 // busiest first.
-func busiest(cluster *fleet.Park, since time.Duration, count int) (names []string) {
+func busiest(cluster *fleet.Cluster, since time.Duration, count int) (names []string) {
 	runs := map[string]int{}
 	for _, run := range cluster.Runs {
 		if run.At > since {
@@ -122,9 +122,9 @@
 // tokens were mostly late then may be taken out of use when it reports that it is unhealthy.
 const startupWindow = 12 * time.Second
 
-// TestProbesWordIsNotEnough verifies that busy engines that report that they are unhealthy but
+// TestHealthChecksAloneDoNotRemove verifies that busy engines that report that they are unhealthy but
 // serve well still get requests.
-func TestProbesWordIsNotEnough(t *testing.T) {
+func TestHealthChecksAloneDoNotRemove(t *testing.T) {
 	t.Parallel()
 	last := uint64(8)
 	if testing.Short() {
@@ -133,12 +133,12 @@
 	for seed := uint64(1); seed <= last; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			cluster := fleet.NewPark(seed, fleet.RoutedShapes["large"].Plan())
+			cluster := fleet.NewCluster(seed, fleet.RoutedShapes["large"].Plan())
 			defer cluster.Close()
-			cluster.Run(warmRouted + startupWindow)
+			cluster.Run(routedWarmupTime + startupWindow)
 			unhealthy := busiest(cluster, 0, 5)
 			for _, name := range unhealthy {
-				cluster.Engines[name].SaysIll = true
+				cluster.Engines[name].ReportsUnhealthy = true
 			}
 			cluster.Run(8 * time.Second)
 			from := cluster.Now()
@@ -153,7 +153,7 @@
 	}
 }
 
-func others(cluster *fleet.Park, name string) []string {
+func otherNodes(cluster *fleet.Cluster, name string) []string {
 	return slices.DeleteFunc(slices.Clone(cluster.NodeNames()), func(other string) bool { return other == name })
 }
 
@@ -161,18 +161,18 @@
 // requests must succeed, and the engines must be used again once they stay reachable.
 func TestFlapping(t *testing.T) {
 	t.Parallel()
-	cluster := fleet.NewPark(1, fleet.RoutedShapes["large"].Plan())
+	cluster := fleet.NewCluster(1, fleet.RoutedShapes["large"].Plan())
 	defer cluster.Close()
-	cluster.Run(warmRouted)
+	cluster.Run(routedWarmupTime)
 	facts := cluster.BeginRouted()
 	names := busiest(cluster, 0, 2)
 	for range 5 {
 		for _, name := range names {
-			cluster.Split([]string{name}, others(cluster, name), true)
+			cluster.Split([]string{name}, otherNodes(cluster, name), true)
 		}
 		cluster.Run(1200 * time.Millisecond)
 		for _, name := range names {
-			cluster.Split([]string{name}, others(cluster, name), false)
+			cluster.Split([]string{name}, otherNodes(cluster, name), false)
 		}
 		cluster.Run(1200 * time.Millisecond)
 	}
--- a/fleet/way_test.go
+++ b/fleet/partition_test.go
@@ -15,9 +15,9 @@
 	lost, rejected, requests, inTime := 0, 0, 0, 0
 	for seed := uint64(1); seed <= 2; seed++ {
 		shape := fleet.GrownShape
-		shape.Busy = 1.6
-		park := fleet.NewPark(seed, shape.Plan())
-		park.Run(warmRouted)
+		shape.LoadFactor = 1.6
+		park := fleet.NewCluster(seed, shape.Plan())
+		park.Run(routedWarmupTime)
 		facts := park.BeginRouted()
 		var inside, outside []string
 		for _, name := range park.NodeNames() {
@@ -51,7 +51,7 @@
 		park.Quiet = true
 		park.Run(6500 * time.Millisecond)
 		broken, _ := fleet.CheckRouted(park, facts)
-		show(t, seed, broken)
+		reportViolations(t, seed, broken)
 		park.Close()
 	}
 	t.Logf("of %d requests, %d in time, %d lost, %d rejected", requests, inTime, lost, rejected)
--- a/fleet/peerreport_test.go
+++ b/fleet/peerreport_test.go
@@ -10,15 +10,15 @@
 )
 
 // manyDaemons is a deployment whose first region has more data daemons than engines.
-var manyDaemons = fleet.RoutedShape{Regions: []string{"north", "south"}, Engines: []int{10, 4}, Datas: []int{16, 2}, Busy: 8, Reports: true}
+var manyDaemons = fleet.RoutedShape{Regions: []string{"north", "south"}, Engines: []int{10, 4}, Datas: []int{16, 2}, LoadFactor: 8, Reports: true}
 
 // lostAt returns how many requests are lost in the 10 s after two engines of the first region begin
 // to fail all requests, and how many were made. With areCutOff, data daemons can't reach each other.
 func lostAt(t *testing.T, seed uint64, areCutOff bool) (lost, asked int) {
 	t.Helper()
-	cluster := fleet.NewPark(seed, manyDaemons.Plan())
+	cluster := fleet.NewCluster(seed, manyDaemons.Plan())
 	defer cluster.Close()
-	cluster.Run(warmRouted)
+	cluster.Run(routedWarmupTime)
 	if areCutOff {
 		names := slices.Sorted(maps.Keys(cluster.Datas))
 		for _, name := range names {
@@ -28,7 +28,7 @@
 		}
 	}
 	for _, name := range []string{"e-north-3", "e-north-7"} {
-		cluster.Engines[name].Grey = fleet.Grey{How: "errors", Share: 1}
+		cluster.Engines[name].Grey = fleet.GrayFailure{How: "errors", Share: 1}
 	}
 	from := cluster.Now()
 	cluster.Run(14 * time.Second)
--- a/fleet/placement_test.go
+++ b/fleet/placement_test.go
@@ -18,7 +18,7 @@
 	if testing.Short() {
 		t.Skip("a long simulation with one task at a time, of little use under the race detector")
 	}
-	plan := quick()
+	plan := quickPlan()
 	plan.Document = strings.NewReplacer(
 		`"homes":{`, `"homes":{"eastern":["east"],`,
 		`"zones":{"east-1":{}}`, `"zones":{"east-1":{"placements":{"roster":{"capacity":4}}},"east-2":{"placements":{"tutor":{"version":"t1","capacity":6,"home":"eastern"}}}}`,
@@ -30,12 +30,12 @@
 		}
 	}
 	plan.Datas = append(plan.Datas, "d7:east-2")
-	tutor := fleet.Crowd{Name: "tutor", Model: "tutor", Zone: "west-1", Kind: "lesson", Every: 150 * time.Millisecond, Bytes: 400, Tokens: 64, Rosters: 5, Retries: 4}
+	tutor := fleet.CallerGroup{Name: "tutor", Model: "tutor", Zone: "west-1", Kind: "lesson", Every: 150 * time.Millisecond, Bytes: 400, Tokens: 64, PromptGroups: 5, Retries: 4}
 	plan.Callers = append(plan.Callers, tutor)
-	park := fleet.NewPark(4, plan)
+	park := fleet.NewCluster(4, plan)
 	defer park.Close()
-	park.Run(warm)
-	facts := begun(park, true)
+	park.Run(warmupTime)
+	facts := factsSinceWarm(park, true)
 	park.Must("c2", func(daemon *controlplane.Daemon) error {
 		runs, err := daemon.Handover("lessons", "tutor", "t2", nil)
 		if err == nil && (len(runs) != 1 || runs["east"].ID == "") {
@@ -84,5 +84,5 @@
 			t.Errorf("%s had a load of %d units; its zone's capacity is 4", name, replica.Peak)
 		}
 	}
-	clean(t, park, facts)
+	checkRules(t, park, facts)
 }
--- a/fleet/plans.go
+++ b/fleet/plans.go
@@ -21,7 +21,7 @@
 // with a small stream of notices.
 func Sahayogi() Plan {
 	plan := Plan{
-		Model: "roster", Lag: 700 * time.Millisecond, Least: 300 * time.Millisecond, Grace: 5 * time.Second,
+		Model: "roster", Lag: 700 * time.Millisecond, MinListInterval: 300 * time.Millisecond, Grace: 5 * time.Second,
 		Controls: []string{"c1:east-1", "c2:middle-1", "c3:west-1"}, Diskless: []string{"c4:east-1"},
 		Datas: []string{"d1:east-1", "d2:east-1", "d3:middle-1", "d4:middle-1", "d5:west-1", "d6:west-1"},
 		Document: `{"whole":{"placements":{"roster":{"version":"v1","capacity":8}},"homes":{"hills":["east","middle"]},
@@ -40,8 +40,8 @@
 		}
 		plan.Replicas = append(plan.Replicas, replicaOptions(region.zone, region.count, "roster/v1", true)...)
 		plan.Callers = append(plan.Callers,
-			Crowd{Name: "check-" + region.zone, Zone: region.zone, Kind: "check", Every: 1000 * time.Millisecond / time.Duration(5*region.count), Bytes: 6000, Tokens: 16, Rosters: 6, Lanes: 6, Retries: 4},
-			Crowd{Name: "notice-" + region.zone, Zone: region.zone, Kind: "notice", Home: home, Every: 700 * time.Millisecond, Bytes: 300, Tokens: 256, Rosters: 40, Lanes: 4, Retries: 4})
+			CallerGroup{Name: "check-" + region.zone, Zone: region.zone, Kind: "check", Every: 1000 * time.Millisecond / time.Duration(5*region.count), Bytes: 6000, Tokens: 16, PromptGroups: 6, Lanes: 6, Retries: 4},
+			CallerGroup{Name: "notice-" + region.zone, Zone: region.zone, Kind: "notice", Home: home, Every: 700 * time.Millisecond, Bytes: 300, Tokens: 256, PromptGroups: 40, Lanes: 4, Retries: 4})
 	}
 	return plan
 }
@@ -50,7 +50,7 @@
 // that do not report their load. Some of the traffic is bound to two home regions.
 func Sklepik() Plan {
 	plan := Plan{
-		Model: "shop", Lag: 1200 * time.Millisecond, Least: 500 * time.Millisecond, Grace: 4 * time.Second,
+		Model: "shop", Lag: 1200 * time.Millisecond, MinListInterval: 500 * time.Millisecond, Grace: 4 * time.Second,
 		Controls: []string{"c1:north-1", "c2:south-1", "c3:sea-1"}, Diskless: []string{"c4:north-1", "c5:south-1"},
 		Datas: []string{"d1:north-1", "d2:north-1", "d3:north-1", "d4:south-1", "d5:south-1", "d6:sea-1", "d7:sea-1"},
 		Document: `{"whole":{"placements":{"shop":{"version":"v1","capacity":8}},"homes":{"inland":["north","south"]},
@@ -69,8 +69,8 @@
 			home = "inland"
 		}
 		plan.Callers = append(plan.Callers,
-			Crowd{Name: "offer-" + region.zone, Zone: region.zone, Kind: "offer", Home: home, Every: 1000 * time.Millisecond / time.Duration(4*region.count), Bytes: 5000, Tokens: 16, Rosters: 4, Lanes: 4, Retries: 4},
-			Crowd{Name: "chat-" + region.zone, Zone: region.zone, Kind: "chat", Every: 900 * time.Millisecond, Bytes: 400, Tokens: 200, Rosters: 30, Lanes: 3, Retries: 4})
+			CallerGroup{Name: "offer-" + region.zone, Zone: region.zone, Kind: "offer", Home: home, Every: 1000 * time.Millisecond / time.Duration(4*region.count), Bytes: 5000, Tokens: 16, PromptGroups: 4, Lanes: 4, Retries: 4},
+			CallerGroup{Name: "chat-" + region.zone, Zone: region.zone, Kind: "chat", Every: 900 * time.Millisecond, Bytes: 400, Tokens: 200, PromptGroups: 30, Lanes: 3, Retries: 4})
 	}
 	return plan
 }
--- a/fleet/points_test.go
+++ b/fleet/points_test.go
@@ -18,44 +18,44 @@
 // numbered. It records its outcome in the facts, if that must hold even with one fault.
 type step struct {
 	name string
-	run  func(park *fleet.Park, facts *fleet.Facts)
+	run  func(park *fleet.Cluster, facts *fleet.Facts)
 }
 
 var steps = []step{
-	{"apply", func(park *fleet.Park, facts *fleet.Facts) { _ = park.Apply(facts, "c1") }},
-	{"evacuate and hand back", func(park *fleet.Park, facts *fleet.Facts) {
+	{"apply", func(park *fleet.Cluster, facts *fleet.Facts) { _ = park.Apply(facts, "c1") }},
+	{"evacuate and hand back", func(park *fleet.Cluster, facts *fleet.Facts) {
 		_ = park.Evacuate(facts, "west-1", false)
 		park.Run(time.Second)
 		_ = park.Evacuate(facts, "west-1", true)
 	}},
-	{"core change", func(park *fleet.Park, _ *fleet.Facts) {
+	{"core change", func(park *fleet.Cluster, _ *fleet.Facts) {
 		park.Crash("c3")
 		park.Node("c3").Disk.Wipe()
 		park.StartControl("c3")
 		park.Run(2 * time.Second)
-		_ = park.Readd("c3")
+		_ = park.RejoinCore("c3")
 	}},
-	{"handover", func(park *fleet.Park, _ *fleet.Facts) {
+	{"handover", func(park *fleet.Cluster, _ *fleet.Facts) {
 		_ = park.Do("c1", 5*time.Second, func(daemon *controlplane.Daemon) error {
 			_, err := daemon.Handover("h1", park.Model, "v2", []string{"east"})
 			return err
 		})
 		park.Run(16 * time.Second)
 	}},
-	{"rollback", func(park *fleet.Park, _ *fleet.Facts) {
+	{"rollback", func(park *fleet.Cluster, _ *fleet.Facts) {
 		_ = park.Do("c1", 5*time.Second, func(daemon *controlplane.Daemon) error {
 			_, err := daemon.Objects.Rollback(park.Model, nil, time.Minute)
 			return err
 		})
 	}},
-	{"duty change", func(park *fleet.Park, _ *fleet.Facts) {
-		if leader := park.Holder("east"); leader != "" {
+	{"duty change", func(park *fleet.Cluster, _ *fleet.Facts) {
+		if leader := park.RegionLeader("east"); leader != "" {
 			park.StopControl(leader)
 			park.Run(5 * time.Second)
 			park.StartControl(leader)
 		}
 	}},
-	{"planned stop", func(park *fleet.Park, _ *fleet.Facts) {
+	{"planned stop", func(park *fleet.Cluster, _ *fleet.Facts) {
 		park.StopData("d1")
 		park.StartData("d1")
 	}},
@@ -77,13 +77,13 @@
 // pointed runs a step with one fault at the numbered point, or without one if point is 0. It
 // returns the number of points that the step has.
 func pointed(t *testing.T, operation step, fate sim.Fate, point int) (total int) {
-	park := fleet.NewPark(5, quick())
+	park := fleet.NewCluster(5, quickPlan())
 	defer park.Close()
 	park.Run(10 * time.Second)
 	if operation.name == "rollback" {
-		begin(park, "h0")
+		beginHandover(park, "h0")
 		for _, region := range park.Regions() {
-			settled(park, region, 60*time.Second)
+			waitForRun(park, region, 60*time.Second)
 		}
 	}
 	facts := park.Begin()
@@ -94,7 +94,7 @@
 			dead = append(dead, name)
 			park.At(1500*time.Millisecond, func() {
 				if !park.Node(name).Up() {
-					park.Return([]string{name})
+					park.RestartAll([]string{name})
 				}
 			})
 		}
@@ -137,13 +137,13 @@
 		t.Errorf("%d of %d requests were answered after the fault", answered, asked)
 	}
 	if operation.name == "handover" {
-		if run := settled(park, "east", 60*time.Second); run.ID != "" && run.State == "running" {
+		if run := waitForRun(park, "east", 60*time.Second); run.ID != "" && run.State == "running" {
 			t.Errorf("the rollout's run never ends: it is at %s, last %s", run.At, run.Last)
 		}
 	}
 	park.Quiet = true
 	park.Run(8 * time.Second)
-	clean(t, park, facts)
+	checkRules(t, park, facts)
 	return count
 }
 
--- a/fleet/power_test.go
+++ b/fleet/power_test.go
@@ -11,7 +11,7 @@
 )
 
 // powerCut crashes all daemons and returns their names, sorted.
-func powerCut(park *fleet.Park) (controls, datas []string) {
+func powerCut(park *fleet.Cluster) (controls, datas []string) {
 	controls, datas = slices.Sorted(maps.Keys(park.Controls)), slices.Sorted(maps.Keys(park.Datas))
 	for _, name := range slices.Concat(controls, datas) {
 		park.Crash(name)
@@ -19,18 +19,18 @@
 	return controls, datas
 }
 
-// TestPowerCutStandingsAreKeptSoon checks the recovery after a power cut of all daemons, where
+// TestPowerCutRoutingTablesConfirmed checks the recovery after a power cut of all daemons, where
 // the control daemons restart one by one. All data daemons must have leases 0.5 s after the last
 // control daemon starts, and confirmed routing tables 1.8 s after it. Until then they go by
 // unconfirmed routing tables, which count all replicas as cold.
-func TestPowerCutStandingsAreKeptSoon(t *testing.T) {
+func TestPowerCutRoutingTablesConfirmed(t *testing.T) {
 	t.Parallel()
 	skipLong(t)
 	worst := time.Duration(0)
 	for seed := uint64(1); seed <= 4; seed++ {
-		plan := grown(36, 90, 6)
+		plan := grownPlan(36, 90, 6)
 		plan.Document = strings.Replace(plan.Document, `"limits":{`, `"limits":{"alone_ms":60000,"permit_ms":1800,"session_ms":1200,"platform_ms":1000,"dark_ms":900,"probe_ms":450,`, 1)
-		park := apart(seed, plan)
+		park := newSeparatedCluster(seed, plan)
 		controls, datas := powerCut(park)
 		park.Run(time.Second)
 		for _, name := range datas {
@@ -82,8 +82,8 @@
 }
 
 func checkSpread(t *testing.T, earlier time.Duration) {
-	plan := grown(36, 9, 6)
-	park := apart(1, plan)
+	plan := grownPlan(36, 9, 6)
+	park := newSeparatedCluster(1, plan)
 	defer park.Close()
 	controls, datas := powerCut(park)
 	park.Run(3 * time.Second)                  // the leases from before the power cut have expired
@@ -132,9 +132,9 @@
 func TestPowerCutOfALargeFleet(t *testing.T) {
 	t.Parallel()
 	skipLong(t)
-	plan := grown(294, 192, 6)
+	plan := grownPlan(294, 192, 6)
 	plan.Document = strings.Replace(plan.Document, `"limits":{`, `"limits":{"alone_ms":60000,"permit_ms":1800,"session_ms":1200,"platform_ms":1000,"dark_ms":900,"probe_ms":450,`, 1)
-	park := apart(1, plan)
+	park := newSeparatedCluster(1, plan)
 	defer park.Close()
 	controls, datas := powerCut(park)
 	park.Run(time.Second)
--- a/fleet/repeated_test.go
+++ b/fleet/repeated_test.go
@@ -14,7 +14,7 @@
 	t.Parallel()
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		for _, isCut := range []bool{false, true} {
-			park := selfMade(t, seed, 3)
+			park := startWithOwnCore(t, seed, 3)
 			park.Run(3 * time.Second)
 			names := []string{}
 			for name := range park.Datas {
@@ -62,9 +62,9 @@
 // out the same order.
 func TestARepeatedOrderTakesNoRounds(t *testing.T) {
 	t.Parallel()
-	park := ordering(5)
+	park := faultlessFleet(5)
 	defer park.Close()
-	document := labelled(park, 1, "a")
+	document := withLabel(park, 1, "a")
 	first, err := replace(park, "c1", document, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -82,7 +82,7 @@
 	if rounds := count() - before; before == 0 || rounds > 0 {
 		t.Errorf("order: %d messages of consensus rounds for an order that is known to be applied", rounds)
 	}
-	if _, err := replace(park, "c2", labelled(park, 1, "b"), 0); err == nil {
+	if _, err := replace(park, "c2", withLabel(park, 1, "b"), 0); err == nil {
 		t.Error("order: another document under the same label is acknowledged as the same")
 	}
 }
--- a/fleet/replace_test.go
+++ b/fleet/replace_test.go
@@ -19,23 +19,23 @@
 	"swifttiller/verdict"
 )
 
-// labelled returns the plan's document with the label; the mark makes documents of the same label
+// withLabel returns the plan's document with the label; the mark makes documents of the same label
 // different.
-func labelled(park *fleet.Park, label uint64, mark string) []byte {
+func withLabel(park *fleet.Cluster, label uint64, mark string) []byte {
 	document := strings.Replace(park.Document, "{", fmt.Sprintf(`{"label":%d,`, label), 1)
 	last := strings.LastIndex(document, "}")
 	return []byte(document[:last] + fmt.Sprintf(`,"origin":{ "mark":%q}}`, mark))
 }
 
-// ordering returns a fleet without callers and without faults.
-func ordering(seed uint64) *fleet.Park {
-	plan := quick()
+// faultlessFleet returns a fleet without callers and without faults.
+func faultlessFleet(seed uint64) *fleet.Cluster {
+	plan := quickPlan()
 	plan.Callers = nil
-	return fleet.NewPark(seed, plan)
+	return fleet.NewCluster(seed, plan)
 }
 
 // replace sends a document that replaces the one with the label expect to a control daemon.
-func replace(park *fleet.Park, at string, document []byte, expect uint64) (applied lease.Applied, err error) {
+func replace(park *fleet.Cluster, at string, document []byte, expect uint64) (applied lease.Applied, err error) {
 	err = park.Do(at, 30*time.Second, func(daemon *controlplane.Daemon) (err error) {
 		applied, err = daemon.Replace(document, expect)
 		return err
@@ -43,8 +43,8 @@
 	return applied, err
 }
 
-// newest returns the label and the configuration that a majority has, as read by the daemon.
-func newest(t *testing.T, park *fleet.Park, at string) (label uint64, config lease.Config) {
+// currentConfig returns the label and the configuration that a majority has, as read by the daemon.
+func currentConfig(t *testing.T, park *fleet.Cluster, at string) (label uint64, config lease.Config) {
 	t.Helper()
 	if err := park.Do(at, 10*time.Second, func(daemon *controlplane.Daemon) error {
 		document, read, err := daemon.Current()
@@ -76,9 +76,9 @@
 // acknowledged at any time and changes nothing.
 func TestReplace(t *testing.T) {
 	t.Parallel()
-	park := ordering(11)
+	park := faultlessFleet(11)
 	defer park.Close()
-	third, fifth := labelled(park, 3, "a"), labelled(park, 5, "a")
+	third, fifth := withLabel(park, 3, "a"), withLabel(park, 5, "a")
 	first, err := replace(park, "c1", third, 0)
 	if err != nil || first.Holders == 0 {
 		t.Fatal(first, err)
@@ -97,18 +97,18 @@
 		t.Error("order: a repeat with other settings from the same origin:", again, err)
 	}
 	for name, isReported := range map[string]bool{
-		"built on none":  isOutdated(second(replace(park, "c2", labelled(park, 4, "b"), 0)), 3, 0),
-		"built on later": isOutdated(second(replace(park, "c2", labelled(park, 4, "b"), 4)), 3, 4),
-		"the same label": hasProblem(second(replace(park, "c2", labelled(park, 3, "b"), 3)), "$.label"),
-		"a lower label":  hasProblem(second(replace(park, "c2", labelled(park, 2, "b"), 3)), "$.label"),
+		"built on none":  isOutdated(second(replace(park, "c2", withLabel(park, 4, "b"), 0)), 3, 0),
+		"built on later": isOutdated(second(replace(park, "c2", withLabel(park, 4, "b"), 4)), 3, 4),
+		"the same label": hasProblem(second(replace(park, "c2", withLabel(park, 3, "b"), 3)), "$.label"),
+		"a lower label":  hasProblem(second(replace(park, "c2", withLabel(park, 2, "b"), 3)), "$.label"),
 		"no label":       hasProblem(second(replace(park, "c2", []byte(park.Document), 3)), "$.label"),
-		"invalid":        hasProblem(second(replace(park, "c2", []byte(strings.Replace(string(labelled(park, 4, "b")), `"origin"`, `"oregano"`, 1)), 3)), "$.oregano"),
+		"invalid":        hasProblem(second(replace(park, "c2", []byte(strings.Replace(string(withLabel(park, 4, "b")), `"origin"`, `"oregano"`, 1)), 3)), "$.oregano"),
 	} {
 		if !isReported {
 			t.Error("order:", name, "is not reported as such")
 		}
 	}
-	if label, config := newest(t, park, "c3"); label != 3 || string(config.WithOrigin()) != tight(third) {
+	if label, config := currentConfig(t, park, "c3"); label != 3 || string(config.WithOrigin()) != tight(third) {
 		t.Errorf("label %d, %s", label, config.WithOrigin())
 	}
 	if _, err := replace(park, "c3", fifth, 3); err != nil {
@@ -117,28 +117,28 @@
 	if _, err := replace(park, "c1", third, 0); err != nil {
 		t.Error("a repeat after a newer order:", err)
 	}
-	if label, config := newest(t, park, "c2"); label != 5 || string(config.WithOrigin()) != tight(fifth) {
+	if label, config := currentConfig(t, park, "c2"); label != 5 || string(config.WithOrigin()) != tight(fifth) {
 		t.Errorf("label %d, %s", label, config.WithOrigin())
 	}
 	// All orders stay recorded, in the configuration itself or in the history pages.
 	for label := uint64(6); label < 6+2*lease.MaxMarks; label++ {
-		if _, err := replace(park, "c1", labelled(park, label, "a"), label-1); err != nil {
+		if _, err := replace(park, "c1", withLabel(park, label, "a"), label-1); err != nil {
 			t.Fatal(err)
 		}
 	}
 	last := uint64(5 + 2*lease.MaxMarks)
-	if _, config := newest(t, park, "c2"); len(config.Taken) > lease.MaxMarks || config.Archived == 0 || strings.HasPrefix(string(config.Taken[0]), "3/") {
+	if _, config := currentConfig(t, park, "c2"); len(config.Taken) > lease.MaxMarks || config.Archived == 0 || strings.HasPrefix(string(config.Taken[0]), "3/") {
 		t.Errorf("orders recorded in the configuration itself: %v", config.Taken)
 	}
-	for _, document := range [][]byte{third, fifth, labelled(park, 6, "a")} {
+	for _, document := range [][]byte{third, fifth, withLabel(park, 6, "a")} {
 		if _, err := replace(park, "c2", document, 0); err != nil {
 			t.Error("repeat of one of the first orders:", err)
 		}
 	}
-	if _, err := replace(park, "c2", labelled(park, 4, "b"), 0); !isOutdated(err, last, 0) {
+	if _, err := replace(park, "c2", withLabel(park, 4, "b"), 0); !isOutdated(err, last, 0) {
 		t.Error("an outdated order that was never applied:", err)
 	}
-	once(t, park)
+	checkOneContentPerVersion(t, park)
 }
 
 func tight(document []byte) string {
@@ -152,11 +152,11 @@
 // acknowledged is not waited for again, though one has gone silent since and its lease is still valid.
 func TestAcknowledgedInTime(t *testing.T) {
 	t.Parallel()
-	park := ordering(14)
+	park := faultlessFleet(14)
 	defer park.Close()
 	took := func(at string, label, expect uint64) time.Duration {
 		began := park.Now()
-		if _, err := replace(park, at, labelled(park, label, "a"), expect); err != nil {
+		if _, err := replace(park, at, withLabel(park, label, "a"), expect); err != nil {
 			t.Fatal(err)
 		}
 		return park.Now() - began
@@ -177,8 +177,8 @@
 
 func second[A, B any](_ A, b B) B { return b }
 
-// once checks that no version of the configuration was ever in use with two contents.
-func once(t *testing.T, park *fleet.Park) {
+// checkOneContentPerVersion checks that no version of the configuration was ever in use with two contents.
+func checkOneContentPerVersion(t *testing.T, park *fleet.Cluster) {
 	t.Helper()
 	marks := map[uint64]uint64{}
 	for _, adopted := range park.Adopted {
@@ -193,7 +193,7 @@
 // an evacuation outlasts a replacement of the configuration.
 func TestEvacuationsAgain(t *testing.T) {
 	t.Parallel()
-	park := ordering(12)
+	park := faultlessFleet(12)
 	defer park.Close()
 	evacuate := func(at, zone string, back bool) (applied lease.Applied, err error) {
 		err = park.Do(at, 30*time.Second, func(daemon *controlplane.Daemon) (err error) {
@@ -210,10 +210,10 @@
 	if again, err := evacuate("c2", zone, false); err != nil || again.Serial != first.Serial {
 		t.Error(again, err)
 	}
-	if _, err := replace(park, "c3", labelled(park, 2, "a"), 0); err != nil {
+	if _, err := replace(park, "c3", withLabel(park, 2, "a"), 0); err != nil {
 		t.Error(err)
 	}
-	if _, config := newest(t, park, "c2"); len(config.Evacuated) != 1 || config.Evacuated[0] != zone {
+	if _, config := currentConfig(t, park, "c2"); len(config.Evacuated) != 1 || config.Evacuated[0] != zone {
 		t.Error("evacuated:", config.Evacuated)
 	}
 	for name, daemon := range park.Datas {
@@ -240,14 +240,14 @@
 func TestReplaceRace(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(1); seed <= 12; seed++ {
-		park := ordering(seed)
+		park := faultlessFleet(seed)
 		errs := [2]error{errors.New("open"), errors.New("open")}
 		done := 0
 		labels := [2]uint64{7, 7 + seed%2} // one label, or two
 		for index, at := range []string{"c1", "c2"} {
 			park.At(time.Duration(park.Draw(int64(20*time.Millisecond))), func() {
 				park.Node(at).Go(func() {
-					_, errs[index] = park.Controls[at].Replace(labelled(park, labels[index], at), 0)
+					_, errs[index] = park.Controls[at].Replace(withLabel(park, labels[index], at), 0)
 					done++
 				})
 			})
@@ -262,10 +262,10 @@
 		if errs[winner] != nil || !isOutdated(errs[1-winner], labels[winner], 0) {
 			t.Errorf("seed %d: %v, %v", seed, errs[0], errs[1])
 		}
-		if label, config := newest(t, park, "c3"); label != labels[winner] || !strings.Contains(string(config.WithOrigin()), fmt.Sprintf(`"mark":"c%d"`, winner+1)) {
+		if label, config := currentConfig(t, park, "c3"); label != labels[winner] || !strings.Contains(string(config.WithOrigin()), fmt.Sprintf(`"mark":"c%d"`, winner+1)) {
 			t.Errorf("seed %d: the current label is %d, but c%d's document was acknowledged", seed, label, winner+1)
 		}
-		once(t, park)
+		checkOneContentPerVersion(t, park)
 		park.Close()
 	}
 }
@@ -277,13 +277,13 @@
 	t.Parallel()
 	decided, unwritten, open := 0, 0, 0
 	for seed := uint64(1); seed <= 15; seed++ {
-		park := ordering(seed)
+		park := faultlessFleet(seed)
 		deaf := func(isDeaf bool) {
 			for _, other := range []string{"c2", "c3"} {
 				park.Cut(other, "c1", isDeaf)
 			}
 		}
-		document := labelled(park, 7, "a")
+		document := withLabel(park, 7, "a")
 		park.At(time.Duration(seed)*time.Millisecond, func() { deaf(true) })
 		span := 2300 * time.Millisecond // longer than one operation on a register
 		isLong := seed%3 == 0
@@ -307,7 +307,7 @@
 			}
 			// Nothing was written, so the document must not become current without a repeat.
 			park.Run(3 * time.Second)
-			if label, _ := newest(t, park, "c2"); label != 0 {
+			if label, _ := currentConfig(t, park, "c2"); label != 0 {
 				t.Errorf("order: seed %d: the daemon reported that nothing was written, but the current label is %d", seed, label)
 			}
 		default:
@@ -321,10 +321,10 @@
 			t.Errorf("seed %d: the repeat failed: %v", seed, err)
 		}
 		park.Run(3 * time.Second)
-		if label, config := newest(t, park, "c3"); label != 7 || len(config.Taken) != 1 {
+		if label, config := currentConfig(t, park, "c3"); label != 7 || len(config.Taken) != 1 {
 			t.Errorf("seed %d: the current label is %d, applied orders are %v (repeat: %v)", seed, label, config.Taken, again)
 		}
-		once(t, park)
+		checkOneContentPerVersion(t, park)
 		park.Close()
 	}
 	if t.Logf("%d decided, %d not written, %d of unknown outcome", decided, unwritten, open); decided < 3 || unwritten < 1 || open < 3 {
@@ -338,7 +338,7 @@
 	t.Parallel()
 	beneath := 0
 	for seed := uint64(1); seed <= 16; seed++ {
-		park := ordering(seed)
+		park := faultlessFleet(seed)
 		// One data daemon gets configurations from c1 alone, and c1 gets no replies for a while
 		// after it sent its write.
 		park.Split([]string{"d1"}, []string{"c2", "c3"}, true)
@@ -356,11 +356,11 @@
 		var applied lease.Applied
 		var err error
 		park.Node("c1").Go(func() {
-			applied, err = park.Controls["c1"].Replace(labelled(park, 7, "a"), 0)
+			applied, err = park.Controls["c1"].Replace(withLabel(park, 7, "a"), 0)
 			done = true
 		})
 		park.Run(100 * time.Millisecond)
-		later, laterErr := replace(park, "c2", labelled(park, 8, "b"), 7)
+		later, laterErr := replace(park, "c2", withLabel(park, 8, "b"), 7)
 		park.Until(10*time.Second, func() bool { return done })
 		// If it has no time left to find out, it reports an unknown outcome.
 		if !done || err != nil && controlplane.OperatorError(err).Status < 500 {
@@ -370,7 +370,7 @@
 			beneath++
 		}
 		park.Run(time.Second)
-		once(t, park)
+		checkOneContentPerVersion(t, park)
 		park.Close()
 	}
 	if t.Logf("%d changes were found followed by a later one", beneath); beneath < 2 {
@@ -383,18 +383,18 @@
 func TestReplaceStorm(t *testing.T) {
 	t.Parallel()
 	const count = 40
-	for name, hurt := range map[string]func(park *fleet.Park){
-		"calm":   func(*fleet.Park) {},
-		"frozen": func(park *fleet.Park) { park.Freeze("d1", time.Minute) },
-		"cut":    func(park *fleet.Park) { park.Split([]string{"d1"}, []string{"c1", "c2", "c3"}, true) },
-		"noisy": func(park *fleet.Park) {
+	for name, hurt := range map[string]func(park *fleet.Cluster){
+		"calm":   func(*fleet.Cluster) {},
+		"frozen": func(park *fleet.Cluster) { park.Freeze("d1", time.Minute) },
+		"cut":    func(park *fleet.Cluster) { park.Split([]string{"d1"}, []string{"c1", "c2", "c3"}, true) },
+		"noisy": func(park *fleet.Cluster) {
 			for at := time.Duration(0); at < 4*time.Second; at += 200 * time.Millisecond {
 				park.At(at, func() { park.Cut("c2", "c1", true) })
 				park.At(at+100*time.Millisecond, func() { park.Cut("c2", "c1", false) })
 			}
 		},
 	} {
-		park := ordering(13)
+		park := faultlessFleet(13)
 		hurt(park)
 		ended, worst := 0, time.Duration(0)
 		run := func(at string, order func(daemon *controlplane.Daemon) error) {
@@ -418,7 +418,7 @@
 						wait(daemon, 20*time.Millisecond)
 					}
 					began := park.Now()
-					_, err := daemon.Replace(labelled(park, index+1, "a"), index)
+					_, err := daemon.Replace(withLabel(park, index+1, "a"), index)
 					worst = max(worst, park.Now()-began)
 					return err
 				})
@@ -443,7 +443,7 @@
 		if worst > 5*time.Second {
 			t.Errorf("%s: an order was acknowledged after %v", name, worst)
 		}
-		if label, config := newest(t, park, "c3"); label != count || len(config.Taken) != count {
+		if label, config := currentConfig(t, park, "c3"); label != count || len(config.Taken) != count {
 			t.Errorf("%s: the current label is %d, %d orders were applied", name, label, len(config.Taken))
 		}
 		for at, daemon := range park.Datas {
@@ -451,7 +451,7 @@
 				t.Errorf("%s: %s uses configuration %d", name, at, view.Config().Label())
 			}
 		}
-		once(t, park)
+		checkOneContentPerVersion(t, park)
 		park.Close()
 	}
 }
@@ -470,7 +470,7 @@
 	skipLong(t)
 	unknown := 0
 	for seed := uint64(1); seed <= 6; seed++ {
-		park := ordering(seed)
+		park := faultlessFleet(seed)
 		// No other data daemon reaches c1; the late one requests its lease there first.
 		late := ""
 		for at := 0; late == ""; at++ {
@@ -486,11 +486,11 @@
 			return sim.Delivered
 		}
 		park.Run(4*time.Second + time.Duration(seed)*97*time.Millisecond)
-		applied, err := replace(park, "c3", labelled(park, 1, "a"), 0)
+		applied, err := replace(park, "c3", withLabel(park, 1, "a"), 0)
 		if err != nil {
 			t.Fatal(seed, err)
 		}
-		park.Place(late, park.Zone("c1"))
+		park.SetZone(late, park.Zone("c1"))
 		park.StartData(late)
 		if serial, _, _ := park.Controls["c1"].Issuer.Current(); serial < applied.Serial {
 			unknown++
--- a/fleet/replica.go
+++ b/fleet/replica.go
@@ -42,41 +42,41 @@
 	Reports bool
 	// Bad reports whether a version fails requests of a kind at a number of running requests.
 	// How says in which way; the zero value is an error response.
-	Bad func(version, kind string, running int) bool
-	How Way
+	Bad     func(version, kind string, running int) bool
+	Failure FailureMode
 	// Odd makes requests of the kinds odd-… fail at the level of the connection (HTTP only).
 	Odd bool
 	// Down kills the replica's process, for the failure Crashes.
 	Down func(id string)
 	// Cuts is a kind of requests whose answers are cut off after the first event.
 	Cuts string
-	// Guards makes the replica reject requests beyond its current capacity with status 429.
+	// RejectsOverload makes the replica reject requests beyond its current capacity with status 429.
 	// The number rejected while it was cold shows how much overload it was offered.
-	Guards bool
-	// Lingers makes the replica accept requests after it has announced that it is leaving.
-	Lingers bool
-	// Slower multiplies all times; 0 means 1.
-	Slower float64
+	RejectsOverload bool
+	// ServesWhileLeaving makes the replica accept requests after it has announced that it is leaving.
+	ServesWhileLeaving bool
+	// Slowdown multiplies all times; 0 means 1.
+	Slowdown float64
 	// Held are the versions that are loaded from the start, as model/version.
 	Held []string
-	// Mute makes health checks report no versions. The platform's list then says that the
+	// HidesVersions makes health checks report no versions. The platform's list then says that the
 	// replica serves the first of Held.
-	Mute bool
+	HidesVersions bool
 }
 
-// Way is the way in which a version fails.
-type Way string
+// FailureMode is the way in which a version fails.
+type FailureMode string
 
 // The ways in which a version fails. A hanging or slow answer counts as failed once its caller
 // has waited FailedAfter without receiving anything.
 const (
-	Errs    Way = ""
-	Hangs   Way = "hangs"
-	Cut     Way = "cut"
-	Slow    Way = "slow"
-	Empty   Way = "empty"
-	Garbled Way = "garbled"
-	Crashes Way = "crashes"
+	Errs    FailureMode = ""
+	Hangs   FailureMode = "hangs"
+	Cut     FailureMode = "cut"
+	Slow    FailureMode = "slow"
+	Empty   FailureMode = "empty"
+	Garbled FailureMode = "garbled"
+	Crashes FailureMode = "crashes"
 )
 
 // FailedAfter is the time without any output after which an answer has failed for its caller.
@@ -114,17 +114,17 @@
 	// Idle makes the replica accept orders without carrying them out.
 	Idle bool
 	// Counters and logs for the checkers.
-	Log          []*Served
-	Loads        []string // IDs of the orders that were carried out
-	Fenced       int
-	Peak         int
-	Flooded      int           // requests above the capacity that arrived while it was cold
-	Over         int           // requests above the capacity that arrived while it was warm
-	TurnedAway   int           // requests rejected with 429 while it was cold
-	ColdTaken    int           // requests accepted while it was cold
-	Gone         time.Duration // when this process ended
-	PrefillBytes int
-	HitBytes     int
+	Log            []*Served
+	Loads          []string // IDs of the orders that were carried out
+	Fenced         int
+	Peak           int
+	ColdOverload   int           // requests above the capacity that arrived while it was cold
+	WarmOverload   int           // requests above the capacity that arrived while it was warm
+	ColdRejections int           // requests rejected with 429 while it was cold
+	ColdTaken      int           // requests accepted while it was cold
+	Gone           time.Duration // when this process ended
+	PrefillBytes   int
+	HitBytes       int
 }
 
 // NewReplica makes a simulated replica.
@@ -133,8 +133,8 @@
 	for _, held := range options.Held {
 		stub.versions[held] = "ready"
 	}
-	if stub.Slower == 0 {
-		stub.Slower = 1
+	if stub.Slowdown == 0 {
+		stub.Slowdown = 1
 	}
 	return stub
 }
@@ -171,7 +171,7 @@
 	out := map[string]any{"boot": stub.Boot, "leaving": stub.Leaving}
 	list := []version{}
 	for name, state := range stub.versions {
-		if stub.Mute {
+		if stub.HidesVersions {
 			break
 		}
 		model, at, _ := strings.Cut(name, "/")
@@ -247,7 +247,7 @@
 		text, _ := json.Marshal(map[string]any{"error": map[string]string{"message": message}})
 		return nil, status, text
 	}
-	if stub.Leaving && !stub.Lingers {
+	if stub.Leaving && !stub.ServesWhileLeaving {
 		return reject(503, "leaving")
 	}
 	root := gjson.ParseBytes(body)
@@ -265,9 +265,9 @@
 	}
 	cost := min(8, 1+len(prompt)/8192+tokens/512)
 	isCold := stub.currentCapacity() < stub.Capacity
-	if stub.Guards && stub.running > 0 && stub.units+cost > stub.currentCapacity() {
+	if stub.RejectsOverload && stub.running > 0 && stub.units+cost > stub.currentCapacity() {
 		if isCold {
-			stub.TurnedAway++
+			stub.ColdRejections++
 		}
 		return reject(429, "full")
 	}
@@ -284,9 +284,9 @@
 	// A request that runs alone doesn't count as overload, whatever its cost.
 	if stub.units > stub.currentCapacity() && stub.running > 1 {
 		if stub.currentCapacity() < stub.Capacity {
-			stub.Flooded++
+			stub.ColdOverload++
 		} else {
-			stub.Over++
+			stub.WarmOverload++
 		}
 	}
 	stub.Peak = max(stub.Peak, stub.units)
@@ -297,7 +297,7 @@
 	}
 	stub.PrefillBytes += uncached
 	overload := max(1, float64(stub.units)/float64(max(1, stub.currentCapacity())))
-	slowdown := stub.Slower * overload
+	slowdown := stub.Slowdown * overload
 	out := &Answer{replica: stub, served: served, cost: cost, version: version, tokens: tokens,
 		firstDelay: time.Duration(slowdown * float64(stub.Prefill) * float64(uncached) / 1024), tokenDelay: time.Duration(slowdown * float64(stub.Decode))}
 	out.fails = stub.Bad != nil && stub.Bad(version, kind, stub.running)
@@ -340,7 +340,7 @@
 		return []byte("data: [DONE]\n\n"), nil
 	default:
 		loop.Sleep(stub.World, answer.tokenDelay*Chunk)
-		if answer.fails && stub.How == Cut || stub.Cuts != "" && answer.served.Kind == stub.Cuts {
+		if answer.fails && stub.Failure == Cut || stub.Cuts != "" && answer.served.Kind == stub.Cuts {
 			if answer.fails {
 				answer.served.Failed, answer.served.FailedAt = true, stub.World.Now()
 			}
@@ -361,7 +361,7 @@
 func (answer *Answer) fail() ([]byte, error) {
 	stub := answer.replica
 	failed := func(at time.Duration) { answer.served.Failed, answer.served.FailedAt = true, at }
-	switch stub.How {
+	switch stub.Failure {
 	case Hangs:
 		failed(answer.served.At + FailedAfter)
 		for !answer.ended {
