--- a/fleet/rollout_test.go
+++ b/fleet/rollout_test.go
@@ -17,15 +17,15 @@
 	"swifttiller/workflow"
 )
 
-// quick returns the sahayogi plan with short trials and watches, for tests of the rollout's steps.
-func quick() fleet.Plan {
+// quickPlan returns the sahayogi plan with short trials and watches, for tests of the rollout's steps.
+func quickPlan() fleet.Plan {
 	plan := fleet.Sahayogi()
 	plan.Document = strings.Replace(plan.Document, `"trial_ms":6000,"trial_most_ms":20000,"watch_ms":8000`, `"trial_ms":1500,"trial_most_ms":3000,"watch_ms":1500`, 1)
 	return plan
 }
 
-// begin starts a handover to v2 in the given regions, or in all if there are none.
-func begin(park *fleet.Park, id string, regions ...string) {
+// beginHandover starts a handover to v2 in the given regions, or in all if there are none.
+func beginHandover(park *fleet.Cluster, id string, regions ...string) {
 	park.Must("c1", func(daemon *controlplane.Daemon) error {
 		_, err := daemon.Handover(id, park.Model, "v2", regions)
 		return err
@@ -33,7 +33,7 @@
 }
 
 // status reads the model's state from the first control daemon that is up and answers.
-func status(park *fleet.Park) (out controlplane.ModelStatus) {
+func status(park *fleet.Cluster) (out controlplane.ModelStatus) {
 	for _, name := range []string{"c1", "c2", "c3"} {
 		if !park.Node(name).Up() {
 			continue
@@ -49,8 +49,8 @@
 	panic("no control daemon returned the model status")
 }
 
-// settled waits up to span for the region's run to end and returns the run as last read.
-func settled(park *fleet.Park, region string, span time.Duration) workflow.Run {
+// waitForRun waits up to span for the region's run to end and returns the run as last read.
+func waitForRun(park *fleet.Cluster, region string, span time.Duration) workflow.Run {
 	var run workflow.Run
 	park.Until(span, func() bool {
 		if rollouts := status(park).Shelves[region]; rollouts.Run != nil {
@@ -61,8 +61,8 @@
 	return run
 }
 
-// worsen makes every simulated replica of the plan fail the requests for which bad returns true.
-func worsen(plan fleet.Plan, bad func(version, kind string, running int) bool) fleet.Plan {
+// withFailures makes every simulated replica of the plan fail the requests for which bad returns true.
+func withFailures(plan fleet.Plan, bad func(version, kind string, running int) bool) fleet.Plan {
 	for index := range plan.Replicas {
 		plan.Replicas[index].Bad = bad
 	}
@@ -75,12 +75,12 @@
 		t.Skip("a long simulation with one task at a time, of little use under the race detector")
 	}
 	Convey("a good version goes region by region, under load, and one step takes it back; nothing is lost", t, func() {
-		park := fleet.NewPark(1, quick())
+		park := fleet.NewCluster(1, quickPlan())
 		defer park.Close()
-		park.Run(warm)
-		begin(park, "h1")
+		park.Run(warmupTime)
+		beginHandover(park, "h1")
 		for _, region := range []string{"east", "middle", "west"} {
-			So(settled(park, region, 60*time.Second).State, ShouldEqual, workflow.Done)
+			So(waitForRun(park, region, 60*time.Second).State, ShouldEqual, workflow.Done)
 		}
 		model := status(park)
 		So(model.Live, ShouldEqual, "v2")
@@ -131,30 +131,30 @@
 		})
 		park.Quiet = true
 		park.Run(8 * time.Second)
-		clean(t, park, begun(park, true))
+		checkRules(t, park, factsSinceWarm(park, true))
 	})
 }
 
 // badCase describes how a version fails.
 type badCase struct {
 	name string
-	how  fleet.Way
+	how  fleet.FailureMode
 	bad  func(version, kind string, running int) bool
 	// With after, the version fails only once a route has moved to it. With alone, it fails
 	// in the last region only. With unseen, the rare kinds of requests reach no region before
 	// the first region's watch is over.
 	after, alone, unseen bool
 	// plainly, if set, injects a further fault after the third failure, or after fewFailures.
-	plainly func(park *fleet.Park)
+	plainly func(park *fleet.Cluster)
 }
 
-// thin reports whether requests of this kind are rare.
-func thin(kind string) bool { return kind == "notice" || kind == "chat" }
+// isRare reports whether requests of this kind are rare.
+func isRare(kind string) bool { return kind == "notice" || kind == "chat" }
 
 var badCases = []badCase{
 	{name: "errors on every request"},
-	{name: "errors on the thin kind", bad: func(_, kind string, _ int) bool { return thin(kind) }},
-	{name: "errors on the thin kind, which comes after the watch", unseen: true, bad: func(_, kind string, _ int) bool { return thin(kind) }},
+	{name: "errors on the thin kind", bad: func(_, kind string, _ int) bool { return isRare(kind) }},
+	{name: "errors on the thin kind, which comes after the watch", unseen: true, bad: func(_, kind string, _ int) bool { return isRare(kind) }},
 	{name: "errors under load", bad: func(_, _ string, running int) bool { return running >= 2 }},
 	{name: "hangs", how: fleet.Hangs},
 	{name: "cuts its streams", how: fleet.Cut},
@@ -167,14 +167,14 @@
 	{name: "errors in one region only", alone: true},
 	{name: "errors, and the runner is killed", plainly: killRunner},
 	{name: "errors after the move, and the runner is killed", after: true, plainly: killRunner},
-	{name: "errors after the move, and a data daemon freezes", after: true, plainly: func(park *fleet.Park) { park.Freeze("d1", 4*time.Second) }},
-	{name: "errors after the move, and the core has no majority", after: true, plainly: func(park *fleet.Park) {
-		ends := park.Lose([]string{"c2", "c3"})
+	{name: "errors after the move, and a data daemon freezes", after: true, plainly: func(park *fleet.Cluster) { park.Freeze("d1", 4*time.Second) }},
+	{name: "errors after the move, and the core has no majority", after: true, plainly: func(park *fleet.Cluster) {
+		ends := park.CrashAll([]string{"c2", "c3"})
 		park.Run(9 * time.Second)
-		park.Return(ends)
+		park.RestartAll(ends)
 	}},
 	// Leases stay valid meanwhile, as reads wait for no disk, but no daemon can write a route.
-	{name: "errors after the move, and no core disk writes", after: true, plainly: func(park *fleet.Park) {
+	{name: "errors after the move, and no core disk writes", after: true, plainly: func(park *fleet.Cluster) {
 		slow := func(span time.Duration) {
 			for _, name := range []string{"c1", "c2", "c3"} {
 				park.Node(name).Disk.SyncDelay = span
@@ -191,8 +191,8 @@
 const fewFailures = 2 * time.Second
 
 // killRunner crashes the leader of the first region and restarts it 9 s later.
-func killRunner(park *fleet.Park) {
-	if leader := park.Holder(park.Regions()[0]); leader != "" {
+func killRunner(park *fleet.Cluster) {
+	if leader := park.RegionLeader(park.Regions()[0]); leader != "" {
 		park.Crash(leader)
 		park.Run(9 * time.Second)
 		park.StartControl(leader)
@@ -210,7 +210,7 @@
 	}
 	for name := range fleet.Plans {
 		for _, failure := range badCases {
-			for seed := *first; seed < *first+uint64(*seeds); seed++ {
+			for seed := *firstSeed; seed < *firstSeed+uint64(*seedCount); seed++ {
 				t.Run(fmt.Sprintf("%s/%s/%d", name, failure.name, seed), func(t *testing.T) {
 					t.Parallel()
 					tryBad(t, name, failure, seed)
@@ -223,36 +223,36 @@
 func tryBad(t *testing.T, name string, failure badCase, seed uint64) {
 	plan := fleet.Plans[name]()
 	plan.Document = strings.Replace(plan.Document, `"trial_ms":6000,"trial_most_ms":20000,"watch_ms":8000`, `"trial_ms":4000,"trial_most_ms":12000,"watch_ms":8000`, 1)
-	var park *fleet.Park
+	var park *fleet.Cluster
 	isMoved := false
-	plan = worsen(plan, func(version, kind string, running int) bool {
+	plan = withFailures(plan, func(version, kind string, running int) bool {
 		return version == "v2" && (isMoved || !failure.after) && (failure.bad == nil || failure.bad(version, kind, running))
 	})
 	for index := range plan.Replicas {
 		replica := &plan.Replicas[index]
-		replica.How = failure.how
+		replica.Failure = failure.how
 		replica.Down = func(id string) {
 			park.At(0, func() { park.Crash(id) })
-			park.At(3*time.Second, func() { park.Return([]string{id}) })
+			park.At(3*time.Second, func() { park.RestartAll([]string{id}) })
 		}
 		if failure.alone && fleet.Region(replica.Zone) != fleet.Region(plan.Replicas[len(plan.Replicas)-1].Zone) {
 			replica.Bad = nil
 		}
 	}
 	for index := range plan.Callers {
-		if thin(plan.Callers[index].Kind) {
+		if isRare(plan.Callers[index].Kind) {
 			plan.Callers[index].Every = 200 * time.Millisecond
 			if failure.unseen {
 				plan.Callers[index].From = 45 * time.Second
 			}
 		}
 	}
-	park = fleet.NewPark(seed, plan)
+	park = fleet.NewCluster(seed, plan)
 	defer park.Close()
-	park.Run(warm)
-	facts := begun(park, false)
+	park.Run(warmupTime)
+	facts := factsSinceWarm(park, false)
 	facts.Bad, facts.BadFrom, facts.SmallShare, facts.Moved = "v2", park.Now(), 0.08, map[string]time.Duration{}
-	begin(park, "h1")
+	beginHandover(park, "h1")
 	done, failed := false, 0
 	var firstFailed time.Duration
 	observe := func() {
@@ -292,7 +292,7 @@
 	}
 	var ends []string
 	for _, region := range park.Regions() {
-		run := settled(park, region, 60*time.Second)
+		run := waitForRun(park, region, 60*time.Second)
 		ends = append(ends, fmt.Sprint(region, " ", run.State, " ", run.Reason))
 		if at := status(park).Routes[region].Version; at != "v1" && (!failure.alone || region == park.Regions()[2]) {
 			t.Errorf("%s serves %s", region, at)
@@ -302,11 +302,11 @@
 	if failed == 0 || !done && failure.plainly != nil {
 		t.Errorf("vacuous: %d failures, and no further fault was injected", failed)
 	}
-	clean(t, park, facts)
+	checkRules(t, park, facts)
 }
 
 // orders counts the completed loads of v2 by replica.
-func orders(park *fleet.Park) map[string]int {
+func orders(park *fleet.Cluster) map[string]int {
 	out := map[string]int{}
 	for name, replica := range park.Replicas {
 		for _, order := range replica.Loads {
@@ -330,7 +330,7 @@
 	for _, step := range steps {
 		t.Run(step, func(t *testing.T) {
 			t.Parallel()
-			park := fleet.NewPark(3, quick())
+			park := fleet.NewCluster(3, quickPlan())
 			defer park.Close()
 			park.Run(6 * time.Second)
 			crashed := ""
@@ -341,13 +341,13 @@
 					node.Crash()
 				}
 			})
-			begin(park, "h1", "east")
+			beginHandover(park, "h1", "east")
 			if !park.Until(40*time.Second, func() bool { return crashed != "" }) {
 				t.Fatal("the rollout never reached the step")
 			}
 			park.Run(5 * time.Second)
 			park.StartControl(crashed)
-			run := settled(park, "east", 60*time.Second)
+			run := waitForRun(park, "east", 60*time.Second)
 			if run.State != workflow.Done {
 				t.Fatalf("the run ended %s (%s)", run.State, run.Reason)
 			}
@@ -394,7 +394,7 @@
 	}
 	Convey("a runner that slept while another resumed its run changes nothing when it wakes", t, func() {
 		for _, step := range []string{"trial-route", "order", "route", "watch"} {
-			park := fleet.NewPark(4, quick())
+			park := fleet.NewCluster(4, quickPlan())
 			defer park.Close()
 			park.Run(6 * time.Second)
 			paused := ""
@@ -404,7 +404,7 @@
 					park.Freeze(node.Name, 12*time.Second)
 				}
 			})
-			begin(park, "h1", "east")
+			beginHandover(park, "h1", "east")
 			So(park.Until(30*time.Second, func() bool { return paused != "" }), ShouldBeTrue)
 			park.Run(5 * time.Second)
 			for _, other := range []string{"c1", "c2", "c3"} {
@@ -428,7 +428,7 @@
 			So(after.Routes["east"].Trial, ShouldEqual, "")
 			park.Quiet = true
 			park.Run(5 * time.Second)
-			clean(t, park, begun(park, false))
+			checkRules(t, park, factsSinceWarm(park, false))
 		}
 	})
 }
@@ -438,7 +438,7 @@
 func TestNonces(t *testing.T) {
 	t.Parallel()
 	Convey("a newer schedule makes the older order a no-op", t, func() {
-		park := fleet.NewPark(5, quick())
+		park := fleet.NewCluster(5, quickPlan())
 		defer park.Close()
 		fired := map[string]bool{}
 		park.Must("c1", func(daemon *controlplane.Daemon) error {
@@ -482,7 +482,7 @@
 	}
 	Convey("a version given up is unloaded only when its streams have ended, or after unload_wait_ms", t, func() {
 		for _, seed := range []uint64{3, 4, 6} {
-			plan := quick()
+			plan := quickPlan()
 			plan.Document = strings.Replace(plan.Document, `"standby_ms":60000`, `"standby_ms":500,"unload_wait_ms":20000`, 1)
 			for index := range plan.Callers {
 				if plan.Callers[index].Kind == "notice" {
@@ -490,10 +490,10 @@
 					plan.Callers[index].Every *= 4    // the same load as before
 				}
 			}
-			park := fleet.NewPark(seed, plan)
-			park.Run(warm)
-			begin(park, "h1", "east")
-			So(settled(park, "east", 60*time.Second).State, ShouldEqual, workflow.Done)
+			park := fleet.NewCluster(seed, plan)
+			park.Run(warmupTime)
+			beginHandover(park, "h1", "east")
+			So(waitForRun(park, "east", 60*time.Second).State, ShouldEqual, workflow.Done)
 			unloaded := func() (count int) {
 				for _, replica := range park.Replicas {
 					for _, order := range replica.Loads {
@@ -507,7 +507,7 @@
 			So(park.Until(40*time.Second, func() bool { return unloaded() == 7 }), ShouldBeTrue)
 			park.Quiet = true
 			park.Run(20 * time.Second)
-			clean(t, park, begun(park, true))
+			checkRules(t, park, factsSinceWarm(park, true))
 			park.Close()
 		}
 	})
@@ -521,9 +521,9 @@
 		t.Skip("a long simulation with one task at a time, of little use under the race detector")
 	}
 	for _, jump := range []time.Duration{time.Hour, -time.Hour} {
-		park := fleet.NewPark(3, fleet.Sahayogi())
-		park.Run(warm)
-		begin(park, "h1", "east")
+		park := fleet.NewCluster(3, fleet.Sahayogi())
+		park.Run(warmupTime)
+		beginHandover(park, "h1", "east")
 		jumps := func() {
 			for _, name := range []string{"c1", "c2", "c3", "c4"} {
 				park.Node(name).Skew += jump
--- a/fleet/routed.go
+++ b/fleet/routed.go
@@ -17,9 +17,9 @@
 	"swifttiller/verdict"
 )
 
-// RoutedCrowd describes the callers of one route in one zone. Each caller is a closed loop: it
+// RoutedCallerGroup describes the callers of one route in one zone. Each caller is a closed loop: it
 // pauses, sends a request, waits for its end, and starts over.
-type RoutedCrowd struct {
+type RoutedCallerGroup struct {
 	Name, Zone, Host, Path string
 	Workers                int
 	// Pause is the mean time between the end of a request and the start of the next.
@@ -27,48 +27,48 @@
 	// Shared is the number of tokens of the prompt's prefix, which is the same for all
 	// requests of one of the Groups. Own is the number of the request's own prompt tokens, and
 	// Most the number of the answer's tokens.
-	Shared, Own, Groups, Most int
+	Shared, Own, Groups, AnswerTokens int
 	// Keys are the API keys of the callers, one for each caller in turn; without any, no key
 	// is sent.
 	Keys []string
-	// Patience is the caller's timeout for the whole request, Target the target for the time
+	// Timeout is the caller's timeout for the whole request, Target the target for the time
 	// to the first event, and Gap the longest pause between events that is in time.
-	Patience, Target, Gap time.Duration
+	Timeout, Target, Gap time.Duration
 	// Repeatable requests are retried after any failure; Resume requests continue after the
 	// last event received. Tries is the number of attempts of a caller, one or two.
 	Repeatable, Resume bool
 	Tries              int
-	// Holds is the number of TTLs for which a caller uses its list of daemons, where the
+	// LocateTTLs is the number of TTLs for which a caller uses its list of daemons, where the
 	// protocol permits one; zero means one.
-	Holds int
+	LocateTTLs int
 	// From and Until bound the time in which requests are sent; zero means always.
 	From, Until time.Duration
 }
 
 // RoutedRequest is one request as its caller saw it.
 type RoutedRequest struct {
-	ID        string
-	Crowd     *RoutedCrowd
-	At, End   time.Duration
-	First     time.Duration // when the first event arrived, zero if none did
-	Pause     time.Duration // the longest pause between two events
-	Tries     []*RoutedTry
-	Got       int // number of tokens received in order
-	Verdict   string
-	Wrong     string // what was wrong with the answer received, empty if nothing was
-	lastEvent time.Duration
-	lastLife  string
+	ID             string
+	Crowd          *RoutedCallerGroup
+	At, End        time.Duration
+	First          time.Duration // when the first event arrived, zero if none did
+	Pause          time.Duration // the longest pause between two events
+	Tries          []*RoutedAttempt
+	TokensReceived int // number of tokens received in order
+	Verdict        string
+	Mismatch       string // what was wrong with the answer received, empty if nothing was
+	lastEvent      time.Duration
+	lastLife       string
 }
 
-// RoutedTry is one attempt of a request. It has its own ID and goes to one daemon.
-type RoutedTry struct {
+// RoutedAttempt is one attempt of a request. It has its own ID and goes to one daemon.
+type RoutedAttempt struct {
 	ID, Daemon, Key string
 	Sent, End       time.Duration
 	After           int
 	// Status is the answer's status, zero if there was none; Code is the code of a rejection.
-	Status   int
-	Code     string
-	ComeBack time.Duration
+	Status     int
+	Code       string
+	RetryAfter time.Duration
 	// IsRead is whether the daemon received the request, IsWhole whether the answer ended
 	// cleanly, and IsSilent whether the caller gave up because nothing arrived.
 	IsRead, IsWhole, IsSilent bool
@@ -77,7 +77,7 @@
 }
 
 // promised reports whether the answer guarantees that the attempt has not run and never will.
-func (try *RoutedTry) promised() bool {
+func (try *RoutedAttempt) promised() bool {
 	switch try.Status {
 	case 408, 421, 429, 503:
 		return true
@@ -95,13 +95,13 @@
 	disconnectDelay = 200 * time.Millisecond
 )
 
-type asked struct {
+type requestContent struct {
 	parts []decide.Part
 	most  int
 }
 
-// asked returns the content of an attempt's request.
-func (cluster *Park) asked(id string) asked { return cluster.askedOf[id] }
+// requestContent returns the content of an attempt's request.
+func (cluster *Cluster) requestContent(id string) requestContent { return cluster.contentByAttempt[id] }
 
 // tokenOf parses an event's ID, the number of tokens up to its end.
 func tokenOf(id string) int {
@@ -110,7 +110,7 @@
 }
 
 // crowdRouted starts the callers of a crowd.
-func (cluster *Park) crowdRouted(crowd *RoutedCrowd) {
+func (cluster *Cluster) crowdRouted(crowd *RoutedCallerGroup) {
 	for worker := range crowd.Workers {
 		name := fmt.Sprintf("caller-%s-%d", crowd.Name, worker)
 		cluster.zones[name] = crowd.Zone
@@ -137,9 +137,9 @@
 
 // routedCaller is one caller.
 type routedCaller struct {
-	cluster      *Park
+	cluster      *Cluster
 	node         *sim.Node
-	crowd        *RoutedCrowd
+	crowd        *RoutedCallerGroup
 	key          string
 	daemons      []string
 	locatedUntil time.Duration
@@ -203,7 +203,7 @@
 			cluster.Deliver(at, node.Name, func(*sim.Node) { mailbox.Put(out) })
 		})
 		if item, has := mailbox.Take(locateTimeout); has && len(item.([]string)) > 0 {
-			caller.daemons, caller.locatedUntil = item.([]string), node.Now()+cluster.Datas[name].LocateTTL()*time.Duration(max(1, caller.crowd.Holds))
+			caller.daemons, caller.locatedUntil = item.([]string), node.Now()+cluster.Datas[name].LocateTTL()*time.Duration(max(1, caller.crowd.LocateTTLs))
 			return
 		}
 	}
@@ -217,19 +217,19 @@
 	request := &RoutedRequest{ID: fmt.Sprintf("%s.%d", crowd.Name, number), Crowd: crowd, At: node.Now()}
 	cluster.RoutedRequests = append(cluster.RoutedRequests, request)
 	defer func() { request.End = node.Now() }()
-	content := asked{most: crowd.Most}
+	content := requestContent{most: crowd.AnswerTokens}
 	if crowd.Shared > 0 {
 		group := uint64(cluster.Draw(int64(max(1, crowd.Groups))))
 		content.parts = append(content.parts, decide.Part{ID: 1<<40 + group<<8 + uint64(len(crowd.Path)), Tokens: crowd.Shared})
 	}
 	content.parts = append(content.parts, decide.Part{ID: 1<<50 + uint64(number), Tokens: crowd.Own})
-	deadline := request.At + crowd.Patience
+	deadline := request.At + crowd.Timeout
 	for {
-		try := &RoutedTry{ID: fmt.Sprintf("%s.%d", request.ID, len(request.Tries)), Key: caller.key, Sent: node.Now(), request: request}
+		try := &RoutedAttempt{ID: fmt.Sprintf("%s.%d", request.ID, len(request.Tries)), Key: caller.key, Sent: node.Now(), request: request}
 		request.Tries = append(request.Tries, try)
-		cluster.askedOf[try.ID], cluster.tried[try.ID] = content, try
+		cluster.contentByAttempt[try.ID], cluster.attempts[try.ID] = content, try
 		if crowd.Resume {
-			try.After = request.Got
+			try.After = request.TokensReceived
 		}
 		try.Daemon = caller.chooseDaemon()
 		request.Verdict = "nowhere"
@@ -247,10 +247,10 @@
 			return
 		case !crowd.Repeatable && !try.promised() && try.IsRead:
 			return
-		case !crowd.Resume && request.Got > 0:
+		case !crowd.Resume && request.TokensReceived > 0:
 			return // what was received can't be taken back
 		}
-		loop.Sleep(node, max(20*time.Millisecond, min(try.ComeBack, remaining/3)))
+		loop.Sleep(node, max(20*time.Millisecond, min(try.RetryAfter, remaining/3)))
 	}
 }
 
@@ -270,7 +270,7 @@
 }
 
 // try makes one attempt at a daemon and returns its outcome.
-func (caller *routedCaller) try(request *RoutedRequest, try *RoutedTry, content asked, deadline time.Duration) string {
+func (caller *routedCaller) try(request *RoutedRequest, try *RoutedAttempt, content requestContent, deadline time.Duration) string {
 	cluster, node, crowd := caller.cluster, caller.node, caller.crowd
 	name := try.Daemon
 	avoid := func() {
@@ -350,7 +350,7 @@
 		case answerEnd:
 			switch {
 			case item.failure != nil:
-				try.Status, try.Code, try.ComeBack = item.failure.Status, item.failure.Code, item.failure.ComeBack
+				try.Status, try.Code, try.RetryAfter = item.failure.Status, item.failure.Code, item.failure.ComeBack
 				return "declined"
 			case item.err != nil:
 				return "cut"
@@ -359,8 +359,8 @@
 			if try.Status >= 300 {
 				return "failed"
 			}
-			if request.Got != crowd.Most {
-				request.Wrong = fmt.Sprintf("answer ended cleanly with %d of %d tokens", request.Got, crowd.Most)
+			if request.TokensReceived != crowd.AnswerTokens {
+				request.Mismatch = fmt.Sprintf("answer ended cleanly with %d of %d tokens", request.TokensReceived, crowd.AnswerTokens)
 			}
 			return "ok"
 		}
@@ -368,7 +368,7 @@
 }
 
 // event records a received event, which has to continue where the previous one ended.
-func (caller *routedCaller) event(request *RoutedRequest, try *RoutedTry, text []byte) {
+func (caller *routedCaller) event(request *RoutedRequest, try *RoutedAttempt, text []byte) {
 	now := caller.node.Now()
 	if request.First == 0 {
 		request.First = now
@@ -383,18 +383,18 @@
 		var id, from, until int
 		var name, life string
 		if _, err := fmt.Sscanf(string(event), "id: %d\ndata: %s %s %d %d\n\n", &id, &name, &life, &from, &until); err != nil {
-			request.Wrong = fmt.Sprintf("received malformed event %q", event)
+			request.Mismatch = fmt.Sprintf("received malformed event %q", event)
 			return
 		}
 		switch {
 		case name != try.ID:
-			request.Wrong = "received an event of attempt " + name
-		case from != request.Got || until <= from || id != until:
-			request.Wrong = fmt.Sprintf("received tokens %d to %d after token %d", from, until, request.Got)
+			request.Mismatch = "received an event of attempt " + name
+		case from != request.TokensReceived || until <= from || id != until:
+			request.Mismatch = fmt.Sprintf("received tokens %d to %d after token %d", from, until, request.TokensReceived)
 		case life != request.lastLife && request.lastLife != "" && !caller.crowd.Resume:
-			request.Wrong = "received events of two runs"
+			request.Mismatch = "received events of two runs"
 		}
-		request.Got, request.lastLife = until, life
+		request.TokensReceived, request.lastLife = until, life
 		try.Tokens += until - from
 	}
 }
--- a/fleet/routed_test.go
+++ b/fleet/routed_test.go
@@ -11,16 +11,16 @@
 	"swifttiller/settings"
 )
 
-// warmRouted is the time after which a routed fleet has settled: its daemons have leases, and its
+// routedWarmupTime is the time after which a routed fleet has settled: its daemons have leases, and its
 // engines have cached the shared prefixes.
-const warmRouted = 5 * time.Second
+const routedWarmupTime = 5 * time.Second
 
 // tryRouted injects a fault into a warm routed fleet and checks every rule.
 func tryRouted(t *testing.T, shape string, seed uint64, fault fleet.Fault) {
 	t.Helper()
-	park := fleet.NewPark(seed, fleet.RoutedShapes[shape].Tenanted().Plan())
+	park := fleet.NewCluster(seed, fleet.RoutedShapes[shape].Tenanted().Plan())
 	defer park.Close()
-	park.Run(warmRouted)
+	park.Run(routedWarmupTime)
 	facts := park.BeginRouted()
 	facts.Planned = fault.Planned
 	fault.Run(park, &facts)
@@ -33,8 +33,8 @@
 	answered, asked := fleet.RoutedRate(park, from, until)
 	during, all := fleet.RoutedRate(park, facts.From, from)
 	broken, judged := fleet.CheckRouted(park, facts)
-	show(t, seed, broken)
-	for _, missed := range facts.Missed {
+	reportViolations(t, seed, broken)
+	for _, missed := range facts.FailedPreconditions {
 		t.Errorf("vacuous: %v", missed)
 	}
 	for _, rule := range fault.Judges {
@@ -60,15 +60,15 @@
 		}
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			tryRouted(t, name, 1, fleet.Fault{Name: "nothing", Planned: true, Run: func(park *fleet.Park, facts *fleet.Facts) {
+			tryRouted(t, name, 1, fleet.Fault{Name: "nothing", Planned: true, Run: func(park *fleet.Cluster, facts *fleet.Facts) {
 				park.Run(10 * time.Second)
-				answered, asked := fleet.RoutedRate(park, warmRouted, park.Now()-3*time.Second)
+				answered, asked := fleet.RoutedRate(park, routedWarmupTime, park.Now()-3*time.Second)
 				facts.Must(fmt.Sprintf("%d of %d are served", answered, asked), answered == asked && asked > 200)
-				facts.Must("engines get no orders", park.Strayed == 0)
+				facts.Must("engines get no orders", park.EngineOrders == 0)
 				read, kept := 0, 0
 				for _, engine := range park.Engines {
 					read += engine.ReadTokens
-					kept += engine.KeptTokens
+					kept += engine.CachedTokens
 				}
 				facts.Must(fmt.Sprintf("of prompts, %d tokens are read and %d kept", read, kept), kept > read)
 			}, Judges: []string{"whole", "held", "routes", "routed home", "routed lost", "keys", "tenant"}})
@@ -79,13 +79,13 @@
 // TestRoutedFaults injects each fault into a fleet of each shape.
 func TestRoutedFaults(t *testing.T) {
 	t.Parallel()
-	for offset := uint64(0); offset < uint64(*seeds); offset++ {
+	for offset := uint64(0); offset < uint64(*seedCount); offset++ {
 		for name := range fleet.RoutedShapes {
 			for index, fault := range fleet.RoutedFaults {
 				if testing.Short() && (index%9 != 2 || name != "small") {
 					continue
 				}
-				seed := *first + offset
+				seed := *firstSeed + offset
 				t.Run(fmt.Sprintf("%s/%s/%d", name, fault.Name, seed), func(t *testing.T) {
 					t.Parallel()
 					tryRouted(t, name, seed, fault)
@@ -99,16 +99,16 @@
 // report. None of them may report anything on the history without it.
 func TestEveryRoutedCheckerCanFire(t *testing.T) {
 	t.Parallel()
-	park := fleet.NewPark(3, fleet.RoutedShapes["small"].Tenanted().Plan())
+	park := fleet.NewCluster(3, fleet.RoutedShapes["small"].Tenanted().Plan())
 	defer park.Close()
-	park.Run(warmRouted)
+	park.Run(routedWarmupTime)
 	facts := park.BeginRouted()
 	facts.Planned = true
 	park.Run(6 * time.Second)
 	park.Quiet = true
 	park.Run(6500 * time.Millisecond)
 	broken, _ := fleet.CheckRouted(park, facts)
-	show(t, 3, broken)
+	reportViolations(t, 3, broken)
 	// runOf returns a successful run of one of the crowd's requests, and the request.
 	runOf := func(crowd string) (*fleet.Run, *fleet.RoutedRequest) {
 		for _, request := range park.RoutedRequests {
@@ -138,8 +138,8 @@
 		},
 		"whole": func(*fleet.Facts) func() {
 			_, request := runOf("check-south")
-			request.Got--
-			return func() { request.Got++ }
+			request.TokensReceived--
+			return func() { request.TokensReceived++ }
 		},
 		"held": func(*fleet.Facts) func() {
 			_, request := runOf("check-south")
@@ -168,13 +168,13 @@
 			if len(problems) > 0 {
 				t.Fatal(problems)
 			}
-			facts.Books = append(append([]fleet.Book{}, facts.Books...), fleet.Book{Asked: facts.From, Acked: facts.From, Tree: tree})
+			facts.RoutedConfigs = append(append([]fleet.RoutedConfig{}, facts.RoutedConfigs...), fleet.RoutedConfig{Asked: facts.From, Acked: facts.From, Tree: tree})
 			return func() {}
 		},
 		"routed leaving": func(*fleet.Facts) func() {
 			run, _ := runOf("check-south")
-			park.Learned[run.Engine+"/"+run.Life] = time.Millisecond
-			return func() { delete(park.Learned, run.Engine+"/"+run.Life) }
+			park.TerminationLearned[run.Engine+"/"+run.Life] = time.Millisecond
+			return func() { delete(park.TerminationLearned, run.Engine+"/"+run.Life) }
 		},
 		"cold": func(*fleet.Facts) func() {
 			// Marks all runs as cold, and sets a rate limit that two cold runs a second exceed.
@@ -247,7 +247,7 @@
 			if len(problems) > 0 {
 				t.Fatal(problems)
 			}
-			facts.Books = append(append([]fleet.Book{}, facts.Books...), fleet.Book{Asked: facts.From, Acked: facts.From, Tree: tree})
+			facts.RoutedConfigs = append(append([]fleet.RoutedConfig{}, facts.RoutedConfigs...), fleet.RoutedConfig{Asked: facts.From, Acked: facts.From, Tree: tree})
 			return func() {}
 		},
 		"tenant": func(*fleet.Facts) func() {
@@ -290,12 +290,12 @@
 			return func() { request.Tries[0].IsWhole = true }
 		},
 		"fallback": func(*fleet.Facts) func() {
-			before, lives := park.Adopted, park.Lives
+			before, lives := park.Adopted, park.Starts
 			last := before[len(before)-1]
-			park.Lives = append(append([]fleet.Life{}, lives...), fleet.Life{At: park.Now(), Daemon: last.Daemon, Least: last.Serial})
+			park.Starts = append(append([]fleet.Start{}, lives...), fleet.Start{At: park.Now(), Daemon: last.Daemon, MinVersion: last.Serial})
 			last.At, last.Serial = park.Now(), 0
 			park.Adopted = append(append([]fleet.Adopted{}, before...), last)
-			return func() { park.Adopted, park.Lives = before, lives }
+			return func() { park.Adopted, park.Starts = before, lives }
 		},
 	} {
 		shown[strings.Split(name, "/")[0]] = true
@@ -330,7 +330,7 @@
 	for at := range plan.Engines {
 		plan.Engines[at].Skips = 0.05
 	}
-	park := fleet.NewPark(4, plan)
+	park := fleet.NewCluster(4, plan)
 	defer park.Close()
 	park.Run(4 * time.Second)
 	broken, _ := fleet.CheckRouted(park, park.BeginRouted())
--- a/fleet/size_test.go
+++ b/fleet/size_test.go
@@ -30,7 +30,7 @@
 // 10 s after the loss.
 func TestSize(t *testing.T) {
 	t.Parallel()
-	if !*measure {
+	if !*printMeasurements {
 		t.Skip("only with -measure")
 	}
 	for name, make := range fleet.Plans {
@@ -45,8 +45,8 @@
 						for index := range plan.Callers {
 							plan.Callers[index].Every /= time.Duration(size[2])
 						}
-						park := fleet.NewPark(seed, plan)
-						park.Run(warm)
+						park := fleet.NewCluster(seed, plan)
+						park.Run(warmupTime)
 						region := park.Regions()[index]
 						var inside []string
 						for _, node := range park.NodeNames() {
@@ -54,7 +54,7 @@
 								inside = append(inside, node)
 							}
 						}
-						park.Lose(inside)
+						park.CrashAll(inside)
 						park.Run(10 * time.Second)
 						from := park.Now()
 						park.Run(22 * time.Second)
--- a/fleet/split_test.go
+++ b/fleet/split_test.go
@@ -7,16 +7,16 @@
 	"swifttiller/fleet"
 )
 
-// TestPermitsComeFromWhoeverSeesAMajority checks that data daemons don't stay with a control daemon
+// TestLeasesComeFromAMajority checks that data daemons don't stay with a control daemon
 // that still answers them but is partitioned from the core's majority: all must keep valid leases.
-func TestPermitsComeFromWhoeverSeesAMajority(t *testing.T) {
+func TestLeasesComeFromAMajority(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
 		t.Skip("a long simulation with one task at a time, of little use under the race detector")
 	}
 	for seed := uint64(1); seed <= 3; seed++ {
-		park := fleet.NewPark(seed, fleet.Sahayogi())
-		park.Run(warm)
+		park := fleet.NewCluster(seed, fleet.Sahayogi())
+		park.Run(warmupTime)
 		park.Split([]string{"c1"}, []string{"c2", "c3", "c4"}, true)
 		without := map[string]int{}
 		for turn := 0; turn < 40; turn++ {
--- a/fleet/stop_test.go
+++ b/fleet/stop_test.go
@@ -18,12 +18,12 @@
 	for seed := uint64(4); seed <= 12; seed++ {
 		plan := fleet.RoutedShapes["small"].Plan()
 		for at := range plan.Routed {
-			plan.Routed[at].Holds = 3
+			plan.Routed[at].LocateTTLs = 3
 		}
 		name := func(placed string) string { before, _, _ := strings.Cut(placed, ":"); return before }
 		stopped, other := name(plan.Datas[0]), name(plan.Datas[1])
-		park := fleet.NewPark(seed, plan)
-		park.Run(warmRouted)
+		park := fleet.NewCluster(seed, plan)
+		park.Run(routedWarmupTime)
 		stop := func(name string) time.Duration {
 			began := park.Now()
 			park.StopData(name)
--- a/fleet/tenants_test.go
+++ b/fleet/tenants_test.go
@@ -32,9 +32,9 @@
 // tenantPlan returns a fleet of three equal regions, where the tenant with long prompts has most of
 // its callers in the first region until moveAt, and in the last one from then on.
 func tenantPlan(window time.Duration, again float64) fleet.Plan {
-	shape := fleet.RoutedShape{Regions: []string{"north", "south", "sea"}, Engines: []int{4, 4, 4}, Datas: []int{2, 2, 2}, Busy: 2, Limits: map[string]float64{"tenant_ms": float64(window / time.Millisecond), "tenant_again": again}}
+	shape := fleet.RoutedShape{Regions: []string{"north", "south", "sea"}, Engines: []int{4, 4, 4}, Datas: []int{2, 2, 2}, LoadFactor: 2, Limits: map[string]float64{"tenant_ms": float64(window / time.Millisecond), "tenant_again": again}}
 	plan := shape.Plan()
-	var crowds []fleet.RoutedCrowd
+	var crowds []fleet.RoutedCallerGroup
 	for _, crowd := range plan.Routed {
 		if !strings.HasPrefix(crowd.Name, "check-") {
 			crowds = append(crowds, crowd)
@@ -58,8 +58,8 @@
 }
 
 // tenantPark starts the fleet of tenantPlan with a delay of 55 ms between regions.
-func tenantPark(seed uint64, window time.Duration, again float64) *fleet.Park {
-	park := fleet.NewPark(seed, tenantPlan(window, again))
+func tenantPark(seed uint64, window time.Duration, again float64) *fleet.Cluster {
+	park := fleet.NewCluster(seed, tenantPlan(window, again))
 	for _, from := range park.NodeNames() {
 		for _, to := range park.NodeNames() {
 			if fleet.Region(park.Zone(from)) != fleet.Region(park.Zone(to)) {
@@ -72,7 +72,7 @@
 
 // placedIn returns the regions where the daemon's view places the tenant: "" if the view has no
 // valid placement, "?" while the placement moves.
-func placedIn(park *fleet.Park, name string) string {
+func placedIn(park *fleet.Cluster, name string) string {
 	daemon := park.Datas[name]
 	placement := daemon.Holder.View().Placement(checkTenant, daemon.World.Now())
 	switch {
@@ -85,7 +85,7 @@
 }
 
 // arePlaced reports whether all data daemons place the tenant in the regions.
-func arePlaced(park *fleet.Park, regions string) bool {
+func arePlaced(park *fleet.Cluster, regions string) bool {
 	for name := range park.Datas {
 		if placedIn(park, name) != regions {
 			return false
@@ -116,7 +116,7 @@
 		facts.Planned = true
 		sum := func() (again int) {
 			for _, engine := range park.Engines {
-				again += engine.AgainTokens
+				again += engine.RereadTokens
 			}
 			return again
 		}
@@ -151,7 +151,7 @@
 		}
 		out.first /= time.Duration(max(1, out.requests-out.failed))
 		broken, judged := fleet.CheckRouted(park, facts)
-		show(t, seed, broken)
+		reportViolations(t, seed, broken)
 		if judged["routed lost"] == 0 || judged["whole"] == 0 || judged["routed home"] == 0 {
 			t.Errorf("vacuous: judged %v", judged)
 		}
@@ -177,7 +177,7 @@
 // homes are never left.
 //
 // Invariant: the placements' version never decreases within the life of a daemon.
-func watchPlacements(t *testing.T, park *fleet.Park, span time.Duration) {
+func watchPlacements(t *testing.T, park *fleet.Cluster, span time.Duration) {
 	t.Helper()
 	bound := 1800 * time.Millisecond * 11 / 10 // the duration of a lease and its clock drift
 	first := map[uint64]time.Duration{}
@@ -202,8 +202,8 @@
 	}
 }
 
-// tenantHolder returns the running control daemon that leads the tenants' election, or "".
-func tenantHolder(park *fleet.Park) string {
+// tenantLeader returns the running control daemon that leads the tenants' election, or "".
+func tenantLeader(park *fleet.Cluster) string {
 	for _, name := range slices.Sorted(maps.Keys(park.Controls)) {
 		if _, held := park.Controls[name].Elections.Term(controlplane.TenantElection); held && park.Node(name).Up() {
 			return name
@@ -226,17 +226,17 @@
 		// strike is applied to the node that passes the point for the nth time after the
 		// callers moved.
 		nth    int
-		strike func(park *fleet.Park, name string)
+		strike func(park *fleet.Cluster, name string)
 		// isCalm says that the fault affects no requests, so every one has to be answered.
 		isCalm bool
 	}
-	kill := func(park *fleet.Park, name string) {
+	kill := func(park *fleet.Cluster, name string) {
 		park.At(0, func() {
 			park.Crash(name)
 			park.At(4*time.Second, func() { park.StartControl(name) })
 		})
 	}
-	pause := func(park *fleet.Park, name string) { park.Freeze(name, 5*time.Second) }
+	pause := func(park *fleet.Cluster, name string) { park.Freeze(name, 5*time.Second) }
 	var faults []fault
 	// The change is noticed in about the third round. The move begins two rounds later and takes
 	// several; each of its rounds writes once.
@@ -245,7 +245,7 @@
 			faults = append(faults, fault{fmt.Sprintf("killed at %s %d", point, nth), point, nth, kill, true}, fault{fmt.Sprintf("paused at %s %d", point, nth), point, nth, pause, true})
 		}
 	}
-	names := func(park *fleet.Park, isIn func(name string) bool) (in, out []string) {
+	names := func(park *fleet.Cluster, isIn func(name string) bool) (in, out []string) {
 		for _, name := range park.NodeNames() {
 			if isIn(name) {
 				in = append(in, name)
@@ -256,17 +256,17 @@
 		return in, out
 	}
 	faults = append(faults,
-		fault{"region cut", controlplane.PointPlanned, 3, func(park *fleet.Park, _ string) {
+		fault{"region cut", controlplane.PointPlanned, 3, func(park *fleet.Cluster, _ string) {
 			in, out := names(park, func(name string) bool { return fleet.Region(park.Zone(name)) == "sea" })
 			park.Split(in, out, true)
 			park.At(6*time.Second, func() { park.Split(in, out, false) })
 		}, false},
-		fault{"core minority", controlplane.PointPlanned, 3, func(park *fleet.Park, name string) {
+		fault{"core minority", controlplane.PointPlanned, 3, func(park *fleet.Cluster, name string) {
 			in, out := names(park, func(node string) bool { return node == name })
 			park.Split(in, out, true)
 			park.At(6*time.Second, func() { park.Split(in, out, false) })
 		}, false},
-		fault{"data daemon wakes with an old placement", controlplane.PointPlanned, 1, func(park *fleet.Park, _ string) { park.Freeze("d-south-1", 25*time.Second) }, false},
+		fault{"data daemon wakes with an old placement", controlplane.PointPlanned, 1, func(park *fleet.Cluster, _ string) { park.Freeze("d-south-1", 25*time.Second) }, false},
 	)
 	for _, fault := range faults {
 		t.Run(fault.name, func(t *testing.T) {
@@ -291,7 +291,7 @@
 				for _, name := range slices.Sorted(maps.Keys(park.Datas)) {
 					t.Logf("%s: %q", name, placedIn(park, name))
 				}
-				t.Errorf("the move never ended; the leader is %q", tenantHolder(park))
+				t.Errorf("the move never ended; the leader is %q", tenantLeader(park))
 			}
 			from := park.Now()
 			park.Run(3 * time.Second)
@@ -302,7 +302,7 @@
 				t.Errorf("%d of %d requests were answered after the fault", answered, asked)
 			}
 			broken, judged := fleet.CheckRouted(park, facts)
-			show(t, park.Seed, broken)
+			reportViolations(t, park.Seed, broken)
 			if judged["whole"] == 0 || judged["routed home"] == 0 || fault.isCalm && judged["routed lost"] == 0 {
 				t.Errorf("vacuous: judged %v", judged)
 			}
@@ -316,7 +316,7 @@
 func TestTenantPins(t *testing.T) {
 	t.Parallel()
 	plan := tenantPlan(tenantWindow, tenantAgain)
-	park := fleet.NewPark(7, plan)
+	park := fleet.NewCluster(7, plan)
 	defer park.Close()
 	park.Run(5 * time.Second)
 	pin := func(name string, regions ...string) error {
@@ -336,7 +336,7 @@
 	if !park.Until(1900*time.Millisecond, func() bool { return arePlaced(park, "south") }) {
 		t.Error("the pin was not in use at all data daemons within the duration of a lease")
 	}
-	if leader := tenantHolder(park); leader != "" {
+	if leader := tenantLeader(park); leader != "" {
 		park.Crash(leader)
 		park.Run(8 * time.Second)
 		park.StartControl(leader)
@@ -366,7 +366,7 @@
 // written or used, and a pin is rejected.
 func TestTenantsOff(t *testing.T) {
 	t.Parallel()
-	park := fleet.NewPark(8, fleet.RoutedShapes["small"].Plan())
+	park := fleet.NewCluster(8, fleet.RoutedShapes["small"].Plan())
 	defer park.Close()
 	park.Run(8 * time.Second)
 	for _, daemon := range park.Datas {
@@ -379,7 +379,7 @@
 			t.Error("a pin was accepted")
 		}
 		seen, err := daemon.Tenants()
-		if err == nil && (seen.Serial != 0 || seen.IsOn || tenantHolder(park) != "") {
+		if err == nil && (seen.Serial != 0 || seen.IsOn || tenantLeader(park) != "") {
 			t.Errorf("the tenants' state is %+v", seen)
 		}
 		return err
@@ -399,7 +399,7 @@
 			routes = append(routes, fmt.Sprintf(`{"name":"t%d","host":"t%d.example","prefix":"/x/","kind":"streamed","timeout_ms":9000,"target_ms":1000,"tries":2,"shares":[{"model":"scribe","weight":1}]},`, index, index))
 		}
 		plan.Document = strings.Replace(plan.Document, `"routes":[`, `"routes":[`+strings.Join(routes, ""), 1)
-		park := fleet.NewPark(9, plan)
+		park := fleet.NewCluster(9, plan)
 		defer park.Close()
 		park.Run(6 * time.Second)
 		for _, name := range slices.Sorted(maps.Keys(park.Datas)) {
@@ -448,14 +448,14 @@
 		for _, value := range []float64{bound.Min, bound.Max} {
 			shape := fleet.RoutedShapes["small"]
 			shape.Limits = map[string]float64{"tenant_ms": 500, name: value}
-			park := fleet.NewPark(11, shape.Plan())
+			park := fleet.NewCluster(11, shape.Plan())
 			park.Run(6 * time.Second)
 			facts := park.BeginRouted()
 			park.Run(8 * time.Second)
 			park.Quiet = true
 			park.Run(6500 * time.Millisecond)
 			broken, _ := fleet.CheckRouted(park, facts)
-			show(t, 11, broken)
+			reportViolations(t, 11, broken)
 			if answered, asked := fleet.RoutedRate(park, facts.From, facts.From+8*time.Second); asked == 0 || answered*10 < asked*9 {
 				t.Errorf("%s=%v: %d of %d requests were answered", name, value, answered, asked)
 			}
--- a/fleet/term_test.go
+++ b/fleet/timed_rollout_test.go
@@ -25,17 +25,17 @@
 	plan.Document = strings.NewReplacer(`"version":"v1"`, `"version":"any"`, `"warm_ms":6000`, `"warm_ms":0,"cold_share":1`).Replace(plan.Document)
 	for index := range plan.Replicas {
 		replica := &plan.Replicas[index]
-		replica.Mute, replica.ColdAnswers = true, 0
+		replica.HidesVersions, replica.ColdAnswers = true, 0
 	}
 	for index := range plan.Callers {
-		plan.Callers[index].Rosters = 1 << 20 // no prompt is in any replica's cache
+		plan.Callers[index].PromptGroups = 1 << 20 // no prompt is in any replica's cache
 	}
 	return plan
 }
 
 // joins starts a replica of v2 next to each of the plan's replicas, as changed by revise, which
 // may clear the ID to leave one out. It returns the names of the started replicas.
-func joins(park *fleet.Park, revise func(*fleet.ReplicaOptions)) (names []string) {
+func joins(park *fleet.Cluster, revise func(*fleet.ReplicaOptions)) (names []string) {
 	for _, replica := range park.Plan.Replicas {
 		replica.ID, replica.Held = replica.ID+"-next", []string{park.Model + "/v2"}
 		if revise != nil {
@@ -51,9 +51,9 @@
 	return names
 }
 
-// order begins a rollout to the version within the term at the first control daemon that accepts
+// beginRollout begins a rollout to the version within the term at the first control daemon that accepts
 // it, and returns the last error if none does.
-func order(park *fleet.Park, version string) (err error) {
+func beginRollout(park *fleet.Cluster, version string) (err error) {
 	for _, name := range []string{"c1", "c2", "c3", "c4"} {
 		if park.Node(name).Up() && !park.Node(name).Frozen() {
 			if err = park.Do(name, 4*time.Second, func(daemon *controlplane.Daemon) error {
@@ -66,8 +66,8 @@
 	return err
 }
 
-// stands returns the state of the rollout, which is empty if no control daemon answers.
-func stands(park *fleet.Park) (out controlplane.RolloutState) {
+// rolloutState returns the state of the rollout, which is empty if no control daemon answers.
+func rolloutState(park *fleet.Cluster) (out controlplane.RolloutState) {
 	for _, name := range []string{"c1", "c2", "c3", "c4"} {
 		if park.Node(name).Up() && !park.Node(name).Frozen() {
 			if park.Do(name, 500*time.Millisecond, func(daemon *controlplane.Daemon) (err error) {
@@ -84,10 +84,10 @@
 // actAsPlatform stands in for the platform during a rollout: when the traffic has moved, the old replicas stop
 // at once; when it is rolled back, the new ones drain some seconds later. It returns the final
 // state and the time until then, or "" and 0 if the rollout doesn't end within the span.
-func actAsPlatform(t *testing.T, park *fleet.Park, began, span time.Duration, fresh []string) (string, time.Duration) {
+func actAsPlatform(t *testing.T, park *fleet.Cluster, began, span time.Duration, fresh []string) (string, time.Duration) {
 	t.Helper()
 	for park.Now() < began+span {
-		switch state := stands(park); state.State {
+		switch state := rolloutState(park); state.State {
 		case rollout.Moved:
 			took := park.Now() - began
 			cut := 0
@@ -118,7 +118,7 @@
 // moment at most its small share of all requests since the rollout began. A bad version also gets
 // at most a tenth of all requests plus 50 within the term, and none later than 5 s after its 50th
 // failure. It returns the numbers of requests to v2 and to all versions.
-func exposed(t *testing.T, park *fleet.Park, began, moved time.Duration, isBad bool) (mine, whole int) {
+func exposed(t *testing.T, park *fleet.Cluster, began, moved time.Duration, isBad bool) (mine, whole int) {
 	t.Helper()
 	var bad []time.Duration
 	for _, request := range park.Logs() {
@@ -162,7 +162,7 @@
 type openCase struct {
 	name string
 	bad  func(since time.Duration, kind string, running int) bool
-	how  fleet.Way
+	how  fleet.FailureMode
 	// slower is the factor by which its answers are slower.
 	slower float64
 	// late delays the start of its replicas; without reports the zones that get none.
@@ -179,7 +179,7 @@
 	{name: "good, with none in one region", without: func(zone string) bool { return zone == "west-1" || zone == "sea-1" }, want: rollout.Moved},
 	{name: "with no replicas at all", without: func(string) bool { return true }, want: rollout.RolledBack},
 	{name: "bad at once", bad: func(time.Duration, string, int) bool { return true }, want: rollout.RolledBack},
-	{name: "bad on one kind", bad: func(_ time.Duration, kind string, _ int) bool { return thin(kind) }, want: rollout.RolledBack},
+	{name: "bad on one kind", bad: func(_ time.Duration, kind string, _ int) bool { return isRare(kind) }, want: rollout.RolledBack},
 	{name: "bad after 5 s", bad: func(since time.Duration, _ string, _ int) bool { return since > 5*time.Second }, want: rollout.RolledBack},
 	{name: "bad after 8 s", bad: func(since time.Duration, _ string, _ int) bool { return since > 8*time.Second }, want: rollout.RolledBack},
 	{name: "bad under load", bad: func(_ time.Duration, _ string, running int) bool { return running >= 2 }, want: rollout.RolledBack},
@@ -199,7 +199,7 @@
 		t.Skip("a long simulation with one task at a time, of little use under the race detector")
 	}
 	for name := range fleet.Plans {
-		for seed := *first; seed < *first+uint64(*seeds); seed++ {
+		for seed := *firstSeed; seed < *firstSeed+uint64(*seedCount); seed++ {
 			for _, variant := range openCases {
 				t.Run(fmt.Sprintf("%s/%s/%d", name, variant.name, seed), func(t *testing.T) {
 					t.Parallel()
@@ -216,11 +216,11 @@
 }
 
 func tryOpen(t *testing.T, name string, variant openCase, seed uint64) {
-	park := fleet.NewPark(seed, openPlan(name))
+	park := fleet.NewCluster(seed, openPlan(name))
 	defer park.Close()
-	park.Run(warm)
+	park.Run(warmupTime)
 	began := park.Now()
-	if err := order(park, "v2"); err != nil {
+	if err := beginRollout(park, "v2"); err != nil {
 		t.Fatal(err)
 	}
 	if variant.late > 0 {
@@ -234,17 +234,17 @@
 		if variant.without != nil && variant.without(options.Zone) {
 			options.ID = ""
 		}
-		options.How, options.Slower = variant.how, variant.slower
+		options.Failure, options.Slowdown = variant.how, variant.slower
 		if variant.bad != nil {
 			options.Bad = func(_, kind string, running int) bool { return isMoved && variant.bad(park.Now()-began, kind, running) }
 		}
 	})
 	park.Run(500 * time.Millisecond)
-	if err := order(park, "v2"); err != nil {
+	if err := beginRollout(park, "v2"); err != nil {
 		t.Errorf("repeat of the rollout order: %v", err)
 	}
 	var conflict *verdict.Error
-	if err := order(park, "v3"); stands(park).State == rollout.Moving && (!errors.As(err, &conflict) || conflict.Status != 409) {
+	if err := beginRollout(park, "v3"); rolloutState(park).State == rollout.Moving && (!errors.As(err, &conflict) || conflict.Status != 409) {
 		t.Errorf("order of another version during the rollout: got %v, want status 409", err)
 	}
 	state, took := actAsPlatform(t, park, began, term, fresh)
@@ -258,8 +258,8 @@
 		}
 	}
 	park.Run(8 * time.Second)
-	if err := order(park, "v2"); err != nil || stands(park).State != state {
-		t.Errorf("repeat of the order after the rollout's end: error %v, state %v", err, stands(park))
+	if err := beginRollout(park, "v2"); err != nil || rolloutState(park).State != state {
+		t.Errorf("repeat of the order after the rollout's end: error %v, state %v", err, rolloutState(park))
 	}
 	from := park.Now()
 	park.Run(5 * time.Second)
@@ -283,7 +283,7 @@
 // ones of another version get their share of requests without a rollout.
 func TestOpenPlacementServesVersionsAsEquals(t *testing.T) {
 	t.Parallel()
-	park := fleet.NewPark(2, openPlan("sahayogi"))
+	park := fleet.NewCluster(2, openPlan("sahayogi"))
 	defer park.Close()
 	park.Run(8 * time.Second)
 	joins(park, func(options *fleet.ReplicaOptions) {
@@ -324,14 +324,14 @@
 	if testing.Short() {
 		steps = steps[6:7]
 	}
-	losses := map[string]func(park *fleet.Park, node *sim.Node){
-		"its runner is killed": func(park *fleet.Park, node *sim.Node) {
+	losses := map[string]func(park *fleet.Cluster, node *sim.Node){
+		"its runner is killed": func(park *fleet.Cluster, node *sim.Node) {
 			park.At(0, func() { park.Crash(node.Name) })
 			park.At(6*time.Second, func() { park.StartControl(node.Name) })
 			node.Crash()
 		},
-		"its runner sleeps": func(park *fleet.Park, node *sim.Node) { park.Freeze(node.Name, 7*time.Second) },
-		"the core is killed": func(park *fleet.Park, node *sim.Node) {
+		"its runner sleeps": func(park *fleet.Cluster, node *sim.Node) { park.Freeze(node.Name, 7*time.Second) },
+		"the core is killed": func(park *fleet.Cluster, node *sim.Node) {
 			park.At(0, func() {
 				for _, name := range []string{"c1", "c2", "c3", "c4"} {
 					park.Crash(name)
@@ -360,7 +360,7 @@
 	}
 	t.Run("the core is cut in two", func(t *testing.T) {
 		for _, isBad := range []bool{false, true} {
-			outlive(t, "ready", isBad, func(park *fleet.Park, node *sim.Node) {
+			outlive(t, "ready", isBad, func(park *fleet.Cluster, node *sim.Node) {
 				others := slices.DeleteFunc([]string{"c1", "c2", "c3"}, func(name string) bool { return name == node.Name })
 				park.Split([]string{node.Name}, others, true)
 				park.At(5*time.Second, func() { park.Split([]string{node.Name}, others, false) })
@@ -374,13 +374,13 @@
 }
 
 // outlive runs a rollout during which lose is called at the given step.
-func outlive(t *testing.T, step string, isBad bool, lose func(*fleet.Park, *sim.Node)) {
-	park := fleet.NewPark(3, openPlan("sahayogi"))
+func outlive(t *testing.T, step string, isBad bool, lose func(*fleet.Cluster, *sim.Node)) {
+	park := fleet.NewCluster(3, openPlan("sahayogi"))
 	defer park.Close()
 	park.Run(10 * time.Second)
 	isLost := false
 	began := park.Now()
-	if err := order(park, "v2"); err != nil {
+	if err := beginRollout(park, "v2"); err != nil {
 		t.Fatal(err)
 	}
 	park.SetHook(step, func(node *sim.Node, _ int) {
@@ -409,7 +409,7 @@
 		}
 	}
 	park.Run(12 * time.Second)
-	if later := stands(park).State; later != state {
+	if later := rolloutState(park).State; later != state {
 		t.Errorf("the rollout's state changed from %s to %s after its end", state, later)
 	}
 	mine, whole := exposed(t, park, began, moved, isBad)
--- a/fleet/worst.go
+++ b/fleet/worst.go
@@ -4,7 +4,7 @@
 
 // Worst returns, per rule with a bound, how near a run came to the bound: in seconds after the
 // acknowledgement or the event, or as a share. Rules without any case are left out.
-func Worst(park *Park, facts Facts) map[string]float64 {
+func Worst(park *Cluster, facts Facts) map[string]float64 {
 	worst := map[string]float64{}
 	note := func(rule string, value float64) {
 		if highest, isKnown := worst[rule]; !isKnown || value > highest {
@@ -19,7 +19,7 @@
 		}
 	}
 	for _, arrival := range park.Arrivals {
-		if since, known := park.Learned[arrival.Replica+"/"+arrival.Boot]; known {
+		if since, known := park.TerminationLearned[arrival.Replica+"/"+arrival.Boot]; known {
 			note("leaving", (arrival.Sent - since).Seconds())
 		}
 		for _, span := range facts.Evacuated {
@@ -35,8 +35,8 @@
 		}
 	})
 	beyond := 0
-	for _, replica := range append(append([]*Replica{}, park.past...), park.currentReplicas()...) {
-		beyond += replica.Flooded
+	for _, replica := range append(append([]*Replica{}, park.pastReplicas...), park.currentReplicas()...) {
+		beyond += replica.ColdOverload
 	}
 	note("flooded", float64(beyond))
 	return worst
--- a/lease/config_update_test.go
+++ b/lease/config_update_test.go
@@ -50,10 +50,10 @@
 	return update
 }
 
-// TestEditions guards against deltas that don't reproduce the decided configuration, from
+// TestConfigUpdates guards against deltas that don't reproduce the decided configuration, from
 // whatever base that the issuer keeps, or that are larger than the difference. Holders
 // without a base get the configuration in full.
-func TestEditions(t *testing.T) {
+func TestConfigUpdates(t *testing.T) {
 	var documents [][]byte
 	for label := range 6 {
 		documents = append(documents, routesDocument(label, 21000, 3000*label+1))
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -96,7 +96,7 @@
 
 // Client is the interface through which the daemons use replicas.
 type Client interface {
-	Dispatch(request Request) (Stream, *verdict.Error)
+	Send(request Request) (Stream, *verdict.Error)
 	Probe(address string, timeout time.Duration) (Health, error)
 	// Order returns a RateLimited error if it is to be retried later, and a Rejected error if a
 	// retry cannot help.
@@ -263,8 +263,8 @@
 	return err == nil && isQuiet
 }
 
-// Dispatch sends a request and waits for the head of its answer.
-func (client *HTTP) Dispatch(request Request) (Stream, *verdict.Error) {
+// Send sends a request and waits for the head of its answer.
+func (client *HTTP) Send(request Request) (Stream, *verdict.Error) {
 	var conn *connection
 	for conn == nil {
 		candidate, reused, err := client.acquire(request.Address, request.Timeout)
--- a/replica/replica_test.go
+++ b/replica/replica_test.go
@@ -70,7 +70,7 @@
 		client := &replica.HTTP{World: world}
 		gates := 0
 		send := func(address, boot, id string) (string, *verdict.Error) {
-			stream, failure := client.Dispatch(replica.Request{
+			stream, failure := client.Send(replica.Request{
 				Replica: "r", Address: address, Path: "/v1/completions", Body: []byte(`{"model":"m@v1","prompt":"x","max_tokens":16,"stream":true}`),
 				Model: "m", Version: "v1", Kind: "k", ID: id, Boot: boot, IdentifyTimeout: 5 * time.Second, Timeout: 20 * time.Second, StallTimeout: 20 * time.Second,
 				Gate: func() (uint64, *verdict.Error) { gates++; return 1, nil },
@@ -130,7 +130,7 @@
 		silent, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		defer silent.Close()
-		stream, failure := client.Dispatch(replica.Request{Address: silent.Addr().String(), Path: "/v1/completions", Boot: "a", IdentifyTimeout: 30 * time.Millisecond, Timeout: 20 * time.Second,
+		stream, failure := client.Send(replica.Request{Address: silent.Addr().String(), Path: "/v1/completions", Boot: "a", IdentifyTimeout: 30 * time.Millisecond, Timeout: 20 * time.Second,
 			Gate: func() (uint64, *verdict.Error) {
 				t.Error("the gate was called for a replica that never answered")
 				return 0, nil
--- a/smoke/smoke_test.go
+++ b/smoke/smoke_test.go
@@ -545,7 +545,7 @@
 			one.At, one.Zone = datas[2:], "sea-1"
 			return fleet.Call(one).OK == 1
 		})
-		ended := make(chan fleet.Tally)
+		ended := make(chan fleet.Counters)
 		go func() {
 			many := call
 			many.Count, many.Workers, many.Retries = 150, 3, 8
@@ -599,7 +599,7 @@
 	t.Run("planned stops lose nothing and end with 0", func(t *testing.T) {
 		many := call
 		many.Count, many.Workers, many.Retries = 150, 3, 8
-		ended := make(chan fleet.Tally)
+		ended := make(chan fleet.Counters)
 		go func() { ended <- fleet.Call(many) }()
 		if code := fleetHere.end("d1", syscall.SIGTERM); code != 0 {
 			t.Errorf("d1 ended with %d", code)
--- a/workflow/workflow_test.go
+++ b/workflow/workflow_test.go
@@ -15,7 +15,7 @@
 // newest MaxPastRuns runs in full; the IDs of older ones must still be recognized,
 // however many runs have come since.
 func TestIDsNeverRunAgain(t *testing.T) {
-	cluster := fleet.NewPark(3, fleet.Sahayogi())
+	cluster := fleet.NewCluster(3, fleet.Sahayogi())
 	defer cluster.Close()
 	const runs = 3 * workflow.MaxPastRuns
 	for number := 0; number < runs; number++ {
