--- a/workflow/workflow.go
+++ b/workflow/workflow.go
@@ -111,7 +111,7 @@
 	// ErrUsed means that the ID was used so long ago that nothing else is known of its run.
 	ErrUsed = errors.New("workflow: this id was used long ago and cannot run again; use another id")
 	// ErrContentsDiffer means that the ID was used with different contents.
-	ErrContentsDiffer = errors.New("workflow: this id was used before with different contents")
+	ErrContentsDiffer = errors.New("workflow: this id was used before with other contents")
 )
 
 // Journal is the journal of runs: it opens the run stores.
